--- a/accord/drawn_test.go
+++ b/accord/drawn_test.go
@@ -374,8 +374,13 @@
 }
 
 func play(seed uint64, s story, f driverFlaws, log func(string, ...any)) *world {
+	return playTraced(seed, s, f, log, nil)
+}
+
+func playTraced(seed uint64, s story, f driverFlaws, log func(string, ...any), trace func(int, Order)) *world {
 	n, faults := sizes(seed, s.budget)
 	w := newWorld(seed, n, faults, f, log)
+	w.trace = trace
 	w.log("%d machines, %d faults, seeds %v", n, faults, w.seeds)
 	d := &days{world: w, story: s}
 	if w.rand.IntN(2) == 0 {
--- a/accord/world_test.go
+++ b/accord/world_test.go
@@ -145,6 +145,7 @@
 	rand     *rand.Rand
 	flaws    driverFlaws
 	log      func(format string, v ...any)
+	trace    func(i int, o Order) // each order, before it is carried out; nil: none
 	now      time.Duration
 	seq      int
 	agenda   agenda
@@ -703,6 +704,9 @@
 		if m.life != life || w.fault != "" {
 			return
 		}
+		if w.trace != nil {
+			w.trace(i, o)
+		}
 		if w.orders++; w.orders == w.killAt {
 			w.killed(i)
 			return
--- /dev/null
+++ b/internal/compat/core_test.go
@@ -0,0 +1,153 @@
+package compat_test
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/jonboulle/clockwork"
+
+	"elmfold/counsel"
+	"elmfold/gauntlet"
+	"elmfold/premise"
+	"elmfold/record"
+)
+
+// node is a control-plane node of this version on a real disk and a simulated network, in virtual time.
+type node struct {
+	t      *testing.T
+	name   string
+	host   *gauntlet.Host
+	server *counsel.Server
+	store  *record.Store
+	found  record.Found
+}
+
+var nodeZones = []string{"north", "south", "west"}
+
+func nodeAddress(i, port int) string { return fmt.Sprintf("127.77.0.%d:%d", 10+i, port) }
+
+func newNet() *gauntlet.Net {
+	return gauntlet.NewNet(func(string, string) time.Duration { return 200 * time.Microsecond })
+}
+
+// startNode starts node i of three, whose records lie below dir.
+func startNode(t *testing.T, network *gauntlet.Net, i int, dir string) *node {
+	t.Helper()
+	n := &node{t: t, name: fmt.Sprintf("core-%d", i)}
+	settings := premise.Default()
+	settings.Name, settings.IP, settings.Zone = n.name, fmt.Sprintf("127.77.0.%d", 10+i), nodeZones[i%3]
+	settings.Zones = map[string]string{"north": "land", "south": "land", "west": "land"}
+	settings.Ports, settings.Bootstrap, settings.FaultBudget.Machines = [2]int{7540, 7555}, true, 1
+	settings.Seeds = []string{nodeAddress(0, 8544), nodeAddress(1, 8544), nodeAddress(2, 8544)}
+	settings.Listen = map[string]string{"control": nodeAddress(i, 8544)}
+	n.host = network.Host(settings.IP)
+	listener, err := n.host.Listen(settings.Own())
+	if err != nil {
+		t.Fatal(err)
+	}
+	n.store, n.found, err = record.Open(dir, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	n.server = counsel.New(counsel.Options{Settings: &settings, Disk: n.store, Known: n.found.Known, Fresh: n.found.Fresh,
+		Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(), Listen: listener, TimeOfDay: time.Now,
+		Dial: func(address string) (net.Conn, error) {
+			ctx, cancel := context.WithTimeout(context.Background(), 350*time.Millisecond)
+			defer cancel()
+			return n.host.Dial(ctx, address, 3*time.Second)
+		}})
+	go n.server.Run()
+	return n
+}
+
+// stop ends the process; its disk stays.
+func (n *node) stop() {
+	n.server.Stop()
+	n.host.Kill()
+	if err := n.store.Close(); err != nil {
+		n.t.Error(err)
+	}
+}
+
+func (n *node) call(call, of, body string) *httptest.ResponseRecorder {
+	w := httptest.NewRecorder()
+	r := httptest.NewRequest(http.MethodPost, "http://control/v1/rpc?call="+call+"&of="+of, strings.NewReader(body))
+	n.server.Handler().ServeHTTP(w, r)
+	return w
+}
+
+func (n *node) wantOK(call, of, body string) string {
+	n.t.Helper()
+	w := n.call(call, of, body)
+	if w.Code != http.StatusOK {
+		n.t.Errorf("%s: %s: %d %s", n.name, call, w.Code, w.Body)
+	}
+	return w.Body.String()
+}
+
+// coreStatus is what these tests read of core.status, by the names that its JSON has.
+type coreStatus struct {
+	Epoch    uint64 `json:"epoch"`
+	Changing bool   `json:"changing"`
+	InTouch  bool   `json:"inTouch"`
+	Voters   []struct {
+		Name  string `json:"name"`
+		Disk  string `json:"disk"`
+		Whole bool   `json:"whole"`
+	} `json:"voters"`
+	Evacuated []string `json:"evacuated"`
+}
+
+func (n *node) status() (s coreStatus) {
+	n.t.Helper()
+	if err := json.Unmarshal([]byte(n.wantOK("core.status", "", "")), &s); err != nil {
+		n.t.Fatal(err)
+	}
+	return s
+}
+
+func (n *node) wantConfiguration(want string) {
+	n.t.Helper()
+	if got := n.wantOK("config.read", "", ""); got != want {
+		n.t.Errorf("%s reads another configuration: %.80s", n.name, got)
+	}
+}
+
+// copyDisk makes a working copy of one of the disks that d330930 wrote.
+func copyDisk(t *testing.T, name string) string {
+	t.Helper()
+	dir := filepath.Join(t.TempDir(), name)
+	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata/disks", name))); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// segment is the one file of a disk.
+func segment(t *testing.T, dir string) string {
+	t.Helper()
+	files, err := filepath.Glob(filepath.Join(dir, "word", "0*"))
+	if err != nil || len(files) != 1 {
+		t.Fatalf("files %q, %v", files, err)
+	}
+	return files[0]
+}
+
+func configuration(t *testing.T, version int) string {
+	t.Helper()
+	text, err := os.ReadFile(fmt.Sprintf("testdata/disks/configuration-%d.json", version))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
