--- a/counsel/calls.go
+++ b/counsel/calls.go
@@ -116,6 +116,10 @@
 	}
 	var b beat
 	if err := json.Unmarshal(text, &b); err != nil {
+		var kind *json.UnmarshalTypeError
+		if errors.As(err, &kind) && kind.Field == "" { // the library's text names a Go type, which is nothing to the caller
+			err = fmt.Errorf("json: cannot unmarshal %s into a heartbeat", kind.Value)
+		}
 		return nil, fault.New(fault.Invalid, "heartbeat", err)
 	}
 	word := parley.Backend{ID: id, Service: b.Descriptor.Service, Address: b.Address, Zone: b.Descriptor.Zone,
--- a/premise/premise.go
+++ b/premise/premise.go
@@ -9,6 +9,7 @@
 	"maps"
 	"net/netip"
 	"os"
+	"reflect"
 	"slices"
 	"time"
 )
@@ -108,7 +109,7 @@
 		var form *json.SyntaxError
 		switch {
 		case errors.As(err, &kind):
-			return nil, fmt.Errorf("%s: a %s stands where %s is wanted", kind.Field, kind.Value, kind.Type)
+			return nil, fmt.Errorf("%s: a %s stands where %s is wanted", kind.Field, kind.Value, wanted(kind.Type))
 		case errors.As(err, &form):
 			return nil, fmt.Errorf("byte %d: %w", form.Offset, err)
 		}
@@ -158,6 +159,14 @@
 	return &s, nil
 }
 
+// wanted names a type in the words of who writes the file.
+func wanted(t reflect.Type) string {
+	if t == reflect.TypeFor[Seconds]() {
+		return "a number of seconds"
+	}
+	return t.String()
+}
+
 // Peer is the address where a controller speaks to controllers and carriers: the first free port of its machine.
 // All machines of a deployment have the same ports.
 func (s *Settings) Peer(control string) string {
