--- a/cells/cells.go
+++ b/cells/cells.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"elmfold/choice"
+	"elmfold/internal/policy"
 )
 
 // Event is one of the structs below, in the order in which they happened.
@@ -43,7 +43,7 @@
 	Undo struct{ Tenant string }
 )
 
-// Order is a choice.Allowed or a Note.
+// Order is a policy.Allowed or a Note.
 type Order any
 
 // Note is a line for people.
@@ -53,7 +53,7 @@
 }
 
 const (
-	tick      = choice.Second
+	tick      = policy.Second
 	lendUnder = 0.5  // part of its usual strength under which a cell is lent to
 	backOver  = 0.6  // ... over which loans go back
 	usualKeep = 0.99 // a tick, of the usual strength while there is less
@@ -68,7 +68,7 @@
 	triesPart = 0.1 // of a cell's txns that may be voided while further tries are made there
 	troubled  = 2   // ticks in a row
 	cutBy     = 0.8
-	cutEvery  = 3 * choice.Second
+	cutEvery  = 3 * policy.Second
 	riseBy    = 1.2
 	lostOver  = 1.5  // part of its backends that failed over that of the fleet, from which a tenant is at fault
 	freeOver  = 1.5  // bound over use from which there is none
@@ -129,7 +129,7 @@
 	zone         int
 	tenant       int       // -1: none
 	txns, voided []float64 // a second, by product
-	told         choice.Allowed
+	told         policy.Allowed
 	ever         bool // it was told something
 }
 
@@ -150,7 +150,7 @@
 	list    []Backend      // in the order of ids
 	split   map[int]string // the fixed cell of each
 	byAt    []Backend      // without an id where there is none
-	needs   []choice.Product
+	needs   []policy.Product
 	aim     float64 // the least SLA time
 	tenants []*tenant
 	proxies []proxy
@@ -222,7 +222,7 @@
 		}
 	case Used:
 		if p := c.at(e.Proxy); p != nil && e.Counting > 0 {
-			s := float64(e.Counting) / float64(choice.Second)
+			s := float64(e.Counting) / float64(policy.Second)
 			for len(p.txns) <= e.Product {
 				p.txns, p.voided = append(p.txns, 0), append(p.voided, 0)
 			}
@@ -275,7 +275,7 @@
 			delete(c.heard, at)
 		}
 		// Gone without a drain, or started anew while it served.
-		if was.Status == choice.Ready && (is.ID != was.ID || is.Status == choice.Gone || is.Up > was.Up) {
+		if was.Status == policy.Ready && (is.ID != was.ID || is.Status == policy.Gone || is.Up > was.Up) {
 			failed = append(failed, was)
 		}
 		// Heat and strength change no set.
@@ -304,7 +304,7 @@
 		}
 	}
 	for _, t := range c.tenants {
-		concerns := func(b Backend) bool { return c.plan.moves(t, b, b.Status == choice.Ready) }
+		concerns := func(b Backend) bool { return c.plan.moves(t, b, b.Status == policy.Ready) }
 		if t.phase != steady || slices.ContainsFunc(left, concerns) || slices.ContainsFunc(came, concerns) {
 			c.settle(t)
 		}
@@ -447,9 +447,9 @@
 }
 
 // warm is the strength of a set for a product that is ready and no longer cold, in a zone or in all (-1).
-func (c *Cells) warm(s []int, need choice.Product, zone int) (ready, warm float64) {
+func (c *Cells) warm(s []int, need policy.Product, zone int) (ready, warm float64) {
 	for _, at := range s {
-		if b := c.byAt[at]; b.Status == choice.Ready && fits(need, b) && (zone < 0 || b.Zone == zone) {
+		if b := c.byAt[at]; b.Status == policy.Ready && fits(need, b) && (zone < 0 || b.Zone == zone) {
 			ready += b.Weight
 			if c.isWarm(b) {
 				warm += b.Weight
@@ -503,7 +503,7 @@
 
 // zonesOf are those in which a product of a tenant needs backends: each of its joined proxies' where it must stay
 // at home, else any.
-func (c *Cells) zonesOf(t *tenant, need choice.Product) (zones []int) {
+func (c *Cells) zonesOf(t *tenant, need policy.Product) (zones []int) {
 	if !need.OwnZone {
 		return []int{-1}
 	}
@@ -522,7 +522,7 @@
 func (c *Cells) lend(t *tenant) {
 	t.loans = slices.DeleteFunc(t.loans, func(l loan) bool {
 		b := c.found(l.id)
-		return b.Status != choice.Ready || b.Up > l.up
+		return b.Status != policy.Ready || b.Up > l.up
 	})
 	c.judge(t)
 	own, lent := union(t.own, t.former), c.lent(t)
@@ -553,7 +553,7 @@
 				if enough() {
 					break
 				}
-				if !has(own, b.At) && !has(lent, b.At) && b.Status == choice.Ready && c.isWarm(b) && fits(need, b) && (zone < 0 || b.Zone == zone) {
+				if !has(own, b.At) && !has(lent, b.At) && b.Status == policy.Ready && c.isWarm(b) && fits(need, b) && (zone < 0 || b.Zone == zone) {
 					t.loans = append(t.loans, loan{b.ID, b.Up, c.now + c.plan.LoanFor})
 					lent = c.lent(t)
 					c.note(true, "tenant %s is lent %s: %.1f of its usual %.1f are ready and warm", t.Name, b.ID, warm, usual)
@@ -748,13 +748,13 @@
 			} else if t.phase != steady && i >= t.done {
 				may = union(settled, leaving)
 			}
-			c.send(p, choice.Allowed{Proxy: at, Confined: true, Backends: may, Most: shares[i],
+			c.send(p, policy.Allowed{Proxy: at, Confined: true, Backends: may, Most: shares[i],
 				Still: c.now < t.calm || t.sick || t.spent || t.phase == moving && i < t.both})
 		}
 	}
 	for i := range c.proxies {
 		if p := &c.proxies[i]; p.tenant < 0 && p.joined && p.ever && p.told.Confined {
-			c.send(p, choice.Allowed{Proxy: i})
+			c.send(p, policy.Allowed{Proxy: i})
 		}
 	}
 }
@@ -792,7 +792,7 @@
 	return shares
 }
 
-func (c *Cells) send(p *proxy, o choice.Allowed) {
+func (c *Cells) send(p *proxy, o policy.Allowed) {
 	was := p.told
 	near := was.Most > 0 && o.Most > 0 && o.Most < was.Most*(1+leastTell) && o.Most > was.Most*(1-leastTell)
 	if p.ever && was.Confined == o.Confined && was.Still == o.Still && slices.Equal(was.Backends, o.Backends) && (near || was.Most == o.Most) {
--- a/cells/cells_test.go
+++ b/cells/cells_test.go
@@ -8,15 +8,15 @@
 	"strings"
 	"testing"
 
-	"elmfold/choice"
+	"elmfold/internal/policy"
 )
 
-const second = choice.Second
+const second = policy.Second
 
 // fleet is n backends over some zones; every fourth is of kind 1.
 func fleet(n, zones int) (all []Backend) {
 	for i := range n {
-		all = append(all, Backend{At: i, ID: fmt.Sprintf("s-%03d", i), Zone: i % zones, Kind: i / zones % 4 / 3, Status: choice.Ready, Weight: 1})
+		all = append(all, Backend{At: i, ID: fmt.Sprintf("s-%03d", i), Zone: i % zones, Kind: i / zones % 4 / 3, Status: policy.Ready, Weight: 1})
 	}
 	return all
 }
@@ -49,13 +49,13 @@
 	c     *Cells
 	now   Time
 	list  []Backend
-	may   map[int]choice.Allowed
+	may   map[int]policy.Allowed
 	notes []string
 	sent  int
 }
 
 func newDay(t *testing.T, p Plan, list []Backend, proxies int) *day {
-	d := &day{T: t, c: New(proxies), now: 1000 * second, list: list, may: map[int]choice.Allowed{}}
+	d := &day{T: t, c: New(proxies), now: 1000 * second, list: list, may: map[int]policy.Allowed{}}
 	events := []Event{Listed{list}, Planned{p}}
 	for i := range proxies {
 		events = append(events, Joined{Proxy: i, Zone: i % p.Zones})
@@ -68,7 +68,7 @@
 	d.notes, d.sent = nil, 0
 	for _, o := range d.c.Step(d.now, events) {
 		switch o := o.(type) {
-		case choice.Allowed:
+		case policy.Allowed:
 			d.may[o.Proxy] = o
 			d.sent++
 		case Note:
@@ -98,7 +98,7 @@
 }
 
 func (d *day) die(ats ...int) {
-	d.change(func(b *Backend) { b.Status = choice.Gone }, ats...)
+	d.change(func(b *Backend) { b.Status = policy.Gone }, ats...)
 }
 
 func holds(notes []string, words string) bool {
@@ -113,7 +113,7 @@
 		chance := rand.New(rand.NewPCG(seed, 17))
 		p := shuffled(1+chance.IntN(4), 30, 1)
 		p.Lost = 0
-		p.Products = []choice.Product{{}, {OwnZone: true}, {OnlyZones: []int{1}}, {OnlyKinds: []int{1}}}
+		p.Products = []policy.Product{{}, {OwnZone: true}, {OnlyZones: []int{1}}, {OnlyKinds: []int{1}}}
 		d := newDay(t, p, fleet(16, 2), 30)
 		plain := func(tenant string) (own []int) {
 			for _, need := range p.Products {
@@ -122,7 +122,7 @@
 					for range p.Size {
 						best, most := -1, -1.0
 						for _, b := range d.list {
-							ok := b.Status == choice.Ready && b.Zone == zone && !taken[b.At] &&
+							ok := b.Status == policy.Ready && b.Zone == zone && !taken[b.At] &&
 								(need.OnlyZones == nil || slices.Contains(need.OnlyZones, zone)) && (need.OnlyKinds == nil || slices.Contains(need.OnlyKinds, b.Kind))
 							if s := score(tenantSeed(tenant), b.ID); ok && s > most {
 								best, most = b.At, s
@@ -145,7 +145,7 @@
 				before[tt.Name] = tt.own
 			}
 			d.change(func(b *Backend) {
-				b.Status = []choice.Status{choice.Ready, choice.Draining, choice.Gone}[chance.IntN(3)]
+				b.Status = []policy.Status{policy.Ready, policy.Draining, policy.Gone}[chance.IntN(3)]
 			}, at)
 			for _, tt := range d.c.tenants {
 				want := plain(tt.Name)
@@ -190,8 +190,8 @@
 // most so many, and they go back when the cell is there again and not before the loan's time is over.
 func TestCase1Loan(t *testing.T) {
 	for name, f := range map[string]func(*Backend){
-		"die":   func(b *Backend) { b.Status = choice.Gone },
-		"drain": func(b *Backend) { b.Status = choice.Draining },
+		"die":   func(b *Backend) { b.Status = policy.Gone },
+		"drain": func(b *Backend) { b.Status = policy.Draining },
 		"cold":  func(b *Backend) { b.Up = 1003 * second },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -206,7 +206,7 @@
 			if len(lent) == 0 || len(lent) > p.Loan || !holds(d.notes, "is lent") {
 				t.Fatalf("of %v are lent %v, notes %v", own, lent, d.notes)
 			}
-			d.change(func(b *Backend) { b.Status, b.Up = choice.Ready, 0 }, own...)
+			d.change(func(b *Backend) { b.Status, b.Up = policy.Ready, 0 }, own...)
 			at := d.notes
 			if notes := d.pass(25); holds(at, "gives") || holds(notes, "gives") {
 				t.Errorf("given back before 30 s: %v", notes)
@@ -230,7 +230,7 @@
 		d.pass(2)
 		alive := []int{}
 		for _, at := range d.may[0].Backends {
-			if d.list[at].Status == choice.Ready {
+			if d.list[at].Status == policy.Ready {
 				alive = append(alive, at)
 			}
 		}
@@ -369,7 +369,7 @@
 		list := fleet(16, 2)
 		a, b := newDay(t, p, list, 12), newDay(t, q, list, 12)
 		for range 60 {
-			at, status := chance.IntN(16), []choice.Status{choice.Ready, choice.Gone, choice.Draining}[chance.IntN(3)]
+			at, status := chance.IntN(16), []policy.Status{policy.Ready, policy.Gone, policy.Draining}[chance.IntN(3)]
 			for _, d := range []*day{a, b} {
 				if chance.IntN(3) > 0 { // the other hears of it seconds later, or never
 					d.change(func(b *Backend) { b.Status = status }, at)
@@ -379,7 +379,7 @@
 				d.pass(chance.IntN(3))
 				ready := map[int]bool{}
 				for _, x := range d.list {
-					if x.Status == choice.Ready {
+					if x.Status == policy.Ready {
 						ready[x.At] = true
 					}
 				}
--- a/cells/moves_model_test.go
+++ b/cells/moves_model_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"elmfold/choice"
+	"elmfold/internal/policy"
 )
 
 // plainMove is a tenant's move in the slowest words: what was ordered, and when each part of its proxies began its
@@ -101,9 +101,9 @@
 				d.step(Undo{"a"})
 			case 3: // one that is not the last warm one of its cell
 				at := chance.IntN(24)
-				status, up := choice.Gone, Time(0)
+				status, up := policy.Gone, Time(0)
 				if chance.IntN(2) == 0 {
-					status, up = choice.Ready, d.now
+					status, up = policy.Ready, d.now
 				}
 				what = fmt.Sprint("backend ", at, " is ", status)
 				was := d.list
@@ -142,7 +142,7 @@
 // home, or too little strength for its proxies.
 func TestCase9CannotHold(t *testing.T) {
 	p := fixed("red", "blue")
-	p.Products = []choice.Product{{OwnZone: true}}
+	p.Products = []policy.Product{{OwnZone: true}}
 	p.Tenants = []Tenant{{Name: "a", Proxies: []int{0, 1}, Cell: "red"}, {Name: "b", Proxies: []int{2, 3}, Cell: "blue"}}
 	if got := p.Lacks(fleet(20, 2)); len(got) > 0 {
 		t.Errorf("a good plan lacks %+v", got)
@@ -156,7 +156,7 @@
 		t.Errorf("with an empty cell it lacks %+v", got)
 	}
 	q := shuffled(1, 2, 2)
-	q.Products = []choice.Product{{OnlyKinds: []int{1}}}
+	q.Products = []policy.Product{{OnlyKinds: []int{1}}}
 	if got := q.Lacks(fleet(20, 2)); len(got) > 0 {
 		t.Errorf("shuffled it lacks %+v", got)
 	}
--- a/cells/plan.go
+++ b/cells/plan.go
@@ -12,11 +12,11 @@
 
 	"github.com/zeebo/xxh3"
 
-	"elmfold/choice"
+	"elmfold/internal/policy"
 )
 
 // Time is a moment or a span as the module of decisions has it.
-type Time = choice.Time
+type Time = policy.Time
 
 // Plan is what an operator file says of cells.
 type Plan struct {
@@ -35,7 +35,7 @@
 	Prepare  Time    // that a move waits for its new cell to be warm
 	Warn     float64 // part of the others' strength that one tenant may touch without a warning
 
-	Products []choice.Product // where each may go
+	Products []policy.Product // where each may go
 	Zones    int
 	Cold     Time
 }
@@ -56,8 +56,8 @@
 
 // Usual is a Plan with every figure that may be left out.
 func Usual() Plan {
-	return Plan{Size: 4, Loan: 4, LoanFor: 30 * choice.Second, Lost: 4, LostOver: 600 * choice.Second, Trickle: 0.5,
-		Part: 0.25, Settle: 4 * choice.Second, Prepare: 120 * choice.Second, Warn: 0.25}
+	return Plan{Size: 4, Loan: 4, LoanFor: 30 * policy.Second, Lost: 4, LostOver: 600 * policy.Second, Trickle: 0.5,
+		Part: 0.25, Settle: 4 * policy.Second, Prepare: 120 * policy.Second, Warn: 0.25}
 }
 
 // Backend is one of the list, at the index that the decisions have it at.
@@ -65,7 +65,7 @@
 	At         int
 	ID         string
 	Zone, Kind int
-	Status     choice.Status
+	Status     policy.Status
 	Weight     float64
 	Up         Time
 }
@@ -185,7 +185,7 @@
 	own := []int{}
 	if !p.Shuffle {
 		for _, b := range list {
-			if b.Status == choice.Ready && split[b.At] == t.Cell {
+			if b.Status == policy.Ready && split[b.At] == t.Cell {
 				own = append(own, b.At)
 			}
 		}
@@ -197,7 +197,7 @@
 	for _, r := range p.needs() {
 		got := make([]int, p.Zones)
 		for _, b := range order {
-			if b.Status == choice.Ready && fits(r, b) && got[b.Zone] < size {
+			if b.Status == policy.Ready && fits(r, b) && got[b.Zone] < size {
 				own = append(own, b.At)
 				got[b.Zone]++
 			}
@@ -228,7 +228,7 @@
 }
 
 // needs are the different places that products ask for.
-func (p *Plan) needs() (all []choice.Product) {
+func (p *Plan) needs() (all []policy.Product) {
 	seen := map[string]bool{}
 	for _, r := range p.Products {
 		if place := fmt.Sprint(r.OwnZone, r.OnlyZones, r.OnlyKinds); !seen[place] {
@@ -236,13 +236,13 @@
 		}
 	}
 	if len(all) == 0 {
-		all = append(all, choice.Product{})
+		all = append(all, policy.Product{})
 	}
 	return all
 }
 
 // fits says whether a product may go to a backend from somewhere.
-func fits(r choice.Product, b Backend) bool {
+func fits(r policy.Product, b Backend) bool {
 	return (r.OnlyZones == nil || slices.Contains(r.OnlyZones, b.Zone)) && (r.OnlyKinds == nil || slices.Contains(r.OnlyKinds, b.Kind))
 }
 
@@ -314,7 +314,7 @@
 	strength, proxies, total, totalProxies := map[string]float64{}, map[string]int{}, 0.0, 0
 	split := p.split(list)
 	for _, b := range list {
-		if b.Status == choice.Ready {
+		if b.Status == policy.Ready {
 			strength[split[b.At]] += b.Weight
 			total += b.Weight
 		}
@@ -329,7 +329,7 @@
 		for _, need := range p.needs() {
 			there, mine := make([]bool, p.Zones), make([]bool, p.Zones)
 			for _, b := range list {
-				if b.Status == choice.Ready && fits(need, b) {
+				if b.Status == policy.Ready && fits(need, b) {
 					there[b.Zone], mine[b.Zone] = true, mine[b.Zone] || has(own, b.At)
 				}
 			}
--- a/channel/channel_test.go
+++ b/channel/channel_test.go
@@ -18,10 +18,10 @@
 	"elmfold/channel"
 	"elmfold/channel/client"
 	"elmfold/channel/session"
-	"elmfold/choice"
 	"elmfold/deployment"
 	"elmfold/desk"
 	"elmfold/edge"
+	"elmfold/internal/policy"
 	"elmfold/recall"
 	"elmfold/roster"
 	"elmfold/standin/link"
@@ -54,17 +54,17 @@
 func open(t *testing.T, plan channel.Plan, backends ...string) *house {
 	t.Helper()
 	h := &house{t: t, lists: make(chan desk.News, 10), queue: make(chan desk.News, 1000), told: map[string]int{}}
-	d := desk.New(choice.Deployment{Products: []choice.Product{{Revenue: 1, SLA: 8000}, {Revenue: 3, SLA: 8000, OnlyZones: []int{0}}}, Zones: 2, Proxies: 4,
-		GoneBinds: true, Cold: 10 * choice.Second, ColdCapacity: 0.3, ColdMultiple: 3, LinesPerS: 3000, LinesMost: 6000, LinesHead: 6,
-		MessagesOver: 10 * choice.Second, FirstTick: 200}, names, nobody{}, silent())
+	d := desk.New(policy.Deployment{Products: []policy.Product{{Revenue: 1, SLA: 8000}, {Revenue: 3, SLA: 8000, OnlyZones: []int{0}}}, Zones: 2, Proxies: 4,
+		GoneBinds: true, Cold: 10 * policy.Second, ColdCapacity: 0.3, ColdMultiple: 3, LinesPerS: 3000, LinesMost: 6000, LinesHead: 6,
+		MessagesOver: 10 * policy.Second, FirstTick: 200}, names, nobody{}, silent())
 	l := roster.List{Revision: 1, Whole: true}
 	for _, id := range backends {
 		l.Members = append(l.Members, member(id))
 	}
 	d.Known(l)
 	began := time.Now()
-	go d.Run(h.queue, h.lists, time.Millisecond, func() choice.Time {
-		return 1000*choice.Second + choice.Time(time.Since(began)*time.Duration(choice.Second)/time.Second)
+	go d.Run(h.queue, h.lists, time.Millisecond, func() policy.Time {
+		return 1000*policy.Second + policy.Time(time.Since(began)*time.Duration(policy.Second)/time.Second)
 	})
 	hear := func(n desk.News) {
 		h.mu.Lock()
--- a/cmd/counsel/main.go
+++ b/cmd/counsel/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"elmfold/counsel"
+	"elmfold/internal/controlplane"
 )
 
-func main() { os.Exit(counsel.Main(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(controlplane.Main(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/cmd/lab/cells/cells.go
+++ b/cmd/lab/cells/cells.go
@@ -14,9 +14,9 @@
 	"gonum.org/v1/plot/vg"
 
 	"elmfold/cells"
-	"elmfold/choice"
 	"elmfold/cmd/lab/report"
 	"elmfold/emu"
+	"elmfold/internal/policy"
 )
 
 const (
@@ -58,9 +58,9 @@
 		r.Columns = append(r.Columns, way.name)
 		d.Plan = way.plan
 		world := emu.New(d)
-		world.At(cellsCalm*choice.Second, func() { world.Poison[emu.Tenant(7)] = poisonWork })
-		world.At(cellsEnd*choice.Second, func() { world.Poison[emu.Tenant(7)] = 0 })
-		world.Run(cellsAll * choice.Second)
+		world.At(cellsCalm*policy.Second, func() { world.Poison[emu.Tenant(7)] = poisonWork })
+		world.At(cellsEnd*policy.Second, func() { world.Poison[emu.Tenant(7)] = 0 })
+		world.Run(cellsAll * policy.Second)
 		var others []float64
 		harmed, total, calm := 0, emu.Sum{}, emu.Sum{}
 		for n := range 20 {
@@ -130,9 +130,9 @@
 }
 
 const (
-	moveEvery  = 4 * choice.Second // a move begins
+	moveEvery  = 4 * policy.Second // a move begins
 	moveCount  = 40
-	moveSettle = 2 * choice.Second
+	moveSettle = 2 * policy.Second
 )
 
 func movesCommand() *cobra.Command {
@@ -160,36 +160,36 @@
 	}
 	var moves []moved
 	for i := range moveCount {
-		at := 15*choice.Second + choice.Time(i)*moveEvery
+		at := 15*policy.Second + policy.Time(i)*moveEvery
 		n := i % 20
 		cell := names[(i/20+n+1)%len(names)]
 		tenant := emu.Tenant(n)
-		moves = append(moves, moved{tenant, int(at / choice.Second)})
+		moves = append(moves, moved{tenant, int(at / policy.Second)})
 		world.At(at, func() {
 			file.Tenants = slices.Clone(file.Tenants)
 			file.Tenants[n].Cell = cell
 			world.Say(cells.Move{Tenant: tenant, Cell: cell})
 		})
 		for range 2 { // proxies of the tenant lose their streams in mid-move
-			proxy, when := 3*n+chance.IntN(3), at+choice.Time(chance.Int64N(int64(7*choice.Second)))
+			proxy, when := 3*n+chance.IntN(3), at+policy.Time(chance.Int64N(int64(7*policy.Second)))
 			cuts++
 			world.At(when, func() { world.CutProxy(proxy) })
 		}
 		if i%8 == 3 {
-			which, when := kills%2, at+choice.Time(chance.Int64N(int64(6*choice.Second)))
+			which, when := kills%2, at+policy.Time(chance.Int64N(int64(6*policy.Second)))
 			kills++
 			world.At(when, func() {
 				now := file
-				world.Kill(which, 2*choice.Second, &now)
+				world.Kill(which, 2*policy.Second, &now)
 			})
 		}
 		if i%10 == 6 { // the target's backends have just started
 			id := d.Backends[chance.IntN(len(d.Backends))].ID
-			world.At(at-choice.Second, func() { world.Restart(id, 500*choice.Second/1000) })
+			world.At(at-policy.Second, func() { world.Restart(id, 500*policy.Second/1000) })
 		}
 	}
-	end := 15 + moveCount*int(moveEvery/choice.Second) + 25
-	world.Run(choice.Time(end) * choice.Second)
+	end := 15 + moveCount*int(moveEvery/policy.Second) + 25
+	world.Run(policy.Time(end) * policy.Second)
 
 	before, during, worst := emu.Sum{}, emu.Sum{}, 1.0
 	for _, m := range moves {
@@ -201,11 +201,11 @@
 	// Who moved is in its cell now: each proxy's lines are those of the file.
 	wrong := 0
 	plan := file
-	plan.Products = []choice.Product{{}, {OwnZone: true}}
+	plan.Products = []policy.Product{{}, {OwnZone: true}}
 	plan.Zones = d.Zones
 	var list []cells.Backend
 	for i, b := range d.Backends {
-		list = append(list, cells.Backend{At: i, ID: b.ID, Zone: b.Zone, Status: choice.Ready, Weight: 1})
+		list = append(list, cells.Backend{At: i, ID: b.ID, Zone: b.Zone, Status: policy.Ready, Weight: 1})
 	}
 	for _, t := range plan.Tenants {
 		own := map[string]bool{}
--- a/cmd/lab/cells/step.go
+++ b/cmd/lab/cells/step.go
@@ -8,8 +8,8 @@
 	"github.com/spf13/cobra"
 
 	"elmfold/cells"
-	"elmfold/choice"
 	"elmfold/cmd/lab/report"
+	"elmfold/internal/policy"
 )
 
 const (
@@ -27,43 +27,43 @@
 // stage is cells before the decisions, as the desk has them.
 type stage struct {
 	c   *cells.Cells
-	a   *choice.Assigner
-	now choice.Time
+	a   *policy.Assigner
+	now policy.Time
 }
 
 // step gives the time that each took and how many proxies were told of another set.
-func (s *stage) step(events []cells.Event, also []choice.Event) (inCells, inChoice time.Duration, told int) {
-	s.now += choice.Second
+func (s *stage) step(events []cells.Event, also []policy.Event) (inCells, inChoice time.Duration, told int) {
+	s.now += policy.Second
 	began := time.Now()
 	orders := s.c.Step(s.now, events)
 	inCells = time.Since(began)
 	for _, o := range orders {
-		if a, ok := o.(choice.Allowed); ok {
+		if a, ok := o.(policy.Allowed); ok {
 			also = append(also, a)
 			told++
 		}
 	}
 	began = time.Now()
-	s.a.Step(s.now, append(also, choice.Woken{}))
+	s.a.Step(s.now, append(also, policy.Woken{}))
 	return inCells, time.Since(began), told
 }
 
 func stageFor(plan cells.Plan, list []cells.Backend) *stage {
-	d := choice.Deployment{Products: []choice.Product{{Revenue: 1, SLA: 8000}, {Revenue: 2, SLA: 8000, OwnZone: true}}, Zones: 2, Proxies: stepProxies,
-		GoneBinds: true, Cold: 10 * choice.Second, ColdCapacity: 0.3, ColdMultiple: 3, ConnsLeast: 4000, LinesPerS: 1e6, LinesMost: 1e7, LinesHead: 6,
-		MessagesOver: 10 * choice.Second}
+	d := policy.Deployment{Products: []policy.Product{{Revenue: 1, SLA: 8000}, {Revenue: 2, SLA: 8000, OwnZone: true}}, Zones: 2, Proxies: stepProxies,
+		GoneBinds: true, Cold: 10 * policy.Second, ColdCapacity: 0.3, ColdMultiple: 3, ConnsLeast: 4000, LinesPerS: 1e6, LinesMost: 1e7, LinesHead: 6,
+		MessagesOver: 10 * policy.Second}
 	plan.Products, plan.Zones, plan.Cold = d.Products, 2, d.Cold
-	s := &stage{c: cells.New(stepProxies), a: choice.New(d), now: 1000 * choice.Second}
+	s := &stage{c: cells.New(stepProxies), a: policy.New(d), now: 1000 * policy.Second}
 	events := []cells.Event{cells.Listed{Backends: list}, cells.Planned{Plan: plan}}
-	var also []choice.Event
-	entries := make([]choice.Entry, 0, len(list))
+	var also []policy.Event
+	entries := make([]policy.Entry, 0, len(list))
 	for _, b := range list {
-		entries = append(entries, choice.Entry{Backend: b.At, Zone: b.Zone, Status: choice.Ready, Weight: 1})
+		entries = append(entries, policy.Entry{Backend: b.At, Zone: b.Zone, Status: policy.Ready, Weight: 1})
 	}
-	also = append(also, choice.Listed{Kind: choice.ListFull, Entries: entries})
+	also = append(also, policy.Listed{Kind: policy.ListFull, Entries: entries})
 	for i := range stepProxies {
 		events = append(events, cells.Joined{Proxy: i, Zone: i % 2})
-		also = append(also, choice.Joined{Proxy: i, Zone: i % 2, Rate: 5})
+		also = append(also, policy.Joined{Proxy: i, Zone: i % 2, Rate: 5})
 	}
 	s.step(events, also)
 	for range 3 {
@@ -75,7 +75,7 @@
 func playSteps(w report.Where) error {
 	var list []cells.Backend
 	for i := range stepBackends {
-		list = append(list, cells.Backend{At: i, ID: fmt.Sprintf("s-%d-%03d", w.Seed, i), Zone: i % 2, Status: choice.Ready, Weight: 1})
+		list = append(list, cells.Backend{At: i, ID: fmt.Sprintf("s-%d-%03d", w.Seed, i), Zone: i % 2, Status: policy.Ready, Weight: 1})
 	}
 	shuffled, moved := cells.Usual(), cells.Usual()
 	shuffled.Shuffle, shuffled.Size = true, stepSize
@@ -100,14 +100,14 @@
 	r.Row("shuffled, nothing happens", millis(quiet), millis(quietChoice), told, 0)
 	enter := 0
 	plan := shuffled
-	plan.Products, plan.Zones = []choice.Product{{}, {OwnZone: true}}, 2
+	plan.Products, plan.Zones = []policy.Product{{}, {OwnZone: true}}, 2
 	for _, t := range plan.Tenants {
 		if slices.Contains(plan.Own(t, list), stepBackends-1) {
 			enter++
 		}
 	}
 	inCells, inChoice, told := s.step([]cells.Event{cells.Listed{Backends: list}},
-		[]choice.Event{choice.Listed{Entries: []choice.Entry{{Backend: stepBackends - 1, Zone: 1, Status: choice.Ready, Weight: 1}}}})
+		[]policy.Event{policy.Listed{Entries: []policy.Entry{{Backend: stepBackends - 1, Zone: 1, Status: policy.Ready, Weight: 1}}}})
 	r.Row("shuffled, one backend comes", millis(inCells), millis(inChoice), told, enter)
 	if told != enter {
 		r.Missed = append(r.Missed, fmt.Sprintf("%d proxies are told, the sets of %d change", told, enter))
@@ -124,7 +124,7 @@
 	}
 	r.Row("... its other steps, the longest, all told", millis(worst), "", all, 17)
 	inCells, inChoice, told = s.step([]cells.Event{cells.Listed{Backends: list[:stepBackends-1]}},
-		[]choice.Event{choice.Listed{Entries: []choice.Entry{{Backend: stepBackends - 1, Status: choice.Gone}}}})
+		[]policy.Event{policy.Listed{Entries: []policy.Entry{{Backend: stepBackends - 1, Status: policy.Gone}}}})
 	r.Row("20 fixed cells, one backend goes", millis(inCells), millis(inChoice), told, 250)
 	r.Figure = fmt.Sprintf("one backend that comes to %d: %s ms in cells, %d of %d proxies told, %d is the least", stepBackends, r.Rows[1].Figures[0],
 		enter, stepProxies, enter)
--- a/cmd/lab/channel/channel.go
+++ b/cmd/lab/channel/channel.go
@@ -15,11 +15,11 @@
 	"elmfold/channel"
 	"elmfold/channel/client"
 	"elmfold/channel/session"
-	"elmfold/choice"
 	"elmfold/cmd/lab/report"
 	"elmfold/deployment"
 	"elmfold/desk"
 	"elmfold/edge"
+	"elmfold/internal/policy"
 	"elmfold/standin/link"
 )
 
@@ -272,7 +272,7 @@
 		lines = append(lines, edge.Line{Backend: id, Weight: 0.5 + float64(i)/7})
 		sets = append(sets, session.Set{Key: channel.LineKey("fetch-result", id), Value: session.Value{Figure: 0.5 + float64(i)/7}})
 	}
-	gate := edge.Part{Products: []string{"fetch-result"}, Gate: &edge.Gate{Level: 12.5, Tries: choice.TryUnrun}, Marked: true, Mark: 905}
+	gate := edge.Part{Products: []string{"fetch-result"}, Gate: &edge.Gate{Level: 12.5, Tries: policy.TryUnrun}, Marked: true, Mark: 905}
 	whole := edge.Append(nil, []edge.Part{{Products: []string{"fetch-result"}, Whole: true, Lines: lines}, gate})
 	change := edge.Append(nil, []edge.Part{{Products: []string{"fetch-result"}, Lines: lines[:2], Marked: true, Mark: 906}})
 	sets = append(sets, session.Set{Key: channel.GateKey("fetch-result"), Value: session.Value{Figure: 12.5, Small: 1}})
--- a/cmd/lab/core/carrier.go
+++ b/cmd/lab/core/carrier.go
@@ -7,17 +7,17 @@
 	"sync"
 	"time"
 
-	"elmfold/accord"
-	"elmfold/parley"
+	"elmfold/internal/controlplane/consensus"
+	"elmfold/internal/gateway/rpc"
 )
 
 // What is evacuated can't be asked for; a carrier is told. This file is all that knows what is said on its lines.
 
 const zoneRegister = "zone/"
 
-type told map[string]parley.Register // by zone, the newest that is safe
+type told map[string]rpc.Register // by zone, the newest that is safe
 
-func (t told) take(m *parley.Message) {
+func (t told) take(m *rpc.Message) {
 	for _, r := range m.Offers {
 		zone, is := strings.CutPrefix(r.Name, zoneRegister)
 		if safe, there := m.Safe[r.Name]; is && there && !safe.Less(r.Stamp) {
@@ -29,13 +29,13 @@
 }
 
 // say opens a line as a carrier of that name.
-func say(m *machine, name string) (*parley.Line, error) {
+func say(m *machine, name string) (*rpc.Line, error) {
 	conn, err := net.DialTimeout("tcp4", m.peer(), 500*time.Millisecond)
 	if err != nil {
 		return nil, err
 	}
-	line := parley.NewLine(conn)
-	line.Send(&parley.Message{Hello: &parley.Hello{Who: parley.Controller{Name: name, Zone: m.zone, Address: "127.0.0.1:9"},
+	line := rpc.NewLine(conn)
+	line.Send(&rpc.Message{Hello: &rpc.Hello{Who: rpc.Controller{Name: name, Zone: m.zone, Address: "127.0.0.1:9"},
 		Life: 1, Carrier: true}})
 	return line, nil
 }
@@ -61,12 +61,12 @@
 			heard = heard || w.Hello != nil && w.All
 			mu.Unlock()
 			if w.Hello != nil { // its first word holds what it knows of zones
-				line.Send(&parley.Message{Renew: 1})
+				line.Send(&rpc.Message{Renew: 1})
 			}
 		}
 	})
 	r, known := all[zone]
-	return known && accord.Evacuated(r.Value), heard
+	return known && consensus.Evacuated(r.Value), heard
 }
 
 // whole says whether a controller's first word to a new carrier claims to be all that there is.
@@ -132,7 +132,7 @@
 		}
 		c.s.done.Go(func() { // leases are renewed; the end of the story ends the line
 			for n := uint64(1); !c.s.pause(time.Second); n++ {
-				line.Send(&parley.Message{Renew: n})
+				line.Send(&rpc.Message{Renew: n})
 			}
 			line.Close()
 		})
@@ -153,7 +153,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r, known := c.told[zone]
-	return known && accord.Evacuated(r.Value)
+	return known && consensus.Evacuated(r.Value)
 }
 
 // evacuatedIs waits until both a carrier that was there and a new one hold a zone to be evacuated, or not to be, and
--- a/cmd/lab/core/core_test.go
+++ b/cmd/lab/core/core_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"elmfold/parley"
+	"elmfold/internal/gateway/rpc"
 )
 
 // The ledger finds each way in which answers can contradict one another, and nothing in those that don't.
@@ -107,15 +107,15 @@
 
 // A carrier believes what is safe, and the newest of it.
 func TestTold(t *testing.T) {
-	word := func(hi uint64, value string, safe uint64) *parley.Message {
-		return &parley.Message{Offers: []parley.Register{{Name: "zone/a", Stamp: parley.Stamp{Hi: hi}, Value: []byte(value)}},
-			Safe: map[string]parley.Stamp{"zone/a": {Hi: safe}}}
+	word := func(hi uint64, value string, safe uint64) *rpc.Message {
+		return &rpc.Message{Offers: []rpc.Register{{Name: "zone/a", Stamp: rpc.Stamp{Hi: hi}, Value: []byte(value)}},
+			Safe: map[string]rpc.Stamp{"zone/a": {Hi: safe}}}
 	}
 	all := told{}
-	for _, m := range []*parley.Message{word(5, "1b", 5), word(4, "0f", 4), word(9, "0f", 5)} {
+	for _, m := range []*rpc.Message{word(5, "1b", 5), word(4, "0f", 4), word(9, "0f", 5)} {
 		all.take(m)
 	}
-	all.take(&parley.Message{Offers: []parley.Register{{Name: "zone/a", Stamp: parley.Stamp{Hi: 8}, Value: []byte("0f")}}})
+	all.take(&rpc.Message{Offers: []rpc.Register{{Name: "zone/a", Stamp: rpc.Stamp{Hi: 8}, Value: []byte("0f")}}})
 	if got := all["a"]; got.Stamp.Hi != 5 || string(got.Value) != "1b" {
 		t.Errorf("%+v", got)
 	}
--- a/cmd/lab/desk/kept.go
+++ b/cmd/lab/desk/kept.go
@@ -8,8 +8,8 @@
 
 	"github.com/spf13/cobra"
 
-	"elmfold/choice"
 	"elmfold/cmd/lab/report"
+	"elmfold/internal/policy"
 	"elmfold/recall"
 	"elmfold/store"
 )
@@ -58,7 +58,7 @@
 	for range keptTicks {
 		for _, f := range []*fleetOf{without, with} {
 			f.reports()
-			m := f.measure("", choice.Second)
+			m := f.measure("", policy.Second)
 			if f == with {
 				kept = append(kept, m.Millis)
 			} else {
--- a/cmd/lab/desk/moments.go
+++ b/cmd/lab/desk/moments.go
@@ -21,11 +21,11 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"elmfold/choice"
 	"elmfold/cmd/lab/report"
 	"elmfold/deployment"
 	"elmfold/desk"
 	"elmfold/edge"
+	"elmfold/internal/policy"
 	"elmfold/roster"
 )
 
@@ -83,17 +83,17 @@
 	proxies, backends int
 	streams           []*sink
 	members           []roster.Member
-	now               choice.Time
+	now               policy.Time
 	revision          int64
 }
 
 func newFleet(proxies, backends int) *fleetOf {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := &fleetOf{proxies: proxies, backends: backends, now: 1000 * choice.Second, revision: 1}
-	f.d = desk.New(choice.Deployment{Products: []choice.Product{{Revenue: 2, SLA: 8000}, {Revenue: 5, SLA: 7500, OnlyZones: []int{0, 1, 2}},
-		{Revenue: 3, SLA: 15000}}, Zones: 4, Proxies: proxies, GoneBinds: true, Cold: 12 * choice.Second, ColdCapacity: 0.3, ColdMultiple: 3,
-		ConnsLeast: 400, LinesPerS: float64(50 * proxies), LinesMost: float64(100 * proxies), LinesHead: 6, MessagesOver: 10 * choice.Second},
+	f := &fleetOf{proxies: proxies, backends: backends, now: 1000 * policy.Second, revision: 1}
+	f.d = desk.New(policy.Deployment{Products: []policy.Product{{Revenue: 2, SLA: 8000}, {Revenue: 5, SLA: 7500, OnlyZones: []int{0, 1, 2}},
+		{Revenue: 3, SLA: 15000}}, Zones: 4, Proxies: proxies, GoneBinds: true, Cold: 12 * policy.Second, ColdCapacity: 0.3, ColdMultiple: 3,
+		ConnsLeast: 400, LinesPerS: float64(50 * proxies), LinesMost: float64(100 * proxies), LinesHead: 6, MessagesOver: 10 * policy.Second},
 		momentNames, noLists{}, logrus.NewEntry(log))
 	for i := range backends {
 		f.members = append(f.members, f.member(i, 0))
@@ -120,7 +120,7 @@
 func (f *fleetOf) reports() {
 	for i, s := range f.streams {
 		for k, name := range momentNames.Products {
-			f.d.Hear(desk.News{From: s, Said: edge.Used{Proxy: i, Product: name, Txns: float64(1 + (i+k)%4), Counting: choice.Second}})
+			f.d.Hear(desk.News{From: s, Said: edge.Used{Proxy: i, Product: name, Txns: float64(1 + (i+k)%4), Counting: policy.Second}})
 		}
 	}
 	for _, m := range f.members {
@@ -130,7 +130,7 @@
 
 // told is a total of the fleet's sums.
 func (f *fleetOf) told() {
-	t := desk.Told{Age: choice.Second / 2}
+	t := desk.Told{Age: policy.Second / 2}
 	for _, m := range f.members {
 		t.Heard = append(t.Heard, edge.Heard{Backend: m.ID, Tries: 80, Took: 1500})
 	}
@@ -143,7 +143,7 @@
 }
 
 // measure steps once and tells what that cost.
-func (f *fleetOf) measure(name string, after choice.Time) moment {
+func (f *fleetOf) measure(name string, after policy.Time) moment {
 	before := uint64(0)
 	for _, s := range f.streams {
 		before += s.messages
@@ -180,7 +180,7 @@
 // playFleet goes through the moments of one size.
 func playFleet(proxies, backends int) []moment {
 	f := newFleet(proxies, backends)
-	const tick = choice.Second
+	const tick = policy.Second
 	f.join(0, proxies)
 	all := []moment{f.measure("all join at once", 40)}
 	for range 3 {
@@ -193,7 +193,7 @@
 	f.told()
 	all = append(all, f.measure("a tick with all reports and sums told on", tick))
 	all = append(all, f.measure("a tick without news", tick))
-	f.d.Hear(desk.News{From: f.streams[0], Said: edge.Used{Proxy: 0, Product: "look", Txns: 1, Counting: choice.Second}})
+	f.d.Hear(desk.News{From: f.streams[0], Said: edge.Used{Proxy: 0, Product: "look", Txns: 1, Counting: policy.Second}})
 	all = append(all, f.measure("between ticks, one report", 40))
 	f.revision++
 	gone := f.members[0]
--- a/cmd/lab/gateway/bench_test.go
+++ b/cmd/lab/gateway/bench_test.go
@@ -7,19 +7,19 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"elmfold/bearing"
-	"elmfold/charter"
-	"elmfold/parley"
-	"elmfold/presence"
+	"elmfold/internal/controlplane/registry"
+	"elmfold/internal/controlplane/steering"
+	"elmfold/internal/gateway/routeconfig"
+	"elmfold/internal/gateway/rpc"
+	"elmfold/internal/proxy/balancer"
 	"elmfold/standin/gateway"
-	"elmfold/verdict"
 )
 
 // What docs/CAPACITY.md is worked out from, beside the runs of the lab: go test -bench . ./cmd/lab/gateway
 
-func lives(n, services int) (all []parley.Backend) {
+func lives(n, services int) (all []rpc.Backend) {
 	for i := range n {
-		all = append(all, parley.Backend{ID: fmt.Sprintf("i-%08x", i), Service: gateway.ServiceName(i % services),
+		all = append(all, rpc.Backend{ID: fmt.Sprintf("i-%08x", i), Service: gateway.ServiceName(i % services),
 			Address: fmt.Sprintf("10.%d.%d.%d:8080", i/services%10, i/250, i%250+1), Zone: fmt.Sprintf("zone-%d", i/services%10),
 			Capacity: 4, Seq: uint64(i), Gen: "v1", Vouched: true})
 	}
@@ -40,7 +40,7 @@
 		text := gateway.Configuration(1, gateway.Shape{Services: 200, Routes: n}, 0)
 		b.ReportMetric(float64(len(text)), "bytes")
 		for b.Loop() {
-			if _, err := charter.Read(text); err != nil {
+			if _, err := routeconfig.Read(text); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -50,13 +50,13 @@
 // The first words on a new line: all backends, packed.
 func BenchmarkFirstList(b *testing.B) {
 	bySize(b, backendSizes, func(b *testing.B, n int) {
-		table := presence.New(1500 * time.Millisecond)
+		table := registry.New(1500 * time.Millisecond)
 		for _, l := range lives(n, 200) {
 			table.Beat(time.Second, l)
 		}
 		size := 0
 		for b.Loop() {
-			text, err := cbor.Marshal(&parley.Message{Backends: table.All(time.Second)})
+			text, err := cbor.Marshal(&rpc.Message{Backends: table.All(time.Second)})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -69,7 +69,7 @@
 // A beat that says nothing new, and the look for silent ones each second.
 func BenchmarkBeat(b *testing.B) {
 	bySize(b, backendSizes, func(b *testing.B, n int) {
-		table, all, i := presence.New(1500*time.Millisecond), lives(n, 200), 0
+		table, all, i := registry.New(1500*time.Millisecond), lives(n, 200), 0
 		for b.Loop() {
 			all[i%n].Seq += uint64(n)
 			table.Beat(time.Second, all[i%n])
@@ -80,7 +80,7 @@
 
 func BenchmarkExpire(b *testing.B) {
 	bySize(b, backendSizes, func(b *testing.B, n int) {
-		table := presence.New(1500 * time.Millisecond)
+		table := registry.New(1500 * time.Millisecond)
 		for _, l := range lives(n, 200) {
 			table.Beat(time.Second, l)
 		}
@@ -93,13 +93,13 @@
 // A carrier that comes or goes, at each other carrier: while it lasts no request is settled there.
 func BenchmarkMembers(b *testing.B) {
 	bySize(b, []int{50, 200, 675}, func(b *testing.B, n int) {
-		s := verdict.New("hollow-000", "zone-0", verdict.Bounds{}, 0)
+		s := balancer.New("hollow-000", "zone-0", balancer.Bounds{}, 0)
 		for _, l := range lives(7100, 200) {
-			s.Put(0, verdict.Backend{ID: l.ID, Service: l.Service, Address: l.Address, Zone: l.Zone, Capacity: 4, Usable: true})
+			s.Put(0, balancer.Backend{ID: l.ID, Service: l.Service, Address: l.Address, Zone: l.Zone, Capacity: 4, Usable: true})
 		}
-		var members []verdict.Member
+		var members []balancer.Member
 		for i := range n {
-			members = append(members, verdict.Member{Name: fmt.Sprintf("hollow-%03d", i), Zone: fmt.Sprintf("zone-%d", i%10)})
+			members = append(members, balancer.Member{Name: fmt.Sprintf("hollow-%03d", i), Zone: fmt.Sprintf("zone-%d", i%10)})
 		}
 		for b.Loop() {
 			s.Members(members)
@@ -110,13 +110,13 @@
 // A request's choice among the backends of a service.
 func BenchmarkPick(b *testing.B) {
 	bySize(b, []int{6, 36, 356}, func(b *testing.B, n int) {
-		s := verdict.New("hollow-000", "zone-0", verdict.Bounds{}, 0)
+		s := balancer.New("hollow-000", "zone-0", balancer.Bounds{}, 0)
 		for _, l := range lives(n, 1) {
-			s.Put(0, verdict.Backend{ID: l.ID, Service: l.Service, Address: l.Address, Zone: l.Zone, Capacity: 4, Usable: true})
+			s.Put(0, balancer.Backend{ID: l.ID, Service: l.Service, Address: l.Address, Zone: l.Zone, Capacity: 4, Usable: true})
 		}
 		for b.Loop() {
-			if k, _ := s.Pick(time.Second, verdict.Ask{Service: gateway.ServiceName(0), ToAim: time.Second, Draws: [2]float64{0.3, 0.7}}); k != nil {
-				s.End(time.Second, k, verdict.Met{Took: time.Millisecond})
+			if k, _ := s.Pick(time.Second, balancer.Ask{Service: gateway.ServiceName(0), ToAim: time.Second, Draws: [2]float64{0.3, 0.7}}); k != nil {
+				s.End(time.Second, k, balancer.Met{Took: time.Millisecond})
 			}
 		}
 	})
@@ -128,14 +128,14 @@
 	bySize(b, []int{20, 100, 200}, func(b *testing.B, n int) {
 		const carriers = 136
 		zones := []string{"zone-0", "zone-1"}
-		s, services := bearing.New(zones, 0), map[string]bearing.Service{}
+		s, services := steering.New(zones, 0), map[string]steering.Service{}
 		for i := range n {
-			services[gateway.ServiceName(i)] = bearing.Service{Target: time.Second}
+			services[gateway.ServiceName(i)] = steering.Service{Target: time.Second}
 		}
 		s.Configure(services)
-		var all []bearing.Backend
+		var all []steering.Backend
 		for i, l := range lives(1420, n) {
-			all = append(all, bearing.Backend{ID: l.ID, Service: l.Service, Zone: zones[i/n%2], Capacity: 4, Ready: true})
+			all = append(all, steering.Backend{ID: l.ID, Service: l.Service, Zone: zones[i/n%2], Capacity: 4, Ready: true})
 		}
 		var names []string
 		now := time.Duration(0)
@@ -146,11 +146,11 @@
 		}
 		second := func(k int) {
 			for i, name := range names {
-				var uses []parley.Use
-				var met []parley.Met
+				var uses []rpc.Use
+				var met []rpc.Met
 				for j := range min(n, 147) {
-					uses = append(uses, parley.Use{Service: gateway.ServiceName((j + k) % n), Came: 147 / float64(min(n, 147))})
-					met = append(met, parley.Met{ID: all[(i*7+j*13+k)%len(all)].ID, Tries: 1, Took: 500})
+					uses = append(uses, rpc.Use{Service: gateway.ServiceName((j + k) % n), Came: 147 / float64(min(n, 147))})
+					met = append(met, rpc.Met{ID: all[(i*7+j*13+k)%len(all)].ID, Tries: 1, Took: 500})
 				}
 				s.Report(name, uses, met, 1)
 			}
--- a/cmd/lab/restart/restart.go
+++ b/cmd/lab/restart/restart.go
@@ -6,9 +6,9 @@
 
 	"github.com/spf13/cobra"
 
-	"elmfold/choice"
 	"elmfold/cmd/lab/report"
 	"elmfold/emu"
+	"elmfold/internal/policy"
 )
 
 const (
@@ -47,20 +47,20 @@
 		}
 	}
 	w := emu.New(d)
-	w.Run(restartAt * choice.Second)
+	w.Run(restartAt * policy.Second)
 	before := w.Shares(0)
 	for i, b := range d.Backends {
 		if i%10 == 7 && len(which) > 0 { // a tenth of the backends comes back cold with them
-			w.Restart(b.ID, choice.Second)
+			w.Restart(b.ID, policy.Second)
 		}
 	}
 	for _, c := range which {
-		w.Kill(c, choice.Second, nil)
+		w.Kill(c, policy.Second, nil)
 	}
 	r := restarted{right: math.NaN()}
 	stays := 0
 	for s := range restartLook {
-		w.Run(choice.Second)
+		w.Run(policy.Second)
 		off, all, was, is := 0, 0, 0.0, 0.0
 		now := w.Shares(0)
 		for i, b := range d.Backends { // of those that are not cold
--- a/cmd/transit/main.go
+++ b/cmd/transit/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"elmfold/transit"
+	"elmfold/internal/proxy"
 )
 
-func main() { os.Exit(transit.Main(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(proxy.Main(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -8,7 +8,7 @@
 	"io"
 	"os"
 
-	"elmfold/choice"
+	"elmfold/internal/policy"
 	"elmfold/wire"
 )
 
@@ -21,7 +21,7 @@
 
 func serve(in io.Reader, out io.Writer) error {
 	dec := wire.NewDecoder(in)
-	hosted := map[uint16]*choice.Assigner{}
+	hosted := map[uint16]*policy.Assigner{}
 	for {
 		batch, err := dec.Next()
 		if err == io.EOF {
@@ -31,7 +31,7 @@
 			return err
 		}
 		reply := wire.NewReply(dec)
-		events := map[uint16][]choice.Event{}
+		events := map[uint16][]policy.Event{}
 		var order []uint16
 		for _, rec := range batch.Records {
 			if _, ok := events[rec.Inst]; !ok {
@@ -41,7 +41,7 @@
 			switch e := rec.Event.(type) {
 			case nil:
 			case wire.Launch:
-				hosted[rec.Inst] = choice.New(e.Deployment)
+				hosted[rec.Inst] = policy.New(e.Deployment)
 				events[rec.Inst] = nil
 			case wire.Stop:
 				delete(hosted, rec.Inst)
@@ -62,7 +62,7 @@
 }
 
 // step lets an instance decide; a panic becomes its last word.
-func step(reply *wire.Reply, inst uint16, a *choice.Assigner, now choice.Time, events []choice.Event) {
+func step(reply *wire.Reply, inst uint16, a *policy.Assigner, now policy.Time, events []policy.Event) {
 	before := *reply
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"elmfold/choice"
+	"elmfold/internal/policy"
 	"elmfold/wire"
 )
 
@@ -23,7 +23,7 @@
 // A panic of an instance becomes its last word, and what it had begun to say is taken back.
 func TestPanic(t *testing.T) {
 	reply := wire.NewReply(wire.NewDecoder(strings.NewReader("")))
-	step(reply, 3, choice.New(choice.Deployment{}), 1, []choice.Event{choice.Fenced{Proxy: -1}})
+	step(reply, 3, policy.New(policy.Deployment{}), 1, []policy.Event{policy.Fenced{Proxy: -1}})
 	var out bytes.Buffer
 	_, _ = reply.WriteTo(&out)
 	if got := out.Bytes(); got[7] != 1 || got[8] != 100 || !strings.Contains(string(got), "panic: ") {
--- a/command/command.go
+++ b/command/command.go
@@ -11,8 +11,8 @@
 	"github.com/spf13/cobra"
 
 	"elmfold/cells"
-	"elmfold/choice"
 	"elmfold/controller"
+	"elmfold/internal/policy"
 	"elmfold/launch"
 	"elmfold/operator"
 	"elmfold/roster"
@@ -116,7 +116,7 @@
 	for _, m := range s.Known.Members {
 		if zone := slices.Index(s.Names.Zones, m.Zone); zone >= 0 && m.Phase == roster.Serving {
 			all = append(all, cells.Backend{At: len(all), ID: m.ID, Zone: zone, Kind: slices.Index(s.Names.Kinds, m.Kind),
-				Status: choice.Ready, Weight: m.Size})
+				Status: policy.Ready, Weight: m.Size})
 		}
 	}
 	return all
--- a/command/member.go
+++ b/command/member.go
@@ -15,10 +15,10 @@
 
 	"github.com/sirupsen/logrus"
 
-	"elmfold/choice"
 	"elmfold/controller"
 	"elmfold/desk"
 	"elmfold/edge"
+	"elmfold/internal/policy"
 	"elmfold/jobs"
 	"elmfold/launch"
 	"elmfold/member"
@@ -183,11 +183,11 @@
 
 // toldOf is a total as the desk takes it.
 func toldOf(s told.Sums) desk.Told {
-	said := desk.Told{Age: choice.Time(s.Age * time.Duration(choice.Second) / time.Second)}
+	said := desk.Told{Age: policy.Time(s.Age * time.Duration(policy.Second) / time.Second)}
 	for _, w := range s.Words {
 		h := edge.Heard{Backend: w.Backend, Tries: w.Tries, Voided: w.Voided}
 		if good := w.Tries - w.Voided; good > 0 {
-			h.Took = choice.Time(w.Spent / good * float64(choice.Second) / 1000)
+			h.Took = policy.Time(w.Spent / good * float64(policy.Second) / 1000)
 		}
 		said.Heard = append(said.Heard, h)
 	}
--- a/command/plugin.go
+++ b/command/plugin.go
@@ -14,8 +14,8 @@
 	"github.com/spf13/cobra"
 
 	"elmfold/cells"
-	"elmfold/choice"
 	"elmfold/hook"
+	"elmfold/internal/policy"
 	"elmfold/plugin"
 	"elmfold/plugin/moment"
 )
@@ -102,7 +102,7 @@
 			events = append(events, wanted)
 		}
 		_, _ = fmt.Fprintf(out, "%s:%d: %d proposals in %.1f ms\n", path, line, len(a.Proposals), float64(took.Microseconds())/1000)
-		for _, o := range h.Step(choice.Time(m.Now)*choice.Second/1000, events) {
+		for _, o := range h.Step(policy.Time(m.Now)*policy.Second/1000, events) {
 			switch o := o.(type) {
 			case hook.Limit:
 				_, _ = fmt.Fprintf(out, "  %s: would go to %v, at most %g txns/s (0: no bound)\n", o.Tenant, either(o.Backends == nil, []string{"all"}, o.Backends), o.Most)
@@ -129,13 +129,13 @@
 	}
 	l := hook.Listed{Revision: m.Revision, Ramp: map[string]float64{}}
 	for i, b := range m.Backends {
-		status := either(b.Drains, choice.Draining, choice.Ready)
+		status := either(b.Drains, policy.Draining, policy.Ready)
 		l.Backends = append(l.Backends, cells.Backend{At: i, ID: b.ID, Zone: zone(b.Zone), Status: status, Weight: b.Weight})
 		if b.Ramp > 0 && b.Ramp < 1 {
 			l.Ramp[b.ID] = b.Ramp
 		}
 	}
-	planned := hook.Planned{Products: make([]choice.Product, max(len(m.Products), 1)), Tenants: map[string]hook.Tenant{}}
+	planned := hook.Planned{Products: make([]policy.Product, max(len(m.Products), 1)), Tenants: map[string]hook.Tenant{}}
 	var asked []hook.Event
 	for _, t := range m.Tenants {
 		in := []int{}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -16,8 +16,8 @@
 	"github.com/sirupsen/logrus"
 
 	"elmfold/cells"
-	"elmfold/choice"
 	"elmfold/desk"
+	"elmfold/internal/policy"
 	"elmfold/launch"
 	"elmfold/operator"
 	"elmfold/recall"
@@ -308,6 +308,6 @@
 var began = time.Now()
 
 // clock is the wall's time at the start and what has passed since, so that it never goes back.
-func clock() choice.Time {
-	return choice.Time((began.UnixNano() + time.Since(began).Nanoseconds()) / (1e9 / int64(choice.Second)))
+func clock() policy.Time {
+	return policy.Time((began.UnixNano() + time.Since(began).Nanoseconds()) / (1e9 / int64(policy.Second)))
 }
--- a/deployment/deployment.go
+++ b/deployment/deployment.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"elmfold/choice"
+	"elmfold/internal/policy"
 )
 
 // pairs reads values by key; the first that does not parse is kept in err.
@@ -45,12 +45,12 @@
 }
 
 // span reads microseconds; up says to which side a rest is rounded.
-func (p *pairs) span(key string, up bool) choice.Time {
+func (p *pairs) span(key string, up bool) policy.Time {
 	v := math.Min(math.Max(p.number(key, 0), 0), 1e15) / 100
 	if up {
-		return choice.Time(math.Ceil(v))
+		return policy.Time(math.Ceil(v))
 	}
-	return choice.Time(v)
+	return policy.Time(v)
 }
 
 func (p *pairs) flag(key string) bool {
@@ -112,10 +112,10 @@
 }
 
 // Read decodes the flat keys; unknown ones are read past.
-func Read(flat map[string]string) (choice.Deployment, error) {
+func Read(flat map[string]string) (policy.Deployment, error) {
 	p := &pairs{text: flat}
 	zones, kinds := p.list("Zones"), p.list("Shapes")
-	d := choice.Deployment{
+	d := policy.Deployment{
 		Zones:        max(len(zones), 1),
 		Proxies:      p.count("Specifics.ProxyCount", 0, 1<<16),
 		Asked:        p.text["Discovery"] == "subscribe",
@@ -134,21 +134,21 @@
 	}
 	switch p.text["Specifics.ThrottleBy"] {
 	case "ratio":
-		d.Levels = choice.LevelShare
+		d.Levels = policy.LevelShare
 	case "none":
-		d.Levels = choice.LevelNone
+		d.Levels = policy.LevelNone
 	}
 	for _, f := range p.list("Report.Fields") {
-		gauge := choice.GaugeOther
+		gauge := policy.GaugeOther
 		if f == "active" {
-			gauge = choice.GaugeHeld
+			gauge = policy.GaugeHeld
 		}
 		d.Gauges = append(d.Gauges, gauge)
 	}
 	own := p.list("Specifics.ClassOwnZone")
 	for i := range p.count("Classes.count", 0, MostProducts) {
 		at := fmt.Sprintf("Classes.%d.", i)
-		pr := choice.Product{
+		pr := policy.Product{
 			Revenue:   p.number(at+"Credit", 0),
 			SLA:       p.span(at+"Promise", false),
 			OnlyZones: p.places(at+"OnlyZones", zones),
--- a/desk/carry.go
+++ b/desk/carry.go
@@ -3,13 +3,13 @@
 import (
 	"slices"
 
-	"elmfold/choice"
 	"elmfold/edge"
+	"elmfold/internal/policy"
 )
 
 // carry sends the orders of a step: one message for each proxy concerned, in the order in which they are
 // named.
-func (d *Desk) carry(orders []choice.Order) {
+func (d *Desk) carry(orders []policy.Order) {
 	mark, all := none, false
 	var to []int
 	touch := func(i int) {
@@ -24,18 +24,18 @@
 	}
 	for _, o := range orders {
 		switch o := o.(type) {
-		case choice.Line:
+		case policy.Line:
 			t := d.table(o.Table)
 			t.weight = append(t.weight, make([]float64, max(o.Backend+1-len(t.weight), 0))...)
 			t.weight[o.Backend], t.lines = o.Weight, append(t.lines, o.Backend)
 			touchUsers(o.Table)
-		case choice.Clear:
+		case policy.Clear:
 			t := d.table(o.Table)
 			clear(t.weight)
 			clear(t.gated)
 			t.cleared, t.lines, t.changed = true, nil, 0
 			touchUsers(o.Table)
-		case choice.Gate:
+		case policy.Gate:
 			t := d.table(o.Table)
 			for k := range d.products {
 				if o.Products == 0 || o.Products>>k&1 > 0 {
@@ -43,7 +43,7 @@
 				}
 			}
 			touchUsers(o.Table)
-		case choice.Use:
+		case policy.Use:
 			p := &d.proxies[o.Proxy]
 			if p.stream == nil {
 				continue
@@ -57,7 +57,7 @@
 			}
 			d.use(o.Proxy)
 			touch(o.Proxy)
-		case choice.Withdraw:
+		case policy.Withdraw:
 			d.out[o.Backend] = o.Out
 			if !o.Bound {
 				d.told = append(d.told, o.Backend)
@@ -68,15 +68,15 @@
 					touch(i)
 				}
 			}
-		case choice.Fence:
+		case policy.Fence:
 			mark, all = o.Number, o.All
-		case choice.Wake:
+		case policy.Wake:
 			d.wakes = append(d.wakes, wake{at: d.now + max(o.After, 0), name: o.Name})
-		case choice.Follow:
+		case policy.Follow:
 			d.lists.Follow(o.On)
-		case choice.Reload:
+		case policy.Reload:
 			d.lists.Reload()
-		case choice.Log:
+		case policy.Log:
 			d.log.Info(o.Text)
 		default: // a Probe or a Note: the module sends none where the settings allow none
 			if !d.deaf {
@@ -112,7 +112,7 @@
 // table gives a table that an order of this step changes.
 func (d *Desk) table(id int) *table {
 	for len(d.tables) <= id {
-		d.tables = append(d.tables, table{gates: make([]choice.Gate, d.products), gated: make([]bool, d.products)})
+		d.tables = append(d.tables, table{gates: make([]policy.Gate, d.products), gated: make([]bool, d.products)})
 	}
 	if t := &d.tables[id]; !t.laid {
 		t.laid, d.laid = true, append(d.laid, id)
--- a/desk/confine.go
+++ b/desk/confine.go
@@ -2,7 +2,7 @@
 
 import (
 	"elmfold/cells"
-	"elmfold/choice"
+	"elmfold/internal/policy"
 )
 
 // ShowCells asks how tenants and backends stand; To must have room, as the desk does not wait.
@@ -23,7 +23,7 @@
 func (d *Desk) fleet() (all []cells.Backend) {
 	for at, on := range d.listed {
 		e := d.entries[at]
-		if on || !d.goneBinds && d.backends[at] != "" && e.Status == choice.Ready {
+		if on || !d.goneBinds && d.backends[at] != "" && e.Status == policy.Ready {
 			all = append(all, cells.Backend{At: at, ID: d.backends[at], Zone: e.Zone, Kind: e.Kind, Status: e.Status,
 				Weight: e.Weight, Up: e.Up})
 		}
@@ -38,15 +38,15 @@
 	listed := false
 	for _, e := range d.events {
 		switch e := e.(type) {
-		case choice.Listed:
-			listed = listed || e.Kind != choice.ListFailed
-		case choice.Joined:
+		case policy.Listed:
+			listed = listed || e.Kind != policy.ListFailed
+		case policy.Joined:
 			events = append(events, cells.Joined{Proxy: e.Proxy, Zone: e.Zone})
-		case choice.Left:
+		case policy.Left:
 			events = append(events, cells.Left{Proxy: e.Proxy})
-		case choice.Used:
+		case policy.Used:
 			events = append(events, cells.Used{Proxy: e.Proxy, Product: e.Product, Txns: e.Txns, Voided: e.Voided, Counting: e.Counting})
-		case choice.Heard:
+		case policy.Heard:
 			events = append(events, cells.Heard{Backend: e.Backend, Tries: e.Tries, Voided: e.Voided, Took: e.Took})
 		}
 	}
--- a/desk/desk.go
+++ b/desk/desk.go
@@ -13,9 +13,9 @@
 	"github.com/sirupsen/logrus"
 
 	"elmfold/cells"
-	"elmfold/choice"
 	"elmfold/deployment"
 	"elmfold/edge"
+	"elmfold/internal/policy"
 	"elmfold/recall"
 	"elmfold/roster"
 )
@@ -45,7 +45,7 @@
 // Told is what the proxies of other controllers met and are asked for. No stream says it.
 type Told struct {
 	Heard []edge.Heard
-	Age   choice.Time
+	Age   policy.Time
 	Uses  []Use
 }
 
@@ -92,7 +92,7 @@
 
 type table struct {
 	weight  []float64
-	gates   []choice.Gate // by product
+	gates   []policy.Gate // by product
 	gated   []bool
 	users   []int  // proxies that are on it, in their order
 	lines   []int  // changed in this step
@@ -102,20 +102,20 @@
 }
 
 type wake struct {
-	at   choice.Time
+	at   policy.Time
 	name uint32
 }
 
 const (
 	none      = -1
 	mostMarks = 256                // that a proxy may still answer
-	keepPlace = 30 * choice.Second // for one that is gone, and may come again
-	longest   = choice.Time(1) << 50
+	keepPlace = 30 * policy.Second // for one that is gone, and may come again
+	longest   = policy.Time(1) << 50
 )
 
 // Desk turns what was said into events and orders into messages.
 type Desk struct {
-	assigner *choice.Assigner
+	assigner *policy.Assigner
 	products int
 	names    deployment.Names
 	lists    Lists
@@ -126,7 +126,7 @@
 	free     []int
 	out      []bool        // by place: withdrawn
 	listed   []bool        // ... on the list
-	goneAt   []choice.Time // ... when it left the list
+	goneAt   []policy.Time // ... when it left the list
 	proxies  []proxy
 	owners   map[Stream]int  // the proxy of each stream that ever joined
 	sources  map[Stream]bool // collectors
@@ -135,34 +135,34 @@
 	told     []int // backends that it shut out or let back
 	text     []byte
 	masks    map[uint32][]string // names of products
-	gaveAt   choice.Time         // when places were last given back
+	gaveAt   policy.Time         // when places were last given back
 	keep     Keep                // nil: nothing is kept
 	onlook   Onlook              // nil: nobody is told on
-	keptAt   choice.Time
+	keptAt   policy.Time
 	turn     int
 	eased    []bool // by place: its relief was told as less than whole
 
 	goneBinds bool
 	cells     *cells.Cells   // nil: nobody is confined
-	entries   []choice.Entry // by place, as listed last; of use to cells only
+	entries   []policy.Entry // by place, as listed last; of use to cells only
 	asked     []cells.Event  // of people, for the next step
 
-	events []choice.Event
+	events []policy.Event
 	wakes  []wake
-	now    choice.Time
+	now    policy.Time
 	deaf   bool // it was said that some orders cannot be carried out
 }
 
 // New makes a Desk.
-func New(d choice.Deployment, names deployment.Names, lists Lists, log *logrus.Entry) *Desk {
-	return &Desk{assigner: choice.New(d), products: len(d.Products), goneBinds: d.GoneBinds, names: names, lists: lists, log: log,
+func New(d policy.Deployment, names deployment.Names, lists Lists, log *logrus.Entry) *Desk {
+	return &Desk{assigner: policy.New(d), products: len(d.Products), goneBinds: d.GoneBinds, names: names, lists: lists, log: log,
 		index: map[string]int{}, proxies: make([]proxy, d.Proxies), owners: map[Stream]int{},
 		sources: map[Stream]bool{}, masks: map[uint32][]string{}}
 }
 
 // Run serves the queue until the program ends; what comes within a tick is one moment. Lists come by a way of their
 // own, so that a drain never waits behind reports that are more than a step can take.
-func (d *Desk) Run(queue, lists <-chan News, tick time.Duration, clock func() choice.Time) {
+func (d *Desk) Run(queue, lists <-chan News, tick time.Duration, clock func() policy.Time) {
 	idle, over := time.NewTimer(0), time.NewTimer(0)
 	for {
 		select {
@@ -202,12 +202,12 @@
 }
 
 // until is how long nothing is due.
-func (d *Desk) until(now choice.Time) time.Duration {
-	next := now + 60*choice.Second
+func (d *Desk) until(now policy.Time) time.Duration {
+	next := now + 60*policy.Second
 	for _, w := range d.wakes {
 		next = min(next, w.at)
 	}
-	return time.Duration(max(next-now, 0)) * time.Second / time.Duration(choice.Second)
+	return time.Duration(max(next-now, 0)) * time.Second / time.Duration(policy.Second)
 }
 
 // Hear takes one piece of news; it counts from the next Step on.
@@ -229,9 +229,9 @@
 func (d *Desk) hear(from Stream, said any) error {
 	switch said := said.(type) {
 	case roster.List:
-		d.hearList(said, choice.ListChange)
+		d.hearList(said, policy.ListChange)
 	case roster.Failed:
-		d.events = append(d.events, choice.Listed{Kind: choice.ListFailed})
+		d.events = append(d.events, policy.Listed{Kind: policy.ListFailed})
 	case edge.Source:
 		if _, joined := d.owners[from]; joined || d.sources[from] {
 			return errTwice
@@ -252,7 +252,7 @@
 		// Only marks that this stream was sent are answers; each is taken once.
 		if at := slices.Index(p.marks, said.Number); at >= 0 {
 			p.marks = slices.Delete(p.marks, at, at+1)
-			d.events = append(d.events, choice.Fenced{Proxy: said.Proxy, Number: said.Number})
+			d.events = append(d.events, policy.Fenced{Proxy: said.Proxy, Number: said.Number})
 		}
 	case edge.Used:
 		k := d.product(said.Product)
@@ -261,10 +261,10 @@
 		}
 		p, err := d.speaker(from, said.Proxy)
 		if p != nil {
-			d.events = append(d.events, choice.Used{Proxy: said.Proxy, Product: k, Txns: said.Txns,
+			d.events = append(d.events, policy.Used{Proxy: said.Proxy, Product: k, Txns: said.Txns,
 				Voided: said.Voided, Counting: said.Counting})
 			if d.onlook != nil && said.Counting > 0 {
-				d.onlook.Uses(said.Proxy, said.Product, d.names.Zones[p.zone], said.Txns*float64(choice.Second)/float64(said.Counting))
+				d.onlook.Uses(said.Proxy, said.Product, d.names.Zones[p.zone], said.Txns*float64(policy.Second)/float64(said.Counting))
 			}
 		}
 		return err
@@ -279,10 +279,10 @@
 		if !listed {
 			return errBackend
 		}
-		d.events = append(d.events, choice.Heard{Backend: b, Tries: said.Tries, Voided: said.Voided,
+		d.events = append(d.events, policy.Heard{Backend: b, Tries: said.Tries, Voided: said.Voided,
 			Took: said.Took})
 		if d.onlook != nil {
-			d.onlook.Met(said.Backend, said.Tries, said.Voided, time.Duration(said.Took)*time.Second/time.Duration(choice.Second))
+			d.onlook.Met(said.Backend, said.Tries, said.Voided, time.Duration(said.Took)*time.Second/time.Duration(policy.Second))
 		}
 	case cells.Planned, cells.Move, cells.Undo:
 		if d.cells == nil {
@@ -298,7 +298,7 @@
 	case Told:
 		for _, h := range said.Heard {
 			if b, listed := d.index[h.Backend]; listed { // who tells may know another list
-				d.events = append(d.events, choice.Told{Heard: choice.Heard{Backend: b, Tries: h.Tries, Voided: h.Voided, Took: h.Took}, Age: said.Age})
+				d.events = append(d.events, policy.Told{Heard: policy.Heard{Backend: b, Tries: h.Tries, Voided: h.Voided, Took: h.Took}, Age: said.Age})
 			}
 		}
 		uses := make([][]float64, d.products)
@@ -310,7 +310,7 @@
 				uses[k][z] += u.Txns
 			}
 		}
-		d.events = append(d.events, choice.Elsewhere{Uses: uses})
+		d.events = append(d.events, policy.Elsewhere{Uses: uses})
 	case recall.Believe:
 		return d.recalled(said)
 	case ShowCells:
@@ -352,7 +352,7 @@
 func (d *Desk) leave(at int) {
 	d.unuse(at)
 	d.proxies[at] = proxy{}
-	d.events = append(d.events, choice.Left{Proxy: at})
+	d.events = append(d.events, policy.Left{Proxy: at})
 	if d.onlook != nil {
 		d.onlook.Left(at)
 	}
@@ -386,44 +386,44 @@
 	if said.Fresh {
 		p.brought = shutIn // nothing was ordered, so nothing is shut out
 	}
-	d.events = append(d.events, choice.Joined{Proxy: said.Proxy, Zone: zone, Rate: said.Rate, Brings: !said.Fresh})
+	d.events = append(d.events, policy.Joined{Proxy: said.Proxy, Zone: zone, Rate: said.Rate, Brings: !said.Fresh})
 	return nil
 }
 
 // Known takes the list that the controller held last.
-func (d *Desk) Known(l roster.List) { d.hearList(l, choice.ListCached) }
+func (d *Desk) Known(l roster.List) { d.hearList(l, policy.ListCached) }
 
-func (d *Desk) hearList(l roster.List, kind choice.ListKind) {
-	if l.Whole && kind == choice.ListChange {
-		kind = choice.ListFull
+func (d *Desk) hearList(l roster.List, kind policy.ListKind) {
+	if l.Whole && kind == policy.ListChange {
+		kind = policy.ListFull
 	}
-	statuses := map[string]choice.Status{roster.Serving: choice.Ready, roster.Draining: choice.Draining,
-		roster.Deleted: choice.Gone}
-	entries, seen := make([]choice.Entry, 0, len(l.Members)), map[int]bool{}
+	statuses := map[string]policy.Status{roster.Serving: policy.Ready, roster.Draining: policy.Draining,
+		roster.Deleted: policy.Gone}
+	entries, seen := make([]policy.Entry, 0, len(l.Members)), map[int]bool{}
 	var odd []roster.Member
 	for _, m := range l.Members {
 		status, ok := statuses[m.Phase]
 		zone := slices.Index(d.names.Zones, m.Zone)
 		at, listed := d.index[m.ID]
-		if !ok || m.ID == "" || zone < 0 && status != choice.Gone {
+		if !ok || m.ID == "" || zone < 0 && status != policy.Gone {
 			odd = append(odd, m)
 			continue
 		}
-		if !listed && status == choice.Gone {
+		if !listed && status == policy.Gone {
 			continue
 		}
 		if !listed {
 			at = d.place(m.ID)
 		}
-		seen[at] = status != choice.Gone
-		e := choice.Entry{Backend: at, Zone: zone, Kind: slices.Index(d.names.Kinds, m.Kind),
+		seen[at] = status != policy.Gone
+		e := policy.Entry{Backend: at, Zone: zone, Kind: slices.Index(d.names.Kinds, m.Kind),
 			Status: status, Weight: max(m.Size, 0)}
-		if up := m.UpSince * float64(choice.Second) / 1000; up > 0 {
-			e.Up = choice.Time(math.Min(up, float64(longest)))
+		if up := m.UpSince * float64(policy.Second) / 1000; up > 0 {
+			e.Up = policy.Time(math.Min(up, float64(longest)))
 		}
 		entries = append(entries, e)
-		d.entries = append(d.entries, make([]choice.Entry, max(at+1-len(d.entries), 0))...)
-		if status != choice.Gone {
+		d.entries = append(d.entries, make([]policy.Entry, max(at+1-len(d.entries), 0))...)
+		if status != policy.Gone {
 			d.entries[at] = e
 		}
 	}
@@ -437,7 +437,7 @@
 			d.goneAt[at] = d.now
 		}
 	}
-	d.events = append(d.events, choice.Listed{Kind: kind, Entries: entries})
+	d.events = append(d.events, policy.Listed{Kind: kind, Entries: entries})
 }
 
 // place gives a backend a place of its own, one that was given back where there is one.
@@ -456,7 +456,7 @@
 // giveBack frees the places of backends that are gone for long and that no proxy has a line of: ids never come
 // to an end. What is heard of such a one later names nobody. Once a second: it asks all proxies about each.
 func (d *Desk) giveBack() {
-	if d.now < d.gaveAt+choice.Second {
+	if d.now < d.gaveAt+policy.Second {
 		return
 	}
 	d.gaveAt = d.now
@@ -477,17 +477,17 @@
 				t.weight[at] = 0
 			}
 		}
-		d.events = append(d.events, choice.Dropped{Backend: at})
+		d.events = append(d.events, policy.Dropped{Backend: at})
 	}
 }
 
 // Step lets the module decide on what was heard since the last one, and sends what it orders.
-func (d *Desk) Step(now choice.Time) {
+func (d *Desk) Step(now policy.Time) {
 	d.now = max(now, d.now)
 	due := func(w wake) bool { return w.at <= d.now }
 	for _, w := range d.wakes {
 		if due(w) {
-			d.events = append(d.events, choice.Woken{Name: w.name})
+			d.events = append(d.events, policy.Woken{Name: w.name})
 		}
 	}
 	d.wakes = slices.DeleteFunc(d.wakes, due)
--- a/desk/desk_test.go
+++ b/desk/desk_test.go
@@ -17,9 +17,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"elmfold/choice"
 	"elmfold/deployment"
 	"elmfold/edge"
+	"elmfold/internal/policy"
 	"elmfold/roster"
 )
 
@@ -47,11 +47,11 @@
 
 var names = deployment.Names{Products: []string{"look", "order", "pay"}, Zones: []string{"a", "b"}, Kinds: []string{"s"}}
 
-func deploymentOf(proxies int) choice.Deployment {
-	return choice.Deployment{Products: []choice.Product{{Revenue: 1, SLA: 8000}, {Revenue: 2, SLA: 8000},
+func deploymentOf(proxies int) policy.Deployment {
+	return policy.Deployment{Products: []policy.Product{{Revenue: 1, SLA: 8000}, {Revenue: 2, SLA: 8000},
 		{Revenue: 3, SLA: 8000, OnlyZones: []int{0}}}, Zones: 2, Proxies: proxies, GoneBinds: true,
-		Cold: 17 * choice.Second, ColdCapacity: 0.2, ColdMultiple: 3, ConnsLeast: 500, LinesPerS: 3000, LinesMost: 3000,
-		LinesHead: 6, MessagesOver: 10 * choice.Second}
+		Cold: 17 * policy.Second, ColdCapacity: 0.2, ColdMultiple: 3, ConnsLeast: 500, LinesPerS: 3000, LinesMost: 3000,
+		LinesHead: 6, MessagesOver: 10 * policy.Second}
 }
 
 func newDesk(proxies int) *Desk {
@@ -68,7 +68,7 @@
 	return roster.Member{ID: id, Zone: "a", Kind: "s", Phase: roster.Serving, Size: 1}
 }
 
-func (d *Desk) heard() []choice.Event {
+func (d *Desk) heard() []policy.Event {
 	e := d.events
 	d.events = nil
 	return e
@@ -84,21 +84,21 @@
 	for i, c := range []struct {
 		from *line
 		said any
-		want []choice.Event
+		want []policy.Event
 	}{
 		{first, used, nil},
-		{first, join, []choice.Event{choice.Joined{Proxy: 2, Zone: 1, Rate: 7, Brings: true}}},
+		{first, join, []policy.Event{policy.Joined{Proxy: 2, Zone: 1, Rate: 7, Brings: true}}},
 		{first, join, nil},
-		{first, used, []choice.Event{choice.Used{Proxy: 2, Product: 1, Txns: 3, Counting: 10000}}},
+		{first, used, []policy.Event{policy.Used{Proxy: 2, Product: 1, Txns: 3, Counting: 10000}}},
 		{first, edge.Used{Proxy: 1, Product: "order"}, nil},
 		{older, join, nil},
 		{older, used, nil},
-		{second, join, []choice.Event{choice.Left{Proxy: 2}, choice.Joined{Proxy: 2, Zone: 1, Rate: 7, Brings: true}}},
+		{second, join, []policy.Event{policy.Left{Proxy: 2}, policy.Joined{Proxy: 2, Zone: 1, Rate: 7, Brings: true}}},
 		{first, used, nil},
 		{first, edge.Ended{}, nil},
 		{older, edge.Ended{}, nil},
-		{second, used, []choice.Event{choice.Used{Proxy: 2, Product: 1, Txns: 3, Counting: 10000}}},
-		{second, edge.Ended{}, []choice.Event{choice.Left{Proxy: 2}}},
+		{second, used, []policy.Event{policy.Used{Proxy: 2, Product: 1, Txns: 3, Counting: 10000}}},
+		{second, edge.Ended{}, []policy.Event{policy.Left{Proxy: 2}}},
 		{second, edge.Ended{}, nil},
 	} {
 		d.Hear(News{c.from, c.said})
@@ -140,7 +140,7 @@
 	}
 	d.Hear(News{source, edge.Used{Proxy: 1, Product: "look", Txns: 1}})
 	d.Hear(News{source, heard})
-	want := []choice.Event{choice.Used{Proxy: 1, Txns: 1}, choice.Heard{Tries: 2}}
+	want := []policy.Event{policy.Used{Proxy: 1, Txns: 1}, policy.Heard{Tries: 2}}
 	if got := d.heard(); !reflect.DeepEqual(got, want) {
 		t.Errorf("from a collector: %+v", got)
 	}
@@ -164,12 +164,12 @@
 	d.Hear(News{Said: list(false, odd, lost, gone, warm, roster.Member{ID: "s-5", Phase: roster.Deleted})})
 	d.Hear(News{Said: list(true, serving("s-2"))})
 	d.Hear(News{Said: roster.Failed{}})
-	want := []choice.Event{
-		choice.Listed{Kind: choice.ListCached, Entries: []choice.Entry{{Status: choice.Ready, Weight: 1}}},
-		choice.Listed{Kind: choice.ListChange, Entries: []choice.Entry{{Zone: -1, Kind: -1, Status: choice.Gone},
-			{Backend: 1, Zone: 1, Kind: -1, Status: choice.Draining, Weight: 2, Up: 12345}}},
-		choice.Listed{Kind: choice.ListFull, Entries: []choice.Entry{{Backend: 1, Status: choice.Ready, Weight: 1}}},
-		choice.Listed{Kind: choice.ListFailed},
+	want := []policy.Event{
+		policy.Listed{Kind: policy.ListCached, Entries: []policy.Entry{{Status: policy.Ready, Weight: 1}}},
+		policy.Listed{Kind: policy.ListChange, Entries: []policy.Entry{{Zone: -1, Kind: -1, Status: policy.Gone},
+			{Backend: 1, Zone: 1, Kind: -1, Status: policy.Draining, Weight: 2, Up: 12345}}},
+		policy.Listed{Kind: policy.ListFull, Entries: []policy.Entry{{Backend: 1, Status: policy.Ready, Weight: 1}}},
+		policy.Listed{Kind: policy.ListFailed},
 	}
 	if got := d.heard(); !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
@@ -182,16 +182,16 @@
 	d.Known(list(true, serving("s-0"), serving("s-1"), serving("s-2")))
 	d.Hear(News{brings, edge.Joined{Proxy: 0, Zone: "a"}})
 	d.Hear(News{fresh, edge.Joined{Proxy: 1, Zone: "a", Fresh: true}})
-	bind := func(p int) []choice.Order {
-		return []choice.Order{choice.Clear{Table: p}, choice.Line{Table: p, Backend: 0, Weight: 1.5},
-			choice.Line{Table: p, Backend: 1, Weight: 1e-5}, choice.Gate{Table: p, Level: 1e6, Tries: choice.TryUnrun, Products: 1},
-			choice.Gate{Table: p, Level: 0.25, Products: 6}, choice.Use{Proxy: p, Table: p}, choice.Fence{Number: 9}}
+	bind := func(p int) []policy.Order {
+		return []policy.Order{policy.Clear{Table: p}, policy.Line{Table: p, Backend: 0, Weight: 1.5},
+			policy.Line{Table: p, Backend: 1, Weight: 1e-5}, policy.Gate{Table: p, Level: 1e6, Tries: policy.TryUnrun, Products: 1},
+			policy.Gate{Table: p, Level: 0.25, Products: 6}, policy.Use{Proxy: p, Table: p}, policy.Fence{Number: 9}}
 	}
 	for i, c := range []struct {
-		orders       []choice.Order
+		orders       []policy.Order
 		brings, cold string
 	}{
-		{[]choice.Order{choice.Withdraw{Backend: 1, Out: true}, choice.Withdraw{Backend: 2}}, "CONFIG out=s-1 back=s-2\r\n",
+		{[]policy.Order{policy.Withdraw{Backend: 1, Out: true}, policy.Withdraw{Backend: 2}}, "CONFIG out=s-1 back=s-2\r\n",
 			"CONFIG out=s-1\r\n"},
 		{bind(0), "CONFIG back=s-0 more=1\r\nCONFIG classes=look+order+pay whole=1 lines=s-0:1.5,s-1:0.00001 more=1\r\n" +
 			"CONFIG classes=look level=1000000 retry=1 more=1\r\nCONFIG classes=order level=0.25 retry=0 more=1\r\n" +
@@ -199,16 +199,16 @@
 		{bind(1), "", "CONFIG classes=look+order+pay whole=1 lines=s-0:1.5,s-1:0.00001 more=1\r\n" +
 			"CONFIG classes=look level=1000000 retry=1 more=1\r\nCONFIG classes=order level=0.25 retry=0 more=1\r\n" +
 			"CONFIG classes=pay level=0.25 retry=0 ticket=9\r\n"},
-		{[]choice.Order{choice.Line{Table: 0, Backend: 0}, choice.Line{Table: 0, Backend: 2, Weight: 2}, choice.Fence{Number: 10}},
+		{[]policy.Order{policy.Line{Table: 0, Backend: 0}, policy.Line{Table: 0, Backend: 2, Weight: 2}, policy.Fence{Number: 10}},
 			"CONFIG classes=look+order+pay lines=s-0:0,s-2:2 ticket=10\r\n", ""},
-		{[]choice.Order{choice.Withdraw{Backend: 2, Out: true}}, "CONFIG out=s-2\r\n", ""},
-		{[]choice.Order{choice.Withdraw{Backend: 1}, choice.Line{Table: 1, Backend: 2, Weight: 1}}, "CONFIG back=s-1\r\n",
+		{[]policy.Order{policy.Withdraw{Backend: 2, Out: true}}, "CONFIG out=s-2\r\n", ""},
+		{[]policy.Order{policy.Withdraw{Backend: 1}, policy.Line{Table: 1, Backend: 2, Weight: 1}}, "CONFIG back=s-1\r\n",
 			"CONFIG out=s-2 back=s-1 more=1\r\nCONFIG classes=look+order+pay lines=s-2:1\r\n"},
-		{[]choice.Order{choice.Clear{Table: 1}, choice.Line{Table: 1, Backend: 0, Weight: 3}}, "",
+		{[]policy.Order{policy.Clear{Table: 1}, policy.Line{Table: 1, Backend: 0, Weight: 3}}, "",
 			"CONFIG classes=look+order+pay whole=1 lines=s-0:3\r\n"},
-		{[]choice.Order{choice.Use{Proxy: 1, Table: 5, Products: 4}}, "", "CONFIG classes=pay whole=1\r\n"},
-		{[]choice.Order{choice.Fence{Number: 0, All: true}}, "CONFIG ticket=0\r\n", "CONFIG ticket=0\r\n"},
-		{[]choice.Order{choice.Use{Proxy: 3, Table: 1}, choice.Fence{Number: 12}, choice.Note{}, choice.Probe{}}, "", ""},
+		{[]policy.Order{policy.Use{Proxy: 1, Table: 5, Products: 4}}, "", "CONFIG classes=pay whole=1\r\n"},
+		{[]policy.Order{policy.Fence{Number: 0, All: true}}, "CONFIG ticket=0\r\n", "CONFIG ticket=0\r\n"},
+		{[]policy.Order{policy.Use{Proxy: 3, Table: 1}, policy.Fence{Number: 12}, policy.Note{}, policy.Probe{}}, "", ""},
 	} {
 		d.carry(c.orders)
 		if got := strings.Join(brings.take(), "|"); got != c.brings {
@@ -218,7 +218,7 @@
 			t.Errorf("%d: a fresh one got\n%s, want\n%s", i, got, c.cold)
 		}
 	}
-	d.carry([]choice.Order{choice.Follow{On: true}, choice.Reload{}})
+	d.carry([]policy.Order{policy.Follow{On: true}, policy.Reload{}})
 	if got := *d.lists.(*asked); got != (asked{1, 1}) {
 		t.Errorf("lists were asked for %+v", got)
 	}
@@ -246,8 +246,8 @@
 	for i := range 4 {
 		queue <- News{&told{line{since: uint64(i)}, messages}, edge.Joined{Proxy: i, Zone: "a", Rate: 1, Fresh: true}}
 	}
-	now := 1000 * choice.Second
-	go d.Run(queue, nil, time.Nanosecond, func() choice.Time { return now })
+	now := 1000 * policy.Second
+	go d.Run(queue, nil, time.Nanosecond, func() policy.Time { return now })
 	for range 4 {
 		if m := <-messages; !strings.HasSuffix(m, " ticket=1\r\n") || !strings.Contains(m, "lines=s-0:1,s-1:1") {
 			t.Errorf("first message %q", m)
@@ -327,7 +327,7 @@
 // no proxy has a line of them, what is told of a place that is used again is as for a new one, and no late
 // report is taken for another backend's.
 func TestReplaced(t *testing.T) {
-	d, source, now := newDesk(3), &line{}, 1000*choice.Second
+	d, source, now := newDesk(3), &line{}, 1000*policy.Second
 	mark := func(l *line) (n int) {
 		_, text, _ := strings.Cut(strings.Join(l.take(), ""), "ticket=")
 		n, _ = strconv.Atoi(strings.TrimSpace(strings.SplitN(text, "\r", 2)[0]))
@@ -360,7 +360,7 @@
 		}
 		d.Hear(News{Said: list(false, gone)})
 		for range 4 {
-			now += choice.Second / 2
+			now += policy.Second / 2
 			d.Step(now)
 			for p, l := range proxies {
 				if l != nil && len(l.sent) > 0 {
@@ -372,7 +372,7 @@
 		d.Hear(News{Said: list(false, gone)})
 		d.Hear(News{source, edge.Heard{Zone: "a", Backend: fmt.Sprint("s-", i-60), Tries: 9, Took: 500}})
 		for _, e := range d.events {
-			if heard, ok := e.(choice.Heard); ok && i > 60 {
+			if heard, ok := e.(policy.Heard); ok && i > 60 {
 				t.Fatalf("%d: heard of place %d, which is %s now", i, heard.Backend, d.backends[heard.Backend])
 			}
 		}
@@ -416,7 +416,7 @@
 			clearTable(id)
 		}
 		for step := range 30 {
-			var orders []choice.Order
+			var orders []policy.Order
 			for i := range proxies {
 				if rnd.Intn(8) == 0 || step == 0 { // a new stream, of a fresh proxy or one that brings things
 					p := &reader{line: line{since: uint64(step)}, tables: map[string]held{}, shut: map[string]bool{}}
@@ -434,30 +434,30 @@
 				switch rnd.Intn(9) {
 				case 0, 1, 2, 3:
 					w := float64(rnd.Intn(4)) / 4
-					orders = append(orders, choice.Line{Table: id, Backend: b, Weight: w})
+					orders = append(orders, policy.Line{Table: id, Backend: b, Weight: w})
 					for _, h := range tables[id] {
 						if h.lines[name] = w; w == 0 {
 							delete(h.lines, name)
 						}
 					}
 				case 4:
-					orders = append(orders, choice.Clear{Table: id})
+					orders = append(orders, policy.Clear{Table: id})
 					clearTable(id)
 				case 5:
-					g := choice.Gate{Table: id, Level: float64(rnd.Intn(9)), Tries: choice.Tries(rnd.Intn(4)), Products: uint16(1 << k)}
+					g := policy.Gate{Table: id, Level: float64(rnd.Intn(9)), Tries: policy.Tries(rnd.Intn(4)), Products: uint16(1 << k)}
 					orders = append(orders, g)
 					h := tables[id][names.Products[k]]
 					h.level, h.retry = g.Level, int(g.Tries)
 					tables[id][names.Products[k]] = h
 				case 6, 7:
-					o := choice.Withdraw{Backend: b, Out: rnd.Intn(2) == 0}
+					o := policy.Withdraw{Backend: b, Out: rnd.Intn(2) == 0}
 					orders = append(orders, o)
 					if delete(out, name); o.Out {
 						out[name] = true
 					}
 				case 8:
 					i, other := rnd.Intn(proxyCount), rnd.Intn(tableCount)
-					orders = append(orders, choice.Use{Proxy: i, Table: id, Products: 3}, choice.Use{Proxy: i, Table: other, Products: 4})
+					orders = append(orders, policy.Use{Proxy: i, Table: id, Products: 3}, policy.Use{Proxy: i, Table: other, Products: 4})
 					uses[i] = []int{id, id, other}
 				}
 			}
@@ -515,7 +515,7 @@
 		source := &line{}
 		d.Hear(News{source, edge.Source{Zone: "a"}})
 		for step := range 400 {
-			now := choice.Time(step+1) * choice.Second / 10
+			now := policy.Time(step+1) * policy.Second / 10
 			for i, p := range proxies {
 				if rnd.Intn(150) == 0 || step == i/4 {
 					p = &reader{line: line{since: uint64(step)}, tables: map[string]held{}, shut: map[string]bool{}}
@@ -525,14 +525,14 @@
 				if p != nil && step%10 == 0 {
 					for _, k := range names.Products {
 						d.Hear(News{p, edge.Used{Proxy: i, Product: k, Txns: float64(rnd.Intn(12)), Voided: float64(rnd.Intn(2)),
-							Counting: choice.Second}})
+							Counting: policy.Second}})
 					}
 				}
 			}
 			if step%10 == 5 {
 				for _, m := range members {
 					d.Hear(News{source, edge.Heard{Zone: "a", Backend: m.ID, Tries: 9, Voided: float64(rnd.Intn(3)),
-						Took: choice.Time(500 + rnd.Intn(9000))}})
+						Took: policy.Time(500 + rnd.Intn(9000))}})
 				}
 			}
 			if rnd.Intn(25) == 0 {
@@ -552,19 +552,19 @@
 			// As Step does, with a look at the orders before they are written.
 			due := func(w wake) bool { return w.at <= now }
 			if slices.ContainsFunc(d.wakes, due) {
-				d.events = append(d.events, choice.Woken{})
+				d.events = append(d.events, policy.Woken{})
 			}
 			d.wakes, d.now = slices.DeleteFunc(d.wakes, due), now
 			orders := d.assigner.Step(now, d.heard())
 			charge, ticket, cleared := make([]float64, proxyCount), 0, map[int]bool{}
 			for _, o := range orders {
-				if use, ok := o.(choice.Use); ok {
+				if use, ok := o.(policy.Use); ok {
 					owner[use.Table] = use.Proxy
 				}
 			}
 			for _, o := range orders {
 				switch o := o.(type) {
-				case choice.Line:
+				case policy.Line:
 					charge[owner[o.Table]]++
 					held := !cleared[o.Table] && o.Backend < len(d.tables[o.Table].weight) && d.tables[o.Table].weight[o.Backend] > 0
 					if !held && d.proxies[owner[o.Table]].brought == shutUnknown {
@@ -573,20 +573,20 @@
 					if o.Weight == 0 && d.out[o.Backend] {
 						charge[owner[o.Table]]++ // which lets back what is gone
 					}
-				case choice.Clear:
+				case policy.Clear:
 					charge[owner[o.Table]]++
 					cleared[o.Table] = true
-				case choice.Gate:
+				case policy.Gate:
 					charge[owner[o.Table]]++
-				case choice.Use:
+				case policy.Use:
 					charge[o.Proxy]++
-				case choice.Withdraw:
+				case policy.Withdraw:
 					for i := range d.proxies {
 						if d.proxies[i].stream != nil && d.holds(&d.proxies[i], o.Backend) {
 							charge[i]++
 						}
 					}
-				case choice.Fence:
+				case policy.Fence:
 					ticket = o.Number
 				}
 			}
--- a/desk/many_test.go
+++ b/desk/many_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"elmfold/choice"
 	"elmfold/edge"
+	"elmfold/internal/policy"
 	"elmfold/roster"
 )
 
@@ -22,14 +22,14 @@
 	d.Known(list(true, serving("s-0"), serving("s-1")))
 	stream := &line{since: 1}
 	d.Hear(News{stream, edge.Joined{Proxy: 0, Zone: "a", Rate: 1, Fresh: true}})
-	d.Step(1000 * choice.Second)
+	d.Step(1000 * policy.Second)
 	const reports = 5000
 	sent, stop := make(chan int, 1), make(chan bool)
 	go func() {
 		n := 0
 		for ; n < reports; n++ {
 			select {
-			case queue <- News{stream, edge.Used{Proxy: 0, Product: "look", Txns: 1, Counting: choice.Second}}:
+			case queue <- News{stream, edge.Used{Proxy: 0, Product: "look", Txns: 1, Counting: policy.Second}}:
 			case <-stop:
 				sent <- n
 				return
@@ -48,7 +48,7 @@
 	close(stop)
 	taken := len(d.events)
 	stream.take()
-	d.Step(1001 * choice.Second)
+	d.Step(1001 * policy.Second)
 	if text := fmt.Sprint(stream.take()); !strings.Contains(text, "out=s-0") {
 		t.Errorf("the drain is not told in its step: %s", text)
 	}
@@ -62,13 +62,13 @@
 type bigFleet struct {
 	d       *Desk
 	streams []*line
-	now     choice.Time
+	now     policy.Time
 	made    int // backends so far
 	here    []roster.Member
 }
 
 func newBigFleet(proxies, backends int) *bigFleet {
-	f := &bigFleet{d: newDesk(proxies), now: 1000 * choice.Second, streams: make([]*line, proxies)}
+	f := &bigFleet{d: newDesk(proxies), now: 1000 * policy.Second, streams: make([]*line, proxies)}
 	for range backends {
 		f.here = append(f.here, f.backend())
 	}
@@ -100,14 +100,14 @@
 			continue
 		}
 		for _, k := range names.Products {
-			f.d.Hear(News{s, edge.Used{Proxy: i, Product: k, Txns: float64(i % 7), Counting: choice.Second}})
+			f.d.Hear(News{s, edge.Used{Proxy: i, Product: k, Txns: float64(i % 7), Counting: policy.Second}})
 		}
 		for _, m := range f.d.proxies[i].marks {
 			f.d.Hear(News{s, edge.Fenced{Proxy: i, Number: m}})
 		}
 		s.sent = nil
 	}
-	f.now += choice.Second
+	f.now += policy.Second
 	f.d.Step(f.now)
 }
 
@@ -197,7 +197,7 @@
 		}
 	}
 	join(0, 20)
-	now := 1000 * choice.Second
+	now := 1000 * policy.Second
 	d.Step(now)
 	waiting := 0
 	for i := range 8 {
@@ -207,7 +207,7 @@
 		drain := serving(fmt.Sprint("s-", i))
 		drain.Phase = roster.Draining
 		d.Hear(News{Said: list(false, drain)})
-		now += choice.Second / 10
+		now += policy.Second / 10
 		d.Step(now)
 		for p, s := range streams {
 			if s == nil {
@@ -250,7 +250,7 @@
 		hear("RATE node=0 route=look total=9 errors=1 interval=1000")
 		hear(spoilt)
 		events := d.heard()
-		if len(events) != 1 || events[0] != (choice.Used{Proxy: 0, Txns: 9, Voided: 1, Counting: choice.Second}) {
+		if len(events) != 1 || events[0] != (policy.Used{Proxy: 0, Txns: 9, Voided: 1, Counting: policy.Second}) {
 			t.Errorf("beside %q: %v", spoilt, events)
 		}
 	}
--- a/desk/memory.go
+++ b/desk/memory.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"elmfold/choice"
+	"elmfold/internal/policy"
 	"elmfold/recall"
 )
 
@@ -19,23 +19,23 @@
 // KeepWith hands on what is worth keeping from now on.
 func (d *Desk) KeepWith(keep Keep) { d.keep = keep }
 
-var figures = map[choice.Figure]recall.Kind{choice.FigureUse: recall.Use, choice.FigureRelief: recall.Relief,
-	choice.FigureTotal: recall.Total, choice.FigureKnee: recall.Knee, choice.FigurePace: recall.Pace}
+var figures = map[policy.Figure]recall.Kind{policy.FigureUse: recall.Use, policy.FigureRelief: recall.Relief,
+	policy.FigureTotal: recall.Total, policy.FigureKnee: recall.Knee, policy.FigurePace: recall.Pace}
 
 // recollect tells the keeper what has its turn, under names that hold at every controller.
 func (d *Desk) recollect() {
-	if d.keep == nil || d.now < d.keptAt+choice.Second {
+	if d.keep == nil || d.now < d.keptAt+policy.Second {
 		return
 	}
 	d.keptAt, d.turn = d.now, (d.turn+1)%turns
 	all := d.assigner.Recollect(d.turn, turns)
 	facts := make([]recall.Fact, 0, len(all))
 	for _, r := range all {
-		f := recall.Fact{Kind: figures[r.What], Value: r.Value, Age: time.Duration(r.Age) * time.Second / time.Duration(choice.Second)}
+		f := recall.Fact{Kind: figures[r.What], Value: r.Value, Age: time.Duration(r.Age) * time.Second / time.Duration(policy.Second)}
 		switch r.What {
-		case choice.FigureUse:
+		case policy.FigureUse:
 			f.Key = strconv.Itoa(r.Proxy) + "/" + d.names.Products[r.Product]
-		case choice.FigureRelief:
+		case policy.FigureRelief:
 			// A whole one is told only after one that was not, so that it ends that.
 			d.eased = append(d.eased, make([]bool, max(r.Backend+1-len(d.eased), 0))...)
 			eased := d.eased[r.Backend]
@@ -51,7 +51,7 @@
 
 // recalled puts what is believed of earlier knowledge before the decisions, as a figure with its age.
 func (d *Desk) recalled(b recall.Believe) error {
-	r := choice.Recalled{Value: b.Value, Age: choice.Time(b.Age * time.Duration(choice.Second) / time.Second), Part: b.Part}
+	r := policy.Recalled{Value: b.Value, Age: policy.Time(b.Age * time.Duration(policy.Second) / time.Second), Part: b.Part}
 	switch b.Kind {
 	case recall.Use:
 		proxy, product, _ := strings.Cut(b.Key, "/")
@@ -59,7 +59,7 @@
 		if err != nil || at < 0 || at >= len(d.proxies) {
 			return fmt.Errorf("%w: %q", errProxy, b.Key)
 		}
-		if r.What, r.Proxy, r.Product = choice.FigureUse, at, d.product(product); r.Product < 0 {
+		if r.What, r.Proxy, r.Product = policy.FigureUse, at, d.product(product); r.Product < 0 {
 			return fmt.Errorf("%w: %q", errProduct, b.Key)
 		}
 	case recall.Relief:
@@ -67,13 +67,13 @@
 		if !listed {
 			return fmt.Errorf("%w: %q", errBackend, b.Key)
 		}
-		r.What, r.Backend = choice.FigureRelief, at
+		r.What, r.Backend = policy.FigureRelief, at
 	case recall.Total:
-		r.What = choice.FigureTotal
+		r.What = policy.FigureTotal
 	case recall.Knee:
-		r.What = choice.FigureKnee
+		r.What = policy.FigureKnee
 	case recall.Pace:
-		r.What = choice.FigurePace
+		r.What = policy.FigurePace
 	default: // lists and shut-outs are settled elsewhere
 		return nil
 	}
--- a/desk/memory_test.go
+++ b/desk/memory_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"elmfold/choice"
 	"elmfold/edge"
+	"elmfold/internal/policy"
 	"elmfold/recall"
 )
 
@@ -32,21 +32,21 @@
 	weight := func(d *Desk, at int) float64 { return d.tables[d.proxies[0].tables[0]].weight[at] }
 	d, l := begin()
 	d.KeepWith(keep)
-	now := 1000 * choice.Second
+	now := 1000 * policy.Second
 	d.Hear(News{l, edge.Joined{Proxy: 0, Zone: "a", Rate: 30, Fresh: true}})
 	for range 20 {
 		for i, id := range members {
-			took := choice.Time(1000)
+			took := policy.Time(1000)
 			if i == 2 {
 				took = 7000
 			}
 			d.Hear(News{l, edge.Heard{Zone: "a", Backend: id, Tries: 20, Took: took}})
 		}
-		d.Hear(News{l, edge.Used{Proxy: 0, Product: "look", Txns: 33, Counting: choice.Second}})
+		d.Hear(News{l, edge.Used{Proxy: 0, Product: "look", Txns: 33, Counting: policy.Second}})
 		for _, m := range d.proxies[0].marks {
 			d.Hear(News{l, edge.Fenced{Proxy: 0, Number: m}})
 		}
-		now += choice.Second
+		now += policy.Second
 		d.Step(now)
 	}
 	if f := kept["relief s-2"]; f.Value >= 1 || f.Value <= 0 {
@@ -72,15 +72,15 @@
 		}
 	}
 	next.Hear(News{l, edge.Joined{Proxy: 0, Zone: "a", Rate: 30, Fresh: true}})
-	next.Step(now + choice.Second)
+	next.Step(now + policy.Second)
 	if got := weight(next, 2); got < 0.88*want || got > want/0.88 || weight(next, 1) != weight(d, 1) { // as near as is worth a line
 		t.Errorf("weight %v after the restart, %v before", got, want)
 	}
 	// What is heard at first hand holds against what is recalled.
 	next.Hear(News{l, edge.Heard{Zone: "a", Backend: "s-1", Tries: 20, Took: 900}})
-	next.Step(now + 2*choice.Second)
+	next.Step(now + 2*policy.Second)
 	next.Hear(News{nil, recall.Believe{Fact: recall.Fact{Kind: recall.Relief, Key: "s-1", Value: 0.3}, Part: 1}})
-	next.Step(now + 3*choice.Second)
+	next.Step(now + 3*policy.Second)
 	if weight(next, 1) != weight(d, 1) {
 		t.Errorf("weight %v of one that was heard of meanwhile", weight(next, 1))
 	}
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -10,7 +10,7 @@
 	"slices"
 	"strconv"
 
-	"elmfold/choice"
+	"elmfold/internal/policy"
 )
 
 // Ping asks for a Pong.
@@ -38,14 +38,14 @@
 	Proxy        int
 	Product      string
 	Txns, Voided float64
-	Counting     choice.Time
+	Counting     policy.Time
 }
 
 // Heard sums what the proxies of a zone met at a backend.
 type Heard struct {
 	Zone, Backend string
 	Tries, Voided float64
-	Took          choice.Time
+	Took          policy.Time
 }
 
 // Ended says that a connection is over; nothing comes from it any more.
@@ -54,7 +54,7 @@
 // What lies beyond these is no figure that a fleet could mean.
 const (
 	mostPerS  = 1e6 // txns of a second
-	mostSpan  = 600 * choice.Second
+	mostSpan  = 600 * policy.Second
 	mostIndex = math.MaxInt32
 	longKind  = 16
 )
@@ -123,33 +123,33 @@
 	return int(v)
 }
 
-func (f *fields) span(name string) choice.Time {
-	const unit = 1000 / float64(choice.Second)
-	return choice.Time(math.Round(f.figure(name, float64(mostSpan)*unit) / unit))
+func (f *fields) span(name string) policy.Time {
+	const unit = 1000 / float64(policy.Second)
+	return policy.Time(math.Round(f.figure(name, float64(mostSpan)*unit) / unit))
 }
 
 // sums takes how many there were and how many of them failed in the time that they were counted. A report
 // that stood for more than a fleet can do would drown all that others say for many ticks.
-func (f *fields) sums() (all, failed float64, counting choice.Time) {
+func (f *fields) sums() (all, failed float64, counting policy.Time) {
 	if counting = f.span("interval"); counting == 0 {
 		f.fail("interval", errFigure)
 	}
-	most := mostPerS * float64(counting) / float64(choice.Second)
+	most := mostPerS * float64(counting) / float64(policy.Second)
 	return f.figure("total", most), f.figure("errors", most), counting
 }
 
 // Millis is a span that is given in ms; one that cannot be is below 0.
-func Millis(ms float64) choice.Time {
-	t := math.Round(ms * float64(choice.Second) / 1000)
+func Millis(ms float64) policy.Time {
+	t := math.Round(ms * float64(policy.Second) / 1000)
 	if math.IsNaN(t) || t < 0 || t > float64(mostSpan) {
 		return -1
 	}
-	return choice.Time(t)
+	return policy.Time(t)
 }
 
 // sound says whether sums of a span are figures that a fleet could mean.
-func sound(all, voided float64, counting choice.Time) bool {
-	most := mostPerS * float64(counting) / float64(choice.Second)
+func sound(all, voided float64, counting policy.Time) bool {
+	most := mostPerS * float64(counting) / float64(policy.Second)
 	return counting > 0 && all >= 0 && all <= most && voided >= 0 && voided <= most
 }
 
@@ -162,7 +162,7 @@
 }
 
 // Check holds sums that did not come as text to the same bounds.
-func (h Heard) Check(counting choice.Time) error {
+func (h Heard) Check(counting policy.Time) error {
 	if h.Backend == "" || !sound(h.Tries, h.Voided, counting) || h.Voided > h.Tries || h.Took < 0 {
 		return fmt.Errorf("tries at %.40q %w", h.Backend, errFigure)
 	}
@@ -251,7 +251,7 @@
 // Gate is a level with the way of trying again.
 type Gate struct {
 	Level float64
-	Tries choice.Tries
+	Tries policy.Tries
 }
 
 // Part is one line of a message to a proxy.
--- a/emu/carry/backend.go
+++ b/emu/carry/backend.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"elmfold/fault"
-	"elmfold/verdict"
+	"elmfold/internal/gateway/apierror"
+	"elmfold/internal/proxy/balancer"
 )
 
 const (
@@ -44,7 +44,7 @@
 	sentAt time.Duration
 	began  time.Duration
 	ends   time.Duration
-	done   func(m verdict.Met)
+	done   func(m balancer.Met)
 }
 
 func (b *backend) cold() bool { return b.w.now < b.coldUntil }
@@ -62,7 +62,7 @@
 }
 
 // say lets a carrier know of a job's end after a span.
-func (j *job) say(after time.Duration, m verdict.Met) {
+func (j *job) say(after time.Duration, m balancer.Met) {
 	j.b.w.after(after, func() {
 		if !j.over {
 			j.over = true
@@ -71,8 +71,8 @@
 	})
 }
 
-func (b *backend) met(kind fault.Kind) verdict.Met {
-	return verdict.Met{Kind: kind, Running: len(b.running), Waiting: len(b.waiting), HasLoad: true}
+func (b *backend) met(kind apierror.Kind) balancer.Met {
+	return balancer.Met{Kind: kind, Running: len(b.running), Waiting: len(b.waiting), HasLoad: true}
 }
 
 func (b *backend) oneWay(c *carrier) time.Duration { return delay(b.zone, c.zone) }
@@ -82,11 +82,11 @@
 	w := b.w
 	b.coming = slices.DeleteFunc(b.coming, func(o *job) bool { return o == j })
 	if b.dark {
-		j.say(unackedFor, verdict.Met{Kind: fault.Broken, Silent: true})
+		j.say(unackedFor, balancer.Met{Kind: apierror.Broken, Silent: true})
 		return
 	}
 	if b.gone || epoch != b.epoch {
-		j.say(b.oneWay(j.t.c), verdict.Met{Kind: fault.Broken})
+		j.say(b.oneWay(j.t.c), balancer.Met{Kind: apierror.Broken})
 		return
 	}
 	w.ledger.arrived(w, j)
@@ -99,7 +99,7 @@
 	case len(b.waiting) < w.Kinds[b.kind].Queue:
 		b.waiting = append(b.waiting, j)
 	default:
-		j.say(b.oneWay(j.t.c), b.met(fault.Turned))
+		j.say(b.oneWay(j.t.c), b.met(apierror.Turned))
 	}
 }
 
@@ -113,7 +113,7 @@
 	w.at(j.ends, func() {
 		if b.leave(j) {
 			w.s.RanWhole++
-			j.say(b.oneWay(j.t.c), b.met(fault.None))
+			j.say(b.oneWay(j.t.c), b.met(apierror.None))
 		}
 	})
 }
@@ -163,7 +163,7 @@
 			// Probes go out each second since the last byte; the first that stays without an answer is noticed at the next.
 			after = probeEvery - (w.now-j.sentAt)%probeEvery + probeEvery
 		}
-		j.say(after, verdict.Met{Kind: fault.Broken, Silent: dark})
+		j.say(after, balancer.Met{Kind: apierror.Broken, Silent: dark})
 	}
 	if !dark {
 		w.after(7*beat/2, func() { w.way.word(b, false) }) // nobody hears its beats
@@ -174,7 +174,7 @@
 func (b *backend) back() {
 	w := b.w
 	b.dark, b.coldUntil = false, w.now+w.Kinds[b.kind].Cold
-	w.after(time.Duration(verdict.Rank(b.id, "beat")%uint64(beat))+told, func() { w.way.word(b, true) })
+	w.after(time.Duration(balancer.Rank(b.id, "beat")%uint64(beat))+told, func() { w.way.word(b, true) })
 }
 
 // reborn adds the new life of one that crashed.
--- a/emu/carry/carrier.go
+++ b/emu/carry/carrier.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"elmfold/fault"
-	"elmfold/verdict"
+	"elmfold/internal/gateway/apierror"
+	"elmfold/internal/proxy/balancer"
 )
 
 // As transit and attempt have them.
@@ -46,14 +46,14 @@
 	came      time.Duration // here
 	deadline  time.Duration
 	tried     []*backend
-	picked    *verdict.Backend // as the settler knows it
+	picked    *balancer.Backend // as the settler knows it
 	offered   int
 	unreached int
 	arrived   int // at backends
 	ran       int
 	mayHave   bool
-	last      fault.Kind
-	answer    func(kind fault.Kind, after time.Duration)
+	last      apierror.Kind
+	answer    func(kind apierror.Kind, after time.Duration)
 }
 
 func (c *carrier) to(b *backend) *conns {
@@ -76,7 +76,7 @@
 func (c *carrier) carry(t *try) {
 	w := c.w
 	kind, after := w.way.admit(c, t)
-	if kind != fault.None {
+	if kind != apierror.None {
 		t.refuse(kind, after)
 		return
 	}
@@ -86,30 +86,30 @@
 func (c *carrier) next(t *try) {
 	w := c.w
 	if w.now >= t.deadline {
-		if t.last = fault.OutOfTime; t.mayHave {
-			t.last = fault.Late
+		if t.last = apierror.OutOfTime; t.mayHave {
+			t.last = apierror.Late
 		}
 		c.finish(t)
 		return
 	}
 	b, share, kind := w.way.pick(c, t)
 	if b == nil {
-		if t.last == fault.None || !t.mayHave && t.offered == 0 && t.last != fault.Dial {
+		if t.last == apierror.None || !t.mayHave && t.offered == 0 && t.last != apierror.Dial {
 			t.last = kind
 		}
 		c.finish(t)
 		return
 	}
 	began := w.now
-	c.do(t, b, func(m verdict.Met) {
+	c.do(t, b, func(m balancer.Met) {
 		m.Took = w.now - began
 		w.way.end(c, t, b, m)
-		if t.last = m.Kind; m.Kind == fault.None {
+		if t.last = m.Kind; m.Kind == apierror.None {
 			c.finish(t)
 			return
 		}
 		t.tried = append(t.tried, b)
-		if m.Kind == fault.Dial {
+		if m.Kind == apierror.Dial {
 			if t.unreached++; t.unreached >= dialsMost {
 				c.finish(t)
 				return
@@ -127,13 +127,13 @@
 }
 
 // do sends a try to a backend on an idle connection or a new one.
-func (c *carrier) do(t *try, b *backend, done func(verdict.Met), share int) {
+func (c *carrier) do(t *try, b *backend, done func(balancer.Met), share int) {
 	w, k, lag := c.w, c.to(b), b.oneWay(c)
 	j := &job{t: t, b: b}
 	b.coming = append(b.coming, j)
-	j.done = func(m verdict.Met) {
+	j.done = func(m balancer.Met) {
 		b.coming = slices.DeleteFunc(b.coming, func(o *job) bool { return o == j })
-		if m.HasLoad && m.Kind != fault.Late && k.open <= share && len(k.idle) < idleMost {
+		if m.HasLoad && m.Kind != apierror.Late && k.open <= share && len(k.idle) < idleMost {
 			k.idle = append(k.idle, idle{w.now + keepFor, b.epoch})
 		} else {
 			k.open--
@@ -150,10 +150,10 @@
 		send(epoch)
 	} else {
 		k.open++
-		c.connect(b, t.deadline, func(kind fault.Kind, silent bool) {
-			if kind != fault.None && !j.over {
+		c.connect(b, t.deadline, func(kind apierror.Kind, silent bool) {
+			if kind != apierror.None && !j.over {
 				j.over = true
-				j.done(verdict.Met{Kind: kind, Silent: silent})
+				j.done(balancer.Met{Kind: kind, Silent: silent})
 			} else if !j.over {
 				send(b.epoch)
 			}
@@ -163,46 +163,46 @@
 		if !j.over {
 			j.over = true
 			if j.sentAt == 0 {
-				j.done(verdict.Met{Kind: fault.OutOfTime})
+				j.done(balancer.Met{Kind: apierror.OutOfTime})
 				return
 			}
 			b.cancel(j)
-			j.done(verdict.Met{Kind: fault.Late})
+			j.done(balancer.Met{Kind: apierror.Late})
 		}
 	})
 }
 
 // connect brings up a connection.
-func (c *carrier) connect(b *backend, deadline time.Duration, then func(kind fault.Kind, silent bool)) {
+func (c *carrier) connect(b *backend, deadline time.Duration, then func(kind apierror.Kind, silent bool)) {
 	w, lag := c.w, b.oneWay(c)
 	switch {
 	case b.dark:
 		if end := w.now + dialFor; end < deadline {
-			w.at(end, func() { then(fault.Dial, true) })
+			w.at(end, func() { then(apierror.Dial, true) })
 		} // else the try's own deadline ends it
 	case b.gone:
-		w.after(2*lag, func() { then(fault.Dial, false) })
+		w.after(2*lag, func() { then(apierror.Dial, false) })
 	default:
 		w.s.Connections++
-		w.after(2*lag+handshake, func() { then(fault.None, false) })
+		w.after(2*lag+handshake, func() { then(apierror.None, false) })
 	}
 }
 
 // finish answers the client by what was met last, as transit does.
 func (c *carrier) finish(t *try) {
 	switch rule := t.last.Rule(); {
-	case t.last == fault.None:
-		t.answer(fault.None, 0)
+	case t.last == apierror.None:
+		t.answer(apierror.None, 0)
 	case t.mayHave && !rule.MayHave:
-		t.refuse(fault.Broken, 0)
-	case t.last == fault.Full:
+		t.refuse(apierror.Broken, 0)
+	case t.last == apierror.Full:
 		t.refuse(t.last, c.w.way.later(c, t))
 	default:
 		t.refuse(t.last, 0)
 	}
 }
 
-func (t *try) refuse(kind fault.Kind, after time.Duration) {
+func (t *try) refuse(kind apierror.Kind, after time.Duration) {
 	if after <= 0 {
 		after = kind.Rule().After
 	}
--- a/emu/carry/client.go
+++ b/emu/carry/client.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"elmfold/fault"
+	"elmfold/internal/gateway/apierror"
 )
 
 const (
@@ -76,9 +76,9 @@
 	sent, over := w.now, r.at+kind.Deadline
 	w.ledger.tried(r.kind, sent)
 	t := &try{c: c, r: r, sent: sent, came: sent + way, deadline: over + way}
-	t.answer = func(ended fault.Kind, after time.Duration) {
+	t.answer = func(ended apierror.Kind, after time.Duration) {
 		w.ledger.answered(w, t, ended)
-		if ended != fault.None {
+		if ended != apierror.None {
 			w.s.Reasons[ended.String()]++
 		}
 		hold, offered := w.now-t.came, t.arrived > 0
@@ -88,18 +88,18 @@
 }
 
 // answered is a client that hears of its try's end.
-func (w *world) answered(r *request, sent time.Duration, ended fault.Kind, after, hold time.Duration, offered bool) {
+func (w *world) answered(r *request, sent time.Duration, ended apierror.Kind, after, hold time.Duration, offered bool) {
 	kind := w.Kinds[r.kind]
 	took, over := w.now-r.at, r.at+kind.Deadline
 	tally := Tally{Owed: kind.Worth, Requests: 1}
 	late, mean := kind.Worth*latePart, kind.Worth*(1+latePart)/2
 	refusal := promises(ended)
 	switch {
-	case ended == fault.None && took <= kind.Aim:
+	case ended == apierror.None && took <= kind.Aim:
 		tally.Earned, tally.Inside = kind.Worth, 1
-	case ended == fault.None && r.refusedE && w.now-sent <= kind.Aim && w.now <= over:
+	case ended == apierror.None && r.refusedE && w.now-sent <= kind.Aim && w.now <= over:
 		tally.Earned, tally.Returned, tally.LostRefused = mean, 1, kind.Worth-mean
-	case ended == fault.None && w.now <= over:
+	case ended == apierror.None && w.now <= over:
 		tally.Earned, tally.After, tally.LostLate = late, 1, kind.Worth-late
 	default:
 		if refusal && !r.refused {
@@ -113,7 +113,7 @@
 		if r.abuse && w.abusing {
 			most, pause = most*w.Day.AbuseX, abusePause
 		}
-		if r.tries <= most && (kind.Safe || refusal) && ended != fault.None && w.now+pause < over {
+		if r.tries <= most && (kind.Safe || refusal) && ended != apierror.None && w.now+pause < over {
 			w.after(pause, func() { w.send(r) })
 			return
 		}
@@ -139,7 +139,7 @@
 }
 
 // promises says whether an end is told as a promise that the request has not run.
-func promises(kind fault.Kind) bool {
+func promises(kind apierror.Kind) bool {
 	status := kind.Rule().Status
 	return status == 503 || status == 429 || status == 408 || status == 421
 }
@@ -177,7 +177,7 @@
 }
 
 // answered checks that a promise holds.
-func (l *ledger) answered(w *world, t *try, ended fault.Kind) {
+func (l *ledger) answered(w *world, t *try, ended apierror.Kind) {
 	if promises(ended) && t.ran > 0 && !w.Kinds[t.r.kind].Safe {
 		l.note("REFUSED")
 	}
--- a/emu/carry/ways.go
+++ b/emu/carry/ways.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"elmfold/bearing"
-	"elmfold/fault"
-	"elmfold/parley"
-	"elmfold/verdict"
+	"elmfold/internal/controlplane/steering"
+	"elmfold/internal/gateway/apierror"
+	"elmfold/internal/gateway/rpc"
+	"elmfold/internal/proxy/balancer"
 )
 
 // Ways to choose; the first is the one in service, the last the bound. The blind one knows all but the works, which
@@ -21,10 +21,10 @@
 	begin()
 	word(b *backend, there bool) // what a beat said, or that none came
 	sees() bool                  // it knows the true state at once
-	admit(c *carrier, t *try) (fault.Kind, time.Duration)
-	pick(c *carrier, t *try) (b *backend, share int, kind fault.Kind)
-	end(c *carrier, t *try, b *backend, m verdict.Met)
-	again(c *carrier, t *try, kind fault.Kind) bool
+	admit(c *carrier, t *try) (apierror.Kind, time.Duration)
+	pick(c *carrier, t *try) (b *backend, share int, kind apierror.Kind)
+	end(c *carrier, t *try, b *backend, m balancer.Met)
+	again(c *carrier, t *try, kind apierror.Kind) bool
 	later(c *carrier, t *try) time.Duration
 }
 
@@ -41,37 +41,37 @@
 // settled is the way in service: a settler a carrier, a bearing a zone.
 type settled struct {
 	w        *world
-	settlers []*verdict.Settler
-	bearings []*bearing.Bearing
+	settlers []*balancer.Settler
+	bearings []*steering.Bearing
 	byID     map[string]*backend
-	listed   []bearing.Backend
+	listed   []steering.Backend
 }
 
 func (s *settled) begin() {
 	w := s.w
 	s.byID = map[string]*backend{}
-	var members []verdict.Member
-	var leases []parley.Member
-	zones, services := []string{}, map[string]bearing.Service{}
+	var members []balancer.Member
+	var leases []rpc.Member
+	zones, services := []string{}, map[string]steering.Service{}
 	for z := range w.Zones {
 		zones = append(zones, zoneName(z))
 	}
 	for _, k := range w.Kinds {
-		services[k.Name] = bearing.Service{Target: k.Aim}
+		services[k.Name] = steering.Service{Target: k.Aim}
 	}
 	name := func(i int) string { return fmt.Sprintf("c%d", i) }
 	for i, c := range w.carriers {
-		members = append(members, verdict.Member{Name: name(i), Zone: zoneName(c.zone)})
-		leases = append(leases, parley.Member{Name: name(i), Zone: zoneName(c.zone)})
+		members = append(members, balancer.Member{Name: name(i), Zone: zoneName(c.zone)})
+		leases = append(leases, rpc.Member{Name: name(i), Zone: zoneName(c.zone)})
 	}
 	for z := range zones {
-		b := bearing.New(zones, time.Duration(verdict.Rank(zones[z], "tick")%uint64(time.Second)))
+		b := steering.New(zones, time.Duration(balancer.Rank(zones[z], "tick")%uint64(time.Second)))
 		b.Configure(services)
 		b.Members(leases)
 		s.bearings = append(s.bearings, b)
 	}
 	for i, c := range w.carriers {
-		v := verdict.New(name(i), zoneName(c.zone), verdict.Bounds{RetryRatio: retryRatio, RetrySlack: retrySlack,
+		v := balancer.New(name(i), zoneName(c.zone), balancer.Bounds{RetryRatio: retryRatio, RetrySlack: retrySlack,
 			RetryWindow: retryWindow, ColdExcess: coldExcess, ColdSlack: coldSlack}, 0)
 		for _, k := range w.Kinds {
 			v.Configure(k.Name, k.MaxConns, k.ColdRate, k.Cold)
@@ -85,7 +85,7 @@
 	}
 	for i, c := range w.carriers {
 		s.bearings[c.zone].Join(name(i), zoneName(c.zone))
-		s.renew(i, name(i), time.Duration(verdict.Rank(name(i), "renew")%uint64(time.Second)))
+		s.renew(i, name(i), time.Duration(balancer.Rank(name(i), "renew")%uint64(time.Second)))
 	}
 	for z := range zones {
 		s.step(z)
@@ -97,13 +97,13 @@
 	w := s.w
 	w.after(after, func() {
 		r := s.settlers[i].Report()
-		var uses []parley.Use
-		var met []parley.Met
+		var uses []rpc.Use
+		var met []rpc.Met
 		for _, u := range r.Uses {
-			uses = append(uses, parley.Use{Service: u.Service, Came: u.Came, Voided: u.Voided})
+			uses = append(uses, rpc.Use{Service: u.Service, Came: u.Came, Voided: u.Voided})
 		}
 		for _, t := range r.Met {
-			met = append(met, parley.Met{ID: t.ID, Tries: t.Tries, Voided: t.Voided,
+			met = append(met, rpc.Met{ID: t.ID, Tries: t.Tries, Voided: t.Voided,
 				Took: int64(t.Took / (100 * time.Microsecond)), Waiting: t.Waiting})
 		}
 		s.bearings[w.carriers[i].zone].Report(name, uses, met, 1)
@@ -137,12 +137,12 @@
 func (s *settled) word(b *backend, there bool) {
 	w := s.w
 	if s.byID[b.id] == nil {
-		s.listed = append(s.listed, bearing.Backend{ID: b.id, Service: w.Kinds[b.kind].Name, Zone: zoneName(b.zone),
+		s.listed = append(s.listed, steering.Backend{ID: b.id, Service: w.Kinds[b.kind].Name, Zone: zoneName(b.zone),
 			Capacity: b.slots, Ready: true})
 	}
 	s.byID[b.id] = b
 	for _, v := range s.settlers {
-		v.Put(w.now, verdict.Backend{ID: b.id, Service: w.Kinds[b.kind].Name, Address: b.address, Zone: zoneName(b.zone),
+		v.Put(w.now, balancer.Backend{ID: b.id, Service: w.Kinds[b.kind].Name, Address: b.address, Zone: zoneName(b.zone),
 			Capacity: b.slots, Usable: there, ColdUntil: b.coldUntil})
 	}
 	for _, v := range s.bearings {
@@ -152,29 +152,29 @@
 
 func (s *settled) sees() bool { return false }
 
-func (s *settled) admit(c *carrier, t *try) (fault.Kind, time.Duration) {
+func (s *settled) admit(c *carrier, t *try) (apierror.Kind, time.Duration) {
 	return s.settlers[c.index].Admit(s.w.now, s.w.Kinds[t.r.kind].Name)
 }
 
-func (s *settled) pick(c *carrier, t *try) (*backend, int, fault.Kind) {
+func (s *settled) pick(c *carrier, t *try) (*backend, int, apierror.Kind) {
 	k := s.w.Kinds[t.r.kind]
 	var tried []string
 	for _, b := range t.tried {
 		tried = append(tried, b.id)
 	}
-	b, kind := s.settlers[c.index].Pick(s.w.now, verdict.Ask{Service: k.Name, Tried: tried,
+	b, kind := s.settlers[c.index].Pick(s.w.now, balancer.Ask{Service: k.Name, Tried: tried,
 		ToAim: k.Aim - (s.w.now - t.came), Priority: k.Priority, Draws: [2]float64{t.r.chance.Float64(), t.r.chance.Float64()}})
 	if b == nil {
 		return nil, 0, kind
 	}
 	t.picked = b
-	return s.byID[b.ID], b.Share(), fault.None
+	return s.byID[b.ID], b.Share(), apierror.None
 }
 
-func (s *settled) end(c *carrier, t *try, _ *backend, m verdict.Met) {
+func (s *settled) end(c *carrier, t *try, _ *backend, m balancer.Met) {
 	v := s.settlers[c.index]
 	v.End(s.w.now, t.picked, m)
-	if m.Kind != fault.None {
+	if m.Kind != apierror.None {
 		for _, d := range v.Doubts() {
 			i := slices.IndexFunc(s.w.backends, func(o *backend) bool { return o.address == d.Address })
 			s.prove(c, d, s.w.backends[i], 1)
@@ -183,17 +183,17 @@
 }
 
 // prove brings up a connection beside the requests until one does.
-func (s *settled) prove(c *carrier, d verdict.Doubt, b *backend, tries int) {
+func (s *settled) prove(c *carrier, d balancer.Doubt, b *backend, tries int) {
 	w, v, k := s.w, s.settlers[c.index], c.to(b)
 	if tries == 1 {
 		k.open -= len(k.idle)
 		k.idle = nil
 	}
-	c.connect(b, w.now+time.Hour, func(kind fault.Kind, _ bool) {
+	c.connect(b, w.now+time.Hour, func(kind apierror.Kind, _ bool) {
 		if !v.Wanted(d) {
 			return
 		}
-		if kind == fault.None {
+		if kind == apierror.None {
 			v.Proved(w.now, d, beat+unsureFor)
 			k.open++
 			k.idle = append(k.idle, idle{w.now + keepFor, b.epoch})
@@ -205,13 +205,13 @@
 	})
 }
 
-func (s *settled) again(c *carrier, t *try, kind fault.Kind) bool {
+func (s *settled) again(c *carrier, t *try, kind apierror.Kind) bool {
 	k := s.w.Kinds[t.r.kind]
 	return s.settlers[c.index].Again(s.w.now, k.Name, kind, k.Safe, t.offered, maxTries)
 }
 
 func (s *settled) later(_ *carrier, t *try) time.Duration {
-	return verdict.After(s.w.Kinds[t.r.kind].Aim, t.r.chance.Float64())
+	return balancer.After(s.w.Kinds[t.r.kind].Aim, t.r.chance.Float64())
 }
 
 // plain are the naive ways. All of them leave a backend alone for a second after a connection that did not come up or
@@ -238,7 +238,7 @@
 func (p *plain) word(*backend, bool) {}
 func (p *plain) sees() bool          { return false }
 
-func (p *plain) admit(*carrier, *try) (fault.Kind, time.Duration) { return fault.None, 0 }
+func (p *plain) admit(*carrier, *try) (apierror.Kind, time.Duration) { return apierror.None, 0 }
 
 func (p *plain) see(c *carrier, b *backend) *seen {
 	v := p.own[c.index][b]
@@ -249,7 +249,7 @@
 	return v
 }
 
-func (p *plain) pick(c *carrier, t *try) (*backend, int, fault.Kind) {
+func (p *plain) pick(c *carrier, t *try) (*backend, int, apierror.Kind) {
 	var all []*backend
 	for _, b := range p.w.backends {
 		if b.kind == t.r.kind && p.w.now >= p.see(c, b).till && !slices.Contains(t.tried, b) {
@@ -257,7 +257,7 @@
 		}
 	}
 	if len(all) == 0 {
-		return nil, 0, fault.NoBackend
+		return nil, 0, apierror.NoBackend
 	}
 	u, v := t.r.chance.IntN(len(all)), t.r.chance.IntN(len(all))
 	best := all[u]
@@ -277,24 +277,24 @@
 		}
 	}
 	p.see(c, best).busy++
-	return best, idleMost, fault.None
+	return best, idleMost, apierror.None
 }
 
-func (p *plain) end(c *carrier, _ *try, b *backend, m verdict.Met) {
+func (p *plain) end(c *carrier, _ *try, b *backend, m balancer.Met) {
 	v := p.see(c, b)
 	v.busy--
-	if m.Kind == fault.Dial || m.Kind == fault.Broken {
+	if m.Kind == apierror.Dial || m.Kind == apierror.Broken {
 		v.till = p.w.now + time.Second
 	}
 }
 
-func (p *plain) again(_ *carrier, t *try, kind fault.Kind) bool {
+func (p *plain) again(_ *carrier, t *try, kind apierror.Kind) bool {
 	rule := kind.Rule()
 	return rule.Elsewhere && (!rule.MayHave || p.w.Kinds[t.r.kind].Safe) && t.offered < maxTries
 }
 
 func (p *plain) later(_ *carrier, t *try) time.Duration {
-	return verdict.After(p.w.Kinds[t.r.kind].Aim, t.r.chance.Float64())
+	return balancer.After(p.w.Kinds[t.r.kind].Aim, t.r.chance.Float64())
 }
 
 // central is one picture with the true state: it knows what runs and waits where and for how long, each work before it
@@ -305,11 +305,11 @@
 	blind bool // it takes the mean for each work that has not begun
 }
 
-func (z *central) begin()                                           {}
-func (z *central) word(*backend, bool)                              {}
-func (z *central) sees() bool                                       { return true }
-func (z *central) admit(*carrier, *try) (fault.Kind, time.Duration) { return fault.None, 0 }
-func (z *central) end(*carrier, *try, *backend, verdict.Met)        {}
+func (z *central) begin()                                              {}
+func (z *central) word(*backend, bool)                                 {}
+func (z *central) sees() bool                                          { return true }
+func (z *central) admit(*carrier, *try) (apierror.Kind, time.Duration) { return apierror.None, 0 }
+func (z *central) end(*carrier, *try, *backend, balancer.Met)          {}
 
 // soonest is when the client would have its answer, and how long it would wait for a slot.
 func (z *central) soonest(b *backend, c *carrier, t *try) (answered, waits time.Duration) {
@@ -372,7 +372,7 @@
 	return best, answered, waits
 }
 
-func (z *central) pick(c *carrier, t *try) (*backend, int, fault.Kind) {
+func (z *central) pick(c *carrier, t *try) (*backend, int, apierror.Kind) {
 	b, answered, waits := z.best(c, t)
 	kind := z.w.Kinds[t.r.kind]
 	if b != nil && z.blind { // nineteen of twenty must not take longer
@@ -380,15 +380,15 @@
 		answered += time.Duration(float64(b.takes(kind.Work, 0)) * (math.Exp(1.645*sigma-sigma*sigma/2) - 1))
 	}
 	if b == nil || answered > t.sent+kind.Aim && waits > 0 {
-		return nil, 0, fault.Full
+		return nil, 0, apierror.Full
 	}
 	if b.cold() {
 		b.lastCold = z.w.now
 	}
-	return b, idleMost, fault.None
+	return b, idleMost, apierror.None
 }
 
-func (z *central) again(_ *carrier, t *try, kind fault.Kind) bool {
+func (z *central) again(_ *carrier, t *try, kind apierror.Kind) bool {
 	rule := kind.Rule()
 	return rule.Elsewhere && (!rule.MayHave || z.w.Kinds[t.r.kind].Safe) && t.offered < maxTries
 }
@@ -397,5 +397,5 @@
 func (z *central) later(c *carrier, t *try) time.Duration {
 	aim := z.w.Kinds[t.r.kind].Aim
 	_, answered, _ := z.best(c, t)
-	return max(answered-t.sent-aim, 0) + verdict.After(aim, t.r.chance.Float64())
+	return max(answered-t.sent-aim, 0) + balancer.After(aim, t.r.chance.Float64())
 }
--- a/emu/emu.go
+++ b/emu/emu.go
@@ -20,23 +20,23 @@
 
 	"elmfold/cells"
 	"elmfold/channel/session"
-	"elmfold/choice"
 	"elmfold/deployment"
 	"elmfold/desk"
 	"elmfold/edge"
+	"elmfold/internal/policy"
 	"elmfold/recall"
 	"elmfold/roster"
 	"elmfold/told"
 )
 
 // Time is a virtual moment.
-type Time = choice.Time
+type Time = policy.Time
 
 const headLines = 6 // that a message counts for beside its own
 
 const (
-	ms     = choice.Second / 1000
-	second = choice.Second
+	ms     = policy.Second / 1000
+	second = policy.Second
 )
 
 // Safety says what a repeat of a product's txn can do.
@@ -432,7 +432,7 @@
 		log.SetOutput(io.Discard)
 	}
 	names := deployment.Names{Kinds: []string{"m"}}
-	dep := choice.Deployment{Zones: w.Zones, Proxies: len(w.Proxies), GoneBinds: true, Cold: w.Cold, ColdCapacity: w.ColdLeast,
+	dep := policy.Deployment{Zones: w.Zones, Proxies: len(w.Proxies), GoneBinds: true, Cold: w.Cold, ColdCapacity: w.ColdLeast,
 		ColdMultiple: w.ColdMost, ConnsLeast: 2000, LinesPerS: cmp.Or(w.LinesPerS, 3000), LinesMost: cmp.Or(w.LinesMost, 6000), LinesHead: headLines,
 		MessagesMost: 60, MessagesOver: 10 * second, FirstTick: c.phase(second)}
 	for z := range w.Zones {
@@ -440,7 +440,7 @@
 	}
 	for _, p := range w.Products {
 		names.Products = append(names.Products, p.Name)
-		dep.Products = append(dep.Products, choice.Product{Revenue: 1, SLA: p.SLA, OwnZone: p.OwnZone})
+		dep.Products = append(dep.Products, policy.Product{Revenue: 1, SLA: p.SLA, OwnZone: p.OwnZone})
 	}
 	c.desk = desk.New(dep, names, nobody{}, logrus.NewEntry(log))
 	c.desk.Known(w.list())
--- a/emu/emu_test.go
+++ b/emu/emu_test.go
@@ -8,8 +8,8 @@
 	"testing"
 
 	"elmfold/cells"
-	"elmfold/choice"
 	"elmfold/desk"
+	"elmfold/internal/policy"
 )
 
 // poisoned plays a day on which one tenant's txns take 20 times the work, from 10 to 40 s.
@@ -238,7 +238,7 @@
 	q := *p
 	q.Zones, q.Cold = d.Zones, d.Cold
 	for _, x := range d.Products {
-		q.Products = append(q.Products, choice.Product{SLA: x.SLA, OwnZone: x.OwnZone})
+		q.Products = append(q.Products, policy.Product{SLA: x.SLA, OwnZone: x.OwnZone})
 	}
 	return q
 }
--- a/emu/txns.go
+++ b/emu/txns.go
@@ -5,9 +5,9 @@
 	"math"
 	"slices"
 
-	"elmfold/choice"
 	"elmfold/desk"
 	"elmfold/edge"
+	"elmfold/internal/policy"
 )
 
 const (
@@ -216,7 +216,7 @@
 		if p.fails[id] >= shunAfter {
 			p.shun[id], p.fails[id] = w.Now+shunFor, 0
 		}
-		if n == 0 && (w.Careless || !ran && p.tables[k].tries >= int(choice.TryUnrun)) {
+		if n == 0 && (w.Careless || !ran && p.tables[k].tries >= int(policy.TryUnrun)) {
 			p.try(txn, k, work, 1, append(not, id), done)
 			return
 		}
--- a/gauntlet/aimed.go
+++ b/gauntlet/aimed.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"elmfold/verdict"
+	"elmfold/internal/proxy/balancer"
 )
 
 // aims are troubles that each meet one guard at the moment at which it is needed; a day plays some of them beside what
@@ -399,7 +399,7 @@
 			for _, m := range left {
 				if best == nil && (!near || m.Zone == zone) ||
 					best != nil && near == (best.Zone == zone) && (!near || m.Zone == zone) &&
-						verdict.Rank(m.Name, b.ID) > verdict.Rank(best.Name, b.ID) {
+						balancer.Rank(m.Name, b.ID) > balancer.Rank(best.Name, b.ID) {
 					best = m
 				}
 			}
--- a/gauntlet/disk.go
+++ b/gauntlet/disk.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"elmfold/fault"
-	"elmfold/record"
+	"elmfold/internal/controlplane/storage"
+	"elmfold/internal/gateway/apierror"
 )
 
 // Disk is one machine's. It outlives the processes that open it.
@@ -59,7 +59,7 @@
 		d.before = nil
 	}
 	if noticed {
-		delete(d.live, record.Marker)
+		delete(d.live, storage.Marker)
 	}
 }
 
@@ -73,7 +73,7 @@
 func (d *Disk) Open(h *Host) (o *handle, known, fresh bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, known = d.live[record.Marker]
+	_, known = d.live[storage.Marker]
 	return &handle{d, h}, known, len(d.live) == 0
 }
 
@@ -82,7 +82,7 @@
 	defer o.d.mu.Unlock()
 	all := map[string][]byte{}
 	for name, v := range o.d.live {
-		if name != record.Marker {
+		if name != storage.Marker {
 			all[name] = bytes.Clone(v)
 		}
 	}
@@ -148,7 +148,7 @@
 	default:
 	}
 	if d.full {
-		err = fault.New(fault.Unsafe, "disk", errFull)
+		err = apierror.New(apierror.Unsafe, "disk", errFull)
 	} else {
 		d.keep(p)
 	}
--- a/gauntlet/history_test.go
+++ b/gauntlet/history_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"elmfold/premise"
+	"elmfold/internal/gateway/bootconfig"
 )
 
 // The sequential meaning of the configuration's register, against which histories of operators' calls are checked: a
@@ -226,7 +226,7 @@
 		{"refused, and it had won", "not linearizable", []*Call{call(1, 2, 200, x(1)), call(3, 0, 0, x(2)), call(4, 5, 409, y(2)),
 			read(6, 7, x(1)), call(8, 9, 200, x(1)), read(8, 9, x(1))}},
 	} {
-		l := NewLedger(premise.Default().Bounds)
+		l := NewLedger(bootconfig.Default().Bounds)
 		l.Calls = c.all
 		got, undecided := l.linear()
 		if undecided || (c.fate == "") != (len(got) == 0) || c.fate != "" && !strings.Contains(got[0].Why, c.fate) {
--- a/gauntlet/ledger.go
+++ b/gauntlet/ledger.go
@@ -9,14 +9,14 @@
 
 	"github.com/zeebo/xxh3"
 
-	"elmfold/premise"
+	"elmfold/internal/gateway/bootconfig"
 )
 
 // Ledger is all that clients, backends and the operator saw, and what was done to the machines. Times are since the
 // world began.
 type Ledger struct {
 	mu       sync.Mutex
-	Bounds   premise.Bounds
+	Bounds   bootconfig.Bounds
 	Revert   time.Duration // revertSlackS
 	Tries    []*Try
 	byID     map[string]*Try
@@ -186,7 +186,7 @@
 }
 
 // NewLedger makes an empty one.
-func NewLedger(b premise.Bounds) *Ledger {
+func NewLedger(b bootconfig.Bounds) *Ledger {
 	return &Ledger{Bounds: b, Revert: 250 * time.Millisecond, byID: map[string]*Try{}, Closing: -1}
 }
 
--- a/gauntlet/rules_test.go
+++ b/gauntlet/rules_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"elmfold/premise"
+	"elmfold/internal/gateway/bootconfig"
 )
 
 // sec is a time of a ledger.
@@ -15,7 +15,7 @@
 type sheet struct{ *Ledger }
 
 func blank() sheet {
-	l := NewLedger(premise.Default().Bounds)
+	l := NewLedger(bootconfig.Default().Bounds)
 	l.Orders = []*Order{{Config: Charter(1), Valid: true, At: sec(0.5), Acked: sec(1), By: "core-0", Status: 200}}
 	return sheet{l}
 }
--- a/gauntlet/world.go
+++ b/gauntlet/world.go
@@ -24,10 +24,10 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/jonboulle/clockwork"
 
-	"elmfold/attempt"
-	"elmfold/counsel"
-	"elmfold/premise"
-	"elmfold/transit"
+	"elmfold/internal/controlplane"
+	"elmfold/internal/gateway/bootconfig"
+	"elmfold/internal/proxy"
+	"elmfold/internal/proxy/upstream"
 )
 
 const (
@@ -59,8 +59,8 @@
 	Disk           *Disk // nil: it carries
 	life           int
 	host           *Host // nil: no process runs
-	carrier        *transit.Carrier
-	controller     *counsel.Server
+	carrier        *proxy.Carrier
+	controller     *controlplane.Server
 	stop           func() // of what the process leaves behind in this one
 	started        bool   // once before
 	leaving        bool
@@ -110,7 +110,7 @@
 			shape.Log = hclog.New(&hclog.LoggerOptions{Level: hclog.LevelFromString(level), DisableTime: true})
 		}
 	}
-	w := &World{Ledger: NewLedger(premise.Default().Bounds), Beat: 1500 * time.Millisecond, Machines: map[string]*Machine{},
+	w := &World{Ledger: NewLedger(bootconfig.Default().Bounds), Beat: 1500 * time.Millisecond, Machines: map[string]*Machine{},
 		shape: shape, seed: seed, began: time.Now(), backends: map[string]*Backend{}, done: make(chan struct{})}
 	w.Net = NewNet(func(from, to string) time.Duration {
 		zone := func(ip string) string { return ip[:strings.Index(ip[3:], ".")+3] }
@@ -168,8 +168,8 @@
 	}
 }
 
-func (w *World) settings(m *Machine) *premise.Settings {
-	s := premise.Default()
+func (w *World) settings(m *Machine) *bootconfig.Settings {
+	s := bootconfig.Default()
 	s.Name, s.IP, s.Zone, s.Region = m.Name, m.IP, m.Zone, "land"
 	s.Zones = map[string]string{}
 	for _, z := range w.shape.Zones {
@@ -181,7 +181,7 @@
 	}
 	m.seeds = nil
 	s.Limits.MaxFDs, s.FaultBudget.Machines, s.FaultBudget.Zones = 4100, w.shape.Faults, 1
-	s.Beat, s.Bounds = premise.Seconds(w.Beat.Seconds()), w.Ledger.Bounds
+	s.Beat, s.Bounds = bootconfig.Seconds(w.Beat.Seconds()), w.Ledger.Bounds
 	s.Listen = map[string]string{"front": m.front(), "readiness": m.IP + ":8542"}
 	if m.Disk != nil {
 		s.Listen = map[string]string{"control": m.control()}
@@ -239,7 +239,7 @@
 	}
 	if m.Disk != nil {
 		disk, known, fresh := m.Disk.Open(h)
-		s := counsel.New(counsel.Options{Settings: set, Disk: disk, Known: known, Fresh: fresh, Log: log,
+		s := controlplane.New(controlplane.Options{Settings: set, Disk: disk, Known: known, Fresh: fresh, Log: log,
 			Clock: clockwork.NewRealClock(), Dial: dial, Listen: must(h.Listen(set.Own())), TimeOfDay: m.timeOfDay})
 		calls := quiet(&http.Server{Handler: s.Handler(), ReadTimeout: 20 * time.Second})
 		listen := must(h.Listen(m.control()))
@@ -253,8 +253,8 @@
 			s.Stop()
 		}
 	} else {
-		c := transit.New(transit.Options{Settings: set, Log: log, Clock: clockwork.NewRealClock(), Dial: dial,
-			Backends: attempt.Options{Dial: func(ctx context.Context, address string) (net.Conn, error) {
+		c := proxy.New(proxy.Options{Settings: set, Log: log, Clock: clockwork.NewRealClock(), Dial: dial,
+			Backends: upstream.Options{Dial: func(ctx context.Context, address string) (net.Conn, error) {
 				return h.Dial(ctx, address, 2*time.Second)
 			}}})
 		ready := quiet(&http.Server{Handler: c.Readiness()})
--- a/hook/hook.go
+++ b/hook/hook.go
@@ -12,11 +12,11 @@
 	"slices"
 
 	"elmfold/cells"
-	"elmfold/choice"
+	"elmfold/internal/policy"
 )
 
 // Time is a moment in tenths of a ms, as the decisions have it.
-type Time = choice.Time
+type Time = policy.Time
 
 // Kind of a proposal.
 type Kind uint8
@@ -62,7 +62,7 @@
 
 // Planned brings the tenants, with their proxies' zones, and the products.
 type Planned struct {
-	Products []choice.Product
+	Products []policy.Product
 	Tenants  map[string]Tenant
 	Proxies  int // of all
 }
@@ -152,7 +152,7 @@
 
 // Usual is the Plan with every figure that may be left out.
 func Usual() Plan {
-	const s = choice.Second
+	const s = policy.Second
 	return Plan{Hold: 10 * s, Changes: 20, Least: 0.5, ColdMost: 0.5, Settle: 2 * s, Settles: 64 * s, Pause: s, Faults: 6, Forget: 600 * s, TakesBack: 10}
 }
 
@@ -190,7 +190,7 @@
 type Hook struct {
 	plan     Plan
 	now      Time
-	products []choice.Product
+	products []policy.Product
 	tenants  map[string]Tenant
 	proxies  int
 	asked    map[string]float64
@@ -294,7 +294,7 @@
 		if p.paused > 0 && h.now >= p.paused+h.plan.Hold {
 			p.pause, p.paused = h.plan.Pause, 0
 		}
-		if h.now >= p.second+choice.Second {
+		if h.now >= p.second+policy.Second {
 			p.second, p.count = h.now, 0
 		}
 		named := map[thing]bool{}
@@ -369,7 +369,7 @@
 		}
 		if b, there := h.list[id]; !there {
 			return NoBackend
-		} else if b.Status != choice.Ready {
+		} else if b.Status != policy.Ready {
 			return Drains
 		}
 	}
@@ -387,8 +387,8 @@
 // room says whether a tenant can be left with these backends: each of its products has somewhere to go from each of its
 // zones, it is left with a part of what is its fair share of the strength, and not mostly with cold ones.
 func (h *Hook) room(t Tenant, ids []string) Reason {
-	open := func(p choice.Product, zone int, b cells.Backend) bool {
-		return b.Status == choice.Ready && (!p.OwnZone || b.Zone == zone) && (p.OnlyZones == nil || slices.Contains(p.OnlyZones, b.Zone)) &&
+	open := func(p policy.Product, zone int, b cells.Backend) bool {
+		return b.Status == policy.Ready && (!p.OwnZone || b.Zone == zone) && (p.OnlyZones == nil || slices.Contains(p.OnlyZones, b.Zone)) &&
 			(p.OnlyKinds == nil || slices.Contains(p.OnlyKinds, b.Kind))
 	}
 	for _, p := range h.products {
@@ -464,7 +464,7 @@
 // tell says what has changed. What ends with a plug-in is taken back a few at a time: all at once would be a table for
 // each proxy, and all txns back on the same backends.
 func (h *Hook) tell() {
-	if h.now >= h.back+choice.Second {
+	if h.now >= h.back+policy.Second {
 		h.back, h.backs = h.now, 0
 	}
 	for _, name := range slices.Sorted(maps.Keys(h.tenants)) {
--- a/hook/hook_test.go
+++ b/hook/hook_test.go
@@ -9,12 +9,12 @@
 	"testing"
 
 	"elmfold/cells"
-	"elmfold/choice"
+	"elmfold/internal/policy"
 )
 
-const second = choice.Second
+const second = policy.Second
 
-func backend(i int, status choice.Status) cells.Backend {
+func backend(i int, status policy.Status) cells.Backend {
 	return cells.Backend{At: i, ID: fmt.Sprint("s-", i), Zone: i % 2, Status: status, Weight: 1}
 }
 
@@ -29,9 +29,9 @@
 func plain() []Event {
 	l := Listed{Revision: 5, Ramp: map[string]float64{}}
 	for i := range 8 {
-		l.Backends = append(l.Backends, backend(i, choice.Ready))
+		l.Backends = append(l.Backends, backend(i, policy.Ready))
 	}
-	return []Event{Planned{Products: []choice.Product{{}, {OwnZone: true}, {OnlyZones: []int{0}}}, Proxies: 20,
+	return []Event{Planned{Products: []policy.Product{{}, {OwnZone: true}, {OnlyZones: []int{0}}}, Proxies: 20,
 		Tenants: map[string]Tenant{"acme": {Proxies: 2, Zones: []int{0, 1}}, "beta": {Proxies: 2, Zones: []int{0}}, "vast": {Proxies: 16, Zones: []int{0, 1}}}},
 		l, Loaded{"one", 1}, Loaded{"two", 2}}
 }
@@ -68,7 +68,7 @@
 	h, now := begin(t)
 	draining, cold := plain()[1].(Listed), plain()[1].(Listed)
 	draining.Revision = 6
-	draining.Backends[3] = backend(3, choice.Draining)
+	draining.Backends[3] = backend(3, policy.Draining)
 	cold.Ramp = map[string]float64{"s-0": 0.3, "s-1": 0.3, "s-2": 0.3}
 	h.Step(now, []Event{draining})
 	good := Proposal{Kind: Cap, Tenant: "beta", Figure: 40}
@@ -111,7 +111,7 @@
 		tenants[fmt.Sprint("t", i)] = Tenant{Proxies: 1, Zones: []int{0}}
 		many = append(many, Proposal{Kind: Cap, Tenant: fmt.Sprint("t", i), Figure: 5})
 	}
-	h.Step(now+2*second, []Event{Planned{Products: []choice.Product{{}}, Proxies: 500, Tenants: tenants}})
+	h.Step(now+2*second, []Event{Planned{Products: []policy.Product{{}}, Proxies: 500, Tenants: tenants}})
 	orders := h.Step(now+3*second, []Event{Proposed{"one", 5, many}})
 	if r := refusals(orders); r[TooMany] != 500-Usual().Changes || len(limits(orders)) != Usual().Changes {
 		t.Errorf("500 changes at once: refused %v, %d in force", r, len(limits(orders)))
@@ -189,7 +189,7 @@
 	for i := range 40 {
 		tenants[fmt.Sprintf("t%02d", i)] = Tenant{Proxies: 1, Zones: []int{0, 1}}
 	}
-	h.Step(now+2*second, []Event{Planned{Products: []choice.Product{{}}, Proxies: 40, Tenants: tenants}})
+	h.Step(now+2*second, []Event{Planned{Products: []policy.Product{{}}, Proxies: 40, Tenants: tenants}})
 	for s := range 3 {
 		var all []Proposal
 		for i := range 40 {
@@ -260,7 +260,7 @@
 				list.Revision++
 				list.Backends = slices.Clone(list.Backends)
 				i := chance.Intn(len(list.Backends))
-				list.Backends[i].Status = []choice.Status{choice.Ready, choice.Ready, choice.Draining}[chance.Intn(3)]
+				list.Backends[i].Status = []policy.Status{policy.Ready, policy.Ready, policy.Draining}[chance.Intn(3)]
 				list.Ramp = map[string]float64{}
 				for range chance.Intn(4) {
 					list.Ramp[fmt.Sprint("s-", chance.Intn(8))] = 0.1 + 0.9*chance.Float64()
@@ -315,7 +315,7 @@
 		for _, zone := range all.Tenants[tenant].Zones {
 			left, cold, sum, might := 0.0, 0.0, 0.0, 0
 			for _, b := range l.Backends {
-				if b.Status != choice.Ready || p.OwnZone && b.Zone != zone || p.OnlyZones != nil && !slices.Contains(p.OnlyZones, b.Zone) {
+				if b.Status != policy.Ready || p.OwnZone && b.Zone != zone || p.OnlyZones != nil && !slices.Contains(p.OnlyZones, b.Zone) {
 					continue
 				}
 				w, isCold := b.Weight, false
--- a/internal/compat/answers_test.go
+++ b/internal/compat/answers_test.go
@@ -14,9 +14,9 @@
 	"testing/synctest"
 	"time"
 
-	"elmfold/charter"
-	"elmfold/entry"
-	"elmfold/premise"
+	"elmfold/internal/gateway/bootconfig"
+	"elmfold/internal/gateway/cli"
+	"elmfold/internal/gateway/routeconfig"
 )
 
 // equalsFile compares a transcript with what d330930 gave.
@@ -115,7 +115,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	settings, err := premise.Read(text)
+	settings, err := bootconfig.Read(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,8 +130,8 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("the settings are read as\n%s", again)
 	}
-	if premise.Variable != "ELMFOLD_CONFIG" {
-		t.Errorf("the file is named by %s", premise.Variable)
+	if bootconfig.Variable != "ELMFOLD_CONFIG" {
+		t.Errorf("the file is named by %s", bootconfig.Variable)
 	}
 	for key, pair := range map[string][2]float64{
 		"bounds.ackS": {float64(settings.Bounds.Ack), 102}, "bounds.catchUpS": {float64(settings.Bounds.CatchUp), 104},
@@ -167,7 +167,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := charter.Read(text)
+	c, err := routeconfig.Read(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,7 +193,7 @@
 	names := regexp.MustCompile(`(?m)^ +(?:-\w, )?--[\w-]+|^  \w+ `)
 	for _, args := range [][]string{{"--help"}, {"check", "--help"}, {"status", "--help"}, {"run", "--help"}, {"version", "--help"}} {
 		var text bytes.Buffer
-		code := entry.Main("program", "about", args, &text, &text, nil)
+		code := cli.Main("program", "about", args, &text, &text, nil)
 		fmt.Fprintf(&out, "%s: %d\n", strings.Join(args, " "), code)
 		for _, name := range names.FindAllString(text.String(), -1) {
 			fmt.Fprintf(&out, "  %s\n", strings.TrimSpace(name))
--- a/internal/compat/core_test.go
+++ b/internal/compat/core_test.go
@@ -16,10 +16,10 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/jonboulle/clockwork"
 
-	"elmfold/counsel"
 	"elmfold/gauntlet"
-	"elmfold/premise"
-	"elmfold/record"
+	"elmfold/internal/controlplane"
+	"elmfold/internal/controlplane/storage"
+	"elmfold/internal/gateway/bootconfig"
 )
 
 // node is a control-plane node of this version on a real disk and a simulated network, in virtual time.
@@ -27,9 +27,9 @@
 	t      *testing.T
 	name   string
 	host   *gauntlet.Host
-	server *counsel.Server
-	store  *record.Store
-	found  record.Found
+	server *controlplane.Server
+	store  *storage.Store
+	found  storage.Found
 }
 
 var nodeZones = []string{"north", "south", "west"}
@@ -44,7 +44,7 @@
 func startNode(t *testing.T, network *gauntlet.Net, i int, dir string) *node {
 	t.Helper()
 	n := &node{t: t, name: fmt.Sprintf("core-%d", i)}
-	settings := premise.Default()
+	settings := bootconfig.Default()
 	settings.Name, settings.IP, settings.Zone = n.name, fmt.Sprintf("127.77.0.%d", 10+i), nodeZones[i%3]
 	settings.Zones = map[string]string{"north": "land", "south": "land", "west": "land"}
 	settings.Ports, settings.Bootstrap, settings.FaultBudget.Machines = [2]int{7540, 7555}, true, 1
@@ -55,11 +55,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.store, n.found, err = record.Open(dir, 0)
+	n.store, n.found, err = storage.Open(dir, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.server = counsel.New(counsel.Options{Settings: &settings, Disk: n.store, Known: n.found.Known, Fresh: n.found.Fresh,
+	n.server = controlplane.New(controlplane.Options{Settings: &settings, Disk: n.store, Known: n.found.Known, Fresh: n.found.Fresh,
 		Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(), Listen: listener, TimeOfDay: time.Now,
 		Dial: func(address string) (net.Conn, error) {
 			ctx, cancel := context.WithTimeout(context.Background(), 350*time.Millisecond)
--- a/internal/compat/mixed_test.go
+++ b/internal/compat/mixed_test.go
@@ -16,10 +16,10 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/jonboulle/clockwork"
 
-	"elmfold/attempt"
 	"elmfold/gauntlet"
-	"elmfold/premise"
-	"elmfold/transit"
+	"elmfold/internal/gateway/bootconfig"
+	"elmfold/internal/proxy"
+	"elmfold/internal/proxy/upstream"
 )
 
 // Two voters of d330930 and one of this version found the core, decide a configuration, an evacuation and a change of
@@ -267,18 +267,18 @@
 		go func() { _ = origin.Serve(served) }()
 
 		host := network.Host("10.0.0.100")
-		settings := premise.Default()
+		settings := bootconfig.Default()
 		settings.Name, settings.IP, settings.Zone = "edge-0", "10.0.0.100", "north"
 		settings.Zones = map[string]string{"north": "land"}
 		settings.Ports, settings.Seeds = [2]int{7540, 7555}, []string{nodeAddress(0, 8544)}
 		dial := func(ctx context.Context, address string) (net.Conn, error) { return host.Dial(ctx, address, 0) }
-		proxy := transit.New(transit.Options{Settings: &settings, Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(),
+		proxy := proxy.New(proxy.Options{Settings: &settings, Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(),
 			Dial: func(address string) (net.Conn, error) {
 				ctx, cancel := context.WithTimeout(context.Background(), 350*time.Millisecond)
 				defer cancel()
 				return dial(ctx, address)
 			},
-			Backends: attempt.Options{Dial: dial}})
+			Backends: upstream.Options{Dial: dial}})
 		front, err := host.Listen("10.0.0.100:8548")
 		if err != nil {
 			t.Fatal(err)
--- a/counsel/calls.go
+++ b/internal/controlplane/calls.go
@@ -1,4 +1,4 @@
-package counsel
+package controlplane
 
 import (
 	"bytes"
@@ -14,10 +14,10 @@
 
 	"github.com/go-chi/chi/v5"
 
-	"elmfold/accord"
-	"elmfold/charter"
-	"elmfold/fault"
-	"elmfold/parley"
+	"elmfold/internal/controlplane/consensus"
+	"elmfold/internal/gateway/apierror"
+	"elmfold/internal/gateway/routeconfig"
+	"elmfold/internal/gateway/rpc"
 )
 
 const (
@@ -53,7 +53,7 @@
 		case "core.status":
 			answer, err = s.status()
 		default:
-			err = fault.New(fault.UnknownCall, call, nil)
+			err = apierror.New(apierror.UnknownCall, call, nil)
 		}
 		s.answer(w, answer, err)
 	})
@@ -68,9 +68,9 @@
 		_, _ = w.Write(body)
 		return
 	}
-	f, ok := err.(*fault.Fault)
+	f, ok := err.(*apierror.Fault)
 	if !ok {
-		f = fault.New(fault.Invalid, "", err)
+		f = apierror.New(apierror.Invalid, "", err)
 	}
 	rule := f.Kind.Rule()
 	if rule.After > 0 {
@@ -87,9 +87,9 @@
 	b, err := io.ReadAll(io.LimitReader(r.Body, most+1))
 	switch {
 	case err != nil:
-		return nil, fault.New(fault.Invalid, "body", err)
+		return nil, apierror.New(apierror.Invalid, "body", err)
 	case int64(len(b)) > most:
-		return nil, fault.New(fault.OverCapacity, "body", nil)
+		return nil, apierror.New(apierror.OverCapacity, "body", nil)
 	}
 	return b, nil
 }
@@ -120,29 +120,29 @@
 		if errors.As(err, &kind) && kind.Field == "" { // the library's text names a Go type, which is nothing to the caller
 			err = fmt.Errorf("json: cannot unmarshal %s into a heartbeat", kind.Value)
 		}
-		return nil, fault.New(fault.Invalid, "heartbeat", err)
+		return nil, apierror.New(apierror.Invalid, "heartbeat", err)
 	}
-	word := parley.Backend{ID: id, Service: b.Descriptor.Service, Address: b.Address, Zone: b.Descriptor.Zone,
+	word := rpc.Backend{ID: id, Service: b.Descriptor.Service, Address: b.Address, Zone: b.Descriptor.Zone,
 		Capacity: max(int(b.Descriptor.Capacity), 1), Seq: b.Observed.CallSeq, Gen: b.Descriptor.Generation,
 		ColdLeft: int(math.Ceil(max(b.Observed.ColdLeftS, 0) * 1000))}
 	switch {
 	case id == "":
-		return nil, fault.New(fault.Invalid, "of", fmt.Errorf("names no instance"))
+		return nil, apierror.New(apierror.Invalid, "of", fmt.Errorf("names no instance"))
 	case word.Service == "" || word.Address == "":
-		return nil, fault.New(fault.Invalid, "descriptor.service, address", fmt.Errorf("is missing"))
+		return nil, apierror.New(apierror.Invalid, "descriptor.service, address", fmt.Errorf("is missing"))
 	case b.Observed.State == "draining":
-		word.State = parley.Draining
+		word.State = rpc.Draining
 	case b.Observed.State != "ready":
-		return nil, fault.New(fault.Invalid, "observed.state", fmt.Errorf("%q is neither ready nor draining", b.Observed.State))
+		return nil, apierror.New(apierror.Invalid, "observed.state", fmt.Errorf("%q is neither ready nor draining", b.Observed.State))
 	}
 	done, target := make(chan error, 1), ""
 	s.queue.Do(func() {
 		news, _ := s.table.Beat(s.now(), word)
-		if word.State == parley.Draining {
+		if word.State == rpc.Draining {
 			// Every word of leaving goes to others, not only the first: it may be the repetition of one that was
 			// not acknowledged because they could not be reached.
 			if news == nil {
-				news = []parley.Backend{word}
+				news = []rpc.Backend{word}
 			}
 			s.spreadSure(news, done)
 			return
@@ -181,13 +181,13 @@
 
 func (s *Server) deregister(id string) ([]byte, error) {
 	if id == "" {
-		return nil, fault.New(fault.Invalid, "of", fmt.Errorf("names no instance"))
+		return nil, apierror.New(apierror.Invalid, "of", fmt.Errorf("names no instance"))
 	}
 	done := make(chan error, 1)
 	s.queue.Do(func() {
 		news := s.table.Leave(s.now(), id, 0)
 		if news == nil {
-			news = []parley.Backend{{ID: id, State: parley.Gone}}
+			news = []rpc.Backend{{ID: id, State: rpc.Gone}}
 		}
 		s.spreadSure(news, done)
 	})
@@ -200,31 +200,31 @@
 	case err := <-done:
 		return err
 	case <-s.queue.Stopped():
-		return fault.New(fault.Stopping, "", nil)
+		return apierror.New(apierror.Stopping, "", nil)
 	}
 }
 
 // apart is the answer of one that stands with too few others: the caller finds another sooner than it would by waiting.
 func (s *Server) apart() error {
-	return fault.New(fault.NotYet, "", errors.New("there is no contact with a majority of the voters"))
+	return apierror.New(apierror.NotYet, "", errors.New("there is no contact with a majority of the voters"))
 }
 
 // ask puts a question to the replica and waits. What cannot be begun is said at once: it was not done and will not be.
 // Of what was begun and got no answer nothing is known.
-func (s *Server) ask(r *http.Request, asked time.Time, event func(token uint64) accord.Event) (accord.Done, error) {
-	done := make(chan accord.Done, 1)
+func (s *Server) ask(r *http.Request, asked time.Time, event func(token uint64) consensus.Event) (consensus.Done, error) {
+	done := make(chan consensus.Done, 1)
 	failed := make(chan error, 1)
 	s.queue.Do(func() {
 		switch {
 		case s.leaving:
-			failed <- fault.New(fault.Stopping, "", nil)
+			failed <- apierror.New(apierror.Stopping, "", nil)
 		case !s.inTouch():
 			failed <- s.apart()
 		case s.now() < s.doubtTill:
-			failed <- fault.New(fault.NotYet, "", errors.New("this process was frozen just now"))
+			failed <- apierror.New(apierror.NotYet, "", errors.New("this process was frozen just now"))
 		case s.o.Clock.Now().Sub(asked) > staleAfter || r.Context().Err() != nil:
 			// Guards against an order being taken after its caller gave it again elsewhere, and others followed it.
-			failed <- fault.New(fault.NotYet, "", errors.New("it has waited for too long"))
+			failed <- apierror.New(apierror.NotYet, "", errors.New("it has waited for too long"))
 		default:
 			s.token++
 			s.waiting[s.token] = done
@@ -234,20 +234,20 @@
 	select {
 	case d := <-done:
 		switch d.Fate {
-		case accord.Taken:
+		case consensus.Taken:
 			return d, nil
-		case accord.Refused:
-			return d, fault.New(fault.Conflict, "generation", nil)
-		case accord.Untaken:
-			return d, fault.New(fault.NotYet, "", nil)
+		case consensus.Refused:
+			return d, apierror.New(apierror.Conflict, "generation", nil)
+		case consensus.Untaken:
+			return d, apierror.New(apierror.NotYet, "", nil)
 		}
-		return d, fault.New(fault.Open, "", nil)
+		return d, apierror.New(apierror.Open, "", nil)
 	case err := <-failed:
-		return accord.Done{}, err
+		return consensus.Done{}, err
 	case <-s.queue.Stopped():
-		return accord.Done{}, fault.New(fault.Open, "", nil)
-	case <-s.o.Clock.After(accord.WriteWithin + time.Second):
-		return accord.Done{}, fault.New(fault.Open, "", nil)
+		return consensus.Done{}, apierror.New(apierror.Open, "", nil)
+	case <-s.o.Clock.After(consensus.WriteWithin + time.Second):
+		return consensus.Done{}, apierror.New(apierror.Open, "", nil)
 	}
 }
 
@@ -256,32 +256,32 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err := charter.Read(text)
+	c, err := routeconfig.Read(text)
 	if err != nil {
 		return nil, err
 	}
-	_, err = s.ask(r, asked, func(token uint64) accord.Event {
-		return accord.Change{Token: token, Name: charterName,
-			Apply: accord.Replace(uint64(c.Version), c.Digest, bytes.Clone(text))}
+	_, err = s.ask(r, asked, func(token uint64) consensus.Event {
+		return consensus.Change{Token: token, Name: charterName,
+			Apply: consensus.Replace(uint64(c.Version), c.Digest, bytes.Clone(text))}
 	})
 	return []byte("{}"), err
 }
 
 func (s *Server) read(r *http.Request, asked time.Time) ([]byte, error) {
-	d, err := s.ask(r, asked, func(token uint64) accord.Event { return accord.Read{Token: token, Name: charterName} })
-	if err == nil && d.Stamp == (accord.Stamp{}) {
-		err = fault.New(fault.NotYet, "", errors.New("there is no configuration yet"))
+	d, err := s.ask(r, asked, func(token uint64) consensus.Event { return consensus.Read{Token: token, Name: charterName} })
+	if err == nil && d.Stamp == (consensus.Stamp{}) {
+		err = apierror.New(apierror.NotYet, "", errors.New("there is no configuration yet"))
 	}
 	return d.Value, err
 }
 
 func (s *Server) evacuate(r *http.Request, asked time.Time, zone string, begins bool) ([]byte, error) {
 	if _, known := s.o.Settings.Zones[zone]; !known {
-		return nil, fault.New(fault.Invalid, "of", fmt.Errorf("%q is no zone", zone))
+		return nil, apierror.New(apierror.Invalid, "of", fmt.Errorf("%q is no zone", zone))
 	}
 	at, within := uint64(s.o.TimeOfDay().UnixMilli()), s.o.Settings.Bounds.Ack.Span()+callerPause
-	_, err := s.ask(r, asked, func(token uint64) accord.Event {
-		return accord.Change{Token: token, Name: zonePrefix + zone, Apply: accord.Evacuate(begins, rand.Uint64(), within, at)}
+	_, err := s.ask(r, asked, func(token uint64) consensus.Event {
+		return consensus.Change{Token: token, Name: zonePrefix + zone, Apply: consensus.Evacuate(begins, rand.Uint64(), within, at)}
 	})
 	return []byte("{}"), err
 }
--- a/accord/accord.go
+++ b/internal/controlplane/consensus/accord.go
@@ -1,4 +1,4 @@
-// Package accord settles the registers that hold the operator's word, and who votes on them. It does no I/O and reads
+// Package consensus settles the registers that hold the operator's word, and who votes on them. It does no I/O and reads
 // no clock: Step takes what happened and returns what is to be done.
 //
 // Each register stands for itself: a value is chosen by ballots (package ballot; CASPaxos, Rystsov 2018), there is no
@@ -14,15 +14,15 @@
 //	touch.go     contact with a majority
 //	memory.go    records on the disk, those of older versions too
 //	zones.go     what evacuations mean
-package accord
+package consensus
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"elmfold/ballot"
-	"elmfold/parley"
+	"elmfold/internal/controlplane/paxos"
+	"elmfold/internal/gateway/rpc"
 )
 
 const (
@@ -44,10 +44,10 @@
 
 // Stamp and Register are as they are spoken of. A Register's Stamp orders its values; ballots have numbers of their own.
 type (
-	Stamp    = parley.Stamp
-	Register = parley.Register
-	Epoch    = parley.Epoch
-	Voter    = parley.Voter
+	Stamp    = rpc.Stamp
+	Register = rpc.Register
+	Epoch    = rpc.Epoch
+	Voter    = rpc.Voter
 )
 
 // Fate is what became of an order.
@@ -98,7 +98,7 @@
 // it broke.
 type (
 	Met struct {
-		Who   parley.Controller
+		Who   rpc.Controller
 		Disk  string
 		Blank bool
 	}
@@ -109,7 +109,7 @@
 // Heard is what another controller said.
 type Heard struct {
 	Who     string
-	Message *parley.Message
+	Message *rpc.Message
 }
 
 // Leave says that this process is to end: it hands over, and orders Left.
@@ -122,7 +122,7 @@
 type earlyVote struct {
 	to   string
 	era  uint64
-	word parley.Ballot
+	word rpc.Ballot
 }
 
 const earlyMost = 256
@@ -137,7 +137,7 @@
 // Send is for another controller.
 type Send struct {
 	To      string
-	Message *parley.Message
+	Message *rpc.Message
 }
 
 // InForce tells a value that has been chosen, in rising order for each register.
@@ -158,10 +158,10 @@
 
 // Options make a Replica.
 type Options struct {
-	Me     parley.Controller
+	Me     rpc.Controller
 	Life   uint64 // of this process, drawn: it tells its ballots and its questions from those of others
 	Faults int
-	Seeds  []string // the addresses of controllers, as parley.Controller has them; founding is theirs
+	Seeds  []string // the addresses of controllers, as rpc.Controller has them; founding is theirs
 	Memory Memory   // what the disk has
 	flaws  flaws
 }
@@ -173,7 +173,7 @@
 }
 
 type peer struct {
-	parley.Controller
+	rpc.Controller
 	disk    string
 	blank   bool
 	up      bool
@@ -322,7 +322,7 @@
 		}
 		if r.birthAt = r.now; !r.bearFailed {
 			r.born, r.epochOn = true, max(r.epochOn, r.o.Memory.Epoch.Number)
-			r.toAll(func() *parley.Message { return r.all(0) })
+			r.toAll(func() *rpc.Message { return r.all(0) })
 		}
 	case p.epoch > 0:
 		if r.epochPutAt = r.now; e.Err == nil {
@@ -340,7 +340,7 @@
 	}
 }
 
-func (r *Replica) send(to string, m *parley.Message) {
+func (r *Replica) send(to string, m *rpc.Message) {
 	if p := r.peers[to]; p != nil && p.up {
 		m.Era, m.Disk = r.epoch.Number, r.disk
 		r.order(Send{to, m})
@@ -359,7 +359,7 @@
 	return names
 }
 
-func (r *Replica) toAll(make func() *parley.Message) {
+func (r *Replica) toAll(make func() *rpc.Message) {
 	for _, to := range r.lines() {
 		r.send(to, make())
 	}
@@ -388,7 +388,7 @@
 		r.leaving, r.leaveAt = true, r.now
 		r.round++
 		round := r.round
-		r.toAll(func() *parley.Message { return &parley.Message{Leaving: true, Ask: true, Round: round} })
+		r.toAll(func() *rpc.Message { return &rpc.Message{Leaving: true, Ask: true, Round: round} })
 	}
 }
 
@@ -415,23 +415,23 @@
 	r.send(e.Who.Name, m)
 	r.touch.pingAt = never // its answer counts at once
 	for _, name := range slices.Sorted(maps.Keys(r.regs)) {
-		if g := r.regs[name]; g.prop.Phase != ballot.Idle && r.counts(p) {
+		if g := r.regs[name]; g.prop.Phase != paxos.Idle && r.counts(p) {
 			r.resend(g, p)
 		}
 	}
 }
 
 // all tells what this disk has accepted. Guards against a disk that is nobody yet being counted on.
-func (r *Replica) all(round uint64) *parley.Message {
+func (r *Replica) all(round uint64) *rpc.Message {
 	if !r.born {
-		return &parley.Message{}
+		return &rpc.Message{}
 	}
 	if r.epochOn < r.epoch.Number {
 		// What it says of this epoch must not be forgotten over a loss of power: until the epoch is on the disk it
 		// answers no question.
 		round = 0
 	}
-	return &parley.Message{Has: r.onDisk(), All: true, Round: round}
+	return &rpc.Message{Has: r.onDisk(), All: true, Round: round}
 }
 
 func (r *Replica) theEpoch() *Epoch {
@@ -447,7 +447,7 @@
 	return r.epoch.Voter(p.disk)
 }
 
-func (r *Replica) heard(who string, m *parley.Message) {
+func (r *Replica) heard(who string, m *rpc.Message) {
 	p := r.peers[who]
 	if p == nil {
 		return // its first word on a line makes it known
@@ -460,7 +460,7 @@
 	}
 	switch {
 	case m.Ping:
-		r.send(who, &parley.Message{Pong: true, Round: m.Round})
+		r.send(who, &rpc.Message{Pong: true, Round: m.Round})
 	case m.Ask:
 		r.send(who, r.all(m.Round))
 	}
@@ -475,7 +475,7 @@
 		return // of the life before, whose disk is another
 	}
 	if m.Era < r.epoch.Number && (m.Ballots != nil || m.Pong || m.Ping || m.Ask || m.All) {
-		r.send(who, &parley.Message{Epoch: r.theEpoch()}) // it is behind, and its votes do not count
+		r.send(who, &rpc.Message{Epoch: r.theEpoch()}) // it is behind, and its votes do not count
 	}
 	r.hearHas(p, m)
 	if m.Era != r.epoch.Number {
@@ -508,7 +508,7 @@
 	}
 	if r.now >= r.sweptAt+sweepEvery {
 		r.sweptAt = r.now
-		r.toAll(func() *parley.Message { return r.all(0) })
+		r.toAll(func() *rpc.Message { return r.all(0) })
 	}
 	r.reads = slices.DeleteFunc(r.reads, r.settleRead)
 	r.tendEpoch()
@@ -524,7 +524,7 @@
 		}
 	}
 	for _, g := range r.regs {
-		if len(g.queue) > 0 && g.prop.Phase == ballot.Idle {
+		if len(g.queue) > 0 && g.prop.Phase == paxos.Idle {
 			at(g.againAt)
 		}
 		if !g.chosen() && g.acc.Accepted != (Stamp{}) && g.tells != g.disk {
--- a/accord/bounded_test.go
+++ b/internal/controlplane/consensus/bounded_test.go
@@ -1,4 +1,4 @@
-package accord
+package consensus
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"elmfold/parley"
+	"elmfold/internal/gateway/rpc"
 )
 
 // calm is a system of a few controllers whose lines and disks answer at once.
@@ -107,7 +107,7 @@
 	for name, value := range c.records[i] {
 		disk += len(name) + len(value)
 	}
-	return disk, len(parley.Pack(c.nodes[i].all(0))), len(c.nodes[i].key(nil))
+	return disk, len(rpc.Pack(c.nodes[i].all(0))), len(c.nodes[i].key(nil))
 }
 
 // After ten thousand changes, restarts and new controllers, a disk, a message and a process are as small as after a hundred; and a
--- a/accord/copies.go
+++ b/internal/controlplane/consensus/copies.go
@@ -1,11 +1,11 @@
-package accord
+package consensus
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"elmfold/parley"
+	"elmfold/internal/gateway/rpc"
 )
 
 // onDisk are the ballots that this disk has accepted: what it may tell others.
@@ -27,13 +27,13 @@
 	if r.count(g); g.learned || !r.Votes() {
 		g.learned = false
 		name, number := g.name, g.disk
-		r.toAll(func() *parley.Message { return &parley.Message{Has: map[string]Stamp{name: number}} })
+		r.toAll(func() *rpc.Message { return &rpc.Message{Has: map[string]Stamp{name: number}} })
 	}
 }
 
 // hearHas takes what another disk has accepted. Where enough voters have the same ballot, its value is chosen; what is
 // newer than here is asked for.
-func (r *Replica) hearHas(p *peer, m *parley.Message) {
+func (r *Replica) hearHas(p *peer, m *rpc.Message) {
 	if m.Has == nil && !m.All {
 		return
 	}
@@ -66,13 +66,13 @@
 	}
 	if r.epoch.Safe(r.o.Faults, func(v Voter) bool { return have[v.ID] }) {
 		number := g.acc.Accepted
-		r.toAll(func() *parley.Message { return &parley.Message{Chosen: map[string]Stamp{g.name: number}} })
+		r.toAll(func() *rpc.Message { return &rpc.Message{Chosen: map[string]Stamp{g.name: number}} })
 		r.choose(g, number, g.acc.Value, 0)
 	}
 }
 
 // hearChosen takes word of ballots that are chosen, and copies of their values.
-func (r *Replica) hearChosen(p *peer, m *parley.Message) {
+func (r *Replica) hearChosen(p *peer, m *rpc.Message) {
 	for _, name := range slices.Sorted(maps.Keys(m.Chosen)) {
 		if name == epochName {
 			if g := r.regs[name]; g != nil && m.Era == r.epoch.Number && g.acc.Accepted == m.Chosen[name] {
@@ -86,7 +86,7 @@
 		case g.acc.Accepted.Less(number):
 			if g.ahead[p.Name] = number; g.wantAt == 0 || r.now >= g.wantAt+wantAgain {
 				g.wantAt = r.now
-				r.send(p.Name, &parley.Message{Want: []string{name}})
+				r.send(p.Name, &rpc.Message{Want: []string{name}})
 			}
 		}
 	}
@@ -98,12 +98,12 @@
 }
 
 // copied is what is chosen of a register, as it is given to others.
-func (r *Replica) copied(g *register) *parley.Message {
-	c := parley.Copy{Number: g.safe, Register: g.force}
+func (r *Replica) copied(g *register) *rpc.Message {
+	c := rpc.Copy{Number: g.safe, Register: g.force}
 	if g.acc.Value.Stamp == g.force.Stamp {
 		c.Age = r.age(g)
 	}
-	return &parley.Message{Copies: []parley.Copy{c}}
+	return &rpc.Message{Copies: []rpc.Copy{c}}
 }
 
 // choose takes it that a value is chosen under a ballot, and its age if that came with it. A disk that has an older one
--- a/accord/epoch.go
+++ b/internal/controlplane/consensus/epoch.go
@@ -1,4 +1,4 @@
-package accord
+package consensus
 
 import (
 	"maps"
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"elmfold/ballot"
-	"elmfold/parley"
+	"elmfold/internal/controlplane/paxos"
+	"elmfold/internal/gateway/rpc"
 )
 
 // Who votes. Epoch N+1 is decided by the voters of epoch N, in a register that each epoch begins anew. A change takes two
@@ -40,7 +40,7 @@
 	r.putEpoch()
 	delete(r.regs, epochName)
 	for _, g := range r.regs {
-		if g.waits = nil; g.prop.Phase != ballot.Idle {
+		if g.waits = nil; g.prop.Phase != paxos.Idle {
 			g.prop.Stop()
 			r.putOff(g)
 		}
@@ -55,7 +55,7 @@
 	}
 	r.round++
 	round := r.round
-	r.toAll(func() *parley.Message {
+	r.toAll(func() *rpc.Message {
 		m := r.all(0)
 		m.Epoch, m.Ask, m.Round = r.theEpoch(), true, round
 		return m
@@ -205,7 +205,7 @@
 // decideFrom does so, but for one that is proposed already and of which over says that it never can be in force.
 func (r *Replica) decideFrom(e Epoch, over func(Epoch) bool) {
 	g := r.reg(epochName)
-	if g.prop.Phase != ballot.Idle || len(g.queue) > 0 {
+	if g.prop.Phase != paxos.Idle || len(g.queue) > 0 {
 		return
 	}
 	life := r.o.Life
@@ -233,7 +233,7 @@
 	if r.now >= r.scan.askedAt+scanAgain {
 		r.scan.askedAt = r.now
 		round := r.scan.round
-		r.toAll(func() *parley.Message { return &parley.Message{Ask: true, Round: round} })
+		r.toAll(func() *rpc.Message { return &rpc.Message{Ask: true, Round: round} })
 	}
 	r.scan.answers[r.disk] = r.onDisk()
 	answered := func(v Voter) bool { _, is := r.scan.answers[v.ID]; return is || r.ghost(v) }
@@ -310,7 +310,7 @@
 		r.handedAt = r.now
 		r.round++
 		round := r.round
-		r.toAll(func() *parley.Message { return &parley.Message{Leaving: true, Ask: true, Round: round} })
+		r.toAll(func() *rpc.Message { return &rpc.Message{Leaving: true, Ask: true, Round: round} })
 	}
 	missing := r.handOver(again)
 	if r.Votes() && (len(r.epoch.Old) > 0 || !slices.Equal(r.wish(), r.epoch.Voters)) {
--- a/accord/memory.go
+++ b/internal/controlplane/consensus/memory.go
@@ -1,4 +1,4 @@
-package accord
+package consensus
 
 import (
 	"encoding/json"
@@ -9,8 +9,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"elmfold/ballot"
-	"elmfold/parley"
+	"elmfold/internal/controlplane/paxos"
+	"elmfold/internal/gateway/rpc"
 )
 
 // Records on a disk. Each is the newest of its name; their number is that of the registers, never that of the changes.
@@ -31,7 +31,7 @@
 	Blank     bool   // it is not from the system's first start: there may be an epoch that it does not know
 	Born      bool   // the id is on the disk
 	Epoch     Epoch
-	Acceptors map[string]ballot.Acceptor[Register]
+	Acceptors map[string]paxos.Acceptor[Register]
 	rest      []string // records of another id, to be emptied
 }
 
@@ -51,7 +51,7 @@
 // start and the disk is empty. Drawn is the id of a disk that is new, or may have forgotten what it voted. An error names
 // the record; what a disk has lost of itself must not be taken for nothing, so its user ends.
 func Load(me string, records map[string][]byte, known, first bool, drawn string) (Memory, error) {
-	m := Memory{Disk: drawn, Blank: !first, Acceptors: map[string]ballot.Acceptor[Register]{}}
+	m := Memory{Disk: drawn, Blank: !first, Acceptors: map[string]paxos.Acceptor[Register]{}}
 	bad := func(name string, err error) (Memory, error) { return m, fmt.Errorf("record %s: %w", name, err) }
 	disk, there := records[recordDisk], len(records[recordDisk]) > 0
 	switch {
@@ -77,11 +77,11 @@
 				return bad(name, err)
 			}
 			if reg != epochName || a.Era == m.Epoch.Number {
-				m.Acceptors[reg] = ballot.Acceptor[Register]{Promised: a.Promised, Accepted: a.Accepted, Value: a.Value}
+				m.Acceptors[reg] = paxos.Acceptor[Register]{Promised: a.Promised, Accepted: a.Accepted, Value: a.Value}
 			}
 		}
 	case known && len(records[oldFounders]) > 0:
-		var founders []parley.Controller
+		var founders []rpc.Controller
 		if err := json.Unmarshal(records[oldFounders], &founders); err != nil {
 			return bad(oldFounders, err)
 		}
@@ -94,7 +94,7 @@
 		for name, value := range records {
 			if reg, is := strings.CutPrefix(name, oldReg); is && len(value) >= 16 {
 				s := Stamp{Hi: number(value), Lo: number(value[8:])}
-				m.Acceptors[reg] = ballot.Acceptor[Register]{Promised: s, Accepted: s,
+				m.Acceptors[reg] = paxos.Acceptor[Register]{Promised: s, Accepted: s,
 					Value: Register{Name: reg, Stamp: s, Value: value[16:]}}
 			}
 		}
@@ -148,7 +148,7 @@
 
 func recordOf(name string) string { return recordReg + name }
 
-func encode(era uint64, a ballot.Acceptor[Register]) []byte {
+func encode(era uint64, a paxos.Acceptor[Register]) []byte {
 	return pack(regRecord{era, a.Promised, a.Accepted, a.Value})
 }
 
--- a/accord/memory_test.go
+++ b/internal/controlplane/consensus/memory_test.go
@@ -1,4 +1,4 @@
-package accord
+package consensus
 
 import (
 	"encoding/binary"
@@ -8,7 +8,7 @@
 	"slices"
 	"testing"
 
-	"elmfold/parley"
+	"elmfold/internal/gateway/rpc"
 )
 
 func oldRegister(hi, lo uint64, value string) []byte {
@@ -18,7 +18,7 @@
 // oldRecords are those of a disk of the version before.
 func oldRecords(t *testing.T, founders int) map[string][]byte {
 	t.Helper()
-	var all []parley.Controller
+	var all []rpc.Controller
 	for i := range founders {
 		all = append(all, controllerOf(i))
 	}
--- a/accord/model_test.go
+++ b/internal/controlplane/consensus/model_test.go
@@ -1,4 +1,4 @@
-package accord
+package consensus
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/zeebo/xxh3"
 
-	"elmfold/ballot"
-	"elmfold/parley"
+	"elmfold/internal/controlplane/paxos"
+	"elmfold/internal/gateway/rpc"
 )
 
 // The model runs the real Replicas, with a small number of things that may happen, in every order in which they may. Time
@@ -69,7 +69,7 @@
 
 type modelMessage struct {
 	from, to int
-	m        *parley.Message
+	m        *rpc.Message
 	key      xxh3.Uint128
 }
 
@@ -98,8 +98,8 @@
 	buf     []byte
 }
 
-func controllerOf(i int) parley.Controller {
-	return parley.Controller{Name: fmt.Sprint("c", i), Address: fmt.Sprint("a", i)}
+func controllerOf(i int) rpc.Controller {
+	return rpc.Controller{Name: fmt.Sprint("c", i), Address: fmt.Sprint("a", i)}
 }
 
 func (m *model) less(a, b xxh3.Uint128) int {
@@ -155,7 +155,7 @@
 	}
 	if m.flaws.dropsPromises {
 		for name, a := range memory.Acceptors {
-			memory.Acceptors[name] = ballot.Acceptor[Register]{Promised: a.Accepted, Accepted: a.Accepted, Value: a.Value}
+			memory.Acceptors[name] = paxos.Acceptor[Register]{Promised: a.Accepted, Accepted: a.Accepted, Value: a.Value}
 		}
 	}
 	s.nodes[i] = &modelNode{records: n.records, has: n.has, now: n.now, timers: n.timers, r: New(Options{Me: controllerOf(i), Life: life << 20, Faults: (m.voters - 1) / 2,
@@ -229,7 +229,7 @@
 
 // deaf says of a message that it will change nothing, whenever it comes: an answer to a ballot that is over, or word that
 // something is chosen that is known to be. Such ones are lost at once, so that fewer states differ by them alone.
-func (r *Replica) deaf(w *parley.Message) bool {
+func (r *Replica) deaf(w *rpc.Message) bool {
 	if w.Era != r.epoch.Number || w.Epoch != nil || w.Has != nil || w.All || w.Ask || w.Want != nil || w.Copies != nil || w.Leaving {
 		return false
 	}
@@ -243,18 +243,18 @@
 		if g == nil || turnOf(b.Number) > g.turn {
 			return false
 		}
-		under := g.prop.Phase != ballot.Idle && g.prop.Ballot == b.Number
+		under := g.prop.Phase != paxos.Idle && g.prop.Ballot == b.Number
 		switch b.Kind {
-		case parley.Promise:
-			if under && g.prop.Phase == ballot.Asking {
+		case rpc.Promise:
+			if under && g.prop.Phase == paxos.Asking {
 				return false
 			}
-		case parley.Agreed:
+		case rpc.Agreed:
 			if under {
 				return false
 			}
-		case parley.Higher:
-			if g.prop.Phase != ballot.Idle && g.prop.Ballot.Less(b.Number) {
+		case rpc.Higher:
+			if g.prop.Phase != paxos.Idle && g.prop.Ballot.Less(b.Number) {
 				return false
 			}
 		default:
@@ -291,13 +291,13 @@
 
 const endlessly = time.Duration(-1)
 
-func (m *model) put(s *modelState, i, j int, w *parley.Message) {
+func (m *model) put(s *modelState, i, j int, w *rpc.Message) {
 	if r := s.nodes[j].r; r.deaf(w) {
 		return
 	}
 	x := modelMessage{from: i, to: j, m: w}
 	m.buf = append(m.buf[:0], byte(i), byte(j))
-	m.buf = append(m.buf, parley.Pack(w)...)
+	m.buf = append(m.buf, rpc.Pack(w)...)
 	x.key = xxh3.Hash128(m.buf)
 	at, _ := slices.BinarySearchFunc(s.bag, x, func(a, b modelMessage) int { return m.less(a.key, b.key) })
 	s.bag = slices.Insert(slices.Clone(s.bag), at, x)
--- a/accord/register.go
+++ b/internal/controlplane/consensus/register.go
@@ -1,4 +1,4 @@
-package accord
+package consensus
 
 import (
 	"maps"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"elmfold/ballot"
-	"elmfold/parley"
+	"elmfold/internal/controlplane/paxos"
+	"elmfold/internal/gateway/rpc"
 )
 
 const (
@@ -27,13 +27,13 @@
 
 type waiting struct { // an answer, until the state behind it is on the disk
 	to     string
-	answer parley.Ballot
+	answer rpc.Ballot
 }
 
 type register struct {
 	name string
-	acc  ballot.Acceptor[Register]  // this disk's part
-	prop ballot.Proposal[*Register] // the ballot that began here
+	acc  paxos.Acceptor[Register]  // this disk's part
+	prop paxos.Proposal[*Register] // the ballot that began here
 
 	// Of the disk.
 	disk    Stamp // the ballot that it has accepted
@@ -77,32 +77,32 @@
 }
 
 // vote takes a word on a ballot.
-func (r *Replica) vote(p *peer, b *parley.Ballot) {
+func (r *Replica) vote(p *peer, b *rpc.Ballot) {
 	g := r.reg(b.Name)
 	g.turn = max(g.turn, turnOf(b.Number))
 	switch b.Kind {
-	case parley.Ask, parley.Offer:
+	case rpc.Ask, rpc.Offer:
 		r.accept(p.Name, g, b)
-	case parley.Promise:
+	case rpc.Promise:
 		if r.counts(p) {
 			r.promised(g, p.disk, b)
 		}
-	case parley.Agreed:
+	case rpc.Agreed:
 		if p.has[g.name].Less(b.Number) && g.name != epochName {
 			p.has[g.name] = b.Number
 		}
 		if r.counts(p) {
 			r.agreed(g, p.disk, b)
 		}
-	case parley.Higher:
-		if g.prop.Phase != ballot.Idle && g.prop.Ballot.Less(b.Number) {
+	case rpc.Higher:
+		if g.prop.Phase != paxos.Idle && g.prop.Ballot.Less(b.Number) {
 			r.outbid(g)
 		}
 	}
 }
 
 // accept is the part of this disk. What it answers is on the disk before: an answer waits for that.
-func (r *Replica) accept(to string, g *register, b *parley.Ballot) {
+func (r *Replica) accept(to string, g *register, b *rpc.Ballot) {
 	switch {
 	case !r.born, r.epoch.Number > 0 && !r.epoch.Voter(r.disk), r.epoch.Number == 0 && b.Name != epochName:
 		return // one that may have forgotten, or has never read, must not vote
@@ -113,33 +113,33 @@
 		}
 		return
 	}
-	answer := parley.Ballot{Name: g.name, Number: b.Number}
+	answer := rpc.Ballot{Name: g.name, Number: b.Number}
 	was := g.acc.Accepted
 	switch b.Kind {
-	case parley.Ask:
+	case rpc.Ask:
 		if !g.acc.Promise(b.Number) {
-			answer.Kind = parley.Higher
+			answer.Kind = rpc.Higher
 			break
 		}
-		answer.Kind, answer.Accepted = parley.Promise, g.acc.Accepted
+		answer.Kind, answer.Accepted = rpc.Promise, g.acc.Accepted
 		if g.acc.Accepted != (Stamp{}) {
 			v := g.acc.Value
 			answer.Value = &v
 		}
 		answer.Age = r.age(g)
-	case parley.Offer:
+	case rpc.Offer:
 		v := *b.Value
 		stays := v.Stamp == g.acc.Value.Stamp
 		if !g.acc.Accept(b.Number, v) {
-			answer.Kind = parley.Higher
+			answer.Kind = rpc.Higher
 			break
 		}
 		r.aged(g, stays, b.Age)
-		if answer.Kind = parley.Agreed; was != g.acc.Accepted {
+		if answer.Kind = rpc.Agreed; was != g.acc.Accepted {
 			g.openAt = r.now
 		}
 	}
-	if answer.Kind == parley.Higher {
+	if answer.Kind == rpc.Higher {
 		answer.Number = g.acc.Promised
 		r.answer(to, answer)
 		return
@@ -174,20 +174,20 @@
 	}
 }
 
-func (r *Replica) answer(to string, b parley.Ballot) {
+func (r *Replica) answer(to string, b rpc.Ballot) {
 	if to != r.o.Me.Name {
-		r.send(to, &parley.Message{Ballots: []parley.Ballot{b}})
+		r.send(to, &rpc.Message{Ballots: []rpc.Ballot{b}})
 		return
 	}
 	g := r.reg(b.Name)
 	switch b.Kind {
-	case parley.Promise:
+	case rpc.Promise:
 		r.promised(g, r.disk, &b)
-	case parley.Agreed:
+	case rpc.Agreed:
 		r.agreed(g, r.disk, &b)
-	case parley.Higher:
+	case rpc.Higher:
 		g.turn = max(g.turn, turnOf(b.Number))
-		if g.prop.Phase != ballot.Idle && g.prop.Ballot.Less(b.Number) {
+		if g.prop.Phase != paxos.Idle && g.prop.Ballot.Less(b.Number) {
 			r.outbid(g)
 		}
 	}
@@ -241,7 +241,7 @@
 
 // finish has what is half done decided, without changing it.
 func (r *Replica) finish(g *register) {
-	if len(g.queue) == 0 && g.prop.Phase == ballot.Idle {
+	if len(g.queue) == 0 && g.prop.Phase == paxos.Idle {
 		g.queue = append(g.queue, &order{apply: func(holds Register, _ Age) (Register, Fate) { return holds, Taken }, began: r.now})
 		r.propose(g)
 	}
@@ -249,7 +249,7 @@
 
 // propose begins a ballot for all that waits.
 func (r *Replica) propose(g *register) {
-	if g.prop.Phase != ballot.Idle || len(g.queue) == 0 || r.now < g.againAt || !r.reachable(g) ||
+	if g.prop.Phase != paxos.Idle || len(g.queue) == 0 || r.now < g.againAt || !r.reachable(g) ||
 		r.epoch.Number == 0 && g.name != epochName { // the seeds decide who votes, and nothing else
 		return
 	}
@@ -264,20 +264,20 @@
 }
 
 // spread gives a word to all whose votes count, itself too.
-func (r *Replica) spread(b parley.Ballot) {
+func (r *Replica) spread(b rpc.Ballot) {
 	for _, to := range r.lines() {
 		if p := r.peers[to]; r.counts(p) {
-			r.send(to, &parley.Message{Ballots: []parley.Ballot{b}})
+			r.send(to, &rpc.Message{Ballots: []rpc.Ballot{b}})
 		}
 	}
 	r.accept(r.o.Me.Name, r.reg(b.Name), &b)
 }
 
 // word is what the ballot under way asks.
-func (r *Replica) word(g *register) parley.Ballot {
-	b := parley.Ballot{Kind: parley.Ask, Name: g.name, Number: g.prop.Ballot}
-	if g.prop.Phase == ballot.Offering {
-		b.Kind, b.Value = parley.Offer, g.prop.Value
+func (r *Replica) word(g *register) rpc.Ballot {
+	b := rpc.Ballot{Kind: rpc.Ask, Name: g.name, Number: g.prop.Ballot}
+	if g.prop.Phase == paxos.Offering {
+		b.Kind, b.Value = rpc.Offer, g.prop.Value
 		if g.decidedAt != neverSeen {
 			b.Age = uint64(max(r.now-g.decidedAt, 0)/time.Millisecond) + 1
 		}
@@ -287,11 +287,11 @@
 
 // resend says a ballot's word again to one that has not answered it.
 func (r *Replica) resend(g *register, p *peer) {
-	r.send(p.Name, &parley.Message{Ballots: []parley.Ballot{r.word(g)}})
+	r.send(p.Name, &rpc.Message{Ballots: []rpc.Ballot{r.word(g)}})
 }
 
 // promised goes on with the value of the greatest ballot that was accepted, changed by the orders.
-func (r *Replica) promised(g *register, disk string, b *parley.Ballot) {
+func (r *Replica) promised(g *register, disk string, b *rpc.Ballot) {
 	if !g.prop.Promised(disk, b.Number, b.Accepted, b.Value) {
 		return
 	}
@@ -340,7 +340,7 @@
 	r.spread(r.word(g))
 }
 
-func (r *Replica) agreed(g *register, disk string, b *parley.Ballot) {
+func (r *Replica) agreed(g *register, disk string, b *rpc.Ballot) {
 	if g.prop.Agreed(disk, b.Number) && r.lasts(g, g.prop.Answered) {
 		r.decided(g, g.prop.Ballot, *g.prop.Value)
 	}
@@ -348,7 +348,7 @@
 
 // decided: the value is chosen.
 func (r *Replica) decided(g *register, number Stamp, v Register) {
-	r.toAll(func() *parley.Message { return &parley.Message{Chosen: map[string]Stamp{g.name: number}} })
+	r.toAll(func() *rpc.Message { return &rpc.Message{Chosen: map[string]Stamp{g.name: number}} })
 	r.choose(g, number, v, 0)
 	r.close(g, v)
 }
@@ -400,14 +400,14 @@
 		return true
 	}
 	g.queue, g.batch = slices.DeleteFunc(g.queue, late), slices.DeleteFunc(g.batch, late)
-	if g.prop.Phase != ballot.Idle && len(g.batch) == 0 {
+	if g.prop.Phase != paxos.Idle && len(g.batch) == 0 {
 		g.prop.Stop()
 	}
 }
 
 func (r *Replica) tendRegister(g *register) {
 	r.dropLate(g)
-	if g.prop.Phase != ballot.Idle && r.now >= g.sentAt+askAgain {
+	if g.prop.Phase != paxos.Idle && r.now >= g.sentAt+askAgain {
 		g.sentAt = r.now
 		for _, to := range r.lines() {
 			if p := r.peers[to]; r.counts(p) && !g.prop.Answered(p.disk) {
@@ -430,7 +430,7 @@
 			delete(g.ahead, who) // it says so anew on its next line
 		} else if want {
 			g.wantAt = r.now
-			r.send(who, &parley.Message{Want: []string{g.name}})
+			r.send(who, &rpc.Message{Want: []string{g.name}})
 		}
 	}
 	if g.acc.Accepted != (Stamp{}) && !g.chosen() {
@@ -440,7 +440,7 @@
 		if r.now >= g.openAt+tellAfter && g.tells != g.disk && g.name != epochName && r.Votes() {
 			g.tells = g.disk
 			name, number := g.name, g.disk
-			r.toAll(func() *parley.Message { return &parley.Message{Has: map[string]Stamp{name: number}} })
+			r.toAll(func() *rpc.Message { return &rpc.Message{Has: map[string]Stamp{name: number}} })
 		}
 	}
 	if g.acc.Accepted != (Stamp{}) && !g.chosen() && r.now >= g.openAt+finishAfter+time.Duration(r.place(g.name))*turnGap {
@@ -526,7 +526,7 @@
 		}
 		q.askedAt = r.now
 		round := r.round
-		r.toAll(func() *parley.Message { return &parley.Message{Ask: true, Round: round} })
+		r.toAll(func() *rpc.Message { return &rpc.Message{Ask: true, Round: round} })
 	}
 	if r.Votes() {
 		q.answers[r.disk] = g.disk
--- a/accord/touch.go
+++ b/internal/controlplane/consensus/touch.go
@@ -1,9 +1,9 @@
-package accord
+package consensus
 
 import (
 	"time"
 
-	"elmfold/parley"
+	"elmfold/internal/gateway/rpc"
 )
 
 const (
@@ -44,7 +44,7 @@
 			t.asked = t.asked[1:]
 		}
 		round := r.round
-		r.toAll(func() *parley.Message { return &parley.Message{Ping: true, Round: round} })
+		r.toAll(func() *rpc.Message { return &rpc.Message{Ping: true, Round: round} })
 	}
 	for _, a := range t.asked {
 		if a.at > t.at && r.epoch.Most(func(v Voter) bool { return a.by[v.ID] || r.ghost(v) }) {
--- a/accord/unraced_test.go
+++ b/internal/controlplane/consensus/unraced_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package accord
+package consensus
 
 const raced = false
--- a/accord/votes_test.go
+++ b/internal/controlplane/consensus/votes_test.go
@@ -1,12 +1,12 @@
-package accord
+package consensus
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"elmfold/ballot"
-	"elmfold/parley"
+	"elmfold/internal/controlplane/paxos"
+	"elmfold/internal/gateway/rpc"
 )
 
 // trio is c0 of three founders, in touch with the others, whose words are made by hand.
@@ -25,7 +25,7 @@
 	return sorted(all)
 }
 
-func newTrio(t *testing.T, e Epoch, f flaws, acceptors map[string]ballot.Acceptor[Register]) *trio {
+func newTrio(t *testing.T, e Epoch, f flaws, acceptors map[string]paxos.Acceptor[Register]) *trio {
 	x := &trio{t: t, era: e.Number, now: ms}
 	x.r = New(Options{Me: controllerOf(0), Life: 9, Faults: 1, flaws: f, Memory: Memory{Disk: "d0", Born: true, Epoch: e, Acceptors: acceptors}})
 	x.step()
@@ -51,7 +51,7 @@
 	return x.out
 }
 
-func (x *trio) says(i int, m *parley.Message) []Order {
+func (x *trio) says(i int, m *rpc.Message) []Order {
 	if m.Era == 0 {
 		m.Era = x.era
 	}
@@ -67,7 +67,7 @@
 		if s, is := o.(Send); is && s.Message.Ping {
 			var i int
 			_, _ = fmt.Sscanf(s.To, "c%d", &i)
-			x.says(i, &parley.Message{Pong: true, Round: s.Message.Round})
+			x.says(i, &rpc.Message{Pong: true, Round: s.Message.Round})
 		}
 	}
 	if !x.r.InTouch(x.now) {
@@ -95,23 +95,23 @@
 func TestVotesThatCount(t *testing.T) {
 	one1 := Epoch{Number: 2, Voters: voters(0, 1, 2)}
 	for what, c := range map[string]struct {
-		m    func(b Stamp) *parley.Message
+		m    func(b Stamp) *rpc.Message
 		who  int
 		done bool
 	}{
-		"a vote":                       {func(b Stamp) *parley.Message { return agreedTo(b) }, 1, true},
-		"of an older epoch":            {func(b Stamp) *parley.Message { m := agreedTo(b); m.Era = 1; return m }, 1, false},
-		"of a newer epoch":             {func(b Stamp) *parley.Message { m := agreedTo(b); m.Era = 3; return m }, 1, false},
-		"of a disk that does not vote": {func(b Stamp) *parley.Message { return agreedTo(b) }, 3, false},
-		"of the disk it had before":    {func(b Stamp) *parley.Message { m := agreedTo(b); m.Disk = "d1.old"; return m }, 1, false},
-		"for another ballot":           {func(b Stamp) *parley.Message { b.Hi--; return agreedTo(b) }, 1, false},
-		"for another life's ballot":    {func(b Stamp) *parley.Message { b.Lo++; return agreedTo(b) }, 1, false},
-		"a promise, again":             {func(b Stamp) *parley.Message { return promiseOf(b) }, 1, false},
+		"a vote":                       {func(b Stamp) *rpc.Message { return agreedTo(b) }, 1, true},
+		"of an older epoch":            {func(b Stamp) *rpc.Message { m := agreedTo(b); m.Era = 1; return m }, 1, false},
+		"of a newer epoch":             {func(b Stamp) *rpc.Message { m := agreedTo(b); m.Era = 3; return m }, 1, false},
+		"of a disk that does not vote": {func(b Stamp) *rpc.Message { return agreedTo(b) }, 3, false},
+		"of the disk it had before":    {func(b Stamp) *rpc.Message { m := agreedTo(b); m.Disk = "d1.old"; return m }, 1, false},
+		"for another ballot":           {func(b Stamp) *rpc.Message { b.Hi--; return agreedTo(b) }, 1, false},
+		"for another life's ballot":    {func(b Stamp) *rpc.Message { b.Lo++; return agreedTo(b) }, 1, false},
+		"a promise, again":             {func(b Stamp) *rpc.Message { return promiseOf(b) }, 1, false},
 	} {
 		x := newTrio(t, one1, flaws{}, nil)
 		b := x.asked(5)
 		x.says(1, promiseOf(b))
-		if p := x.r.regs[charter].prop; p.Phase != ballot.Offering {
+		if p := x.r.regs[charter].prop; p.Phase != paxos.Offering {
 			t.Fatalf("%s: no offer: %+v", what, p)
 		}
 		d, n := one[Done](x.says(c.who, c.m(b)))
@@ -121,12 +121,12 @@
 	}
 }
 
-func agreedTo(b Stamp) *parley.Message {
-	return &parley.Message{Ballots: []parley.Ballot{{Kind: parley.Agreed, Name: charter, Number: b}}}
+func agreedTo(b Stamp) *rpc.Message {
+	return &rpc.Message{Ballots: []rpc.Ballot{{Kind: rpc.Agreed, Name: charter, Number: b}}}
 }
 
-func promiseOf(b Stamp) *parley.Message {
-	return &parley.Message{Ballots: []parley.Ballot{{Kind: parley.Promise, Name: charter, Number: b}}}
+func promiseOf(b Stamp) *rpc.Message {
+	return &rpc.Message{Ballots: []rpc.Ballot{{Kind: rpc.Promise, Name: charter, Number: b}}}
 }
 
 // While voters change, old and new ones are both needed; a learner is none.
@@ -149,7 +149,7 @@
 		for _, i := range c.promise {
 			x.says(i, promiseOf(b))
 		}
-		if got := x.r.regs[charter].prop.Phase == ballot.Offering; got != (c.agree != nil) {
+		if got := x.r.regs[charter].prop.Phase == paxos.Offering; got != (c.agree != nil) {
 			t.Errorf("%s: offers %v", what, got)
 		}
 		done := 0
@@ -164,8 +164,8 @@
 }
 
 // kept is what the disk of a process has as it ends.
-func (x *trio) kept() map[string]ballot.Acceptor[Register] {
-	all := map[string]ballot.Acceptor[Register]{}
+func (x *trio) kept() map[string]paxos.Acceptor[Register] {
+	all := map[string]paxos.Acceptor[Register]{}
 	for name, g := range x.r.regs {
 		all[name] = g.acc
 	}
@@ -175,27 +175,27 @@
 // A promise lasts over a restart: an older ballot's value is not taken after it.
 func TestPromisesLastOverARestart(t *testing.T) {
 	e := Epoch{Number: 1, Voters: voters(0, 1, 2)}
-	play := func(forgets bool) parley.Kind {
+	play := func(forgets bool) rpc.Kind {
 		x := newTrio(t, e, flaws{}, nil)
 		low, high := Stamp{Hi: 1<<eraShift | 1, Lo: 1}, Stamp{Hi: 1<<eraShift | 2, Lo: 2}
-		x.says(2, &parley.Message{Ballots: []parley.Ballot{{Kind: parley.Ask, Name: charter, Number: high}}})
-		disk := map[string]ballot.Acceptor[Register]{}
+		x.says(2, &rpc.Message{Ballots: []rpc.Ballot{{Kind: rpc.Ask, Name: charter, Number: high}}})
+		disk := map[string]paxos.Acceptor[Register]{}
 		if !forgets {
 			disk = x.kept()
 		}
 		x = newTrio(t, e, flaws{}, disk)
 		v := Register{Name: charter, Stamp: Stamp{Hi: 5, Lo: 1}}
-		for _, o := range x.says(1, &parley.Message{Ballots: []parley.Ballot{{Kind: parley.Offer, Name: charter, Number: low, Value: &v}}}) {
+		for _, o := range x.says(1, &rpc.Message{Ballots: []rpc.Ballot{{Kind: rpc.Offer, Name: charter, Number: low, Value: &v}}}) {
 			if s, is := o.(Send); is && len(s.Message.Ballots) > 0 {
 				return s.Message.Ballots[0].Kind
 			}
 		}
 		return 0
 	}
-	if got := play(false); got != parley.Higher {
+	if got := play(false); got != rpc.Higher {
 		t.Errorf("an older ballot is answered with %d", got)
 	}
-	if got := play(true); got != parley.Agreed {
+	if got := play(true); got != rpc.Agreed {
 		t.Errorf("a flaw that is planted here is not seen: %d", got)
 	}
 }
@@ -203,7 +203,7 @@
 // What was half done in an older epoch does not win over what was chosen in a newer one, whose voters never met it.
 func TestBallotsOfNewerEpochsAreAbove(t *testing.T) {
 	play := func(f flaws) Register {
-		old := ballot.Acceptor[Register]{Promised: Stamp{Hi: 7, Lo: 1}, Accepted: Stamp{Hi: 7, Lo: 1}, Value: Register{Name: charter, Stamp: Stamp{Hi: 9, Lo: 1}, Value: []byte("half done")}}
+		old := paxos.Acceptor[Register]{Promised: Stamp{Hi: 7, Lo: 1}, Accepted: Stamp{Hi: 7, Lo: 1}, Value: Register{Name: charter, Stamp: Stamp{Hi: 9, Lo: 1}, Value: []byte("half done")}}
 		if !f.flat {
 			old.Promised.Hi |= 1 << eraShift
 			old.Accepted.Hi |= 1 << eraShift
@@ -218,7 +218,7 @@
 		// c1 is back with what an older epoch began, and c0 reads from both.
 		x.step(Change{2, charter, func(holds Register, _ Age) (Register, Fate) { return holds, Taken }})
 		b = x.r.regs[charter].prop.Ballot
-		x.says(1, &parley.Message{Ballots: []parley.Ballot{{Kind: parley.Promise, Name: charter, Number: b, Accepted: old.Accepted, Value: &old.Value}}})
+		x.says(1, &rpc.Message{Ballots: []rpc.Ballot{{Kind: rpc.Promise, Name: charter, Number: b, Accepted: old.Accepted, Value: &old.Value}}})
 		return *x.r.regs[charter].prop.Value
 	}
 	if v := play(flaws{}); v.Stamp.Hi != 5 {
@@ -232,20 +232,20 @@
 // A learner is not wished for as a voter before it has all, on its disk, as it said in this epoch.
 func TestLearnersAreWholeBeforeTheyVote(t *testing.T) {
 	e := Epoch{Number: 2, Voters: voters(0, 1, 2), Founded: 5} // there is room for it
-	has := ballot.Acceptor[Register]{Promised: Stamp{Hi: 5}, Accepted: Stamp{Hi: 5}, Value: Register{Name: charter, Stamp: Stamp{Hi: 5, Lo: 1}}}
+	has := paxos.Acceptor[Register]{Promised: Stamp{Hi: 5}, Accepted: Stamp{Hi: 5}, Value: Register{Name: charter, Stamp: Stamp{Hi: 5, Lo: 1}}}
 	for what, c := range map[string]struct {
-		m      *parley.Message
+		m      *rpc.Message
 		wished bool
 	}{
-		"it has all":          {&parley.Message{Has: map[string]Stamp{charter: has.Accepted}, All: true}, true},
-		"it has less":         {&parley.Message{Has: map[string]Stamp{charter: {Hi: 4}}, All: true}, false},
-		"it has nothing":      {&parley.Message{All: true}, false},
-		"said in epoch 1":     {&parley.Message{Has: map[string]Stamp{charter: has.Accepted}, All: true, Era: 1}, false},
-		"of the disk before":  {&parley.Message{Has: map[string]Stamp{charter: has.Accepted}, All: true, Disk: "d3.old"}, false},
-		"it has said nothing": {&parley.Message{}, false},
+		"it has all":          {&rpc.Message{Has: map[string]Stamp{charter: has.Accepted}, All: true}, true},
+		"it has less":         {&rpc.Message{Has: map[string]Stamp{charter: {Hi: 4}}, All: true}, false},
+		"it has nothing":      {&rpc.Message{All: true}, false},
+		"said in epoch 1":     {&rpc.Message{Has: map[string]Stamp{charter: has.Accepted}, All: true, Era: 1}, false},
+		"of the disk before":  {&rpc.Message{Has: map[string]Stamp{charter: has.Accepted}, All: true, Disk: "d3.old"}, false},
+		"it has said nothing": {&rpc.Message{}, false},
 	} {
-		x := newTrio(t, e, flaws{}, map[string]ballot.Acceptor[Register]{charter: has})
-		x.says(1, &parley.Message{Has: map[string]Stamp{charter: has.Accepted}, All: true})
+		x := newTrio(t, e, flaws{}, map[string]paxos.Acceptor[Register]{charter: has})
+		x.says(1, &rpc.Message{Has: map[string]Stamp{charter: has.Accepted}, All: true})
 		if _, known := x.r.InForce(charter); !known {
 			t.Fatal("it is not known what is chosen")
 		}
--- a/accord/wish_test.go
+++ b/internal/controlplane/consensus/wish_test.go
@@ -1,4 +1,4 @@
-package accord
+package consensus
 
 import (
 	"cmp"
--- a/accord/world_test.go
+++ b/internal/controlplane/consensus/world_test.go
@@ -1,4 +1,4 @@
-package accord
+package consensus
 
 import (
 	"bytes"
@@ -14,8 +14,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"elmfold/ballot"
-	"elmfold/parley"
+	"elmfold/internal/controlplane/paxos"
+	"elmfold/internal/gateway/rpc"
 )
 
 const (
@@ -60,7 +60,7 @@
 
 // machine has a disk, and a controller now and then.
 type machine struct {
-	who       parley.Controller
+	who       rpc.Controller
 	r         *Replica // nil: down
 	first     bool     // its next start is the system's first
 	came      bool     // it is there, or was
@@ -190,7 +190,7 @@
 
 func (w *world) add(first bool) int {
 	i := len(w.machines)
-	m := &machine{who: parley.Controller{Name: fmt.Sprint("c", i), Zone: string(rune('a' + i%3)), Address: fmt.Sprintf("10.0.0.%d:7000", i)},
+	m := &machine{who: rpc.Controller{Name: fmt.Sprint("c", i), Zone: string(rune('a' + i%3)), Address: fmt.Sprintf("10.0.0.%d:7000", i)},
 		first: first, records: map[string][]byte{}, lines: map[int]*line{}}
 	w.machines = append(w.machines, m)
 	return i
@@ -243,7 +243,7 @@
 	}
 	if w.flaws.dropsPromises {
 		for name, a := range memory.Acceptors {
-			memory.Acceptors[name] = ballot.Acceptor[Register]{Promised: a.Accepted, Accepted: a.Accepted, Value: a.Value}
+			memory.Acceptors[name] = paxos.Acceptor[Register]{Promised: a.Accepted, Accepted: a.Accepted, Value: a.Value}
 		}
 	}
 	m.life++
@@ -542,10 +542,10 @@
 		}
 	}
 	for _, b := range m.Ballots {
-		if b.Kind == parley.Offer && b.Name != epochName {
+		if b.Kind == rpc.Offer && b.Name != epochName {
 			w.fact(b.Name, b.Number, *b.Value)
 		}
-		if b.Kind == parley.Offer && b.Name == epochName {
+		if b.Kind == rpc.Offer && b.Name == epochName {
 			if e, err := decodeEpoch(b.Value.Value); err != nil || e.Number <= b.Number.Hi>>eraShift {
 				w.failf("%s offers epoch %d to follow epoch %d", w.machines[i].who.Name, e.Number, b.Number.Hi>>eraShift)
 			}
@@ -554,7 +554,7 @@
 	if w.flaws.tellsHalfDone && m.Has != nil {
 		m.Chosen = m.Has
 	}
-	l.queue = append(l.queue, parley.Pack(m))
+	l.queue = append(l.queue, rpc.Pack(m))
 	l.last = max(l.last, w.now+w.latency(i, j))
 	life := w.machines[j].life
 	w.after(l.last-w.now, func() { w.arrive(i, j, life, l) })
@@ -566,7 +566,7 @@
 	case w.blocked[[2]int{i, j}]:
 		l.stalled++
 	default:
-		m := &parley.Message{}
+		m := &rpc.Message{}
 		if err := cbor.Unmarshal(l.queue[0], m); err != nil {
 			w.failf("%v", err)
 		}
@@ -767,9 +767,9 @@
 	}
 	id, life := m.id, m.life
 	// A ballot may be accepted and outbid before it is put: what is put then stands behind its vote too.
-	var votes []parley.Ballot
+	var votes []rpc.Ballot
 	for _, v := range m.r.puts[p.Seq].waits {
-		if v.answer.Kind == parley.Agreed && v.answer.Name != epochName {
+		if v.answer.Kind == rpc.Agreed && v.answer.Name != epochName {
 			votes = append(votes, v.answer)
 		}
 	}
--- a/counsel/counsel.go
+++ b/internal/controlplane/counsel.go
@@ -1,9 +1,9 @@
-// Package counsel is the controller's side of the gateway: it holds the operator's word on disk with the other
+// Package controlplane is the controller's side of the gateway: it holds the operator's word on disk with the other
 // controllers, knows the backends by their beats and the carriers by their leases, and tells carriers what changed.
 //
 // One goroutine owns all tables (own) and works through a queue of commands; lines, the disk and HTTP calls only
 // queue and are answered. What is decided lies in accord, presence and bearing.
-package counsel
+package controlplane
 
 import (
 	"fmt"
@@ -16,13 +16,13 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/jonboulle/clockwork"
 
-	"elmfold/accord"
-	"elmfold/charter"
-	"elmfold/fault"
-	"elmfold/parley"
-	"elmfold/premise"
-	"elmfold/presence"
-	"elmfold/rapport"
+	"elmfold/internal/controlplane/consensus"
+	"elmfold/internal/controlplane/registry"
+	"elmfold/internal/gateway/apierror"
+	"elmfold/internal/gateway/bootconfig"
+	"elmfold/internal/gateway/routeconfig"
+	"elmfold/internal/gateway/rpc"
+	"elmfold/internal/gateway/session"
 )
 
 const (
@@ -48,7 +48,7 @@
 
 // Options make a Server.
 type Options struct {
-	Settings  *premise.Settings
+	Settings  *bootconfig.Settings
 	Disk      Disk
 	Known     bool // the disk is known never to have forgotten anything
 	Fresh     bool // ... it was empty
@@ -61,13 +61,13 @@
 
 type peer struct {
 	told bool // its first words on the line that stands have come
-	who  parley.Controller
-	out  *parley.Line // nil: down
+	who  rpc.Controller
+	out  *rpc.Line // nil: down
 }
 
 type carrier struct {
-	who     parley.Controller
-	line    *parley.Line
+	who     rpc.Controller
+	line    *rpc.Line
 	renewed uint64 // the newest renewal that was heard
 }
 
@@ -81,36 +81,36 @@
 type Server struct {
 	o     Options
 	log   hclog.Logger
-	me    parley.Controller
+	me    rpc.Controller
 	life  uint64
 	disk  string // the id of its disk
 	blank bool   // ... which may have forgotten that there is an epoch
 	began time.Time
-	queue *rapport.Queue
-	keep  *rapport.Keeper // its Keep belongs to own
+	queue *session.Queue
+	keep  *session.Keeper // its Keep belongs to own
 
 	// Owned by own.
-	replica      *accord.Replica
-	table        *presence.Table
+	replica      *consensus.Replica
+	table        *registry.Table
 	peers        map[string]*peer // by name
-	callers      rapport.Lines    // lines that other controllers dialled
-	carrierLines rapport.Lines    // that carriers did
-	carriers     map[*parley.Line]*carrier
-	waiting      map[uint64]chan<- accord.Done
+	callers      session.Lines    // lines that other controllers dialled
+	carrierLines session.Lines    // that carriers did
+	carriers     map[*rpc.Line]*carrier
+	waiting      map[uint64]chan<- consensus.Done
 	token        uint64
 	words        map[uint64]*word
 	seq          uint64
-	charter      *charter.Charter // in force
-	settled      bool             // what others know of backends was heard, or nobody knows more
-	touched      bool             // there was contact with a majority at the last look
-	everTouched  bool             // ... or before
+	charter      *routeconfig.Charter // in force
+	settled      bool                 // what others know of backends was heard, or nobody knows more
+	touched      bool                 // there was contact with a majority at the last look
+	everTouched  bool                 // ... or before
 	tickAt       time.Duration
 	pingAt       time.Duration
 	doubtTill    time.Duration
-	steer        *steering
+	steer        *steerer
 	diskFails    int
-	pending      []parley.Backend // words for carriers that may wait for the tick
-	list         []byte           // All, packed
+	pending      []rpc.Backend // words for carriers that may wait for the tick
+	list         []byte        // All, packed
 	listAt       time.Duration
 	dueAt        time.Duration // of the timer that calls step; 0: none runs
 	leaving      bool
@@ -119,36 +119,36 @@
 
 // New makes a Server; Run starts it.
 func New(o Options) *Server {
-	s := &Server{o: o, log: o.Log, life: rand.Uint64() | 1, began: o.Clock.Now(), queue: rapport.NewQueue(1024),
-		table: presence.New(o.Settings.Beat.Span()), peers: map[string]*peer{}, callers: rapport.Lines{Latest: true}, carrierLines: rapport.Lines{Latest: true},
-		carriers: map[*parley.Line]*carrier{}, waiting: map[uint64]chan<- accord.Done{}, words: map[uint64]*word{},
+	s := &Server{o: o, log: o.Log, life: rand.Uint64() | 1, began: o.Clock.Now(), queue: session.NewQueue(1024),
+		table: registry.New(o.Settings.Beat.Span()), peers: map[string]*peer{}, callers: session.Lines{Latest: true}, carrierLines: session.Lines{Latest: true},
+		carriers: map[*rpc.Line]*carrier{}, waiting: map[uint64]chan<- consensus.Done{}, words: map[uint64]*word{},
 		left: make(chan struct{})}
-	s.me = parley.Controller{Name: o.Settings.Name, Zone: o.Settings.Zone, Address: o.Settings.Own(),
+	s.me = rpc.Controller{Name: o.Settings.Name, Zone: o.Settings.Zone, Address: o.Settings.Own(),
 		Control: o.Settings.Listen["control"]}
-	s.keep = &rapport.Keeper{Queue: s.queue, Clock: o.Clock, Dial: o.Dial, Self: s.me.Name, Again: dialAgain,
-		Silence: silentFor, Hello: func() *parley.Message { return &parley.Message{Hello: s.hello()} }, Heard: s.heardPeer,
+	s.keep = &session.Keeper{Queue: s.queue, Clock: o.Clock, Dial: o.Dial, Self: s.me.Name, Again: dialAgain,
+		Silence: silentFor, Hello: func() *rpc.Message { return &rpc.Message{Hello: s.hello()} }, Heard: s.heardPeer,
 		Lost: s.lost}
 	first := o.Settings.Bootstrap && o.Fresh
 	drawn := fmt.Sprintf("%016x", rand.Uint64())
-	memory, err := accord.Load(s.me.Name, o.Disk.All(), o.Known, first, drawn)
+	memory, err := consensus.Load(s.me.Name, o.Disk.All(), o.Known, first, drawn)
 	if err != nil { // a disk that cannot be read has forgotten; the others have what was on it
 		s.log.Error("the disk is taken for a new one", "err", err)
-		memory, _ = accord.Load(s.me.Name, o.Disk.All(), false, false, drawn)
+		memory, _ = consensus.Load(s.me.Name, o.Disk.All(), false, false, drawn)
 	}
 	var seeds []string
 	for _, seed := range o.Settings.Seeds {
 		seeds = append(seeds, o.Settings.Peer(seed))
 	}
 	s.disk, s.blank = memory.Disk, memory.Blank
-	s.replica = accord.New(accord.Options{Me: s.me, Life: s.life, Faults: o.Settings.FaultBudget.Machines, Seeds: seeds,
+	s.replica = consensus.New(consensus.Options{Me: s.me, Life: s.life, Faults: o.Settings.FaultBudget.Machines, Seeds: seeds,
 		Memory: memory})
 	s.settled = first
-	s.steer = newSteering(s)
+	s.steer = newSteerer(s)
 	return s
 }
 
-func (s *Server) hello() *parley.Hello {
-	return &parley.Hello{Who: s.me, Life: s.life, Disk: s.disk, Blank: s.blank}
+func (s *Server) hello() *rpc.Hello {
+	return &rpc.Hello{Who: s.me, Life: s.life, Disk: s.disk, Blank: s.blank}
 }
 
 // Run serves until the program ends.
@@ -183,7 +183,7 @@
 	s.queue.Do(func() {
 		if !s.leaving {
 			s.leaving = true
-			s.step(accord.Leave{})
+			s.step(consensus.Leave{})
 		}
 	})
 	select {
@@ -198,33 +198,33 @@
 func (s *Server) now() time.Duration { return s.o.Clock.Now().Sub(s.began) }
 
 // step hands events to the replica and carries its orders out.
-func (s *Server) step(events ...accord.Event) {
+func (s *Server) step(events ...consensus.Event) {
 	for _, o := range s.replica.Step(s.now(), events...) {
 		switch o := o.(type) {
-		case accord.Persist:
+		case consensus.Persist:
 			s.o.Disk.PutAsync(o.Record, o.Value, func(err error) {
 				s.queue.Post(func() {
 					if err != nil {
 						s.diskFails++
 						s.log.Error("the disk failed", "record", o.Record, "err", err)
 					}
-					s.step(accord.Persisted{Seq: o.Seq, Err: err})
+					s.step(consensus.Persisted{Seq: o.Seq, Err: err})
 				})
 			})
-		case accord.Send:
+		case consensus.Send:
 			if p := s.peers[o.To]; p != nil && p.out != nil {
 				p.out.Send(o.Message)
 			}
-		case accord.InForce:
+		case consensus.InForce:
 			s.inForce(o.Register)
-		case accord.Entered:
+		case consensus.Entered:
 			s.entered(o.Epoch)
-		case accord.Done:
+		case consensus.Done:
 			if done := s.waiting[o.Token]; done != nil {
 				delete(s.waiting, o.Token)
 				done <- o
 			}
-		case accord.Left:
+		case consensus.Left:
 			close(s.left)
 		}
 	}
@@ -243,7 +243,7 @@
 }
 
 // entered: who votes has changed.
-func (s *Server) entered(e parley.Epoch) {
+func (s *Server) entered(e rpc.Epoch) {
 	names := []string{}
 	for _, v := range e.Voters {
 		names = append(names, v.Name)
@@ -252,7 +252,7 @@
 	for _, v := range e.All() {
 		s.keep.Keep(v.Address)
 	}
-	s.toCarriers(&parley.Message{Epoch: &e})
+	s.toCarriers(&rpc.Message{Epoch: &e})
 }
 
 // lookTouch tells carriers once contact with a majority is there: what is said from now on is new.
@@ -273,8 +273,8 @@
 func (s *Server) inTouch() bool { return s.replica.InTouch(s.now()) }
 
 // standing is what this controller holds of the registers, as carriers are told it first on a line.
-func (s *Server) standing() *parley.Message {
-	m := &parley.Message{Held: map[string]parley.Stamp{}, Safe: map[string]parley.Stamp{}, Apart: !s.inTouch()}
+func (s *Server) standing() *rpc.Message {
+	m := &rpc.Message{Held: map[string]rpc.Stamp{}, Safe: map[string]rpc.Stamp{}, Apart: !s.inTouch()}
 	m.All = s.replica.Votes() && !m.Apart
 	if e := s.replica.Epoch(); e.Number > 0 {
 		m.Epoch = &e
@@ -292,11 +292,11 @@
 }
 
 // inForce tells carriers of what has become safe. They ask for a configuration where it is nearest to them.
-func (s *Server) inForce(r accord.Register) {
+func (s *Server) inForce(r consensus.Register) {
 	s.log.Info("in force", "register", r.Name, "hi", r.Stamp.Hi)
-	m := &parley.Message{Safe: map[string]parley.Stamp{r.Name: r.Stamp}}
+	m := &rpc.Message{Safe: map[string]rpc.Stamp{r.Name: r.Stamp}}
 	if r.Name == charterName {
-		c, err := charter.Read(r.Value)
+		c, err := routeconfig.Read(r.Value)
 		if err != nil { // it was checked before it was written
 			s.log.Error("a configuration in force cannot be read", "err", err)
 			return
@@ -304,14 +304,14 @@
 		s.charter = c
 		s.steer.configured(c)
 	} else {
-		m.Offers = []parley.Register{r}
+		m.Offers = []rpc.Register{r}
 		s.steer.changed()
 	}
 	s.toCarriers(m)
 }
 
-func (s *Server) toCarriers(m *parley.Message) {
-	body := parley.Pack(m) // once, for all lines
+func (s *Server) toCarriers(m *rpc.Message) {
+	body := rpc.Pack(m) // once, for all lines
 	for l := range s.carriers {
 		l.SendPacked(body)
 	}
@@ -322,7 +322,7 @@
 	out := map[string]bool{}
 	for _, name := range s.replica.Names() {
 		if zone, ok := strings.CutPrefix(name, zonePrefix); ok {
-			if r, is := s.replica.InForce(name); is && accord.Evacuated(r.Value) {
+			if r, is := s.replica.InForce(name); is && consensus.Evacuated(r.Value) {
 				out[zone] = true
 			}
 		}
@@ -342,7 +342,7 @@
 		s.pingAt = now
 		for _, p := range s.peers {
 			if p.out != nil {
-				p.out.Send(&parley.Message{Renew: 1})
+				p.out.Send(&rpc.Message{Renew: 1})
 			}
 		}
 		s.expire(now)
@@ -352,24 +352,24 @@
 	for seq, w := range s.words {
 		if now > w.until {
 			delete(s.words, seq)
-			w.done <- fault.New(fault.Unsafe, "", nil)
+			w.done <- apierror.New(apierror.Unsafe, "", nil)
 		}
 	}
 	// Nobody who knows more is there: all founders have told what they know, or what beats say is all there is.
 	if !s.settled && (s.metAll() || now > 2*s.o.Settings.Beat.Span()) {
 		s.settled = true
-		s.toCarriers(&parley.Message{Settled: true})
+		s.toCarriers(&rpc.Message{Settled: true})
 	}
 }
 
 func (s *Server) expire(now time.Duration) {
 	if news := s.table.Tick(now); len(news) > 0 {
-		s.toCarriers(&parley.Message{Backends: news})
+		s.toCarriers(&rpc.Message{Backends: news})
 		s.steer.changed()
 	}
 	// Once a second and as changes: while a fleet starts, each member told at once to each would be its square.
 	if went, came := s.table.Changes(now); len(went)+len(came) > 0 {
-		s.toCarriers(&parley.Message{Went: went, Came: came})
+		s.toCarriers(&rpc.Message{Went: went, Came: came})
 		s.steer.changed()
 	}
 }
@@ -386,7 +386,7 @@
 }
 
 // know takes word of controllers.
-func (s *Server) know(all ...parley.Controller) {
+func (s *Server) know(all ...rpc.Controller) {
 	for _, c := range all {
 		if c.Name != "" && c.Name != s.me.Name {
 			s.keep.Keep(c.Address)
@@ -394,26 +394,26 @@
 	}
 }
 
-func (s *Server) known() []parley.Controller {
-	all := []parley.Controller{s.me}
+func (s *Server) known() []rpc.Controller {
+	all := []rpc.Controller{s.me}
 	for _, p := range s.peers {
 		if p.who.Name != "" {
 			all = append(all, p.who)
 		}
 	}
-	slices.SortFunc(all, func(a, b parley.Controller) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b rpc.Controller) int { return strings.Compare(a.Name, b.Name) })
 	return all
 }
 
 // later tells carriers of what comes, gathered for as long as telling all of them is work, and at once of what leaves
 // or turned cold. Few carriers are told at once: after a loss of all each moment without backends is lost.
-func (s *Server) later(news []parley.Backend) {
+func (s *Server) later(news []rpc.Backend) {
 	wait := time.Duration(len(s.carriers)) * gatherEach
 	first := len(s.pending) == 0
 	s.pending = append(s.pending, news...)
 	urgent := wait < gatherLeast
 	for _, b := range news {
-		urgent = urgent || b.State != parley.Ready || b.ColdLeft > 0
+		urgent = urgent || b.State != rpc.Ready || b.ColdLeft > 0
 	}
 	switch {
 	case urgent:
@@ -426,7 +426,7 @@
 // flush tells carriers what has gathered since the last tick.
 func (s *Server) flush() {
 	if len(s.pending) > 0 {
-		s.toCarriers(&parley.Message{Backends: s.pending})
+		s.toCarriers(&rpc.Message{Backends: s.pending})
 		s.pending = nil
 	}
 }
@@ -435,7 +435,7 @@
 func (s *Server) packed() []byte {
 	if now := s.now(); s.list == nil || now >= s.listAt+tickEvery {
 		s.flush()
-		s.list, s.listAt = parley.Pack(&parley.Message{Backends: s.table.All(now)}), now
+		s.list, s.listAt = rpc.Pack(&rpc.Message{Backends: s.table.All(now)}), now
 	}
 	return s.list
 }
