--- a/counsel/counsel_test.go
+++ b/internal/controlplane/counsel_test.go
@@ -1,4 +1,4 @@
-package counsel_test
+package controlplane_test
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 	"github.com/hexops/autogold"
 	"github.com/jonboulle/clockwork"
 
-	"elmfold/counsel"
 	"elmfold/gauntlet"
-	"elmfold/parley"
-	"elmfold/premise"
+	"elmfold/internal/controlplane"
+	"elmfold/internal/gateway/bootconfig"
+	"elmfold/internal/gateway/rpc"
 )
 
 // core is a controller on a machine of its own.
@@ -27,7 +27,7 @@
 	name, ip string
 	host     *gauntlet.Host
 	disk     *gauntlet.Disk
-	server   *counsel.Server
+	server   *controlplane.Server
 }
 
 // council is some controllers on one network, and what is written down of them.
@@ -45,7 +45,7 @@
 		k := &core{name: fmt.Sprintf("core-%d", i), ip: fmt.Sprintf("10.0.0.%d", 10+i),
 			disk: gauntlet.NewDisk(time.Millisecond)}
 		k.host = c.net.Host(k.ip)
-		set := premise.Default()
+		set := bootconfig.Default()
 		set.Name, set.IP, set.Zone = k.name, k.ip, []string{"north", "south", "west"}[i%3]
 		set.Zones = map[string]string{"north": "land", "south": "land", "west": "land"}
 		set.Ports, set.Bootstrap, set.FaultBudget.Machines = [2]int{7540, 7555}, true, faults
@@ -57,7 +57,7 @@
 		}
 		host := k.host // this life's: a dial may outlast it
 		disk, known, fresh := k.disk.Open(k.host)
-		k.server = counsel.New(counsel.Options{Settings: &set, Disk: disk, Known: known, Fresh: fresh,
+		k.server = controlplane.New(controlplane.Options{Settings: &set, Disk: disk, Known: known, Fresh: fresh,
 			Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(), Listen: lines, TimeOfDay: time.Now,
 			Dial: func(address string) (net.Conn, error) {
 				ctx, cancel := context.WithTimeout(context.Background(), 350*time.Millisecond)
@@ -141,9 +141,9 @@
 	if err != nil {
 		panic(err)
 	}
-	line := parley.NewLine(conn)
-	who := parley.Controller{Name: "edge-0", Zone: "north"}
-	line.Send(&parley.Message{Hello: &parley.Hello{Who: who, Life: 1, Carrier: true}})
+	line := rpc.NewLine(conn)
+	who := rpc.Controller{Name: "edge-0", Zone: "north"}
+	line.Send(&rpc.Message{Hello: &rpc.Hello{Who: who, Life: 1, Carrier: true}})
 	go func() {
 		defer line.Close()
 		for {
@@ -161,7 +161,7 @@
 				}
 			}
 			if m.Renewed == 0 {
-				line.Send(&parley.Message{Renew: 1})
+				line.Send(&rpc.Message{Renew: 1})
 			}
 		}
 	}()
@@ -169,11 +169,11 @@
 }
 
 // value is that of an evacuation; stamps hold times and digests, and the version tells enough of a configuration.
-func (c *council) value(m *parley.Message, name string, s parley.Stamp) string {
+func (c *council) value(m *rpc.Message, name string, s rpc.Stamp) string {
 	if name == "charter" {
 		return fmt.Sprintf(" in version %d", s.Hi)
 	}
-	i := slices.IndexFunc(m.Offers, func(r parley.Register) bool { return r.Name == name })
+	i := slices.IndexFunc(m.Offers, func(r rpc.Register) bool { return r.Name == name })
 	if i < 0 {
 		return ""
 	}
--- a/counsel/lines.go
+++ b/internal/controlplane/lines.go
@@ -1,21 +1,21 @@
-package counsel
+package controlplane
 
 import (
 	"net"
 	"time"
 
-	"elmfold/accord"
-	"elmfold/parley"
+	"elmfold/internal/controlplane/consensus"
+	"elmfold/internal/gateway/rpc"
 )
 
-func (s *Server) lost(name string, _ *parley.Line) {
+func (s *Server) lost(name string, _ *rpc.Line) {
 	s.peers[name].out = nil
 	s.log.Info("line lost", "to", name)
-	s.step(accord.Down{Who: name})
+	s.step(consensus.Down{Who: name})
 }
 
 // heardPeer takes a message on a line that was dialled from here.
-func (s *Server) heardPeer(name string, line *parley.Line, m *parley.Message) {
+func (s *Server) heardPeer(name string, line *rpc.Line, m *rpc.Message) {
 	if m.Hello != nil {
 		p := s.peers[name]
 		if p == nil {
@@ -24,8 +24,8 @@
 		}
 		p.who, p.out, p.told = m.Hello.Who, line, true
 		s.log.Info("line up", "to", name)
-		line.Send(&parley.Message{Know: s.known(), Backends: s.table.All(s.now())})
-		s.step(accord.Up{Who: m.Hello.Who, Disk: m.Hello.Disk, Blank: m.Hello.Blank})
+		line.Send(&rpc.Message{Know: s.known(), Backends: s.table.All(s.now())})
+		s.step(consensus.Up{Who: m.Hello.Who, Disk: m.Hello.Disk, Blank: m.Hello.Blank})
 	}
 	s.heard(name, line, m)
 }
@@ -47,8 +47,8 @@
 }
 
 func (s *Server) serveLine(c net.Conn) {
-	line := parley.NewLine(c)
-	var who *parley.Hello
+	line := rpc.NewLine(c)
+	var who *rpc.Hello
 	for {
 		m, err := line.Receive(silentFor)
 		if err != nil {
@@ -80,8 +80,8 @@
 				if p := s.peers[from.Who.Name]; p == nil || p.out == nil {
 					s.keep.Now(from.Who.Address) // it is there: after a loss of all each moment counts
 				}
-				line.Send(&parley.Message{Hello: s.hello(), Know: s.known(), Backends: s.table.All(s.now()), Settled: s.settled})
-				s.step(accord.Met{Who: from.Who, Disk: from.Disk, Blank: from.Blank})
+				line.Send(&rpc.Message{Hello: s.hello(), Know: s.known(), Backends: s.table.All(s.now()), Settled: s.settled})
+				s.step(consensus.Met{Who: from.Who, Disk: from.Disk, Blank: from.Blank})
 			}
 			if s.callers.Speaks(from.Who.Name, line) {
 				s.heard(from.Who.Name, line, m)
@@ -106,9 +106,9 @@
 
 // heard takes what another controller says, on whichever line; answers go out on the one dialled from here, as those
 // of the replica do, or on the line itself.
-func (s *Server) heard(name string, line *parley.Line, m *parley.Message) {
+func (s *Server) heard(name string, line *rpc.Line, m *rpc.Message) {
 	if m.Renew > 0 && m.Reply == 0 {
-		line.Send(&parley.Message{Renewed: m.Renew}) // both directions of a line speak once a second
+		line.Send(&rpc.Message{Renewed: m.Renew}) // both directions of a line speak once a second
 	}
 	s.know(m.Know...)
 	if len(m.Backends) > 0 {
@@ -116,10 +116,10 @@
 	}
 	if m.Settled && !s.settled {
 		s.settled = true
-		s.toCarriers(&parley.Message{Settled: true})
+		s.toCarriers(&rpc.Message{Settled: true})
 	}
 	if m.Seq > 0 {
-		line.Send(&parley.Message{Reply: m.Seq})
+		line.Send(&rpc.Message{Reply: m.Seq})
 	}
 	if w := s.words[m.Reply]; m.Reply > 0 && w != nil {
 		if w.has[name] = true; s.enough(w) {
@@ -128,7 +128,7 @@
 		}
 	}
 	if m.Disk != "" {
-		s.step(accord.Heard{Who: name, Message: m})
+		s.step(consensus.Heard{Who: name, Message: m})
 	}
 }
 
@@ -136,12 +136,12 @@
 // though as many as may be lost at once are gone.
 func (s *Server) enough(w *word) bool {
 	e := s.replica.Epoch()
-	return e.Safe(s.o.Settings.FaultBudget.Machines, func(v parley.Voter) bool { return w.has[v.Name] })
+	return e.Safe(s.o.Settings.FaultBudget.Machines, func(v rpc.Voter) bool { return w.has[v.Name] })
 }
 
 // toldBackends takes words of another controller; what is news here is passed on to the carriers at once, as the one
 // that it came from may be gone before it told them all.
-func (s *Server) toldBackends(words []parley.Backend) {
+func (s *Server) toldBackends(words []rpc.Backend) {
 	if news := s.table.Told(s.now(), words); len(news) > 0 {
 		s.later(news)
 		s.steer.changed()
@@ -149,11 +149,11 @@
 }
 
 // spread tells carriers and controllers of words that are news.
-func (s *Server) spread(news []parley.Backend) {
+func (s *Server) spread(news []rpc.Backend) {
 	if len(news) == 0 {
 		return
 	}
-	m := &parley.Message{Backends: news}
+	m := &rpc.Message{Backends: news}
 	s.later(news)
 	for _, p := range s.peers {
 		if p.out != nil {
@@ -165,11 +165,11 @@
 
 // spreadSure does so for words of leaving, and says when enough controllers have them: the one that acknowledges may
 // be gone the next moment, and a new life of a carrier asks as many as make it meet one that knows.
-func (s *Server) spreadSure(news []parley.Backend, done chan<- error) {
+func (s *Server) spreadSure(news []rpc.Backend, done chan<- error) {
 	s.seq++
-	m := &parley.Message{Seq: s.seq, Backends: news}
+	m := &rpc.Message{Seq: s.seq, Backends: news}
 	s.flush() // in their order
-	s.toCarriers(&parley.Message{Backends: news})
+	s.toCarriers(&rpc.Message{Backends: news})
 	for _, p := range s.peers {
 		if p.out != nil {
 			p.out.Send(m)
@@ -186,7 +186,7 @@
 	}
 }
 
-func (s *Server) heardCarrier(from parley.Hello, line *parley.Line, m *parley.Message) {
+func (s *Server) heardCarrier(from rpc.Hello, line *rpc.Line, m *rpc.Message) {
 	now := s.now()
 	c := s.carriers[line]
 	if m.Hello != nil && c == nil {
@@ -201,14 +201,14 @@
 		return
 	}
 	if m.Renew > 0 {
-		line.Send(&parley.Message{Renewed: m.Renew, Apart: !s.inTouch()})
+		line.Send(&rpc.Message{Renewed: m.Renew, Apart: !s.inTouch()})
 		c.renewed = m.Renew
-		s.table.Renew(now, parley.Member{Name: c.who.Name, Zone: c.who.Zone})
+		s.table.Renew(now, rpc.Member{Name: c.who.Name, Zone: c.who.Zone})
 		s.steer.report(c, m)
 	}
 	for _, name := range m.Want {
 		if r, is := s.replica.InForce(name); is {
-			line.Send(&parley.Message{Offers: []parley.Register{r}, Safe: map[string]parley.Stamp{name: r.Stamp}})
+			line.Send(&rpc.Message{Offers: []rpc.Register{r}, Safe: map[string]rpc.Stamp{name: r.Stamp}})
 		}
 	}
 	if m.Leave {
--- a/counsel/main.go
+++ b/internal/controlplane/main.go
@@ -1,4 +1,4 @@
-package counsel
+package controlplane
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"elmfold/entry"
-	"elmfold/premise"
-	"elmfold/record"
-	"elmfold/trace"
+	"elmfold/internal/controlplane/storage"
+	"elmfold/internal/gateway/bootconfig"
+	"elmfold/internal/gateway/cli"
+	"elmfold/internal/gateway/logbuffer"
 )
 
 const (
@@ -28,11 +28,11 @@
 
 // Main is the program.
 func Main(args []string, out, errs io.Writer) int {
-	return entry.Main("counsel", about, args, out, errs, serve)
+	return cli.Main("counsel", about, args, out, errs, serve)
 }
 
-func serve(settings *premise.Settings, o entry.Options) error {
-	ring, log := trace.New(settings.Name, os.Stderr, time.Now, o.Verbose)
+func serve(settings *bootconfig.Settings, o cli.Options) error {
+	ring, log := logbuffer.New(settings.Name, os.Stderr, time.Now, o.Verbose)
 	if settings.Listen["control"] == "" || settings.DataDir == "" {
 		return errors.New("listen.control, dataDir: a controller needs both")
 	}
@@ -40,7 +40,7 @@
 	if mb := settings.Limits.MemoryMB; mb > 0 {
 		debug.SetMemoryLimit(int64(mb * 0.8 * (1 << 20)))
 	}
-	store, found, err := record.Open(settings.DataDir, int64(settings.Limits.DiskMB*0.8)<<20)
+	store, found, err := storage.Open(settings.DataDir, int64(settings.Limits.DiskMB*0.8)<<20)
 	if err != nil {
 		return err
 	}
@@ -49,16 +49,16 @@
 	if found.Forgot {
 		log.Warn("the disk has forgotten something: it is a new one now, and votes once it has all that the others have")
 	}
-	lines, err := entry.Listen(settings.Own())
+	lines, err := cli.Listen(settings.Own())
 	if err != nil {
 		return err
 	}
-	calls, err := entry.Listen(settings.Listen["control"])
+	calls, err := cli.Listen(settings.Listen["control"])
 	if err != nil {
 		return err
 	}
 	s := New(Options{Settings: settings, Disk: store, Known: found.Known, Fresh: found.Fresh, Log: log,
-		Clock: clockwork.NewRealClock(), Dial: entry.Dial, Listen: lines, TimeOfDay: time.Now})
+		Clock: clockwork.NewRealClock(), Dial: cli.Dial, Listen: lines, TimeOfDay: time.Now})
 	server := &http.Server{Handler: s.Handler(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 20 * time.Second,
 		IdleTimeout: 20 * time.Second}
 	go func() {
@@ -71,7 +71,7 @@
 	go func() {
 		for sig := range signals {
 			if sig == syscall.SIGHUP {
-				if next, err := premise.FromEnvironment(); err != nil {
+				if next, err := bootconfig.FromEnvironment(); err != nil {
 					log.Error("settings stay as they were", "err", err)
 				} else {
 					s.Reload(next)
@@ -93,7 +93,7 @@
 }
 
 // Reload takes settings that were changed while the program runs: new seeds are dialled, the rest waits for a restart.
-func (s *Server) Reload(next *premise.Settings) {
+func (s *Server) Reload(next *bootconfig.Settings) {
 	s.queue.Do(func() {
 		for _, seed := range next.Seeds {
 			s.keep.Keep(s.o.Settings.Peer(seed))
--- a/ballot/ballot.go
+++ b/internal/controlplane/paxos/ballot.go
@@ -1,16 +1,16 @@
-// Package ballot is the agreement on one register, without its network, its disk and its time: what one disk has
+// Package paxos is the agreement on one register, without its network, its disk and its time: what one disk has
 // promised and accepted (Acceptor), and one attempt to have a value chosen (Proposal). Who votes, and how many are
 // enough, its users know: accord's registers and stage's decisions.
 //
 // It is single-decree Paxos (Lamport, Paxos Made Simple, 2001), used again and again on the same register as CASPaxos
 // does (Rystsov 2018): a proposer reads from a quorum, changes what it found, and writes to a quorum. An acceptor's
 // answer may be said only once the state behind it is on its disk.
-package ballot
+package paxos
 
-import "elmfold/parley"
+import "elmfold/internal/gateway/rpc"
 
 // Stamp is a ballot's number: Hi rises, Lo tells proposers and their lives apart. The zero Stamp is before all.
-type Stamp = parley.Stamp
+type Stamp = rpc.Stamp
 
 // Acceptor is one disk's part in one register.
 type Acceptor[V any] struct {
--- a/ballot/ballot_test.go
+++ b/internal/controlplane/paxos/ballot_test.go
@@ -1,4 +1,4 @@
-package ballot
+package paxos
 
 import (
 	"cmp"
--- a/presence/presence.go
+++ b/internal/controlplane/registry/presence.go
@@ -1,10 +1,10 @@
-// Package presence settles which backends there are and which carriers hold a lease, at one controller: soft state
+// Package registry settles which backends there are and which carriers hold a lease, at one controller: soft state
 // that is told again. It does no I/O and reads no clock; times are spans since the process began.
 //
 // A backend's life is its id. Its newest word is the one of the greatest callSeq, and a life only moves on: ready,
 // draining, gone. A controller vouches for those whose beats it hears itself; carriers keep a backend as long as
 // anybody vouches for it, and while nobody who has listened for long enough is there to say otherwise.
-package presence
+package registry
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"slices"
 	"time"
 
-	"elmfold/parley"
+	"elmfold/internal/gateway/rpc"
 )
 
 const (
@@ -27,16 +27,16 @@
 
 // Life is what is known of a backend.
 type Life struct {
-	parley.Backend               // as last said; ColdLeft and Vouched are not kept here
-	HeardAt        time.Duration // its last beat here; negative: never
-	ColdUntil      time.Duration
-	goneAt         time.Duration
-	toldAt         time.Duration // the last word of it, from whomever
-	vouched        bool          // as it was told to carriers
+	rpc.Backend               // as last said; ColdLeft and Vouched are not kept here
+	HeardAt     time.Duration // its last beat here; negative: never
+	ColdUntil   time.Duration
+	goneAt      time.Duration
+	toldAt      time.Duration // the last word of it, from whomever
+	vouched     bool          // as it was told to carriers
 }
 
 type lease struct {
-	parley.Member
+	rpc.Member
 	until time.Duration
 }
 
@@ -46,7 +46,7 @@
 	lives  map[string]*Life
 	at     map[string]string // the newest life by address
 	leases map[string]lease
-	came   []parley.Member // since Changes
+	came   []rpc.Member // since Changes
 	went   []string
 }
 
@@ -57,15 +57,15 @@
 
 // Beat takes a beat that was heard here. It returns the words that are news to others: to carriers and the other
 // controllers; none if nothing changed. Late says that the word was overtaken by a newer one.
-func (t *Table) Beat(now time.Duration, b parley.Backend) (news []parley.Backend, late bool) {
+func (t *Table) Beat(now time.Duration, b rpc.Backend) (news []rpc.Backend, late bool) {
 	l := t.lives[b.ID]
-	if l != nil && (b.Seq < l.Seq && b.Seq > 0 || l.State == parley.Gone) {
+	if l != nil && (b.Seq < l.Seq && b.Seq > 0 || l.State == rpc.Gone) {
 		return nil, true
 	}
 	changed := t.merge(now, b)
 	l = t.lives[b.ID]
 	l.HeardAt = now
-	if !l.vouched && l.State != parley.Gone {
+	if !l.vouched && l.State != rpc.Gone {
 		l.vouched, changed = true, true
 	}
 	if changed {
@@ -75,20 +75,20 @@
 }
 
 // Leave takes a backend's word that it ends.
-func (t *Table) Leave(now time.Duration, id string, seq uint64) []parley.Backend {
+func (t *Table) Leave(now time.Duration, id string, seq uint64) []rpc.Backend {
 	l := t.lives[id]
 	if l == nil {
-		l = &Life{Backend: parley.Backend{ID: id}, HeardAt: -1}
+		l = &Life{Backend: rpc.Backend{ID: id}, HeardAt: -1}
 		t.lives[id] = l
-	} else if l.State == parley.Gone {
+	} else if l.State == rpc.Gone {
 		return nil
 	}
-	l.State, l.goneAt, l.vouched, l.Seq = parley.Gone, now, false, max(l.Seq, seq)
-	return []parley.Backend{t.word(now, l, false)}
+	l.State, l.goneAt, l.vouched, l.Seq = rpc.Gone, now, false, max(l.Seq, seq)
+	return []rpc.Backend{t.word(now, l, false)}
 }
 
 // Told takes words of another controller; it returns those that were news here too.
-func (t *Table) Told(now time.Duration, words []parley.Backend) (news []parley.Backend) {
+func (t *Table) Told(now time.Duration, words []rpc.Backend) (news []rpc.Backend) {
 	for _, b := range words {
 		if t.merge(now, b) {
 			l := t.lives[b.ID]
@@ -100,7 +100,7 @@
 }
 
 // merge says whether something changed that others want to know.
-func (t *Table) merge(now time.Duration, b parley.Backend) bool {
+func (t *Table) merge(now time.Duration, b rpc.Backend) bool {
 	l := t.lives[b.ID]
 	if l != nil {
 		l.toldAt = now
@@ -111,7 +111,7 @@
 		if l.ColdUntil = now; b.ColdLeft > 0 {
 			l.ColdUntil = now + time.Duration(b.ColdLeft)*time.Millisecond
 		}
-		if l.State == parley.Gone {
+		if l.State == rpc.Gone {
 			l.goneAt = now
 		}
 		return true
@@ -122,11 +122,11 @@
 	changed := false
 	if b.State > l.State { // never back: a late beat does not revive what drains
 		l.State, changed = b.State, true
-		if l.goneAt = now; l.State == parley.Gone {
+		if l.goneAt = now; l.State == rpc.Gone {
 			l.vouched = false
 		}
 	}
-	if b.Seq >= l.Seq && b.State != parley.Gone {
+	if b.Seq >= l.Seq && b.State != rpc.Gone {
 		state := l.State
 		until := now + time.Duration(b.ColdLeft)*time.Millisecond
 		// Beats of a cold backend say less each time; only a new spell is news.
@@ -142,8 +142,8 @@
 }
 
 // replaced ends the life that had an address before: its process ended without a word, or its word is still to come.
-func (t *Table) replaced(now time.Duration, l *Life) []parley.Backend {
-	if l.State == parley.Gone || l.Address == "" {
+func (t *Table) replaced(now time.Duration, l *Life) []rpc.Backend {
+	if l.State == rpc.Gone || l.Address == "" {
 		return nil
 	}
 	was := t.at[l.Address]
@@ -151,24 +151,24 @@
 		return nil // that one beats here, and this word may be older than it
 	}
 	t.at[l.Address] = l.ID
-	if old := t.lives[was]; was != l.ID && old != nil && old.State != parley.Gone && old.Address == l.Address {
+	if old := t.lives[was]; was != l.ID && old != nil && old.State != rpc.Gone && old.Address == l.Address {
 		return t.Leave(now, was, old.Seq)
 	}
 	return nil
 }
 
-func (t *Table) word(now time.Duration, l *Life, vouched bool) parley.Backend {
+func (t *Table) word(now time.Duration, l *Life, vouched bool) rpc.Backend {
 	w := l.Backend
 	w.Vouched, w.ColdLeft = vouched, int(max(l.ColdUntil-now, 0)/time.Millisecond)
 	return w
 }
 
 // Tick ends what has been silent; it returns the words that are news to carriers: for whom nobody vouches here now.
-func (t *Table) Tick(now time.Duration) (news []parley.Backend) {
+func (t *Table) Tick(now time.Duration) (news []rpc.Backend) {
 	silent := time.Duration(silentBeats * float64(t.beat))
 	for _, id := range slices.Sorted(maps.Keys(t.lives)) {
 		switch l := t.lives[id]; {
-		case l.State == parley.Gone && now > l.goneAt+forgetAfter:
+		case l.State == rpc.Gone && now > l.goneAt+forgetAfter:
 			delete(t.lives, id)
 			if t.at[l.Address] == id {
 				delete(t.at, l.Address)
@@ -176,7 +176,7 @@
 		case l.vouched && now > l.HeardAt+silent:
 			l.vouched = false
 			news = append(news, t.word(now, l, false))
-		case !l.vouched && l.State != parley.Gone && now > max(l.HeardAt, l.goneAt, l.toldAt)+forgetAfter*4:
+		case !l.vouched && l.State != rpc.Gone && now > max(l.HeardAt, l.goneAt, l.toldAt)+forgetAfter*4:
 			delete(t.lives, id)
 		}
 	}
@@ -184,18 +184,18 @@
 }
 
 // All is every life, for a controller that has a new line here and for a carrier that is steered from here.
-func (t *Table) All(now time.Duration) []parley.Backend {
+func (t *Table) All(now time.Duration) []rpc.Backend {
 	return t.words(now, func(*Life) bool { return true })
 }
 
 // Own are the lives that this controller vouches for, and those that leave: what a carrier with a new line here cannot
 // do without. The rest it hears from whoever vouches, and as a whole from the one that steers it.
-func (t *Table) Own(now time.Duration) []parley.Backend {
-	return t.words(now, func(l *Life) bool { return l.vouched || l.State != parley.Ready })
+func (t *Table) Own(now time.Duration) []rpc.Backend {
+	return t.words(now, func(l *Life) bool { return l.vouched || l.State != rpc.Ready })
 }
 
-func (t *Table) words(now time.Duration, which func(*Life) bool) []parley.Backend {
-	var all []parley.Backend
+func (t *Table) words(now time.Duration, which func(*Life) bool) []rpc.Backend {
+	var all []rpc.Backend
 	for _, id := range slices.Sorted(maps.Keys(t.lives)) {
 		if l := t.lives[id]; which(l) {
 			all = append(all, t.word(now, l, l.vouched))
@@ -211,7 +211,7 @@
 func (t *Table) Lives() []*Life {
 	var all []*Life
 	for _, l := range t.lives {
-		if l.State != parley.Gone {
+		if l.State != rpc.Gone {
 			all = append(all, l)
 		}
 	}
@@ -220,7 +220,7 @@
 }
 
 // Renew takes a carrier's renewal; it says whether it is a new member.
-func (t *Table) Renew(now time.Duration, m parley.Member) (came bool) {
+func (t *Table) Renew(now time.Duration, m rpc.Member) (came bool) {
 	_, held := t.leases[m.Name]
 	t.leases[m.Name] = lease{Member: m, until: now + LeaseFor}
 	if !held {
@@ -239,7 +239,7 @@
 
 // Changes ends the leases that were not renewed, and says who became a member and who is none any more since the last
 // call, in that order: one in both went, and came again after.
-func (t *Table) Changes(now time.Duration) (went []string, came []parley.Member) {
+func (t *Table) Changes(now time.Duration) (went []string, came []rpc.Member) {
 	for _, name := range slices.Sorted(maps.Keys(t.leases)) {
 		if now > t.leases[name].until {
 			t.Release(name)
@@ -256,11 +256,11 @@
 }
 
 // Members are those that hold a lease, in the order of their names.
-func (t *Table) Members() []parley.Member {
-	all := make([]parley.Member, 0, len(t.leases))
+func (t *Table) Members() []rpc.Member {
+	all := make([]rpc.Member, 0, len(t.leases))
 	for _, l := range t.leases {
 		all = append(all, l.Member)
 	}
-	slices.SortFunc(all, func(a, b parley.Member) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b rpc.Member) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
--- a/stage/ballot.go
+++ b/internal/controlplane/rollout/ballot.go
@@ -1,11 +1,11 @@
-package stage
+package rollout
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"elmfold/ballot"
+	"elmfold/internal/controlplane/paxos"
 )
 
 func (s *Steward) send(to string, m Message) {
@@ -96,7 +96,7 @@
 			s.end(c, c.prop.Value)
 		}
 	case Higher:
-		if c.prop.Phase != ballot.Idle && c.prop.Ballot.Less(m.Ballot) {
+		if c.prop.Phase != paxos.Idle && c.prop.Ballot.Less(m.Ballot) {
 			c.prop.Stop() // the next one waits: two that overtake each other at once would do so for ever
 		}
 	case Decided:
--- a/stage/drawn_test.go
+++ b/internal/controlplane/rollout/drawn_test.go
@@ -1,4 +1,4 @@
-package stage
+package rollout
 
 import (
 	"errors"
--- a/stage/every_test.go
+++ b/internal/controlplane/rollout/every_test.go
@@ -1,4 +1,4 @@
-package stage
+package rollout
 
 import (
 	"encoding/binary"
@@ -11,7 +11,7 @@
 
 	"github.com/zeebo/xxh3"
 
-	"elmfold/ballot"
+	"elmfold/internal/controlplane/paxos"
 )
 
 func (c *change) clone() *change {
@@ -145,7 +145,7 @@
 				b = put(b, uint64(c.step), uint64(c.halt), uint64(c.againAt), uint64(c.wishAt+1), uint64(c.lookAt+1), c.maxRound,
 					uint64(c.prop.Phase), uint64(c.since))
 			}
-			if p := c.prop; p.Phase != ballot.Idle {
+			if p := c.prop; p.Phase != paxos.Idle {
 				b = put(b, p.Ballot.Hi, p.Ballot.Lo, p.Best.Hi, p.Best.Lo, uint64(len(p.From)))
 				for _, f := range slices.Sorted(maps.Keys(p.From)) {
 					b = put(append(b, f...), p.From[f].Hi, p.From[f].Lo)
--- a/stage/stage.go
+++ b/internal/controlplane/rollout/stage.go
@@ -1,17 +1,17 @@
-// Package stage settles changes in stages: who prepares a version, whether enough have confirmed it, and the one
+// Package rollout settles changes in stages: who prepares a version, whether enough have confirmed it, and the one
 // decision, taken or halted, that the founders' disks agree on. It does no I/O and reads no clock: Step takes what
 // happened and returns what is to be done. Rules and states: docs/notes/stages.md.
 //
 // The decision is single-decree Paxos for each version (package ballot). A plain register can't decide: of two that
 // write different ends both may be told before one of them is overwritten.
-package stage
+package rollout
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"elmfold/ballot"
+	"elmfold/internal/controlplane/paxos"
 )
 
 const (
@@ -21,7 +21,7 @@
 )
 
 // Stamp of a ballot: its round, then the life of the controller that holds it.
-type Stamp = ballot.Stamp
+type Stamp = paxos.Stamp
 
 // Target is a version with the digest of its body.
 type Target struct{ Version, Digest uint64 }
@@ -57,9 +57,9 @@
 // Vote is what a disk holds of a version: one record. Known: Value is the end. Shut: this disk forgot, and answers no
 // ballot for this version or any below.
 type Vote struct {
-	Version                   uint64
-	ballot.Acceptor[Decision] // Known: its Value is the end
-	Known, Shut               bool
+	Version                  uint64
+	paxos.Acceptor[Decision] // Known: its Value is the end
+	Known, Shut              bool
 }
 
 // Kind of a Message.
@@ -242,7 +242,7 @@
 	without  measure
 	halt     Reason
 
-	prop     ballot.Proposal[Decision] // the ballot that is held here
+	prop     paxos.Proposal[Decision] // the ballot that is held here
 	againAt  time.Duration
 	wishAt   time.Duration // since when it has something to propose
 	maxRound uint64
--- a/counsel/status.go
+++ b/internal/controlplane/status.go
@@ -1,19 +1,19 @@
-package counsel
+package controlplane
 
 import (
 	"encoding/json"
 	"maps"
 	"slices"
 
-	"elmfold/entry"
+	"elmfold/internal/gateway/cli"
 )
 
 // status tells how the core stands as this controller sees it, also while it is out of touch: then it says so.
 func (s *Server) status() ([]byte, error) {
-	got := make(chan entry.Status, 1)
+	got := make(chan cli.Status, 1)
 	done := make(chan error, 1)
 	s.queue.Do(func() {
-		got <- entry.Status{Status: s.replica.Status(s.now()), Evacuated: slices.Sorted(maps.Keys(s.evacuated()))}
+		got <- cli.Status{Status: s.replica.Status(s.now()), Evacuated: slices.Sorted(maps.Keys(s.evacuated()))}
 		done <- nil
 	})
 	if err := s.wait(done); err != nil {
--- a/counsel/status_test.go
+++ b/internal/controlplane/status_test.go
@@ -1,4 +1,4 @@
-package counsel_test
+package controlplane_test
 
 import (
 	"context"
@@ -16,9 +16,9 @@
 	"github.com/hexops/autogold"
 	"github.com/jonboulle/clockwork"
 
-	"elmfold/counsel"
-	"elmfold/entry"
-	"elmfold/premise"
+	"elmfold/internal/controlplane"
+	"elmfold/internal/gateway/bootconfig"
+	"elmfold/internal/gateway/cli"
 )
 
 var (
@@ -31,12 +31,12 @@
 func (c *council) look(k *core, ids map[string]string) (raw, table string) {
 	w := httptest.NewRecorder()
 	k.server.Handler().ServeHTTP(w, httptest.NewRequest("POST", "/v1/rpc?call=core.status", nil))
-	var s entry.Status
+	var s cli.Status
 	if err := json.Unmarshal(w.Body.Bytes(), &s); err != nil || w.Code != 200 {
 		return w.Body.String(), fmt.Sprintf("%d %s", w.Code, w.Body.String())
 	}
 	var b strings.Builder
-	_ = entry.PrintStatus(&b, s)
+	_ = cli.PrintStatus(&b, s)
 	named := func(format, text string) string {
 		return drawnID.ReplaceAllStringFunc(text, func(id string) string {
 			if ids[id] == "" {
@@ -60,7 +60,7 @@
 	was := ""
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		raw, _ := c.look(k, ids)
-		var s entry.Status
+		var s cli.Status
 		if err := json.Unmarshal([]byte(raw), &s); err != nil {
 			panic(raw)
 		}
@@ -85,7 +85,7 @@
 	k.host.Kill()
 	old.Stop()
 	k.host = c.net.Host(k.ip)
-	set := premise.Default()
+	set := bootconfig.Default()
 	set.Name, set.IP, set.Zone = k.name, k.ip, map[string]string{"core-0": "north", "core-1": "south", "core-2": "west"}[k.name]
 	set.Zones = map[string]string{"north": "land", "south": "land", "west": "land"}
 	set.Ports, set.FaultBudget.Machines = [2]int{7540, 7555}, 1
@@ -97,7 +97,7 @@
 	}
 	disk, known, fresh := k.disk.Open(k.host)
 	host := k.host
-	k.server = counsel.New(counsel.Options{Settings: &set, Disk: disk, Known: known, Fresh: fresh,
+	k.server = controlplane.New(controlplane.Options{Settings: &set, Disk: disk, Known: known, Fresh: fresh,
 		Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(), Listen: lines, TimeOfDay: time.Now,
 		Dial: func(address string) (net.Conn, error) {
 			ctx, cancel := context.WithTimeout(context.Background(), 350*time.Millisecond)
--- a/counsel/steer.go
+++ b/internal/controlplane/steer.go
@@ -1,44 +1,44 @@
-package counsel
+package controlplane
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"elmfold/bearing"
-	"elmfold/charter"
-	"elmfold/parley"
-	"elmfold/verdict"
+	"elmfold/internal/controlplane/steering"
+	"elmfold/internal/gateway/routeconfig"
+	"elmfold/internal/gateway/rpc"
+	"elmfold/internal/proxy/balancer"
 )
 
-// steering hands what is known here to the decisions, and what they order to the carriers that steer here: those of
+// steerer hands what is known here to the decisions, and what they order to the carriers that steer here: those of
 // the own zone, and of zones whose controller is away.
-type steering struct {
+type steerer struct {
 	s        *Server
-	b        *bearing.Bearing
-	dirty    bool                    // the backends may have changed
-	here     map[string]*parley.Line // carriers that steer here, by name
-	services map[string]bearing.Service
+	b        *steering.Bearing
+	dirty    bool                 // the backends may have changed
+	here     map[string]*rpc.Line // carriers that steer here, by name
+	services map[string]steering.Service
 	counted  bool // the decisions know the members
 }
 
-func newSteering(s *Server) *steering {
+func newSteerer(s *Server) *steerer {
 	zones := slices.Sorted(maps.Keys(s.o.Settings.Zones))
 	// Controllers that start together do not tick together.
-	first := time.Duration(verdict.Rank(s.me.Name, "tick") % uint64(time.Second))
-	t := &steering{s: s, b: bearing.New(zones, first), here: map[string]*parley.Line{}}
+	first := time.Duration(balancer.Rank(s.me.Name, "tick") % uint64(time.Second))
+	t := &steerer{s: s, b: steering.New(zones, first), here: map[string]*rpc.Line{}}
 	t.b.Log = func(service, text string) { s.log.Debug(text, "service", service) }
 	return t
 }
 
 // configured takes the services of a configuration: the strictest route decides what is late. A service keeps its
 // target as long as a route has it: each new one begins its levels anew, and routes come and go.
-func (t *steering) configured(c *charter.Charter) {
-	services, stays := map[string]bearing.Service{}, map[string]bool{}
+func (t *steerer) configured(c *routeconfig.Charter) {
+	services, stays := map[string]steering.Service{}, map[string]bool{}
 	for _, r := range c.Routes() {
 		for _, split := range r.Splits {
 			if have, ok := services[split.Service]; !ok || r.Target < have.Target {
-				services[split.Service] = bearing.Service{Target: r.Target}
+				services[split.Service] = steering.Service{Target: r.Target}
 			}
 			stays[split.Service] = stays[split.Service] || r.Target == t.services[split.Service].Target
 		}
@@ -54,10 +54,10 @@
 }
 
 // changed: backends, evacuations or members did.
-func (t *steering) changed() { t.dirty, t.counted = true, false }
+func (t *steerer) changed() { t.dirty, t.counted = true, false }
 
 // step lets the decisions be made that are due and tells the carriers what changed.
-func (t *steering) step(now time.Duration) {
+func (t *steerer) step(now time.Duration) {
 	if !t.counted {
 		t.counted = true
 		t.b.Members(t.s.table.Members())
@@ -65,11 +65,11 @@
 	if t.dirty {
 		t.dirty = false
 		evacuated := t.s.evacuated()
-		var all []bearing.Backend
+		var all []steering.Backend
 		for _, l := range t.s.table.Lives() {
 			if l.Service != "" {
-				all = append(all, bearing.Backend{ID: l.ID, Service: l.Service, Zone: l.Zone, Capacity: l.Capacity,
-					Ready: l.State == parley.Ready && !evacuated[l.Zone]})
+				all = append(all, steering.Backend{ID: l.ID, Service: l.Service, Zone: l.Zone, Capacity: l.Capacity,
+					Ready: l.State == rpc.Ready && !evacuated[l.Zone]})
 			}
 		}
 		t.b.Backends(now, all)
@@ -77,13 +77,13 @@
 	for name, tables := range t.b.Step(now) {
 		if line := t.here[name]; line != nil {
 			// The carrier's last renewal goes along: what was worked out before a freeze is known by it.
-			line.Send(&parley.Message{Tables: tables, Renewed: t.s.carriers[line].renewed, Apart: !t.s.inTouch()})
+			line.Send(&rpc.Message{Tables: tables, Renewed: t.s.carriers[line].renewed, Apart: !t.s.inTouch()})
 		}
 	}
 }
 
 // report takes what a carrier's renewal tells.
-func (t *steering) report(c *carrier, m *parley.Message) {
+func (t *steerer) report(c *carrier, m *rpc.Message) {
 	name := c.who.Name
 	if !m.Steer {
 		if t.here[name] == c.line {
@@ -102,7 +102,7 @@
 	t.b.Report(name, m.Uses, m.Met, m.Spent)
 }
 
-func (t *steering) left(name string, line *parley.Line) {
+func (t *steerer) left(name string, line *rpc.Line) {
 	if t.here[name] == line {
 		delete(t.here, name)
 		t.b.Leave(name)
--- a/bearing/bearing.go
+++ b/internal/controlplane/steering/bearing.go
@@ -1,4 +1,4 @@
-// Package bearing puts the decisions of choice into the gateway: names into indices, reports into events, orders into
+// Package steering puts the decisions of choice into the gateway: names into indices, reports into events, orders into
 // the tables of carriers. There is one Assigner for each service; the carriers that steer here are its proxies. A
 // Bearing does no I/O, reads no clock and is not safe for concurrent use: the controller's owner calls it. Times are
 // spans since the process began. Equal calls give equal tables.
@@ -6,7 +6,7 @@
 // What choice can do and is not used here: further tries (Gate.Tries) are settled by the carriers' shared budget; cold
 // backends are held to a rate of their own by the one carrier that sends to them; lines between carriers and
 // controllers are ordered and wide, so fences are answered at once and nothing is held back for the channel.
-package bearing
+package steering
 
 import (
 	"cmp"
@@ -15,8 +15,8 @@
 	"slices"
 	"time"
 
-	"elmfold/choice"
-	"elmfold/parley"
+	"elmfold/internal/gateway/rpc"
+	"elmfold/internal/policy"
 )
 
 const (
@@ -24,8 +24,8 @@
 	late        = 500 * time.Millisecond // ... and still counts as in time
 	gathering   = 2 * time.Second        // ... carriers join together: the use of the first few is not the zone's
 	settling    = 5 * time.Second        // what is heard of so soon after a start was there before
-	quietAfter  = 45 * choice.Second     // without news for so long a service has no ticks; lines of what is gone went
-	goneFor     = 35 * choice.Second     // until a place may mean another backend
+	quietAfter  = 45 * policy.Second     // without news for so long a service has no ticks; lines of what is gone went
+	goneFor     = 35 * policy.Second     // until a place may mean another backend
 	forgetAfter = 60 * time.Second       // ... or carrier; choice remembers its use for 12 s
 	silentMost  = 12                     // ticks without a request after which a use is no longer told as 0
 	useHalf     = 0.5                    // what a second leaves of an old use, as choice has it, that of a small one slower
@@ -90,7 +90,7 @@
 		backends: map[string]*backend{}, carriers: map[string]*carrier{}, members: make([]float64, len(zones))}
 }
 
-func ticks(d time.Duration) choice.Time { return choice.Time(d / (100 * time.Microsecond)) }
+func ticks(d time.Duration) policy.Time { return policy.Time(d / (100 * time.Microsecond)) }
 
 func (b *Bearing) zone(name string) int { return slices.Index(b.zones, name) }
 
@@ -158,7 +158,7 @@
 
 // Members takes all carriers that hold a lease, those that steer here among them: what comes to the others is guessed
 // from their number.
-func (b *Bearing) Members(all []parley.Member) {
+func (b *Bearing) Members(all []rpc.Member) {
 	clear(b.members)
 	for _, m := range all {
 		if z := b.zone(m.Zone); z >= 0 {
@@ -201,7 +201,7 @@
 }
 
 // Report takes what came to a joined carrier and was met by it in so many seconds.
-func (b *Bearing) Report(name string, uses []parley.Use, met []parley.Met, spent float64) {
+func (b *Bearing) Report(name string, uses []rpc.Use, met []rpc.Met, spent float64) {
 	c := b.carriers[name]
 	if c == nil || !c.here || !(spent > 0) || math.IsInf(spent, 1) {
 		return
@@ -222,13 +222,13 @@
 // Step runs what is due and returns, by carrier, what it is to hold from now on and was not told yet: nil where
 // nothing changed. It should be called a few times a second; drains and losses go out with the first call after they
 // were listed, all else once a second.
-func (b *Bearing) Step(now time.Duration) map[string][]parley.Table {
+func (b *Bearing) Step(now time.Duration) map[string][]rpc.Table {
 	b.at(now)
-	var out map[string][]parley.Table
+	var out map[string][]rpc.Table
 	for _, name := range b.names {
 		for _, t := range b.services[name].step() {
 			if out == nil {
-				out = map[string][]parley.Table{}
+				out = map[string][]rpc.Table{}
 			}
 			out[t.to.name] = append(out[t.to.name], t.table)
 		}
--- a/bearing/carry.go
+++ b/internal/controlplane/steering/carry.go
@@ -1,15 +1,15 @@
-package bearing
+package steering
 
 import (
 	"cmp"
 	"slices"
 
-	"elmfold/choice"
-	"elmfold/parley"
+	"elmfold/internal/gateway/rpc"
+	"elmfold/internal/policy"
 )
 
 // carry takes orders over into tables; it returns what the carriers concerned were not told yet, in their order.
-func (s *service) carry(at choice.Time, orders []choice.Order) (told []telling) {
+func (s *service) carry(at policy.Time, orders []policy.Order) (told []telling) {
 	var touched []int
 	touch := func(id int) *table {
 		for len(s.tables) <= id {
@@ -22,33 +22,33 @@
 	}
 	for _, o := range orders {
 		switch o := o.(type) {
-		case choice.Clear:
+		case policy.Clear:
 			clear(touch(o.Table).weight) // it comes only before a Use, and the table is told whole then
-		case choice.Line:
+		case policy.Line:
 			t := touch(o.Table)
 			t.weight = append(t.weight, make([]float64, max(len(s.ids)-len(t.weight), 0))...)
 			t.lines = append(t.lines, line{o.Backend, s.weight(t, o.Backend)})
 			t.weight[o.Backend] = o.Weight
-		case choice.Gate:
+		case policy.Gate:
 			t := touch(o.Table)
 			if t.level = max(o.Level, leastLevel); o.Level >= unbounded {
 				t.level = 0
 			}
-		case choice.Use: // each proxy has a table of its own
+		case policy.Use: // each proxy has a table of its own
 			t := touch(o.Table)
 			t.user, t.whole = o.Proxy, true
-		case choice.Withdraw:
+		case policy.Withdraw:
 			for id := range s.tables {
 				if t := &s.tables[id]; o.Backend < len(t.weight) && t.weight[o.Backend] > 0 {
 					touch(id).lines = append(t.lines, line{o.Backend, s.weight(t, o.Backend)})
 				}
 			}
 			s.lives[o.Backend].out = o.Out
-		case choice.Fence:
+		case policy.Fence:
 			s.fence = o.Number
-		case choice.Wake:
+		case policy.Wake:
 			s.wakes = append(s.wakes, wake{at: at + max(o.After, 0), name: o.Name})
-		case choice.Log:
+		case policy.Log:
 			if s.b.Log != nil {
 				s.b.Log(s.name, o.Text)
 			}
@@ -75,13 +75,13 @@
 }
 
 // tell makes the message of what changed in a table; it says whether anything did.
-func (s *service) tell(t *table) (m parley.Table, news bool) {
-	m, l := parley.Table{Service: s.name, Whole: t.whole, Weights: map[string]float64{}}, &s.slots[t.user]
+func (s *service) tell(t *table) (m rpc.Table, news bool) {
+	m, l := rpc.Table{Service: s.name, Whole: t.whole, Weights: map[string]float64{}}, &s.slots[t.user]
 	if t.whole {
 		// A backend of its own zone that it is told nothing of it takes for one that the controller does not know yet,
 		// and goes by its capacity.
 		for place, id := range s.ids {
-			if w := s.weight(t, place); w > 0 || id != "" && s.lives[place].entry.Status != choice.Gone &&
+			if w := s.weight(t, place); w > 0 || id != "" && s.lives[place].entry.Status != policy.Gone &&
 				s.lives[place].entry.Zone == s.b.places[t.user].zone {
 				m.Weights[id] = w
 			}
--- a/bearing/service.go
+++ b/internal/controlplane/steering/service.go
@@ -1,4 +1,4 @@
-package bearing
+package steering
 
 import (
 	"cmp"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"elmfold/choice"
-	"elmfold/parley"
+	"elmfold/internal/gateway/rpc"
+	"elmfold/internal/policy"
 )
 
 // service is one Assigner with what stands between it and names.
@@ -15,18 +15,18 @@
 	b        *Bearing
 	name     string
 	target   time.Duration
-	assigner *choice.Assigner // nil: it is made at the next step
-	recalled []choice.Event   // of the one before
+	assigner *policy.Assigner // nil: it is made at the next step
+	recalled []policy.Event   // of the one before
 	wakes    []wake
 	fence    int // to be answered; negative: none
-	stirred  choice.Time
+	stirred  policy.Time
 	traffic  bool // requests came
 
 	places map[string]int // by backend id
 	ids    []string       // by place; "" where it is free
 	lives  []life         // by place
-	fresh  []choice.Entry // of the next list
-	events []choice.Event // joins, leaves and places that were given back, in their order
+	fresh  []policy.Entry // of the next list
+	events []policy.Event // joins, leaves and places that were given back, in their order
 
 	slots  []slot  // by carrier
 	tables []table // as choice numbers them
@@ -36,15 +36,15 @@
 }
 
 type wake struct {
-	at   choice.Time
+	at   policy.Time
 	name uint32
 }
 
 type life struct {
-	entry                       choice.Entry
-	goneAt                      choice.Time
+	entry                       policy.Entry
+	goneAt                      policy.Time
 	out                         bool    // withdrawn
-	tries, voided, good, lasted float64 // since the last step; lasted is what the good took, in units of choice.Time
+	tries, voided, good, lasted float64 // since the last step; lasted is what the good took, in units of policy.Time
 }
 
 type slot struct { // of a carrier
@@ -72,7 +72,7 @@
 
 type telling struct {
 	to    *carrier
-	table parley.Table
+	table rpc.Table
 }
 
 // renew has the next step make a new Assigner that goes on from what this one knows.
@@ -96,17 +96,17 @@
 	}
 }
 
-func (s *service) make(at choice.Time) {
-	first := cmp.Or(ticks(s.b.firstTick), choice.Second)
-	first -= (at - ticks(s.b.began)) % choice.Second // a service that comes later ticks with the others
+func (s *service) make(at policy.Time) {
+	first := cmp.Or(ticks(s.b.firstTick), policy.Second)
+	first -= (at - ticks(s.b.began)) % policy.Second // a service that comes later ticks with the others
 	if first <= 0 {
-		first += choice.Second
+		first += policy.Second
 	}
-	s.assigner = choice.New(choice.Deployment{
-		Products:  []choice.Product{{Revenue: 1, SLA: ticks(spread * s.target)}},
+	s.assigner = policy.New(policy.Deployment{
+		Products:  []policy.Product{{Revenue: 1, SLA: ticks(spread * s.target)}},
 		Zones:     len(s.b.zones),
 		Proxies:   1, // no more than are here: what is bounded is their total, which a leave does not change (design)
-		Levels:    choice.LevelRate,
+		Levels:    policy.LevelRate,
 		GoneBinds: true,
 		// The carriers hold cold backends to their rate: no level is lowered for one, and nothing vouches for more than
 		// the ramp.
@@ -119,9 +119,9 @@
 	// Elsewhere is believed by steps, a tick each; before it is, choice takes all zones to ask for what the own one
 	// does, or for nothing, and sends requests to other zones on the calmest day.
 	for range 4 {
-		events := []choice.Event{choice.Elsewhere{Uses: [][]float64{make([]float64, len(s.b.zones))}}}
+		events := []policy.Event{policy.Elsewhere{Uses: [][]float64{make([]float64, len(s.b.zones))}}}
 		for _, w := range s.wakes {
-			events = append(events, choice.Woken{Name: w.name})
+			events = append(events, policy.Woken{Name: w.name})
 		}
 		s.assigner.Step(at, events)
 	}
@@ -140,28 +140,28 @@
 	}
 	l := &s.lives[at]
 	// A start while requests come: it begins with little. What was there before this controller knew of it does not.
-	if came := !known || l.entry.Status == choice.Gone; came && s.traffic && s.b.now >= s.b.began+settling {
+	if came := !known || l.entry.Status == policy.Gone; came && s.traffic && s.b.now >= s.b.began+settling {
 		l.entry.Up = max(ticks(s.b.now), 1)
 	}
-	l.entry.Zone, l.entry.Weight, l.entry.Status = s.b.zone(b.Zone), float64(max(b.Capacity, 1)), choice.Draining
+	l.entry.Zone, l.entry.Weight, l.entry.Status = s.b.zone(b.Zone), float64(max(b.Capacity, 1)), policy.Draining
 	if b.Ready {
-		l.entry.Status = choice.Ready
+		l.entry.Status = policy.Ready
 	}
 	s.fresh = append(s.fresh, l.entry)
 }
 
 func (s *service) gone(id string) {
 	if at, known := s.places[id]; known {
-		s.lives[at].entry.Status, s.lives[at].goneAt = choice.Gone, ticks(s.b.now)
+		s.lives[at].entry.Status, s.lives[at].goneAt = policy.Gone, ticks(s.b.now)
 		s.fresh = append(s.fresh, s.lives[at].entry)
 	}
 }
 
 // giveBack frees the places of backends that are gone for long and that no carrier here has a line of.
-func (s *service) giveBack(at choice.Time) {
+func (s *service) giveBack(at policy.Time) {
 	for place, id := range s.ids {
 		l := &s.lives[place]
-		if id == "" || l.entry.Status != choice.Gone || at < l.goneAt+goneFor {
+		if id == "" || l.entry.Status != policy.Gone || at < l.goneAt+goneFor {
 			continue
 		}
 		held := func(t table) bool {
@@ -177,7 +177,7 @@
 		}
 		delete(s.places, id)
 		s.ids[place], s.lives[place] = "", life{}
-		s.events = append(s.events, choice.Dropped{Backend: place})
+		s.events = append(s.events, policy.Dropped{Backend: place})
 	}
 }
 
@@ -188,12 +188,12 @@
 
 func (s *service) leave(c *carrier) {
 	if l := s.slot(c); l.joined {
-		s.events = append(s.events, choice.Left{Proxy: c.index})
+		s.events = append(s.events, policy.Left{Proxy: c.index})
 	}
 	*s.slot(c) = slot{silent: silentMost}
 }
 
-func (s *service) use(c *carrier, u parley.Use, spent float64) {
+func (s *service) use(c *carrier, u rpc.Use, spent float64) {
 	l := s.slot(c)
 	if l.came == 0 && (!l.joined || l.silent >= silentMost) {
 		l.clock = c.spent - spent // nothing was told of the time before
@@ -203,7 +203,7 @@
 
 // meet adds what was met at a backend. Choice has no use for Waiting: it takes how much a backend holds, and only from
 // probes, as what answers tell comes from busy moments; that requests wait shows in how long answers take.
-func (s *service) meet(m parley.Met) {
+func (s *service) meet(m rpc.Met) {
 	l := &s.lives[s.places[m.ID]]
 	good := max(m.Tries-m.Voided, 0)
 	l.tries, l.voided = l.tries+m.Tries, l.voided+max(m.Voided, 0)
@@ -219,7 +219,7 @@
 		s.make(at)
 	}
 	// A tick that comes a little early or late counts as in time: else a rise that is due each second is late by one.
-	due, next := at, choice.Time(math.MinInt64)
+	due, next := at, policy.Time(math.MinInt64)
 	woken := func(w wake) bool { return w.at <= at+ticks(early) }
 	for _, w := range s.wakes {
 		if woken(w) {
@@ -231,10 +231,10 @@
 	} else if next == math.MinInt64 && len(s.fresh) == 0 {
 		return nil
 	}
-	events := append([]choice.Event(nil), s.events...)
+	events := append([]policy.Event(nil), s.events...)
 	s.events = s.events[:0]
 	if len(s.fresh) > 0 {
-		events = append(events, choice.Listed{Kind: choice.ListChange, Entries: slices.Clone(s.fresh)})
+		events = append(events, policy.Listed{Kind: policy.ListChange, Entries: slices.Clone(s.fresh)})
 		s.fresh = s.fresh[:0]
 	}
 	events = s.heard(append(events, s.recalled...))
@@ -243,21 +243,21 @@
 		s.stirred = due
 	} else if due > s.stirred+quietAfter { // nothing that an Assigner does takes that long
 		for i := range s.wakes {
-			s.wakes[i].at = max(s.wakes[i].at, due+choice.Second)
+			s.wakes[i].at = max(s.wakes[i].at, due+policy.Second)
 		}
 		return nil
 	}
 	events = append(events, s.unused()...)
-	events = append(events, choice.Elsewhere{Uses: [][]float64{s.elsewhere(due)}})
+	events = append(events, policy.Elsewhere{Uses: [][]float64{s.elsewhere(due)}})
 	for i, l := range s.slots {
 		if s.fence >= 0 && l.joined {
-			events = append(events, choice.Fenced{Proxy: i, Number: s.fence})
+			events = append(events, policy.Fenced{Proxy: i, Number: s.fence})
 		}
 	}
 	s.fence = -1
 	for _, w := range s.wakes {
 		if woken(w) {
-			events = append(events, choice.Woken{Name: w.name})
+			events = append(events, policy.Woken{Name: w.name})
 		}
 	}
 	s.wakes = slices.DeleteFunc(s.wakes, woken)
@@ -267,7 +267,7 @@
 }
 
 // heard adds who joined, what came to whom and what was met.
-func (s *service) heard(events []choice.Event) []choice.Event {
+func (s *service) heard(events []policy.Event) []policy.Event {
 	for i, c := range s.b.places {
 		if !c.here || !c.heard || s.b.now < s.b.began+gathering {
 			continue
@@ -278,7 +278,7 @@
 			if l.came == 0 { // a use of 0 for the latest report: else choice takes it for one that it knows nothing of
 				l.silent, l.clock = 0, c.spent-1
 			}
-			events = append(events, choice.Joined{Proxy: i, Zone: c.zone})
+			events = append(events, policy.Joined{Proxy: i, Zone: c.zone})
 		}
 		if l.came > 0 {
 			span := c.spent - l.clock
@@ -287,8 +287,8 @@
 			if l.level > 0 {
 				let = min(let, l.level*span)
 			}
-			events = append(events, choice.Used{Proxy: i, Txns: l.came, Voided: max(let-(l.came-min(l.voided, l.came)), 0),
-				Counting: choice.Time(span * float64(choice.Second))})
+			events = append(events, policy.Used{Proxy: i, Txns: l.came, Voided: max(let-(l.came-min(l.voided, l.came)), 0),
+				Counting: policy.Time(span * float64(policy.Second))})
 			l.follow(l.came, span)
 			l.came, l.voided, l.clock, l.silent = 0, 0, c.spent, 0
 		}
@@ -299,16 +299,16 @@
 		if l.tries == 0 {
 			continue
 		}
-		h := choice.Heard{Backend: at, Tries: l.tries, Voided: l.voided}
+		h := policy.Heard{Backend: at, Tries: l.tries, Voided: l.voided}
 		if l.good > 0 {
-			h.Took = choice.Time(l.lasted / l.good)
+			h.Took = policy.Time(l.lasted / l.good)
 		}
 		good, lasted = good+l.good, lasted+l.lasted
-		if l.tries, l.voided, l.good, l.lasted = 0, 0, 0, 0; l.entry.Status != choice.Gone {
+		if l.tries, l.voided, l.good, l.lasted = 0, 0, 0, 0; l.entry.Status != policy.Gone {
 			events = append(events, h)
 		}
 	}
-	if took := lasted / max(good, 1) / float64(choice.Second); good > 0 {
+	if took := lasted / max(good, 1) / float64(policy.Second); good > 0 {
 		s.took = (cmp.Or(s.took, took) + took) / 2
 	}
 	return events
@@ -326,11 +326,11 @@
 
 // unused tells that nothing came to a carrier that reported. Reports name only what came; without this a use of one
 // request in ten seconds would count as one a second.
-func (s *service) unused() (events []choice.Event) {
+func (s *service) unused() (events []policy.Event) {
 	for i := range s.slots {
 		l := &s.slots[i]
 		if span := s.b.places[i].spent - l.clock; l.joined && span > 0 && l.silent < silentMost {
-			events = append(events, choice.Used{Proxy: i, Counting: choice.Time(span * float64(choice.Second))})
+			events = append(events, policy.Used{Proxy: i, Counting: policy.Time(span * float64(policy.Second))})
 			l.follow(0, span)
 			l.clock, l.silent = s.b.places[i].spent, l.silent+1
 		}
--- a/bearing/spill.go
+++ b/internal/controlplane/steering/spill.go
@@ -1,16 +1,16 @@
-package bearing
+package steering
 
 import (
 	"math"
 
-	"elmfold/choice"
+	"elmfold/internal/policy"
 )
 
 const (
 	sharedFrom, sharedTill = 0.85, 0.7 // part of a zone's capacity in use from which others may be asked for its excess
 	fairFrom, fairTill     = 0.5, 0.6  // ... or of its fair part of all strength that is left to it
 	sureHome               = 1.5       // by which zones of others are said to be fuller, where nothing is to leave one
-	rampStart, rampTurn    = 0.1, 5 * choice.Second
+	rampStart, rampTurn    = 0.1, 5 * policy.Second
 )
 
 // elsewhere says what comes to the carriers that are steered by others, by zone, in requests/s: as if each of them got
@@ -18,7 +18,7 @@
 // often than the design has it, and what crosses zones costs: where some of the zone's capacity is free
 // and at least half of its fair part is there, the other zones are said to be as full as the fullest one here, which
 // keeps all at home. A single carrier's overflow is the carrier's own to place.
-func (s *service) elsewhere(at choice.Time) []float64 {
+func (s *service) elsewhere(at policy.Time) []float64 {
 	n := len(s.b.zones)
 	uses, strength, here, rates := make([]float64, n), make([]float64, n), make([]float64, n), make([]float64, n)
 	all, rate, joined, members, fullest := 0.0, 0.0, 0.0, 0.0, 0.0
@@ -29,7 +29,7 @@
 		}
 	}
 	for _, l := range s.lives {
-		if l.entry.Status == choice.Ready {
+		if l.entry.Status == policy.Ready {
 			w := l.entry.Weight
 			if l.entry.Up > 0 {
 				turns := max(at-l.entry.Up, 0) / rampTurn
--- a/record/entry.go
+++ b/internal/controlplane/storage/entry.go
@@ -1,4 +1,4 @@
-package record
+package storage
 
 import (
 	"bytes"
--- a/record/record_test.go
+++ b/internal/controlplane/storage/record_test.go
@@ -1,4 +1,4 @@
-package record
+package storage
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 
 	"github.com/tidwall/wal"
 
-	"elmfold/fault"
+	"elmfold/internal/gateway/apierror"
 )
 
 func mustOpen(t testing.TB, dir string, most int64) (*Store, Found) {
@@ -221,9 +221,9 @@
 	for i := range 3 {
 		d.full = true
 		d.gone = i == 2
-		var f *fault.Fault
+		var f *apierror.Fault
 		err := s.Put("a", []byte("two"))
-		if !errors.As(err, &f) || f.Kind != fault.Unsafe || !errors.Is(err, syscall.ENOSPC) {
+		if !errors.As(err, &f) || f.Kind != apierror.Unsafe || !errors.Is(err, syscall.ENOSPC) {
 			t.Fatal(err)
 		}
 		if got, _ := s.Get("a"); string(got) != "one" {
--- a/fault/fault.go
+++ b/internal/gateway/apierror/fault.go
@@ -1,6 +1,6 @@
-// Package fault is the closed list of what can go wrong with a request or an order, and the one table from each
+// Package apierror is the closed list of what can go wrong with a request or an order, and the one table from each
 // kind to its answer: the status, whether a backend may have run the request, and whether it may be tried elsewhere.
-package fault
+package apierror
 
 import (
 	"fmt"
--- a/fault/fault_test.go
+++ b/internal/gateway/apierror/fault_test.go
@@ -1,4 +1,4 @@
-package fault
+package apierror
 
 import (
 	"errors"
--- a/premise/premise.go
+++ b/internal/gateway/bootconfig/premise.go
@@ -1,6 +1,6 @@
-// Package premise reads and checks the settings that the platform gives a process: the JSON file whose path stands in
+// Package bootconfig reads and checks the settings that the platform gives a process: the JSON file whose path stands in
 // ELMFOLD_CONFIG. All times are in seconds there, fractions included; fields that are not known are read past.
-package premise
+package bootconfig
 
 import (
 	"encoding/json"
--- a/premise/premise_test.go
+++ b/internal/gateway/bootconfig/premise_test.go
@@ -1,4 +1,4 @@
-package premise
+package bootconfig
 
 import (
 	"encoding/json"
--- a/entry/entry.go
+++ b/internal/gateway/cli/entry.go
@@ -1,6 +1,6 @@
-// Package entry is what both programs of the gateway begin with: the command line, the settings, signals, and how
+// Package cli is what both programs of the gateway begin with: the command line, the settings, signals, and how
 // controllers and carriers are dialled and listened for.
-package entry
+package cli
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 
 	"github.com/jessevdk/go-flags"
 
-	"elmfold/charter"
-	"elmfold/premise"
+	"elmfold/internal/gateway/bootconfig"
+	"elmfold/internal/gateway/routeconfig"
 )
 
 // Version of the gateway.
@@ -46,18 +46,18 @@
 	if err != nil {
 		return err
 	}
-	switch s, serr := premise.Read(text); {
+	switch s, serr := bootconfig.Read(text); {
 	case serr == nil:
 		fmt.Fprintf(c.out, "%s: settings of %s, role %s, zone %s\n", c.Args.File, s.Name, s.Role, s.Zone)
 	case looksLikeSettings(text):
 		return fmt.Errorf("%s: %w", c.Args.File, serr)
 	default:
-		conf, err := charter.Read(text)
+		conf, err := routeconfig.Read(text)
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.Args.File, err)
 		}
 		fmt.Fprintf(c.out, "%s: configuration %s, %d routes, %d services\n", c.Args.File,
-			charter.FormatVersion(conf.Version), len(conf.Routes()), len(conf.Pools))
+			routeconfig.FormatVersion(conf.Version), len(conf.Routes()), len(conf.Pools))
 	}
 	return nil
 }
@@ -85,7 +85,7 @@
 }
 
 // Main reads the command line of a program; without a command it runs it on the settings that the environment names.
-func Main(name, about string, args []string, out, errs io.Writer, run func(*premise.Settings, Options) error) int {
+func Main(name, about string, args []string, out, errs io.Writer, run func(*bootconfig.Settings, Options) error) int {
 	var options Options
 	check, version, start := &checkCommand{out: out}, &versionCommand{name, out}, &runCommand{}
 	status := &statusCommand{out: out}
@@ -94,7 +94,7 @@
 	p.SubcommandsOptional = true
 	_, _ = p.AddGroup("Options", "", &options)
 	_, _ = p.AddCommand("run", "serve (as without a command)",
-		"Serves by the settings file that "+premise.Variable+" names.", start)
+		"Serves by the settings file that "+bootconfig.Variable+" names.", start)
 	_, _ = p.AddCommand("check", "check a file", "Checks a settings file or a configuration: one line a fault.", check)
 	_, _ = p.AddCommand("status", "ask a controller how the core stands",
 		"Prints who votes, who is in touch, and what is safe, as one controller sees it.", status)
@@ -117,7 +117,7 @@
 	case p.Active != nil && !start.run:
 		return Fine
 	}
-	settings, err := premise.FromEnvironment()
+	settings, err := bootconfig.FromEnvironment()
 	if err != nil {
 		fmt.Fprintf(errs, "%s: %v\n", name, err)
 		return Wrong
--- a/entry/entry_test.go
+++ b/internal/gateway/cli/entry_test.go
@@ -1,4 +1,4 @@
-package entry_test
+package cli_test
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 
 	"github.com/hexops/autogold"
 
-	"elmfold/entry"
-	"elmfold/premise"
+	"elmfold/internal/gateway/bootconfig"
+	"elmfold/internal/gateway/cli"
 )
 
 const settings = `{"nodeName":"edge-0","role":"edge","ip":"10.0.0.1","zone":"north","zones":{"north":"land"},` +
@@ -61,17 +61,17 @@
 	write("empty.json", "", "", "")
 	var out strings.Builder
 	try := func(environment string, args ...string) {
-		t.Setenv(premise.Variable, environment)
+		t.Setenv(bootconfig.Variable, environment)
 		var said, errs bytes.Buffer
-		run := func(s *premise.Settings, o entry.Options) error {
+		run := func(s *bootconfig.Settings, o cli.Options) error {
 			fmt.Fprintf(&said, "(runs as %s, verbose %t)\n", s.Name, o.Verbose)
 			if s.Role == "broken" {
 				return errors.New("it broke")
 			}
 			return nil
 		}
-		code := entry.Main("counsel", "The controller.", args, &said, &errs, run)
-		line := append([]string{"$", premise.Variable + "=" + environment, "counsel"}, args...)
+		code := cli.Main("counsel", "The controller.", args, &said, &errs, run)
+		line := append([]string{"$", bootconfig.Variable + "=" + environment, "counsel"}, args...)
 		fmt.Fprintln(&out, strings.Join(line, " "))
 		for line := range strings.Lines(wrapped.ReplaceAllString(said.String(), " ")) {
 			out.WriteString(strings.TrimRight("    "+line, " \n") + "\n")
--- a/entry/status.go
+++ b/internal/gateway/cli/status.go
@@ -1,4 +1,4 @@
-package entry
+package cli
 
 import (
 	"encoding/json"
@@ -11,14 +11,14 @@
 	"text/tabwriter"
 	"time"
 
-	"elmfold/accord"
-	"elmfold/charter"
-	"elmfold/premise"
+	"elmfold/internal/controlplane/consensus"
+	"elmfold/internal/gateway/bootconfig"
+	"elmfold/internal/gateway/routeconfig"
 )
 
 // Status is a controller's answer to core.status.
 type Status struct {
-	accord.Status
+	consensus.Status
 	Evacuated []string `json:"evacuated"` // zones, as far as it knows
 }
 
@@ -42,7 +42,7 @@
 func (c *statusCommand) Execute([]string) error {
 	addresses := []string{c.Args.Address}
 	if c.Args.Address == "" {
-		settings, err := premise.FromEnvironment()
+		settings, err := bootconfig.FromEnvironment()
 		if err != nil {
 			return err
 		}
@@ -117,7 +117,7 @@
 	_ = w.Flush()
 	fmt.Fprint(w, "\nregister\tnewest\tdecided\tknown on\n")
 	for _, r := range s.Registers {
-		newest, decided := charter.FormatVersion(uint32(r.Hi)), "yes"
+		newest, decided := routeconfig.FormatVersion(uint32(r.Hi)), "yes"
 		if strings.HasPrefix(r.Name, "zone/") { // counted by the time of day of the order
 			newest = time.UnixMilli(int64(r.Hi)).UTC().Format(time.DateTime)
 		}
@@ -131,7 +131,7 @@
 	return err
 }
 
-func printMember(w io.Writer, kind string, m accord.MemberStatus) {
+func printMember(w io.Writer, kind string, m consensus.MemberStatus) {
 	if m.Change != "" {
 		kind += ", " + m.Change
 	}
--- a/trace/trace.go
+++ b/internal/gateway/logbuffer/trace.go
@@ -1,6 +1,6 @@
-// Package trace keeps the last log lines in a ring in memory and writes them out when something goes wrong, and
+// Package logbuffer keeps the last log lines in a ring in memory and writes them out when something goes wrong, and
 // little else: writing costs processor time, and a quiet night should leave a quiet log.
-package trace
+package logbuffer
 
 import (
 	"bytes"
--- a/trace/trace_test.go
+++ b/internal/gateway/logbuffer/trace_test.go
@@ -1,4 +1,4 @@
-package trace
+package logbuffer
 
 import (
 	"bytes"
--- a/charter/charter.go
+++ b/internal/gateway/routeconfig/charter.go
@@ -1,6 +1,6 @@
-// Package charter is the operator's configuration: read from its JSON body, checked, and compiled into a form that
+// Package routeconfig is the operator's configuration: read from its JSON body, checked, and compiled into a form that
 // never changes, so that any number of goroutines may use it without a lock.
-package charter
+package routeconfig
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 	"github.com/zeebo/xxh3"
 	"google.golang.org/protobuf/encoding/protojson"
 
-	"elmfold/fault"
+	"elmfold/internal/gateway/apierror"
 )
 
 //go:generate protoc -I.. --go_out=.. --go_opt=paths=source_relative charter/charter.proto
@@ -86,7 +86,7 @@
 	slash bool // each prefix of this length ends with a slash: a path without one there needs no look-up
 }
 
-// Read reads a configuration's body, checks it and compiles it. The error is always a *fault.Fault of Kind Invalid
+// Read reads a configuration's body, checks it and compiles it. The error is always a *apierror.Fault of Kind Invalid
 // that names the key. Fields that are not known are read past. Only what the operator's protocol calls invalid, or
 // what can't be acted upon, is refused: an unneeded refusal leaves the operator without its change.
 func Read(body []byte) (*Charter, error) {
@@ -139,8 +139,8 @@
 	return c, nil
 }
 
-func invalid(key, format string, args ...any) *fault.Fault {
-	return fault.New(fault.Invalid, key, fmt.Errorf(format, args...))
+func invalid(key, format string, args ...any) *apierror.Fault {
+	return apierror.New(apierror.Invalid, key, fmt.Errorf(format, args...))
 }
 
 // route compiles one rule, or gives the key within the rule that is wrong.
--- a/charter/charter_test.go
+++ b/internal/gateway/routeconfig/charter_test.go
@@ -1,4 +1,4 @@
-package charter
+package routeconfig
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"pgregory.net/rapid"
 
-	"elmfold/fault"
+	"elmfold/internal/gateway/apierror"
 )
 
 const example = `{"generation":"0000000c","limits":{"maxHeaderBytes":16384,"maxBodyBytes":67108864,` +
@@ -72,7 +72,7 @@
 		{`"predicate":{"pathPrefix":"/lepu270/"},`, ``}, {`"name":"wuno96b"`, `"name":"huvo11a"`},
 	} {
 		_, err := Read([]byte(strings.Replace(example, edit[0], edit[1], 1)))
-		if f := (*fault.Fault)(nil); !errors.As(err, &f) || f.Kind != fault.Invalid || f.Where == "" {
+		if f := (*apierror.Fault)(nil); !errors.As(err, &f) || f.Kind != apierror.Invalid || f.Where == "" {
 			t.Errorf("%q: %v", edit, err)
 		}
 		from := edit[0]
--- a/parley/parley.go
+++ b/internal/gateway/rpc/parley.go
@@ -1,7 +1,7 @@
-// Package parley is what the system's processes say to one another: CBOR messages in frames over TCP, on the first
+// Package rpc is what the system's processes say to one another: CBOR messages in frames over TCP, on the first
 // port of the machines' range. A carrier keeps a line to every controller that it hears of, a controller one to every
 // other. Words are changes, not states, but for the first ones on a new line.
-package parley
+package rpc
 
 import (
 	"bufio"
--- a/parley/parley_test.go
+++ b/internal/gateway/rpc/parley_test.go
@@ -1,4 +1,4 @@
-package parley
+package rpc
 
 import (
 	"bytes"
--- a/rapport/rapport.go
+++ b/internal/gateway/session/rapport.go
@@ -1,7 +1,7 @@
-// Package rapport keeps a process in touch with others by lines, and lets one goroutine own what they say: a Queue
+// Package session keeps a process in touch with others by lines, and lets one goroutine own what they say: a Queue
 // hands it commands, a Keeper dials and listens, and Lines settles which line speaks for whom, so that no word of a
 // line that was replaced, or of an earlier life of its speaker, is ever handed on.
-package rapport
+package session
 
 import (
 	"net"
@@ -12,7 +12,7 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"elmfold/parley"
+	"elmfold/internal/gateway/rpc"
 )
 
 // Queue is what an owner, a goroutine that runs the functions of C one by one, is yet to do. Safe for concurrent use.
@@ -84,9 +84,9 @@
 }
 
 type speaker struct {
-	line *parley.Line // nil: none
-	life uint64       // the newest one seen
-	past []uint64     // lives that it followed, the newest pastMost
+	line *rpc.Line // nil: none
+	life uint64    // the newest one seen
+	past []uint64  // lives that it followed, the newest pastMost
 }
 
 const pastMost = 16
@@ -94,7 +94,7 @@
 // Take lets a line speak for the one who says hello on it. ok is false if another one does so rightly, or a later life
 // of that name has been heard; the line is closed then. Else replaced is the line that spoke until now, which is closed
 // (nil: none).
-func (l *Lines) Take(hello *parley.Hello, line *parley.Line) (replaced *parley.Line, ok bool) {
+func (l *Lines) Take(hello *rpc.Hello, line *rpc.Line) (replaced *rpc.Line, ok bool) {
 	if l.by == nil {
 		l.by = map[string]*speaker{}
 	}
@@ -123,13 +123,13 @@
 }
 
 // Speaks says whether the line is the one that speaks for the name.
-func (l *Lines) Speaks(name string, line *parley.Line) bool {
+func (l *Lines) Speaks(name string, line *rpc.Line) bool {
 	s := l.by[name]
 	return s != nil && s.line == line && line != nil
 }
 
 // Lost closes a line, and says whether it was the one that spoke for the name.
-func (l *Lines) Lost(name string, line *parley.Line) bool {
+func (l *Lines) Lost(name string, line *rpc.Line) bool {
 	line.Close()
 	if !l.Speaks(name, line) {
 		return false
@@ -146,12 +146,12 @@
 	Self    string        // the own name, if the others are of one's kind: a line back here is given up for good
 	Again   time.Duration // from the end of a line, or a dial that failed, to the next dial
 	Silence time.Duration // a line that says nothing for so long has died
-	Hello   func() *parley.Message
+	Hello   func() *rpc.Message
 	// Heard takes each message of a line that speaks for the name. The first one of a line, and only that, has Hello:
 	// the line is up. It may close the line: its whole first words come again then, on the next one.
-	Heard func(name string, line *parley.Line, m *parley.Message)
+	Heard func(name string, line *rpc.Line, m *rpc.Message)
 	// Lost is told after the last message of a line whose Hello was heard, and before the Hello of the next one.
-	Lost func(name string, line *parley.Line)
+	Lost func(name string, line *rpc.Line)
 
 	lines   Lines
 	dialing map[string]chan struct{} // by address; what is sent there has it dialled at once
@@ -174,7 +174,7 @@
 		for {
 			wait := k.Again
 			if conn := k.dial(address, now); conn != nil {
-				if wait = k.listen(parley.NewLine(conn)); wait < 0 {
+				if wait = k.listen(rpc.NewLine(conn)); wait < 0 {
 					return
 				}
 			}
@@ -223,9 +223,9 @@
 }
 
 // listen hears a line to its end and says when its address is to be dialled again (negative: never).
-func (k *Keeper) listen(line *parley.Line) time.Duration {
+func (k *Keeper) listen(line *rpc.Line) time.Duration {
 	line.Send(k.Hello())
-	var who *parley.Hello
+	var who *rpc.Hello
 	var refused atomic.Bool
 	for {
 		m, err := line.Receive(k.Silence)
--- a/rapport/rapport_test.go
+++ b/internal/gateway/session/rapport_test.go
@@ -1,4 +1,4 @@
-package rapport_test
+package session_test
 
 import (
 	"errors"
@@ -16,12 +16,12 @@
 	"github.com/hexops/autogold"
 	"github.com/jonboulle/clockwork"
 
-	"elmfold/parley"
-	"elmfold/rapport"
+	"elmfold/internal/gateway/rpc"
+	"elmfold/internal/gateway/session"
 )
 
 // own runs the queue's commands until it is stopped.
-func own(q *rapport.Queue) {
+func own(q *session.Queue) {
 	for {
 		select {
 		case f := <-q.C():
@@ -36,7 +36,7 @@
 // nobody waits.
 func TestQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := rapport.NewQueue(2)
+		q := session.NewQueue(2)
 		var got []int
 		for i := range 6 {
 			q.Post(func() { got = append(got, i) })
@@ -77,22 +77,22 @@
 type stage struct {
 	mu    sync.Mutex // of out and lines
 	out   strings.Builder
-	q     *rapport.Queue
-	k     *rapport.Keeper
-	lines map[string]chan *parley.Line // that were accepted at an address; none: it refuses
+	q     *session.Queue
+	k     *session.Keeper
+	lines map[string]chan *rpc.Line // that were accepted at an address; none: it refuses
 	began time.Time
 	// All that were accepted: a line that nobody reads ends with Close alone.
-	accepted []*parley.Line
+	accepted []*rpc.Line
 }
 
 func begin(addresses ...string) *stage {
-	s := &stage{q: rapport.NewQueue(16), lines: map[string]chan *parley.Line{}, began: time.Now()}
+	s := &stage{q: session.NewQueue(16), lines: map[string]chan *rpc.Line{}, began: time.Now()}
 	for _, a := range addresses {
-		s.lines[a] = make(chan *parley.Line, 64)
+		s.lines[a] = make(chan *rpc.Line, 64)
 	}
-	s.k = &rapport.Keeper{Queue: s.q, Clock: clockwork.NewRealClock(), Self: "me", Again: 250 * time.Millisecond,
-		Silence: 3 * time.Second, Hello: func() *parley.Message {
-			return &parley.Message{Hello: &parley.Hello{Who: parley.Controller{Name: "me"}, Life: 9}}
+	s.k = &session.Keeper{Queue: s.q, Clock: clockwork.NewRealClock(), Self: "me", Again: 250 * time.Millisecond,
+		Silence: 3 * time.Second, Hello: func() *rpc.Message {
+			return &rpc.Message{Hello: &rpc.Hello{Who: rpc.Controller{Name: "me"}, Life: 9}}
 		},
 		Dial: func(address string) (net.Conn, error) {
 			accepts := s.at(address)
@@ -104,18 +104,18 @@
 			s.note("dials %s", address)
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.accepted = append(s.accepted, parley.NewLine(there))
+			s.accepted = append(s.accepted, rpc.NewLine(there))
 			accepts <- s.accepted[len(s.accepted)-1]
 			return here, nil
 		},
-		Heard: func(name string, _ *parley.Line, m *parley.Message) {
+		Heard: func(name string, _ *rpc.Line, m *rpc.Message) {
 			if m.Hello != nil {
 				s.note("%s is up, life %d", name, m.Hello.Life)
 			} else {
 				s.note("%s says %d", name, m.Seq)
 			}
 		},
-		Lost: func(name string, _ *parley.Line) { s.note("%s is lost", name) }}
+		Lost: func(name string, _ *rpc.Line) { s.note("%s is lost", name) }}
 	go own(s.q)
 	for _, a := range addresses {
 		s.q.Do(func() { s.k.Keep(a) })
@@ -125,14 +125,14 @@
 }
 
 // at is where lines to an address are accepted, nil: nowhere.
-func (s *stage) at(address string) chan *parley.Line {
+func (s *stage) at(address string) chan *rpc.Line {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lines[address]
 }
 
 // accept lets an address accept lines, or refuse them (nil).
-func (s *stage) accept(address string, lines chan *parley.Line) {
+func (s *stage) accept(address string, lines chan *rpc.Line) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lines[address] = lines
@@ -145,7 +145,7 @@
 }
 
 // line is the next one that was accepted, the keeper's hello read.
-func (s *stage) line(address string) *parley.Line {
+func (s *stage) line(address string) *rpc.Line {
 	l := <-s.at(address)
 	if m, err := l.Receive(time.Second); err != nil || m.Hello == nil || m.Hello.Who.Name != "me" {
 		s.note("no hello at %s: %+v, %v", address, m, err)
@@ -153,16 +153,16 @@
 	return l
 }
 
-func (s *stage) says(l *parley.Line, m *parley.Message) {
+func (s *stage) says(l *rpc.Line, m *rpc.Message) {
 	l.Send(m)
 	synctest.Wait()
 }
 
-func hello(name string, life uint64) *parley.Message {
-	return &parley.Message{Hello: &parley.Hello{Who: parley.Controller{Name: name}, Life: life}}
+func hello(name string, life uint64) *rpc.Message {
+	return &rpc.Message{Hello: &rpc.Hello{Who: rpc.Controller{Name: name}, Life: life}}
 }
 
-func word(n uint64) *parley.Message { return &parley.Message{Seq: n} }
+func word(n uint64) *rpc.Message { return &rpc.Message{Seq: n} }
 
 // end stops the queue; the keeper's goroutines must end by themselves, or the bubble does not.
 func (s *stage) end() string {
@@ -279,20 +279,20 @@
 // Where others dial, the later line of one life takes the place of the earlier one; an earlier life never does.
 func TestAcceptedLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var all []*parley.Line
+		var all []*rpc.Line
 		for range 40 {
 			a, b := net.Pipe()
-			all = append(all, parley.NewLine(a))
-			defer parley.NewLine(b).Close()
+			all = append(all, rpc.NewLine(a))
+			defer rpc.NewLine(b).Close()
 			defer all[len(all)-1].Close()
 		}
-		open := func(l *parley.Line) bool {
+		open := func(l *rpc.Line) bool {
 			began := time.Now()
 			_, err := l.Receive(time.Second)
 			return err != nil && time.Since(began) == time.Second
 		}
-		lines := rapport.Lines{Latest: true}
-		take := func(i int, life uint64, wantOK bool, wantReplaced *parley.Line) {
+		lines := session.Lines{Latest: true}
+		take := func(i int, life uint64, wantOK bool, wantReplaced *rpc.Line) {
 			t.Helper()
 			replaced, ok := lines.Take(hello("edge-0", life).Hello, all[i])
 			if ok != wantOK || replaced != wantReplaced || open(all[i]) != ok || replaced != nil && open(replaced) ||
@@ -328,7 +328,7 @@
 		var mu sync.Mutex
 		var dials []time.Duration
 		var light atomic.Bool
-		k := &rapport.Keeper{Queue: rapport.NewQueue(8), Clock: clockwork.NewRealClock(), Again: time.Second, Silence: time.Second,
+		k := &session.Keeper{Queue: session.NewQueue(8), Clock: clockwork.NewRealClock(), Again: time.Second, Silence: time.Second,
 			Dial: func(string) (net.Conn, error) {
 				mu.Lock()
 				dials = append(dials, time.Since(began))
@@ -341,8 +341,8 @@
 				go func() { _, _ = io.Copy(io.Discard, there) }()
 				return here, nil
 			},
-			Hello: func() *parley.Message { return &parley.Message{} },
-			Heard: func(string, *parley.Line, *parley.Message) {}, Lost: func(string, *parley.Line) {}}
+			Hello: func() *rpc.Message { return &rpc.Message{} },
+			Heard: func(string, *rpc.Line, *rpc.Message) {}, Lost: func(string, *rpc.Line) {}}
 		k.Now("nowhere") // what is not kept is let be
 		k.Keep("there")
 		time.Sleep(100 * time.Millisecond)
--- a/choice/choice.go
+++ b/internal/policy/choice.go
@@ -1,9 +1,9 @@
-// Package choice holds every decision of elmfold. New makes a controller's Assigner from its Deployment; Step
+// Package policy holds every decision of elmfold. New makes a controller's Assigner from its Deployment; Step
 // takes the events of a moment and returns the orders: it hears (news.go), bounds and splits the total (total.go),
 // places txns in zones (spill.go), picks and weighs backends (tables.go) and sends what the channel has room for
 // (pace.go). The types of all these are in iface.go, what is remembered is in state.go. Nothing here reads a clock, a
 // file or a network, and nothing is left to chance.
-package choice
+package policy
 
 import (
 	"cmp"
--- a/choice/iface.go
+++ b/internal/policy/iface.go
@@ -1,4 +1,4 @@
-package choice
+package policy
 
 // Time is a moment or a span in tenths of a millisecond.
 type Time int64
--- a/choice/spill.go
+++ b/internal/policy/spill.go
@@ -1,4 +1,4 @@
-package choice
+package policy
 
 import "math"
 
--- a/verdict/verdict.go
+++ b/internal/proxy/balancer/verdict.go
@@ -1,8 +1,8 @@
-// Package verdict settles what a carrier decides for each request: whether it is let in (the level), which backend of
+// Package balancer settles what a carrier decides for each request: whether it is let in (the level), which backend of
 // the table is asked, whether another may be asked after a failure, and what a cold backend may be sent. It does no I/O
 // and reads no clock; times are spans since the process began, chance comes in as an argument. A Settler is not safe
 // for concurrent use: its owner holds one small mutex, never over I/O.
-package verdict
+package balancer
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"elmfold/fault"
+	"elmfold/internal/gateway/apierror"
 )
 
 // Tuned values.
@@ -236,22 +236,22 @@
 func burst(level float64) float64 { return max(level/4, 2) }
 
 // Admit takes a request that came for a service. One over the level is refused, with when to come again.
-func (s *Settler) Admit(now time.Duration, name string) (fault.Kind, time.Duration) {
+func (s *Settler) Admit(now time.Duration, name string) (apierror.Kind, time.Duration) {
 	v := s.service(name)
 	v.came++
 	v.turn(now, s.bounds.RetryWindow)
 	v.asked[v.at%buckets]++
 	if v.level <= 0 {
-		return fault.None, 0
+		return apierror.None, 0
 	}
 	v.tokens = min(v.tokens+v.level*(now-v.tokensAt).Seconds(), burst(v.level))
 	v.tokensAt = now
 	if v.tokens < 1 {
 		v.voided++
-		return fault.OverLevel, time.Duration((1 - v.tokens) / v.level * float64(time.Second))
+		return apierror.OverLevel, time.Duration((1 - v.tokens) / v.level * float64(time.Second))
 	}
 	v.tokens--
-	return fault.None, 0
+	return apierror.None, 0
 }
 
 // turn moves the window of the budget on.
@@ -343,10 +343,10 @@
 func (b *Backend) Share() int { return b.share }
 
 // Pick chooses a backend for a request. Where none may be asked it says why. A pick must be ended by End.
-func (s *Settler) Pick(now time.Duration, a Ask) (*Backend, fault.Kind) {
+func (s *Settler) Pick(now time.Duration, a Ask) (*Backend, apierror.Kind) {
 	v := s.services[a.Service]
 	if v == nil || len(v.backends) == 0 {
-		return nil, fault.NoBackend
+		return nil, apierror.NoBackend
 	}
 	tried, limit := a.Tried, v.limit(a)
 	share := s.share(v)
@@ -393,17 +393,17 @@
 	if best == nil || best.load(now) >= limit {
 		for _, b := range v.backends {
 			if b.Usable {
-				return nil, fault.Full
+				return nil, apierror.Full
 			}
 		}
-		return nil, fault.NoBackend
+		return nil, apierror.NoBackend
 	}
 	best.busy++
 	best.share = share
 	if now < best.ColdUntil {
 		best.coldAt = now
 	}
-	return best, fault.None
+	return best, apierror.None
 }
 
 // weightOf is a backend's weight in the table: as ordered by the zone's controller; where it has said nothing, own
@@ -420,7 +420,7 @@
 
 // Met is what a try at a backend brought.
 type Met struct {
-	Kind    fault.Kind // None: an answer
+	Kind    apierror.Kind // None: an answer
 	Took    time.Duration
 	Running int // as the answer told; with Waiting
 	Waiting int
@@ -445,44 +445,44 @@
 		s.silent(now, b, now-m.Took)
 	}
 	switch m.Kind {
-	case fault.None, fault.Failed:
+	case apierror.None, apierror.Failed:
 		b.answered = now
 		if !b.proving {
 			b.Doubted = false
 		}
 		b.failures, b.downTill = 0, 0
-		if m.Kind == fault.None && (!m.HasLoad || m.Waiting == 0) {
+		if m.Kind == apierror.None && (!m.HasLoad || m.Waiting == 0) {
 			b.work = time.Duration(tookKeep*float64(cmp.Or(b.work, m.Took)) + (1-tookKeep)*float64(m.Took))
 		}
 		if v := s.service(b.Service); m.HasLoad && m.Waiting == 0 || v.took == 0 || m.Took < v.took {
 			v.took = time.Duration(tookKeep*float64(cmp.Or(v.took, m.Took)) + (1-tookKeep)*float64(m.Took))
 		}
-		if m.Kind == fault.Failed {
+		if m.Kind == apierror.Failed {
 			b.voided++
 		} else {
 			b.took, b.answers = b.took+m.Took, b.answers+1
 		}
-	case fault.Dial:
+	case apierror.Dial:
 		b.voided++
 		b.doubt(now)
-	case fault.Full: // beyond its connections
+	case apierror.Full: // beyond its connections
 		b.down(now, shedDown)
-	case fault.Turned:
+	case apierror.Turned:
 		b.answered = now
 		b.down(now, shedDown)
 		b.failures = 0
 		if !m.HasLoad { // it is full: no room for a moment
 			b.others, b.othersAt = float64(b.Capacity), now
 		}
-	case fault.Misdirected:
+	case apierror.Misdirected:
 		b.voided++
 		b.down(now, foreignDown)
-	case fault.Late:
+	case apierror.Late:
 		b.voided++
 		if b.failures++; b.failures >= illAfter {
 			b.downTill = max(b.downTill, now+illDown)
 		}
-	case fault.Broken, fault.Garbled, fault.Foreign, fault.CutOff:
+	case apierror.Broken, apierror.Garbled, apierror.Foreign, apierror.CutOff:
 		b.voided++
 		if b.failures++; b.failures >= illAfter {
 			b.downTill = max(b.downTill, now+illFirst)
@@ -553,7 +553,7 @@
 // Again says whether a request may go to another backend after a failure: one that has not run always, one that may
 // have run if its route allows repetition. Offered is how many backends it was sent to, each of them after the
 // first draws on the budget that all carriers share; so does the next one, if it counts.
-func (s *Settler) Again(now time.Duration, name string, kind fault.Kind, repeatable bool, offered, maxTries int) bool {
+func (s *Settler) Again(now time.Duration, name string, kind apierror.Kind, repeatable bool, offered, maxTries int) bool {
 	rule := kind.Rule()
 	if !rule.Elsewhere || rule.MayHave && !repeatable || offered >= maxTries {
 		return false
--- a/verdict/verdict_test.go
+++ b/internal/proxy/balancer/verdict_test.go
@@ -1,4 +1,4 @@
-package verdict
+package balancer
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"elmfold/fault"
+	"elmfold/internal/gateway/apierror"
 )
 
 var bounds = Bounds{RetryRatio: 0.2, RetrySlack: 60, RetryWindow: 10 * time.Second, ColdExcess: 1.5, ColdSlack: 5}
@@ -83,7 +83,7 @@
 				c, at := f.carriers[i], now-f.born[i]
 				asked = append(asked, now)
 				c.Admit(at, "s")
-				for offered := 1; r.Float64() < s.failed && c.Again(at, "s", fault.Turned, true, offered, 4); offered++ {
+				for offered := 1; r.Float64() < s.failed && c.Again(at, "s", apierror.Turned, true, offered, 4); offered++ {
 					again = append(again, now)
 				}
 			}
@@ -167,7 +167,7 @@
 			}
 			if p, _ := c.Pick(now, Ask{Service: "s", ToAim: time.Second}); p != nil {
 				sent = append(sent, now)
-				c.End(now, p, Met{Kind: []fault.Kind{fault.None, fault.Late, fault.Foreign}[r.IntN(3)]})
+				c.End(now, p, Met{Kind: []apierror.Kind{apierror.None, apierror.Late, apierror.Foreign}[r.IntN(3)]})
 			}
 		}
 		for _, from := range sent {
@@ -209,8 +209,8 @@
 // Over drawn requests: what was tried, may not be used, is in doubt or full is never picked; with room in the own
 // zone nothing leaves it, without any it does; and all that was taken is given back.
 func TestPick(t *testing.T) {
-	kinds := []fault.Kind{fault.None, fault.None, fault.None, fault.None, fault.Failed, fault.Dial, fault.Turned,
-		fault.Misdirected, fault.Late, fault.Broken, fault.CutOff}
+	kinds := []apierror.Kind{apierror.None, apierror.None, apierror.None, apierror.None, apierror.Failed, apierror.Dial, apierror.Turned,
+		apierror.Misdirected, apierror.Late, apierror.Broken, apierror.CutOff}
 	for seed := range uint64(100) {
 		r := rand.New(rand.NewPCG(seed, 11))
 		s := New("e0", "a", bounds, 0)
@@ -247,7 +247,7 @@
 				o := open[i]
 				open = slices.Delete(open, i, i+1)
 				kind := kinds[r.IntN(len(kinds))]
-				s.End(now, o.b, Met{Kind: kind, Took: now - o.from, Silent: kind == fault.Dial && r.IntN(2) == 0})
+				s.End(now, o.b, Met{Kind: kind, Took: now - o.from, Silent: kind == apierror.Dial && r.IntN(2) == 0})
 				continue
 			}
 			var tried []string
@@ -273,7 +273,7 @@
 			}
 			b, kind := s.Pick(now, Ask{Service: "s", ToAim: time.Hour, Tried: tried, Draws: [2]float64{r.Float64(), r.Float64()}})
 			switch {
-			case b == nil && (home+away > 0 || kind == fault.None):
+			case b == nil && (home+away > 0 || kind == apierror.None):
 				t.Fatalf("seed %d: nobody is picked (%v), %d and %d have room", seed, kind, home, away)
 			case b == nil:
 				continue
@@ -303,7 +303,7 @@
 		s.Put(0, Backend{ID: fmt.Sprint("i", i), Service: "s", Zone: zone, Capacity: 4, Usable: true})
 	}
 	var zones string
-	var kind fault.Kind
+	var kind apierror.Kind
 	for u := 0.05; ; u += 0.37 {
 		b, k := s.Pick(0, Ask{Service: "s", Draws: [2]float64{u - float64(int(u)), 0.5}})
 		if kind = k; b == nil {
@@ -311,10 +311,10 @@
 		}
 		zones += b.Zone
 	}
-	if zones[:6] != "aaaaaa" || !slices.Contains([]byte(zones), 'b') || kind != fault.Full {
+	if zones[:6] != "aaaaaa" || !slices.Contains([]byte(zones), 'b') || kind != apierror.Full {
 		t.Errorf("%s, then %v", zones, kind)
 	}
-	if _, kind := s.Pick(0, Ask{Service: "none"}); kind != fault.NoBackend {
+	if _, kind := s.Pick(0, Ask{Service: "none"}); kind != apierror.NoBackend {
 		t.Errorf("a service without backends: %v", kind)
 	}
 }
@@ -328,12 +328,12 @@
 		return b
 	}
 	one, two := pick(0), pick(0)
-	s.End(time.Second, one, Met{Kind: fault.Dial})
+	s.End(time.Second, one, Met{Kind: apierror.Dial})
 	first, second := s.Doubts(), s.Doubts()
 	if len(first) != 1 || len(second) != 0 {
 		t.Errorf("proved by %d, then by %d", len(first), len(second))
 	}
-	s.End(2*time.Second, two, Met{Kind: fault.None}) // an older one ends; the proof is still under way
+	s.End(2*time.Second, two, Met{Kind: apierror.None}) // an older one ends; the proof is still under way
 	if pick(time.Minute) != nil {
 		t.Error("a request goes to a backend in doubt")
 	}
@@ -345,7 +345,7 @@
 
 // A request that may have run goes on only where it may run again, and none beyond its tries.
 func TestAgain(t *testing.T) {
-	for _, kind := range fault.Kinds() {
+	for _, kind := range apierror.Kinds() {
 		for _, repeatable := range []bool{false, true} {
 			for offered := range 4 {
 				s := newFleet(1).carriers[0]
--- a/transit/core.go
+++ b/internal/proxy/core.go
@@ -1,12 +1,12 @@
-package transit
+package proxy
 
 import (
 	"slices"
 	"time"
 
-	"elmfold/parley"
-	"elmfold/presence"
-	"elmfold/verdict"
+	"elmfold/internal/controlplane/registry"
+	"elmfold/internal/gateway/rpc"
+	"elmfold/internal/proxy/balancer"
 )
 
 // What of the core's words counts here. A controller that is *apart* has no contact with a majority of the voters: what
@@ -53,7 +53,7 @@
 func steererOf(zone string, all []candidate) string {
 	best, bestRank := "", uint64(0)
 	for _, k := range all {
-		rank := verdict.Rank(k.name, zone) >> 2
+		rank := balancer.Rank(k.name, zone) >> 2
 		if k.zone == zone {
 			rank |= 1 << 62
 		}
@@ -90,7 +90,7 @@
 // the newest renewal that a controller answered, by its name. Whether they are in touch with one another does not
 // matter: a lease stands between a carrier and each controller, and the majorities of two carriers share one that lists
 // both. false: no majority has answered.
-func rightUntil(e parley.Epoch, renewed map[string]time.Duration) (time.Duration, bool) {
+func rightUntil(e rpc.Epoch, renewed map[string]time.Duration) (time.Duration, bool) {
 	var all []time.Duration
 	for _, at := range renewed {
 		all = append(all, at)
@@ -98,8 +98,8 @@
 	slices.Sort(all)
 	slices.Reverse(all)
 	for _, at := range all {
-		if e.Most(func(v parley.Voter) bool { r, ok := renewed[v.Name]; return ok && r >= at }) {
-			return at + presence.RightFor, true
+		if e.Most(func(v rpc.Voter) bool { r, ok := renewed[v.Name]; return ok && r >= at }) {
+			return at + registry.RightFor, true
 		}
 	}
 	return 0, false
--- a/transit/core_test.go
+++ b/internal/proxy/core_test.go
@@ -1,12 +1,12 @@
-package transit
+package proxy
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"elmfold/parley"
-	"elmfold/presence"
+	"elmfold/internal/controlplane/registry"
+	"elmfold/internal/gateway/rpc"
 )
 
 const s = time.Second
@@ -94,9 +94,9 @@
 	}
 }
 
-func voters(names ...string) (all []parley.Voter) {
+func voters(names ...string) (all []rpc.Voter) {
 	for _, n := range names {
-		all = append(all, parley.Voter{Controller: parley.Controller{Name: n}, ID: "disk of " + n})
+		all = append(all, rpc.Voter{Controller: rpc.Controller{Name: n}, ID: "disk of " + n})
 	}
 	return all
 }
@@ -104,16 +104,16 @@
 // Who may send to a cold backend. Guards against two carriers that both hold the right by majorities which do not meet
 // (FAILBACK): no majority of one set counts while the other one does too.
 func TestRight(t *testing.T) {
-	plain := parley.Epoch{Number: 3, Voters: voters("a", "b", "c")}
-	joint := parley.Epoch{Number: 4, Voters: voters("b", "c", "d"), Old: voters("a", "b", "c")}
-	moved := parley.Epoch{Number: 4, Voters: voters("d", "e", "f"), Old: voters("a", "b", "c")}
+	plain := rpc.Epoch{Number: 3, Voters: voters("a", "b", "c")}
+	joint := rpc.Epoch{Number: 4, Voters: voters("b", "c", "d"), Old: voters("a", "b", "c")}
+	moved := rpc.Epoch{Number: 4, Voters: voters("d", "e", "f"), Old: voters("a", "b", "c")}
 	type answers map[string]time.Duration
 	for i, k := range []struct {
-		epoch parley.Epoch
+		epoch rpc.Epoch
 		by    answers
 		want  time.Duration // of the instant that counts; negative: none
 	}{
-		{parley.Epoch{}, answers{"a": 9 * s, "b": 9 * s, "c": 9 * s}, -1},
+		{rpc.Epoch{}, answers{"a": 9 * s, "b": 9 * s, "c": 9 * s}, -1},
 		{plain, answers{}, -1},
 		{plain, answers{"a": 9 * s}, -1},
 		{plain, answers{"a": 9 * s, "x": 9 * s, "y": 9 * s}, -1},
@@ -128,7 +128,7 @@
 		{moved, answers{"d": 9 * s, "e": 9 * s, "a": 9 * s, "b": 5 * s}, 5 * s},
 	} {
 		until, ok := rightUntil(k.epoch, k.by)
-		if ok != (k.want >= 0) || ok && until != k.want+presence.RightFor {
+		if ok != (k.want >= 0) || ok && until != k.want+registry.RightFor {
 			t.Errorf("%d: %v, %v", i, until, ok)
 		}
 	}
@@ -156,7 +156,7 @@
 // Who is asked for a configuration: one in touch, then one of the zone.
 func TestNearer(t *testing.T) {
 	of := func(zone string, apart bool) *controller {
-		return &controller{who: parley.Controller{Zone: zone}, touch: touch{apart: apart}}
+		return &controller{who: rpc.Controller{Zone: zone}, touch: touch{apart: apart}}
 	}
 	order := []*controller{of("north", false), of("south", false), of("north", true), of("south", true)}
 	for i, p := range order {
--- a/transit/datapath_test.go
+++ b/internal/proxy/datapath_test.go
@@ -1,4 +1,4 @@
-package transit_test
+package proxy_test
 
 import (
 	"bufio"
--- a/transit/front.go
+++ b/internal/proxy/front.go
@@ -1,4 +1,4 @@
-package transit
+package proxy
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 	"github.com/go-chi/chi/v5"
 	"github.com/hashicorp/go-hclog"
 
-	"elmfold/attempt"
-	"elmfold/charter"
-	"elmfold/fault"
-	"elmfold/verdict"
+	"elmfold/internal/gateway/apierror"
+	"elmfold/internal/gateway/routeconfig"
+	"elmfold/internal/proxy/balancer"
+	"elmfold/internal/proxy/upstream"
 )
 
 const (
@@ -54,7 +54,7 @@
 
 func (k *clientConn) SetReadDeadline(t time.Time) error {
 	if t.IsZero() {
-		limits := charter.Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
+		limits := routeconfig.Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 		if v := k.c.view.Load(); v != nil {
 			limits = v.Limits
 		}
@@ -142,8 +142,8 @@
 	w        http.ResponseWriter
 	r        *http.Request
 	began    time.Time
-	charter  *charter.Charter
-	route    *charter.Route
+	charter  *routeconfig.Charter
+	route    *routeconfig.Route
 	service  string
 	target   string
 	deadline time.Time
@@ -175,21 +175,21 @@
 func (c *Carrier) carry(w http.ResponseWriter, r *http.Request) {
 	q := request{w: w, r: r, began: c.o.Clock.Now(), charter: c.view.Load()}
 	if q.charter == nil {
-		c.refuse(&q, fault.Unready, 0)
+		c.refuse(&q, apierror.Unready, 0)
 		return
 	}
-	if kind := q.read(); kind != fault.None {
+	if kind := q.read(); kind != apierror.None {
 		c.refuse(&q, kind, 0)
 		return
 	}
-	var kind fault.Kind
+	var kind apierror.Kind
 	var after time.Duration
-	c.settle(func(s *verdict.Settler) { kind, after = s.Admit(c.now(), q.service) })
-	if kind != fault.None {
+	c.settle(func(s *balancer.Settler) { kind, after = s.Admit(c.now(), q.service) })
+	if kind != apierror.None {
 		c.refuse(&q, kind, after)
 		return
 	}
-	if kind := q.hold(); kind != fault.None {
+	if kind := q.hold(); kind != apierror.None {
 		c.refuse(&q, kind, 0)
 		return
 	}
@@ -197,14 +197,14 @@
 }
 
 // settle lets f use the settler. A panic in it must not leave the lock behind: net/http goes on serving after one.
-func (c *Carrier) settle(f func(s *verdict.Settler)) {
+func (c *Carrier) settle(f func(s *balancer.Settler)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(c.settler)
 }
 
 // read settles the route and the time from the request's head.
-func (q *request) read() fault.Kind {
+func (q *request) read() apierror.Kind {
 	r, limits := q.r, q.charter.Limits
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host) + 20
 	for name, values := range r.Header {
@@ -213,10 +213,10 @@
 		}
 	}
 	if size > limits.HeaderBytes {
-		return fault.HeaderLarge
+		return apierror.HeaderLarge
 	}
 	if r.ContentLength > limits.BodyBytes {
-		return fault.BodyLarge
+		return apierror.BodyLarge
 	}
 	q.target = r.RequestURI
 	if rest, ok := strings.CutPrefix(q.target, "http://"); ok { // absolute form: the path begins after the authority
@@ -225,28 +225,28 @@
 		}
 	}
 	if !strings.HasPrefix(q.target, "/") || r.Header.Get("Upgrade") != "" {
-		return fault.Malformed
+		return apierror.Malformed
 	}
 	path, _, _ := strings.Cut(q.target, "?")
 	if q.route = q.charter.Route(r.Host, path); q.route == nil {
-		return fault.NoRoute
+		return apierror.NoRoute
 	}
 	q.service = q.route.Pick(rand.Float64())
 	time_ := q.route.Timeout
-	if text := r.Header.Get(attempt.FieldBudget); text != "" {
+	if text := r.Header.Get(upstream.FieldBudget); text != "" {
 		if ms, err := strconv.ParseFloat(text, 64); err == nil && ms > 0 && ms < budgetMost.Seconds()*1000 {
 			time_ = min(time_, time.Duration(ms*float64(time.Millisecond)))
 		}
 	}
 	q.deadline = q.began.Add(time_)
-	return fault.None
+	return apierror.None
 }
 
 // hold takes the body, whole up to holdMost.
-func (q *request) hold() fault.Kind {
+func (q *request) hold() apierror.Kind {
 	r := q.r
 	if q.whole = r.ContentLength == 0 || r.Body == nil || r.Body == http.NoBody; q.whole {
-		return fault.None
+		return apierror.None
 	}
 	body := http.MaxBytesReader(nil, r.Body, q.charter.Limits.BodyBytes)
 	control := http.NewResponseController(q.w)
@@ -271,55 +271,55 @@
 	case err == io.EOF:
 		q.whole = true
 		_ = control.SetReadDeadline(time.Time{})
-		return fault.None
+		return apierror.None
 	case err == nil:
 		if q.length = -1; r.ContentLength >= 0 {
 			q.length = r.ContentLength - int64(len(q.body))
 		}
 		q.stream = &upload{Reader: body, left: q.length}
 		q.stream.done.Store(q.length == 0)
-		return fault.None
+		return apierror.None
 	case errors.As(err, &large):
-		return fault.BodyLarge
+		return apierror.BodyLarge
 	case errors.As(err, &slow) && slow.Timeout():
-		return fault.ClientSlow
+		return apierror.ClientSlow
 	}
-	return fault.Malformed
+	return apierror.Malformed
 }
 
 // try asks backends until one answers or none may be asked.
 func (c *Carrier) try(q *request) {
-	call := attempt.Call{Method: q.r.Method, Target: q.target, Host: q.r.Host, Header: q.r.Header.Clone(),
-		AttemptID: q.r.Header.Get(attempt.FieldID), Body: q.body, StreamLen: q.length,
+	call := upstream.Call{Method: q.r.Method, Target: q.target, Host: q.r.Host, Header: q.r.Header.Clone(),
+		AttemptID: q.r.Header.Get(upstream.FieldID), Body: q.body, StreamLen: q.length,
 		HasBody: q.body != nil || q.r.ContentLength == 0 && q.r.Header.Get("Content-Length") != "", Deadline: q.deadline}
 	if q.stream != nil {
 		call.Stream = q.stream
 	}
-	attempt.StripHop(call.Header)
-	for _, name := range []string{attempt.FieldID, attempt.FieldBudget, attempt.FieldInstance, "Content-Length", "Expect"} {
+	upstream.StripHop(call.Header)
+	for _, name := range []string{upstream.FieldID, upstream.FieldBudget, upstream.FieldInstance, "Content-Length", "Expect"} {
 		call.Header.Del(name)
 	}
 	var tried []string
-	var answer *attempt.Answer
-	last, offered, ran, unreached := fault.None, 0, false, 0
+	var answer *upstream.Answer
+	last, offered, ran, unreached := apierror.None, 0, false, 0
 	for {
 		if !c.o.Clock.Now().Before(q.deadline) {
-			if last = fault.OutOfTime; ran {
-				last = fault.Late
+			if last = apierror.OutOfTime; ran {
+				last = apierror.Late
 			}
 			break
 		}
-		var b *verdict.Backend
-		var kind fault.Kind
-		ask := verdict.Ask{Service: q.service, Tried: tried, ToAim: q.route.Target - c.o.Clock.Now().Sub(q.began),
+		var b *balancer.Backend
+		var kind apierror.Kind
+		ask := balancer.Ask{Service: q.service, Tried: tried, ToAim: q.route.Target - c.o.Clock.Now().Sub(q.began),
 			Priority: q.route.Priority, Draws: [2]float64{rand.Float64(), rand.Float64()}}
-		c.settle(func(s *verdict.Settler) {
+		c.settle(func(s *balancer.Settler) {
 			if b, kind = s.Pick(c.now(), ask); b != nil {
 				call.Addr, call.Instance, call.MostOpen = b.Address, b.ID, b.Share() // they may change once the lock is free
 			}
 		})
 		if b == nil {
-			if last == fault.None || !ran && offered == 0 && last != fault.Dial {
+			if last == apierror.None || !ran && offered == 0 && last != apierror.Dial {
 				last = kind
 			}
 			break
@@ -327,20 +327,20 @@
 		began := c.o.Clock.Now()
 		got, err := c.pool.Do(context.Background(), &call)
 		met, failed := meet(got, err, c.o.Clock.Now().Sub(began))
-		var doubts []verdict.Doubt
-		c.settle(func(s *verdict.Settler) {
-			if s.End(c.now(), b, met); failed != fault.None {
+		var doubts []balancer.Doubt
+		c.settle(func(s *balancer.Settler) {
+			if s.End(c.now(), b, met); failed != apierror.None {
 				doubts = s.Doubts()
 			}
 		})
 		for _, d := range doubts {
 			go c.prove(d)
 		}
-		if answer, last = got, failed; failed == fault.None {
+		if answer, last = got, failed; failed == apierror.None {
 			break
 		}
 		tried = append(tried, call.Instance)
-		if last == fault.Dial {
+		if last == apierror.Dial {
 			if unreached++; unreached >= dialsMost {
 				break
 			}
@@ -352,7 +352,7 @@
 			break
 		}
 		again := false
-		c.settle(func(s *verdict.Settler) {
+		c.settle(func(s *balancer.Settler) {
 			again = q.stream == nil && s.Again(c.now(), q.service, last, q.route.Safe, offered, q.route.MaxTries)
 		})
 		if !again {
@@ -363,16 +363,16 @@
 		}
 	}
 	switch {
-	case answer != nil && (last == fault.None || last == fault.Failed) && !promises(answer.Status):
+	case answer != nil && (last == apierror.None || last == apierror.Failed) && !promises(answer.Status):
 		c.pass(q, answer)
 		return
-	case answer != nil && (last == fault.None || last == fault.Failed):
+	case answer != nil && (last == apierror.None || last == apierror.Failed):
 		// A backend's own 503 without the word that it has not run it: passed on, it would be a promise.
-		c.refuse(q, fault.Failed, 0)
+		c.refuse(q, apierror.Failed, 0)
 	case ran && !last.Rule().MayHave: // an earlier backend may have run it: no promise can be made any more
-		c.refuse(q, fault.Broken, 0)
-	case last == fault.Full:
-		c.refuse(q, last, verdict.After(q.route.Target, rand.Float64()))
+		c.refuse(q, apierror.Broken, 0)
+	case last == apierror.Full:
+		c.refuse(q, last, balancer.After(q.route.Target, rand.Float64()))
 	default:
 		c.refuse(q, last, 0)
 	}
@@ -389,12 +389,12 @@
 }
 
 // prove brings up a connection to a backend in doubt, again and again until one does or the backend is gone.
-func (c *Carrier) prove(d verdict.Doubt) {
+func (c *Carrier) prove(d balancer.Doubt) {
 	c.pool.Forget(d.Address) // the idle ones are as doubtful
 	for tries := 1; ; tries++ {
 		err := c.pool.Connect(context.Background(), d.Address)
 		wanted := false
-		c.settle(func(s *verdict.Settler) {
+		c.settle(func(s *balancer.Settler) {
 			if wanted = s.Wanted(d); wanted && err == nil {
 				s.Proved(c.now(), d, c.o.Settings.Beat.Span()+unsureFor)
 			}
@@ -415,27 +415,27 @@
 }
 
 // meet says what a try brought: for the settler, and as the kind of its failure.
-func meet(a *attempt.Answer, err error, took time.Duration) (verdict.Met, fault.Kind) {
-	m := verdict.Met{Took: took}
+func meet(a *upstream.Answer, err error, took time.Duration) (balancer.Met, apierror.Kind) {
+	m := balancer.Met{Took: took}
 	if a != nil {
 		m.Running, m.Waiting, m.HasLoad, m.Cold, m.HasCold = a.Load.Running, a.Load.Waiting, a.HasLoad, a.Cold, a.HasCold
 	}
-	var f *fault.Fault
+	var f *apierror.Fault
 	switch {
 	case errors.As(err, &f):
 		var slow net.Error
 		m.Kind = f.Kind
-		m.Silent = f.Kind != fault.Late && errors.As(f.Cause, &slow) && slow.Timeout()
+		m.Silent = f.Kind != apierror.Late && errors.As(f.Cause, &slow) && slow.Timeout()
 	case err != nil:
-		m.Kind = fault.Broken
+		m.Kind = apierror.Broken
 	case a.Status >= 500, promises(a.Status): // without the word that it has not run, a promise says nothing
-		m.Kind = fault.Failed
+		m.Kind = apierror.Failed
 	}
 	return m, m.Kind
 }
 
 // pass returns a backend's answer as it is.
-func (c *Carrier) pass(q *request, a *attempt.Answer) {
+func (c *Carrier) pass(q *request, a *upstream.Answer) {
 	h := q.w.Header()
 	for name, values := range a.Header {
 		h[name] = values
@@ -516,7 +516,7 @@
 }
 
 // refuse answers by the table of kinds.
-func (c *Carrier) refuse(q *request, kind fault.Kind, after time.Duration) {
+func (c *Carrier) refuse(q *request, kind apierror.Kind, after time.Duration) {
 	rule := kind.Rule()
 	h := q.w.Header()
 	if after <= 0 {
--- a/transit/main.go
+++ b/internal/proxy/main.go
@@ -1,4 +1,4 @@
-package transit
+package proxy
 
 import (
 	"errors"
@@ -12,20 +12,20 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"elmfold/entry"
-	"elmfold/premise"
-	"elmfold/trace"
+	"elmfold/internal/gateway/bootconfig"
+	"elmfold/internal/gateway/cli"
+	"elmfold/internal/gateway/logbuffer"
 )
 
 const about = "The gateway's carrier: it takes clients' requests to backends and the answers back."
 
 // Main is the program.
 func Main(args []string, out, errs io.Writer) int {
-	return entry.Main("transit", about, args, out, errs, serve)
+	return cli.Main("transit", about, args, out, errs, serve)
 }
 
-func serve(settings *premise.Settings, o entry.Options) error {
-	ring, log := trace.New(settings.Name, os.Stderr, time.Now, o.Verbose)
+func serve(settings *bootconfig.Settings, o cli.Options) error {
+	ring, log := logbuffer.New(settings.Name, os.Stderr, time.Now, o.Verbose)
 	if settings.Listen["front"] == "" || settings.Listen["readiness"] == "" {
 		return errors.New("listen.front, listen.readiness: a carrier needs both")
 	}
@@ -33,15 +33,15 @@
 	if mb := settings.Limits.MemoryMB; mb > 0 {
 		debug.SetMemoryLimit(int64(mb * 0.8 * (1 << 20)))
 	}
-	readiness, err := entry.Listen(settings.Listen["readiness"])
+	readiness, err := cli.Listen(settings.Listen["readiness"])
 	if err != nil {
 		return err
 	}
-	front, err := entry.Listen(settings.Listen["front"])
+	front, err := cli.Listen(settings.Listen["front"])
 	if err != nil {
 		return err
 	}
-	c := New(Options{Settings: settings, Log: log, Clock: clockwork.NewRealClock(), Dial: entry.Dial})
+	c := New(Options{Settings: settings, Log: log, Clock: clockwork.NewRealClock(), Dial: cli.Dial})
 	go c.Run()
 	go func() {
 		_ = (&http.Server{Handler: c.Readiness(), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 20 * time.Second}).Serve(readiness)
@@ -59,7 +59,7 @@
 			served = nil
 		case sig := <-signals:
 			if sig == syscall.SIGHUP {
-				if next, err := premise.FromEnvironment(); err != nil {
+				if next, err := bootconfig.FromEnvironment(); err != nil {
 					log.Error("settings stay as they were", "err", err)
 				} else {
 					c.Reload(next)
@@ -74,7 +74,7 @@
 }
 
 // Reload takes settings that were changed while the program runs: new seeds are dialled, the rest waits for a restart.
-func (c *Carrier) Reload(next *premise.Settings) {
+func (c *Carrier) Reload(next *bootconfig.Settings) {
 	c.queue.Do(func() {
 		for _, seed := range next.Seeds {
 			c.keep.Keep(c.o.Settings.Peer(seed))
--- a/transit/touch_test.go
+++ b/internal/proxy/touch_test.go
@@ -1,4 +1,4 @@
-package transit_test
+package proxy_test
 
 import (
 	"net/http/httptest"
@@ -9,7 +9,7 @@
 
 	"github.com/hexops/autogold"
 
-	"elmfold/parley"
+	"elmfold/internal/gateway/rpc"
 )
 
 // begin plays a new life of a carrier among controllers, the first of which is in its zone, from its first moment;
@@ -142,7 +142,7 @@
 		s.cores[2].tell(offer(older.register()))
 		at("one says that something older is in force")
 		two := s.backend("beta", "north2", s.works(own))
-		s.cores[0].tell(&parley.Message{Tables: []parley.Table{{Service: "beta", Whole: true,
+		s.cores[0].tell(&rpc.Message{Tables: []rpc.Table{{Service: "beta", Whole: true,
 			Weights: map[string]float64{one.ID: 0, two.ID: 1}}}})
 		at("the one that steers, apart as it is, says that all go to the second")
 		third := conf{version: 3, routes: append(both("alpha"), both("beta")...)}
@@ -234,10 +234,10 @@
 		near, far := s.cores[0], s.cores[1]
 		one, two := s.backend("beta", "north1", s.works(own)), s.backend("beta", "north2", s.works(own))
 		time.Sleep(5 * time.Second)
-		only := func(b parley.Backend, renewed uint64) *parley.Message {
+		only := func(b rpc.Backend, renewed uint64) *rpc.Message {
 			weights := map[string]float64{one.ID: 0, two.ID: 0}
 			weights[b.ID] = 1
-			return &parley.Message{Tables: []parley.Table{{Service: "beta", Whole: true, Weights: weights}}, Renewed: renewed}
+			return &rpc.Message{Tables: []rpc.Table{{Service: "beta", Whole: true, Weights: weights}}, Renewed: renewed}
 		}
 		lines := func() (n int) {
 			near.mu.Lock()
@@ -284,25 +284,25 @@
 // voters, and of the old ones while they count, have told it what they hold.
 func TestReadsByTheEpoch(t *testing.T) {
 	begin(t, 5, func(s *stage, at func(string)) {
-		voters := func(of ...int) (all []parley.Voter) {
+		voters := func(of ...int) (all []rpc.Voter) {
 			for _, i := range of {
-				all = append(all, parley.Voter{Controller: s.cores[i].who, ID: "disk of " + s.cores[i].who.Name})
+				all = append(all, rpc.Voter{Controller: s.cores[i].who, ID: "disk of " + s.cores[i].who.Name})
 			}
 			return all
 		}
 		for i, k := range s.cores {
 			k.knows(newer, false)
 			k.mu.Lock()
-			if k.settled, k.epoch = i < 2, (&parley.Epoch{Number: 3, Voters: voters(0, 1, 2)}); i == 4 {
-				k.epoch = &parley.Epoch{Number: 4, Voters: voters(2, 3, 4), Old: voters(0, 1, 2)}
+			if k.settled, k.epoch = i < 2, (&rpc.Epoch{Number: 3, Voters: voters(0, 1, 2)}); i == 4 {
+				k.epoch = &rpc.Epoch{Number: 4, Voters: voters(2, 3, 4), Old: voters(0, 1, 2)}
 			}
 			k.mu.Unlock()
 		}
 		time.Sleep(300 * time.Millisecond)
 		at("two of the old voters have told all, and one knows of a change")
-		s.cores[3].tell(&parley.Message{Settled: true, Epoch: &parley.Epoch{Number: 3, Voters: voters(0, 1, 2)}})
+		s.cores[3].tell(&rpc.Message{Settled: true, Epoch: &rpc.Epoch{Number: 3, Voters: voters(0, 1, 2)}})
 		at("one of the new ones too, and tells of the old epoch")
-		s.cores[4].tell(&parley.Message{Settled: true})
+		s.cores[4].tell(&rpc.Message{Settled: true})
 		at("two of the new ones")
 	})
 }
--- a/transit/transit.go
+++ b/internal/proxy/transit.go
@@ -1,10 +1,10 @@
-// Package transit is the carrier's side of the gateway: it takes requests from clients, sends each to a backend and
+// Package proxy is the carrier's side of the gateway: it takes requests from clients, sends each to a backend and
 // returns the answer, by what the controllers tell it.
 //
 // One goroutine owns what was told (own) and works through a queue of commands; requests read an immutable view by
 // one atomic pointer, and the settler under one small mutex that is never held over I/O. So no request waits for a
 // controller, and a carrier that reaches none goes on with what it knows.
-package transit
+package proxy
 
 import (
 	"math/rand/v2"
@@ -19,13 +19,13 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/jonboulle/clockwork"
 
-	"elmfold/accord"
-	"elmfold/attempt"
-	"elmfold/charter"
-	"elmfold/parley"
-	"elmfold/premise"
-	"elmfold/rapport"
-	"elmfold/verdict"
+	"elmfold/internal/controlplane/consensus"
+	"elmfold/internal/gateway/bootconfig"
+	"elmfold/internal/gateway/routeconfig"
+	"elmfold/internal/gateway/rpc"
+	"elmfold/internal/gateway/session"
+	"elmfold/internal/proxy/balancer"
+	"elmfold/internal/proxy/upstream"
 )
 
 const (
@@ -42,32 +42,32 @@
 
 // Options make a Carrier.
 type Options struct {
-	Settings *premise.Settings
+	Settings *bootconfig.Settings
 	Log      hclog.Logger
 	Clock    clockwork.Clock
 	Dial     func(address string) (net.Conn, error) // to controllers
-	Backends attempt.Options                        // how backends are dialled
+	Backends upstream.Options                       // how backends are dialled
 }
 
 type controller struct {
-	who     parley.Controller
-	line    *parley.Line // nil: down
+	who     rpc.Controller
+	line    *rpc.Line // nil: down
 	life    uint64
 	upAt    time.Duration
-	lostAt  time.Duration           // when the line broke
-	settled bool                    // it knows of backends what others know
-	votes   bool                    // its disk does, and it was in contact with a majority when it said what it holds
-	held    map[string]parley.Stamp // ... then
-	safe    parley.Stamp            // the newest configuration that it said to be in force
-	asked   int                     // how often it was asked for the one that is wanted
-	members map[string]parley.Member
+	lostAt  time.Duration        // when the line broke
+	settled bool                 // it knows of backends what others know
+	votes   bool                 // its disk does, and it was in contact with a majority when it said what it holds
+	held    map[string]rpc.Stamp // ... then
+	safe    rpc.Stamp            // the newest configuration that it said to be in force
+	asked   int                  // how often it was asked for the one that is wanted
+	members map[string]rpc.Member
 	sent    sentTimes     // of the renewals
 	renewed time.Duration // the sending of the newest that was answered; negative: none
 	touch   touch
 }
 
 type life struct {
-	parley.Backend
+	rpc.Backend
 	vouchers  map[string]bool // by controller
 	lonelyAt  time.Duration   // since when nobody vouches
 	coldUntil time.Duration
@@ -79,18 +79,18 @@
 type Carrier struct {
 	o     Options
 	log   hclog.Logger
-	me    parley.Controller
+	me    rpc.Controller
 	life  uint64
 	began time.Time
-	queue *rapport.Queue
-	keep  *rapport.Keeper // its Keep belongs to own
+	queue *session.Queue
+	keep  *session.Keeper // its Keep belongs to own
 
-	view     atomic.Pointer[charter.Charter]
+	view     atomic.Pointer[routeconfig.Charter]
 	ready    atomic.Bool
 	stopping atomic.Bool
 	mu       sync.Mutex // of settler
-	settler  *verdict.Settler
-	pool     *attempt.Pool
+	settler  *balancer.Settler
+	pool     *upstream.Pool
 	server   *http.Server
 
 	clients     atomic.Int64
@@ -98,12 +98,12 @@
 
 	// Owned by own.
 	controllers map[string]*controller
-	epoch       parley.Epoch // who votes in the core: the newest that was heard
+	epoch       rpc.Epoch // who votes in the core: the newest that was heard
 	lives       map[string]*life
-	zones       map[string]parley.Register // evacuations
-	takenBack   map[string]time.Duration   // when a zone was taken back
-	have        parley.Stamp               // of the configuration in the view
-	wanted      parley.Stamp               // the newest configuration that is in force somewhere
+	zones       map[string]rpc.Register  // evacuations
+	takenBack   map[string]time.Duration // when a zone was taken back
+	have        rpc.Stamp                // of the configuration in the view
+	wanted      rpc.Stamp                // the newest configuration that is in force somewhere
 	wantedAt    time.Duration
 	renewal     uint64
 	steersAt    string
@@ -113,23 +113,23 @@
 
 // New makes a Carrier; Run starts it.
 func New(o Options) *Carrier {
-	c := &Carrier{o: o, log: o.Log, life: rand.Uint64() | 1, began: o.Clock.Now(), queue: rapport.NewQueue(1024),
-		controllers: map[string]*controller{}, lives: map[string]*life{}, zones: map[string]parley.Register{},
+	c := &Carrier{o: o, log: o.Log, life: rand.Uint64() | 1, began: o.Clock.Now(), queue: session.NewQueue(1024),
+		controllers: map[string]*controller{}, lives: map[string]*life{}, zones: map[string]rpc.Register{},
 		takenBack: map[string]time.Duration{}, heardAt: -1, renewal: 1}
 	set := o.Settings
-	c.me = parley.Controller{Name: set.Name, Zone: set.Zone, Address: set.Own()}
-	c.keep = &rapport.Keeper{Queue: c.queue, Clock: o.Clock, Dial: o.Dial, Again: dialAgain, Silence: silentFor,
-		Hello: func() *parley.Message {
-			return &parley.Message{Hello: &parley.Hello{Who: c.me, Life: c.life, Carrier: true}}
+	c.me = rpc.Controller{Name: set.Name, Zone: set.Zone, Address: set.Own()}
+	c.keep = &session.Keeper{Queue: c.queue, Clock: o.Clock, Dial: o.Dial, Again: dialAgain, Silence: silentFor,
+		Hello: func() *rpc.Message {
+			return &rpc.Message{Hello: &rpc.Hello{Who: c.me, Life: c.life, Carrier: true}}
 		},
 		Heard: c.heard, Lost: c.lost}
 	o.Backends.Now = o.Clock.Now
 	if c.clientsMost = int64(set.Limits.MaxFDs) * 6 / 10; c.clientsMost == 0 {
 		c.clientsMost = 2400
 	}
-	c.pool = attempt.New(o.Backends)
+	c.pool = upstream.New(o.Backends)
 	c.server = c.newServer()
-	c.settler = verdict.New(set.Name, set.Zone, verdict.Bounds{RetryRatio: set.Bounds.RetryRatio,
+	c.settler = balancer.New(set.Name, set.Zone, balancer.Bounds{RetryRatio: set.Bounds.RetryRatio,
 		RetrySlack: set.Bounds.RetrySlack, RetryWindow: set.Bounds.RetryWindow.Span(), ColdExcess: set.Bounds.ColdExcess,
 		ColdSlack: set.Bounds.ColdSlack}, 0)
 	return c
@@ -155,14 +155,14 @@
 
 func (c *Carrier) now() time.Duration { return c.o.Clock.Now().Sub(c.began) }
 
-func (c *Carrier) lost(name string, _ *parley.Line) {
+func (c *Carrier) lost(name string, _ *rpc.Line) {
 	p := c.controllers[name]
 	p.line, p.lostAt = nil, c.now()
 	c.log.Info("line lost", "to", name)
 }
 
 // heard takes a word of the line that speaks for a controller.
-func (c *Carrier) heard(name string, line *parley.Line, m *parley.Message) {
+func (c *Carrier) heard(name string, line *rpc.Line, m *rpc.Message) {
 	now := c.now()
 	p := c.controllers[name]
 	if m.Hello != nil {
@@ -172,7 +172,7 @@
 		}
 		was := *p
 		*p = controller{who: m.Hello.Who, line: line, life: m.Hello.Life, upAt: now, renewed: -1,
-			members: map[string]parley.Member{}}
+			members: map[string]rpc.Member{}}
 		if was.life == p.life { // its line alone was lost
 			p.touch = was.touch
 		} else {
@@ -272,7 +272,7 @@
 			}
 		}
 	}
-	enough := c.epoch.Most(func(v parley.Voter) bool { return read[v.ID] }) && !behind
+	enough := c.epoch.Most(func(v rpc.Voter) bool { return read[v.ID] }) && !behind
 	if enough || now > c.heardAt+readAtLeast {
 		c.ready.Store(true)
 		c.log.Info("ready", "read", len(read), "version", c.view.Load().Version, "backends", len(c.lives))
@@ -281,7 +281,7 @@
 
 // offered takes a register that is in force. What was once in force here never gives way to something older, whoever
 // says so.
-func (c *Carrier) offered(now time.Duration, r parley.Register, safe parley.Stamp) {
+func (c *Carrier) offered(now time.Duration, r rpc.Register, safe rpc.Stamp) {
 	if safe != r.Stamp {
 		return
 	}
@@ -289,12 +289,12 @@
 		if !c.have.Less(r.Stamp) { // of two bodies under one version, all keep the same
 			return
 		}
-		next, err := charter.Read(r.Value)
+		next, err := routeconfig.Read(r.Value)
 		if err != nil {
 			c.log.Error("a configuration in force cannot be read", "err", err)
 			return
 		}
-		c.settle(func(s *verdict.Settler) {
+		c.settle(func(s *balancer.Settler) {
 			for _, p := range next.Pools {
 				s.Configure(p.Name, p.MaxConns, p.ColdRate, p.Cold)
 			}
@@ -332,7 +332,7 @@
 	}
 }
 
-func (c *Carrier) evacuated(zone string) bool { return accord.Evacuated(c.zones[zone].Value) }
+func (c *Carrier) evacuated(zone string) bool { return consensus.Evacuated(c.zones[zone].Value) }
 
 // want asks for the newest configuration: of those that said that it is in force one in touch, the nearest, and another
 // each time that no answer came. Guards against the nearest one being cut off from the core: it has only what is older.
@@ -361,7 +361,7 @@
 	if best != nil {
 		c.wantedAt = now
 		best.asked++
-		best.line.Send(&parley.Message{Want: []string{charterName}})
+		best.line.Send(&rpc.Message{Want: []string{charterName}})
 	}
 }
 
@@ -383,7 +383,7 @@
 }
 
 // told takes a controller's word of a backend. A life only moves on, and an older word says nothing.
-func (c *Carrier) told(now time.Duration, from string, b parley.Backend) {
+func (c *Carrier) told(now time.Duration, from string, b rpc.Backend) {
 	l := c.lives[b.ID]
 	if l == nil {
 		l = &life{Backend: b, vouchers: map[string]bool{}, lonelyAt: now}
@@ -402,10 +402,10 @@
 	if b.ColdLeft > 0 {
 		l.coldUntil = max(l.coldUntil, now+time.Duration(b.ColdLeft)*time.Millisecond)
 	}
-	if l.State == parley.Gone && l.goneAt == 0 {
+	if l.State == rpc.Gone && l.goneAt == 0 {
 		l.goneAt = now
 	}
-	if b.Vouched && l.State != parley.Gone {
+	if b.Vouched && l.State != rpc.Gone {
 		l.vouchers[from] = true
 	} else {
 		c.unvouch(now, l, from)
@@ -428,7 +428,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if l.State == parley.Gone {
+	if l.State == rpc.Gone {
 		c.settler.Drop(l.ID)
 		c.pool.Forget(l.Address)
 		return
@@ -437,8 +437,8 @@
 	if back, ok := c.takenBack[l.Zone]; ok {
 		cold = max(cold, back+c.settler.Cold(l.Service))
 	}
-	c.settler.Put(now, verdict.Backend{ID: l.ID, Service: l.Service, Address: l.Address, Zone: l.Zone, Capacity: l.Capacity,
-		Usable: l.State == parley.Ready && !c.evacuated(l.Zone) && !c.doubted(now, l), ColdUntil: cold})
+	c.settler.Put(now, balancer.Backend{ID: l.ID, Service: l.Service, Address: l.Address, Zone: l.Zone, Capacity: l.Capacity,
+		Usable: l.State == rpc.Ready && !c.evacuated(l.Zone) && !c.doubted(now, l), ColdUntil: cold})
 }
 
 // doubted: nobody hears its beats, though somebody who has listened for long enough is there. While controllers are
@@ -463,23 +463,23 @@
 }
 
 func (c *Carrier) setMembers() {
-	seen := map[string]verdict.Member{}
+	seen := map[string]balancer.Member{}
 	for _, p := range c.controllers {
 		if p.line != nil {
 			for _, m := range p.members {
-				seen[m.Name] = verdict.Member{Name: m.Name, Zone: m.Zone}
+				seen[m.Name] = balancer.Member{Name: m.Name, Zone: m.Zone}
 			}
 		}
 	}
 	if len(seen) == 0 {
 		return
 	}
-	var all []verdict.Member
+	var all []balancer.Member
 	for _, m := range seen {
 		all = append(all, m)
 	}
-	slices.SortFunc(all, func(a, b verdict.Member) int { return strings.Compare(a.Name, b.Name) })
-	c.settle(func(s *verdict.Settler) { s.Members(all) })
+	slices.SortFunc(all, func(a, b balancer.Member) int { return strings.Compare(a.Name, b.Name) })
+	c.settle(func(s *balancer.Settler) { s.Members(all) })
 }
 
 // setRight: a member is one whose lease most voters renewed; the right ends by this clock before theirs gives it away.
@@ -491,11 +491,11 @@
 		}
 	}
 	if until, ok := rightUntil(c.epoch, renewed); ok {
-		c.settle(func(s *verdict.Settler) { s.Right(until) })
+		c.settle(func(s *balancer.Settler) { s.Right(until) })
 	}
 }
 
-func (c *Carrier) setTables(now time.Duration, tables []parley.Table) {
+func (c *Carrier) setTables(now time.Duration, tables []rpc.Table) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, t := range tables {
@@ -521,11 +521,11 @@
 	}
 	for id, l := range c.lives {
 		switch {
-		case l.State == parley.Gone && now > l.goneAt+forgetAfter:
+		case l.State == rpc.Gone && now > l.goneAt+forgetAfter:
 			delete(c.lives, id)
-		case l.State != parley.Gone && c.doubted(now, l):
+		case l.State != rpc.Gone && c.doubted(now, l):
 			if c.put(now, l); now > max(l.lonelyAt, l.heardAt)+forgetAfter { // gone without a word
-				c.settle(func(s *verdict.Settler) { s.Drop(id) })
+				c.settle(func(s *balancer.Settler) { s.Drop(id) })
 				delete(c.lives, id)
 			}
 		}
@@ -535,17 +535,17 @@
 }
 
 func (c *Carrier) renew(p *controller, report bool) {
-	m := &parley.Message{Renew: c.renewal}
+	m := &rpc.Message{Renew: c.renewal}
 	p.sent.note(m.Renew, c.now())
 	if report && p.who.Name == c.steersAt {
 		m.Steer = true
-		var r verdict.Report
-		c.settle(func(s *verdict.Settler) { r = s.Report() })
+		var r balancer.Report
+		c.settle(func(s *balancer.Settler) { r = s.Report() })
 		for _, u := range r.Uses {
-			m.Uses = append(m.Uses, parley.Use{Service: u.Service, Came: u.Came, Voided: u.Voided})
+			m.Uses = append(m.Uses, rpc.Use{Service: u.Service, Came: u.Came, Voided: u.Voided})
 		}
 		for _, t := range r.Met {
-			m.Met = append(m.Met, parley.Met{ID: t.ID, Tries: t.Tries, Voided: t.Voided,
+			m.Met = append(m.Met, rpc.Met{ID: t.ID, Tries: t.Tries, Voided: t.Voided,
 				Took: int64(t.Took / (100 * time.Microsecond)), Waiting: t.Waiting})
 		}
 		m.Spent = renewEvery.Seconds()
@@ -571,7 +571,7 @@
 func (c *Carrier) leave() {
 	for _, p := range c.sorted() {
 		if p.line != nil {
-			p.line.Send(&parley.Message{Leave: true})
+			p.line.Send(&rpc.Message{Leave: true})
 		}
 	}
 }
--- a/transit/transit_test.go
+++ b/internal/proxy/transit_test.go
@@ -1,4 +1,4 @@
-package transit_test
+package proxy_test
 
 import (
 	"bufio"
@@ -25,18 +25,18 @@
 	"github.com/hexops/autogold"
 	"github.com/jonboulle/clockwork"
 
-	"elmfold/attempt"
 	"elmfold/gauntlet"
-	"elmfold/parley"
-	"elmfold/premise"
-	"elmfold/transit"
+	"elmfold/internal/gateway/bootconfig"
+	"elmfold/internal/gateway/rpc"
+	"elmfold/internal/proxy"
+	"elmfold/internal/proxy/upstream"
 )
 
 // stage is one carrier between scripted controllers, backends and clients, and the transcript of what each of them saw.
 type stage struct {
 	net     *gauntlet.Net
 	hosts   []*gauntlet.Host
-	carrier *transit.Carrier
+	carrier *proxy.Carrier
 	cores   []*core
 	mu      sync.Mutex
 	out     strings.Builder
@@ -55,27 +55,27 @@
 		// Nothing of two controllers is under way for equally long, so that its order is always the same.
 		return 200*time.Microsecond + 10*time.Microsecond*time.Duration(from[len(from)-1]+to[len(to)-1]-2*'0')
 	})}
-	set := premise.Default()
+	set := bootconfig.Default()
 	set.Name, set.IP, set.Zone = "edge-0", "10.0.0.100", "north"
 	set.Zones = map[string]string{"north": "land", "south": "land"}
 	set.Ports, set.FaultBudget.Machines = [2]int{7540, 7555}, (cores-1)/2
 	for i := range cores {
 		ip := fmt.Sprintf("10.0.0.%d", 10+i)
 		set.Seeds = append(set.Seeds, ip+":8544")
-		s.cores = append(s.cores, &core{s: s, all: true, settled: true, answers: true, life: 1, who: parley.Controller{
+		s.cores = append(s.cores, &core{s: s, all: true, settled: true, answers: true, life: 1, who: rpc.Controller{
 			Name: fmt.Sprintf("core-%d", i), Zone: []string{"north", "south"}[i%2], Address: ip + ":7540"}})
 	}
 	for _, k := range s.cores {
 		k.begin()
 	}
 	host := s.host("10.0.0.100")
-	s.carrier = transit.New(transit.Options{Settings: &set, Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(),
+	s.carrier = proxy.New(proxy.Options{Settings: &set, Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(),
 		Dial: func(address string) (net.Conn, error) {
 			ctx, cancel := context.WithTimeout(context.Background(), 350*time.Millisecond)
 			defer cancel()
 			return host.Dial(ctx, address, 0)
 		},
-		Backends: attempt.Options{Dial: func(ctx context.Context, address string) (net.Conn, error) {
+		Backends: upstream.Options{Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			conn, err := host.Dial(ctx, address, 0)
 			s.mu.Lock()
 			slow := s.slow[address]
@@ -120,20 +120,20 @@
 // core is a scripted controller.
 type core struct {
 	s            *stage
-	who          parley.Controller
+	who          rpc.Controller
 	mu           sync.Mutex
-	line         *parley.Line
-	charter      parley.Register
-	backends     []parley.Backend
-	held         map[string]parley.Stamp // beside the configuration
+	line         *rpc.Line
+	charter      rpc.Register
+	backends     []rpc.Backend
+	held         map[string]rpc.Stamp // beside the configuration
 	all, settled bool
 	answers      bool // it gives the configuration when it is asked
 	apart        bool // it says that it has no contact with a majority
 	life         uint64
-	epoch        *parley.Epoch // nil: all that were begun vote
-	renewed      uint64        // the last renewal
-	steers       int           // renewals, one after the other, that wanted its tables
-	hellos       int           // lines
+	epoch        *rpc.Epoch // nil: all that were begun vote
+	renewed      uint64     // the last renewal
+	steers       int        // renewals, one after the other, that wanted its tables
+	hellos       int        // lines
 }
 
 func (k *core) begin() {
@@ -147,12 +147,12 @@
 			if err != nil {
 				return
 			}
-			go k.serve(parley.NewLine(conn))
+			go k.serve(rpc.NewLine(conn))
 		}
 	}()
 }
 
-func (k *core) serve(line *parley.Line) {
+func (k *core) serve(line *rpc.Line) {
 	defer line.Close()
 	for {
 		m, err := line.Receive(0)
@@ -162,17 +162,17 @@
 		k.mu.Lock()
 		if m.Hello != nil {
 			k.hellos++
-			epoch := &parley.Epoch{Number: 1}
+			epoch := &rpc.Epoch{Number: 1}
 			for _, other := range k.s.cores {
-				epoch.Voters = append(epoch.Voters, parley.Voter{Controller: other.who, ID: "disk of " + other.who.Name})
+				epoch.Voters = append(epoch.Voters, rpc.Voter{Controller: other.who, ID: "disk of " + other.who.Name})
 			}
 			if k.epoch != nil {
 				epoch = k.epoch
 			}
-			first := &parley.Message{Hello: &parley.Hello{Who: k.who, Life: k.life}, Epoch: epoch, Apart: k.apart,
-				All: k.all && !k.apart, Settled: k.settled, Held: map[string]parley.Stamp{}, Safe: map[string]parley.Stamp{},
+			first := &rpc.Message{Hello: &rpc.Hello{Who: k.who, Life: k.life}, Epoch: epoch, Apart: k.apart,
+				All: k.all && !k.apart, Settled: k.settled, Held: map[string]rpc.Stamp{}, Safe: map[string]rpc.Stamp{},
 				Backends: k.backends,
-				Members:  []parley.Member{{Name: "edge-0", Zone: "north"}}}
+				Members:  []rpc.Member{{Name: "edge-0", Zone: "north"}}}
 			for name, stamp := range k.held {
 				first.Held[name] = stamp
 			}
@@ -183,7 +183,7 @@
 			k.line = line
 		}
 		if m.Renew > 0 {
-			line.Send(&parley.Message{Renewed: m.Renew, Apart: k.apart})
+			line.Send(&rpc.Message{Renewed: m.Renew, Apart: k.apart})
 			if k.renewed = m.Renew; m.Steer {
 				k.steers++
 			} else {
@@ -206,12 +206,12 @@
 }
 
 // offer is the word that a value is in force.
-func offer(r parley.Register) *parley.Message {
-	return &parley.Message{Offers: []parley.Register{r}, Safe: map[string]parley.Stamp{r.Name: r.Stamp}}
+func offer(r rpc.Register) *rpc.Message {
+	return &rpc.Message{Offers: []rpc.Register{r}, Safe: map[string]rpc.Stamp{r.Name: r.Stamp}}
 }
 
 // tell says something to the carrier, which has acted on it when this returns.
-func (k *core) tell(m *parley.Message) {
+func (k *core) tell(m *rpc.Message) {
 	k.mu.Lock()
 	if m.Tables != nil && m.Renewed == 0 { // as they say it: the renewal that they were worked out after
 		m.Renewed, m.Apart = k.renewed, k.apart
@@ -223,14 +223,14 @@
 	time.Sleep(100 * time.Millisecond)
 }
 
-func (k *core) word(b ...parley.Backend) { k.tell(&parley.Message{Backends: b}) }
+func (k *core) word(b ...rpc.Backend) { k.tell(&rpc.Message{Backends: b}) }
 
 // has lets a controller have a configuration in force, and say so.
 func (k *core) has(c conf) {
 	k.mu.Lock()
 	k.charter = c.register()
 	k.mu.Unlock()
-	k.tell(&parley.Message{Safe: map[string]parley.Stamp{"charter": k.charter.Stamp}})
+	k.tell(&rpc.Message{Safe: map[string]rpc.Stamp{"charter": k.charter.Stamp}})
 }
 
 // conf is a configuration: routes "KIND PREFIX SERVICE" of the host a.example.
@@ -240,7 +240,7 @@
 	routes  []string
 }
 
-func (c conf) register() parley.Register {
+func (c conf) register() rpc.Register {
 	var rules, pools []string
 	for i, r := range c.routes {
 		f := strings.Fields(r)
@@ -253,7 +253,7 @@
 	if c.limits == "" {
 		c.limits = `"maxHeaderBytes":1000,"maxBodyBytes":100000,"headerTimeoutS":3,"idleTimeoutS":15`
 	}
-	return parley.Register{Name: "charter", Stamp: parley.Stamp{Hi: uint64(c.version), Lo: 1},
+	return rpc.Register{Name: "charter", Stamp: rpc.Stamp{Hi: uint64(c.version), Lo: 1},
 		Value: fmt.Appendf(nil, `{"generation":"%08x","limits":{%s},"sockets":[{"authority":"a.example",`+
 			`"ruleset":[%s]}],"pools":[%s]}`,
 			c.version, c.limits, strings.Join(rules, ","), strings.Join(pools, ","))}
@@ -315,9 +315,9 @@
 
 // backend starts one that does this with each request, and lets all controllers tell of it. Of those of a service, one
 // in the north is asked first, those of the south one after the other.
-func (s *stage) backend(service, zone string, do act) parley.Backend {
+func (s *stage) backend(service, zone string, do act) rpc.Backend {
 	s.lives++
-	b := parley.Backend{ID: fmt.Sprintf("%s-%s", service, zone), Service: service, Zone: strings.TrimRight(zone, "12"),
+	b := rpc.Backend{ID: fmt.Sprintf("%s-%s", service, zone), Service: service, Zone: strings.TrimRight(zone, "12"),
 		Capacity: 4, Seq: 1, Address: fmt.Sprintf("10.0.1.%d:8080", s.lives), Vouched: true}
 	if do != nil {
 		l, err := s.host(fmt.Sprintf("10.0.1.%d", s.lives)).Listen(b.Address)
@@ -742,32 +742,32 @@
 		s.part("the one of the own zone first")
 		ask()
 		s.part("it drains")
-		b.Seq, b.State = 5, parley.Draining
+		b.Seq, b.State = 5, rpc.Draining
 		k.word(b)
 		ask()
 		s.part("late words that it is ready")
 		late := b
-		late.Seq, late.State = 4, parley.Ready
+		late.Seq, late.State = 4, rpc.Ready
 		k.word(late)
 		ask()
 		late.Seq = 6
 		k.word(late)
 		ask()
 		s.part("a new life at its address")
-		k.word(parley.Backend{ID: b.ID, State: parley.Gone})
-		b.ID, b.Seq, b.State = "alpha-new", 1, parley.Ready
+		k.word(rpc.Backend{ID: b.ID, State: rpc.Gone})
+		b.ID, b.Seq, b.State = "alpha-new", 1, rpc.Ready
 		k.word(b)
 		ask()
 
 		evacuate := func(zone, value string, stamp uint64) {
-			k.tell(offer(parley.Register{Name: "zone/" + zone, Stamp: parley.Stamp{Hi: stamp}, Value: []byte(value)}))
+			k.tell(offer(rpc.Register{Name: "zone/" + zone, Stamp: rpc.Stamp{Hi: stamp}, Value: []byte(value)}))
 		}
 		s.part("the north is evacuated")
 		evacuate("north", "1b", 10)
 		ask()
 		s.part("an older order, and one that is not in force")
 		evacuate("north", "0f", 9)
-		k.tell(&parley.Message{Offers: []parley.Register{{Name: "zone/north", Stamp: parley.Stamp{Hi: 11},
+		k.tell(&rpc.Message{Offers: []rpc.Register{{Name: "zone/north", Stamp: rpc.Stamp{Hi: 11},
 			Value: []byte("0f")}}})
 		ask()
 		s.part("the south too")
@@ -780,12 +780,12 @@
 		s.part("weights and a level of the controller that steers")
 		one := s.backend("beta", "north1", ok)
 		two := s.backend("beta", "north2", ok)
-		k.tell(&parley.Message{Tables: []parley.Table{{Service: "beta", Whole: true,
+		k.tell(&rpc.Message{Tables: []rpc.Table{{Service: "beta", Whole: true,
 			Weights: map[string]float64{one.ID: 0, two.ID: 1}}}})
 		for range 3 {
 			s.ask("GET /beta/ HTTP/1.1")
 		}
-		k.tell(&parley.Message{Tables: []parley.Table{{Service: "beta", Gated: true, Level: 2}}})
+		k.tell(&rpc.Message{Tables: []rpc.Table{{Service: "beta", Gated: true, Level: 2}}})
 		for range 4 {
 			s.ask("GET /beta/ HTTP/1.1")
 		}
@@ -827,7 +827,7 @@
 		ask()
 		s.part("a value that is not in force, and one in force that cannot be read")
 		wrong := conf{version: 4, routes: both("alpha")}.register()
-		far.tell(&parley.Message{Offers: []parley.Register{wrong}})
+		far.tell(&rpc.Message{Offers: []rpc.Register{wrong}})
 		wrong.Value = []byte("{")
 		far.tell(offer(wrong))
 		s.ask("GET /beta/ HTTP/1.1")
@@ -881,7 +881,7 @@
 		for i, k := range s.cores {
 			k.mu.Lock()
 			k.charter = first.register()
-			k.held = map[string]parley.Stamp{"zone/south": {Hi: 7}}
+			k.held = map[string]rpc.Stamp{"zone/south": {Hi: 7}}
 			k.settled = i == 0
 			k.mu.Unlock()
 		}
@@ -893,9 +893,9 @@
 		at("before any word")
 		time.Sleep(300 * time.Millisecond)
 		at("one of three knows the backends")
-		s.cores[1].tell(&parley.Message{Settled: true})
+		s.cores[1].tell(&rpc.Message{Settled: true})
 		at("two do, and hold an evacuation that has not come here")
-		s.cores[1].tell(offer(parley.Register{Name: "zone/south", Stamp: parley.Stamp{Hi: 7}, Value: []byte("1b")}))
+		s.cores[1].tell(offer(rpc.Register{Name: "zone/south", Stamp: rpc.Stamp{Hi: 7}, Value: []byte("1b")}))
 		at("it has")
 		out = s.end()
 	})
--- a/attempt/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -1,4 +1,4 @@
-package attempt
+package upstream
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"elmfold/fault"
+	"elmfold/internal/gateway/apierror"
 )
 
 // home is a backend's address. era rises when the address is forgotten: connections of an earlier era don't come back.
@@ -105,10 +105,10 @@
 func (p *Pool) take(ctx context.Context, c *Call, fresh bool) (*conn, error) {
 	addr, deadline, now := c.Addr, c.Deadline, p.o.Now()
 	if !now.Before(deadline) {
-		return nil, fault.New(fault.OutOfTime, addr, nil)
+		return nil, apierror.New(apierror.OutOfTime, addr, nil)
 	}
 	if err := ctx.Err(); err != nil {
-		return nil, fault.New(fault.Dial, addr, err)
+		return nil, apierror.New(apierror.Dial, addr, err)
 	}
 	for !fresh {
 		k := p.pop(addr)
@@ -131,9 +131,9 @@
 	if err := k.quiet(); err != nil { // beyond maxConns a backend resets at once: seen here, it's known not to have run
 		p.drop(k)
 		if err == errSurplus {
-			return nil, fault.New(fault.Dial, addr, err)
+			return nil, apierror.New(apierror.Dial, addr, err)
 		}
-		return nil, fault.New(fault.Full, addr, err)
+		return nil, apierror.New(apierror.Full, addr, err)
 	}
 	return k, nil
 }
@@ -176,11 +176,11 @@
 }
 
 // unsent is the fault of a request of which no byte was written.
-func (p *Pool) unsent(addr string, deadline time.Time, err error) *fault.Fault {
+func (p *Pool) unsent(addr string, deadline time.Time, err error) *apierror.Fault {
 	if !p.o.Now().Before(deadline) {
-		return fault.New(fault.OutOfTime, addr, err)
+		return apierror.New(apierror.OutOfTime, addr, err)
 	}
-	return fault.New(fault.Dial, addr, err)
+	return apierror.New(apierror.Dial, addr, err)
 }
 
 // pop takes the idle connection used last.
--- a/attempt/most_test.go
+++ b/internal/proxy/upstream/most_test.go
@@ -1,4 +1,4 @@
-package attempt
+package upstream
 
 import (
 	"context"
--- a/launch/launch.go
+++ b/launch/launch.go
@@ -15,8 +15,8 @@
 	"strings"
 	"time"
 
-	"elmfold/choice"
 	"elmfold/deployment"
+	"elmfold/internal/policy"
 	"elmfold/roster"
 )
 
@@ -26,7 +26,7 @@
 	Cores                   float64
 	MemoryMB, Sockets       int
 	Tick                    time.Duration // within it, events are one moment
-	Deployment              choice.Deployment
+	Deployment              policy.Deployment
 	Names                   deployment.Names
 	Known                   roster.List // the list as it was held last
 }
@@ -208,7 +208,7 @@
 	// By its name: controllers that start in one instant do not all act in the same instants for good.
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(s.Name))
-	s.Deployment.FirstTick = 1 + choice.Time(h.Sum64()%uint64(choice.Second))
+	s.Deployment.FirstTick = 1 + policy.Time(h.Sum64()%uint64(policy.Second))
 	return s, nil
 }
 
--- a/launch/launch_test.go
+++ b/launch/launch_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"elmfold/choice"
+	"elmfold/internal/policy"
 	"elmfold/roster"
 )
 
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	d := s.Deployment
-	s.Deployment = choice.Deployment{}
+	s.Deployment = policy.Deployment{}
 	want := Sheet{Name: "n3", Listen: "10.0.0.9:1", Discovery: "10.2.0.1:8500", Cores: 0.5, MemoryMB: 128, Sockets: 512,
 		Tick: 4 * time.Millisecond, Known: roster.List{Revision: 41, Whole: true,
 			Members: []roster.Member{{ID: "s-1", Zone: "b", Phase: "SERVING", Size: 1}}}}
@@ -88,17 +88,17 @@
 
 // Controllers of one fleet that start in the same instant have ticks of their own, the same after a restart.
 func TestManyCase7FirstTicks(t *testing.T) {
-	seen := map[choice.Time]bool{}
+	seen := map[policy.Time]bool{}
 	for i := range 5 {
 		env := map[string]string{"EDGE_CONFIG": "here", "EDGE_NAME": fmt.Sprint("n", i)}
 		s, err := read(env, file)
 		again, _ := read(env, file)
 		at := s.Deployment.FirstTick
-		if err != nil || at != again.Deployment.FirstTick || at < 1 || at > choice.Second {
+		if err != nil || at != again.Deployment.FirstTick || at < 1 || at > policy.Second {
 			t.Fatalf("n%d: first tick after %v, then %v, %v", i, at, again.Deployment.FirstTick, err)
 		}
 		for other := range seen {
-			if gap := max(at-other, other-at); min(gap, choice.Second-gap) < choice.Second/50 {
+			if gap := max(at-other, other-at); min(gap, policy.Second-gap) < policy.Second/50 {
 				t.Errorf("n%d ticks %v from another", i, gap)
 			}
 		}
--- a/operator/cells.go
+++ b/operator/cells.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"elmfold/cells"
-	"elmfold/choice"
+	"elmfold/internal/policy"
 )
 
 // Cells is what a file says of cells and tenants; the places of products, zones and the cold time are the
@@ -23,7 +23,7 @@
 // Control is the socket at which a running controller answers its operators.
 type Control struct{ Path string }
 
-func ticks(d time.Duration) choice.Time { return choice.Time(d / (100 * time.Microsecond)) }
+func ticks(d time.Duration) policy.Time { return policy.Time(d / (100 * time.Microsecond)) }
 
 const (
 	mostTenants = 10000
@@ -41,7 +41,7 @@
 		r.fault(s.line, "write cells fixed or cells shuffle", "cells %q is no known way", way)
 		return c
 	}
-	span := func(into *choice.Time, least, most time.Duration) rule {
+	span := func(into *policy.Time, least, most time.Duration) rule {
 		return rule{1, 1, "30s", func(d directive, w []string) {
 			v := -time.Second
 			if r.span(&v, least, most).read(d, w); v >= 0 {
@@ -194,7 +194,7 @@
 }
 
 // For gives the plan with what the platform's settings say of products and zones.
-func (c *Cells) For(d choice.Deployment) cells.Plan {
+func (c *Cells) For(d policy.Deployment) cells.Plan {
 	p := c.Plan
 	p.Products, p.Zones, p.Cold = d.Products, d.Zones, d.Cold
 	return p
@@ -214,7 +214,7 @@
 }
 
 // Lacks are the faults of a plan that cannot hold with a list. The error is Faults.
-func (c *Cells) Lacks(d choice.Deployment, list []cells.Backend) error {
+func (c *Cells) Lacks(d policy.Deployment, list []cells.Backend) error {
 	p := c.For(d)
 	var faults Faults
 	for _, l := range p.Lacks(list) {
@@ -231,7 +231,7 @@
 }
 
 // Warnings name the tenants that can touch more of the others' strength than the file says is meant.
-func (c *Cells) Warnings(d choice.Deployment, list []cells.Backend) (all []string) {
+func (c *Cells) Warnings(d policy.Deployment, list []cells.Backend) (all []string) {
 	p := c.For(d)
 	radii, _ := p.Radii(list)
 	for i, r := range radii {
--- a/roster/rules_test.go
+++ b/roster/rules_test.go
@@ -12,10 +12,10 @@
 
 	"github.com/sirupsen/logrus"
 
-	"elmfold/choice"
 	"elmfold/deployment"
 	"elmfold/desk"
 	"elmfold/edge"
+	"elmfold/internal/policy"
 	"elmfold/roster"
 )
 
@@ -88,9 +88,9 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	h := &house{T: t, r: roster.New(plan), p: &proxy{lines: map[string]string{}, out: map[string]bool{}}, now: time.Hour}
-	h.d = desk.New(choice.Deployment{Products: []choice.Product{{Revenue: 1, SLA: 8000}}, Zones: 1, Proxies: 1, GoneBinds: binds,
-		Cold: choice.Second, ColdCapacity: 0.5, ColdMultiple: 3, ConnsLeast: 5000, LinesPerS: 3000, LinesMost: 3000, LinesHead: 6,
-		MessagesOver: 10 * choice.Second},
+	h.d = desk.New(policy.Deployment{Products: []policy.Product{{Revenue: 1, SLA: 8000}}, Zones: 1, Proxies: 1, GoneBinds: binds,
+		Cold: policy.Second, ColdCapacity: 0.5, ColdMultiple: 3, ConnsLeast: 5000, LinesPerS: 3000, LinesMost: 3000, LinesHead: 6,
+		MessagesOver: 10 * policy.Second},
 		deployment.Names{Products: []string{"look"}, Zones: []string{"a"}, Kinds: []string{"m"}}, nobody{}, logrus.NewEntry(log))
 	h.d.Hear(desk.News{From: h.p, Said: edge.Joined{Proxy: 0, Zone: "a", Rate: 10, Fresh: true}})
 	return h
@@ -109,7 +109,7 @@
 			h.try = o.Try
 		}
 	}
-	h.d.Step(choice.Time(h.now / (100 * time.Microsecond)))
+	h.d.Step(policy.Time(h.now / (100 * time.Microsecond)))
 }
 
 // pass lets time go by in steps, the source speaking.
--- a/standin/gateway/deployment.go
+++ b/standin/gateway/deployment.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"elmfold/premise"
+	"elmfold/internal/gateway/bootconfig"
 )
 
 // Ports are the same on each machine; a machine is an address in 127.0.0.0/8.
@@ -115,7 +115,7 @@
 
 // prepare writes a process's settings.
 func (d *Deployment) prepare(p *Process) error {
-	s := premise.Default()
+	s := bootconfig.Default()
 	s.Name, s.Role, s.IP, s.Zone, s.Region = p.Name, p.role, p.IP, p.Zone, "lab"
 	s.Zones = map[string]string{}
 	for _, z := range d.Plan.Zones {
@@ -126,7 +126,7 @@
 		s.Seeds = append(s.Seeds, c.Control())
 	}
 	s.Listen = map[string]string{"front": p.Front(), "readiness": at(p.IP, readyPort)}
-	s.Beat, s.FaultBudget.Machines, s.FaultBudget.Zones = premise.Seconds(d.Plan.Beat), d.Plan.Faults, 1
+	s.Beat, s.FaultBudget.Machines, s.FaultBudget.Zones = bootconfig.Seconds(d.Plan.Beat), d.Plan.Faults, 1
 	s.Limits.MaxFDs = 16000
 	if p.role == "counsel" {
 		s.Listen = map[string]string{"control": p.Control()}
@@ -155,7 +155,7 @@
 		p.cmd.Args = append(p.cmd.Args, "-v")
 	}
 	p.cmd.Stdout, p.cmd.Stderr = log, log
-	p.cmd.Env = append(append(os.Environ(), premise.Variable+"="+p.settings), p.environment...)
+	p.cmd.Env = append(append(os.Environ(), bootconfig.Variable+"="+p.settings), p.environment...)
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a lab that is killed leaves none behind
 	if err := p.cmd.Start(); err != nil {
 		return fmt.Errorf("%s: %w", p.program, err)
--- a/standin/gateway/gateway_test.go
+++ b/standin/gateway/gateway_test.go
@@ -9,13 +9,13 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"elmfold/charter"
-	"elmfold/parley"
+	"elmfold/internal/gateway/routeconfig"
+	"elmfold/internal/gateway/rpc"
 )
 
 // What the operator puts is a configuration with just the routes that RouteOf names.
 func TestConfiguration(t *testing.T) {
-	c, err := charter.Read(Configuration(0x1f, Shape{Services: 3, Routes: 20}, 1))
+	c, err := routeconfig.Read(Configuration(0x1f, Shape{Services: 3, Routes: 20}, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,9 +53,9 @@
 
 // A hollow carrier looks at the very fields that controllers fill.
 func TestFrame(t *testing.T) {
-	text, err := cbor.Marshal(&parley.Message{Hello: &parley.Hello{Life: 1}, Settled: true, Safe: map[string]parley.Stamp{charterName: {Hi: 3}},
-		Offers:   []parley.Register{{Name: charterName, Stamp: parley.Stamp{Hi: 3}, Value: []byte("x")}},
-		Backends: []parley.Backend{{ID: "i-1"}}, Tables: []parley.Table{{Service: "s"}}})
+	text, err := cbor.Marshal(&rpc.Message{Hello: &rpc.Hello{Life: 1}, Settled: true, Safe: map[string]rpc.Stamp{charterName: {Hi: 3}},
+		Offers:   []rpc.Register{{Name: charterName, Stamp: rpc.Stamp{Hi: 3}, Value: []byte("x")}},
+		Backends: []rpc.Backend{{ID: "i-1"}}, Tables: []rpc.Table{{Service: "s"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/standin/gateway/hollow.go
+++ b/standin/gateway/hollow.go
@@ -15,8 +15,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"elmfold/parley"
-	"elmfold/verdict"
+	"elmfold/internal/gateway/rpc"
+	"elmfold/internal/proxy/balancer"
 )
 
 func beatTarget(answer []byte) string {
@@ -94,7 +94,7 @@
 	zone    int
 	steerer int // controller
 	mu      sync.Mutex
-	lines   []*parley.Line
+	lines   []*rpc.Line
 	version uint64
 	wanted  uint64
 	askedAt time.Time
@@ -108,17 +108,17 @@
 
 // frame is what is looked at of a message.
 type frame struct {
-	Hello    cbor.RawMessage         `cbor:"3,keyasint,omitempty"`
-	Offers   []offer                 `cbor:"4,keyasint,omitempty"`
-	Safe     map[string]parley.Stamp `cbor:"6,keyasint,omitempty"`
-	Backends cbor.RawMessage         `cbor:"13,keyasint,omitempty"`
-	Settled  bool                    `cbor:"14,keyasint,omitempty"`
-	Tables   cbor.RawMessage         `cbor:"22,keyasint,omitempty"`
+	Hello    cbor.RawMessage      `cbor:"3,keyasint,omitempty"`
+	Offers   []offer              `cbor:"4,keyasint,omitempty"`
+	Safe     map[string]rpc.Stamp `cbor:"6,keyasint,omitempty"`
+	Backends cbor.RawMessage      `cbor:"13,keyasint,omitempty"`
+	Settled  bool                 `cbor:"14,keyasint,omitempty"`
+	Tables   cbor.RawMessage      `cbor:"22,keyasint,omitempty"`
 }
 
 type offer struct {
 	Name  string          `cbor:"1,keyasint"`
-	Stamp parley.Stamp    `cbor:"2,keyasint"`
+	Stamp rpc.Stamp       `cbor:"2,keyasint"`
 	Value cbor.RawMessage `cbor:"3,keyasint,omitempty"`
 }
 
@@ -142,7 +142,7 @@
 		h.byLife = append(h.byLife, startBeats(l, plan.Beat, phase, controls, &h.beats))
 	}
 	for i := range plan.Carriers {
-		c := &hollowCarrier{h: h, name: fmt.Sprintf("hollow-%03d", i), zone: i % len(plan.Zones), lines: make([]*parley.Line, len(d.Controllers)),
+		c := &hollowCarrier{h: h, name: fmt.Sprintf("hollow-%03d", i), zone: i % len(plan.Zones), lines: make([]*rpc.Line, len(d.Controllers)),
 			settled: make([]bool, len(d.Controllers)), asked: make([]int, len(d.Controllers)), safe: make([]uint64, len(d.Controllers)),
 			chance: rand.New(rand.NewPCG(plan.Seed, uint64(i)))}
 		c.steerer = h.steererOf(plan.Zones[c.zone])
@@ -186,7 +186,7 @@
 func (h *Hollow) steererOf(zone string) (best int) {
 	top := uint64(0)
 	for k, c := range h.d.Controllers {
-		rank := verdict.Rank(c.Name, zone) &^ (1 << 63)
+		rank := balancer.Rank(c.Name, zone) &^ (1 << 63)
 		if c.Zone == zone {
 			rank |= 1 << 63
 		}
@@ -244,7 +244,7 @@
 		if l == nil {
 			continue
 		}
-		m := &parley.Message{Renew: max(c.renewal, 2)}
+		m := &rpc.Message{Renew: max(c.renewal, 2)}
 		if k == c.steerer {
 			c.report(m)
 		}
@@ -255,7 +255,7 @@
 }
 
 // report tells of requests that went to backends of the own zone.
-func (c *hollowCarrier) report(m *parley.Message) {
+func (c *hollowCarrier) report(m *rpc.Message) {
 	m.Steer, m.Spent = true, 1
 	own := c.h.backend[c.zone]
 	if len(own) == 0 {
@@ -266,10 +266,10 @@
 		services[c.chance.IntN(c.h.plan.Services)]++
 	}
 	for s, n := range services {
-		m.Uses = append(m.Uses, parley.Use{Service: ServiceName(s), Came: n})
+		m.Uses = append(m.Uses, rpc.Use{Service: ServiceName(s), Came: n})
 	}
 	for range min(c.h.plan.Requests, len(own)) {
-		m.Met = append(m.Met, parley.Met{ID: own[c.chance.IntN(len(own))], Tries: 1, Took: 500 + int64(c.chance.IntN(200))})
+		m.Met = append(m.Met, rpc.Met{ID: own[c.chance.IntN(len(own))], Tries: 1, Took: 500 + int64(c.chance.IntN(200))})
 	}
 }
 
@@ -288,9 +288,9 @@
 }
 
 func (c *hollowCarrier) read(k int, conn net.Conn) {
-	line := parley.NewLine(conn) // its writer alone is used
+	line := rpc.NewLine(conn) // its writer alone is used
 	defer line.Close()
-	line.Send(&parley.Message{Hello: &parley.Hello{Who: parley.Controller{Name: c.name, Zone: c.h.plan.Zones[c.zone],
+	line.Send(&rpc.Message{Hello: &rpc.Hello{Who: rpc.Controller{Name: c.name, Zone: c.h.plan.Zones[c.zone],
 		Address: "10.9.9.9:7540"}, Life: uint64(c.zone) + 1, Carrier: true}})
 	defer func() {
 		c.mu.Lock()
@@ -302,7 +302,7 @@
 	for {
 		_ = conn.SetReadDeadline(time.Now().Add(3 * time.Second)) // as carriers do
 		n, err := binary.ReadUvarint(in)
-		if err != nil || n > parley.Most {
+		if err != nil || n > rpc.Most {
 			return
 		}
 		if uint64(cap(body)) < n {
@@ -324,12 +324,12 @@
 	}
 }
 
-func (c *hollowCarrier) heard(k int, line *parley.Line, f *frame) {
+func (c *hollowCarrier) heard(k int, line *rpc.Line, f *frame) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if f.Hello != nil {
 		c.lines[k] = line
-		line.Send(&parley.Message{Renew: 1})
+		line.Send(&rpc.Message{Renew: 1})
 		c.h.lines.Out.Add(1)
 	}
 	c.settled[k] = c.settled[k] || f.Settled
@@ -377,7 +377,7 @@
 	if best >= 0 {
 		c.askedAt = time.Now()
 		c.asked[best]++
-		c.lines[best].Send(&parley.Message{Want: []string{charterName}})
+		c.lines[best].Send(&rpc.Message{Want: []string{charterName}})
 		c.h.lines.Out.Add(1)
 	}
 }
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -10,12 +10,12 @@
 	"io"
 	"math"
 
-	"elmfold/choice"
 	"elmfold/deployment"
+	"elmfold/internal/policy"
 )
 
 // Launch starts an instance.
-type Launch struct{ Deployment choice.Deployment }
+type Launch struct{ Deployment policy.Deployment }
 
 // Stop ends an instance.
 type Stop struct{}
@@ -29,7 +29,7 @@
 
 // Batch is what happened at one moment.
 type Batch struct {
-	Now     choice.Time
+	Now     policy.Time
 	Records []Record
 }
 
@@ -97,7 +97,7 @@
 	if n, err := io.CopyN(&d.body, d.r, int64(size)); err != nil {
 		return Batch{}, fmt.Errorf("frame cut short: %d of %d bytes", n, size)
 	}
-	b := Batch{Now: choice.Time(binary.BigEndian.Uint64(head[:8]) / 100)}
+	b := Batch{Now: policy.Time(binary.BigEndian.Uint64(head[:8]) / 100)}
 	c := &cursor{b: d.body.Bytes()}
 	for i := range count {
 		rec, err := d.record(c)
@@ -149,7 +149,7 @@
 	return v
 }
 
-func (c *cursor) micros() choice.Time { return choice.Time(c.u32() / 100) }
+func (c *cursor) micros() policy.Time { return policy.Time(c.u32() / 100) }
 
 func (c *cursor) bytes(n int) []byte {
 	if n > len(c.b) {
@@ -234,25 +234,25 @@
 		if n > len(c.b)/entrySize {
 			return rec, errShort
 		}
-		list := choice.Listed{Kind: [...]choice.ListKind{choice.ListChange, choice.ListFailed, choice.ListFull,
-			choice.ListCached}[how]}
+		list := policy.Listed{Kind: [...]policy.ListKind{policy.ListChange, policy.ListFailed, policy.ListFull,
+			policy.ListCached}[how]}
 		for range n {
-			e := choice.Entry{Zone: int(c.u8())}
+			e := policy.Entry{Zone: int(c.u8())}
 			c.u16() // the cell: no decision needs it
 			status := c.u8()
 			e.Kind, e.Backend = int(c.u8()), dr.backend(c.addr(), true)
-			e.Up, e.Weight = choice.Time(c.u64()/100), c.real()
+			e.Up, e.Weight = policy.Time(c.u64()/100), c.real()
 			if status > 2 {
 				return rec, fmt.Errorf("unknown status %d of a backend", status)
 			}
-			e.Status = [...]choice.Status{choice.Gone, choice.Ready, choice.Draining}[status]
+			e.Status = [...]policy.Status{policy.Gone, policy.Ready, policy.Draining}[status]
 			list.Entries = append(list.Entries, e)
 		}
 		rec.Event = list
 	case inReminder:
-		rec.Event = choice.Woken{Name: c.u32()}
+		rec.Event = policy.Woken{Name: c.u32()}
 	case inProbeDone:
-		e := choice.Probed{Backend: dr.backend(c.addr(), false)}
+		e := policy.Probed{Backend: dr.backend(c.addr(), false)}
 		c.u8()
 		c.micros()
 		e.Load = c.load()
@@ -267,15 +267,15 @@
 		rec.Event = Stop{}
 	case inUp:
 		c.u8()
-		e := choice.Joined{Zone: int(c.u8()), Rate: c.real()}
+		e := policy.Joined{Zone: int(c.u8()), Rate: c.real()}
 		e.Proxy = dr.proxy(c.u16(), true)
 		rec.Event = e
 	case inDown:
 		if p := dr.proxy(c.u16(), false); p >= 0 {
-			rec.Event = choice.Left{Proxy: p}
+			rec.Event = policy.Left{Proxy: p}
 		}
 	case inTook:
-		e := choice.Fenced{Proxy: dr.proxy(c.u16(), false)}
+		e := policy.Fenced{Proxy: dr.proxy(c.u16(), false)}
 		number := c.u64()
 		e.Number = int(number & 0xffff)
 		c.micros()
@@ -284,7 +284,7 @@
 		}
 	case inRoundup:
 		c.u8()
-		e := choice.Heard{Backend: dr.backend(c.addr(), false)}
+		e := policy.Heard{Backend: dr.backend(c.addr(), false)}
 		e.Tries, e.Voided, e.Took = float64(c.u32()), float64(c.u32()), c.micros()
 		c.micros()
 		c.load()
@@ -292,7 +292,7 @@
 			rec.Event = e
 		}
 	case inUsage:
-		e := choice.Used{Proxy: dr.proxy(c.u16(), false), Product: int(c.u8())}
+		e := policy.Used{Proxy: dr.proxy(c.u16(), false), Product: int(c.u8())}
 		e.Txns, e.Voided, e.Counting = float64(c.u32()), float64(c.u32()), c.micros()
 		if e.Proxy >= 0 && e.Product < dr.products {
 			rec.Event = e
@@ -328,7 +328,7 @@
 
 const (
 	mostText = 1 << 12 // bytes of one remark
-	mostWait = choice.Time(70*60) * choice.Second
+	mostWait = policy.Time(70*60) * policy.Second
 	toAll    = 0xffff
 )
 
@@ -369,58 +369,58 @@
 }
 
 // Add writes the orders of one instance.
-func (r *Reply) Add(inst uint16, orders []choice.Order) {
+func (r *Reply) Add(inst uint16, orders []policy.Order) {
 	d := r.d.doors[inst]
 	for _, o := range orders {
 		switch o := o.(type) {
-		case choice.Line:
+		case policy.Line:
 			r.start(outUpsert, inst)
 			r.u16(o.Table)
 			r.addr(d.backends[o.Backend])
 			r.f32(o.Weight)
-		case choice.Clear:
+		case policy.Clear:
 			r.start(outDrop, inst)
 			r.u16(o.Table)
-		case choice.Use:
+		case policy.Use:
 			r.start(outUse, inst)
 			r.u16(int(d.proxies[o.Proxy]))
 			r.u16(o.Table)
 			r.u16(int(o.Products))
-		case choice.Withdraw:
+		case policy.Withdraw:
 			r.start(outCordon, inst)
 			r.addr(d.backends[o.Backend])
 			r.u8(o.Out)
-		case choice.Gate:
+		case policy.Gate:
 			r.start(outGate, inst)
 			r.u16(o.Table)
 			r.f32(o.Level)
 			r.body = append(r.body, byte(o.Tries))
 			r.u16(int(o.Products))
-		case choice.Fence:
+		case policy.Fence:
 			r.start(outFence, inst)
 			r.body = binary.BigEndian.AppendUint64(r.body, uint64(o.Number))
 			r.u8(o.All)
-		case choice.Wake:
+		case policy.Wake:
 			r.start(outNotifyMe, inst)
 			r.u32(uint32(min(max(o.After, 0), mostWait) * 100))
 			r.u32(o.Name)
-		case choice.Probe:
+		case policy.Probe:
 			r.start(outProbe, inst)
 			r.addr(d.backends[o.Backend])
-		case choice.Note:
+		case policy.Note:
 			r.start(outNotify, inst)
 			to := o.To
-			if to == choice.ToAll {
+			if to == policy.ToAll {
 				to = toAll
 			}
 			r.u16(to)
 			r.text(o.Data)
-		case choice.Follow:
+		case policy.Follow:
 			r.start(outListen, inst)
 			r.u8(o.On)
-		case choice.Reload:
+		case policy.Reload:
 			r.start(outReload, inst)
-		case choice.Log:
+		case policy.Log:
 			r.start(outRemark, inst)
 			r.text([]byte(o.Text[:min(len(o.Text), mostText)]))
 		default:
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"elmfold/choice"
+	"elmfold/internal/policy"
 )
 
 const settings = "Ceilings.Probes=true\nClasses.count=2\nClasses.0.Credit=2.0\nClasses.0.Promise=800050\n" +
@@ -65,18 +65,18 @@
 	}
 	d := batch.Records[0].Event.(Launch).Deployment
 	p, q := d.Products[0], d.Products[1]
-	if p.SLA != 8000 || !q.OwnZone || len(q.OnlyZones) != 2 || d.Cold != 170001 || d.MessagesOver != 100001 || d.GoneBinds || !d.Asked || d.Levels != choice.LevelShare ||
-		d.Zones != 3 || len(d.Gauges) != 4 || d.Gauges[1] != choice.GaugeHeld {
+	if p.SLA != 8000 || !q.OwnZone || len(q.OnlyZones) != 2 || d.Cold != 170001 || d.MessagesOver != 100001 || d.GoneBinds || !d.Asked || d.Levels != policy.LevelShare ||
+		d.Zones != 3 || len(d.Gauges) != 4 || d.Gauges[1] != policy.GaugeHeld {
 		t.Errorf("settings read as %+v", d)
 	}
 	want := []any{
-		choice.Woken{Name: 77}, choice.Probed{Load: []float64{0.5}}, nil,
-		choice.Left{}, choice.Fenced{Number: 12},
-		choice.Heard{Tries: 14, Voided: 1, Took: 482},
-		choice.Used{Product: 1, Txns: 9, Voided: 2, Counting: 20000},
+		policy.Woken{Name: 77}, policy.Probed{Load: []float64{0.5}}, nil,
+		policy.Left{}, policy.Fenced{Number: 12},
+		policy.Heard{Tries: 14, Voided: 1, Took: 482},
+		policy.Used{Product: 1, Txns: 9, Voided: 2, Counting: 20000},
 		nil, nil, nil, Stop{},
 	}
-	if j := batch.Records[2].Event.(choice.Joined); j.Zone != 2 || j.Rate != 6.5 {
+	if j := batch.Records[2].Event.(policy.Joined); j.Zone != 2 || j.Rate != 6.5 {
 		t.Errorf("joined read as %+v", j)
 	}
 	for i, w := range want {
@@ -84,9 +84,9 @@
 			t.Errorf("record %d read as %+v, want %+v", i+3, got, w)
 		}
 	}
-	list := batch.Records[1].Event.(choice.Listed)
-	e := choice.Entry{Zone: 1, Status: choice.Ready, Up: 61000, Weight: 1.5}
-	if list.Kind != choice.ListCached || list.Entries[0] != e {
+	list := batch.Records[1].Event.(policy.Listed)
+	e := policy.Entry{Zone: 1, Status: policy.Ready, Up: 61000, Weight: 1.5}
+	if list.Kind != policy.ListCached || list.Entries[0] != e {
 		t.Errorf("list read as %+v", list)
 	}
 }
@@ -137,11 +137,11 @@
 	dec := NewDecoder(bytes.NewReader(frame(launch(settings), members(2), record(70, uint8(0), uint8(0), float32(1), uint16(41)))))
 	_, _ = dec.Next()
 	r := NewReply(dec)
-	r.Add(3, []choice.Order{
-		choice.Line{Table: 117, Weight: 0.75}, choice.Clear{Table: 117}, choice.Use{Table: 117}, choice.Withdraw{Out: true},
-		choice.Gate{Table: 117, Level: 0.75, Tries: choice.TryUnrun, Products: 2}, choice.Fence{Number: 12},
-		choice.Wake{After: 5000, Name: 77}, choice.Probe{}, choice.Note{To: choice.ToAll, Data: []byte("hi 7")},
-		choice.Follow{On: true}, choice.Reload{}, choice.Log{Text: "two"},
+	r.Add(3, []policy.Order{
+		policy.Line{Table: 117, Weight: 0.75}, policy.Clear{Table: 117}, policy.Use{Table: 117}, policy.Withdraw{Out: true},
+		policy.Gate{Table: 117, Level: 0.75, Tries: policy.TryUnrun, Products: 2}, policy.Fence{Number: 12},
+		policy.Wake{After: 5000, Name: 77}, policy.Probe{}, policy.Note{To: policy.ToAll, Data: []byte("hi 7")},
+		policy.Follow{On: true}, policy.Reload{}, policy.Log{Text: "two"},
 	})
 	r.Bail(3, "index out of range")
 	var out bytes.Buffer
