--- /dev/null
+++ b/cmd/elmfold-bench/main.go
@@ -0,0 +1,38 @@
+// Command elmfold-bench runs experiments on elmfold's parts against stand-ins: elmfold-bench NAME --seed N --out DIR. Each leaves a table, JSON
+// and a chart, ends with 1 where an expected total is missed, and its last line is the figure. A package below plays
+// each subsystem.
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/signal"
+	"slices"
+
+	"github.com/spf13/cobra"
+
+	"elmfold/internal/bench/balancing"
+	"elmfold/internal/bench/controlplane"
+	"elmfold/internal/bench/discovery"
+	"elmfold/internal/bench/eventloop"
+	"elmfold/internal/bench/gateway"
+	"elmfold/internal/bench/jobs"
+	"elmfold/internal/bench/membership"
+	"elmfold/internal/bench/plugin"
+	"elmfold/internal/bench/pubsub"
+	"elmfold/internal/bench/tenancy"
+	"elmfold/internal/bench/warmstart"
+)
+
+func main() {
+	root := &cobra.Command{Use: "elmfold-bench", Short: "experiments on elmfold's parts", SilenceUsage: true, SilenceErrors: true}
+	root.AddCommand(slices.Concat(discovery.Commands(), tenancy.Commands(), eventloop.Commands(), warmstart.Commands(), pubsub.Commands(),
+		plugin.Commands(), membership.Commands(), jobs.Commands(), gateway.Commands(), balancing.Commands(), controlplane.Commands())...)
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
+	defer stop()
+	if err := root.ExecuteContext(ctx); err != nil {
+		fmt.Fprintf(os.Stderr, "elmfold-bench: %v\n", err)
+		os.Exit(1)
+	}
+}
--- a/cmd/wirehost/main.go
+++ b/cmd/simhost/main.go
@@ -9,18 +9,18 @@
 	"os"
 
 	"elmfold/internal/policy"
-	"elmfold/wire"
+	"elmfold/internal/simwire"
 )
 
 func main() {
 	if err := serve(bufio.NewReaderSize(os.Stdin, 1<<16), os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
 	}
 }
 
 func serve(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(in)
+	dec := simwire.NewDecoder(in)
 	hosted := map[uint16]*policy.Assigner{}
 	for {
 		batch, err := dec.Next()
@@ -30,7 +30,7 @@
 		if err != nil {
 			return err
 		}
-		reply := wire.NewReply(dec)
+		reply := simwire.NewReply(dec)
 		events := map[uint16][]policy.Event{}
 		var order []uint16
 		for _, rec := range batch.Records {
@@ -40,10 +40,10 @@
 			}
 			switch e := rec.Event.(type) {
 			case nil:
-			case wire.Launch:
+			case simwire.Launch:
 				hosted[rec.Inst] = policy.New(e.Deployment)
 				events[rec.Inst] = nil
-			case wire.Stop:
+			case simwire.Stop:
 				delete(hosted, rec.Inst)
 				events[rec.Inst] = nil
 			default:
@@ -62,7 +62,7 @@
 }
 
 // step lets an instance decide; a panic becomes its last word.
-func step(reply *wire.Reply, inst uint16, a *policy.Assigner, now policy.Time, events []policy.Event) {
+func step(reply *simwire.Reply, inst uint16, a *policy.Assigner, now policy.Time, events []policy.Event) {
 	before := *reply
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/wirehost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"elmfold/internal/policy"
-	"elmfold/wire"
+	"elmfold/internal/simwire"
 )
 
 func TestServe(t *testing.T) {
@@ -22,7 +22,7 @@
 
 // A panic of an instance becomes its last word, and what it had begun to say is taken back.
 func TestPanic(t *testing.T) {
-	reply := wire.NewReply(wire.NewDecoder(strings.NewReader("")))
+	reply := simwire.NewReply(simwire.NewDecoder(strings.NewReader("")))
 	step(reply, 3, policy.New(policy.Deployment{}), 1, []policy.Event{policy.Fenced{Proxy: -1}})
 	var out bytes.Buffer
 	_, _ = reply.WriteTo(&out)
--- a/cmd/lab/carry/carry.go
+++ b/internal/bench/balancing/carry.go
@@ -1,5 +1,5 @@
-// Package carry plays the carriers' ways to choose a backend against one central picture with the true state.
-package carry
+// Package balancing plays the carriers' ways to choose a backend against one central picture with the true state.
+package balancing
 
 import (
 	"errors"
@@ -16,8 +16,8 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"elmfold/cmd/lab/report"
-	"elmfold/emu/carry"
+	"elmfold/internal/bench/report"
+	"elmfold/internal/emulator/proxies"
 )
 
 // Commands of the lab.
@@ -25,7 +25,7 @@
 	var w report.Where
 	var use float64
 	carriers, zones := 10, 3
-	c := &cobra.Command{Use: "carry",
+	c := &cobra.Command{Use: "balancing",
 		Short: "what the carriers' settler earns on each day, beside plain ways and one central picture with the true state",
 		Args:  cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return play(w, use, carriers, zones) }}
 	w.Flags(c)
@@ -39,17 +39,17 @@
 	if use <= 0 || zones < 1 || carriers < zones {
 		return errors.New("--use must be above 0, and each of --zones must have one of --carriers")
 	}
-	days, ways := carry.Days(), carry.Ways
-	sums := make([][]carry.Sum, len(days))
+	days, ways := proxies.Days(), proxies.Ways
+	sums := make([][]proxies.Sum, len(days))
 	var all sync.WaitGroup
 	room := make(chan bool, max(1, runtime.NumCPU()-2))
 	for d, day := range days {
 		day.Use *= use
-		sums[d] = make([]carry.Sum, len(ways))
+		sums[d] = make([]proxies.Sum, len(ways))
 		for i, way := range ways {
 			all.Go(func() {
 				room <- true
-				sums[d][i] = carry.Play(carry.Shape{Seed: w.Seed, Kinds: carry.Kinds(), Zones: zones,
+				sums[d][i] = proxies.Play(proxies.Shape{Seed: w.Seed, Kinds: proxies.Kinds(), Zones: zones,
 					Carriers: carriers, Day: day}, way)
 				<-room
 			})
@@ -58,7 +58,7 @@
 	all.Wait()
 	size := fmt.Sprintf("%d carriers in %d zones, three services; days of 24 s; the same arrivals and works for each way; "+
 		"parts of the worth owed", carriers, zones)
-	r := report.New("carry", w.Seed, size, "worth", "worst 2 s", "fetch", "book", "preview", "lost late", "refused",
+	r := report.New("balancing", w.Seed, size, "worth", "worst 2 s", "fetch", "book", "preview", "lost late", "refused",
 		"failed", "held", "requests", "connections", "further", "in vain", "rules broken")
 	distance := 0.0
 	for d, day := range days {
@@ -101,7 +101,7 @@
 }
 
 // draw shows each day's worth by way.
-func draw(w report.Where, days []carry.Day, sums [][]carry.Sum) error {
+func draw(w report.Where, days []proxies.Day, sums [][]proxies.Sum) error {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = fmt.Sprintf("worth earned by way to choose, seed %d", w.Seed), "part of the worth owed"
 	p.Legend.Left, p.Legend.Top = true, true
@@ -111,7 +111,7 @@
 	for _, d := range days {
 		names = append(names, d.Name)
 	}
-	for i, way := range carry.Ways {
+	for i, way := range proxies.Ways {
 		var values plotter.Values
 		for d := range days {
 			values = append(values, sums[d][i].All.Worth())
@@ -121,7 +121,7 @@
 			return err
 		}
 		bars.Color, bars.LineStyle.Width = plotutil.Color(i), 0
-		bars.Offset = width * vg.Length(float64(i)-float64(len(carry.Ways)-1)/2)
+		bars.Offset = width * vg.Length(float64(i)-float64(len(proxies.Ways)-1)/2)
 		p.Add(bars)
 		p.Legend.Add(way, bars)
 	}
--- a/cmd/lab/core/core.go
+++ b/internal/bench/controlplane/core.go
@@ -1,6 +1,6 @@
-// Package core plays the control side from outside: real controllers on loopback that are called as operators call
+// Package controlplane plays the control side from outside: real controllers on loopback that are called as operators call
 // them, and killed, stopped, wiped and replaced as machines are. Each story has a system of its own.
-package core
+package controlplane
 
 import (
 	"cmp"
@@ -19,7 +19,7 @@
 
 	"github.com/spf13/cobra"
 
-	"elmfold/cmd/lab/report"
+	"elmfold/internal/bench/report"
 )
 
 const (
@@ -160,7 +160,7 @@
 
 type options struct {
 	report.Where
-	name, only, counsel string
+	name, only, program string
 	parallel            int
 	orders, size        int
 	keep                string
@@ -169,16 +169,16 @@
 // Commands of the lab.
 func Commands() []*cobra.Command {
 	var o options
-	c := &cobra.Command{Use: "core", Short: "the worst days of real controllers, from outside: same numbers, lost answers, founding, freezes, losses and replacements",
+	c := &cobra.Command{Use: "controlplane", Short: "the worst days of real controllers, from outside: same numbers, lost answers, founding, freezes, losses and replacements",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-			program, err := filepath.Abs(o.counsel)
+			program, err := filepath.Abs(o.program)
 			if err == nil {
 				_, err = exec.LookPath(program)
 			}
 			if err != nil {
-				return fmt.Errorf("--counsel: %w", err)
+				return fmt.Errorf("--program: %w", err)
 			}
-			o.counsel = program
+			o.program = program
 			if o.orders > 0 {
 				return timeOrders(c.Context(), o)
 			}
@@ -187,7 +187,7 @@
 	o.Flags(c)
 	c.Flags().StringVar(&o.name, "name", "core", "of the files in --out")
 	c.Flags().StringVar(&o.only, "only", "", "stories or STORY/VARIANT, by parts of their names, with commas")
-	c.Flags().StringVar(&o.counsel, "counsel", "target/counsel", "the program")
+	c.Flags().StringVar(&o.program, "program", "target/elmfold-controlplane", "the program")
 	c.Flags().IntVar(&o.parallel, "parallel", 4, "plays at once")
 	c.Flags().StringVar(&o.keep, "logs", "", "folder in which the journals and logs of plays that fall short stay")
 	c.Flags().IntVar(&o.orders, "orders", 0, "only time so many orders")
@@ -250,7 +250,7 @@
 	ctx, cancel := context.WithTimeout(ctx, playMost)
 	defer cancel()
 	dir := filepath.Join(base, strings.NewReplacer("/", "-", " ", "-").Replace(p.name()))
-	r := &run{play: p, ctx: ctx, program: o.counsel, dir: dir, nextNet: net, began: time.Now(),
+	r := &run{play: p, ctx: ctx, program: o.program, dir: dir, nextNet: net, began: time.Now(),
 		chance: rand.New(rand.NewPCG(seedOf(o.Seed, p.name()), 1))}
 	lost := func(err error) outcome { return outcome{play: p, word: short, cause: "the lab: " + err.Error()} }
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -269,7 +269,7 @@
 		to := filepath.Join(o.keep, fmt.Sprintf("seed%d-%s", o.Seed, filepath.Base(dir)))
 		_ = os.RemoveAll(to)
 		if err := keepLogs(dir, to); err != nil {
-			fmt.Fprintf(os.Stderr, "lab core: %v\n", err)
+			fmt.Fprintf(os.Stderr, "elmfold-bench controlplane: %v\n", err)
 		}
 	}
 	_ = os.RemoveAll(dir)
--- a/cmd/lab/core/freezes.go
+++ b/internal/bench/controlplane/freezes.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"bytes"
--- a/cmd/lab/core/machine.go
+++ b/internal/bench/controlplane/machine.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"bytes"
@@ -48,7 +48,7 @@
 func (m *machine) start(bootstrap bool, seeds []string) error {
 	settings := filepath.Join(m.s.dir, m.name+".json")
 	text, err := json.MarshalIndent(map[string]any{
-		"nodeName": m.name, "role": "counsel", "machineClass": "core", "serves": []string{"control_plane"},
+		"nodeName": m.name, "role": "controlplane", "machineClass": "core", "serves": []string{"control_plane"},
 		"ip": m.ip, "zone": m.zone, "region": "lab", "zones": map[string]string{"a": "lab", "b": "lab", "c": "lab"},
 		"listen": map[string]string{"control": m.control()}, "portRange": []int{firstPort, lastPort},
 		"seedNodes": seeds, "bootstrap": bootstrap, "counted": true,
--- a/cmd/lab/core/orders.go
+++ b/internal/bench/controlplane/orders.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"time"
 
-	"elmfold/cmd/lab/report"
+	"elmfold/internal/bench/report"
 )
 
 const ordersMost = 20_000
@@ -33,7 +33,7 @@
 		return err
 	}
 	defer file.Close()
-	r := &run{ctx: ctx, program: o.counsel, dir: dir, nextNet: nets(), file: file, began: time.Now(), quiet: true,
+	r := &run{ctx: ctx, program: o.program, dir: dir, nextNet: nets(), file: file, began: time.Now(), quiet: true,
 		chance: rand.New(rand.NewPCG(o.Seed, 1))}
 	defer func() {
 		for _, s := range r.systems {
--- a/cmd/lab/registry/naive.go
+++ b/internal/bench/discovery/naive.go
@@ -1,4 +1,4 @@
-package registry
+package discovery
 
 import (
 	"context"
--- a/cmd/lab/registry/registry.go
+++ b/internal/bench/discovery/registry.go
@@ -1,5 +1,5 @@
-// Package registry plays how a key-value registry is followed: delays, size, memory.
-package registry
+// Package discovery plays how a key-value registry is followed: delays, size, memory.
+package discovery
 
 import (
 	"encoding/json"
@@ -17,14 +17,14 @@
 	"github.com/sirupsen/logrus"
 	"github.com/spf13/cobra"
 
-	"elmfold/cmd/lab/report"
+	"elmfold/internal/bench/report"
 	"elmfold/internal/controller/command"
 	"elmfold/internal/controller/operatorfile"
 	"elmfold/internal/controller/reconcile"
-	standconsul "elmfold/standin/consul"
-	standetcd "elmfold/standin/etcd"
-	"elmfold/standin/kv"
-	"elmfold/standin/link"
+	standconsul "elmfold/internal/fakes/consul"
+	standetcd "elmfold/internal/fakes/etcd"
+	"elmfold/internal/fakes/kv"
+	"elmfold/internal/fakes/link"
 )
 
 // The size of the experiment, as the issue states it.
--- a/cmd/lab/desk/kept.go
+++ b/internal/bench/eventloop/kept.go
@@ -1,4 +1,4 @@
-package desk
+package eventloop
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"elmfold/cmd/lab/report"
+	"elmfold/internal/bench/report"
 	"elmfold/internal/controller/statestore"
 	"elmfold/internal/controller/warmstart"
 	"elmfold/internal/policy"
--- a/cmd/lab/desk/moments.go
+++ b/internal/bench/eventloop/moments.go
@@ -1,5 +1,5 @@
-// Package desk plays what a moment costs the desk.
-package desk
+// Package eventloop plays what a moment costs the desk.
+package eventloop
 
 import (
 	"cmp"
@@ -21,7 +21,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"elmfold/cmd/lab/report"
+	"elmfold/internal/bench/report"
 	"elmfold/internal/controller/eventloop"
 	"elmfold/internal/controller/flatsettings"
 	"elmfold/internal/controller/reconcile"
--- a/cmd/lab/gateway/bench_test.go
+++ b/internal/bench/gateway/bench_test.go
@@ -9,10 +9,10 @@
 
 	"elmfold/internal/controlplane/registry"
 	"elmfold/internal/controlplane/steering"
+	"elmfold/internal/fakes/gateway"
 	"elmfold/internal/gateway/routeconfig"
 	"elmfold/internal/gateway/rpc"
 	"elmfold/internal/proxy/balancer"
-	"elmfold/standin/gateway"
 )
 
 // What docs/CAPACITY.md is worked out from, beside the runs of the lab: go test -bench . ./cmd/lab/gateway
--- a/cmd/lab/gateway/beside.go
+++ b/internal/bench/gateway/beside.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
-	"elmfold/cmd/lab/report"
-	"elmfold/standin/gateway"
+	"elmfold/internal/bench/report"
+	"elmfold/internal/fakes/gateway"
 )
 
 const (
@@ -35,7 +35,7 @@
 	c := &cobra.Command{Use: "gateway", Short: "requests through a real carrier beside direct ones to the same backends: added time, requests a core, memory, bytes for control",
 		Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return playBeside(w, programs) }}
 	w.Flags(c)
-	c.Flags().StringVar(&programs, "programs", "target", "folder of counsel and transit")
+	c.Flags().StringVar(&programs, "programs", "target", "folder of elmfold-controlplane and elmfold-proxy")
 	return c
 }
 
@@ -264,7 +264,7 @@
 	var span time.Duration
 	c := &cobra.Command{Use: "try", Short: "three controllers, two carriers and stand-in backends on loopback, for a while", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return try(c.Context(), c.OutOrStdout(), programs, span) }}
-	c.Flags().StringVar(&programs, "programs", "target", "folder of counsel and transit")
+	c.Flags().StringVar(&programs, "programs", "target", "folder of elmfold-controlplane and elmfold-proxy")
 	c.Flags().DurationVar(&span, "for", time.Minute, "until it ends by itself, at most an hour")
 	return c
 }
--- a/cmd/lab/gateway/scale.go
+++ b/internal/bench/gateway/scale.go
@@ -16,8 +16,8 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"elmfold/cmd/lab/report"
-	"elmfold/standin/gateway"
+	"elmfold/internal/bench/report"
+	"elmfold/internal/fakes/gateway"
 )
 
 // size of a scale run.
@@ -70,7 +70,7 @@
 			return playScale(w, programs, all, requests, joins, profile, name)
 		}}
 	w.Flags(c)
-	c.Flags().StringVar(&programs, "programs", "target", "folder of counsel and transit")
+	c.Flags().StringVar(&programs, "programs", "target", "folder of elmfold-controlplane and elmfold-proxy")
 	c.Flags().StringVar(&one, "one", "", "CONTROLLERS,CARRIERS,BACKENDS,SERVICES,ROUTES: only this size")
 	c.Flags().IntVar(&requests, "requests", requestsAll/whole.carriers, "a second that each hollow carrier's reports tell of")
 	c.Flags().IntVar(&joins, "joins", 0, "carriers a second that join after the backends; 0: all at once with them")
--- a/cmd/lab/edits/edits.go
+++ b/internal/bench/jobs/edits.go
@@ -1,5 +1,5 @@
-// Package edits plays edits of parted sites.
-package edits
+// Package jobs plays edits of parted sites.
+package jobs
 
 import (
 	"cmp"
@@ -17,10 +17,10 @@
 
 	"github.com/spf13/cobra"
 
-	"elmfold/cmd/lab/report"
+	"elmfold/internal/bench/report"
 	"elmfold/internal/controller/jobs"
-	"elmfold/standin/fleet"
-	"elmfold/standin/link"
+	"elmfold/internal/fakes/fleet"
+	"elmfold/internal/fakes/link"
 )
 
 const (
--- a/cmd/lab/spread/spread.go
+++ b/internal/bench/membership/spread.go
@@ -1,5 +1,5 @@
-// Package spread plays many controllers of one fleet.
-package spread
+// Package membership plays many controllers of one fleet.
+package membership
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"elmfold/cmd/lab/report"
-	"elmfold/emu"
+	"elmfold/internal/bench/report"
+	"elmfold/internal/emulator"
 )
 
 // What many controllers must come up to: parts of one controller's.
@@ -51,25 +51,25 @@
 	r := report.New("spread", w.Seed, "240 proxies, 48 backends of which 6 are 3.5 times slower than listed; seconds 30 to 60 of a day in the emulator",
 		"service", "slow share", "declined", "peak/mean", "herd", "idle", "rules broken", "B/s most", "B/s mean")
 	counts := []int{1, 5, 24, 60, 120, spreadMost}
-	var plays []emu.Spread
+	var plays []emulator.Spread
 	for _, n := range counts {
 		for _, day := range []string{"calm", "slow", "hot"} {
-			plays = append(plays, emu.Spread{Controllers: n, Case: day, Told: true}, emu.Spread{Controllers: n, Case: day})
+			plays = append(plays, emulator.Spread{Controllers: n, Case: day, Told: true}, emulator.Spread{Controllers: n, Case: day})
 		}
 	}
 	for _, n := range []int{50, 100, 200} { // 300 has its own day
-		plays = append(plays, emu.Spread{Controllers: n, Case: "small", Told: true})
+		plays = append(plays, emulator.Spread{Controllers: n, Case: "small", Told: true})
 	}
-	plays = append(plays, emu.Spread{Controllers: 267, Case: "small", Told: true}, emu.Spread{Controllers: 267, Case: "small"}, emu.Spread{Controllers: 1, Case: "small"})
-	for _, day := range emu.SpreadCases[3:] {
+	plays = append(plays, emulator.Spread{Controllers: 267, Case: "small", Told: true}, emulator.Spread{Controllers: 267, Case: "small"}, emulator.Spread{Controllers: 1, Case: "small"})
+	for _, day := range emulator.SpreadCases[3:] {
 		if day != "small" {
-			plays = append(plays, emu.Spread{Controllers: 60, Case: day, Told: true}, emu.Spread{Controllers: 60, Case: day}, emu.Spread{Controllers: 1, Case: day})
+			plays = append(plays, emulator.Spread{Controllers: 60, Case: day, Told: true}, emulator.Spread{Controllers: 60, Case: day}, emulator.Spread{Controllers: 1, Case: day})
 		}
 	}
 	for _, day := range []string{"calm", "slow", "hot"} {
-		plays = append(plays, emu.Spread{Controllers: 1, Case: day, Oracle: true}, emu.Spread{Controllers: 1, Case: day, Naive: true}, emu.Spread{Controllers: spreadMost, Case: day, Naive: true})
+		plays = append(plays, emulator.Spread{Controllers: 1, Case: day, Oracle: true}, emulator.Spread{Controllers: 1, Case: day, Naive: true}, emulator.Spread{Controllers: spreadMost, Case: day, Naive: true})
 	}
-	showed := make([]emu.Spreading, len(plays))
+	showed := make([]emulator.Spreading, len(plays))
 	var all sync.WaitGroup
 	room := make(chan bool, max(1, runtime.NumCPU()-2))
 	for i, p := range plays {
@@ -80,7 +80,7 @@
 		})
 	}
 	all.Wait()
-	at := map[emu.Spread]emu.Spreading{}
+	at := map[emulator.Spread]emulator.Spreading{}
 	for i, p := range plays {
 		s := showed[i]
 		at[p] = s
@@ -96,8 +96,8 @@
 		}
 	}
 	for _, day := range []string{"calm", "slow", "hot"} {
-		one, many := at[emu.Spread{Controllers: 1, Case: day}], at[emu.Spread{Controllers: spreadMost, Case: day, Told: true}]
-		two := at[emu.Spread{Controllers: 1, Case: day, Oracle: true}]
+		one, many := at[emulator.Spread{Controllers: 1, Case: day}], at[emulator.Spread{Controllers: spreadMost, Case: day, Told: true}]
+		two := at[emulator.Spread{Controllers: 1, Case: day, Oracle: true}]
 		missed(many.Service < one.Service-spreadWithin, "%s: service %.3f with %d, %.3f with one", day, many.Service, spreadMost, one.Service)
 		missed(math.Abs(many.Share-one.Share) > shareWithin, "%s: slow share %.3f with %d, %.3f with one", day, many.Share, spreadMost, one.Share)
 		missed(many.Declined > one.Declined, "%s: %.4f declined with %d, %.4f with one", day, many.Declined, spreadMost, one.Declined)
@@ -105,29 +105,29 @@
 		missed(many.Herd > herdMost, "%s: herd index %.2f", day, many.Herd)
 		missed(many.Idle > 0, "%s: %d spans of an idle backend", day, many.Idle)
 	}
-	alone := at[emu.Spread{Controllers: spreadMost, Case: spreadCounted}]
+	alone := at[emulator.Spread{Controllers: spreadMost, Case: spreadCounted}]
 	missed(alone.Service < aloneLeast || alone.Declined > 0, "alone: service %.3f, %.4f declined", alone.Service, alone.Declined)
 	least, most := math.Inf(1), 0.0
 	for _, n := range []int{50, 100, 200, 267} {
-		b := at[emu.Spread{Controllers: n, Case: "small", Told: true}].TellsMean
+		b := at[emulator.Spread{Controllers: n, Case: "small", Told: true}].TellsMean
 		least, most = min(least, b), max(most, b)
 	}
 	missed(most > bytesFlat*least, "bytes a second and a process from %.0f to %.0f for 50 to 267 controllers", least, most)
-	for _, day := range emu.SpreadCases[3:] {
+	for _, day := range emulator.SpreadCases[3:] {
 		n := 60
 		if day == "small" {
 			n = 267
 		}
-		many, one := at[emu.Spread{Controllers: n, Case: day, Told: true}], at[emu.Spread{Controllers: 1, Case: day}]
+		many, one := at[emulator.Spread{Controllers: n, Case: day, Told: true}], at[emulator.Spread{Controllers: 1, Case: day}]
 		missed(many.Service < one.Service-2*spreadWithin, "%s: service %.3f with %d, %.3f with one", day, many.Service, n, one.Service)
 	}
 	r.Figure = fmt.Sprintf("%d controllers: service %.3f told, %.3f alone, %.3f with one; slow share %.3f, %.3f, %.3f", spreadMost,
-		at[emu.Spread{Controllers: spreadMost, Case: "slow", Told: true}].Service, alone.Service, at[emu.Spread{Controllers: 1, Case: "slow"}].Service,
-		at[emu.Spread{Controllers: spreadMost, Case: "slow", Told: true}].Share, alone.Share, at[emu.Spread{Controllers: 1, Case: "slow"}].Share)
+		at[emulator.Spread{Controllers: spreadMost, Case: "slow", Told: true}].Service, alone.Service, at[emulator.Spread{Controllers: 1, Case: "slow"}].Service,
+		at[emulator.Spread{Controllers: spreadMost, Case: "slow", Told: true}].Share, alone.Share, at[emulator.Spread{Controllers: 1, Case: "slow"}].Share)
 	return r.Leave(w.Out)
 }
 
-func spreadName(p emu.Spread) string {
+func spreadName(p emulator.Spread) string {
 	name := fmt.Sprintf("%s, %d", p.Case, p.Controllers)
 	switch {
 	case p.Oracle:
--- a/cmd/lab/spread/spreadreal.go
+++ b/internal/bench/membership/spreadreal.go
@@ -1,4 +1,4 @@
-package spread
+package membership
 
 import (
 	"errors"
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
-	"elmfold/cmd/lab/report"
-	"elmfold/emu"
-	"elmfold/standin/fleet"
+	"elmfold/internal/bench/report"
+	"elmfold/internal/emulator"
+	"elmfold/internal/fakes/fleet"
 )
 
 const (
@@ -287,7 +287,7 @@
 	if most > bytesFlat*least {
 		r.Missed = append(r.Missed, fmt.Sprintf("memory from %.1f to %.1f MB", least/(1<<20), most/(1<<20)))
 	}
-	one := emu.Spread{Controllers: 1, Case: "slow"}.Play(w.Seed)
+	one := emulator.Spread{Controllers: 1, Case: "slow"}.Play(w.Seed)
 	if got[true] < one.Service-2*spreadWithin {
 		r.Missed = append(r.Missed, fmt.Sprintf("service %.3f, one controller in the emulator %.3f", got[true], one.Service))
 	}
--- a/cmd/lab/plugin/plugins.go
+++ b/internal/bench/plugin/plugins.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"elmfold/cmd/lab/report"
+	"elmfold/internal/bench/report"
 	"elmfold/internal/controller/pluginhost"
 	told "elmfold/pluginsdk/moment"
 )
--- a/cmd/lab/channel/channel.go
+++ b/internal/bench/pubsub/channel.go
@@ -1,5 +1,5 @@
-// Package channel plays the pub-sub channel and the streams beside it.
-package channel
+// Package pubsub plays the pub-sub channel and the streams beside it.
+package pubsub
 
 import (
 	"context"
@@ -12,15 +12,15 @@
 
 	"github.com/spf13/cobra"
 
-	"elmfold/cmd/lab/report"
+	"elmfold/internal/bench/report"
 	"elmfold/internal/controller/eventloop"
 	"elmfold/internal/controller/flatsettings"
 	"elmfold/internal/controller/pubsub"
 	"elmfold/internal/controller/pubsub/client"
 	"elmfold/internal/controller/pubsub/session"
 	"elmfold/internal/controller/textproto"
+	"elmfold/internal/fakes/link"
 	"elmfold/internal/policy"
-	"elmfold/standin/link"
 )
 
 const (
--- a/cmd/lab/channel/streams.go
+++ b/internal/bench/pubsub/streams.go
@@ -1,4 +1,4 @@
-package channel
+package pubsub
 
 import (
 	"bufio"
@@ -10,12 +10,12 @@
 	"sync/atomic"
 	"time"
 
-	"elmfold/cmd/lab/report"
+	"elmfold/internal/bench/report"
 	"elmfold/internal/controller/pubsub"
 	"elmfold/internal/controller/pubsub/session"
 	"elmfold/internal/controller/server"
 	"elmfold/internal/controller/textproto"
-	"elmfold/standin/link"
+	"elmfold/internal/fakes/link"
 )
 
 // beside is what the same orders showed on the platform's streams.
--- a/cmd/lab/cells/cells.go
+++ b/internal/bench/tenancy/cells.go
@@ -1,5 +1,5 @@
-// Package cells plays cells of tenants, in the emulator and by the step.
-package cells
+// Package tenancy plays cells of tenants, in the emulator and by the step.
+package tenancy
 
 import (
 	"fmt"
@@ -13,9 +13,9 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"elmfold/cmd/lab/report"
-	"elmfold/emu"
+	"elmfold/internal/bench/report"
 	"elmfold/internal/controller/tenancy"
+	"elmfold/internal/emulator"
 	"elmfold/internal/policy"
 )
 
@@ -39,13 +39,13 @@
 }
 
 func playCells(w report.Where) error {
-	d := emu.Campus(w.Seed)
+	d := emulator.Campus(w.Seed)
 	ways := []struct {
 		name string
 		plan *tenancy.Plan
 	}{{"no cells", nil}, {"4 fixed cells", d.Confine(0, "red", "blue", "green", "gold")}, {"shuffled, 2 a zone", d.Confine(2)}}
 	r := report.New("cells", w.Seed, fmt.Sprintf("60 proxies in 20 tenants, 24 backends, 500 txns/s; %s's txns take %d times the work and are repeated from %d to %d s",
-		emu.Tenant(7), poisonWork, cellsCalm, cellsEnd))
+		emulator.Tenant(7), poisonWork, cellsCalm, cellsEnd))
 	type figures struct{ mean, worst, own, before, harmed, doubled, tipped, bare any }
 	var all []figures
 	p := plot.New()
@@ -57,17 +57,17 @@
 	for i, way := range ways {
 		r.Columns = append(r.Columns, way.name)
 		d.Plan = way.plan
-		world := emu.New(d)
-		world.At(cellsCalm*policy.Second, func() { world.Poison[emu.Tenant(7)] = poisonWork })
-		world.At(cellsEnd*policy.Second, func() { world.Poison[emu.Tenant(7)] = 0 })
+		world := emulator.New(d)
+		world.At(cellsCalm*policy.Second, func() { world.Poison[emulator.Tenant(7)] = poisonWork })
+		world.At(cellsEnd*policy.Second, func() { world.Poison[emulator.Tenant(7)] = 0 })
 		world.Run(cellsAll * policy.Second)
 		var others []float64
-		harmed, total, calm := 0, emu.Sum{}, emu.Sum{}
+		harmed, total, calm := 0, emulator.Sum{}, emulator.Sum{}
 		for n := range 20 {
 			if n == 7 {
 				continue
 			}
-			before, during := world.Over(emu.Tenant(n), 5, cellsCalm), world.Over(emu.Tenant(n), cellsCalm+3, cellsEnd)
+			before, during := world.Over(emulator.Tenant(n), 5, cellsCalm), world.Over(emulator.Tenant(n), cellsCalm+3, cellsEnd)
 			total.Asked, total.Served = total.Asked+during.Asked, total.Served+during.Served
 			calm.Asked, calm.Served = calm.Asked+before.Asked, calm.Served+before.Served
 			others = append(others, during.Service())
@@ -76,7 +76,7 @@
 			}
 		}
 		harmedBy[way.name] = harmed
-		poisoned := world.Over(emu.Tenant(7), cellsCalm+3, cellsEnd)
+		poisoned := world.Over(emulator.Tenant(7), cellsCalm+3, cellsEnd)
 		all = append(all, figures{report.Three(total.Service()), report.Three(slices.Min(others)), report.Three(poisoned.Service()), report.Three(calm.Service()), harmed,
 			world.Doubled(), len(world.Tipped), world.Bare})
 		if world.Doubled() > 0 {
@@ -84,9 +84,9 @@
 		}
 		var line plotter.XYs
 		for s := range cellsAll {
-			sum := emu.Sum{}
+			sum := emulator.Sum{}
 			for n := range 20 {
-				if one := world.Over(emu.Tenant(n), s, s+1); n != 7 {
+				if one := world.Over(emulator.Tenant(n), s, s+1); n != 7 {
 					sum.Asked, sum.Served = sum.Asked+one.Asked, sum.Served+one.Served
 				}
 			}
@@ -144,7 +144,7 @@
 }
 
 func playMoves(w report.Where) error {
-	d := emu.Campus(w.Seed)
+	d := emulator.Campus(w.Seed)
 	chance := rand.New(rand.NewPCG(w.Seed, 5))
 	names := []string{"red", "blue", "green"}
 	d.Plan = d.Confine(0, names...)
@@ -152,7 +152,7 @@
 	// The file that a controller which starts anew reads; a move by hand is written into it, too.
 	file := *d.Plan
 	file.Tenants = slices.Clone(file.Tenants)
-	world := emu.New(d)
+	world := emulator.New(d)
 	cuts, kills := 0, 0
 	type moved struct {
 		tenant string
@@ -163,7 +163,7 @@
 		at := 15*policy.Second + policy.Time(i)*moveEvery
 		n := i % 20
 		cell := names[(i/20+n+1)%len(names)]
-		tenant := emu.Tenant(n)
+		tenant := emulator.Tenant(n)
 		moves = append(moves, moved{tenant, int(at / policy.Second)})
 		world.At(at, func() {
 			file.Tenants = slices.Clone(file.Tenants)
@@ -191,7 +191,7 @@
 	end := 15 + moveCount*int(moveEvery/policy.Second) + 25
 	world.Run(policy.Time(end) * policy.Second)
 
-	before, during, worst := emu.Sum{}, emu.Sum{}, 1.0
+	before, during, worst := emulator.Sum{}, emulator.Sum{}, 1.0
 	for _, m := range moves {
 		b, a := world.Over(m.tenant, m.at-8, m.at), world.Over(m.tenant, m.at, m.at+8)
 		before.Asked, before.Served = before.Asked+b.Asked, before.Served+b.Served
@@ -227,9 +227,9 @@
 	r.Expect("txns that found no line", world.Bare, 0)
 	r.Expect("cold backends pushed over", len(world.Tipped), 0)
 	r.Expect("lines outside the cell at the end", wrong, 0)
-	total := emu.Sum{}
+	total := emulator.Sum{}
 	for n := range 20 {
-		s := world.Over(emu.Tenant(n), 5, end)
+		s := world.Over(emulator.Tenant(n), 5, end)
 		total.Asked, total.Served, total.Voided, total.Declined = total.Asked+s.Asked, total.Served+s.Served, total.Voided+s.Voided, total.Declined+s.Declined
 	}
 	r.Row("txns asked", total.Asked)
--- a/cmd/lab/cells/step.go
+++ b/internal/bench/tenancy/step.go
@@ -1,4 +1,4 @@
-package cells
+package tenancy
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"elmfold/cmd/lab/report"
+	"elmfold/internal/bench/report"
 	"elmfold/internal/controller/tenancy"
 	"elmfold/internal/policy"
 )
--- a/cmd/lab/restart/kills.go
+++ b/internal/bench/warmstart/kills.go
@@ -1,5 +1,5 @@
-// Package restart plays restarts: the store, kills, what is learnt anew.
-package restart
+// Package warmstart plays restarts: the store, kills, what is learnt anew.
+package warmstart
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"elmfold/cmd/lab/report"
+	"elmfold/internal/bench/report"
 	"elmfold/internal/controller/statestore"
 	"elmfold/internal/controller/warmstart"
 )
--- a/cmd/lab/restart/process.go
+++ b/internal/bench/warmstart/process.go
@@ -1,4 +1,4 @@
-package restart
+package warmstart
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"elmfold/cmd/lab/report"
+	"elmfold/internal/bench/report"
 )
 
 func processCommand() *cobra.Command {
--- a/cmd/lab/restart/restart.go
+++ b/internal/bench/warmstart/restart.go
@@ -1,4 +1,4 @@
-package restart
+package warmstart
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 
 	"github.com/spf13/cobra"
 
-	"elmfold/cmd/lab/report"
-	"elmfold/emu"
+	"elmfold/internal/bench/report"
+	"elmfold/internal/emulator"
 	"elmfold/internal/policy"
 )
 
@@ -37,8 +37,8 @@
 
 // playRestart lets a fleet with an eighth of wrongly listed, slow backends learn for a minute, then restarts
 // controllers; never where none is named.
-func playRestart(seed uint64, from emu.Recall, which []int) restarted {
-	d := emu.Fleet(seed, 5)
+func playRestart(seed uint64, from emulator.Recall, which []int) restarted {
+	d := emulator.Fleet(seed, 5)
 	d.Recall = from
 	for i := range d.Backends {
 		if i%8 == 3 { // the list does not say that these are slow
@@ -46,7 +46,7 @@
 			d.Backends[i].Speed /= 3.5
 		}
 	}
-	w := emu.New(d)
+	w := emulator.New(d)
 	w.Run(restartAt * policy.Second)
 	before := w.Shares(0)
 	for i, b := range d.Backends {
@@ -87,7 +87,7 @@
 	}
 	asked, served, declined := 0, 0, 0
 	for t := range len(d.Proxies) / 12 {
-		sum := w.Over(emu.Tenant(t), restartAt, restartAt+restartLook)
+		sum := w.Over(emulator.Tenant(t), restartAt, restartAt+restartLook)
 		asked, served, declined = asked+sum.Asked, served+sum.Served, declined+sum.Declined
 	}
 	r.service, r.declined = float64(served)/float64(asked), float64(declined)/float64(asked)
@@ -104,15 +104,15 @@
 	all := []int{0, 1, 2, 3, 4}
 	plays := []struct {
 		name  string
-		from  emu.Recall
+		from  emulator.Recall
 		which []int
 	}{
 		{"nobody is restarted", 0, nil},
 		{"all at once, cold", 0, all},
-		{"all at once, from the store", emu.FromStore, all},
+		{"all at once, from the store", emulator.FromStore, all},
 		{"one, cold", 0, []int{1}},
-		{"one, from a peer", emu.FromPeer, []int{1}},
-		{"one, from the store and a peer", emu.FromStore | emu.FromPeer, []int{1}},
+		{"one, from a peer", emulator.FromPeer, []int{1}},
+		{"one, from the store and a peer", emulator.FromStore | emulator.FromPeer, []int{1}},
 	}
 	right := map[string]float64{}
 	var names []string
--- a/internal/compat/core_test.go
+++ b/internal/compat/core_test.go
@@ -16,17 +16,17 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/jonboulle/clockwork"
 
-	"elmfold/gauntlet"
 	"elmfold/internal/controlplane"
 	"elmfold/internal/controlplane/storage"
 	"elmfold/internal/gateway/bootconfig"
+	"elmfold/internal/simulation"
 )
 
 // node is a control-plane node of this version on a real disk and a simulated network, in virtual time.
 type node struct {
 	t      *testing.T
 	name   string
-	host   *gauntlet.Host
+	host   *simulation.Host
 	server *controlplane.Server
 	store  *storage.Store
 	found  storage.Found
@@ -36,12 +36,12 @@
 
 func nodeAddress(i, port int) string { return fmt.Sprintf("127.77.0.%d:%d", 10+i, port) }
 
-func newNet() *gauntlet.Net {
-	return gauntlet.NewNet(func(string, string) time.Duration { return 200 * time.Microsecond })
+func newNet() *simulation.Net {
+	return simulation.NewNet(func(string, string) time.Duration { return 200 * time.Microsecond })
 }
 
 // startNode starts node i of three, whose records lie below dir.
-func startNode(t *testing.T, network *gauntlet.Net, i int, dir string) *node {
+func startNode(t *testing.T, network *simulation.Net, i int, dir string) *node {
 	t.Helper()
 	n := &node{t: t, name: fmt.Sprintf("core-%d", i)}
 	settings := bootconfig.Default()
--- a/internal/compat/frozen_test.go
+++ b/internal/compat/frozen_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"elmfold/gauntlet"
+	"elmfold/internal/simulation"
 )
 
 // The types below are the messages of d330930 as they stood there. They are a fixture: nothing in them is ever renamed.
@@ -197,7 +197,7 @@
 	t    *testing.T
 	who  oldController
 	disk string
-	host *gauntlet.Host
+	host *simulation.Host
 	done chan struct{} // closed at the end
 
 	mu    sync.Mutex
@@ -213,7 +213,7 @@
 	value              oldRegister
 }
 
-func startOldNode(t *testing.T, network *gauntlet.Net, i, peers int) *oldNode {
+func startOldNode(t *testing.T, network *simulation.Net, i, peers int) *oldNode {
 	t.Helper()
 	n := &oldNode{t: t, done: make(chan struct{}), disk: "0ld0ld0ld0ld000" + string(rune('0'+i)), regs: map[string]*oldAcceptor{}, out: map[string]*oldLine{},
 		who: oldController{Name: "core-" + string(rune('0'+i)), Zone: nodeZones[i%3], Address: nodeAddress(i, 7540),
--- a/internal/compat/mixed_test.go
+++ b/internal/compat/mixed_test.go
@@ -16,10 +16,10 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/jonboulle/clockwork"
 
-	"elmfold/gauntlet"
 	"elmfold/internal/gateway/bootconfig"
 	"elmfold/internal/proxy"
 	"elmfold/internal/proxy/upstream"
+	"elmfold/internal/simulation"
 )
 
 // Two voters of d330930 and one of this version found the core, decide a configuration, an evacuation and a change of
@@ -330,7 +330,7 @@
 		}
 		mu.Unlock()
 		_ = origin.Close()
-		for _, h := range []*gauntlet.Host{core, backend, host, client} {
+		for _, h := range []*simulation.Host{core, backend, host, client} {
 			h.Kill()
 		}
 		time.Sleep(time.Minute)
--- a/internal/controller/command/command_test.go
+++ b/internal/controller/command/command_test.go
@@ -17,10 +17,10 @@
 
 	"elmfold/internal/controller"
 	"elmfold/internal/controller/reconcile"
-	"elmfold/standin/consul"
-	"elmfold/standin/etcd"
-	"elmfold/standin/kv"
-	"elmfold/standin/link"
+	"elmfold/internal/fakes/consul"
+	"elmfold/internal/fakes/etcd"
+	"elmfold/internal/fakes/kv"
+	"elmfold/internal/fakes/link"
 )
 
 // The test's own binary is the program when it is told so.
--- a/internal/controller/command/memory_test.go
+++ b/internal/controller/command/memory_test.go
@@ -20,8 +20,8 @@
 	"elmfold/internal/controller/reconcile"
 	"elmfold/internal/controller/statestore"
 	"elmfold/internal/controller/warmstart"
-	"elmfold/standin/etcd"
-	"elmfold/standin/kv"
+	"elmfold/internal/fakes/etcd"
+	"elmfold/internal/fakes/kv"
 )
 
 // A controller is killed and its registry dies with it: the next one starts on the list that was held, with the
--- a/internal/controller/discovery/watch/cases_test.go
+++ b/internal/controller/discovery/watch/cases_test.go
@@ -26,10 +26,10 @@
 	"elmfold/internal/controller/discovery/etcd"
 	"elmfold/internal/controller/discovery/watch"
 	"elmfold/internal/controller/reconcile"
-	standconsul "elmfold/standin/consul"
-	standetcd "elmfold/standin/etcd"
-	"elmfold/standin/kv"
-	"elmfold/standin/link"
+	standconsul "elmfold/internal/fakes/consul"
+	standetcd "elmfold/internal/fakes/etcd"
+	"elmfold/internal/fakes/kv"
+	"elmfold/internal/fakes/link"
 )
 
 // What fasthttp keeps ends by itself, within 10 s.
--- a/internal/controller/discovery/watch/helper_test.go
+++ b/internal/controller/discovery/watch/helper_test.go
@@ -7,7 +7,7 @@
 	pb "go.etcd.io/etcd/api/v3/etcdserverpb"
 
 	"elmfold/internal/controller/reconcile"
-	standetcd "elmfold/standin/etcd"
+	standetcd "elmfold/internal/fakes/etcd"
 )
 
 // grant puts keys under a lease as a server of its own would.
--- a/internal/controller/jobs/process_test.go
+++ b/internal/controller/jobs/process_test.go
@@ -9,8 +9,8 @@
 	"testing"
 
 	"elmfold/internal/controller/jobs"
-	"elmfold/standin/fleet"
-	"elmfold/standin/link"
+	"elmfold/internal/fakes/fleet"
+	"elmfold/internal/fakes/link"
 )
 
 var program string
--- a/internal/controller/membership/process_test.go
+++ b/internal/controller/membership/process_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
-	"elmfold/standin/fleet"
-	"elmfold/standin/link"
+	"elmfold/internal/fakes/fleet"
+	"elmfold/internal/fakes/link"
 )
 
 var program string
--- a/internal/controller/peersync/peer_test.go
+++ b/internal/controller/peersync/peer_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"elmfold/internal/controller/warmstart"
-	"elmfold/standin/link"
+	"elmfold/internal/fakes/link"
 )
 
 func many(n int) (all []warmstart.Fact) {
--- a/internal/controller/pubsub/channel_test.go
+++ b/internal/controller/pubsub/channel_test.go
@@ -24,8 +24,8 @@
 	sockets "elmfold/internal/controller/server"
 	"elmfold/internal/controller/textproto"
 	"elmfold/internal/controller/warmstart"
+	"elmfold/internal/fakes/link"
 	"elmfold/internal/policy"
-	"elmfold/standin/link"
 )
 
 var names = flatsettings.Names{Products: []string{"look", "pay"}, Zones: []string{"a", "b"}, Kinds: []string{"s"}}
--- a/internal/controlplane/counsel_test.go
+++ b/internal/controlplane/counsel_test.go
@@ -16,23 +16,23 @@
 	"github.com/hexops/autogold"
 	"github.com/jonboulle/clockwork"
 
-	"elmfold/gauntlet"
 	"elmfold/internal/controlplane"
 	"elmfold/internal/gateway/bootconfig"
 	"elmfold/internal/gateway/rpc"
+	"elmfold/internal/simulation"
 )
 
 // core is a controller on a machine of its own.
 type core struct {
 	name, ip string
-	host     *gauntlet.Host
-	disk     *gauntlet.Disk
+	host     *simulation.Host
+	disk     *simulation.Disk
 	server   *controlplane.Server
 }
 
 // council is some controllers on one network, and what is written down of them.
 type council struct {
-	net   *gauntlet.Net
+	net   *simulation.Net
 	cores []*core
 	mu    sync.Mutex
 	out   strings.Builder
@@ -40,10 +40,10 @@
 
 // convene starts n controllers that bear so many faults, the zones in turn.
 func convene(n, faults int) *council {
-	c := &council{net: gauntlet.NewNet(func(string, string) time.Duration { return 200 * time.Microsecond })}
+	c := &council{net: simulation.NewNet(func(string, string) time.Duration { return 200 * time.Microsecond })}
 	for i := range n {
 		k := &core{name: fmt.Sprintf("core-%d", i), ip: fmt.Sprintf("10.0.0.%d", 10+i),
-			disk: gauntlet.NewDisk(time.Millisecond)}
+			disk: simulation.NewDisk(time.Millisecond)}
 		k.host = c.net.Host(k.ip)
 		set := bootconfig.Default()
 		set.Name, set.IP, set.Zone = k.name, k.ip, []string{"north", "south", "west"}[i%3]
--- a/internal/controlplane/main.go
+++ b/internal/controlplane/main.go
@@ -28,7 +28,7 @@
 
 // Main is the program.
 func Main(args []string, out, errs io.Writer) int {
-	return cli.Main("counsel", about, args, out, errs, serve)
+	return cli.Main("elmfold-controlplane", about, args, out, errs, serve)
 }
 
 func serve(settings *bootconfig.Settings, o cli.Options) error {
--- a/emu/emu.go
+++ b/internal/emulator/emu.go
@@ -1,7 +1,7 @@
-// Package emu plays clients, proxies and backends in virtual time before the real desk, decisions, cells and text,
+// Package emulator plays clients, proxies and backends in virtual time before the real desk, decisions, cells and text,
 // with late sums and late lists. The same seed gives the same day. It knows what the public protocol and this
 // project's notes say, and measures one thing that benches elsewhere cannot show: tenants beside each other.
-package emu
+package emulator
 
 import (
 	"cmp"
--- a/emu/carry/carry.go
+++ b/internal/emulator/proxies/carry.go
@@ -1,11 +1,11 @@
-// Package carry plays the carriers of a gateway in virtual time: clients that come, give up and come again, carriers
+// Package proxies plays the carriers of a gateway in virtual time: clients that come, give up and come again, carriers
 // with the settler that runs in service and the zones' real decisions beside it, and backends with slots and queues. It
 // measures what a way to choose a backend earns against one central picture with the true state. The same seed gives
 // the same arrivals and works for every way, and the same day twice. Nothing here runs beside anything else.
 //
 // What it leaves out: processor time, bodies, links that fill up, carriers and controllers that fail, backends that
 // answer wrongly. A zone that is dark has its backends dark only.
-package carry
+package proxies
 
 import (
 	"cmp"
--- a/emu/carry/client.go
+++ b/internal/emulator/proxies/client.go
@@ -1,4 +1,4 @@
-package carry
+package proxies
 
 import (
 	"fmt"
--- a/emu/spread_test.go
+++ b/internal/emulator/spread_test.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 import (
 	"math"
--- a/standin/consul/consul.go
+++ b/internal/fakes/consul/consul.go
@@ -16,7 +16,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"elmfold/standin/kv"
+	"elmfold/internal/fakes/kv"
 )
 
 // Server is one server of a cluster.
--- a/standin/etcd/etcd.go
+++ b/internal/fakes/etcd/etcd.go
@@ -22,7 +22,7 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
-	"elmfold/standin/kv"
+	"elmfold/internal/fakes/kv"
 )
 
 // Member is one server of a cluster.
--- a/standin/fleet/fleet.go
+++ b/internal/fakes/fleet/fleet.go
@@ -19,7 +19,7 @@
 	"syscall"
 	"time"
 
-	"elmfold/standin/link"
+	"elmfold/internal/fakes/link"
 )
 
 // Patience is how long something is waited for that must come.
--- a/standin/gateway/deployment.go
+++ b/internal/fakes/gateway/deployment.go
@@ -26,11 +26,13 @@
 	firstPort, lastPort                            = 7540, 7555
 	processesMost                                  = 24
 	endsWithin                                     = 8 * time.Second
+
+	roleControlPlane, roleProxy = "controlplane", "proxy" // as in deploy/system.toml
 )
 
 // Plan of a deployment. Machines take the zones in turn.
 type Plan struct {
-	Programs             string // folder of counsel and transit
+	Programs             string // folder of elmfold-controlplane and elmfold-proxy
 	Dir                  string // for settings, disks and logs; it is not removed
 	Controllers, Carrier int
 	Zones                []string
@@ -91,11 +93,11 @@
 		// Spread over the zones: with fewer controllers than zones, not the first zones only.
 		zone := plan.Zones[i*max(len(plan.Zones)/plan.Controllers, 1)%len(plan.Zones)]
 		d.Controllers = append(d.Controllers, &Process{Name: fmt.Sprintf("core-%d", i+1), Zone: zone,
-			IP: fmt.Sprintf("%s.0.%d", d.Net, i+1), role: "counsel"})
+			IP: fmt.Sprintf("%s.0.%d", d.Net, i+1), role: roleControlPlane})
 	}
 	for i := range plan.Carrier {
 		d.Carriers = append(d.Carriers, &Process{Name: fmt.Sprintf("edge-%d", i+1), Zone: plan.Zones[i%len(plan.Zones)],
-			IP: fmt.Sprintf("%s.1.%d", d.Net, i+1), role: "transit"})
+			IP: fmt.Sprintf("%s.1.%d", d.Net, i+1), role: roleProxy})
 	}
 	for _, p := range d.all() {
 		if err := d.prepare(p); err != nil {
@@ -121,14 +123,14 @@
 	for _, z := range d.Plan.Zones {
 		s.Zones[z] = "lab"
 	}
-	s.Ports, s.Bootstrap, s.Counted = [2]int{firstPort, lastPort}, true, p.role == "counsel"
+	s.Ports, s.Bootstrap, s.Counted = [2]int{firstPort, lastPort}, true, p.role == roleControlPlane
 	for _, c := range d.Controllers[:min(3, len(d.Controllers))] {
 		s.Seeds = append(s.Seeds, c.Control())
 	}
 	s.Listen = map[string]string{"front": p.Front(), "readiness": at(p.IP, readyPort)}
 	s.Beat, s.FaultBudget.Machines, s.FaultBudget.Zones = bootconfig.Seconds(d.Plan.Beat), d.Plan.Faults, 1
 	s.Limits.MaxFDs = 16000
-	if p.role == "counsel" {
+	if p.role == roleControlPlane {
 		s.Listen = map[string]string{"control": p.Control()}
 		s.DataDir, s.Limits.DiskMB = filepath.Join(d.Plan.Dir, p.Name), 1024
 		if err := os.MkdirAll(s.DataDir, 0o755); err != nil {
@@ -140,7 +142,7 @@
 		return err
 	}
 	p.settings, p.log = filepath.Join(d.Plan.Dir, p.Name+".json"), filepath.Join(d.Plan.Dir, p.Name+".log")
-	p.program, p.verbose, p.environment = filepath.Join(d.Plan.Programs, p.role), d.Plan.Verbose, d.Plan.Environment
+	p.program, p.verbose, p.environment = filepath.Join(d.Plan.Programs, "elmfold-"+p.role), d.Plan.Verbose, d.Plan.Environment
 	return os.WriteFile(p.settings, append(text, '\n'), 0o644)
 }
 
--- a/internal/gateway/cli/entry_test.go
+++ b/internal/gateway/cli/entry_test.go
@@ -70,8 +70,8 @@
 			}
 			return nil
 		}
-		code := cli.Main("counsel", "The controller.", args, &said, &errs, run)
-		line := append([]string{"$", bootconfig.Variable + "=" + environment, "counsel"}, args...)
+		code := cli.Main("elmfold-controlplane", "The controller.", args, &said, &errs, run)
+		line := append([]string{"$", bootconfig.Variable + "=" + environment, "elmfold-controlplane"}, args...)
 		fmt.Fprintln(&out, strings.Join(line, " "))
 		for line := range strings.Lines(wrapped.ReplaceAllString(said.String(), " ")) {
 			out.WriteString(strings.TrimRight("    "+line, " \n") + "\n")
--- a/internal/proxy/main.go
+++ b/internal/proxy/main.go
@@ -21,7 +21,7 @@
 
 // Main is the program.
 func Main(args []string, out, errs io.Writer) int {
-	return cli.Main("transit", about, args, out, errs, serve)
+	return cli.Main("elmfold-proxy", about, args, out, errs, serve)
 }
 
 func serve(settings *bootconfig.Settings, o cli.Options) error {
--- a/internal/proxy/transit_test.go
+++ b/internal/proxy/transit_test.go
@@ -25,17 +25,17 @@
 	"github.com/hexops/autogold"
 	"github.com/jonboulle/clockwork"
 
-	"elmfold/gauntlet"
 	"elmfold/internal/gateway/bootconfig"
 	"elmfold/internal/gateway/rpc"
 	"elmfold/internal/proxy"
 	"elmfold/internal/proxy/upstream"
+	"elmfold/internal/simulation"
 )
 
 // stage is one carrier between scripted controllers, backends and clients, and the transcript of what each of them saw.
 type stage struct {
-	net     *gauntlet.Net
-	hosts   []*gauntlet.Host
+	net     *simulation.Net
+	hosts   []*simulation.Host
 	carrier *proxy.Carrier
 	cores   []*core
 	mu      sync.Mutex
@@ -51,7 +51,7 @@
 
 // enter starts a carrier in the zone "north" and its controllers, the first of which is in that zone too.
 func enter(cores int) *stage {
-	s := &stage{came: map[string][]string{}, ran: map[string]int{}, eager: map[string]act{}, slow: map[string]bool{}, net: gauntlet.NewNet(func(from, to string) time.Duration {
+	s := &stage{came: map[string][]string{}, ran: map[string]int{}, eager: map[string]act{}, slow: map[string]bool{}, net: simulation.NewNet(func(from, to string) time.Duration {
 		// Nothing of two controllers is under way for equally long, so that its order is always the same.
 		return 200*time.Microsecond + 10*time.Microsecond*time.Duration(from[len(from)-1]+to[len(to)-1]-2*'0')
 	})}
@@ -96,7 +96,7 @@
 	return s
 }
 
-func (s *stage) host(ip string) *gauntlet.Host {
+func (s *stage) host(ip string) *simulation.Host {
 	s.hosts = append(s.hosts, s.net.Host(ip))
 	return s.hosts[len(s.hosts)-1]
 }
--- a/gauntlet/day_test.go
+++ b/internal/simulation/day_test.go
@@ -1,4 +1,4 @@
-package gauntlet
+package simulation
 
 import (
 	"fmt"
@@ -67,10 +67,10 @@
 	})
 }
 
-// Days are drawn from seeds: a few always, GAUNTLET_DAYS of them from GAUNTLET_SEED on where that is set. A failing
-// one is named, and played again by GAUNTLET_SEED=n GAUNTLET_DAYS=1.
+// Days are drawn from seeds: a few always, SIMULATION_DAYS of them from SIMULATION_SEED on where that is set. A failing
+// one is named, and played again by SIMULATION_SEED=n SIMULATION_DAYS=1.
 func TestDrawnDays(t *testing.T) {
-	first, days := number("GAUNTLET_SEED", 1), number("GAUNTLET_DAYS", fewer(len(aims)/2+1))
+	first, days := number("SIMULATION_SEED", 1), number("SIMULATION_DAYS", fewer(len(aims)/2+1))
 	var played, asked, served, tries, arrivals, faults, orders, broken atomic.Int64
 	t.Run("days", func(t *testing.T) {
 		for seed := first; seed < first+days; seed++ {
@@ -85,7 +85,7 @@
 				})
 				if sound(t, w); t.Failed() {
 					broken.Add(1)
-					t.Logf("GAUNTLET_SEED=%d GAUNTLET_DAYS=1\n%s", seed, strings.Join(log, "\n"))
+					t.Logf("SIMULATION_SEED=%d SIMULATION_DAYS=1\n%s", seed, strings.Join(log, "\n"))
 				}
 				func() {
 					l := w.Ledger
--- a/gauntlet/days.go
+++ b/internal/simulation/days.go
@@ -1,4 +1,4 @@
-package gauntlet
+package simulation
 
 import (
 	"fmt"
--- a/gauntlet/raced_test.go
+++ b/internal/simulation/raced_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package gauntlet
+package simulation
 
 // raced: the race detector is on, beside which virtual time takes many times as long. CI plays all without it too.
 const raced = true
--- a/gauntlet/unraced_test.go
+++ b/internal/simulation/unraced_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package gauntlet
+package simulation
 
 const raced = false
--- a/gauntlet/world.go
+++ b/internal/simulation/world.go
@@ -1,4 +1,4 @@
-// Package gauntlet runs the whole gateway in one process, in virtual time: real controllers and carriers over
+// Package simulation runs the whole gateway in one process, in virtual time: real controllers and carriers over
 // connections and disks in memory, scripted backends, an operator and clients beside them, and an exact ledger of what
 // each of them saw. It must be run inside a testing/synctest bubble.
 //
@@ -6,7 +6,7 @@
 // each backend does with each request. It does not fix what the carriers draw (transit takes chance of its own), nor how
 // goroutines that are ready at the same virtual moment follow one another, nor what hangs on either: whom an aimed fault
 // meets where it asks who acknowledged. A failing day is thus played again under the same troubles, not to the byte.
-package gauntlet
+package simulation
 
 import (
 	"context"
@@ -106,7 +106,7 @@
 func NewWorld(seed uint64, shape Shape) *World {
 	if shape.Log == nil {
 		shape.Log = hclog.NewNullLogger()
-		if level := os.Getenv("GAUNTLET_LOG"); level != "" { // to look into one day
+		if level := os.Getenv("SIMULATION_LOG"); level != "" { // to look into one day
 			shape.Log = hclog.New(&hclog.LoggerOptions{Level: hclog.LevelFromString(level), DisableTime: true})
 		}
 	}
--- a/gauntlet/worst_test.go
+++ b/internal/simulation/worst_test.go
@@ -1,4 +1,4 @@
-package gauntlet
+package simulation
 
 import (
 	"fmt"
@@ -269,8 +269,8 @@
 	for _, c := range all {
 		t.Run(c.name, func(t *testing.T) { dawn(t, 30, sized(c.size), func(n *night) { c.play(n.World) }) })
 	}
-	from := number("GAUNTLET_SEED", 1)
-	for seed := from; seed < from+number("GAUNTLET_DAYS", fewer(30)); seed++ {
+	from := number("SIMULATION_SEED", 1)
+	for seed := from; seed < from+number("SIMULATION_DAYS", fewer(30)); seed++ {
 		t.Run(fmt.Sprint("drawn ", seed), func(t *testing.T) {
 			size := []int{3, 3, 5, 2, 1, 7}[seed%6]
 			dawn(t, seed, sized(size), func(n *night) {
--- a/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
-// Package wire reads and writes the frames of the simulator's wire and puts the project's own words and
+// Package simwire reads and writes the frames of the simulator's wire and puts the project's own words and
 // indices in place of the wire's. It decides nothing.
-package wire
+package simwire
 
 import (
 	"bytes"
--- a/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
