--- a/internal/bench/controlplane/carrier.go
+++ b/internal/bench/controlplane/carrier.go
@@ -18,10 +18,10 @@
 type told map[string]rpc.Register // by zone, the newest that is safe
 
 func (t told) take(m *rpc.Message) {
-	for _, r := range m.Offers {
+	for _, r := range m.CommittedValues {
 		zone, is := strings.CutPrefix(r.Name, zoneRegister)
-		if safe, there := m.Safe[r.Name]; is && there && !safe.Less(r.Stamp) {
-			if was, known := t[zone]; !known || was.Stamp.Less(r.Stamp) {
+		if safe, there := m.CommittedVersions[r.Name]; is && there && !safe.Less(r.Version) {
+			if was, known := t[zone]; !known || was.Version.Less(r.Version) {
 				t[zone] = r
 			}
 		}
@@ -29,14 +29,14 @@
 }
 
 // say opens a line as a carrier of that name.
-func say(m *machine, name string) (*rpc.Line, error) {
+func say(m *machine, name string) (*rpc.Conn, error) {
 	conn, err := net.DialTimeout("tcp4", m.peer(), 500*time.Millisecond)
 	if err != nil {
 		return nil, err
 	}
-	line := rpc.NewLine(conn)
-	line.Send(&rpc.Message{Hello: &rpc.Hello{Who: rpc.Controller{Name: name, Zone: m.zone, Address: "127.0.0.1:9"},
-		Life: 1, Carrier: true}})
+	line := rpc.NewConn(conn)
+	line.Send(&rpc.Message{Hello: &rpc.Hello{Node: rpc.Node{Name: name, Zone: m.zone, Address: "127.0.0.1:9"},
+		Incarnation: 1, IsProxy: true}})
 	return line, nil
 }
 
@@ -58,10 +58,10 @@
 			}
 			mu.Lock()
 			all.take(w)
-			heard = heard || w.Hello != nil && w.All
+			heard = heard || w.Hello != nil && w.Complete
 			mu.Unlock()
 			if w.Hello != nil { // its first word holds what it knows of zones
-				line.Send(&rpc.Message{Renew: 1})
+				line.Send(&rpc.Message{Lease: rpc.Lease{RenewLease: 1}})
 			}
 		}
 	})
@@ -82,7 +82,7 @@
 			return false
 		}
 		if w.Hello != nil {
-			return w.All
+			return w.Complete
 		}
 	}
 	return false
@@ -132,7 +132,7 @@
 		}
 		c.s.done.Go(func() { // leases are renewed; the end of the story ends the line
 			for n := uint64(1); !c.s.pause(time.Second); n++ {
-				line.Send(&rpc.Message{Renew: n})
+				line.Send(&rpc.Message{Lease: rpc.Lease{RenewLease: n}})
 			}
 			line.Close()
 		})
--- a/internal/bench/controlplane/core_test.go
+++ b/internal/bench/controlplane/core_test.go
@@ -108,15 +108,14 @@
 // A carrier believes what is safe, and the newest of it.
 func TestTold(t *testing.T) {
 	word := func(hi uint64, value string, safe uint64) *rpc.Message {
-		return &rpc.Message{Offers: []rpc.Register{{Name: "zone/a", Stamp: rpc.Stamp{Hi: hi}, Value: []byte(value)}},
-			Safe: map[string]rpc.Stamp{"zone/a": {Hi: safe}}}
+		return &rpc.Message{RegisterUpdate: rpc.RegisterUpdate{CommittedValues: []rpc.Register{{Name: "zone/a", Version: rpc.Version{Number: hi}, Value: []byte(value)}}, CommittedVersions: map[string]rpc.Version{"zone/a": {Number: safe}}}}
 	}
 	all := told{}
 	for _, m := range []*rpc.Message{word(5, "1b", 5), word(4, "0f", 4), word(9, "0f", 5)} {
 		all.take(m)
 	}
-	all.take(&rpc.Message{Offers: []rpc.Register{{Name: "zone/a", Stamp: rpc.Stamp{Hi: 8}, Value: []byte("0f")}}})
-	if got := all["a"]; got.Stamp.Hi != 5 || string(got.Value) != "1b" {
+	all.take(&rpc.Message{RegisterUpdate: rpc.RegisterUpdate{CommittedValues: []rpc.Register{{Name: "zone/a", Version: rpc.Version{Number: 8}, Value: []byte("0f")}}}})
+	if got := all["a"]; got.Version.Number != 5 || string(got.Value) != "1b" {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/bench/gateway/bench_test.go
+++ b/internal/bench/gateway/bench_test.go
@@ -17,11 +17,11 @@
 
 // What docs/CAPACITY.md is worked out from, beside the runs of the lab: go test -bench . ./cmd/lab/gateway
 
-func lives(n, services int) (all []rpc.Backend) {
+func lives(n, services int) (all []rpc.Endpoint) {
 	for i := range n {
-		all = append(all, rpc.Backend{ID: fmt.Sprintf("i-%08x", i), Service: gateway.ServiceName(i % services),
+		all = append(all, rpc.Endpoint{ID: fmt.Sprintf("i-%08x", i), Service: gateway.ServiceName(i % services),
 			Address: fmt.Sprintf("10.%d.%d.%d:8080", i/services%10, i/250, i%250+1), Zone: fmt.Sprintf("zone-%d", i/services%10),
-			Capacity: 4, Seq: uint64(i), Gen: "v1", Vouched: true})
+			Capacity: 4, Seq: uint64(i), Generation: "v1", Live: true})
 	}
 	return all
 }
@@ -56,7 +56,7 @@
 		}
 		size := 0
 		for b.Loop() {
-			text, err := cbor.Marshal(&rpc.Message{Backends: table.All(time.Second)})
+			text, err := cbor.Marshal(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{Endpoints: table.All(time.Second)}})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -146,11 +146,11 @@
 		}
 		second := func(k int) {
 			for i, name := range names {
-				var uses []rpc.Use
-				var met []rpc.Met
+				var uses []rpc.ServiceLoad
+				var met []rpc.EndpointReport
 				for j := range min(n, 147) {
-					uses = append(uses, rpc.Use{Service: gateway.ServiceName((j + k) % n), Came: 147 / float64(min(n, 147))})
-					met = append(met, rpc.Met{ID: all[(i*7+j*13+k)%len(all)].ID, Tries: 1, Took: 500})
+					uses = append(uses, rpc.ServiceLoad{Service: gateway.ServiceName((j + k) % n), Requests: 147 / float64(min(n, 147))})
+					met = append(met, rpc.EndpointReport{ID: all[(i*7+j*13+k)%len(all)].ID, Attempts: 1, Latency: 500})
 				}
 				s.Report(name, uses, met, 1)
 			}
--- a/internal/compat/messages_test.go
+++ b/internal/compat/messages_test.go
@@ -17,82 +17,87 @@
 	name string
 	set  func(*rpc.Message)
 } {
-	node := rpc.Controller{Name: "core-0", Zone: "north", Address: "10.0.0.10:7540", Control: "10.0.0.10:8544"}
-	other := rpc.Controller{Name: "core-1", Zone: "south", Address: "10.0.0.11:7540", Control: "10.0.0.11:8544"}
-	stamp, older := rpc.Stamp{Hi: 1<<48 | 7, Lo: 0xfedcba9876543210}, rpc.Stamp{Hi: 3, Lo: 4}
-	value := rpc.Register{Name: "charter", Stamp: older, Value: []byte("value")}
-	stamps := map[string]rpc.Stamp{"charter": stamp}
+	node := rpc.Node{Name: "core-0", Zone: "north", Address: "10.0.0.10:7540", ControlAddress: "10.0.0.10:8544"}
+	other := rpc.Node{Name: "core-1", Zone: "south", Address: "10.0.0.11:7540", ControlAddress: "10.0.0.11:8544"}
+	ballot := rpc.BallotNumber{Round: 1<<48 | 7, Incarnation: 0xfedcba9876543210}
+	older := rpc.BallotNumber{Round: 3, Incarnation: 4}
+	version := rpc.Version{Number: 1<<48 | 7, ID: 0xfedcba9876543210}
+	value := rpc.Register{Name: "charter", Version: rpc.Version{Number: 3, ID: 4}, Value: []byte("value")}
+	ballots := map[string]rpc.BallotNumber{"charter": ballot}
+	versions := map[string]rpc.Version{"charter": version}
 	return []struct {
 		name string
 		set  func(*rpc.Message)
 	}{
 		{"empty", func(*rpc.Message) {}},
-		{"seq", func(m *rpc.Message) { m.Seq = 1 }},
-		{"reply", func(m *rpc.Message) { m.Reply = 2 }},
+		{"seq", func(m *rpc.Message) { m.WantAck = 1 }},
+		{"reply", func(m *rpc.Message) { m.Ack = 2 }},
 		{"hello-of-a-proxy", func(m *rpc.Message) {
-			m.Hello = &rpc.Hello{Who: rpc.Controller{Name: "edge-0", Zone: "north", Address: "10.0.0.100:7540"}, Life: 77, Carrier: true}
+			m.Hello = &rpc.Hello{Node: rpc.Node{Name: "edge-0", Zone: "north", Address: "10.0.0.100:7540"}, Incarnation: 77, IsProxy: true}
 		}},
 		{"hello-of-a-controlplane-node", func(m *rpc.Message) {
-			m.Hello = &rpc.Hello{Who: node, Life: 78, Disk: "0123456789abcdef", Blank: true}
+			m.Hello = &rpc.Hello{Node: node, Incarnation: 78, StoreID: "0123456789abcdef", MayHaveLostState: true}
 		}},
-		{"offers", func(m *rpc.Message) { m.Offers = []rpc.Register{value} }},
-		{"held", func(m *rpc.Message) { m.Held = stamps }},
-		{"safe", func(m *rpc.Message) { m.Safe = stamps }},
-		{"want", func(m *rpc.Message) { m.Want = []string{"charter"} }},
-		{"era", func(m *rpc.Message) { m.Era = 9 }},
-		{"disk", func(m *rpc.Message) { m.Disk = "0123456789abcdef" }},
+		{"offers", func(m *rpc.Message) { m.CommittedValues = []rpc.Register{value} }},
+		{"held", func(m *rpc.Message) { m.StoredVersions = versions }},
+		{"safe", func(m *rpc.Message) { m.CommittedVersions = versions }},
+		{"want", func(m *rpc.Message) { m.FetchRegisters = []string{"charter"} }},
+		{"era", func(m *rpc.Message) { m.EpochNumber = 9 }},
+		{"disk", func(m *rpc.Message) { m.StoreID = "0123456789abcdef" }},
 		{"epoch", func(m *rpc.Message) {
-			m.Epoch = &rpc.Epoch{Number: 5, Old: []rpc.Voter{{Controller: other, ID: "b"}},
-				Voters: []rpc.Voter{{Controller: node, ID: "a"}}, Founded: 3}
+			m.Epoch = &rpc.Epoch{Number: 5, OldVoters: []rpc.Voter{{Node: other, StoreID: "b"}},
+				Voters: []rpc.Voter{{Node: node, StoreID: "a"}}, FoundingSize: 3}
 		}},
 		{"ballot-prepare", func(m *rpc.Message) {
-			m.Ballots = []rpc.Ballot{{Kind: rpc.Ask, Name: "charter", Number: stamp}}
+			m.Paxos = []rpc.PaxosMessage{{Kind: rpc.Prepare, Register: "charter", Ballot: ballot}}
 		}},
 		{"ballot-promise", func(m *rpc.Message) {
-			m.Ballots = []rpc.Ballot{{Kind: rpc.Promise, Name: "charter", Number: stamp, Accepted: older, Value: &value, Age: 12}}
+			m.Paxos = []rpc.PaxosMessage{{Kind: rpc.Promise, Register: "charter", Ballot: ballot, AcceptedBallot: older, Value: &value, ValueAge: 12}}
 		}},
 		{"ballot-accept", func(m *rpc.Message) {
-			m.Ballots = []rpc.Ballot{{Kind: rpc.Offer, Name: "zone/north", Number: stamp, Value: &value, Age: 13}}
+			m.Paxos = []rpc.PaxosMessage{{Kind: rpc.Accept, Register: "zone/north", Ballot: ballot, Value: &value, ValueAge: 13}}
 		}},
 		{"ballot-accepted", func(m *rpc.Message) {
-			m.Ballots = []rpc.Ballot{{Kind: rpc.Agreed, Name: "charter", Number: stamp}}
+			m.Paxos = []rpc.PaxosMessage{{Kind: rpc.Accepted, Register: "charter", Ballot: ballot}}
 		}},
 		{"ballot-preempted", func(m *rpc.Message) {
-			m.Ballots = []rpc.Ballot{{Kind: rpc.Higher, Name: "charter", Number: stamp}}
+			m.Paxos = []rpc.PaxosMessage{{Kind: rpc.Preempted, Register: "charter", Ballot: ballot}}
 		}},
-		{"chosen", func(m *rpc.Message) { m.Chosen = stamps }},
+		{"chosen", func(m *rpc.Message) { m.ChosenBallots = ballots }},
 		{"copies", func(m *rpc.Message) {
-			m.Copies = []rpc.Copy{{Number: stamp, Register: value, Age: 14}}
+			m.ChosenValues = []rpc.ChosenValue{{Ballot: ballot, Register: value, ValueAge: 14}}
 		}},
-		{"has", func(m *rpc.Message) { m.Has = stamps }},
-		{"all", func(m *rpc.Message) { m.All = true }},
-		{"ask", func(m *rpc.Message) { m.Ask = true }},
-		{"round", func(m *rpc.Message) { m.Round = 15 }},
+		{"has", func(m *rpc.Message) { m.AcceptedBallots = ballots }},
+		{"all", func(m *rpc.Message) { m.Complete = true }},
+		{"ask", func(m *rpc.Message) { m.QueryState = true }},
+		{"round", func(m *rpc.Message) { m.QueryID = 15 }},
 		{"ping", func(m *rpc.Message) { m.Ping = true }},
 		{"pong", func(m *rpc.Message) { m.Pong = true }},
-		{"leaving", func(m *rpc.Message) { m.Leaving = true }},
-		{"apart", func(m *rpc.Message) { m.Apart = true }},
-		{"know", func(m *rpc.Message) { m.Know = []rpc.Controller{node, other} }},
+		{"leaving", func(m *rpc.Message) { m.ShuttingDown = true }},
+		{"apart", func(m *rpc.Message) { m.NoQuorum = true }},
+		{"know", func(m *rpc.Message) { m.KnownPeers = []rpc.Node{node, other} }},
 		{"backends", func(m *rpc.Message) {
-			m.Backends = []rpc.Backend{{ID: "b-1", Service: "alpha", Address: "10.0.1.1:8080", Zone: "north", Capacity: 16, Seq: 17,
-				State: rpc.Draining, ColdLeft: 18, Vouched: true, Gen: "g-2"}, {ID: "b-2", State: rpc.Gone}, {ID: "b-3", State: rpc.Ready}}
+			m.Endpoints = []rpc.Endpoint{{ID: "b-1", Service: "alpha", Address: "10.0.1.1:8080", Zone: "north", Capacity: 16, Seq: 17,
+				State: rpc.Draining, WarmupLeft: 18, Live: true, Generation: "g-2"}, {ID: "b-2", State: rpc.Gone}, {ID: "b-3", State: rpc.Ready}}
+		}},
+		{"settled", func(m *rpc.Message) { m.EndpointsSynced = true }},
+		{"renew", func(m *rpc.Message) { m.RenewLease = 19 }},
+		{"renewed", func(m *rpc.Message) { m.LeaseRenewed = 20 }},
+		{"members", func(m *rpc.Message) { m.Proxies = []rpc.ProxyInfo{{Name: "edge-0", Zone: "north"}} }},
+		{"uses", func(m *rpc.Message) {
+			m.ServiceLoads = []rpc.ServiceLoad{{Service: "alpha", Requests: 21.5, Failed: 22.5}}
 		}},
-		{"settled", func(m *rpc.Message) { m.Settled = true }},
-		{"renew", func(m *rpc.Message) { m.Renew = 19 }},
-		{"renewed", func(m *rpc.Message) { m.Renewed = 20 }},
-		{"members", func(m *rpc.Message) { m.Members = []rpc.Member{{Name: "edge-0", Zone: "north"}} }},
-		{"uses", func(m *rpc.Message) { m.Uses = []rpc.Use{{Service: "alpha", Came: 21.5, Voided: 22.5}} }},
 		{"met", func(m *rpc.Message) {
-			m.Met = []rpc.Met{{ID: "b-1", Tries: 23.5, Voided: 24.5, Took: 25, Waiting: true}}
+			m.EndpointReports = []rpc.EndpointReport{{ID: "b-1", Attempts: 23.5, Failed: 24.5, Latency: 25, Queued: true}}
 		}},
-		{"spent", func(m *rpc.Message) { m.Spent = 1.25 }},
-		{"steer", func(m *rpc.Message) { m.Steer = true }},
+		{"spent", func(m *rpc.Message) { m.ReportSeconds = 1.25 }},
+		{"steer", func(m *rpc.Message) { m.WantTables = true }},
 		{"tables", func(m *rpc.Message) {
-			m.Tables = []rpc.Table{{Service: "alpha", Whole: true, Weights: map[string]float64{"b-1": 0.75}, Gated: true, Level: 26.5}}
+			m.RoutingTables = []rpc.RoutingTable{{Service: "alpha", Full: true, Weights: map[string]float64{"b-1": 0.75}, Limited: true, RateLimit: 26.5}}
 		}},
-		{"came", func(m *rpc.Message) { m.Came = []rpc.Member{{Name: "edge-1", Zone: "south"}} }},
-		{"went", func(m *rpc.Message) { m.Went = []string{"edge-2"} }},
-		{"leave", func(m *rpc.Message) { m.Leave = true }},
+		{"came", func(m *rpc.Message) { m.ProxiesJoined = []rpc.ProxyInfo{{Name: "edge-1", Zone: "south"}} }},
+		{"went", func(m *rpc.Message) { m.ProxiesLeft = []string{"edge-2"} }},
+		{"leave", func(m *rpc.Message) { m.ReleaseLease = true }},
 	}
 }
 
@@ -119,7 +124,7 @@
 func decode(t *testing.T, frame []byte) *rpc.Message {
 	t.Helper()
 	here, there := net.Pipe()
-	line := rpc.NewLine(here)
+	line := rpc.NewConn(here)
 	defer line.Close()
 	go func() { _, _ = there.Write(frame) }()
 	m, err := line.Receive(0)
@@ -149,10 +154,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			m := &rpc.Message{}
 			c.set(m)
-			if got := rpc.Pack(m); !bytes.Equal(got, want[c.name]) {
+			if got := rpc.Encode(m); !bytes.Equal(got, want[c.name]) {
 				t.Errorf("it is sent as %x, d330930 sent %x", got, want[c.name])
 			}
-			if back := rpc.Pack(decode(t, framed(want[c.name]))); !bytes.Equal(back, want[c.name]) {
+			if back := rpc.Encode(decode(t, framed(want[c.name]))); !bytes.Equal(back, want[c.name]) {
 				t.Errorf("%x is read as %x", want[c.name], back)
 			}
 		})
@@ -163,7 +168,7 @@
 // written again.
 func TestDrawnMessagesAreReadWhole(t *testing.T) {
 	for name, body := range golden(t, "testdata/messages-drawn.txt") {
-		if back := rpc.Pack(decode(t, framed(body))); !bytes.Equal(back, body) {
+		if back := rpc.Encode(decode(t, framed(body))); !bytes.Equal(back, body) {
 			t.Errorf("%s: %x is written again as %x", name, body, back)
 		}
 	}
@@ -172,10 +177,10 @@
 // The frame before each message is its length as a uvarint.
 func TestFramesKeepTheirForm(t *testing.T) {
 	here, there := net.Pipe()
-	line := rpc.NewLine(here)
+	line := rpc.NewConn(here)
 	defer line.Close()
 	body := bytes.Repeat([]byte("x"), 300)
-	line.SendPacked(body)
+	line.SendEncoded(body)
 	want := append([]byte{0xac, 0x02}, body...)
 	got := make([]byte, len(want))
 	for n := 0; n < len(got); {
--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -122,9 +122,9 @@
 		}
 		return nil, apierror.New(apierror.Invalid, "heartbeat", err)
 	}
-	word := rpc.Backend{ID: id, Service: b.Descriptor.Service, Address: b.Address, Zone: b.Descriptor.Zone,
-		Capacity: max(int(b.Descriptor.Capacity), 1), Seq: b.Observed.CallSeq, Gen: b.Descriptor.Generation,
-		ColdLeft: int(math.Ceil(max(b.Observed.ColdLeftS, 0) * 1000))}
+	word := rpc.Endpoint{ID: id, Service: b.Descriptor.Service, Address: b.Address, Zone: b.Descriptor.Zone,
+		Capacity: max(int(b.Descriptor.Capacity), 1), Seq: b.Observed.CallSeq, Generation: b.Descriptor.Generation,
+		WarmupLeft: int(math.Ceil(max(b.Observed.ColdLeftS, 0) * 1000))}
 	switch {
 	case id == "":
 		return nil, apierror.New(apierror.Invalid, "of", fmt.Errorf("names no instance"))
@@ -142,7 +142,7 @@
 			// Every word of leaving goes to others, not only the first: it may be the repetition of one that was
 			// not acknowledged because they could not be reached.
 			if news == nil {
-				news = []rpc.Backend{word}
+				news = []rpc.Endpoint{word}
 			}
 			s.spreadSure(news, done)
 			return
@@ -172,8 +172,8 @@
 		return ""
 	}
 	for _, c := range s.known() {
-		if c.Zone == zone && c.Control != "" && s.peers[c.Name] != nil && s.peers[c.Name].out != nil {
-			return c.Control
+		if c.Zone == zone && c.ControlAddress != "" && s.peers[c.Name] != nil && s.peers[c.Name].out != nil {
+			return c.ControlAddress
 		}
 	}
 	return ""
@@ -187,7 +187,7 @@
 	s.queue.Do(func() {
 		news := s.table.Leave(s.now(), id, 0)
 		if news == nil {
-			news = []rpc.Backend{{ID: id, State: rpc.Gone}}
+			news = []rpc.Endpoint{{ID: id, State: rpc.Gone}}
 		}
 		s.spreadSure(news, done)
 	})
@@ -269,7 +269,7 @@
 
 func (s *Server) read(r *http.Request, asked time.Time) ([]byte, error) {
 	d, err := s.ask(r, asked, func(token uint64) consensus.Event { return consensus.Read{Token: token, Name: charterName} })
-	if err == nil && d.Stamp == (consensus.Stamp{}) {
+	if err == nil && d.Version == (consensus.Version{}) {
 		err = apierror.New(apierror.NotYet, "", errors.New("there is no configuration yet"))
 	}
 	return d.Value, err
--- a/internal/controlplane/consensus/accord.go
+++ b/internal/controlplane/consensus/accord.go
@@ -42,12 +42,13 @@
 	WriteWithin = 3 * time.Second
 )
 
-// Stamp and Register are as they are spoken of. A Register's Stamp orders its values; ballots have numbers of their own.
+// BallotNumber and Register are as they are spoken of. A Register's BallotNumber orders its values; ballots have numbers of their own.
 type (
-	Stamp    = rpc.Stamp
-	Register = rpc.Register
-	Epoch    = rpc.Epoch
-	Voter    = rpc.Voter
+	BallotNumber = rpc.BallotNumber
+	Version      = rpc.Version
+	Register     = rpc.Register
+	Epoch        = rpc.Epoch
+	Voter        = rpc.Voter
 )
 
 // Fate is what became of an order.
@@ -98,7 +99,7 @@
 // it broke.
 type (
 	Met struct {
-		Who   rpc.Controller
+		Who   rpc.Node
 		Disk  string
 		Blank bool
 	}
@@ -122,7 +123,7 @@
 type earlyVote struct {
 	to   string
 	era  uint64
-	word rpc.Ballot
+	word rpc.PaxosMessage
 }
 
 const earlyMost = 256
@@ -158,10 +159,10 @@
 
 // Options make a Replica.
 type Options struct {
-	Me     rpc.Controller
+	Me     rpc.Node
 	Life   uint64 // of this process, drawn: it tells its ballots and its questions from those of others
 	Faults int
-	Seeds  []string // the addresses of controllers, as rpc.Controller has them; founding is theirs
+	Seeds  []string // the addresses of controllers, as rpc.Node has them; founding is theirs
 	Memory Memory   // what the disk has
 	flaws  flaws
 }
@@ -173,15 +174,15 @@
 }
 
 type peer struct {
-	rpc.Controller
+	rpc.Node
 	disk    string
 	blank   bool
 	up      bool
 	leaving bool
-	seenAt  time.Duration    // the last answer to a question of ours
-	upAt    time.Duration    // when its line stood
-	has     map[string]Stamp // the ballots that its disk has accepted, as it said
-	hasAt   time.Duration    // when it said all of it
+	seenAt  time.Duration           // the last answer to a question of ours
+	upAt    time.Duration           // when its line stood
+	has     map[string]BallotNumber // the ballots that its disk has accepted, as it said
+	hasAt   time.Duration           // when it said all of it
 }
 
 // Replica is one controller's part.
@@ -246,7 +247,7 @@
 func (r *Replica) Blank() bool { return r.blank && r.epoch.Number == 0 }
 
 // Votes says whether the own disk does.
-func (r *Replica) Votes() bool { return r.born && r.epoch.Voter(r.disk) }
+func (r *Replica) Votes() bool { return r.born && r.epoch.IsVoter(r.disk) }
 
 // Newest is what this disk has accepted of a register, and whether that is known to be chosen.
 func (r *Replica) Newest(name string) (Register, bool) {
@@ -259,7 +260,7 @@
 // InForce is the newest value of a register that is known to be chosen; false: none.
 func (r *Replica) InForce(name string) (Register, bool) {
 	g := r.regs[name]
-	if g == nil || g.told == (Stamp{}) {
+	if g == nil || g.told == (Version{}) {
 		return Register{Name: name}, false
 	}
 	return g.force, true
@@ -269,7 +270,7 @@
 func (r *Replica) Names() []string {
 	var names []string
 	for name, g := range r.regs {
-		if name != epochName && g.acc.Accepted != (Stamp{}) {
+		if name != epochName && g.acc.Accepted != (BallotNumber{}) {
 			names = append(names, name)
 		}
 	}
@@ -294,12 +295,12 @@
 
 // put is a record on its way to the disk, and what waits for it.
 type put struct {
-	register string    // whose state it is; else:
-	epoch    uint64    // the number of the epoch that it is, or
-	birth    bool      // one of those that make a disk somebody
-	accepted Stamp     // of the register: the ballot in it,
-	era      uint64    // the epoch in which that was,
-	waits    []waiting // and what is said once it is there
+	register string       // whose state it is; else:
+	epoch    uint64       // the number of the epoch that it is, or
+	birth    bool         // one of those that make a disk somebody
+	accepted BallotNumber // of the register: the ballot in it,
+	era      uint64       // the epoch in which that was,
+	waits    []waiting    // and what is said once it is there
 }
 
 func (r *Replica) persist(record string, value []byte, p put) {
@@ -331,7 +332,7 @@
 			r.early = nil
 			for _, v := range early {
 				if v.era == r.epoch.Number {
-					r.accept(v.to, r.reg(v.word.Name), &v.word)
+					r.accept(v.to, r.reg(v.word.Register), &v.word)
 				}
 			}
 		}
@@ -342,7 +343,7 @@
 
 func (r *Replica) send(to string, m *rpc.Message) {
 	if p := r.peers[to]; p != nil && p.up {
-		m.Era, m.Disk = r.epoch.Number, r.disk
+		m.EpochNumber, m.StoreID = r.epoch.Number, r.disk
 		r.order(Send{to, m})
 	}
 }
@@ -383,22 +384,24 @@
 		r.change(e)
 	case Read:
 		r.reads = append(r.reads, &reading{token: e.Token, name: e.Name, began: r.now, askedAt: never,
-			answers: map[string]Stamp{}})
+			answers: map[string]BallotNumber{}})
 	case Leave:
 		r.leaving, r.leaveAt = true, r.now
 		r.round++
 		round := r.round
-		r.toAll(func() *rpc.Message { return &rpc.Message{Leaving: true, Ask: true, Round: round} })
+		r.toAll(func() *rpc.Message {
+			return &rpc.Message{Consensus: rpc.Consensus{ShuttingDown: true, QueryState: true, QueryID: round}}
+		})
 	}
 }
 
 func (r *Replica) met(e Met) *peer {
 	p := r.peers[e.Who.Name]
 	if p == nil || p.disk != e.Disk {
-		p = &peer{seenAt: r.now, has: map[string]Stamp{}, hasAt: never}
+		p = &peer{seenAt: r.now, has: map[string]BallotNumber{}, hasAt: never}
 		r.peers[e.Who.Name], r.joinedAt = p, r.now
 	}
-	p.Controller, p.disk, p.blank = e.Who, e.Disk, e.Blank
+	p.Node, p.disk, p.blank = e.Who, e.Disk, e.Blank
 	return p
 }
 
@@ -408,8 +411,8 @@
 	// It is asked too: what it said when this side did not know it yet was not heard.
 	r.round++
 	m := r.all(0)
-	m.Ask, m.Round = true, r.round
-	if m.Leaving = r.leaving; r.epoch.Number > 0 {
+	m.QueryState, m.QueryID = true, r.round
+	if m.ShuttingDown = r.leaving; r.epoch.Number > 0 {
 		m.Epoch = r.theEpoch()
 	}
 	r.send(e.Who.Name, m)
@@ -431,7 +434,7 @@
 		// answers no question.
 		round = 0
 	}
-	return &rpc.Message{Has: r.onDisk(), All: true, Round: round}
+	return &rpc.Message{Consensus: rpc.Consensus{AcceptedBallots: r.onDisk(), Complete: true, QueryID: round}}
 }
 
 func (r *Replica) theEpoch() *Epoch {
@@ -444,7 +447,7 @@
 	if r.epoch.Number == 0 {
 		return slices.Contains(r.o.Seeds, p.Address)
 	}
-	return r.epoch.Voter(p.disk)
+	return r.epoch.IsVoter(p.disk)
 }
 
 func (r *Replica) heard(who string, m *rpc.Message) {
@@ -452,7 +455,7 @@
 	if p == nil {
 		return // its first word on a line makes it known
 	}
-	if m.Leaving {
+	if m.ShuttingDown {
 		p.leaving = true
 	}
 	if m.Epoch != nil {
@@ -460,42 +463,42 @@
 	}
 	switch {
 	case m.Ping:
-		r.send(who, &rpc.Message{Pong: true, Round: m.Round})
-	case m.Ask:
-		r.send(who, r.all(m.Round))
+		r.send(who, &rpc.Message{Consensus: rpc.Consensus{Pong: true, QueryID: m.QueryID}})
+	case m.QueryState:
+		r.send(who, r.all(m.QueryID))
 	}
-	for _, name := range m.Want {
-		if g := r.regs[name]; g != nil && g.safe != (Stamp{}) && name != epochName {
+	for _, name := range m.FetchRegisters {
+		if g := r.regs[name]; g != nil && g.safe != (BallotNumber{}) && name != epochName {
 			r.send(who, r.copied(g))
 		}
 	}
 	// What is chosen is so in every epoch.
 	r.hearChosen(p, m)
-	if m.Disk != p.disk {
+	if m.StoreID != p.disk {
 		return // of the life before, whose disk is another
 	}
-	if m.Era < r.epoch.Number && (m.Ballots != nil || m.Pong || m.Ping || m.Ask || m.All) {
-		r.send(who, &rpc.Message{Epoch: r.theEpoch()}) // it is behind, and its votes do not count
+	if m.EpochNumber < r.epoch.Number && (m.Paxos != nil || m.Pong || m.Ping || m.QueryState || m.Complete) {
+		r.send(who, &rpc.Message{Consensus: rpc.Consensus{Epoch: r.theEpoch()}}) // it is behind, and its votes do not count
 	}
 	r.hearHas(p, m)
-	if m.Era != r.epoch.Number {
+	if m.EpochNumber != r.epoch.Number {
 		return
 	}
-	for i := range m.Ballots {
-		r.vote(p, &m.Ballots[i])
+	for i := range m.Paxos {
+		r.vote(p, &m.Paxos[i])
 	}
 	if m.Pong {
 		p.seenAt = r.now
-		r.touch.answer(m.Round, p.disk)
+		r.touch.answer(m.QueryID, p.disk)
 	}
-	if m.All && !m.Ask && m.Round > 0 {
+	if m.Complete && !m.QueryState && m.QueryID > 0 {
 		for _, q := range r.reads {
-			if q.round > 0 && m.Round >= q.round && m.Round <= r.round {
-				q.answers[p.disk] = m.Has[q.name]
+			if q.round > 0 && m.QueryID >= q.round && m.QueryID <= r.round {
+				q.answers[p.disk] = m.AcceptedBallots[q.name]
 			}
 		}
-		if r.scan != nil && m.Round >= r.scan.round && m.Round <= r.round {
-			r.scan.answers[p.disk] = m.Has
+		if r.scan != nil && m.QueryID >= r.scan.round && m.QueryID <= r.round {
+			r.scan.answers[p.disk] = m.AcceptedBallots
 		}
 	}
 }
@@ -527,7 +530,7 @@
 		if len(g.queue) > 0 && g.prop.Phase == paxos.Idle {
 			at(g.againAt)
 		}
-		if !g.chosen() && g.acc.Accepted != (Stamp{}) && g.tells != g.disk {
+		if !g.chosen() && g.acc.Accepted != (BallotNumber{}) && g.tells != g.disk {
 			at(g.openAt + tellAfter)
 		}
 	}
--- a/internal/controlplane/consensus/acknowledger_test.go
+++ b/internal/controlplane/consensus/acknowledger_test.go
@@ -25,7 +25,7 @@
 			if j == i {
 				continue
 			}
-			if r, is := m.r.InForce(charter); !is || r.Stamp.Hi != 1 {
+			if r, is := m.r.InForce(charter); !is || r.Version.Number != 1 {
 				t.Errorf("seed %d: %s has not heard of it", seed, m.who.Name)
 			}
 		}
--- a/internal/controlplane/consensus/bounded_test.go
+++ b/internal/controlplane/consensus/bounded_test.go
@@ -107,7 +107,7 @@
 	for name, value := range c.records[i] {
 		disk += len(name) + len(value)
 	}
-	return disk, len(rpc.Pack(c.nodes[i].all(0))), len(c.nodes[i].key(nil))
+	return disk, len(rpc.Encode(c.nodes[i].all(0))), len(c.nodes[i].key(nil))
 }
 
 // After ten thousand changes, restarts and new controllers, a disk, a message and a process are as small as after a hundred; and a
@@ -150,8 +150,8 @@
 	c.start(t, 3, 2, false)
 	for _, name := range []string{charter, "zone/0", "zone/1"} {
 		want, _ := c.nodes[0].InForce(name)
-		if got, _ := c.nodes[3].InForce(name); got.Stamp != want.Stamp {
-			t.Errorf("the one that was away has %s %v after one exchange, not %v", name, got.Stamp, want.Stamp)
+		if got, _ := c.nodes[3].InForce(name); got.Version != want.Version {
+			t.Errorf("the one that was away has %s %v after one exchange, not %v", name, got.Version, want.Version)
 		}
 	}
 	// Restarts and machines that are replaced leave nothing behind on a disk.
--- a/internal/controlplane/consensus/clone_test.go
+++ b/internal/controlplane/consensus/clone_test.go
@@ -140,11 +140,12 @@
 
 func init() {
 	fastMaps = map[reflect.Type]func(h, elem *handler){}
-	fast[Stamp]()
+	fast[BallotNumber]()
+	fast[Version]()
 	fast[bool]()
 	fast[*peer]()
 	fast[*register]()
-	fast[map[string]Stamp]()
+	fast[map[string]BallotNumber]()
 }
 
 func fast[V any]() {
--- a/internal/controlplane/consensus/drawn_test.go
+++ b/internal/controlplane/consensus/drawn_test.go
@@ -315,24 +315,24 @@
 	}
 	lost := 0
 	for _, v := range newest.Voters {
-		if !d.disk(v.ID) {
+		if !d.disk(v.StoreID) {
 			lost++
 		}
 	}
 	spare := 0
 	for _, m := range d.machines {
-		if m.r != nil && !newest.Voter(m.r.Disk()) {
+		if m.r != nil && !newest.IsVoter(m.r.Disk()) {
 			spare++
 		}
 	}
 	switch {
 	case newest.Number == 0:
 		d.failf("nothing was founded")
-	case len(newest.Old) > 0:
-		d.failf("epoch %d is still under way: %v to %v", newest.Number, ids(newest.Old), ids(newest.Voters))
+	case len(newest.OldVoters) > 0:
+		d.failf("epoch %d is still under way: %v to %v", newest.Number, ids(newest.OldVoters), ids(newest.Voters))
 	case lost > 0 && spare > 0:
 		d.failf("%d of the voters %v are lost, and %d others wait", lost, ids(newest.Voters), spare)
-	case lost == 0 && spare > 0 && len(newest.Voters) < max(newest.Size(), 2*d.faults+1):
+	case lost == 0 && spare > 0 && len(newest.Voters) < max(newest.TargetSize(), 2*d.faults+1):
 		d.failf("%d machines are no voters of %v", spare, ids(newest.Voters))
 	}
 	var first *machine
@@ -358,11 +358,11 @@
 			v, chosen := m.r.Newest(name)
 			f, _ := first.r.Newest(name)
 			force, is := m.r.InForce(name)
-			if v.Stamp != f.Stamp || string(v.Value) != string(f.Value) {
-				d.failf("%s has %s %v at the end, %s has %v", m.who.Name, name, v.Stamp, first.who.Name, f.Stamp)
+			if v.Version != f.Version || string(v.Value) != string(f.Value) {
+				d.failf("%s has %s %v at the end, %s has %v", m.who.Name, name, v.Version, first.who.Name, f.Version)
 			}
-			if v.Stamp != (Stamp{}) && (!chosen || !is || force.Stamp != v.Stamp) {
-				d.failf("%s does not know %s %v to be chosen at the end: %v, in force %v", m.who.Name, name, v.Stamp, chosen, force.Stamp)
+			if v.Version != (Version{}) && (!chosen || !is || force.Version != v.Version) {
+				d.failf("%s does not know %s %v to be chosen at the end: %v, in force %v", m.who.Name, name, v.Version, chosen, force.Version)
 			}
 		}
 	}
--- a/internal/controlplane/consensus/epoch.go
+++ b/internal/controlplane/consensus/epoch.go
@@ -28,7 +28,7 @@
 type scan struct {
 	round   uint64
 	askedAt time.Duration
-	answers map[string]map[string]Stamp // by disk
+	answers map[string]map[string]BallotNumber // by disk
 }
 
 // enter takes a newer epoch. What was under way in the old one begins anew.
@@ -46,18 +46,18 @@
 		}
 	}
 	for _, q := range r.reads {
-		q.round, q.answers = 0, map[string]Stamp{}
+		q.round, q.answers = 0, map[string]BallotNumber{}
 	}
 	r.touch.pingAt = never
 	r.order(Entered{e})
 	for _, p := range r.peers {
-		p.has, p.hasAt = map[string]Stamp{}, never
+		p.has, p.hasAt = map[string]BallotNumber{}, never
 	}
 	r.round++
 	round := r.round
 	r.toAll(func() *rpc.Message {
 		m := r.all(0)
-		m.Epoch, m.Ask, m.Round = r.theEpoch(), true, round
+		m.Epoch, m.QueryState, m.QueryID = r.theEpoch(), true, round
 		return m
 	})
 }
@@ -79,7 +79,7 @@
 	case !r.born:
 	case r.epoch.Number == 0:
 		r.found()
-	case len(r.epoch.Old) > 0 && r.Votes():
+	case len(r.epoch.OldVoters) > 0 && r.Votes():
 		r.settleJoint() // it asks for itself who is there
 	case !r.Votes() || !r.InTouch(r.now):
 		r.scan, r.wished = nil, ""
@@ -124,12 +124,12 @@
 // others propose too, after them, as they may have lines to seeds that are cut from each other.
 func (r *Replica) found() {
 	at := r.joinedAt + gatherFor
-	all := []Voter{{Controller: r.o.Me, ID: r.disk}}
+	all := []Voter{{Node: r.o.Me, StoreID: r.disk}}
 	for _, name := range r.lines() {
 		if r.peers[name].hasAt == never {
 			continue // its disk is nobody yet
 		}
-		all = append(all, Voter{Controller: r.peers[name].Controller, ID: r.peers[name].disk})
+		all = append(all, Voter{Node: r.peers[name].Node, StoreID: r.peers[name].disk})
 	}
 	if len(all) < 2*r.o.Faults+1 {
 		at = max(at, gatherMost)
@@ -144,7 +144,7 @@
 	here := func(seed string) bool {
 		return slices.ContainsFunc(all, func(v Voter) bool { return v.Address == seed })
 	}
-	first := Epoch{Number: 1, Voters: sorted(all), Founded: len(all)}
+	first := Epoch{Number: 1, Voters: sorted(all), FoundingSize: len(all)}
 	if !slices.ContainsFunc(r.o.Seeds, func(seed string) bool { return !here(seed) }) {
 		r.decideFrom(first, func(half Epoch) bool { return mostGone(half, all) })
 		return
@@ -158,7 +158,7 @@
 func mostGone(half Epoch, here []Voter) bool {
 	n := 0
 	for _, v := range half.Voters {
-		if slices.ContainsFunc(here, func(w Voter) bool { return w.Name == v.Name && w.ID != v.ID }) {
+		if slices.ContainsFunc(here, func(w Voter) bool { return w.Name == v.Name && w.StoreID != v.StoreID }) {
 			n++
 		}
 	}
@@ -168,15 +168,15 @@
 // oldGhost says so of a voter that the change under way takes out. For registers it counts only there: the new voters must
 // have all that the one that is left has.
 func (r *Replica) oldGhost(v Voter) bool {
-	return len(r.epoch.Old) > 0 && !slices.ContainsFunc(r.epoch.Voters, func(w Voter) bool { return w.ID == v.ID }) && r.ghost(v)
+	return len(r.epoch.OldVoters) > 0 && !slices.ContainsFunc(r.epoch.Voters, func(w Voter) bool { return w.StoreID == v.StoreID }) && r.ghost(v)
 }
 
 // deciders are those who decide what follows this epoch: while a change is under way the old voters, whether it ends in the
 // new ones or goes back. Both ends need a majority of them, so there is one.
 func (r *Replica) deciders() Epoch {
 	e := r.epoch
-	if len(e.Old) > 0 {
-		e.Voters, e.Old = e.Old, nil
+	if len(e.OldVoters) > 0 {
+		e.Voters, e.OldVoters = e.OldVoters, nil
 	}
 	return e
 }
@@ -186,16 +186,16 @@
 // votes next. Guards against a core of two that a wiped disk ends for good.
 func (r *Replica) ghost(v Voter) bool {
 	p := r.peers[v.Name]
-	for _, set := range [][]Voter{r.epoch.Voters, r.epoch.Old} {
-		if len(set) == 2 && slices.ContainsFunc(set, func(w Voter) bool { return w.ID == v.ID }) {
-			return v.ID != r.disk && p != nil && p.up && p.disk != v.ID
+	for _, set := range [][]Voter{r.epoch.Voters, r.epoch.OldVoters} {
+		if len(set) == 2 && slices.ContainsFunc(set, func(w Voter) bool { return w.StoreID == v.StoreID }) {
+			return v.StoreID != r.disk && p != nil && p.up && p.disk != v.StoreID
 		}
 	}
 	return false
 }
 
 func sorted(all []Voter) []Voter {
-	slices.SortFunc(all, func(a, b Voter) int { return strings.Compare(a.Name+a.ID, b.Name+b.ID) })
+	slices.SortFunc(all, func(a, b Voter) int { return strings.Compare(a.Name+a.StoreID, b.Name+b.StoreID) })
 	return all
 }
 
@@ -210,10 +210,10 @@
 	}
 	life := r.o.Life
 	g.queue = append(g.queue, &order{began: r.now, apply: func(holds Register, _ Age) (Register, Fate) {
-		if half, err := decodeEpoch(holds.Value); holds.Stamp == (Stamp{}) || err == nil && over(half) {
+		if half, err := decodeEpoch(holds.Value); holds.Version == (Version{}) || err == nil && over(half) {
 			next := e
 			next.Number = max(e.Number, half.Number+1) // two epochs never have one number
-			holds.Stamp, holds.Value = Stamp{Hi: holds.Stamp.Hi + 1, Lo: life}, encodeEpoch(next)
+			holds.Version, holds.Value = Version{Number: holds.Version.Number + 1, ID: life}, encodeEpoch(next)
 		}
 		return holds, Taken
 	}})
@@ -228,20 +228,20 @@
 	}
 	if r.scan == nil {
 		r.round++
-		r.scan = &scan{round: r.round, askedAt: never, answers: map[string]map[string]Stamp{}}
+		r.scan = &scan{round: r.round, askedAt: never, answers: map[string]map[string]BallotNumber{}}
 	}
 	if r.now >= r.scan.askedAt+scanAgain {
 		r.scan.askedAt = r.now
 		round := r.scan.round
-		r.toAll(func() *rpc.Message { return &rpc.Message{Ask: true, Round: round} })
+		r.toAll(func() *rpc.Message { return &rpc.Message{Consensus: rpc.Consensus{QueryState: true, QueryID: round}} })
 	}
 	r.scan.answers[r.disk] = r.onDisk()
-	answered := func(v Voter) bool { _, is := r.scan.answers[v.ID]; return is || r.ghost(v) }
-	if r.epochOn < r.epoch.Number || !r.epoch.Most(answered) {
+	answered := func(v Voter) bool { _, is := r.scan.answers[v.StoreID]; return is || r.ghost(v) }
+	if r.epochOn < r.epoch.Number || !r.epoch.HasMajority(answered) {
 		r.goBack()
 		return
 	}
-	best := map[string]Stamp{}
+	best := map[string]BallotNumber{}
 	for _, has := range r.scan.answers {
 		for name, number := range has {
 			if best[name].Less(number) {
@@ -252,7 +252,7 @@
 	ready := true
 	for _, name := range slices.Sorted(maps.Keys(best)) {
 		number := best[name]
-		if !r.epoch.Safe(r.o.Faults, func(v Voter) bool { return r.scan.answers[v.ID][name] == number || r.ghost(v) }) {
+		if !r.epoch.IsDurable(r.o.Faults, func(v Voter) bool { return r.scan.answers[v.StoreID][name] == number || r.ghost(v) }) {
 			ready = false
 			r.finish(r.reg(name))
 		}
@@ -260,7 +260,7 @@
 	if !ready {
 		r.goBack()
 	} else {
-		r.decide(Epoch{Number: r.epoch.Number + 1, Voters: r.epoch.Voters, Founded: r.epoch.Founded})
+		r.decide(Epoch{Number: r.epoch.Number + 1, Voters: r.epoch.Voters, FoundingSize: r.epoch.FoundingSize})
 	}
 }
 
@@ -268,7 +268,7 @@
 // both counted lies on enough disks of the old ones. Guards against a core that a learner's death holds for ever.
 func (r *Replica) goBack() {
 	if r.now >= r.changed+backAfter+time.Duration(r.place(epochName))*turnGap {
-		r.decide(Epoch{Number: r.epoch.Number + 1, Voters: r.epoch.Old, Founded: r.epoch.Founded})
+		r.decide(Epoch{Number: r.epoch.Number + 1, Voters: r.epoch.OldVoters, FoundingSize: r.epoch.FoundingSize})
 	}
 }
 
@@ -281,7 +281,7 @@
 	}
 	key := ""
 	for _, v := range want {
-		key += v.ID + " "
+		key += v.StoreID + " "
 	}
 	if key != r.wished {
 		r.wished, r.wishedAt = key, r.now
@@ -295,7 +295,7 @@
 		if r.o.flaws.apart {
 			old = nil
 		}
-		r.decide(Epoch{Number: r.epoch.Number + 1, Old: old, Voters: want, Founded: r.epoch.Founded})
+		r.decide(Epoch{Number: r.epoch.Number + 1, OldVoters: old, Voters: want, FoundingSize: r.epoch.FoundingSize})
 	}
 }
 
@@ -310,10 +310,12 @@
 		r.handedAt = r.now
 		r.round++
 		round := r.round
-		r.toAll(func() *rpc.Message { return &rpc.Message{Leaving: true, Ask: true, Round: round} })
+		r.toAll(func() *rpc.Message {
+			return &rpc.Message{Consensus: rpc.Consensus{ShuttingDown: true, QueryState: true, QueryID: round}}
+		})
 	}
 	missing := r.handOver(again)
-	if r.Votes() && (len(r.epoch.Old) > 0 || !slices.Equal(r.wish(), r.epoch.Voters)) {
+	if r.Votes() && (len(r.epoch.OldVoters) > 0 || !slices.Equal(r.wish(), r.epoch.Voters)) {
 		missing = append(missing, "its vote")
 	}
 	if r.missing = missing; len(missing) == 0 {
--- a/internal/controlplane/consensus/memory.go
+++ b/internal/controlplane/consensus/memory.go
@@ -41,10 +41,10 @@
 }
 
 type regRecord struct {
-	Era      uint64   `cbor:"1,keyasint"` // of the register of epochs: the one whose successor it decides
-	Promised Stamp    `cbor:"2,keyasint"`
-	Accepted Stamp    `cbor:"3,keyasint"`
-	Value    Register `cbor:"4,keyasint"`
+	Era      uint64       `cbor:"1,keyasint"` // of the register of epochs: the one whose successor it decides
+	Promised BallotNumber `cbor:"2,keyasint"`
+	Accepted BallotNumber `cbor:"3,keyasint"`
+	Value    Register     `cbor:"4,keyasint"`
 }
 
 // Load reads a disk's records. Known: it bears the mark of one that forgot nothing. First: this is the system's first
@@ -81,21 +81,22 @@
 			}
 		}
 	case known && len(records[oldFounders]) > 0:
-		var founders []rpc.Controller
+		var founders []rpc.Node
 		if err := json.Unmarshal(records[oldFounders], &founders); err != nil {
 			return bad(oldFounders, err)
 		}
 		// Founders were told apart by their names alone. A disk that bears the mark is the one that was meant.
 		m.Disk, m.Blank = oldDisk(me), false
 		for _, f := range founders {
-			m.Epoch.Voters = append(m.Epoch.Voters, Voter{Controller: f, ID: oldDisk(f.Name)})
+			m.Epoch.Voters = append(m.Epoch.Voters, Voter{Node: f, StoreID: oldDisk(f.Name)})
 		}
-		m.Epoch.Number, m.Epoch.Voters, m.Epoch.Founded = 1, sorted(m.Epoch.Voters), len(founders)
+		m.Epoch.Number, m.Epoch.Voters, m.Epoch.FoundingSize = 1, sorted(m.Epoch.Voters), len(founders)
 		for name, value := range records {
 			if reg, is := strings.CutPrefix(name, oldReg); is && len(value) >= 16 {
-				s := Stamp{Hi: number(value), Lo: number(value[8:])}
-				m.Acceptors[reg] = paxos.Acceptor[Register]{Promised: s, Accepted: s,
-					Value: Register{Name: reg, Stamp: s, Value: value[16:]}}
+				hi, lo := number(value), number(value[8:])
+				b := BallotNumber{Round: hi, Incarnation: lo}
+				m.Acceptors[reg] = paxos.Acceptor[Register]{Promised: b, Accepted: b,
+					Value: Register{Name: reg, Version: Version{Number: hi, ID: lo}, Value: value[16:]}}
 			}
 		}
 	default:
@@ -128,7 +129,7 @@
 	}
 	for _, name := range m.rest {
 		reg, is := strings.CutPrefix(name, recordReg)
-		if g := r.regs[reg]; is && g != nil && g.acc.Accepted != (Stamp{}) || name == recordEpoch && r.epoch.Number > 0 {
+		if g := r.regs[reg]; is && g != nil && g.acc.Accepted != (BallotNumber{}) || name == recordEpoch && r.epoch.Number > 0 {
 			continue // it is put with what has come since
 		}
 		write(name, nil)
--- a/internal/controlplane/consensus/memory_test.go
+++ b/internal/controlplane/consensus/memory_test.go
@@ -18,7 +18,7 @@
 // oldRecords are those of a disk of the version before.
 func oldRecords(t *testing.T, founders int) map[string][]byte {
 	t.Helper()
-	var all []rpc.Controller
+	var all []rpc.Node
 	for i := range founders {
 		all = append(all, controllerOf(i))
 	}
@@ -40,11 +40,11 @@
 
 func checkOld(t *testing.T, what string, m Memory) {
 	t.Helper()
-	if m.Disk != "first:c0" || m.Blank || m.Epoch.Number != 1 || len(m.Epoch.Voters) != 3 || m.Epoch.Voters[2].ID != "first:c2" {
+	if m.Disk != "first:c0" || m.Blank || m.Epoch.Number != 1 || len(m.Epoch.Voters) != 3 || m.Epoch.Voters[2].StoreID != "first:c2" {
 		t.Errorf("%s: disk %s, blank %v, epoch %d, voters %v", what, m.Disk, m.Blank, m.Epoch.Number, ids(m.Epoch.Voters))
 	}
 	c, z := m.Acceptors[charter], m.Acceptors["zone/a"]
-	if c.Value.Stamp != (Stamp{Hi: 7, Lo: 99}) || string(c.Value.Value) != "seven" || c.Accepted != c.Value.Stamp || c.Value.Name != charter {
+	if c.Value.Version != (Version{Number: 7, ID: 99}) || string(c.Value.Value) != "seven" || c.Accepted != (BallotNumber{Round: 7, Incarnation: 99}) || c.Value.Name != charter {
 		t.Errorf("%s: %+v", what, c)
 	}
 	if n, last, _ := open(z.Value.Value); n != 2 || last != begun {
--- a/internal/controlplane/consensus/model_test.go
+++ b/internal/controlplane/consensus/model_test.go
@@ -60,7 +60,7 @@
 type modelNode struct {
 	r       *Replica // never changed once here
 	records map[string][]byte
-	has     Stamp // of the charter's value among them
+	has     Version // of the charter's value among them
 	writes  []Persist
 	now     time.Duration
 	timers  int
@@ -84,7 +84,7 @@
 	lives   uint64
 	// What was said: the newest value that was acknowledged or told, whatever follows must hold it.
 	held   Register
-	floors [4]Stamp // ... as each order was given
+	floors [4]Version // ... as each order was given
 	epochs map[uint64][]byte
 	newest Epoch
 }
@@ -98,8 +98,8 @@
 	buf     []byte
 }
 
-func controllerOf(i int) rpc.Controller {
-	return rpc.Controller{Name: fmt.Sprint("c", i), Address: fmt.Sprint("a", i)}
+func controllerOf(i int) rpc.Node {
+	return rpc.Node{Name: fmt.Sprint("c", i), Address: fmt.Sprint("a", i)}
 }
 
 func (m *model) less(a, b xxh3.Uint128) int {
@@ -121,7 +121,7 @@
 		n++
 	}
 	for i := range m.voters {
-		first.Voters = append(first.Voters, Voter{Controller: controllerOf(i), ID: fmt.Sprint("d", i)})
+		first.Voters = append(first.Voters, Voter{Node: controllerOf(i), StoreID: fmt.Sprint("d", i)})
 	}
 	s.epochs[1], s.newest = encodeEpoch(first), first
 	for i := range n {
@@ -230,31 +230,31 @@
 // deaf says of a message that it will change nothing, whenever it comes: an answer to a ballot that is over, or word that
 // something is chosen that is known to be. Such ones are lost at once, so that fewer states differ by them alone.
 func (r *Replica) deaf(w *rpc.Message) bool {
-	if w.Era != r.epoch.Number || w.Epoch != nil || w.Has != nil || w.All || w.Ask || w.Want != nil || w.Copies != nil || w.Leaving {
+	if w.EpochNumber != r.epoch.Number || w.Epoch != nil || w.AcceptedBallots != nil || w.Complete || w.QueryState || w.FetchRegisters != nil || w.ChosenValues != nil || w.ShuttingDown {
 		return false
 	}
-	for name, b := range w.Chosen {
+	for name, b := range w.ChosenBallots {
 		if g := r.regs[name]; g == nil || name == epochName || g.safe.Less(b) {
 			return false
 		}
 	}
-	for _, b := range w.Ballots {
-		g := r.regs[b.Name]
-		if g == nil || turnOf(b.Number) > g.turn {
+	for _, b := range w.Paxos {
+		g := r.regs[b.Register]
+		if g == nil || turnOf(b.Ballot) > g.turn {
 			return false
 		}
-		under := g.prop.Phase != paxos.Idle && g.prop.Ballot == b.Number
+		under := g.prop.Phase != paxos.Idle && g.prop.Ballot == b.Ballot
 		switch b.Kind {
 		case rpc.Promise:
 			if under && g.prop.Phase == paxos.Asking {
 				return false
 			}
-		case rpc.Agreed:
+		case rpc.Accepted:
 			if under {
 				return false
 			}
-		case rpc.Higher:
-			if g.prop.Phase != paxos.Idle && g.prop.Ballot.Less(b.Number) {
+		case rpc.Preempted:
+			if g.prop.Phase != paxos.Idle && g.prop.Ballot.Less(b.Ballot) {
 				return false
 			}
 		default:
@@ -297,7 +297,7 @@
 	}
 	x := modelMessage{from: i, to: j, m: w}
 	m.buf = append(m.buf[:0], byte(i), byte(j))
-	m.buf = append(m.buf, rpc.Pack(w)...)
+	m.buf = append(m.buf, rpc.Encode(w)...)
 	x.key = xxh3.Hash128(m.buf)
 	at, _ := slices.BinarySearchFunc(s.bag, x, func(a, b modelMessage) int { return m.less(a.key, b.key) })
 	s.bag = slices.Insert(slices.Clone(s.bag), at, x)
@@ -306,10 +306,10 @@
 // tells: at most one value under a number, and never back.
 func (m *model) tells(s *modelState, i int, how string, v Register) {
 	switch {
-	case v.Stamp == (Stamp{}) || v.Name != charter:
-	case v.Stamp.Hi == s.held.Stamp.Hi && v.Stamp != s.held.Stamp:
-		m.failf("c%d: %s %v, and %v was: two under one number", i, how, v.Stamp, s.held.Stamp)
-	case s.held.Stamp.Less(v.Stamp):
+	case v.Version == (Version{}) || v.Name != charter:
+	case v.Version.Number == s.held.Version.Number && v.Version != s.held.Version:
+		m.failf("c%d: %s %v, and %v was: two under one number", i, how, v.Version, s.held.Version)
+	case s.held.Version.Less(v.Version):
 		s.held = v
 	}
 }
@@ -319,31 +319,31 @@
 		return
 	}
 	o := m.orders[d.Token-1]
-	same := d.Stamp == Stamp{Hi: o.version, Lo: o.digest}
+	same := d.Version == Version{Number: o.version, ID: o.digest}
 	switch {
-	case d.Fate == Taken && (d.Stamp.Hi < o.version || d.Stamp.Hi == o.version && !same):
-		m.failf("c%d: a number is confirmed with another value: %v for %v", i, d.Stamp, o)
-	case d.Fate == Refused && (d.Stamp.Hi < o.version || same):
-		m.failf("c%d: %v is refused by %v", i, o, d.Stamp)
+	case d.Fate == Taken && (d.Version.Number < o.version || d.Version.Number == o.version && !same):
+		m.failf("c%d: a number is confirmed with another value: %v for %v", i, d.Version, o)
+	case d.Fate == Refused && (d.Version.Number < o.version || same):
+		m.failf("c%d: %v is refused by %v", i, o, d.Version)
 	}
-	if floor := s.floors[d.Token-1]; d.Stamp.Less(floor) {
-		m.failf("c%d: %v is answered with %v, though %v was told before", i, o, d.Stamp, floor)
+	if floor := s.floors[d.Token-1]; d.Version.Less(floor) {
+		m.failf("c%d: %v is answered with %v, though %v was told before", i, o, d.Version, floor)
 	}
 	m.tells(s, i, "taken", d.Register)
 }
 
 // check: no majority of those that vote in the newest epoch lacks what was told.
 func (m *model) check(s *modelState) {
-	if s.held.Stamp == (Stamp{}) || m.fault != "" {
+	if s.held.Version == (Version{}) || m.fault != "" {
 		return
 	}
 	e := s.newest
 	lack := map[string]bool{}
 	for _, n := range s.nodes {
-		lack[n.r.Disk()] = n.has.Less(s.held.Stamp)
+		lack[n.r.Disk()] = n.has.Less(s.held.Version)
 	}
-	if e.Most(func(v Voter) bool { return lack[v.ID] }) {
-		m.failf("%v was told, and a majority of epoch %d has not got it on their disks", s.held.Stamp, e.Number)
+	if e.HasMajority(func(v Voter) bool { return lack[v.StoreID] }) {
+		m.failf("%v was told, and a majority of epoch %d has not got it on their disks", s.held.Version, e.Number)
 	}
 }
 
@@ -378,9 +378,9 @@
 		b = append(b, 1)
 	}
 	for _, f := range s.floors {
-		b = append(b, byte(f.Hi), byte(f.Lo))
+		b = append(b, byte(f.Number), byte(f.ID))
 	}
-	b = fmt.Appendf(b, "%d/%d", s.held.Stamp.Hi, s.held.Stamp.Lo)
+	b = fmt.Appendf(b, "%d/%d", s.held.Version.Number, s.held.Version.ID)
 	m.buf = b
 	return xxh3.Hash128(b)
 }
@@ -391,7 +391,7 @@
 		if s.given&(1<<i) == 0 {
 			all = append(all, func(s *modelState) {
 				s.given |= 1 << i
-				s.floors[i] = s.held.Stamp
+				s.floors[i] = s.held.Version
 				value := fmt.Appendf(nil, "%d/%d", o.version, o.digest)
 				m.step(s, o.at, Change{uint64(i + 1), charter, Replace(o.version, o.digest, value)})
 			})
@@ -404,10 +404,10 @@
 				if r.now, r.orders = now, nil; r.epoch.Number != 1 {
 					return nil // it has lost its disk
 				}
-				next := sorted(append(slices.Clone(r.epoch.Voters[:m.voters-1]), Voter{Controller: controllerOf(m.voters), ID: fmt.Sprint("d", m.voters)}))
-				e := Epoch{Number: r.epoch.Number + 1, Old: r.epoch.Voters, Voters: next}
+				next := sorted(append(slices.Clone(r.epoch.Voters[:m.voters-1]), Voter{Node: controllerOf(m.voters), StoreID: fmt.Sprint("d", m.voters)}))
+				e := Epoch{Number: r.epoch.Number + 1, OldVoters: r.epoch.Voters, Voters: next}
 				if m.flaws.noJoint {
-					e.Old = nil
+					e.OldVoters = nil
 				}
 				r.decide(e)
 				return r.orders
@@ -422,9 +422,9 @@
 		arrive := func(s *modelState) {
 			w := x.m
 			r := s.nodes[x.to].r
-			if m.flaws.oldEras && w.Era > 0 && r.epoch.Voter(w.Disk) {
+			if m.flaws.oldEras && w.EpochNumber > 0 && r.epoch.IsVoter(w.StoreID) {
 				c := *w
-				c.Era, w = r.epoch.Number, &c
+				c.EpochNumber, w = r.epoch.Number, &c
 			}
 			m.step(s, x.to, Heard{controllerOf(x.from).Name, w})
 		}
@@ -486,7 +486,7 @@
 			panic(err)
 		}
 	}
-	n.has = a.Value.Stamp
+	n.has = a.Value.Version
 }
 
 // sync ends the first write of a disk.
--- a/internal/controlplane/consensus/register.go
+++ b/internal/controlplane/consensus/register.go
@@ -27,7 +27,7 @@
 
 type waiting struct { // an answer, until the state behind it is on the disk
 	to     string
-	answer rpc.Ballot
+	answer rpc.PaxosMessage
 }
 
 type register struct {
@@ -36,22 +36,22 @@
 	prop paxos.Proposal[*Register] // the ballot that began here
 
 	// Of the disk.
-	disk    Stamp // the ballot that it has accepted
+	disk    BallotNumber // the ballot that it has accepted
 	putting bool
 	dirty   bool // there is more to put
 	waits   []waiting
 	failed  time.Duration // when it failed; zero: it did not
 	learned bool          // what it is to get came as a copy: others are told once it is there
 	// Of what is chosen.
-	safe    Stamp // the newest ballot that is known to be chosen
-	told    Stamp // of the value that was told to be in force
+	safe    BallotNumber // the newest ballot that is known to be chosen
+	told    Version      // of the value that was told to be in force
 	force   Register
 	valueAt time.Duration // since when this value holds, as far as that is known here
 	hereAt  time.Duration // since when it is here, in this life: it holds for that long at least
 	openAt  time.Duration // since when it is here and not known to be chosen
-	tells   Stamp         // the ballot on the disk that all were told of, as nobody said that it is chosen
+	tells   BallotNumber  // the ballot on the disk that all were told of, as nobody said that it is chosen
 	wantAt  time.Duration
-	ahead   map[string]Stamp // by controller: a newer ballot that it has
+	ahead   map[string]BallotNumber // by controller: a newer ballot that it has
 	// Of the ballots that begin here.
 	queue     []*order
 	batch     []*order // in the ballot under way
@@ -60,16 +60,18 @@
 	sentAt    time.Duration
 	againAt   time.Duration
 	outbid    int
-	accepted  Stamp         // of the best promise
+	accepted  BallotNumber  // of the best promise
 	decidedAt time.Duration // since when the value that is offered holds
 }
 
-func (g *register) chosen() bool { return g.acc.Accepted != (Stamp{}) && g.safe == g.acc.Accepted }
+func (g *register) chosen() bool {
+	return g.acc.Accepted != (BallotNumber{}) && g.safe == g.acc.Accepted
+}
 
 func (r *Replica) reg(name string) *register {
 	g := r.regs[name]
 	if g == nil {
-		g = &register{name: name, valueAt: neverSeen, openAt: r.now, ahead: map[string]Stamp{}}
+		g = &register{name: name, valueAt: neverSeen, openAt: r.now, ahead: map[string]BallotNumber{}}
 		g.acc.Value.Name = name
 		r.regs[name] = g
 	}
@@ -77,34 +79,34 @@
 }
 
 // vote takes a word on a ballot.
-func (r *Replica) vote(p *peer, b *rpc.Ballot) {
-	g := r.reg(b.Name)
-	g.turn = max(g.turn, turnOf(b.Number))
+func (r *Replica) vote(p *peer, b *rpc.PaxosMessage) {
+	g := r.reg(b.Register)
+	g.turn = max(g.turn, turnOf(b.Ballot))
 	switch b.Kind {
-	case rpc.Ask, rpc.Offer:
+	case rpc.Prepare, rpc.Accept:
 		r.accept(p.Name, g, b)
 	case rpc.Promise:
 		if r.counts(p) {
 			r.promised(g, p.disk, b)
 		}
-	case rpc.Agreed:
-		if p.has[g.name].Less(b.Number) && g.name != epochName {
-			p.has[g.name] = b.Number
+	case rpc.Accepted:
+		if p.has[g.name].Less(b.Ballot) && g.name != epochName {
+			p.has[g.name] = b.Ballot
 		}
 		if r.counts(p) {
 			r.agreed(g, p.disk, b)
 		}
-	case rpc.Higher:
-		if g.prop.Phase != paxos.Idle && g.prop.Ballot.Less(b.Number) {
+	case rpc.Preempted:
+		if g.prop.Phase != paxos.Idle && g.prop.Ballot.Less(b.Ballot) {
 			r.outbid(g)
 		}
 	}
 }
 
 // accept is the part of this disk. What it answers is on the disk before: an answer waits for that.
-func (r *Replica) accept(to string, g *register, b *rpc.Ballot) {
+func (r *Replica) accept(to string, g *register, b *rpc.PaxosMessage) {
 	switch {
-	case !r.born, r.epoch.Number > 0 && !r.epoch.Voter(r.disk), r.epoch.Number == 0 && b.Name != epochName:
+	case !r.born, r.epoch.Number > 0 && !r.epoch.IsVoter(r.disk), r.epoch.Number == 0 && b.Register != epochName:
 		return // one that may have forgotten, or has never read, must not vote
 	case r.epochOn < r.epoch.Number:
 		// Guards against votes of an epoch that lie on the disk beside the epoch before.
@@ -113,34 +115,34 @@
 		}
 		return
 	}
-	answer := rpc.Ballot{Name: g.name, Number: b.Number}
+	answer := rpc.PaxosMessage{Register: g.name, Ballot: b.Ballot}
 	was := g.acc.Accepted
 	switch b.Kind {
-	case rpc.Ask:
-		if !g.acc.Promise(b.Number) {
-			answer.Kind = rpc.Higher
+	case rpc.Prepare:
+		if !g.acc.Promise(b.Ballot) {
+			answer.Kind = rpc.Preempted
 			break
 		}
-		answer.Kind, answer.Accepted = rpc.Promise, g.acc.Accepted
-		if g.acc.Accepted != (Stamp{}) {
+		answer.Kind, answer.AcceptedBallot = rpc.Promise, g.acc.Accepted
+		if g.acc.Accepted != (BallotNumber{}) {
 			v := g.acc.Value
 			answer.Value = &v
 		}
-		answer.Age = r.age(g)
-	case rpc.Offer:
+		answer.ValueAge = r.age(g)
+	case rpc.Accept:
 		v := *b.Value
-		stays := v.Stamp == g.acc.Value.Stamp
-		if !g.acc.Accept(b.Number, v) {
-			answer.Kind = rpc.Higher
+		stays := v.Version == g.acc.Value.Version
+		if !g.acc.Accept(b.Ballot, v) {
+			answer.Kind = rpc.Preempted
 			break
 		}
-		r.aged(g, stays, b.Age)
-		if answer.Kind = rpc.Agreed; was != g.acc.Accepted {
+		r.aged(g, stays, b.ValueAge)
+		if answer.Kind = rpc.Accepted; was != g.acc.Accepted {
 			g.openAt = r.now
 		}
 	}
-	if answer.Kind == rpc.Higher {
-		answer.Number = g.acc.Promised
+	if answer.Kind == rpc.Preempted {
+		answer.Ballot = g.acc.Promised
 		r.answer(to, answer)
 		return
 	}
@@ -174,20 +176,20 @@
 	}
 }
 
-func (r *Replica) answer(to string, b rpc.Ballot) {
+func (r *Replica) answer(to string, b rpc.PaxosMessage) {
 	if to != r.o.Me.Name {
-		r.send(to, &rpc.Message{Ballots: []rpc.Ballot{b}})
+		r.send(to, &rpc.Message{Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{b}}})
 		return
 	}
-	g := r.reg(b.Name)
+	g := r.reg(b.Register)
 	switch b.Kind {
 	case rpc.Promise:
 		r.promised(g, r.disk, &b)
-	case rpc.Agreed:
+	case rpc.Accepted:
 		r.agreed(g, r.disk, &b)
-	case rpc.Higher:
-		g.turn = max(g.turn, turnOf(b.Number))
-		if g.prop.Phase != paxos.Idle && g.prop.Ballot.Less(b.Number) {
+	case rpc.Preempted:
+		g.turn = max(g.turn, turnOf(b.Ballot))
+		if g.prop.Phase != paxos.Idle && g.prop.Ballot.Less(b.Ballot) {
 			r.outbid(g)
 		}
 	}
@@ -258,28 +260,28 @@
 	if r.o.flaws.flat {
 		hi = g.turn
 	}
-	g.prop.Begin(Stamp{Hi: hi, Lo: r.o.Life})
+	g.prop.Begin(BallotNumber{Round: hi, Incarnation: r.o.Life})
 	g.batch, g.queue, g.ages, g.sentAt = g.queue, nil, Age{}, r.now
 	r.spread(r.word(g))
 }
 
 // spread gives a word to all whose votes count, itself too.
-func (r *Replica) spread(b rpc.Ballot) {
+func (r *Replica) spread(b rpc.PaxosMessage) {
 	for _, to := range r.lines() {
 		if p := r.peers[to]; r.counts(p) {
-			r.send(to, &rpc.Message{Ballots: []rpc.Ballot{b}})
+			r.send(to, &rpc.Message{Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{b}}})
 		}
 	}
-	r.accept(r.o.Me.Name, r.reg(b.Name), &b)
+	r.accept(r.o.Me.Name, r.reg(b.Register), &b)
 }
 
 // word is what the ballot under way asks.
-func (r *Replica) word(g *register) rpc.Ballot {
-	b := rpc.Ballot{Kind: rpc.Ask, Name: g.name, Number: g.prop.Ballot}
+func (r *Replica) word(g *register) rpc.PaxosMessage {
+	b := rpc.PaxosMessage{Kind: rpc.Prepare, Register: g.name, Ballot: g.prop.Ballot}
 	if g.prop.Phase == paxos.Offering {
-		b.Kind, b.Value = rpc.Offer, g.prop.Value
+		b.Kind, b.Value = rpc.Accept, g.prop.Value
 		if g.decidedAt != neverSeen {
-			b.Age = uint64(max(r.now-g.decidedAt, 0)/time.Millisecond) + 1
+			b.ValueAge = uint64(max(r.now-g.decidedAt, 0)/time.Millisecond) + 1
 		}
 	}
 	return b
@@ -287,19 +289,19 @@
 
 // resend says a ballot's word again to one that has not answered it.
 func (r *Replica) resend(g *register, p *peer) {
-	r.send(p.Name, &rpc.Message{Ballots: []rpc.Ballot{r.word(g)}})
+	r.send(p.Name, &rpc.Message{Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{r.word(g)}}})
 }
 
 // promised goes on with the value of the greatest ballot that was accepted, changed by the orders.
-func (r *Replica) promised(g *register, disk string, b *rpc.Ballot) {
-	if !g.prop.Promised(disk, b.Number, b.Accepted, b.Value) {
+func (r *Replica) promised(g *register, disk string, b *rpc.PaxosMessage) {
+	if !g.prop.Promised(disk, b.Ballot, b.AcceptedBallot, b.Value) {
 		return
 	}
-	if b.Accepted == g.prop.Best && b.Accepted != (Stamp{}) { // the longest that any of them has had this value
-		if b.Accepted != g.accepted {
-			g.accepted, g.ages = b.Accepted, Age{}
+	if b.AcceptedBallot == g.prop.Best && b.AcceptedBallot != (BallotNumber{}) { // the longest that any of them has had this value
+		if b.AcceptedBallot != g.accepted {
+			g.accepted, g.ages = b.AcceptedBallot, Age{}
 		}
-		if age := time.Duration(b.Age-1) * time.Millisecond; b.Age > 0 && (!g.ages.Known || age > g.ages.Span) {
+		if age := time.Duration(b.ValueAge-1) * time.Millisecond; b.ValueAge > 0 && (!g.ages.Known || age > g.ages.Span) {
 			g.ages = Age{age, true}
 		}
 	}
@@ -311,21 +313,21 @@
 		holds = *g.prop.Value
 	}
 	next, ages := holds, g.ages
-	if !ages.Known && g.acc.Value.Stamp == holds.Stamp {
+	if !ages.Known && g.acc.Value.Version == holds.Version {
 		ages.Span = r.now - g.hereAt
 	}
 	for _, o := range g.batch {
-		was := next.Stamp
-		if next, o.fate = o.apply(next, ages); next.Stamp != was {
+		was := next.Version
+		if next, o.fate = o.apply(next, ages); next.Version != was {
 			ages = Age{Known: true}
 		}
 	}
 	next.Name = g.name
-	if next.Stamp == (Stamp{}) { // there is nothing, and nothing is wanted
+	if next.Version == (Version{}) { // there is nothing, and nothing is wanted
 		r.close(g, next)
 		return
 	}
-	if next.Stamp == holds.Stamp && r.lasts(g, g.prop.Has) { // it stands on enough disks under one ballot
+	if next.Version == holds.Version && r.lasts(g, g.prop.Has) { // it stands on enough disks under one ballot
 		r.decided(g, g.prop.Best, holds)
 		return
 	}
@@ -340,15 +342,17 @@
 	r.spread(r.word(g))
 }
 
-func (r *Replica) agreed(g *register, disk string, b *rpc.Ballot) {
-	if g.prop.Agreed(disk, b.Number) && r.lasts(g, g.prop.Answered) {
+func (r *Replica) agreed(g *register, disk string, b *rpc.PaxosMessage) {
+	if g.prop.Agreed(disk, b.Ballot) && r.lasts(g, g.prop.Answered) {
 		r.decided(g, g.prop.Ballot, *g.prop.Value)
 	}
 }
 
 // decided: the value is chosen.
-func (r *Replica) decided(g *register, number Stamp, v Register) {
-	r.toAll(func() *rpc.Message { return &rpc.Message{Chosen: map[string]Stamp{g.name: number}} })
+func (r *Replica) decided(g *register, number BallotNumber, v Register) {
+	r.toAll(func() *rpc.Message {
+		return &rpc.Message{Consensus: rpc.Consensus{ChosenBallots: map[string]BallotNumber{g.name: number}}}
+	})
 	r.choose(g, number, v, 0)
 	r.close(g, v)
 }
@@ -430,20 +434,22 @@
 			delete(g.ahead, who) // it says so anew on its next line
 		} else if want {
 			g.wantAt = r.now
-			r.send(who, &rpc.Message{Want: []string{g.name}})
+			r.send(who, &rpc.Message{RegisterUpdate: rpc.RegisterUpdate{FetchRegisters: []string{g.name}}})
 		}
 	}
-	if g.acc.Accepted != (Stamp{}) && !g.chosen() {
+	if g.acc.Accepted != (BallotNumber{}) && !g.chosen() {
 		r.count(g) // at a start, what is said by then may be enough
 		// Guards against what its proposer had chosen, and died before it told anybody, waiting for a ballot: enough of those
 		// who accepted it find that out by telling each other.
 		if r.now >= g.openAt+tellAfter && g.tells != g.disk && g.name != epochName && r.Votes() {
 			g.tells = g.disk
 			name, number := g.name, g.disk
-			r.toAll(func() *rpc.Message { return &rpc.Message{Has: map[string]Stamp{name: number}} })
+			r.toAll(func() *rpc.Message {
+				return &rpc.Message{Consensus: rpc.Consensus{AcceptedBallots: map[string]BallotNumber{name: number}}}
+			})
 		}
 	}
-	if g.acc.Accepted != (Stamp{}) && !g.chosen() && r.now >= g.openAt+finishAfter+time.Duration(r.place(g.name))*turnGap {
+	if g.acc.Accepted != (BallotNumber{}) && !g.chosen() && r.now >= g.openAt+finishAfter+time.Duration(r.place(g.name))*turnGap {
 		g.openAt = r.now
 		if r.epoch.Number > 0 || g.name != epochName { // a first epoch that is half done is found's
 			r.finish(g) // the one that began it may be gone
@@ -453,7 +459,7 @@
 }
 
 // turnOf is a ballot's number within its epoch.
-func turnOf(b Stamp) uint64 { return b.Hi & (1<<eraShift - 1) }
+func turnOf(b BallotNumber) uint64 { return b.Round & (1<<eraShift - 1) }
 
 // place is the number of voters with a line that come before this one, where one is enough.
 func (r *Replica) place(name string) (n int) {
@@ -476,9 +482,9 @@
 		up[p.disk] = up[p.disk] || p.up
 	}
 	if g.name == epochName {
-		return r.deciders().Most(func(v Voter) bool { return up[v.ID] || r.ghost(v) })
+		return r.deciders().HasMajority(func(v Voter) bool { return up[v.StoreID] || r.ghost(v) })
 	}
-	return r.epoch.Most(func(v Voter) bool { return up[v.ID] || r.oldGhost(v) })
+	return r.epoch.HasMajority(func(v Voter) bool { return up[v.StoreID] || r.oldGhost(v) })
 }
 
 // most says whether those of a ballot that has says are enough to read from; lasts, whether they are to write to.
@@ -487,9 +493,9 @@
 		return r.founds(has)
 	}
 	if g.name == epochName {
-		return r.deciders().Most(func(v Voter) bool { return has(v.ID) || r.ghost(v) })
+		return r.deciders().HasMajority(func(v Voter) bool { return has(v.StoreID) || r.ghost(v) })
 	}
-	return r.epoch.Most(func(v Voter) bool { return has(v.ID) || r.oldGhost(v) })
+	return r.epoch.HasMajority(func(v Voter) bool { return has(v.StoreID) || r.oldGhost(v) })
 }
 
 func (r *Replica) lasts(g *register, has func(string) bool) bool {
@@ -497,9 +503,9 @@
 		return r.founds(has)
 	}
 	if g.name == epochName {
-		return r.deciders().Most(func(v Voter) bool { return has(v.ID) || r.ghost(v) })
+		return r.deciders().HasMajority(func(v Voter) bool { return has(v.StoreID) || r.ghost(v) })
 	}
-	return r.epoch.Safe(r.o.Faults, func(v Voter) bool { return has(v.ID) || r.oldGhost(v) })
+	return r.epoch.IsDurable(r.o.Faults, func(v Voter) bool { return has(v.StoreID) || r.oldGhost(v) })
 }
 
 // reading is a question for what holds, answered by what disks have where those agree.
@@ -509,7 +515,7 @@
 	began   time.Duration
 	askedAt time.Duration
 	round   uint64
-	answers map[string]Stamp // by disk: the ballot that it has accepted
+	answers map[string]BallotNumber // by disk: the ballot that it has accepted
 }
 
 // settleRead moves a question on; it says whether that is over. Where enough disks have the same ballot, its value is
@@ -526,25 +532,25 @@
 		}
 		q.askedAt = r.now
 		round := r.round
-		r.toAll(func() *rpc.Message { return &rpc.Message{Ask: true, Round: round} })
+		r.toAll(func() *rpc.Message { return &rpc.Message{Consensus: rpc.Consensus{QueryState: true, QueryID: round}} })
 	}
 	if r.Votes() {
 		q.answers[r.disk] = g.disk
 	}
-	answered := func(v Voter) bool { _, is := q.answers[v.ID]; return is }
-	if !r.epoch.Most(answered) {
+	answered := func(v Voter) bool { _, is := q.answers[v.StoreID]; return is }
+	if !r.epoch.HasMajority(answered) {
 		return false
 	}
-	var best Stamp
+	var best BallotNumber
 	for _, b := range q.answers {
 		if best.Less(b) {
 			best = b
 		}
 	}
-	same := func(v Voter) bool { return answered(v) && q.answers[v.ID] == best }
-	if best == (Stamp{}) || r.epoch.Safe(r.o.Faults, same) {
+	same := func(v Voter) bool { return answered(v) && q.answers[v.StoreID] == best }
+	if best == (BallotNumber{}) || r.epoch.IsDurable(r.o.Faults, same) {
 		switch {
-		case best == Stamp{}:
+		case best == BallotNumber{}:
 			r.order(Done{Token: q.token, Fate: Taken, Register: Register{Name: q.name}})
 			return true
 		case g.acc.Accepted == best:
--- a/internal/controlplane/consensus/status.go
+++ b/internal/controlplane/consensus/status.go
@@ -47,20 +47,20 @@
 
 // Status reads the state of the core; it changes nothing.
 func (r *Replica) Status(now time.Duration) Status {
-	all := r.epoch.All()
-	s := Status{Epoch: r.epoch.Number, Changing: len(r.epoch.Old) > 0, InTouch: r.InTouch(now), Votes: r.Votes(),
+	all := r.epoch.AllVoters()
+	s := Status{Epoch: r.epoch.Number, Changing: len(r.epoch.OldVoters) > 0, InTouch: r.InTouch(now), Votes: r.Votes(),
 		Leaving: r.leaving, Missing: r.missing, Me: r.myStatus(), Voters: []MemberStatus{}, Learners: []MemberStatus{},
 		Registers: []RegisterStatus{}}
 	for _, v := range all {
 		m := r.myStatus()
-		if v.ID != r.disk {
+		if v.StoreID != r.disk {
 			p := r.peers[v.Name]
 			m = r.peerStatus(now, v, p)
-			m.Gone = v.Name == r.o.Me.Name || p != nil && p.disk != v.ID
+			m.Gone = v.Name == r.o.Me.Name || p != nil && p.disk != v.StoreID
 		}
 		switch {
 		case !s.Changing:
-		case !slices.Contains(r.epoch.Old, v):
+		case !slices.Contains(r.epoch.OldVoters, v):
 			m.Change = "in"
 		case !slices.Contains(r.epoch.Voters, v):
 			m.Change = "out"
@@ -69,17 +69,17 @@
 	}
 	slices.SortStableFunc(s.Voters, func(a, b MemberStatus) int { return strings.Compare(a.Name, b.Name) })
 	for _, name := range r.lines() {
-		if p := r.peers[name]; !r.epoch.Voter(p.disk) {
-			s.Learners = append(s.Learners, r.peerStatus(now, Voter{Controller: p.Controller, ID: p.disk}, p))
+		if p := r.peers[name]; !r.epoch.IsVoter(p.disk) {
+			s.Learners = append(s.Learners, r.peerStatus(now, Voter{Node: p.Node, StoreID: p.disk}, p))
 		}
 	}
 	for _, name := range r.Names() {
 		g := r.regs[name]
-		on := RegisterStatus{Name: name, Hi: g.acc.Value.Stamp.Hi, Lo: g.acc.Value.Stamp.Lo, Chosen: g.chosen()}
+		on := RegisterStatus{Name: name, Hi: g.acc.Value.Version.Number, Lo: g.acc.Value.Version.ID, Chosen: g.chosen()}
 		for _, v := range all {
 			p := r.peers[v.Name]
-			if v.ID == r.disk && !g.disk.Less(g.acc.Accepted) ||
-				p != nil && p.disk == v.ID && !p.has[name].Less(g.acc.Accepted) {
+			if v.StoreID == r.disk && !g.disk.Less(g.acc.Accepted) ||
+				p != nil && p.disk == v.StoreID && !p.has[name].Less(g.acc.Accepted) {
 				on.Disks++
 			}
 		}
@@ -90,18 +90,18 @@
 
 func (r *Replica) myStatus() MemberStatus {
 	m := MemberStatus{Name: r.o.Me.Name, Zone: r.o.Me.Zone, Disk: r.disk, InTouch: true, Leaving: r.leaving}
-	m.lack(r, r.born, r.now, func(name string) Stamp { return r.regs[name].disk })
+	m.lack(r, r.born, r.now, func(name string) BallotNumber { return r.regs[name].disk })
 	return m
 }
 
 // peerStatus is that of another controller; p is nil if it was not heard of in this life.
 func (r *Replica) peerStatus(now time.Duration, v Voter, p *peer) MemberStatus {
-	m := MemberStatus{Name: v.Name, Zone: v.Zone, Disk: v.ID}
+	m := MemberStatus{Name: v.Name, Zone: v.Zone, Disk: v.StoreID}
 	silent := now
-	if p != nil && p.disk == v.ID {
+	if p != nil && p.disk == v.StoreID {
 		m.Leaving, silent = p.leaving, now-p.seenAt
 		m.InTouch = p.up && silent <= TouchFor
-		m.lack(r, p.hasAt != never, p.hasAt, func(name string) Stamp { return p.has[name] })
+		m.lack(r, p.hasAt != never, p.hasAt, func(name string) BallotNumber { return p.has[name] })
 	}
 	if !m.InTouch {
 		m.SilentS = silent.Round(100 * time.Millisecond).Seconds()
@@ -111,7 +111,7 @@
 
 // lack says what a disk has not of what is known to be chosen, or of what others have that is newer, by what was said of
 // it at a time.
-func (m *MemberStatus) lack(r *Replica, said bool, at time.Duration, has func(name string) Stamp) {
+func (m *MemberStatus) lack(r *Replica, said bool, at time.Duration, has func(name string) BallotNumber) {
 	if !said {
 		return
 	}
--- a/internal/controlplane/consensus/touch.go
+++ b/internal/controlplane/consensus/touch.go
@@ -44,10 +44,10 @@
 			t.asked = t.asked[1:]
 		}
 		round := r.round
-		r.toAll(func() *rpc.Message { return &rpc.Message{Ping: true, Round: round} })
+		r.toAll(func() *rpc.Message { return &rpc.Message{Consensus: rpc.Consensus{Ping: true, QueryID: round}} })
 	}
 	for _, a := range t.asked {
-		if a.at > t.at && r.epoch.Most(func(v Voter) bool { return a.by[v.ID] || r.ghost(v) }) {
+		if a.at > t.at && r.epoch.HasMajority(func(v Voter) bool { return a.by[v.StoreID] || r.ghost(v) }) {
 			if r.now > t.at+TouchFor {
 				t.since = r.now
 			}
--- a/internal/controlplane/consensus/votes_test.go
+++ b/internal/controlplane/consensus/votes_test.go
@@ -20,7 +20,7 @@
 
 func voters(ids ...int) (all []Voter) {
 	for _, i := range ids {
-		all = append(all, Voter{Controller: controllerOf(i), ID: fmt.Sprint("d", i)})
+		all = append(all, Voter{Node: controllerOf(i), StoreID: fmt.Sprint("d", i)})
 	}
 	return sorted(all)
 }
@@ -52,11 +52,11 @@
 }
 
 func (x *trio) says(i int, m *rpc.Message) []Order {
-	if m.Era == 0 {
-		m.Era = x.era
+	if m.EpochNumber == 0 {
+		m.EpochNumber = x.era
 	}
-	if m.Disk == "" {
-		m.Disk = fmt.Sprint("d", i)
+	if m.StoreID == "" {
+		m.StoreID = fmt.Sprint("d", i)
 	}
 	return x.step(Heard{controllerOf(i).Name, m})
 }
@@ -67,7 +67,7 @@
 		if s, is := o.(Send); is && s.Message.Ping {
 			var i int
 			_, _ = fmt.Sscanf(s.To, "c%d", &i)
-			x.says(i, &rpc.Message{Pong: true, Round: s.Message.Round})
+			x.says(i, &rpc.Message{Consensus: rpc.Consensus{Pong: true, QueryID: s.Message.QueryID}})
 		}
 	}
 	if !x.r.InTouch(x.now) {
@@ -86,7 +86,7 @@
 }
 
 // asked gives an order, and tells the ballot that it begins.
-func (x *trio) asked(version uint64) Stamp {
+func (x *trio) asked(version uint64) BallotNumber {
 	x.step(Change{1, charter, Replace(version, 1, []byte("new"))})
 	return x.r.regs[charter].prop.Ballot
 }
@@ -95,18 +95,18 @@
 func TestVotesThatCount(t *testing.T) {
 	one1 := Epoch{Number: 2, Voters: voters(0, 1, 2)}
 	for what, c := range map[string]struct {
-		m    func(b Stamp) *rpc.Message
+		m    func(b BallotNumber) *rpc.Message
 		who  int
 		done bool
 	}{
-		"a vote":                       {func(b Stamp) *rpc.Message { return agreedTo(b) }, 1, true},
-		"of an older epoch":            {func(b Stamp) *rpc.Message { m := agreedTo(b); m.Era = 1; return m }, 1, false},
-		"of a newer epoch":             {func(b Stamp) *rpc.Message { m := agreedTo(b); m.Era = 3; return m }, 1, false},
-		"of a disk that does not vote": {func(b Stamp) *rpc.Message { return agreedTo(b) }, 3, false},
-		"of the disk it had before":    {func(b Stamp) *rpc.Message { m := agreedTo(b); m.Disk = "d1.old"; return m }, 1, false},
-		"for another ballot":           {func(b Stamp) *rpc.Message { b.Hi--; return agreedTo(b) }, 1, false},
-		"for another life's ballot":    {func(b Stamp) *rpc.Message { b.Lo++; return agreedTo(b) }, 1, false},
-		"a promise, again":             {func(b Stamp) *rpc.Message { return promiseOf(b) }, 1, false},
+		"a vote":                       {func(b BallotNumber) *rpc.Message { return agreedTo(b) }, 1, true},
+		"of an older epoch":            {func(b BallotNumber) *rpc.Message { m := agreedTo(b); m.EpochNumber = 1; return m }, 1, false},
+		"of a newer epoch":             {func(b BallotNumber) *rpc.Message { m := agreedTo(b); m.EpochNumber = 3; return m }, 1, false},
+		"of a disk that does not vote": {func(b BallotNumber) *rpc.Message { return agreedTo(b) }, 3, false},
+		"of the disk it had before":    {func(b BallotNumber) *rpc.Message { m := agreedTo(b); m.StoreID = "d1.old"; return m }, 1, false},
+		"for another ballot":           {func(b BallotNumber) *rpc.Message { b.Round--; return agreedTo(b) }, 1, false},
+		"for another life's ballot":    {func(b BallotNumber) *rpc.Message { b.Incarnation++; return agreedTo(b) }, 1, false},
+		"a promise, again":             {func(b BallotNumber) *rpc.Message { return promiseOf(b) }, 1, false},
 	} {
 		x := newTrio(t, one1, flaws{}, nil)
 		b := x.asked(5)
@@ -121,17 +121,17 @@
 	}
 }
 
-func agreedTo(b Stamp) *rpc.Message {
-	return &rpc.Message{Ballots: []rpc.Ballot{{Kind: rpc.Agreed, Name: charter, Number: b}}}
+func agreedTo(b BallotNumber) *rpc.Message {
+	return &rpc.Message{Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{{Kind: rpc.Accepted, Register: charter, Ballot: b}}}}
 }
 
-func promiseOf(b Stamp) *rpc.Message {
-	return &rpc.Message{Ballots: []rpc.Ballot{{Kind: rpc.Promise, Name: charter, Number: b}}}
+func promiseOf(b BallotNumber) *rpc.Message {
+	return &rpc.Message{Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{{Kind: rpc.Promise, Register: charter, Ballot: b}}}}
 }
 
 // While voters change, old and new ones are both needed; a learner is none.
 func TestVotesWhileVotersChange(t *testing.T) {
-	joint := Epoch{Number: 2, Old: voters(0, 1, 2), Voters: voters(0, 1, 3)}
+	joint := Epoch{Number: 2, OldVoters: voters(0, 1, 2), Voters: voters(0, 1, 3)}
 	for what, c := range map[string]struct {
 		promise, agree []int
 		done           bool
@@ -175,27 +175,27 @@
 // A promise lasts over a restart: an older ballot's value is not taken after it.
 func TestPromisesLastOverARestart(t *testing.T) {
 	e := Epoch{Number: 1, Voters: voters(0, 1, 2)}
-	play := func(forgets bool) rpc.Kind {
+	play := func(forgets bool) rpc.PaxosKind {
 		x := newTrio(t, e, flaws{}, nil)
-		low, high := Stamp{Hi: 1<<eraShift | 1, Lo: 1}, Stamp{Hi: 1<<eraShift | 2, Lo: 2}
-		x.says(2, &rpc.Message{Ballots: []rpc.Ballot{{Kind: rpc.Ask, Name: charter, Number: high}}})
+		low, high := BallotNumber{Round: 1<<eraShift | 1, Incarnation: 1}, BallotNumber{Round: 1<<eraShift | 2, Incarnation: 2}
+		x.says(2, &rpc.Message{Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{{Kind: rpc.Prepare, Register: charter, Ballot: high}}}})
 		disk := map[string]paxos.Acceptor[Register]{}
 		if !forgets {
 			disk = x.kept()
 		}
 		x = newTrio(t, e, flaws{}, disk)
-		v := Register{Name: charter, Stamp: Stamp{Hi: 5, Lo: 1}}
-		for _, o := range x.says(1, &rpc.Message{Ballots: []rpc.Ballot{{Kind: rpc.Offer, Name: charter, Number: low, Value: &v}}}) {
-			if s, is := o.(Send); is && len(s.Message.Ballots) > 0 {
-				return s.Message.Ballots[0].Kind
+		v := Register{Name: charter, Version: Version{Number: 5, ID: 1}}
+		for _, o := range x.says(1, &rpc.Message{Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{{Kind: rpc.Accept, Register: charter, Ballot: low, Value: &v}}}}) {
+			if s, is := o.(Send); is && len(s.Message.Paxos) > 0 {
+				return s.Message.Paxos[0].Kind
 			}
 		}
 		return 0
 	}
-	if got := play(false); got != rpc.Higher {
+	if got := play(false); got != rpc.Preempted {
 		t.Errorf("an older ballot is answered with %d", got)
 	}
-	if got := play(true); got != rpc.Agreed {
+	if got := play(true); got != rpc.Accepted {
 		t.Errorf("a flaw that is planted here is not seen: %d", got)
 	}
 }
@@ -203,10 +203,10 @@
 // What was half done in an older epoch does not win over what was chosen in a newer one, whose voters never met it.
 func TestBallotsOfNewerEpochsAreAbove(t *testing.T) {
 	play := func(f flaws) Register {
-		old := paxos.Acceptor[Register]{Promised: Stamp{Hi: 7, Lo: 1}, Accepted: Stamp{Hi: 7, Lo: 1}, Value: Register{Name: charter, Stamp: Stamp{Hi: 9, Lo: 1}, Value: []byte("half done")}}
+		old := paxos.Acceptor[Register]{Promised: BallotNumber{Round: 7, Incarnation: 1}, Accepted: BallotNumber{Round: 7, Incarnation: 1}, Value: Register{Name: charter, Version: Version{Number: 9, ID: 1}, Value: []byte("half done")}}
 		if !f.flat {
-			old.Promised.Hi |= 1 << eraShift
-			old.Accepted.Hi |= 1 << eraShift
+			old.Promised.Round |= 1 << eraShift
+			old.Accepted.Round |= 1 << eraShift
 		}
 		// c0 and c2 hold nothing and choose version 5 in epoch 3.
 		x := newTrio(t, Epoch{Number: 3, Voters: voters(0, 1, 2)}, f, nil)
@@ -218,34 +218,34 @@
 		// c1 is back with what an older epoch began, and c0 reads from both.
 		x.step(Change{2, charter, func(holds Register, _ Age) (Register, Fate) { return holds, Taken }})
 		b = x.r.regs[charter].prop.Ballot
-		x.says(1, &rpc.Message{Ballots: []rpc.Ballot{{Kind: rpc.Promise, Name: charter, Number: b, Accepted: old.Accepted, Value: &old.Value}}})
+		x.says(1, &rpc.Message{Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{{Kind: rpc.Promise, Register: charter, Ballot: b, AcceptedBallot: old.Accepted, Value: &old.Value}}}})
 		return *x.r.regs[charter].prop.Value
 	}
-	if v := play(flaws{}); v.Stamp.Hi != 5 {
+	if v := play(flaws{}); v.Version.Number != 5 {
 		t.Errorf("%q wins", v.Value)
 	}
-	if v := play(flaws{flat: true}); v.Stamp.Hi == 5 {
+	if v := play(flaws{flat: true}); v.Version.Number == 5 {
 		t.Error("a flaw that is planted here is not seen")
 	}
 }
 
 // A learner is not wished for as a voter before it has all, on its disk, as it said in this epoch.
 func TestLearnersAreWholeBeforeTheyVote(t *testing.T) {
-	e := Epoch{Number: 2, Voters: voters(0, 1, 2), Founded: 5} // there is room for it
-	has := paxos.Acceptor[Register]{Promised: Stamp{Hi: 5}, Accepted: Stamp{Hi: 5}, Value: Register{Name: charter, Stamp: Stamp{Hi: 5, Lo: 1}}}
+	e := Epoch{Number: 2, Voters: voters(0, 1, 2), FoundingSize: 5} // there is room for it
+	has := paxos.Acceptor[Register]{Promised: BallotNumber{Round: 5}, Accepted: BallotNumber{Round: 5}, Value: Register{Name: charter, Version: Version{Number: 5, ID: 1}}}
 	for what, c := range map[string]struct {
 		m      *rpc.Message
 		wished bool
 	}{
-		"it has all":          {&rpc.Message{Has: map[string]Stamp{charter: has.Accepted}, All: true}, true},
-		"it has less":         {&rpc.Message{Has: map[string]Stamp{charter: {Hi: 4}}, All: true}, false},
-		"it has nothing":      {&rpc.Message{All: true}, false},
-		"said in epoch 1":     {&rpc.Message{Has: map[string]Stamp{charter: has.Accepted}, All: true, Era: 1}, false},
-		"of the disk before":  {&rpc.Message{Has: map[string]Stamp{charter: has.Accepted}, All: true, Disk: "d3.old"}, false},
+		"it has all":          {&rpc.Message{Consensus: rpc.Consensus{AcceptedBallots: map[string]BallotNumber{charter: has.Accepted}, Complete: true}}, true},
+		"it has less":         {&rpc.Message{Consensus: rpc.Consensus{AcceptedBallots: map[string]BallotNumber{charter: {Round: 4}}, Complete: true}}, false},
+		"it has nothing":      {&rpc.Message{Consensus: rpc.Consensus{Complete: true}}, false},
+		"said in epoch 1":     {&rpc.Message{Consensus: rpc.Consensus{AcceptedBallots: map[string]BallotNumber{charter: has.Accepted}, Complete: true, EpochNumber: 1}}, false},
+		"of the disk before":  {&rpc.Message{Consensus: rpc.Consensus{AcceptedBallots: map[string]BallotNumber{charter: has.Accepted}, Complete: true, StoreID: "d3.old"}}, false},
 		"it has said nothing": {&rpc.Message{}, false},
 	} {
 		x := newTrio(t, e, flaws{}, map[string]paxos.Acceptor[Register]{charter: has})
-		x.says(1, &rpc.Message{Has: map[string]Stamp{charter: has.Accepted}, All: true})
+		x.says(1, &rpc.Message{Consensus: rpc.Consensus{AcceptedBallots: map[string]BallotNumber{charter: has.Accepted}, Complete: true}})
 		if _, known := x.r.InForce(charter); !known {
 			t.Fatal("it is not known what is chosen")
 		}
@@ -254,7 +254,7 @@
 		x.says(3, c.m)
 		wished := false
 		for _, v := range x.r.wish() {
-			wished = wished || v.ID == "d3"
+			wished = wished || v.StoreID == "d3"
 		}
 		if wished != c.wished {
 			t.Errorf("%s: wished for: %v", what, wished)
--- a/internal/controlplane/consensus/wish.go
+++ b/internal/controlplane/consensus/wish.go
@@ -27,24 +27,24 @@
 	var voters, others []seat
 	for _, v := range r.epoch.Voters {
 		s := seat{Voter: v, leaving: r.leaving, seen: r.now}
-		if v.ID != r.disk {
+		if v.StoreID != r.disk {
 			s.away, s.leaving, s.seen = r.now, false, never // it was not seen in this life
 			if p := r.peers[v.Name]; p != nil {
 				// Silence counts from when this controller itself was in touch again; and a machine that was back with
 				// another disk, and is silent again, is gone like any other.
 				s.away, s.leaving, s.seen = r.now-max(p.seenAt, r.touch.since), p.leaving, p.seenAt
-				s.wiped = p.disk != v.ID && (p.up || s.away <= awayFor)
+				s.wiped = p.disk != v.StoreID && (p.up || s.away <= awayFor)
 			}
 		}
 		voters = append(voters, s)
 	}
 	for _, name := range r.lines() {
 		p := r.peers[name]
-		if !r.epoch.Voter(p.disk) && p.disk != "" && !p.leaving {
-			others = append(others, seat{Voter: Voter{Controller: p.Controller, ID: p.disk}, whole: r.whole(p) && p.hasAt != never, came: p.upAt})
+		if !r.epoch.IsVoter(p.disk) && p.disk != "" && !p.leaving {
+			others = append(others, seat{Voter: Voter{Node: p.Node, StoreID: p.disk}, whole: r.whole(p) && p.hasAt != never, came: p.upAt})
 		}
 	}
-	return wish(voters, others, r.o.Faults, r.epoch.Size())
+	return wish(voters, others, r.o.Faults, r.epoch.TargetSize())
 }
 
 // wish decides on the next change of voters.
@@ -72,7 +72,7 @@
 	}
 	slices.SortStableFunc(gone, func(a, b seat) int { return cmp.Compare(b.away, a.away) })
 	drop := func(out Voter) {
-		next = slices.DeleteFunc(next, func(v Voter) bool { return v.ID == out.ID })
+		next = slices.DeleteFunc(next, func(v Voter) bool { return v.StoreID == out.StoreID })
 	}
 	for _, c := range others {
 		if !c.whole {
--- a/internal/controlplane/consensus/wish_test.go
+++ b/internal/controlplane/consensus/wish_test.go
@@ -21,7 +21,7 @@
 			s := seat{whole: waits && w[0] != '[', seen: now - 100*ms, came: now - 20*time.Second}
 			w = strings.Trim(w, "[]")
 			id := strings.TrimRight(w, "~.!*'")
-			s.Voter = Voter{Controller: controllerOf(0), ID: id}
+			s.Voter = Voter{Node: controllerOf(0), StoreID: id}
 			s.Name = id[:1]
 			for _, mark := range w[len(id):] {
 				switch mark {
@@ -44,12 +44,12 @@
 	say := func(faults, most int, voters, others string) {
 		var next []string
 		for _, v := range wish(seats(voters, false), seats(others, true), faults, most) {
-			next = append(next, v.ID)
+			next = append(next, v.StoreID)
 		}
 		was := strings.Join(next, " ")
 		plain := strings.Join(func() (ids []string) {
 			for _, s := range seats(voters, false) {
-				ids = append(ids, s.ID)
+				ids = append(ids, s.StoreID)
 			}
 			return ids
 		}(), " ")
--- a/internal/controlplane/consensus/world_test.go
+++ b/internal/controlplane/consensus/world_test.go
@@ -60,7 +60,7 @@
 
 // machine has a disk, and a controller now and then.
 type machine struct {
-	who       rpc.Controller
+	who       rpc.Node
 	r         *Replica // nil: down
 	first     bool     // its next start is the system's first
 	came      bool     // it is there, or was
@@ -82,7 +82,7 @@
 	frozen    bool
 	backlog   []func()
 	troubled  time.Duration // it counts as lost until then; endless: for now
-	inForce   map[string]Stamp
+	inForce   map[string]Version
 	entered   uint64
 	dueAt     time.Duration
 	skew      time.Duration // of its clock
@@ -111,7 +111,7 @@
 
 func (o *operation) String() string {
 	return fmt.Sprintf("#%d %c %s %d/%d %v %x at %s [%v %v] fate %d: %v", o.token, o.kind, o.name, o.version, o.digest, o.begins, o.ident,
-		o.at, o.call, o.ret, o.fate, o.got.Stamp)
+		o.at, o.call, o.ret, o.fate, o.got.Version)
 }
 
 type happening struct {
@@ -157,8 +157,8 @@
 	asked    map[uint64]*operation
 	history  []*operation
 	epochs   map[uint64]Epoch
-	facts    map[string]map[Stamp]*fact // by register
-	epochOn  map[string]uint64          // by disk: the number of the epoch that it has
+	facts    map[string]map[BallotNumber]*fact // by register
+	epochOn  map[string]uint64                 // by disk: the number of the epoch that it has
 	told     map[string]map[string]time.Duration
 	skewed   bool
 	version  uint64
@@ -174,7 +174,7 @@
 
 func newWorld(seed uint64, n, faults int, f driverFlaws, log func(string, ...any)) *world {
 	w := &world{rand: rand.New(rand.NewPCG(seed, 1)), flaws: f, log: log, faults: faults, blocked: map[[2]int]bool{},
-		asked: map[uint64]*operation{}, epochs: map[uint64]Epoch{}, facts: map[string]map[Stamp]*fact{},
+		asked: map[uint64]*operation{}, epochs: map[uint64]Epoch{}, facts: map[string]map[BallotNumber]*fact{},
 		epochOn: map[string]uint64{}, told: map[string]map[string]time.Duration{}}
 	for range n {
 		w.add(true)
@@ -190,7 +190,7 @@
 
 func (w *world) add(first bool) int {
 	i := len(w.machines)
-	m := &machine{who: rpc.Controller{Name: fmt.Sprint("c", i), Zone: string(rune('a' + i%3)), Address: fmt.Sprintf("10.0.0.%d:7000", i)},
+	m := &machine{who: rpc.Node{Name: fmt.Sprint("c", i), Zone: string(rune('a' + i%3)), Address: fmt.Sprintf("10.0.0.%d:7000", i)},
 		first: first, records: map[string][]byte{}, lines: map[int]*line{}}
 	w.machines = append(w.machines, m)
 	return i
@@ -248,7 +248,7 @@
 	}
 	m.life++
 	m.came = true
-	m.lines, m.inForce, m.writes, m.held = map[int]*line{}, map[string]Stamp{}, nil, nil
+	m.lines, m.inForce, m.writes, m.held = map[int]*line{}, map[string]Version{}, nil, nil
 	m.diskAt, m.startAt, m.backAt, m.entered, m.dueAt = w.now, w.now, w.now, memory.Epoch.Number, endless
 	m.frozen, m.backlog, m.leaving = false, nil, false
 	m.id = memory.Disk
@@ -279,7 +279,7 @@
 	for name, value := range m.records {
 		if reg, is := strings.CutPrefix(name, recordReg); is && reg != epochName {
 			var a regRecord
-			if cbor.Unmarshal(value, &a) == nil && a.Accepted != (Stamp{}) {
+			if cbor.Unmarshal(value, &a) == nil && a.Accepted != (BallotNumber{}) {
 				w.had(reg, m.id, epoch, a)
 			}
 		}
@@ -287,15 +287,15 @@
 }
 
 // fact is of one ballot and its value.
-func (w *world) fact(name string, b Stamp, v Register) *fact {
+func (w *world) fact(name string, b BallotNumber, v Register) *fact {
 	if w.facts[name] == nil {
-		w.facts[name] = map[Stamp]*fact{}
+		w.facts[name] = map[BallotNumber]*fact{}
 	}
 	f := w.facts[name][b]
 	if f == nil {
 		f = &fact{v, map[uint64]map[string]bool{}}
 		w.facts[name][b] = f
-	} else if f.value.Stamp != v.Stamp || !bytes.Equal(f.value.Value, v.Value) {
+	} else if f.value.Version != v.Version || !bytes.Equal(f.value.Value, v.Value) {
 		w.failf("ballot %x of %s has two values: %q, %q", b, name, f.value.Value, v.Value)
 	}
 	return f
@@ -315,11 +315,11 @@
 // chosen says whether a value was on enough disks at once under one ballot: in the ballot's epoch or in one after.
 func (w *world) chosen(v Register) bool {
 	for _, f := range w.facts[v.Name] {
-		if f.value.Stamp != v.Stamp || !bytes.Equal(f.value.Value, v.Value) {
+		if f.value.Version != v.Version || !bytes.Equal(f.value.Value, v.Value) {
 			continue
 		}
 		for n, ids := range f.had {
-			if e, is := w.epochs[n]; is && e.Safe(w.faults, func(v Voter) bool { return ids[v.ID] }) {
+			if e, is := w.epochs[n]; is && e.IsDurable(w.faults, func(v Voter) bool { return ids[v.StoreID] }) {
 				return true
 			}
 		}
@@ -329,7 +329,7 @@
 
 func (w *world) showFacts(v Register) {
 	for b, f := range w.facts[v.Name] {
-		if f.value.Stamp == v.Stamp {
+		if f.value.Version == v.Version {
 			w.log("ballot %x of it: by epoch %v", b, f.had)
 		}
 	}
@@ -441,7 +441,7 @@
 	mine := w.machines[i].id
 	newest := uint64(0)
 	for n, e := range w.epochs {
-		if n > newest && e.Most(func(v Voter) bool { return w.epochOn[v.ID] >= n && w.disk(v.ID) }) {
+		if n > newest && e.HasMajority(func(v Voter) bool { return w.epochOn[v.StoreID] >= n && w.disk(v.StoreID) }) {
 			newest = n
 		}
 	}
@@ -468,10 +468,10 @@
 		if len(e.Voters) < 2*w.faults+1 {
 			return false // fewer than what the faults to be borne ask for
 		}
-		for _, set := range [][]Voter{e.Voters, e.Old} {
+		for _, set := range [][]Voter{e.Voters, e.OldVoters} {
 			lost := 0
 			for _, v := range set {
-				if v.ID == mine || !w.disk(v.ID) {
+				if v.StoreID == mine || !w.disk(v.StoreID) {
 					lost++
 				}
 			}
@@ -479,8 +479,8 @@
 				return false
 			}
 		}
-		left := func(v Voter) bool { return v.ID != mine && w.disk(v.ID) }
-		if !e.Most(left) || !e.Safe(w.faults, left) {
+		left := func(v Voter) bool { return v.StoreID != mine && w.disk(v.StoreID) }
+		if !e.HasMajority(left) || !e.IsDurable(w.faults, left) {
 			return false
 		}
 	}
@@ -525,10 +525,10 @@
 		return
 	}
 	m := o.Message
-	if w.flaws.hasAll && m.All {
+	if w.flaws.hasAll && m.Complete {
 		r := w.machines[i].r
-		if !r.Votes() || len(r.epoch.Old) > 0 && !slices.ContainsFunc(r.epoch.Old, func(v Voter) bool { return v.ID == r.disk }) {
-			all := maps.Clone(m.Has)
+		if !r.Votes() || len(r.epoch.OldVoters) > 0 && !slices.ContainsFunc(r.epoch.OldVoters, func(v Voter) bool { return v.StoreID == r.disk }) {
+			all := maps.Clone(m.AcceptedBallots)
 			for _, other := range w.machines {
 				if other.r != nil && other.r.Votes() {
 					for name, g := range other.r.regs {
@@ -538,23 +538,23 @@
 					}
 				}
 			}
-			m.Has = all
+			m.AcceptedBallots = all
 		}
 	}
-	for _, b := range m.Ballots {
-		if b.Kind == rpc.Offer && b.Name != epochName {
-			w.fact(b.Name, b.Number, *b.Value)
+	for _, b := range m.Paxos {
+		if b.Kind == rpc.Accept && b.Register != epochName {
+			w.fact(b.Register, b.Ballot, *b.Value)
 		}
-		if b.Kind == rpc.Offer && b.Name == epochName {
-			if e, err := decodeEpoch(b.Value.Value); err != nil || e.Number <= b.Number.Hi>>eraShift {
-				w.failf("%s offers epoch %d to follow epoch %d", w.machines[i].who.Name, e.Number, b.Number.Hi>>eraShift)
+		if b.Kind == rpc.Accept && b.Register == epochName {
+			if e, err := decodeEpoch(b.Value.Value); err != nil || e.Number <= b.Ballot.Round>>eraShift {
+				w.failf("%s offers epoch %d to follow epoch %d", w.machines[i].who.Name, e.Number, b.Ballot.Round>>eraShift)
 			}
 		}
 	}
-	if w.flaws.tellsHalfDone && m.Has != nil {
-		m.Chosen = m.Has
+	if w.flaws.tellsHalfDone && m.AcceptedBallots != nil {
+		m.ChosenBallots = m.AcceptedBallots
 	}
-	l.queue = append(l.queue, rpc.Pack(m))
+	l.queue = append(l.queue, rpc.Encode(m))
 	l.last = max(l.last, w.now+w.latency(i, j))
 	life := w.machines[j].life
 	w.after(l.last-w.now, func() { w.arrive(i, j, life, l) })
@@ -571,8 +571,8 @@
 			w.failf("%v", err)
 		}
 		l.queue = l.queue[1:]
-		if r := w.machines[j].r; w.flaws.oldEras && r != nil && m.Era > 0 && r.epoch.Voter(m.Disk) {
-			m.Era = r.epoch.Number
+		if r := w.machines[j].r; w.flaws.oldEras && r != nil && m.EpochNumber > 0 && r.epoch.IsVoter(m.StoreID) {
+			m.EpochNumber = r.epoch.Number
 		}
 		w.step(j, Heard{w.machines[i].who.Name, m})
 	}
@@ -739,7 +739,7 @@
 		}
 		for _, token := range slices.Sorted(maps.Keys(w.asked)) {
 			q := w.asked[token]
-			if r, _ := m.r.Newest(q.name); q.kind == 'c' && q.at == m.who.Name && r.Stamp == (Stamp{Hi: q.version, Lo: q.digest}) {
+			if r, _ := m.r.Newest(q.name); q.kind == 'c' && q.at == m.who.Name && r.Version == (Version{Number: q.version, ID: q.digest}) {
 				orders = append(orders, Done{Token: token, Fate: Taken, Register: r})
 			}
 		}
@@ -767,9 +767,9 @@
 	}
 	id, life := m.id, m.life
 	// A ballot may be accepted and outbid before it is put: what is put then stands behind its vote too.
-	var votes []rpc.Ballot
+	var votes []rpc.PaxosMessage
 	for _, v := range m.r.puts[p.Seq].waits {
-		if v.answer.Kind == rpc.Agreed && v.answer.Name != epochName {
+		if v.answer.Kind == rpc.Accepted && v.answer.Register != epochName {
 			votes = append(votes, v.answer)
 		}
 	}
@@ -784,8 +784,8 @@
 		m.records[p.Record] = p.Value
 		w.recorded(i, id, p)
 		for _, v := range votes {
-			if f := w.facts[v.Name][v.Number]; f != nil {
-				f.on(id, v.Number.Hi>>eraShift)
+			if f := w.facts[v.Register][v.Ballot]; f != nil {
+				f.on(id, v.Ballot.Round>>eraShift)
 			}
 		}
 	}}
@@ -845,7 +845,7 @@
 		if err := cbor.Unmarshal(p.Value, &a); err != nil {
 			w.failf("%v", err)
 		}
-		if a.Accepted != (Stamp{}) {
+		if a.Accepted != (BallotNumber{}) {
 			w.had(reg, id, a.Era, a)
 			w.had(reg, id, w.machines[i].entered, a)
 		}
@@ -854,12 +854,12 @@
 
 func (w *world) checkEntered(i int, e Epoch) {
 	m := w.machines[i]
-	w.log("%v %s enters epoch %d: old %v, voters %v", w.now, m.who.Name, e.Number, ids(e.Old), ids(e.Voters))
+	w.log("%v %s enters epoch %d: old %v, voters %v", w.now, m.who.Name, e.Number, ids(e.OldVoters), ids(e.Voters))
 	if e.Number <= m.entered {
 		w.failf("%s enters epoch %d after %d", m.who.Name, e.Number, m.entered)
 	}
 	if was, there := w.epochs[e.Number]; there && !bytes.Equal(encodeEpoch(was), encodeEpoch(e)) {
-		w.failf("two epochs are number %d: %v %v and %v %v", e.Number, ids(was.Old), ids(was.Voters), ids(e.Old), ids(e.Voters))
+		w.failf("two epochs are number %d: %v %v and %v %v", e.Number, ids(was.OldVoters), ids(was.Voters), ids(e.OldVoters), ids(e.Voters))
 	}
 	w.epochs[e.Number] = e
 	m.entered = e.Number
@@ -868,20 +868,20 @@
 
 func ids(voters []Voter) (all []string) {
 	for _, v := range voters {
-		all = append(all, v.Name+":"+v.ID)
+		all = append(all, v.Name+":"+v.StoreID)
 	}
 	return all
 }
 
 func (w *world) checkInForce(m *machine, r Register) {
-	w.log("%v %s in force %s %v", w.now, m.who.Name, r.Name, r.Stamp)
-	if !m.inForce[r.Name].Less(r.Stamp) {
-		w.failf("%s tells %s %v to be in force after %v", m.who.Name, r.Name, r.Stamp, m.inForce[r.Name])
+	w.log("%v %s in force %s %v", w.now, m.who.Name, r.Name, r.Version)
+	if !m.inForce[r.Name].Less(r.Version) {
+		w.failf("%s tells %s %v to be in force after %v", m.who.Name, r.Name, r.Version, m.inForce[r.Name])
 	}
-	m.inForce[r.Name] = r.Stamp
+	m.inForce[r.Name] = r.Version
 	if !w.chosen(r) {
 		w.showFacts(r)
-		w.failf("%s tells %s %v to be in force: it was not chosen", m.who.Name, r.Name, r.Stamp)
+		w.failf("%s tells %s %v to be in force: it was not chosen", m.who.Name, r.Name, r.Version)
 	}
 	key := stateKey(r)
 	if w.told[r.Name] == nil {
@@ -893,10 +893,10 @@
 }
 
 func stateKey(r Register) string {
-	if r.Stamp == (Stamp{}) {
+	if r.Version == (Version{}) {
 		return ""
 	}
-	return fmt.Sprintf("%020d/%020d/%s", r.Stamp.Hi, r.Stamp.Lo, r.Value)
+	return fmt.Sprintf("%020d/%020d/%s", r.Version.Number, r.Version.ID, r.Value)
 }
 
 func (w *world) checkDone(i int, d Done) {
@@ -925,7 +925,7 @@
 		return
 	}
 	w.done++
-	if d.Stamp != (Stamp{}) && !w.chosen(d.Register) {
+	if d.Version != (Version{}) && !w.chosen(d.Register) {
 		w.failf("%s answers %v: its value was not chosen", m.who.Name, q)
 	}
 	w.checkAnswer(q)
@@ -935,11 +935,11 @@
 func (w *world) checkAnswer(q *operation) {
 	switch q.kind {
 	case 'c':
-		same := q.got.Stamp.Hi == q.version && string(q.got.Value) == q.value
+		same := q.got.Version.Number == q.version && string(q.got.Value) == q.value
 		switch {
-		case q.fate == Taken && (q.got.Stamp.Hi < q.version || q.got.Stamp.Hi == q.version && !same):
+		case q.fate == Taken && (q.got.Version.Number < q.version || q.got.Version.Number == q.version && !same):
 			w.failf("a number is confirmed with other bytes: %v", q)
-		case q.fate == Refused && (q.got.Stamp.Hi < q.version || same):
+		case q.fate == Refused && (q.got.Version.Number < q.version || same):
 			w.failf("refused though nothing else has its number: %v", q)
 		}
 	case 'e':
@@ -962,38 +962,38 @@
 	for name := range w.facts {
 		var top Register
 		for _, f := range w.facts[name] {
-			if top.Stamp.Less(f.value.Stamp) && w.chosen(f.value) {
+			if top.Version.Less(f.value.Version) && w.chosen(f.value) {
 				top = f.value
 			}
 		}
-		if top.Stamp == (Stamp{}) {
+		if top.Version == (Version{}) {
 			continue
 		}
 		var mine regRecord
-		if text := m.records[recordOf(name)]; text == nil || cbor.Unmarshal(text, &mine) != nil || mine.Value.Stamp.Less(top.Stamp) {
+		if text := m.records[recordOf(name)]; text == nil || cbor.Unmarshal(text, &mine) != nil || mine.Value.Version.Less(top.Version) {
 			continue // it has no copy
 		}
 		on, others := 0, 0
 		for _, v := range newest.Voters {
-			if v.ID == m.id {
+			if v.StoreID == m.id {
 				continue
 			}
 			others++
 			for _, o := range w.machines {
 				var a regRecord
 				records := o.records
-				if o.lostID == v.ID && w.now < o.lostAt+handAgain { // one that leaves can't know yet
+				if o.lostID == v.StoreID && w.now < o.lostAt+handAgain { // one that leaves can't know yet
 					records = o.lost
-				} else if o.id != v.ID {
+				} else if o.id != v.StoreID {
 					continue
 				}
-				if records[recordOf(name)] != nil && cbor.Unmarshal(records[recordOf(name)], &a) == nil && !a.Value.Stamp.Less(top.Stamp) {
+				if records[recordOf(name)] != nil && cbor.Unmarshal(records[recordOf(name)], &a) == nil && !a.Value.Version.Less(top.Version) {
 					on++
 				}
 			}
 		}
 		if on < min(w.faults+1, others) {
-			w.failf("%s leaves, and %s %v is on %d other disks", m.who.Name, name, top.Stamp, on)
+			w.failf("%s leaves, and %s %v is on %d other disks", m.who.Name, name, top.Version, on)
 		}
 	}
 	if m.leftToEnd != nil {
@@ -1067,7 +1067,7 @@
 		}
 		other := false
 		for _, o := range w.history {
-			same := o.name == name && o.ret != endless && (o.fate == Taken || o.fate == Refused) && o.got.Stamp.Hi == q.version
+			same := o.name == name && o.ret != endless && (o.fate == Taken || o.fate == Refused) && o.got.Version.Number == q.version
 			if same && string(o.got.Value) == q.value {
 				w.failf("%v was refused, and %v", q, o)
 			}
@@ -1165,7 +1165,7 @@
 		var value string
 		_, _ = fmt.Sscanf(key[:41], "%020d/%020d", &hi, &lo)
 		value = key[42:]
-		states[key] = &state{value: Register{Name: name, Stamp: Stamp{Hi: hi, Lo: lo}, Value: []byte(value)}, seenBy: at}
+		states[key] = &state{value: Register{Name: name, Version: Version{Number: hi, ID: lo}, Value: []byte(value)}, seenBy: at}
 	}
 	keys := slices.Sorted(maps.Keys(states))
 	var at time.Duration
@@ -1176,11 +1176,11 @@
 			before = s
 			continue
 		}
-		if before.value.Stamp == s.value.Stamp {
-			w.failf("%s has two values under %v: %q, %q", name, s.value.Stamp, before.value.Value, s.value.Value)
+		if before.value.Version == s.value.Version {
+			w.failf("%s has two values under %v: %q, %q", name, s.value.Version, before.value.Value, s.value.Value)
 			return
 		}
-		if name == charter && before.value.Stamp.Hi == s.value.Stamp.Hi {
+		if name == charter && before.value.Version.Number == s.value.Version.Number {
 			w.failf("two configurations held under one number: %q, %q", before.value.Value, s.value.Value)
 			return
 		}
@@ -1226,7 +1226,7 @@
 func (o *operation) makes(v Register) bool {
 	switch o.kind {
 	case 'c':
-		return v.Stamp.Hi == o.version && string(v.Value) == o.value
+		return v.Version.Number == o.version && string(v.Value) == o.value
 	case 'e':
 		_, last, ids := open(v.Value)
 		return len(ids) > 0 && ids[len(ids)-1] == o.ident && (last == begun) == o.begins
--- a/internal/controlplane/consensus/zones.go
+++ b/internal/controlplane/consensus/zones.go
@@ -48,13 +48,13 @@
 	return func(holds Register, age Age) (Register, Fate) {
 		n, last, ids := open(holds.Value)
 		if !age.Known {
-			age.Span = max(age.Span, time.Duration(int64(at)-int64(holds.Stamp.Hi))*time.Millisecond)
+			age.Span = max(age.Span, time.Duration(int64(at)-int64(holds.Version.Number))*time.Millisecond)
 		}
 		kind := byte(finished)
 		if begins {
 			kind = begun
 		}
-		again := holds.Stamp != (Stamp{}) && last == kind && age.Span < within
+		again := holds.Version != (Version{}) && last == kind && age.Span < within
 		if again || slices.Contains(ids, id) {
 			return holds, Taken
 		}
@@ -67,7 +67,7 @@
 		for _, i := range ids[max(len(ids)-idsKept, 0):] {
 			value = binary.BigEndian.AppendUint64(value, i)
 		}
-		return Register{Name: holds.Name, Stamp: Stamp{Hi: max(holds.Stamp.Hi+1, at), Lo: id}, Value: value}, Taken
+		return Register{Name: holds.Name, Version: Version{Number: max(holds.Version.Number+1, at), ID: id}, Value: value}, Taken
 	}
 }
 
@@ -76,9 +76,9 @@
 func Replace(version, digest uint64, value []byte) Apply {
 	return func(holds Register, _ Age) (Register, Fate) {
 		switch {
-		case holds.Stamp.Hi < version || holds.Stamp == (Stamp{}):
-			return Register{Name: holds.Name, Stamp: Stamp{Hi: version, Lo: digest}, Value: value}, Taken
-		case holds.Stamp.Hi == version && !bytes.Equal(holds.Value, value):
+		case holds.Version.Number < version || holds.Version == (Version{}):
+			return Register{Name: holds.Name, Version: Version{Number: version, ID: digest}, Value: value}, Taken
+		case holds.Version.Number == version && !bytes.Equal(holds.Value, value):
 			return holds, Refused
 		}
 		return holds, Taken
--- a/internal/controlplane/consensus/zones_test.go
+++ b/internal/controlplane/consensus/zones_test.go
@@ -28,7 +28,7 @@
 func (z *zone) give(now uint64, skew int64, begins bool, id uint64) {
 	age := Age{time.Duration(now-z.since) * ms, z.known}
 	next, _ := Evacuate(begins, id, 5*time.Second, uint64(int64(now)+skew))(z.Register, age)
-	if next.Stamp != z.Stamp {
+	if next.Version != z.Version {
 		z.Register, z.since, z.known = next, now, true
 	}
 }
@@ -40,10 +40,10 @@
 	z := &zone{Register: Register{Name: "zone/a"}, known: true}
 	const day = 1_700_000_000_000
 	say := func(at uint64, what string, do func()) {
-		before := z.Stamp
+		before := z.Version
 		do()
 		state, _, _ := strings.Cut(string(z.Value), ":")
-		fmt.Fprintf(&b, "%8d %-44s %-3s counts %-5v evacuated %v\n", at, what, state, z.Stamp != before, Evacuated(z.Value))
+		fmt.Fprintf(&b, "%8d %-44s %-3s counts %-5v evacuated %v\n", at, what, state, z.Version != before, Evacuated(z.Value))
 	}
 	order := func(at uint64, begins bool, what string) { say(at, what, func() { z.order(day+at, 0, begins) }) }
 	order(1_000, false, "nothing to take back")
@@ -145,7 +145,7 @@
 
 // What an order to replace the configuration means.
 func TestReplace(t *testing.T) {
-	holds := Register{Name: charter, Stamp: Stamp{Hi: 5, Lo: 50}, Value: []byte("five")}
+	holds := Register{Name: charter, Version: Version{Number: 5, ID: 50}, Value: []byte("five")}
 	for _, c := range []struct {
 		what    string
 		holds   Register
--- a/internal/controlplane/counsel.go
+++ b/internal/controlplane/counsel.go
@@ -61,13 +61,13 @@
 
 type peer struct {
 	told bool // its first words on the line that stands have come
-	who  rpc.Controller
-	out  *rpc.Line // nil: down
+	who  rpc.Node
+	out  *rpc.Conn // nil: down
 }
 
 type carrier struct {
-	who     rpc.Controller
-	line    *rpc.Line
+	who     rpc.Node
+	line    *rpc.Conn
 	renewed uint64 // the newest renewal that was heard
 }
 
@@ -81,7 +81,7 @@
 type Server struct {
 	o     Options
 	log   hclog.Logger
-	me    rpc.Controller
+	me    rpc.Node
 	life  uint64
 	disk  string // the id of its disk
 	blank bool   // ... which may have forgotten that there is an epoch
@@ -95,7 +95,7 @@
 	peers        map[string]*peer // by name
 	callers      session.Lines    // lines that other controllers dialled
 	carrierLines session.Lines    // that carriers did
-	carriers     map[*rpc.Line]*carrier
+	carriers     map[*rpc.Conn]*carrier
 	waiting      map[uint64]chan<- consensus.Done
 	token        uint64
 	words        map[uint64]*word
@@ -109,8 +109,8 @@
 	doubtTill    time.Duration
 	steer        *steerer
 	diskFails    int
-	pending      []rpc.Backend // words for carriers that may wait for the tick
-	list         []byte        // All, packed
+	pending      []rpc.Endpoint // words for carriers that may wait for the tick
+	list         []byte         // All, packed
 	listAt       time.Duration
 	dueAt        time.Duration // of the timer that calls step; 0: none runs
 	leaving      bool
@@ -121,10 +121,10 @@
 func New(o Options) *Server {
 	s := &Server{o: o, log: o.Log, life: rand.Uint64() | 1, began: o.Clock.Now(), queue: session.NewQueue(1024),
 		table: registry.New(o.Settings.Beat.Span()), peers: map[string]*peer{}, callers: session.Lines{Latest: true}, carrierLines: session.Lines{Latest: true},
-		carriers: map[*rpc.Line]*carrier{}, waiting: map[uint64]chan<- consensus.Done{}, words: map[uint64]*word{},
+		carriers: map[*rpc.Conn]*carrier{}, waiting: map[uint64]chan<- consensus.Done{}, words: map[uint64]*word{},
 		left: make(chan struct{})}
-	s.me = rpc.Controller{Name: o.Settings.Name, Zone: o.Settings.Zone, Address: o.Settings.Own(),
-		Control: o.Settings.Listen["control"]}
+	s.me = rpc.Node{Name: o.Settings.Name, Zone: o.Settings.Zone, Address: o.Settings.Own(),
+		ControlAddress: o.Settings.Listen["control"]}
 	s.keep = &session.Keeper{Queue: s.queue, Clock: o.Clock, Dial: o.Dial, Self: s.me.Name, Again: dialAgain,
 		Silence: silentFor, Hello: func() *rpc.Message { return &rpc.Message{Hello: s.hello()} }, Heard: s.heardPeer,
 		Lost: s.lost}
@@ -148,7 +148,7 @@
 }
 
 func (s *Server) hello() *rpc.Hello {
-	return &rpc.Hello{Who: s.me, Life: s.life, Disk: s.disk, Blank: s.blank}
+	return &rpc.Hello{Node: s.me, Incarnation: s.life, StoreID: s.disk, MayHaveLostState: s.blank}
 }
 
 // Run serves until the program ends.
@@ -158,7 +158,7 @@
 	for _, seed := range s.o.Settings.Seeds {
 		s.keep.Keep(s.o.Settings.Peer(seed))
 	}
-	for _, v := range s.replica.Epoch().All() {
+	for _, v := range s.replica.Epoch().AllVoters() {
 		s.keep.Keep(v.Address)
 	}
 	s.step()
@@ -248,11 +248,11 @@
 	for _, v := range e.Voters {
 		names = append(names, v.Name)
 	}
-	s.log.Info("epoch", "number", e.Number, "voters", strings.Join(names, " "), "changing", len(e.Old) > 0)
-	for _, v := range e.All() {
+	s.log.Info("epoch", "number", e.Number, "voters", strings.Join(names, " "), "changing", len(e.OldVoters) > 0)
+	for _, v := range e.AllVoters() {
 		s.keep.Keep(v.Address)
 	}
-	s.toCarriers(&rpc.Message{Epoch: &e})
+	s.toCarriers(&rpc.Message{Consensus: rpc.Consensus{Epoch: &e}})
 }
 
 // lookTouch tells carriers once contact with a majority is there: what is said from now on is new.
@@ -274,17 +274,17 @@
 
 // standing is what this controller holds of the registers, as carriers are told it first on a line.
 func (s *Server) standing() *rpc.Message {
-	m := &rpc.Message{Held: map[string]rpc.Stamp{}, Safe: map[string]rpc.Stamp{}, Apart: !s.inTouch()}
-	m.All = s.replica.Votes() && !m.Apart
+	m := &rpc.Message{RegisterUpdate: rpc.RegisterUpdate{StoredVersions: map[string]rpc.Version{}, CommittedVersions: map[string]rpc.Version{}}, NoQuorum: !s.inTouch()}
+	m.Complete = s.replica.Votes() && !m.NoQuorum
 	if e := s.replica.Epoch(); e.Number > 0 {
 		m.Epoch = &e
 	}
 	for _, name := range s.replica.Names() {
 		r, _ := s.replica.Newest(name)
-		m.Held[name] = r.Stamp
+		m.StoredVersions[name] = r.Version
 		if r, is := s.replica.InForce(name); is {
-			if m.Safe[name] = r.Stamp; name != charterName {
-				m.Offers = append(m.Offers, r)
+			if m.CommittedVersions[name] = r.Version; name != charterName {
+				m.CommittedValues = append(m.CommittedValues, r)
 			}
 		}
 	}
@@ -293,8 +293,8 @@
 
 // inForce tells carriers of what has become safe. They ask for a configuration where it is nearest to them.
 func (s *Server) inForce(r consensus.Register) {
-	s.log.Info("in force", "register", r.Name, "hi", r.Stamp.Hi)
-	m := &rpc.Message{Safe: map[string]rpc.Stamp{r.Name: r.Stamp}}
+	s.log.Info("in force", "register", r.Name, "hi", r.Version.Number)
+	m := &rpc.Message{RegisterUpdate: rpc.RegisterUpdate{CommittedVersions: map[string]rpc.Version{r.Name: r.Version}}}
 	if r.Name == charterName {
 		c, err := routeconfig.Read(r.Value)
 		if err != nil { // it was checked before it was written
@@ -304,16 +304,16 @@
 		s.charter = c
 		s.steer.configured(c)
 	} else {
-		m.Offers = []rpc.Register{r}
+		m.CommittedValues = []rpc.Register{r}
 		s.steer.changed()
 	}
 	s.toCarriers(m)
 }
 
 func (s *Server) toCarriers(m *rpc.Message) {
-	body := rpc.Pack(m) // once, for all lines
+	body := rpc.Encode(m) // once, for all lines
 	for l := range s.carriers {
-		l.SendPacked(body)
+		l.SendEncoded(body)
 	}
 }
 
@@ -342,7 +342,7 @@
 		s.pingAt = now
 		for _, p := range s.peers {
 			if p.out != nil {
-				p.out.Send(&rpc.Message{Renew: 1})
+				p.out.Send(&rpc.Message{Lease: rpc.Lease{RenewLease: 1}})
 			}
 		}
 		s.expire(now)
@@ -358,18 +358,18 @@
 	// Nobody who knows more is there: all founders have told what they know, or what beats say is all there is.
 	if !s.settled && (s.metAll() || now > 2*s.o.Settings.Beat.Span()) {
 		s.settled = true
-		s.toCarriers(&rpc.Message{Settled: true})
+		s.toCarriers(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{EndpointsSynced: true}})
 	}
 }
 
 func (s *Server) expire(now time.Duration) {
 	if news := s.table.Tick(now); len(news) > 0 {
-		s.toCarriers(&rpc.Message{Backends: news})
+		s.toCarriers(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{Endpoints: news}})
 		s.steer.changed()
 	}
 	// Once a second and as changes: while a fleet starts, each member told at once to each would be its square.
 	if went, came := s.table.Changes(now); len(went)+len(came) > 0 {
-		s.toCarriers(&rpc.Message{Went: went, Came: came})
+		s.toCarriers(&rpc.Message{ProxyChanges: rpc.ProxyChanges{ProxiesLeft: went, ProxiesJoined: came}})
 		s.steer.changed()
 	}
 }
@@ -377,7 +377,7 @@
 // metAll says whether all other voters have told their first words on the lines that stand.
 func (s *Server) metAll() bool {
 	e := s.replica.Epoch()
-	for _, v := range e.All() {
+	for _, v := range e.AllVoters() {
 		if p := s.peers[v.Name]; v.Name != s.me.Name && (p == nil || p.out == nil || !p.told) {
 			return false
 		}
@@ -386,7 +386,7 @@
 }
 
 // know takes word of controllers.
-func (s *Server) know(all ...rpc.Controller) {
+func (s *Server) know(all ...rpc.Node) {
 	for _, c := range all {
 		if c.Name != "" && c.Name != s.me.Name {
 			s.keep.Keep(c.Address)
@@ -394,26 +394,26 @@
 	}
 }
 
-func (s *Server) known() []rpc.Controller {
-	all := []rpc.Controller{s.me}
+func (s *Server) known() []rpc.Node {
+	all := []rpc.Node{s.me}
 	for _, p := range s.peers {
 		if p.who.Name != "" {
 			all = append(all, p.who)
 		}
 	}
-	slices.SortFunc(all, func(a, b rpc.Controller) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b rpc.Node) int { return strings.Compare(a.Name, b.Name) })
 	return all
 }
 
 // later tells carriers of what comes, gathered for as long as telling all of them is work, and at once of what leaves
 // or turned cold. Few carriers are told at once: after a loss of all each moment without backends is lost.
-func (s *Server) later(news []rpc.Backend) {
+func (s *Server) later(news []rpc.Endpoint) {
 	wait := time.Duration(len(s.carriers)) * gatherEach
 	first := len(s.pending) == 0
 	s.pending = append(s.pending, news...)
 	urgent := wait < gatherLeast
 	for _, b := range news {
-		urgent = urgent || b.State != rpc.Ready || b.ColdLeft > 0
+		urgent = urgent || b.State != rpc.Ready || b.WarmupLeft > 0
 	}
 	switch {
 	case urgent:
@@ -426,7 +426,7 @@
 // flush tells carriers what has gathered since the last tick.
 func (s *Server) flush() {
 	if len(s.pending) > 0 {
-		s.toCarriers(&rpc.Message{Backends: s.pending})
+		s.toCarriers(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{Endpoints: s.pending}})
 		s.pending = nil
 	}
 }
@@ -435,7 +435,7 @@
 func (s *Server) packed() []byte {
 	if now := s.now(); s.list == nil || now >= s.listAt+tickEvery {
 		s.flush()
-		s.list, s.listAt = rpc.Pack(&rpc.Message{Backends: s.table.All(now)}), now
+		s.list, s.listAt = rpc.Encode(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{Endpoints: s.table.All(now)}}), now
 	}
 	return s.list
 }
--- a/internal/controlplane/counsel_test.go
+++ b/internal/controlplane/counsel_test.go
@@ -141,9 +141,9 @@
 	if err != nil {
 		panic(err)
 	}
-	line := rpc.NewLine(conn)
-	who := rpc.Controller{Name: "edge-0", Zone: "north"}
-	line.Send(&rpc.Message{Hello: &rpc.Hello{Who: who, Life: 1, Carrier: true}})
+	line := rpc.NewConn(conn)
+	who := rpc.Node{Name: "edge-0", Zone: "north"}
+	line.Send(&rpc.Message{Hello: &rpc.Hello{Node: who, Incarnation: 1, IsProxy: true}})
 	go func() {
 		defer line.Close()
 		for {
@@ -151,17 +151,17 @@
 			if err != nil {
 				return
 			}
-			for _, b := range m.Backends {
+			for _, b := range m.Endpoints {
 				c.note("    carrier hears: %s %s, %s at %q, call %d, cold for %d ms", b.ID,
-					[]string{"ready", "draining", "gone"}[b.State], b.Service, b.Address, b.Seq, b.ColdLeft)
+					[]string{"ready", "draining", "gone"}[b.State], b.Service, b.Address, b.Seq, b.WarmupLeft)
 			}
 			for _, name := range []string{"charter", "zone/north", "zone/south"} {
-				if s, ok := m.Safe[name]; ok && m.Hello == nil {
+				if s, ok := m.CommittedVersions[name]; ok && m.Hello == nil {
 					c.note("    carrier hears: %s is in force%s", name, c.value(m, name, s))
 				}
 			}
-			if m.Renewed == 0 {
-				line.Send(&rpc.Message{Renew: 1})
+			if m.LeaseRenewed == 0 {
+				line.Send(&rpc.Message{Lease: rpc.Lease{RenewLease: 1}})
 			}
 		}
 	}()
@@ -169,15 +169,15 @@
 }
 
 // value is that of an evacuation; stamps hold times and digests, and the version tells enough of a configuration.
-func (c *council) value(m *rpc.Message, name string, s rpc.Stamp) string {
+func (c *council) value(m *rpc.Message, name string, s rpc.Version) string {
 	if name == "charter" {
-		return fmt.Sprintf(" in version %d", s.Hi)
+		return fmt.Sprintf(" in version %d", s.Number)
 	}
-	i := slices.IndexFunc(m.Offers, func(r rpc.Register) bool { return r.Name == name })
+	i := slices.IndexFunc(m.CommittedValues, func(r rpc.Register) bool { return r.Name == name })
 	if i < 0 {
 		return ""
 	}
-	return fmt.Sprintf(" as %q", m.Offers[i].Value)
+	return fmt.Sprintf(" as %q", m.CommittedValues[i].Value)
 }
 
 func conf(version, edits string) string {
--- a/internal/controlplane/lines.go
+++ b/internal/controlplane/lines.go
@@ -8,24 +8,24 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-func (s *Server) lost(name string, _ *rpc.Line) {
+func (s *Server) lost(name string, _ *rpc.Conn) {
 	s.peers[name].out = nil
 	s.log.Info("line lost", "to", name)
 	s.step(consensus.Down{Who: name})
 }
 
 // heardPeer takes a message on a line that was dialled from here.
-func (s *Server) heardPeer(name string, line *rpc.Line, m *rpc.Message) {
+func (s *Server) heardPeer(name string, line *rpc.Conn, m *rpc.Message) {
 	if m.Hello != nil {
 		p := s.peers[name]
 		if p == nil {
 			p = &peer{}
 			s.peers[name] = p
 		}
-		p.who, p.out, p.told = m.Hello.Who, line, true
+		p.who, p.out, p.told = m.Hello.Node, line, true
 		s.log.Info("line up", "to", name)
-		line.Send(&rpc.Message{Know: s.known(), Backends: s.table.All(s.now())})
-		s.step(consensus.Up{Who: m.Hello.Who, Disk: m.Hello.Disk, Blank: m.Hello.Blank})
+		line.Send(&rpc.Message{KnownPeers: s.known(), EndpointUpdate: rpc.EndpointUpdate{Endpoints: s.table.All(s.now())}})
+		s.step(consensus.Up{Who: m.Hello.Node, Disk: m.Hello.StoreID, Blank: m.Hello.MayHaveLostState})
 	}
 	s.heard(name, line, m)
 }
@@ -47,7 +47,7 @@
 }
 
 func (s *Server) serveLine(c net.Conn) {
-	line := rpc.NewLine(c)
+	line := rpc.NewConn(c)
 	var who *rpc.Hello
 	for {
 		m, err := line.Receive(silentFor)
@@ -62,12 +62,12 @@
 		}
 		from := *who
 		s.queue.Do(func() {
-			if from.Carrier {
+			if from.IsProxy {
 				// Guards against a word on an old line, read late after a freeze, renewing a lease.
 				if m.Hello != nil {
 					s.carrierLines.Take(m.Hello, line)
 				}
-				if s.carrierLines.Speaks(from.Who.Name, line) {
+				if s.carrierLines.Speaks(from.Node.Name, line) {
 					s.heardCarrier(from, line, m)
 				}
 				return
@@ -76,15 +76,15 @@
 				if _, ok := s.callers.Take(m.Hello, line); !ok {
 					return
 				}
-				s.know(from.Who)
-				if p := s.peers[from.Who.Name]; p == nil || p.out == nil {
-					s.keep.Now(from.Who.Address) // it is there: after a loss of all each moment counts
+				s.know(from.Node)
+				if p := s.peers[from.Node.Name]; p == nil || p.out == nil {
+					s.keep.Now(from.Node.Address) // it is there: after a loss of all each moment counts
 				}
-				line.Send(&rpc.Message{Hello: s.hello(), Know: s.known(), Backends: s.table.All(s.now()), Settled: s.settled})
-				s.step(consensus.Met{Who: from.Who, Disk: from.Disk, Blank: from.Blank})
+				line.Send(&rpc.Message{Hello: s.hello(), KnownPeers: s.known(), EndpointUpdate: rpc.EndpointUpdate{Endpoints: s.table.All(s.now()), EndpointsSynced: s.settled}})
+				s.step(consensus.Met{Who: from.Node, Disk: from.StoreID, Blank: from.MayHaveLostState})
 			}
-			if s.callers.Speaks(from.Who.Name, line) {
-				s.heard(from.Who.Name, line, m)
+			if s.callers.Speaks(from.Node.Name, line) {
+				s.heard(from.Node.Name, line, m)
 			}
 		})
 	}
@@ -92,10 +92,10 @@
 	s.queue.Do(func() {
 		switch {
 		case who == nil:
-		case who.Carrier:
-			s.carrierLines.Lost(who.Who.Name, line)
+		case who.IsProxy:
+			s.carrierLines.Lost(who.Node.Name, line)
 		default:
-			s.callers.Lost(who.Who.Name, line)
+			s.callers.Lost(who.Node.Name, line)
 		}
 		if c := s.carriers[line]; c != nil {
 			delete(s.carriers, line)
@@ -106,28 +106,28 @@
 
 // heard takes what another controller says, on whichever line; answers go out on the one dialled from here, as those
 // of the replica do, or on the line itself.
-func (s *Server) heard(name string, line *rpc.Line, m *rpc.Message) {
-	if m.Renew > 0 && m.Reply == 0 {
-		line.Send(&rpc.Message{Renewed: m.Renew}) // both directions of a line speak once a second
+func (s *Server) heard(name string, line *rpc.Conn, m *rpc.Message) {
+	if m.RenewLease > 0 && m.Ack == 0 {
+		line.Send(&rpc.Message{Lease: rpc.Lease{LeaseRenewed: m.RenewLease}}) // both directions of a line speak once a second
 	}
-	s.know(m.Know...)
-	if len(m.Backends) > 0 {
-		s.toldBackends(m.Backends)
+	s.know(m.KnownPeers...)
+	if len(m.Endpoints) > 0 {
+		s.toldBackends(m.Endpoints)
 	}
-	if m.Settled && !s.settled {
+	if m.EndpointsSynced && !s.settled {
 		s.settled = true
-		s.toCarriers(&rpc.Message{Settled: true})
+		s.toCarriers(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{EndpointsSynced: true}})
 	}
-	if m.Seq > 0 {
-		line.Send(&rpc.Message{Reply: m.Seq})
+	if m.WantAck > 0 {
+		line.Send(&rpc.Message{Acknowledgement: rpc.Acknowledgement{Ack: m.WantAck}})
 	}
-	if w := s.words[m.Reply]; m.Reply > 0 && w != nil {
+	if w := s.words[m.Ack]; m.Ack > 0 && w != nil {
 		if w.has[name] = true; s.enough(w) {
-			delete(s.words, m.Reply)
+			delete(s.words, m.Ack)
 			w.done <- nil
 		}
 	}
-	if m.Disk != "" {
+	if m.StoreID != "" {
 		s.step(consensus.Heard{Who: name, Message: m})
 	}
 }
@@ -136,12 +136,12 @@
 // though as many as may be lost at once are gone.
 func (s *Server) enough(w *word) bool {
 	e := s.replica.Epoch()
-	return e.Safe(s.o.Settings.FaultBudget.Machines, func(v rpc.Voter) bool { return w.has[v.Name] })
+	return e.IsDurable(s.o.Settings.FaultBudget.Machines, func(v rpc.Voter) bool { return w.has[v.Name] })
 }
 
 // toldBackends takes words of another controller; what is news here is passed on to the carriers at once, as the one
 // that it came from may be gone before it told them all.
-func (s *Server) toldBackends(words []rpc.Backend) {
+func (s *Server) toldBackends(words []rpc.Endpoint) {
 	if news := s.table.Told(s.now(), words); len(news) > 0 {
 		s.later(news)
 		s.steer.changed()
@@ -149,11 +149,11 @@
 }
 
 // spread tells carriers and controllers of words that are news.
-func (s *Server) spread(news []rpc.Backend) {
+func (s *Server) spread(news []rpc.Endpoint) {
 	if len(news) == 0 {
 		return
 	}
-	m := &rpc.Message{Backends: news}
+	m := &rpc.Message{EndpointUpdate: rpc.EndpointUpdate{Endpoints: news}}
 	s.later(news)
 	for _, p := range s.peers {
 		if p.out != nil {
@@ -165,11 +165,11 @@
 
 // spreadSure does so for words of leaving, and says when enough controllers have them: the one that acknowledges may
 // be gone the next moment, and a new life of a carrier asks as many as make it meet one that knows.
-func (s *Server) spreadSure(news []rpc.Backend, done chan<- error) {
+func (s *Server) spreadSure(news []rpc.Endpoint, done chan<- error) {
 	s.seq++
-	m := &rpc.Message{Seq: s.seq, Backends: news}
+	m := &rpc.Message{Acknowledgement: rpc.Acknowledgement{WantAck: s.seq}, EndpointUpdate: rpc.EndpointUpdate{Endpoints: news}}
 	s.flush() // in their order
-	s.toCarriers(&rpc.Message{Backends: news})
+	s.toCarriers(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{Endpoints: news}})
 	for _, p := range s.peers {
 		if p.out != nil {
 			p.out.Send(m)
@@ -186,32 +186,32 @@
 	}
 }
 
-func (s *Server) heardCarrier(from rpc.Hello, line *rpc.Line, m *rpc.Message) {
+func (s *Server) heardCarrier(from rpc.Hello, line *rpc.Conn, m *rpc.Message) {
 	now := s.now()
 	c := s.carriers[line]
 	if m.Hello != nil && c == nil {
-		c = &carrier{who: from.Who, line: line}
+		c = &carrier{who: from.Node, line: line}
 		s.carriers[line] = c
 		first := s.standing()
-		first.Hello, first.Know, first.Backends, first.Settled, first.Members = s.hello(), s.known(), s.table.Own(now),
+		first.Hello, first.KnownPeers, first.Endpoints, first.EndpointsSynced, first.Proxies = s.hello(), s.known(), s.table.Own(now),
 			s.settled, s.table.Members()
 		line.Send(first)
 	}
 	if c == nil {
 		return
 	}
-	if m.Renew > 0 {
-		line.Send(&rpc.Message{Renewed: m.Renew, Apart: !s.inTouch()})
-		c.renewed = m.Renew
-		s.table.Renew(now, rpc.Member{Name: c.who.Name, Zone: c.who.Zone})
+	if m.RenewLease > 0 {
+		line.Send(&rpc.Message{Lease: rpc.Lease{LeaseRenewed: m.RenewLease}, NoQuorum: !s.inTouch()})
+		c.renewed = m.RenewLease
+		s.table.Renew(now, rpc.ProxyInfo{Name: c.who.Name, Zone: c.who.Zone})
 		s.steer.report(c, m)
 	}
-	for _, name := range m.Want {
+	for _, name := range m.FetchRegisters {
 		if r, is := s.replica.InForce(name); is {
-			line.Send(&rpc.Message{Offers: []rpc.Register{r}, Safe: map[string]rpc.Stamp{name: r.Stamp}})
+			line.Send(&rpc.Message{RegisterUpdate: rpc.RegisterUpdate{CommittedValues: []rpc.Register{r}, CommittedVersions: map[string]rpc.Version{name: r.Version}}})
 		}
 	}
-	if m.Leave {
+	if m.ReleaseLease {
 		s.table.Release(c.who.Name)
 	}
 }
--- a/internal/controlplane/paxos/ballot.go
+++ b/internal/controlplane/paxos/ballot.go
@@ -9,18 +9,18 @@
 
 import "elmfold/internal/gateway/rpc"
 
-// Stamp is a ballot's number: Hi rises, Lo tells proposers and their lives apart. The zero Stamp is before all.
-type Stamp = rpc.Stamp
+// BallotNumber is a ballot's number: Hi rises, Lo tells proposers and their lives apart. The zero BallotNumber is before all.
+type BallotNumber = rpc.BallotNumber
 
 // Acceptor is one disk's part in one register.
 type Acceptor[V any] struct {
-	Promised Stamp // no ballot below it is taken any more
-	Accepted Stamp // the ballot under which Value was accepted; zero: none
+	Promised BallotNumber // no ballot below it is taken any more
+	Accepted BallotNumber // the ballot under which Value was accepted; zero: none
 	Value    V
 }
 
 // Promise answers the first question of a ballot. False: a higher one was promised.
-func (a *Acceptor[V]) Promise(b Stamp) bool {
+func (a *Acceptor[V]) Promise(b BallotNumber) bool {
 	if b.Less(a.Promised) {
 		return false
 	}
@@ -29,7 +29,7 @@
 }
 
 // Accept takes the value of a ballot. False: a higher one was promised.
-func (a *Acceptor[V]) Accept(b Stamp, v V) bool {
+func (a *Acceptor[V]) Accept(b BallotNumber, v V) bool {
 	if b.Less(a.Promised) {
 		return false
 	}
@@ -39,7 +39,7 @@
 
 // Learn takes a value that is known to be chosen under a ballot. It may lie below what was promised: whoever was
 // promised that either met this value in its quorum, or it could not have been chosen.
-func (a *Acceptor[V]) Learn(b Stamp, v V) bool {
+func (a *Acceptor[V]) Learn(b BallotNumber, v V) bool {
 	if !a.Accepted.Less(b) {
 		return false
 	}
@@ -62,23 +62,23 @@
 
 // Proposal is one ballot at the one that began it.
 type Proposal[V any] struct {
-	Ballot Stamp
+	Ballot BallotNumber
 	Phase  Phase
-	From   map[string]Stamp // who answered in this phase; while Asking: what ballot it had accepted
-	Best   Stamp            // the greatest of them; zero: none had any value
-	Value  V                // ... and its value; while Offering, what is offered
+	From   map[string]BallotNumber // who answered in this phase; while Asking: what ballot it had accepted
+	Best   BallotNumber            // the greatest of them; zero: none had any value
+	Value  V                       // ... and its value; while Offering, what is offered
 }
 
 // Begin starts a ballot.
-func (p *Proposal[V]) Begin(b Stamp) {
-	*p = Proposal[V]{Ballot: b, Phase: Asking, From: map[string]Stamp{}}
+func (p *Proposal[V]) Begin(b BallotNumber) {
+	*p = Proposal[V]{Ballot: b, Phase: Asking, From: map[string]BallotNumber{}}
 }
 
 // Stop ends it: nothing is counted any more.
 func (p *Proposal[V]) Stop() { p.Phase, p.From = Idle, nil }
 
 // Promised counts a promise; false: it is none of this ballot's, or was counted.
-func (p *Proposal[V]) Promised(who string, b, accepted Stamp, v V) bool {
+func (p *Proposal[V]) Promised(who string, b, accepted BallotNumber, v V) bool {
 	if p.Phase != Asking || b != p.Ballot {
 		return false
 	}
@@ -99,10 +99,10 @@
 }
 
 // Offer goes on to the second phase with a value, made of the best one.
-func (p *Proposal[V]) Offer(v V) { p.Phase, p.From, p.Value = Offering, map[string]Stamp{}, v }
+func (p *Proposal[V]) Offer(v V) { p.Phase, p.From, p.Value = Offering, map[string]BallotNumber{}, v }
 
 // Agreed counts an agreement; false as with Promised.
-func (p *Proposal[V]) Agreed(who string, b Stamp) bool {
+func (p *Proposal[V]) Agreed(who string, b BallotNumber) bool {
 	if p.Phase != Offering || b != p.Ballot {
 		return false
 	}
--- a/internal/controlplane/paxos/ballot_test.go
+++ b/internal/controlplane/paxos/ballot_test.go
@@ -11,8 +11,8 @@
 type message struct {
 	kind     byte // 'a'sk, 'p'romise, 'o'ffer, 'g' agreed
 	acceptor int
-	ballot   Stamp
-	accepted Stamp
+	ballot   BallotNumber
+	accepted BallotNumber
 	value    int
 }
 
@@ -20,10 +20,10 @@
 	acceptors [3]Acceptor[int]
 	proposers [2]Proposal[int]
 	begun     [2]int
-	messages  []message         // in their order
-	votes     map[Stamp][3]bool // by whom a ballot was accepted
-	offered   map[Stamp]int     // its value
-	chosen    int               // 0: none
+	messages  []message                // in their order
+	votes     map[BallotNumber][3]bool // by whom a ballot was accepted
+	offered   map[BallotNumber]int     // its value
+	chosen    int                      // 0: none
 	flaw      string
 }
 
@@ -32,7 +32,7 @@
 func (w *world) clone() *world {
 	c := *w
 	c.messages = slices.Clone(w.messages)
-	c.votes, c.offered = map[Stamp][3]bool{}, map[Stamp]int{}
+	c.votes, c.offered = map[BallotNumber][3]bool{}, map[BallotNumber]int{}
 	for b, v := range w.votes {
 		c.votes[b] = v
 	}
@@ -40,7 +40,7 @@
 		c.offered[b] = v
 	}
 	for i := range c.proposers {
-		from := map[string]Stamp{}
+		from := map[string]BallotNumber{}
 		for who, b := range w.proposers[i].From {
 			from[who] = b
 		}
@@ -53,8 +53,8 @@
 	if !slices.Contains(w.messages, m) {
 		w.messages = append(w.messages, m)
 		slices.SortFunc(w.messages, func(a, b message) int {
-			return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.acceptor, b.acceptor), cmp.Compare(a.ballot.Hi, b.ballot.Hi), cmp.Compare(a.ballot.Lo, b.ballot.Lo),
-				cmp.Compare(a.accepted.Hi, b.accepted.Hi), cmp.Compare(a.accepted.Lo, b.accepted.Lo), cmp.Compare(a.value, b.value))
+			return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.acceptor, b.acceptor), cmp.Compare(a.ballot.Round, b.ballot.Round), cmp.Compare(a.ballot.Incarnation, b.ballot.Incarnation),
+				cmp.Compare(a.accepted.Round, b.accepted.Round), cmp.Compare(a.accepted.Incarnation, b.accepted.Incarnation), cmp.Compare(a.value, b.value))
 		})
 	}
 }
@@ -67,7 +67,7 @@
 func (w *world) hear(m message) error {
 	a := &w.acceptors[m.acceptor]
 	who := voters[m.acceptor : m.acceptor+1]
-	p := &w.proposers[m.ballot.Lo-1]
+	p := &w.proposers[m.ballot.Incarnation-1]
 	switch m.kind {
 	case 'a':
 		if a.Promise(m.ballot) {
@@ -78,7 +78,7 @@
 			v := w.votes[m.ballot]
 			v[m.acceptor] = true
 			w.votes[m.ballot] = v
-			w.say(message{'g', m.acceptor, m.ballot, Stamp{}, 0})
+			w.say(message{'g', m.acceptor, m.ballot, BallotNumber{}, 0})
 			n := 0
 			for _, has := range v {
 				if has {
@@ -94,8 +94,8 @@
 		}
 	case 'p':
 		if p.Promised(who, m.ballot, m.accepted, m.value) && len(p.From) >= 2 {
-			value := int(m.ballot.Lo) // its own
-			if p.Best != (Stamp{}) && w.flaw != "own value" {
+			value := int(m.ballot.Incarnation) // its own
+			if p.Best != (BallotNumber{}) && w.flaw != "own value" {
 				value = p.Value
 			}
 			p.Offer(value)
@@ -104,7 +104,7 @@
 			}
 			w.offered[m.ballot] = value
 			for i := range w.acceptors {
-				w.say(message{'o', i, m.ballot, Stamp{}, value})
+				w.say(message{'o', i, m.ballot, BallotNumber{}, value})
 			}
 		}
 	case 'g':
@@ -118,7 +118,7 @@
 // explore visits the states, up to a bound, that 2 proposers with so many ballots and 3 acceptors can come to.
 func explore(ballots [2]int, flaw string, most int) (states int, err error) {
 	visited := map[string]bool{}
-	stack := []*world{{votes: map[Stamp][3]bool{}, offered: map[Stamp]int{}, flaw: flaw}}
+	stack := []*world{{votes: map[BallotNumber][3]bool{}, offered: map[BallotNumber]int{}, flaw: flaw}}
 	for len(stack) > 0 && len(visited) < most {
 		w := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
@@ -132,10 +132,10 @@
 			if w.begun[i] < ballots[i] {
 				c := w.clone()
 				c.begun[i]++
-				b := Stamp{Hi: uint64(c.begun[i]), Lo: uint64(i + 1)}
+				b := BallotNumber{Round: uint64(c.begun[i]), Incarnation: uint64(i + 1)}
 				c.proposers[i].Begin(b)
 				for j := range c.acceptors {
-					c.say(message{'a', j, b, Stamp{}, 0})
+					c.say(message{'a', j, b, BallotNumber{}, 0})
 				}
 				next(c)
 			}
@@ -170,17 +170,17 @@
 
 // A copy of what is chosen may lie below what was promised; it never takes back a newer one.
 func TestLearn(t *testing.T) {
-	a := Acceptor[string]{Promised: Stamp{Hi: 9}, Accepted: Stamp{Hi: 3}, Value: "three"}
-	if a.Learn(Stamp{Hi: 3}, "other") || a.Learn(Stamp{Hi: 2}, "two") || a.Value != "three" {
+	a := Acceptor[string]{Promised: BallotNumber{Round: 9}, Accepted: BallotNumber{Round: 3}, Value: "three"}
+	if a.Learn(BallotNumber{Round: 3}, "other") || a.Learn(BallotNumber{Round: 2}, "two") || a.Value != "three" {
 		t.Errorf("%+v", a)
 	}
-	if !a.Learn(Stamp{Hi: 5}, "five") || a.Value != "five" || a.Promised != (Stamp{Hi: 9}) {
+	if !a.Learn(BallotNumber{Round: 5}, "five") || a.Value != "five" || a.Promised != (BallotNumber{Round: 9}) {
 		t.Errorf("%+v", a)
 	}
-	if !a.Learn(Stamp{Hi: 12}, "twelve") || a.Promised != (Stamp{Hi: 12}) || a.Promise(Stamp{Hi: 11}) || a.Accept(Stamp{Hi: 11}, "eleven") {
+	if !a.Learn(BallotNumber{Round: 12}, "twelve") || a.Promised != (BallotNumber{Round: 12}) || a.Promise(BallotNumber{Round: 11}) || a.Accept(BallotNumber{Round: 11}, "eleven") {
 		t.Errorf("%+v", a)
 	}
-	if !a.Accept(Stamp{Hi: 12}, "twelve") || !a.Promise(Stamp{Hi: 12}) {
+	if !a.Accept(BallotNumber{Round: 12}, "twelve") || !a.Promise(BallotNumber{Round: 12}) {
 		t.Errorf("what is asked again is refused: %+v", a)
 	}
 }
@@ -188,19 +188,19 @@
 // What was not asked for, or was counted, does not count.
 func TestProposalCountsOnce(t *testing.T) {
 	var p Proposal[string]
-	b := Stamp{Hi: 2, Lo: 1}
-	if p.Promised("x", b, Stamp{}, "") || p.Agreed("x", b) {
+	b := BallotNumber{Round: 2, Incarnation: 1}
+	if p.Promised("x", b, BallotNumber{}, "") || p.Agreed("x", b) {
 		t.Error("nothing was begun")
 	}
 	p.Begin(b)
-	if !p.Promised("x", b, Stamp{Hi: 1}, "one") || p.Promised("x", b, Stamp{Hi: 1}, "one") || p.Promised("y", Stamp{Hi: 1, Lo: 1}, Stamp{}, "") || p.Agreed("x", b) {
+	if !p.Promised("x", b, BallotNumber{Round: 1}, "one") || p.Promised("x", b, BallotNumber{Round: 1}, "one") || p.Promised("y", BallotNumber{Round: 1, Incarnation: 1}, BallotNumber{}, "") || p.Agreed("x", b) {
 		t.Errorf("%+v", p)
 	}
-	if !p.Promised("y", b, Stamp{}, "") || !p.Has("x") || p.Has("y") || p.Has("z") || p.Value != "one" {
+	if !p.Promised("y", b, BallotNumber{}, "") || !p.Has("x") || p.Has("y") || p.Has("z") || p.Value != "one" {
 		t.Errorf("%+v", p)
 	}
 	p.Offer("new")
-	if p.Promised("z", b, Stamp{Hi: 1, Lo: 5}, "late") || p.Answered("x") || !p.Agreed("x", b) || p.Agreed("x", b) || !p.Answered("x") || p.Value != "new" {
+	if p.Promised("z", b, BallotNumber{Round: 1, Incarnation: 5}, "late") || p.Answered("x") || !p.Agreed("x", b) || p.Agreed("x", b) || !p.Answered("x") || p.Value != "new" {
 		t.Errorf("%+v", p)
 	}
 	if p.Stop(); p.Agreed("y", b) {
--- a/internal/controlplane/registry/presence.go
+++ b/internal/controlplane/registry/presence.go
@@ -27,16 +27,16 @@
 
 // Life is what is known of a backend.
 type Life struct {
-	rpc.Backend               // as last said; ColdLeft and Vouched are not kept here
-	HeardAt     time.Duration // its last beat here; negative: never
-	ColdUntil   time.Duration
-	goneAt      time.Duration
-	toldAt      time.Duration // the last word of it, from whomever
-	vouched     bool          // as it was told to carriers
+	rpc.Endpoint               // as last said; ColdLeft and Vouched are not kept here
+	HeardAt      time.Duration // its last beat here; negative: never
+	ColdUntil    time.Duration
+	goneAt       time.Duration
+	toldAt       time.Duration // the last word of it, from whomever
+	vouched      bool          // as it was told to carriers
 }
 
 type lease struct {
-	rpc.Member
+	rpc.ProxyInfo
 	until time.Duration
 }
 
@@ -46,7 +46,7 @@
 	lives  map[string]*Life
 	at     map[string]string // the newest life by address
 	leases map[string]lease
-	came   []rpc.Member // since Changes
+	came   []rpc.ProxyInfo // since Changes
 	went   []string
 }
 
@@ -57,7 +57,7 @@
 
 // Beat takes a beat that was heard here. It returns the words that are news to others: to carriers and the other
 // controllers; none if nothing changed. Late says that the word was overtaken by a newer one.
-func (t *Table) Beat(now time.Duration, b rpc.Backend) (news []rpc.Backend, late bool) {
+func (t *Table) Beat(now time.Duration, b rpc.Endpoint) (news []rpc.Endpoint, late bool) {
 	l := t.lives[b.ID]
 	if l != nil && (b.Seq < l.Seq && b.Seq > 0 || l.State == rpc.Gone) {
 		return nil, true
@@ -75,20 +75,20 @@
 }
 
 // Leave takes a backend's word that it ends.
-func (t *Table) Leave(now time.Duration, id string, seq uint64) []rpc.Backend {
+func (t *Table) Leave(now time.Duration, id string, seq uint64) []rpc.Endpoint {
 	l := t.lives[id]
 	if l == nil {
-		l = &Life{Backend: rpc.Backend{ID: id}, HeardAt: -1}
+		l = &Life{Endpoint: rpc.Endpoint{ID: id}, HeardAt: -1}
 		t.lives[id] = l
 	} else if l.State == rpc.Gone {
 		return nil
 	}
 	l.State, l.goneAt, l.vouched, l.Seq = rpc.Gone, now, false, max(l.Seq, seq)
-	return []rpc.Backend{t.word(now, l, false)}
+	return []rpc.Endpoint{t.word(now, l, false)}
 }
 
 // Told takes words of another controller; it returns those that were news here too.
-func (t *Table) Told(now time.Duration, words []rpc.Backend) (news []rpc.Backend) {
+func (t *Table) Told(now time.Duration, words []rpc.Endpoint) (news []rpc.Endpoint) {
 	for _, b := range words {
 		if t.merge(now, b) {
 			l := t.lives[b.ID]
@@ -100,16 +100,16 @@
 }
 
 // merge says whether something changed that others want to know.
-func (t *Table) merge(now time.Duration, b rpc.Backend) bool {
+func (t *Table) merge(now time.Duration, b rpc.Endpoint) bool {
 	l := t.lives[b.ID]
 	if l != nil {
 		l.toldAt = now
 	} else {
-		l = &Life{Backend: b, HeardAt: -1, toldAt: now}
-		l.Vouched, l.ColdLeft = false, 0
+		l = &Life{Endpoint: b, HeardAt: -1, toldAt: now}
+		l.Live, l.WarmupLeft = false, 0
 		t.lives[b.ID] = l
-		if l.ColdUntil = now; b.ColdLeft > 0 {
-			l.ColdUntil = now + time.Duration(b.ColdLeft)*time.Millisecond
+		if l.ColdUntil = now; b.WarmupLeft > 0 {
+			l.ColdUntil = now + time.Duration(b.WarmupLeft)*time.Millisecond
 		}
 		if l.State == rpc.Gone {
 			l.goneAt = now
@@ -128,21 +128,21 @@
 	}
 	if b.Seq >= l.Seq && b.State != rpc.Gone {
 		state := l.State
-		until := now + time.Duration(b.ColdLeft)*time.Millisecond
+		until := now + time.Duration(b.WarmupLeft)*time.Millisecond
 		// Beats of a cold backend say less each time; only a new spell is news.
 		changed = changed || b.Address != l.Address || b.Service != l.Service || b.Capacity != l.Capacity ||
-			b.ColdLeft > 0 && until > l.ColdUntil+t.beat/4
-		if until > l.ColdUntil || b.ColdLeft == 0 {
+			b.WarmupLeft > 0 && until > l.ColdUntil+t.beat/4
+		if until > l.ColdUntil || b.WarmupLeft == 0 {
 			l.ColdUntil = until
 		}
-		l.Backend = b
-		l.State, l.Vouched, l.ColdLeft = state, false, 0
+		l.Endpoint = b
+		l.State, l.Live, l.WarmupLeft = state, false, 0
 	}
 	return changed
 }
 
 // replaced ends the life that had an address before: its process ended without a word, or its word is still to come.
-func (t *Table) replaced(now time.Duration, l *Life) []rpc.Backend {
+func (t *Table) replaced(now time.Duration, l *Life) []rpc.Endpoint {
 	if l.State == rpc.Gone || l.Address == "" {
 		return nil
 	}
@@ -157,14 +157,14 @@
 	return nil
 }
 
-func (t *Table) word(now time.Duration, l *Life, vouched bool) rpc.Backend {
-	w := l.Backend
-	w.Vouched, w.ColdLeft = vouched, int(max(l.ColdUntil-now, 0)/time.Millisecond)
+func (t *Table) word(now time.Duration, l *Life, vouched bool) rpc.Endpoint {
+	w := l.Endpoint
+	w.Live, w.WarmupLeft = vouched, int(max(l.ColdUntil-now, 0)/time.Millisecond)
 	return w
 }
 
 // Tick ends what has been silent; it returns the words that are news to carriers: for whom nobody vouches here now.
-func (t *Table) Tick(now time.Duration) (news []rpc.Backend) {
+func (t *Table) Tick(now time.Duration) (news []rpc.Endpoint) {
 	silent := time.Duration(silentBeats * float64(t.beat))
 	for _, id := range slices.Sorted(maps.Keys(t.lives)) {
 		switch l := t.lives[id]; {
@@ -184,18 +184,18 @@
 }
 
 // All is every life, for a controller that has a new line here and for a carrier that is steered from here.
-func (t *Table) All(now time.Duration) []rpc.Backend {
+func (t *Table) All(now time.Duration) []rpc.Endpoint {
 	return t.words(now, func(*Life) bool { return true })
 }
 
 // Own are the lives that this controller vouches for, and those that leave: what a carrier with a new line here cannot
 // do without. The rest it hears from whoever vouches, and as a whole from the one that steers it.
-func (t *Table) Own(now time.Duration) []rpc.Backend {
+func (t *Table) Own(now time.Duration) []rpc.Endpoint {
 	return t.words(now, func(l *Life) bool { return l.vouched || l.State != rpc.Ready })
 }
 
-func (t *Table) words(now time.Duration, which func(*Life) bool) []rpc.Backend {
-	var all []rpc.Backend
+func (t *Table) words(now time.Duration, which func(*Life) bool) []rpc.Endpoint {
+	var all []rpc.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(t.lives)) {
 		if l := t.lives[id]; which(l) {
 			all = append(all, t.word(now, l, l.vouched))
@@ -220,9 +220,9 @@
 }
 
 // Renew takes a carrier's renewal; it says whether it is a new member.
-func (t *Table) Renew(now time.Duration, m rpc.Member) (came bool) {
+func (t *Table) Renew(now time.Duration, m rpc.ProxyInfo) (came bool) {
 	_, held := t.leases[m.Name]
-	t.leases[m.Name] = lease{Member: m, until: now + LeaseFor}
+	t.leases[m.Name] = lease{ProxyInfo: m, until: now + LeaseFor}
 	if !held {
 		t.came = append(t.came, m)
 	}
@@ -239,7 +239,7 @@
 
 // Changes ends the leases that were not renewed, and says who became a member and who is none any more since the last
 // call, in that order: one in both went, and came again after.
-func (t *Table) Changes(now time.Duration) (went []string, came []rpc.Member) {
+func (t *Table) Changes(now time.Duration) (went []string, came []rpc.ProxyInfo) {
 	for _, name := range slices.Sorted(maps.Keys(t.leases)) {
 		if now > t.leases[name].until {
 			t.Release(name)
@@ -256,11 +256,11 @@
 }
 
 // Members are those that hold a lease, in the order of their names.
-func (t *Table) Members() []rpc.Member {
-	all := make([]rpc.Member, 0, len(t.leases))
+func (t *Table) Members() []rpc.ProxyInfo {
+	all := make([]rpc.ProxyInfo, 0, len(t.leases))
 	for _, l := range t.leases {
-		all = append(all, l.Member)
+		all = append(all, l.ProxyInfo)
 	}
-	slices.SortFunc(all, func(a, b rpc.Member) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b rpc.ProxyInfo) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
--- a/internal/controlplane/registry/presence_test.go
+++ b/internal/controlplane/registry/presence_test.go
@@ -14,11 +14,11 @@
 
 const s = time.Second
 
-func beat(id string, seq uint64, state rpc.State) rpc.Backend {
-	return rpc.Backend{ID: id, Service: "look", Address: "10.0.0.9:80", Zone: "a", Capacity: 4, Seq: seq, State: state}
+func beat(id string, seq uint64, state rpc.EndpointState) rpc.Endpoint {
+	return rpc.Endpoint{ID: id, Service: "look", Address: "10.0.0.9:80", Zone: "a", Capacity: 4, Seq: seq, State: state}
 }
 
-func at(b rpc.Backend, address string) rpc.Backend {
+func at(b rpc.Endpoint, address string) rpc.Endpoint {
 	b.Address = address
 	return b
 }
@@ -28,14 +28,14 @@
 	var out strings.Builder
 	table := New(1500 * time.Millisecond)
 	states := []string{"ready", "draining", "gone"}
-	show := func(now time.Duration, what string, news []rpc.Backend) {
+	show := func(now time.Duration, what string, news []rpc.Endpoint) {
 		fmt.Fprintf(&out, "%4v %s\n", now, what)
 		for _, b := range news {
 			fmt.Fprintf(&out, "       %s at %s: %s, seq %d, vouched %v, cold for %d ms\n", b.ID, b.Address, states[b.State],
-				b.Seq, b.Vouched, b.ColdLeft)
+				b.Seq, b.Live, b.WarmupLeft)
 		}
 	}
-	hear := func(now time.Duration, what string, b rpc.Backend) {
+	hear := func(now time.Duration, what string, b rpc.Endpoint) {
 		news, late := table.Beat(now, b)
 		if late {
 			what += " (late)"
@@ -43,14 +43,14 @@
 		show(now, what, news)
 	}
 	cold := beat("i-1", 2, rpc.Ready)
-	cold.ColdLeft = 3000
+	cold.WarmupLeft = 3000
 	hear(1*s, "i-1 beats", beat("i-1", 1, rpc.Ready))
 	hear(2*s, "i-1 beats, cold now", cold)
-	cold.Seq, cold.ColdLeft = 3, 2000
+	cold.Seq, cold.WarmupLeft = 3, 2000
 	hear(3*s, "i-1 beats, still cold", cold)
 	hear(4*s, "an older beat of i-1", beat("i-1", 1, rpc.Ready))
 	show(4*s, "another controller tells of i-2, which it hears",
-		table.Told(4*s, []rpc.Backend{at(beat("i-2", 7, rpc.Ready), "10.0.0.8:80")}))
+		table.Told(4*s, []rpc.Endpoint{at(beat("i-2", 7, rpc.Ready), "10.0.0.8:80")}))
 	hear(5*s, "i-1 drains", beat("i-1", 4, rpc.Draining))
 	hear(6*s, "i-1 says that it is ready", beat("i-1", 5, rpc.Ready))
 	hear(7*s, "i-3 beats at the address of i-1", beat("i-3", 1, rpc.Ready))
@@ -71,7 +71,7 @@
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 3))
 		table, now := New(1500*time.Millisecond), time.Duration(0)
-		var most rpc.State
+		var most rpc.EndpointState
 		var newest uint64
 		for range 60 {
 			now += time.Duration(r.Int64N(int64(3 * s))) // less in all than it takes to forget one that is gone
@@ -79,7 +79,7 @@
 				break
 			}
 			seq := uint64(r.IntN(20))
-			b := beat("i", seq+1, rpc.State(min(seq/8, 1)))
+			b := beat("i", seq+1, rpc.EndpointState(min(seq/8, 1)))
 			switch r.IntN(20) {
 			case 0:
 				table.Leave(now, "i", seq)
@@ -89,7 +89,7 @@
 				if r.IntN(2) == 0 {
 					table.Beat(now, b)
 				} else {
-					table.Told(now, []rpc.Backend{b})
+					table.Told(now, []rpc.Endpoint{b})
 				}
 			}
 			if l := table.Life("i"); l != nil {
@@ -107,7 +107,7 @@
 func TestLateWordOfAnOldLifeDoesNotEndTheNewOne(t *testing.T) {
 	table := New(1500 * time.Millisecond)
 	table.Beat(s, beat("i-new", 1, rpc.Ready))
-	table.Told(2*s, []rpc.Backend{beat("i-old", 900, rpc.Ready)})
+	table.Told(2*s, []rpc.Endpoint{beat("i-old", 900, rpc.Ready)})
 	if _, late := table.Beat(3*s, beat("i-new", 2, rpc.Ready)); late || table.Life("i-new").State != rpc.Ready {
 		t.Error("the life that beats here is held to be gone, for good")
 	}
@@ -117,7 +117,7 @@
 func TestToldLifeIsKept(t *testing.T) {
 	for _, now := range []time.Duration{10 * s, 1000 * s} {
 		table := New(1500 * time.Millisecond)
-		table.Told(now, []rpc.Backend{beat("i", 1, rpc.Draining)})
+		table.Told(now, []rpc.Endpoint{beat("i", 1, rpc.Draining)})
 		table.Tick(now + s)
 		if table.Life("i") == nil {
 			t.Errorf("told at %v, forgotten a second later", now)
@@ -128,10 +128,10 @@
 // A lease outlasts the right that goes with it, and its end is told once.
 func TestLease(t *testing.T) {
 	table := New(s)
-	if !table.Renew(10*s, rpc.Member{Name: "e1", Zone: "a"}) || table.Renew(11*s, rpc.Member{Name: "e1", Zone: "a"}) {
+	if !table.Renew(10*s, rpc.ProxyInfo{Name: "e1", Zone: "a"}) || table.Renew(11*s, rpc.ProxyInfo{Name: "e1", Zone: "a"}) {
 		t.Error("only the first renewal is news")
 	}
-	table.Renew(11*s, rpc.Member{Name: "e0", Zone: "b"})
+	table.Renew(11*s, rpc.ProxyInfo{Name: "e0", Zone: "b"})
 	if got := fmt.Sprint(table.Members()); got != "[{e0 b} {e1 a}]" {
 		t.Error(got)
 	}
@@ -152,10 +152,10 @@
 		t.Error("the lease does not end, or is told again:", got)
 	}
 	// One that went and came again between two tellings is a member to whoever hears them in their order.
-	table.Renew(30*s, rpc.Member{Name: "e1", Zone: "a"})
+	table.Renew(30*s, rpc.ProxyInfo{Name: "e1", Zone: "a"})
 	told(30 * s)
 	table.Release("e1")
-	table.Renew(31*s, rpc.Member{Name: "e1", Zone: "a"})
+	table.Renew(31*s, rpc.ProxyInfo{Name: "e1", Zone: "a"})
 	if got := told(31 * s); got != "[e1] [{e1 a}]" {
 		t.Error("went and came:", got)
 	}
--- a/internal/controlplane/rollout/ballot.go
+++ b/internal/controlplane/rollout/ballot.go
@@ -83,7 +83,7 @@
 		return
 	}
 	c := s.change(m.Version)
-	c.maxRound = max(c.maxRound, m.Ballot.Hi)
+	c.maxRound = max(c.maxRound, m.Ballot.Round)
 	switch m.Kind {
 	case Ask, Offer:
 		s.vote(who, c, m)
@@ -151,7 +151,7 @@
 		return // nothing would come of it but rounds
 	}
 	c.maxRound++
-	c.prop.Begin(Stamp{Hi: c.maxRound, Lo: s.life})
+	c.prop.Begin(BallotNumber{Round: c.maxRound, Incarnation: s.life})
 	c.againAt = s.now + againAfter + time.Duration(rank(c.maxRound, s.me)%uint64(againAfter))
 	s.spread(Message{Kind: Ask, Version: c.Version, Ballot: c.prop.Ballot})
 }
@@ -182,7 +182,7 @@
 		return
 	}
 	value := c.prop.Value
-	if c.prop.Best == (Stamp{}) {
+	if c.prop.Best == (BallotNumber{}) {
 		if value = s.wish(c); value.none() {
 			c.prop.Stop()
 			c.lookAt = neverYet
--- a/internal/controlplane/rollout/every_test.go
+++ b/internal/controlplane/rollout/every_test.go
@@ -74,7 +74,7 @@
 func putItem(b []byte, x any) []byte {
 	switch x := x.(type) {
 	case Message:
-		b = put(b, 1, uint64(x.Kind), x.Ballot.Hi, x.Ballot.Lo, x.Accepted.Hi, x.Accepted.Lo)
+		b = put(b, 1, uint64(x.Kind), x.Ballot.Round, x.Ballot.Incarnation, x.Accepted.Round, x.Accepted.Incarnation)
 		return putDecision(b, x.Value)
 	case hello:
 		return put(b, 2, x.life)
@@ -89,7 +89,7 @@
 }
 
 func putVote(b []byte, v Vote) []byte {
-	b = put(b, v.Promised.Hi, v.Promised.Lo, v.Accepted.Hi, v.Accepted.Lo, bit(v.Known))
+	b = put(b, v.Promised.Round, v.Promised.Incarnation, v.Accepted.Round, v.Accepted.Incarnation, bit(v.Known))
 	return putDecision(b, v.Value)
 }
 
@@ -146,9 +146,9 @@
 					uint64(c.prop.Phase), uint64(c.since))
 			}
 			if p := c.prop; p.Phase != paxos.Idle {
-				b = put(b, p.Ballot.Hi, p.Ballot.Lo, p.Best.Hi, p.Best.Lo, uint64(len(p.From)))
+				b = put(b, p.Ballot.Round, p.Ballot.Incarnation, p.Best.Round, p.Best.Incarnation, uint64(len(p.From)))
 				for _, f := range slices.Sorted(maps.Keys(p.From)) {
-					b = put(append(b, f...), p.From[f].Hi, p.From[f].Lo)
+					b = put(append(b, f...), p.From[f].Round, p.From[f].Incarnation)
 				}
 				b = putDecision(b, p.Value)
 			}
@@ -168,7 +168,7 @@
 	}
 	sum := uint64(0)
 	for key, a := range w.ballots { // in whatever order
-		sum += xxh3.Hash(putDecision(put(nil, key.at.Hi, key.at.Lo, a.by), a.value))
+		sum += xxh3.Hash(putDecision(put(nil, key.at.Round, key.at.Incarnation, a.by), a.value))
 	}
 	return xxh3.Hash128(putDecision(put(b, sum), w.chosen[1]))
 }
--- a/internal/controlplane/rollout/stage.go
+++ b/internal/controlplane/rollout/stage.go
@@ -20,8 +20,8 @@
 	neverYet   = time.Duration(-1)
 )
 
-// Stamp of a ballot: its round, then the life of the controller that holds it.
-type Stamp = paxos.Stamp
+// BallotNumber of a ballot: its round, then the life of the controller that holds it.
+type BallotNumber = paxos.BallotNumber
 
 // Target is a version with the digest of its body.
 type Target struct{ Version, Digest uint64 }
@@ -79,8 +79,8 @@
 type Message struct {
 	Kind     Kind
 	Version  uint64
-	Ballot   Stamp
-	Accepted Stamp
+	Ballot   BallotNumber
+	Accepted BallotNumber
 	Value    Decision
 }
 
@@ -284,7 +284,7 @@
 	for _, v := range disk {
 		c := s.change(v.Version)
 		c.Vote = v
-		if c.maxRound = max(v.Promised.Hi, v.Accepted.Hi); v.Accepted != (Stamp{}) {
+		if c.maxRound = max(v.Promised.Round, v.Accepted.Round); v.Accepted != (BallotNumber{}) {
 			c.lookAt = 0 // whoever held that ballot may be gone
 		}
 		if v.Shut {
--- a/internal/controlplane/rollout/world_test.go
+++ b/internal/controlplane/rollout/world_test.go
@@ -20,7 +20,7 @@
 
 type ballotKey struct {
 	version uint64
-	at      Stamp
+	at      BallotNumber
 }
 
 type accepted struct {
@@ -156,7 +156,7 @@
 	s := w.st[i]
 	if w.flaws.noPromise {
 		for _, c := range s.changes {
-			c.Promised = Stamp{}
+			c.Promised = BallotNumber{}
 		}
 	}
 	for _, o := range s.Step(w.now[i], events...) {
@@ -189,7 +189,7 @@
 			w.push(i, k, Told{Take, Target{m.Version, m.Value.Digest}})
 		}
 	}
-	if c := w.st[i].changes[m.Version]; !m.Value.Taken || c == nil || c.prop.Best != (Stamp{}) {
+	if c := w.st[i].changes[m.Version]; !m.Value.Taken || c == nil || c.prop.Best != (BallotNumber{}) {
 		return
 	}
 	live, have := map[string]int{}, map[string]int{}
@@ -281,7 +281,7 @@
 			if w.disks[i][o.Version] = o.Vote; o.Shut {
 				w.forgot[i] = false
 			}
-			if o.Accepted != (Stamp{}) && !o.Known {
+			if o.Accepted != (BallotNumber{}) && !o.Known {
 				w.accept(i, o.Vote)
 			}
 		}
--- a/internal/controlplane/steer.go
+++ b/internal/controlplane/steer.go
@@ -17,7 +17,7 @@
 	s        *Server
 	b        *steering.Bearing
 	dirty    bool                 // the backends may have changed
-	here     map[string]*rpc.Line // carriers that steer here, by name
+	here     map[string]*rpc.Conn // carriers that steer here, by name
 	services map[string]steering.Service
 	counted  bool // the decisions know the members
 }
@@ -26,7 +26,7 @@
 	zones := slices.Sorted(maps.Keys(s.o.Settings.Zones))
 	// Controllers that start together do not tick together.
 	first := time.Duration(balancer.Rank(s.me.Name, "tick") % uint64(time.Second))
-	t := &steerer{s: s, b: steering.New(zones, first), here: map[string]*rpc.Line{}}
+	t := &steerer{s: s, b: steering.New(zones, first), here: map[string]*rpc.Conn{}}
 	t.b.Log = func(service, text string) { s.log.Debug(text, "service", service) }
 	return t
 }
@@ -77,7 +77,7 @@
 	for name, tables := range t.b.Step(now) {
 		if line := t.here[name]; line != nil {
 			// The carrier's last renewal goes along: what was worked out before a freeze is known by it.
-			line.Send(&rpc.Message{Tables: tables, Renewed: t.s.carriers[line].renewed, Apart: !t.s.inTouch()})
+			line.Send(&rpc.Message{RoutingTables: tables, Lease: rpc.Lease{LeaseRenewed: t.s.carriers[line].renewed}, NoQuorum: !t.s.inTouch()})
 		}
 	}
 }
@@ -85,7 +85,7 @@
 // report takes what a carrier's renewal tells.
 func (t *steerer) report(c *carrier, m *rpc.Message) {
 	name := c.who.Name
-	if !m.Steer {
+	if !m.WantTables {
 		if t.here[name] == c.line {
 			t.left(name, c.line)
 		}
@@ -96,13 +96,13 @@
 			t.b.Leave(name)
 		}
 		t.here[name] = c.line
-		c.line.SendPacked(t.s.packed())
+		c.line.SendEncoded(t.s.packed())
 		t.b.Join(name, c.who.Zone)
 	}
-	t.b.Report(name, m.Uses, m.Met, m.Spent)
+	t.b.Report(name, m.ServiceLoads, m.EndpointReports, m.ReportSeconds)
 }
 
-func (t *steerer) left(name string, line *rpc.Line) {
+func (t *steerer) left(name string, line *rpc.Conn) {
 	if t.here[name] == line {
 		delete(t.here, name)
 		t.b.Leave(name)
--- a/internal/controlplane/steering/bearing.go
+++ b/internal/controlplane/steering/bearing.go
@@ -158,7 +158,7 @@
 
 // Members takes all carriers that hold a lease, those that steer here among them: what comes to the others is guessed
 // from their number.
-func (b *Bearing) Members(all []rpc.Member) {
+func (b *Bearing) Members(all []rpc.ProxyInfo) {
 	clear(b.members)
 	for _, m := range all {
 		if z := b.zone(m.Zone); z >= 0 {
@@ -201,19 +201,19 @@
 }
 
 // Report takes what came to a joined carrier and was met by it in so many seconds.
-func (b *Bearing) Report(name string, uses []rpc.Use, met []rpc.Met, spent float64) {
+func (b *Bearing) Report(name string, uses []rpc.ServiceLoad, met []rpc.EndpointReport, spent float64) {
 	c := b.carriers[name]
 	if c == nil || !c.here || !(spent > 0) || math.IsInf(spent, 1) {
 		return
 	}
 	c.spent, c.heard = c.spent+spent, true
 	for _, u := range uses {
-		if s := b.services[u.Service]; s != nil && u.Came > 0 {
+		if s := b.services[u.Service]; s != nil && u.Requests > 0 {
 			s.use(c, u, spent)
 		}
 	}
 	for _, m := range met {
-		if e := b.backends[m.ID]; e != nil && m.Tries > 0 {
+		if e := b.backends[m.ID]; e != nil && m.Attempts > 0 {
 			e.in.meet(m)
 		}
 	}
@@ -222,13 +222,13 @@
 // Step runs what is due and returns, by carrier, what it is to hold from now on and was not told yet: nil where
 // nothing changed. It should be called a few times a second; drains and losses go out with the first call after they
 // were listed, all else once a second.
-func (b *Bearing) Step(now time.Duration) map[string][]rpc.Table {
+func (b *Bearing) Step(now time.Duration) map[string][]rpc.RoutingTable {
 	b.at(now)
-	var out map[string][]rpc.Table
+	var out map[string][]rpc.RoutingTable
 	for _, name := range b.names {
 		for _, t := range b.services[name].step() {
 			if out == nil {
-				out = map[string][]rpc.Table{}
+				out = map[string][]rpc.RoutingTable{}
 			}
 			out[t.to.name] = append(out[t.to.name], t.table)
 		}
--- a/internal/controlplane/steering/bearing_test.go
+++ b/internal/controlplane/steering/bearing_test.go
@@ -40,10 +40,10 @@
 		}
 	}
 	r.b.Backends(0, r.list)
-	members := []rpc.Member{{Name: "y0", Zone: "b"}, {Name: "y1", Zone: "b"},
+	members := []rpc.ProxyInfo{{Name: "y0", Zone: "b"}, {Name: "y1", Zone: "b"},
 		{Name: "z0", Zone: "c"}, {Name: "z1", Zone: "c"}}
 	for _, c := range carriers {
-		members = append(members, rpc.Member{Name: c, Zone: "a"})
+		members = append(members, rpc.ProxyInfo{Name: c, Zone: "a"})
 	}
 	r.b.Members(members)
 	for _, c := range carriers {
@@ -65,13 +65,13 @@
 			if l := r.levels[c]; l > 0 {
 				let = min(let, l)
 			}
-			var met []rpc.Met
+			var met []rpc.EndpointReport
 			if let > 0 {
 				for _, id := range []string{"a0", "a1"} {
-					met = append(met, rpc.Met{ID: id, Tries: let / 2, Took: int64(r.took / perMs10)})
+					met = append(met, rpc.EndpointReport{ID: id, Attempts: let / 2, Latency: int64(r.took / perMs10)})
 				}
 			}
-			r.b.Report(c, []rpc.Use{{Service: "svc", Came: came, Voided: came - let}}, met, 1)
+			r.b.Report(c, []rpc.ServiceLoad{{Service: "svc", Requests: came, Failed: came - let}}, met, 1)
 		}
 		for range 5 {
 			r.now += 200 * time.Millisecond
@@ -86,7 +86,7 @@
 		for _, t := range tables[c] {
 			r.tables++
 			fmt.Fprintf(&r.said, "%4.1f s %s:", r.now.Seconds(), c)
-			if t.Whole {
+			if t.Full {
 				r.weights[c] = map[string]float64{}
 				r.said.WriteString(" whole")
 			}
@@ -94,9 +94,9 @@
 				r.weights[c][id] = t.Weights[id]
 				fmt.Fprintf(&r.said, " %s=%.2g", id, t.Weights[id])
 			}
-			if t.Gated {
-				r.levels[c] = t.Level
-				fmt.Fprintf(&r.said, " level %.3g", t.Level)
+			if t.Limited {
+				r.levels[c] = t.RateLimit
+				fmt.Fprintf(&r.said, " level %.3g", t.RateLimit)
 			}
 			r.said.WriteString("\n")
 		}
@@ -221,7 +221,7 @@
 	for _, size := range []struct{ services, backends, carriers int }{{3, 10, 10}, {1, 500, 136}, {200, 35, 136}} {
 		b.Run(fmt.Sprint(size.services, "x", size.backends, "x", size.carriers), func(b *testing.B) {
 			g := New([]string{"a", "b", "c", "d", "e"}, 0)
-			config, list, members := map[string]Service{}, []Backend{}, []rpc.Member{}
+			config, list, members := map[string]Service{}, []Backend{}, []rpc.ProxyInfo{}
 			for s := range size.services {
 				config[fmt.Sprint("s", s)] = Service{Target: time.Second}
 				for i := range size.backends {
@@ -233,17 +233,17 @@
 			g.Backends(0, list)
 			for c := range size.carriers {
 				g.Join(fmt.Sprint("p", c), "a")
-				members = append(members, rpc.Member{Name: fmt.Sprint("p", c), Zone: "a"})
+				members = append(members, rpc.ProxyInfo{Name: fmt.Sprint("p", c), Zone: "a"})
 			}
 			g.Members(members)
 			now, told := time.Duration(0), 0
 			second := func() {
 				for c := range size.carriers {
-					var uses []rpc.Use
-					var met []rpc.Met
+					var uses []rpc.ServiceLoad
+					var met []rpc.EndpointReport
 					for s := range size.services {
-						uses = append(uses, rpc.Use{Service: fmt.Sprint("s", s), Came: 10})
-						met = append(met, rpc.Met{ID: fmt.Sprint(s, "-", c%size.backends/5*5), Tries: 10, Took: 1000})
+						uses = append(uses, rpc.ServiceLoad{Service: fmt.Sprint("s", s), Requests: 10})
+						met = append(met, rpc.EndpointReport{ID: fmt.Sprint(s, "-", c%size.backends/5*5), Attempts: 10, Latency: 1000})
 					}
 					g.Report(fmt.Sprint("p", c), uses, met, 1)
 				}
--- a/internal/controlplane/steering/carry.go
+++ b/internal/controlplane/steering/carry.go
@@ -75,8 +75,8 @@
 }
 
 // tell makes the message of what changed in a table; it says whether anything did.
-func (s *service) tell(t *table) (m rpc.Table, news bool) {
-	m, l := rpc.Table{Service: s.name, Whole: t.whole, Weights: map[string]float64{}}, &s.slots[t.user]
+func (s *service) tell(t *table) (m rpc.RoutingTable, news bool) {
+	m, l := rpc.RoutingTable{Service: s.name, Full: t.whole, Weights: map[string]float64{}}, &s.slots[t.user]
 	if t.whole {
 		// A backend of its own zone that it is told nothing of it takes for one that the controller does not know yet,
 		// and goes by its capacity.
@@ -95,7 +95,7 @@
 		}
 	}
 	if t.whole || t.level != l.level { // it may hold the level of another controller
-		m.Gated, m.Level, l.level = true, t.level, t.level
+		m.Limited, m.RateLimit, l.level = true, t.level, t.level
 	}
-	return m, t.whole || m.Gated || len(m.Weights) > 0
+	return m, t.whole || m.Limited || len(m.Weights) > 0
 }
--- a/internal/controlplane/steering/service.go
+++ b/internal/controlplane/steering/service.go
@@ -72,7 +72,7 @@
 
 type telling struct {
 	to    *carrier
-	table rpc.Table
+	table rpc.RoutingTable
 }
 
 // renew has the next step make a new Assigner that goes on from what this one knows.
@@ -193,22 +193,22 @@
 	*s.slot(c) = slot{silent: silentMost}
 }
 
-func (s *service) use(c *carrier, u rpc.Use, spent float64) {
+func (s *service) use(c *carrier, u rpc.ServiceLoad, spent float64) {
 	l := s.slot(c)
 	if l.came == 0 && (!l.joined || l.silent >= silentMost) {
 		l.clock = c.spent - spent // nothing was told of the time before
 	}
-	l.came, l.voided, s.traffic = l.came+u.Came, l.voided+max(u.Voided, 0), true
+	l.came, l.voided, s.traffic = l.came+u.Requests, l.voided+max(u.Failed, 0), true
 }
 
 // meet adds what was met at a backend. Choice has no use for Waiting: it takes how much a backend holds, and only from
 // probes, as what answers tell comes from busy moments; that requests wait shows in how long answers take.
-func (s *service) meet(m rpc.Met) {
+func (s *service) meet(m rpc.EndpointReport) {
 	l := &s.lives[s.places[m.ID]]
-	good := max(m.Tries-m.Voided, 0)
-	l.tries, l.voided = l.tries+m.Tries, l.voided+max(m.Voided, 0)
-	if m.Took > 0 {
-		l.good, l.lasted = l.good+good, l.lasted+good*float64(m.Took)
+	good := max(m.Attempts-m.Failed, 0)
+	l.tries, l.voided = l.tries+m.Attempts, l.voided+max(m.Failed, 0)
+	if m.Latency > 0 {
+		l.good, l.lasted = l.good+good, l.lasted+good*float64(m.Latency)
 	}
 }
 
--- a/internal/emulator/proxies/ways.go
+++ b/internal/emulator/proxies/ways.go
@@ -51,7 +51,7 @@
 	w := s.w
 	s.byID = map[string]*backend{}
 	var members []balancer.Member
-	var leases []rpc.Member
+	var leases []rpc.ProxyInfo
 	zones, services := []string{}, map[string]steering.Service{}
 	for z := range w.Zones {
 		zones = append(zones, zoneName(z))
@@ -62,7 +62,7 @@
 	name := func(i int) string { return fmt.Sprintf("c%d", i) }
 	for i, c := range w.carriers {
 		members = append(members, balancer.Member{Name: name(i), Zone: zoneName(c.zone)})
-		leases = append(leases, rpc.Member{Name: name(i), Zone: zoneName(c.zone)})
+		leases = append(leases, rpc.ProxyInfo{Name: name(i), Zone: zoneName(c.zone)})
 	}
 	for z := range zones {
 		b := steering.New(zones, time.Duration(balancer.Rank(zones[z], "tick")%uint64(time.Second)))
@@ -97,14 +97,14 @@
 	w := s.w
 	w.after(after, func() {
 		r := s.settlers[i].Report()
-		var uses []rpc.Use
-		var met []rpc.Met
+		var uses []rpc.ServiceLoad
+		var met []rpc.EndpointReport
 		for _, u := range r.Uses {
-			uses = append(uses, rpc.Use{Service: u.Service, Came: u.Came, Voided: u.Voided})
+			uses = append(uses, rpc.ServiceLoad{Service: u.Service, Requests: u.Came, Failed: u.Voided})
 		}
 		for _, t := range r.Met {
-			met = append(met, rpc.Met{ID: t.ID, Tries: t.Tries, Voided: t.Voided,
-				Took: int64(t.Took / (100 * time.Microsecond)), Waiting: t.Waiting})
+			met = append(met, rpc.EndpointReport{ID: t.ID, Attempts: t.Tries, Failed: t.Voided,
+				Latency: int64(t.Took / (100 * time.Microsecond)), Queued: t.Waiting})
 		}
 		s.bearings[w.carriers[i].zone].Report(name, uses, met, 1)
 		if w.now < w.end {
@@ -120,11 +120,11 @@
 	w.after(acrossZone, func() {
 		for i := range s.settlers {
 			for _, t := range tables[fmt.Sprintf("c%d", i)] {
-				if t.Whole || t.Weights != nil {
-					s.settlers[i].Weights(t.Service, t.Whole, t.Weights)
+				if t.Full || t.Weights != nil {
+					s.settlers[i].Weights(t.Service, t.Full, t.Weights)
 				}
-				if t.Gated {
-					s.settlers[i].Level(t.Service, t.Level, w.now)
+				if t.Limited {
+					s.settlers[i].Level(t.Service, t.RateLimit, w.now)
 				}
 			}
 		}
--- a/internal/fakes/gateway/gateway_test.go
+++ b/internal/fakes/gateway/gateway_test.go
@@ -53,9 +53,7 @@
 
 // A hollow carrier looks at the very fields that controllers fill.
 func TestFrame(t *testing.T) {
-	text, err := cbor.Marshal(&rpc.Message{Hello: &rpc.Hello{Life: 1}, Settled: true, Safe: map[string]rpc.Stamp{charterName: {Hi: 3}},
-		Offers:   []rpc.Register{{Name: charterName, Stamp: rpc.Stamp{Hi: 3}, Value: []byte("x")}},
-		Backends: []rpc.Backend{{ID: "i-1"}}, Tables: []rpc.Table{{Service: "s"}}})
+	text, err := cbor.Marshal(&rpc.Message{Hello: &rpc.Hello{Incarnation: 1}, EndpointUpdate: rpc.EndpointUpdate{EndpointsSynced: true, Endpoints: []rpc.Endpoint{{ID: "i-1"}}}, RegisterUpdate: rpc.RegisterUpdate{CommittedVersions: map[string]rpc.Version{charterName: {Number: 3}}, CommittedValues: []rpc.Register{{Name: charterName, Version: rpc.Version{Number: 3}, Value: []byte("x")}}}, RoutingTables: []rpc.RoutingTable{{Service: "s"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +61,7 @@
 	if err := cbor.Unmarshal(text, &f); err != nil {
 		t.Fatal(err)
 	}
-	if f.Hello == nil || !f.Settled || f.Safe[charterName].Hi != 3 || f.Offers[0].Stamp.Hi != 3 || len(f.Backends) == 0 || len(f.Tables) == 0 {
+	if f.Hello == nil || !f.Settled || f.Safe[charterName].Number != 3 || f.Offers[0].Version.Number != 3 || len(f.Backends) == 0 || len(f.Tables) == 0 {
 		t.Errorf("%+v", f)
 	}
 }
--- a/internal/fakes/gateway/hollow.go
+++ b/internal/fakes/gateway/hollow.go
@@ -94,7 +94,7 @@
 	zone    int
 	steerer int // controller
 	mu      sync.Mutex
-	lines   []*rpc.Line
+	lines   []*rpc.Conn
 	version uint64
 	wanted  uint64
 	askedAt time.Time
@@ -108,18 +108,18 @@
 
 // frame is what is looked at of a message.
 type frame struct {
-	Hello    cbor.RawMessage      `cbor:"3,keyasint,omitempty"`
-	Offers   []offer              `cbor:"4,keyasint,omitempty"`
-	Safe     map[string]rpc.Stamp `cbor:"6,keyasint,omitempty"`
-	Backends cbor.RawMessage      `cbor:"13,keyasint,omitempty"`
-	Settled  bool                 `cbor:"14,keyasint,omitempty"`
-	Tables   cbor.RawMessage      `cbor:"22,keyasint,omitempty"`
+	Hello    cbor.RawMessage        `cbor:"3,keyasint,omitempty"`
+	Offers   []offer                `cbor:"4,keyasint,omitempty"`
+	Safe     map[string]rpc.Version `cbor:"6,keyasint,omitempty"`
+	Backends cbor.RawMessage        `cbor:"13,keyasint,omitempty"`
+	Settled  bool                   `cbor:"14,keyasint,omitempty"`
+	Tables   cbor.RawMessage        `cbor:"22,keyasint,omitempty"`
 }
 
 type offer struct {
-	Name  string          `cbor:"1,keyasint"`
-	Stamp rpc.Stamp       `cbor:"2,keyasint"`
-	Value cbor.RawMessage `cbor:"3,keyasint,omitempty"`
+	Name    string          `cbor:"1,keyasint"`
+	Version rpc.Version     `cbor:"2,keyasint"`
+	Value   cbor.RawMessage `cbor:"3,keyasint,omitempty"`
 }
 
 const (
@@ -142,7 +142,7 @@
 		h.byLife = append(h.byLife, startBeats(l, plan.Beat, phase, controls, &h.beats))
 	}
 	for i := range plan.Carriers {
-		c := &hollowCarrier{h: h, name: fmt.Sprintf("hollow-%03d", i), zone: i % len(plan.Zones), lines: make([]*rpc.Line, len(d.Controllers)),
+		c := &hollowCarrier{h: h, name: fmt.Sprintf("hollow-%03d", i), zone: i % len(plan.Zones), lines: make([]*rpc.Conn, len(d.Controllers)),
 			settled: make([]bool, len(d.Controllers)), asked: make([]int, len(d.Controllers)), safe: make([]uint64, len(d.Controllers)),
 			chance: rand.New(rand.NewPCG(plan.Seed, uint64(i)))}
 		c.steerer = h.steererOf(plan.Zones[c.zone])
@@ -244,7 +244,7 @@
 		if l == nil {
 			continue
 		}
-		m := &rpc.Message{Renew: max(c.renewal, 2)}
+		m := &rpc.Message{Lease: rpc.Lease{RenewLease: max(c.renewal, 2)}}
 		if k == c.steerer {
 			c.report(m)
 		}
@@ -256,7 +256,7 @@
 
 // report tells of requests that went to backends of the own zone.
 func (c *hollowCarrier) report(m *rpc.Message) {
-	m.Steer, m.Spent = true, 1
+	m.WantTables, m.ReportSeconds = true, 1
 	own := c.h.backend[c.zone]
 	if len(own) == 0 {
 		return
@@ -266,10 +266,10 @@
 		services[c.chance.IntN(c.h.plan.Services)]++
 	}
 	for s, n := range services {
-		m.Uses = append(m.Uses, rpc.Use{Service: ServiceName(s), Came: n})
+		m.ServiceLoads = append(m.ServiceLoads, rpc.ServiceLoad{Service: ServiceName(s), Requests: n})
 	}
 	for range min(c.h.plan.Requests, len(own)) {
-		m.Met = append(m.Met, rpc.Met{ID: own[c.chance.IntN(len(own))], Tries: 1, Took: 500 + int64(c.chance.IntN(200))})
+		m.EndpointReports = append(m.EndpointReports, rpc.EndpointReport{ID: own[c.chance.IntN(len(own))], Attempts: 1, Latency: 500 + int64(c.chance.IntN(200))})
 	}
 }
 
@@ -288,10 +288,10 @@
 }
 
 func (c *hollowCarrier) read(k int, conn net.Conn) {
-	line := rpc.NewLine(conn) // its writer alone is used
+	line := rpc.NewConn(conn) // its writer alone is used
 	defer line.Close()
-	line.Send(&rpc.Message{Hello: &rpc.Hello{Who: rpc.Controller{Name: c.name, Zone: c.h.plan.Zones[c.zone],
-		Address: "10.9.9.9:7540"}, Life: uint64(c.zone) + 1, Carrier: true}})
+	line.Send(&rpc.Message{Hello: &rpc.Hello{Node: rpc.Node{Name: c.name, Zone: c.h.plan.Zones[c.zone],
+		Address: "10.9.9.9:7540"}, Incarnation: uint64(c.zone) + 1, IsProxy: true}})
 	defer func() {
 		c.mu.Lock()
 		c.lines[k], c.settled[k], c.safe[k] = nil, false, 0
@@ -302,7 +302,7 @@
 	for {
 		_ = conn.SetReadDeadline(time.Now().Add(3 * time.Second)) // as carriers do
 		n, err := binary.ReadUvarint(in)
-		if err != nil || n > rpc.Most {
+		if err != nil || n > rpc.MaxFrameBytes {
 			return
 		}
 		if uint64(cap(body)) < n {
@@ -324,27 +324,27 @@
 	}
 }
 
-func (c *hollowCarrier) heard(k int, line *rpc.Line, f *frame) {
+func (c *hollowCarrier) heard(k int, line *rpc.Conn, f *frame) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if f.Hello != nil {
 		c.lines[k] = line
-		line.Send(&rpc.Message{Renew: 1})
+		line.Send(&rpc.Message{Lease: rpc.Lease{RenewLease: 1}})
 		c.h.lines.Out.Add(1)
 	}
 	c.settled[k] = c.settled[k] || f.Settled
 	if len(f.Tables) > 0 {
 		c.h.tables.Add(1)
 	}
-	if s, ok := f.Safe[charterName]; ok && s.Hi > c.safe[k] {
-		if c.safe[k] = s.Hi; s.Hi > c.wanted {
-			c.wanted, c.askedAt = s.Hi, time.Time{}
+	if s, ok := f.Safe[charterName]; ok && s.Number > c.safe[k] {
+		if c.safe[k] = s.Number; s.Number > c.wanted {
+			c.wanted, c.askedAt = s.Number, time.Time{}
 			clear(c.asked)
 		}
 	}
 	for _, o := range f.Offers {
 		if o.Name == charterName {
-			c.version = max(c.version, o.Stamp.Hi)
+			c.version = max(c.version, o.Version.Number)
 		}
 	}
 	c.want()
@@ -377,7 +377,7 @@
 	if best >= 0 {
 		c.askedAt = time.Now()
 		c.asked[best]++
-		c.lines[best].Send(&rpc.Message{Want: []string{charterName}})
+		c.lines[best].Send(&rpc.Message{RegisterUpdate: rpc.RegisterUpdate{FetchRegisters: []string{charterName}}})
 		c.h.lines.Out.Add(1)
 	}
 }
--- a/internal/gateway/rpc/epoch.go
+++ b/internal/gateway/rpc/epoch.go
@@ -2,71 +2,84 @@
 
 import "slices"
 
-// Voter is a disk that counts: the controller whose machine it is in, and the disk's own id, drawn when it was first
-// written, so that a wiped disk is somebody new.
+// Voter is a disk that votes: the control-plane node whose machine it is in, and the disk's own id. The id is drawn when
+// the disk is first written, so that a wiped disk is another voter and never votes on what the old one has forgotten.
 type Voter struct {
-	Controller `cbor:"1,keyasint"`
-	ID         string `cbor:"2,keyasint"`
+	Node    `cbor:"1,keyasint"`
+	StoreID string `cbor:"2,keyasint"`
 }
 
-// Epoch is who votes in the core. Each follows from a decision of the one before. While Old is not empty the change
-// to Voters is under way, and quorums of both count.
+// Epoch is who votes in the control plane. Each epoch is decided by the voters of the one before. While OldVoters is not
+// empty the epoch is a joint one: a change from OldVoters to Voters is under way, and each quorum needs both.
 type Epoch struct {
-	Number uint64  `cbor:"1,keyasint"` // 0: there is none yet
-	Old    []Voter `cbor:"2,keyasint,omitempty"`
-	Voters []Voter `cbor:"3,keyasint"`
-	// Founded is how many founded the core.
-	Founded int `cbor:"4,keyasint,omitempty"`
+	Number       uint64  `cbor:"1,keyasint"` // 0: none was decided yet
+	OldVoters    []Voter `cbor:"2,keyasint,omitempty"`
+	Voters       []Voter `cbor:"3,keyasint"`
+	FoundingSize int     `cbor:"4,keyasint,omitempty"` // voters of the first epoch
 }
 
-// Size is how many voters there should be: as many as founded the core, and one more if that is even, as an even number
-// bears no more losses than the odd one below it.
-func (e Epoch) Size() int {
-	if e.Founded == 0 {
+// IsJoint reports whether a change of voters is under way.
+func (e Epoch) IsJoint() bool { return len(e.OldVoters) > 0 }
+
+// TargetSize is how many voters there should be: as many as in the first epoch, and one more if that is even, because an
+// even number of voters survives no more losses than the odd one below it.
+func (e Epoch) TargetSize() int {
+	if e.FoundingSize == 0 {
 		return len(e.Voters) | 1
 	}
-	return e.Founded | 1
+	return e.FoundingSize | 1
 }
 
-// All are those whose words may count, each once.
-func (e Epoch) All() []Voter {
+// AllVoters are the voters of both sets, each once.
+func (e Epoch) AllVoters() []Voter {
 	all := slices.Clone(e.Voters)
-	for _, v := range e.Old {
-		if !e.in(all, v.ID) {
+	for _, v := range e.OldVoters {
+		if !containsStore(all, v.StoreID) {
 			all = append(all, v)
 		}
 	}
 	return all
 }
 
-// Voter says whether a disk votes.
-func (e Epoch) Voter(id string) bool { return e.in(e.Voters, id) || e.in(e.Old, id) }
+// IsVoter reports whether a disk votes.
+func (e Epoch) IsVoter(storeID string) bool {
+	return containsStore(e.Voters, storeID) || containsStore(e.OldVoters, storeID)
+}
 
-func (e Epoch) in(set []Voter, id string) bool {
-	return slices.ContainsFunc(set, func(v Voter) bool { return v.ID == id })
+func containsStore(voters []Voter, storeID string) bool {
+	return slices.ContainsFunc(voters, func(v Voter) bool { return v.StoreID == storeID })
 }
 
-// Most says whether those for which has is true are a majority, of the old voters too while they count.
-func (e Epoch) Most(has func(Voter) bool) bool { return e.enough(0, has) }
+// HasMajority reports whether the voters that are counted are a majority, in a joint epoch of both sets.
+func (e Epoch) HasMajority(counted func(Voter) bool) bool { return e.hasQuorum(0, counted) }
 
-// Safe says whether those for which has is true are so many that a value lasts on their disks: a majority, and one
-// more than may be lost at once, where there are so many.
-func (e Epoch) Safe(faults int, has func(Voter) bool) bool { return e.enough(faults, has) }
+// IsDurable reports whether a value on the disks that are counted survives the loss of maxFaults machines at once: a
+// majority, and at least one disk more than may be lost, where the set has so many.
+func (e Epoch) IsDurable(maxFaults int, counted func(Voter) bool) bool {
+	return e.hasQuorum(maxFaults, counted)
+}
 
-func (e Epoch) enough(faults int, has func(Voter) bool) bool {
-	if e.Number == 0 {
+func (e Epoch) hasQuorum(maxFaults int, counted func(Voter) bool) bool {
+	if e.Number == 0 || len(e.Voters) == 0 {
 		return false
 	}
-	for _, set := range [][]Voter{e.Voters, e.Old} {
-		n := 0
-		for _, v := range set {
-			if has(v) {
-				n++
-			}
+	for _, set := range [][]Voter{e.Voters, e.OldVoters} {
+		if len(set) == 0 {
+			continue
 		}
-		if len(set) > 0 && n < min(max(faults+1, len(set)/2+1), len(set)) {
+		quorum := min(max(maxFaults+1, len(set)/2+1), len(set))
+		if countVoters(set, counted) < quorum {
 			return false
 		}
 	}
-	return len(e.Voters) > 0
+	return true
+}
+
+func countVoters(set []Voter, counted func(Voter) bool) (n int) {
+	for _, v := range set {
+		if counted(v) {
+			n++
+		}
+	}
+	return n
 }
--- a/internal/gateway/rpc/parley_test.go
+++ b/internal/gateway/rpc/message_test.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-func pair() (here, there *Line) {
+func pair() (here, there *Conn) {
 	a, b := net.Pipe()
-	return NewLine(a), NewLine(b)
+	return NewConn(a), NewConn(b)
 }
 
 // fill draws a value. Part is how likely each field is set; what is set is never empty.
@@ -88,11 +88,11 @@
 		defer there.Close()
 		const senders, each = 4, 200
 		var all sync.WaitGroup
-		for _, ends := range [][2]*Line{{here, there}, {there, here}} {
+		for _, ends := range [][2]*Conn{{here, there}, {there, here}} {
 			for i := range senders {
 				all.Go(func() {
 					for n := range each {
-						ends[0].Send(&Message{Seq: uint64(i), Renew: uint64(n + 1), Want: []string{"charter"}})
+						ends[0].Send(&Message{Acknowledgement: Acknowledgement{WantAck: uint64(i)}, Lease: Lease{RenewLease: uint64(n + 1)}, RegisterUpdate: RegisterUpdate{FetchRegisters: []string{"charter"}}})
 					}
 				})
 			}
@@ -100,11 +100,11 @@
 				var last [senders]uint64
 				for range senders * each {
 					m, err := ends[1].Receive(time.Minute)
-					if err != nil || m.Renew != last[m.Seq]+1 {
+					if err != nil || m.RenewLease != last[m.WantAck]+1 {
 						t.Errorf("%v: %+v after %v", err, m, last)
 						return
 					}
-					last[m.Seq] = m.Renew
+					last[m.WantAck] = m.RenewLease
 				}
 			})
 		}
@@ -115,7 +115,7 @@
 // What is no frame is an error, at once and without room being made for what it promises.
 func TestBadFrames(t *testing.T) {
 	for name, text := range map[string][]byte{
-		"too long":       binary.AppendUvarint(nil, Most+1),
+		"too long":       binary.AppendUvarint(nil, MaxFrameBytes+1),
 		"beyond numbers": bytes.Repeat([]byte{0xff}, 11),
 		"empty":          {0},
 		"no CBOR":        []byte("\x05hello"),
@@ -126,7 +126,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			a, b := net.Pipe()
-			line := NewLine(a)
+			line := NewConn(a)
 			defer line.Close()
 			go func() {
 				_, _ = b.Write(text)
@@ -139,7 +139,7 @@
 	}
 }
 
-func ended(t *testing.T, line *Line, other net.Conn) {
+func ended(t *testing.T, line *Conn, other net.Conn) {
 	t.Helper()
 	if m, err := line.Receive(0); err == nil {
 		t.Errorf("the line still gives %+v", m)
@@ -147,27 +147,27 @@
 	if _, err := io.Copy(io.Discard, other); err != nil {
 		t.Errorf("the other side is not told of the end: %v", err)
 	}
-	line.Send(&Message{Renew: 1}) // says nothing, and does not wait
+	line.Send(&Message{Lease: Lease{RenewLease: 1}}) // says nothing, and does not wait
 }
 
 // Who does not read loses the line: after a time, or when more waits for it than may.
 func TestReaderThatDoesNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := net.Pipe()
-		line := NewLine(a)
+		line := NewConn(a)
 		defer line.Close()
 		began := time.Now()
-		line.Send(&Message{Renew: 1})
-		if _, err := line.Receive(0); err == nil || time.Since(began) != writeFor {
+		line.Send(&Message{Lease: Lease{RenewLease: 1}})
+		if _, err := line.Receive(0); err == nil || time.Since(began) != writeTimeout {
 			t.Errorf("%v after %v", err, time.Since(began))
 		}
 		ended(t, line, b)
 	})
 	synctest.Test(t, func(t *testing.T) {
 		a, b := net.Pipe()
-		line := NewLine(a)
+		line := NewConn(a)
 		defer line.Close()
-		big := &Message{Offers: []Register{{Name: "charter", Value: make([]byte, queueMost/2)}}}
+		big := &Message{RegisterUpdate: RegisterUpdate{CommittedValues: []Register{{Name: "charter", Value: make([]byte, maxPendingBytes/2)}}}}
 		began := time.Now()
 		for range 3 {
 			line.Send(big)
@@ -189,8 +189,8 @@
 		if _, err := here.Receive(3 * time.Second); err == nil || time.Since(began) != 3*time.Second {
 			t.Errorf("%v after %v", err, time.Since(began))
 		}
-		there.Send(&Message{Renew: 7})
-		if m, err := here.Receive(3 * time.Second); err != nil || m.Renew != 7 {
+		there.Send(&Message{Lease: Lease{RenewLease: 7}})
+		if m, err := here.Receive(3 * time.Second); err != nil || m.RenewLease != 7 {
 			t.Errorf("%+v, %v", m, err)
 		}
 		there.Close()
--- a/internal/gateway/session/rapport.go
+++ b/internal/gateway/session/rapport.go
@@ -84,7 +84,7 @@
 }
 
 type speaker struct {
-	line *rpc.Line // nil: none
+	line *rpc.Conn // nil: none
 	life uint64    // the newest one seen
 	past []uint64  // lives that it followed, the newest pastMost
 }
@@ -94,24 +94,24 @@
 // Take lets a line speak for the one who says hello on it. ok is false if another one does so rightly, or a later life
 // of that name has been heard; the line is closed then. Else replaced is the line that spoke until now, which is closed
 // (nil: none).
-func (l *Lines) Take(hello *rpc.Hello, line *rpc.Line) (replaced *rpc.Line, ok bool) {
+func (l *Lines) Take(hello *rpc.Hello, line *rpc.Conn) (replaced *rpc.Conn, ok bool) {
 	if l.by == nil {
 		l.by = map[string]*speaker{}
 	}
-	s := l.by[hello.Who.Name]
+	s := l.by[hello.Node.Name]
 	if s == nil {
-		s = &speaker{life: hello.Life}
-		l.by[hello.Who.Name] = s
+		s = &speaker{life: hello.Incarnation}
+		l.by[hello.Node.Name] = s
 	}
-	if slices.Contains(s.past, hello.Life) || s.life == hello.Life && s.line != nil && s.line != line && !l.Latest {
+	if slices.Contains(s.past, hello.Incarnation) || s.life == hello.Incarnation && s.line != nil && s.line != line && !l.Latest {
 		line.Close()
 		return nil, false
 	}
-	if s.life != hello.Life {
+	if s.life != hello.Incarnation {
 		if s.past = append(s.past, s.life); len(s.past) > pastMost {
 			s.past = slices.Delete(s.past, 0, 1)
 		}
-		s.life = hello.Life
+		s.life = hello.Incarnation
 	}
 	if replaced = s.line; replaced == line {
 		replaced = nil
@@ -123,13 +123,13 @@
 }
 
 // Speaks says whether the line is the one that speaks for the name.
-func (l *Lines) Speaks(name string, line *rpc.Line) bool {
+func (l *Lines) Speaks(name string, line *rpc.Conn) bool {
 	s := l.by[name]
 	return s != nil && s.line == line && line != nil
 }
 
 // Lost closes a line, and says whether it was the one that spoke for the name.
-func (l *Lines) Lost(name string, line *rpc.Line) bool {
+func (l *Lines) Lost(name string, line *rpc.Conn) bool {
 	line.Close()
 	if !l.Speaks(name, line) {
 		return false
@@ -149,9 +149,9 @@
 	Hello   func() *rpc.Message
 	// Heard takes each message of a line that speaks for the name. The first one of a line, and only that, has Hello:
 	// the line is up. It may close the line: its whole first words come again then, on the next one.
-	Heard func(name string, line *rpc.Line, m *rpc.Message)
+	Heard func(name string, line *rpc.Conn, m *rpc.Message)
 	// Lost is told after the last message of a line whose Hello was heard, and before the Hello of the next one.
-	Lost func(name string, line *rpc.Line)
+	Lost func(name string, line *rpc.Conn)
 
 	lines   Lines
 	dialing map[string]chan struct{} // by address; what is sent there has it dialled at once
@@ -174,7 +174,7 @@
 		for {
 			wait := k.Again
 			if conn := k.dial(address, now); conn != nil {
-				if wait = k.listen(rpc.NewLine(conn)); wait < 0 {
+				if wait = k.listen(rpc.NewConn(conn)); wait < 0 {
 					return
 				}
 			}
@@ -223,7 +223,7 @@
 }
 
 // listen hears a line to its end and says when its address is to be dialled again (negative: never).
-func (k *Keeper) listen(line *rpc.Line) time.Duration {
+func (k *Keeper) listen(line *rpc.Conn) time.Duration {
 	line.Send(k.Hello())
 	var who *rpc.Hello
 	var refused atomic.Bool
@@ -233,15 +233,15 @@
 			break
 		}
 		if m.Hello != nil {
-			if who = m.Hello; who.Who.Name == "" {
+			if who = m.Hello; who.Node.Name == "" {
 				break
 			}
-			if who.Who.Name == k.Self {
+			if who.Node.Name == k.Self {
 				line.Close()
 				return -1
 			}
 		}
-		name := who.Who.Name
+		name := who.Node.Name
 		k.Queue.Do(func() {
 			if m.Hello != nil {
 				replaced, ok := k.lines.Take(m.Hello, line)
@@ -257,8 +257,8 @@
 	line.Close()
 	if who != nil {
 		k.Queue.Do(func() {
-			if k.lines.Lost(who.Who.Name, line) {
-				k.Lost(who.Who.Name, line)
+			if k.lines.Lost(who.Node.Name, line) {
+				k.Lost(who.Node.Name, line)
 			}
 		})
 	}
--- a/internal/gateway/session/rapport_test.go
+++ b/internal/gateway/session/rapport_test.go
@@ -79,20 +79,20 @@
 	out   strings.Builder
 	q     *session.Queue
 	k     *session.Keeper
-	lines map[string]chan *rpc.Line // that were accepted at an address; none: it refuses
+	lines map[string]chan *rpc.Conn // that were accepted at an address; none: it refuses
 	began time.Time
 	// All that were accepted: a line that nobody reads ends with Close alone.
-	accepted []*rpc.Line
+	accepted []*rpc.Conn
 }
 
 func begin(addresses ...string) *stage {
-	s := &stage{q: session.NewQueue(16), lines: map[string]chan *rpc.Line{}, began: time.Now()}
+	s := &stage{q: session.NewQueue(16), lines: map[string]chan *rpc.Conn{}, began: time.Now()}
 	for _, a := range addresses {
-		s.lines[a] = make(chan *rpc.Line, 64)
+		s.lines[a] = make(chan *rpc.Conn, 64)
 	}
 	s.k = &session.Keeper{Queue: s.q, Clock: clockwork.NewRealClock(), Self: "me", Again: 250 * time.Millisecond,
 		Silence: 3 * time.Second, Hello: func() *rpc.Message {
-			return &rpc.Message{Hello: &rpc.Hello{Who: rpc.Controller{Name: "me"}, Life: 9}}
+			return &rpc.Message{Hello: &rpc.Hello{Node: rpc.Node{Name: "me"}, Incarnation: 9}}
 		},
 		Dial: func(address string) (net.Conn, error) {
 			accepts := s.at(address)
@@ -104,18 +104,18 @@
 			s.note("dials %s", address)
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.accepted = append(s.accepted, rpc.NewLine(there))
+			s.accepted = append(s.accepted, rpc.NewConn(there))
 			accepts <- s.accepted[len(s.accepted)-1]
 			return here, nil
 		},
-		Heard: func(name string, _ *rpc.Line, m *rpc.Message) {
+		Heard: func(name string, _ *rpc.Conn, m *rpc.Message) {
 			if m.Hello != nil {
-				s.note("%s is up, life %d", name, m.Hello.Life)
+				s.note("%s is up, life %d", name, m.Hello.Incarnation)
 			} else {
-				s.note("%s says %d", name, m.Seq)
+				s.note("%s says %d", name, m.WantAck)
 			}
 		},
-		Lost: func(name string, _ *rpc.Line) { s.note("%s is lost", name) }}
+		Lost: func(name string, _ *rpc.Conn) { s.note("%s is lost", name) }}
 	go own(s.q)
 	for _, a := range addresses {
 		s.q.Do(func() { s.k.Keep(a) })
@@ -125,14 +125,14 @@
 }
 
 // at is where lines to an address are accepted, nil: nowhere.
-func (s *stage) at(address string) chan *rpc.Line {
+func (s *stage) at(address string) chan *rpc.Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lines[address]
 }
 
 // accept lets an address accept lines, or refuse them (nil).
-func (s *stage) accept(address string, lines chan *rpc.Line) {
+func (s *stage) accept(address string, lines chan *rpc.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lines[address] = lines
@@ -145,24 +145,26 @@
 }
 
 // line is the next one that was accepted, the keeper's hello read.
-func (s *stage) line(address string) *rpc.Line {
+func (s *stage) line(address string) *rpc.Conn {
 	l := <-s.at(address)
-	if m, err := l.Receive(time.Second); err != nil || m.Hello == nil || m.Hello.Who.Name != "me" {
+	if m, err := l.Receive(time.Second); err != nil || m.Hello == nil || m.Hello.Node.Name != "me" {
 		s.note("no hello at %s: %+v, %v", address, m, err)
 	}
 	return l
 }
 
-func (s *stage) says(l *rpc.Line, m *rpc.Message) {
+func (s *stage) says(l *rpc.Conn, m *rpc.Message) {
 	l.Send(m)
 	synctest.Wait()
 }
 
 func hello(name string, life uint64) *rpc.Message {
-	return &rpc.Message{Hello: &rpc.Hello{Who: rpc.Controller{Name: name}, Life: life}}
+	return &rpc.Message{Hello: &rpc.Hello{Node: rpc.Node{Name: name}, Incarnation: life}}
 }
 
-func word(n uint64) *rpc.Message { return &rpc.Message{Seq: n} }
+func word(n uint64) *rpc.Message {
+	return &rpc.Message{Acknowledgement: rpc.Acknowledgement{WantAck: n}}
+}
 
 // end stops the queue; the keeper's goroutines must end by themselves, or the bubble does not.
 func (s *stage) end() string {
@@ -279,20 +281,20 @@
 // Where others dial, the later line of one life takes the place of the earlier one; an earlier life never does.
 func TestAcceptedLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var all []*rpc.Line
+		var all []*rpc.Conn
 		for range 40 {
 			a, b := net.Pipe()
-			all = append(all, rpc.NewLine(a))
-			defer rpc.NewLine(b).Close()
+			all = append(all, rpc.NewConn(a))
+			defer rpc.NewConn(b).Close()
 			defer all[len(all)-1].Close()
 		}
-		open := func(l *rpc.Line) bool {
+		open := func(l *rpc.Conn) bool {
 			began := time.Now()
 			_, err := l.Receive(time.Second)
 			return err != nil && time.Since(began) == time.Second
 		}
 		lines := session.Lines{Latest: true}
-		take := func(i int, life uint64, wantOK bool, wantReplaced *rpc.Line) {
+		take := func(i int, life uint64, wantOK bool, wantReplaced *rpc.Conn) {
 			t.Helper()
 			replaced, ok := lines.Take(hello("edge-0", life).Hello, all[i])
 			if ok != wantOK || replaced != wantReplaced || open(all[i]) != ok || replaced != nil && open(replaced) ||
@@ -342,7 +344,7 @@
 				return here, nil
 			},
 			Hello: func() *rpc.Message { return &rpc.Message{} },
-			Heard: func(string, *rpc.Line, *rpc.Message) {}, Lost: func(string, *rpc.Line) {}}
+			Heard: func(string, *rpc.Conn, *rpc.Message) {}, Lost: func(string, *rpc.Conn) {}}
 		k.Now("nowhere") // what is not kept is let be
 		k.Keep("there")
 		time.Sleep(100 * time.Millisecond)
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -98,7 +98,7 @@
 	slices.Sort(all)
 	slices.Reverse(all)
 	for _, at := range all {
-		if e.Most(func(v rpc.Voter) bool { r, ok := renewed[v.Name]; return ok && r >= at }) {
+		if e.HasMajority(func(v rpc.Voter) bool { r, ok := renewed[v.Name]; return ok && r >= at }) {
 			return at + registry.RightFor, true
 		}
 	}
--- a/internal/proxy/core_test.go
+++ b/internal/proxy/core_test.go
@@ -96,7 +96,7 @@
 
 func voters(names ...string) (all []rpc.Voter) {
 	for _, n := range names {
-		all = append(all, rpc.Voter{Controller: rpc.Controller{Name: n}, ID: "disk of " + n})
+		all = append(all, rpc.Voter{Node: rpc.Node{Name: n}, StoreID: "disk of " + n})
 	}
 	return all
 }
@@ -105,8 +105,8 @@
 // (FAILBACK): no majority of one set counts while the other one does too.
 func TestRight(t *testing.T) {
 	plain := rpc.Epoch{Number: 3, Voters: voters("a", "b", "c")}
-	joint := rpc.Epoch{Number: 4, Voters: voters("b", "c", "d"), Old: voters("a", "b", "c")}
-	moved := rpc.Epoch{Number: 4, Voters: voters("d", "e", "f"), Old: voters("a", "b", "c")}
+	joint := rpc.Epoch{Number: 4, Voters: voters("b", "c", "d"), OldVoters: voters("a", "b", "c")}
+	moved := rpc.Epoch{Number: 4, Voters: voters("d", "e", "f"), OldVoters: voters("a", "b", "c")}
 	type answers map[string]time.Duration
 	for i, k := range []struct {
 		epoch rpc.Epoch
@@ -156,7 +156,7 @@
 // Who is asked for a configuration: one in touch, then one of the zone.
 func TestNearer(t *testing.T) {
 	of := func(zone string, apart bool) *controller {
-		return &controller{who: rpc.Controller{Zone: zone}, touch: touch{apart: apart}}
+		return &controller{who: rpc.Node{Zone: zone}, touch: touch{apart: apart}}
 	}
 	order := []*controller{of("north", false), of("south", false), of("north", true), of("south", true)}
 	for i, p := range order {
--- a/internal/proxy/touch_test.go
+++ b/internal/proxy/touch_test.go
@@ -142,7 +142,7 @@
 		s.cores[2].tell(offer(older.register()))
 		at("one says that something older is in force")
 		two := s.backend("beta", "north2", s.works(own))
-		s.cores[0].tell(&rpc.Message{Tables: []rpc.Table{{Service: "beta", Whole: true,
+		s.cores[0].tell(&rpc.Message{RoutingTables: []rpc.RoutingTable{{Service: "beta", Full: true,
 			Weights: map[string]float64{one.ID: 0, two.ID: 1}}}})
 		at("the one that steers, apart as it is, says that all go to the second")
 		third := conf{version: 3, routes: append(both("alpha"), both("beta")...)}
@@ -234,10 +234,10 @@
 		near, far := s.cores[0], s.cores[1]
 		one, two := s.backend("beta", "north1", s.works(own)), s.backend("beta", "north2", s.works(own))
 		time.Sleep(5 * time.Second)
-		only := func(b rpc.Backend, renewed uint64) *rpc.Message {
+		only := func(b rpc.Endpoint, renewed uint64) *rpc.Message {
 			weights := map[string]float64{one.ID: 0, two.ID: 0}
 			weights[b.ID] = 1
-			return &rpc.Message{Tables: []rpc.Table{{Service: "beta", Whole: true, Weights: weights}}, Renewed: renewed}
+			return &rpc.Message{RoutingTables: []rpc.RoutingTable{{Service: "beta", Full: true, Weights: weights}}, Lease: rpc.Lease{LeaseRenewed: renewed}}
 		}
 		lines := func() (n int) {
 			near.mu.Lock()
@@ -286,7 +286,7 @@
 	begin(t, 5, func(s *stage, at func(string)) {
 		voters := func(of ...int) (all []rpc.Voter) {
 			for _, i := range of {
-				all = append(all, rpc.Voter{Controller: s.cores[i].who, ID: "disk of " + s.cores[i].who.Name})
+				all = append(all, rpc.Voter{Node: s.cores[i].who, StoreID: "disk of " + s.cores[i].who.Name})
 			}
 			return all
 		}
@@ -294,15 +294,15 @@
 			k.knows(newer, false)
 			k.mu.Lock()
 			if k.settled, k.epoch = i < 2, (&rpc.Epoch{Number: 3, Voters: voters(0, 1, 2)}); i == 4 {
-				k.epoch = &rpc.Epoch{Number: 4, Voters: voters(2, 3, 4), Old: voters(0, 1, 2)}
+				k.epoch = &rpc.Epoch{Number: 4, Voters: voters(2, 3, 4), OldVoters: voters(0, 1, 2)}
 			}
 			k.mu.Unlock()
 		}
 		time.Sleep(300 * time.Millisecond)
 		at("two of the old voters have told all, and one knows of a change")
-		s.cores[3].tell(&rpc.Message{Settled: true, Epoch: &rpc.Epoch{Number: 3, Voters: voters(0, 1, 2)}})
+		s.cores[3].tell(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{EndpointsSynced: true}, Consensus: rpc.Consensus{Epoch: &rpc.Epoch{Number: 3, Voters: voters(0, 1, 2)}}})
 		at("one of the new ones too, and tells of the old epoch")
-		s.cores[4].tell(&rpc.Message{Settled: true})
+		s.cores[4].tell(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{EndpointsSynced: true}})
 		at("two of the new ones")
 	})
 }
