--- a/internal/proxy/transit.go
+++ b/internal/proxy/transit.go
@@ -50,24 +50,24 @@
 }
 
 type controller struct {
-	who     rpc.Controller
-	line    *rpc.Line // nil: down
+	who     rpc.Node
+	line    *rpc.Conn // nil: down
 	life    uint64
 	upAt    time.Duration
-	lostAt  time.Duration        // when the line broke
-	settled bool                 // it knows of backends what others know
-	votes   bool                 // its disk does, and it was in contact with a majority when it said what it holds
-	held    map[string]rpc.Stamp // ... then
-	safe    rpc.Stamp            // the newest configuration that it said to be in force
-	asked   int                  // how often it was asked for the one that is wanted
-	members map[string]rpc.Member
+	lostAt  time.Duration          // when the line broke
+	settled bool                   // it knows of backends what others know
+	votes   bool                   // its disk does, and it was in contact with a majority when it said what it holds
+	held    map[string]rpc.Version // ... then
+	safe    rpc.Version            // the newest configuration that it said to be in force
+	asked   int                    // how often it was asked for the one that is wanted
+	members map[string]rpc.ProxyInfo
 	sent    sentTimes     // of the renewals
 	renewed time.Duration // the sending of the newest that was answered; negative: none
 	touch   touch
 }
 
 type life struct {
-	rpc.Backend
+	rpc.Endpoint
 	vouchers  map[string]bool // by controller
 	lonelyAt  time.Duration   // since when nobody vouches
 	coldUntil time.Duration
@@ -79,7 +79,7 @@
 type Carrier struct {
 	o     Options
 	log   hclog.Logger
-	me    rpc.Controller
+	me    rpc.Node
 	life  uint64
 	began time.Time
 	queue *session.Queue
@@ -102,8 +102,8 @@
 	lives       map[string]*life
 	zones       map[string]rpc.Register  // evacuations
 	takenBack   map[string]time.Duration // when a zone was taken back
-	have        rpc.Stamp                // of the configuration in the view
-	wanted      rpc.Stamp                // the newest configuration that is in force somewhere
+	have        rpc.Version              // of the configuration in the view
+	wanted      rpc.Version              // the newest configuration that is in force somewhere
 	wantedAt    time.Duration
 	renewal     uint64
 	steersAt    string
@@ -117,10 +117,10 @@
 		controllers: map[string]*controller{}, lives: map[string]*life{}, zones: map[string]rpc.Register{},
 		takenBack: map[string]time.Duration{}, heardAt: -1, renewal: 1}
 	set := o.Settings
-	c.me = rpc.Controller{Name: set.Name, Zone: set.Zone, Address: set.Own()}
+	c.me = rpc.Node{Name: set.Name, Zone: set.Zone, Address: set.Own()}
 	c.keep = &session.Keeper{Queue: c.queue, Clock: o.Clock, Dial: o.Dial, Again: dialAgain, Silence: silentFor,
 		Hello: func() *rpc.Message {
-			return &rpc.Message{Hello: &rpc.Hello{Who: c.me, Life: c.life, Carrier: true}}
+			return &rpc.Message{Hello: &rpc.Hello{Node: c.me, Incarnation: c.life, IsProxy: true}}
 		},
 		Heard: c.heard, Lost: c.lost}
 	o.Backends.Now = o.Clock.Now
@@ -155,14 +155,14 @@
 
 func (c *Carrier) now() time.Duration { return c.o.Clock.Now().Sub(c.began) }
 
-func (c *Carrier) lost(name string, _ *rpc.Line) {
+func (c *Carrier) lost(name string, _ *rpc.Conn) {
 	p := c.controllers[name]
 	p.line, p.lostAt = nil, c.now()
 	c.log.Info("line lost", "to", name)
 }
 
 // heard takes a word of the line that speaks for a controller.
-func (c *Carrier) heard(name string, line *rpc.Line, m *rpc.Message) {
+func (c *Carrier) heard(name string, line *rpc.Conn, m *rpc.Message) {
 	now := c.now()
 	p := c.controllers[name]
 	if m.Hello != nil {
@@ -171,8 +171,8 @@
 			c.controllers[name] = p
 		}
 		was := *p
-		*p = controller{who: m.Hello.Who, line: line, life: m.Hello.Life, upAt: now, renewed: -1,
-			members: map[string]rpc.Member{}}
+		*p = controller{who: m.Hello.Node, line: line, life: m.Hello.Incarnation, upAt: now, renewed: -1,
+			members: map[string]rpc.ProxyInfo{}}
 		if was.life == p.life { // its line alone was lost
 			p.touch = was.touch
 		} else {
@@ -193,62 +193,62 @@
 		c.log.Info("line up", "to", name)
 		c.renew(p, false)
 	}
-	if m.Hello != nil || m.Held != nil || m.Renewed > 0 { // the words that say it
-		p.touch.hear(now, m.Apart)
+	if m.Hello != nil || m.StoredVersions != nil || m.LeaseRenewed > 0 { // the words that say it
+		p.touch.hear(now, m.NoQuorum)
 	}
-	p.settled = p.settled || m.Settled
-	for _, k := range m.Know {
+	p.settled = p.settled || m.EndpointsSynced
+	for _, k := range m.KnownPeers {
 		c.keep.Keep(k.Address)
 	}
 	if m.Epoch != nil && m.Epoch.Number > c.epoch.Number {
 		c.epoch = *m.Epoch
-		for _, v := range c.epoch.All() {
+		for _, v := range c.epoch.AllVoters() {
 			c.keep.Keep(v.Address)
 		}
 	}
-	if m.All { // what it holds, told in contact with a majority
-		p.votes, p.held = true, m.Held
+	if m.Complete { // what it holds, told in contact with a majority
+		p.votes, p.held = true, m.StoredVersions
 	}
-	for _, r := range m.Offers {
+	for _, r := range m.CommittedValues {
 		if r.Name != charterName || counts(now, c.heardAt, c.view.Load() != nil, p.touch.apart) {
-			c.offered(now, r, m.Safe[r.Name])
+			c.offered(now, r, m.CommittedVersions[r.Name])
 		}
 	}
-	if s, ok := m.Safe[charterName]; ok && p.safe.Less(s) {
+	if s, ok := m.CommittedVersions[charterName]; ok && p.safe.Less(s) {
 		p.safe = s
 	}
 	c.want(now)
-	if len(m.Backends) > 0 {
-		for _, b := range m.Backends {
+	if len(m.Endpoints) > 0 {
+		for _, b := range m.Endpoints {
 			c.told(now, name, b)
 		}
 	}
 	if m.Hello != nil {
-		for _, k := range m.Members {
+		for _, k := range m.Proxies {
 			p.members[k.Name] = k
 		}
 	}
-	for _, name := range m.Went {
+	for _, name := range m.ProxiesLeft {
 		delete(p.members, name)
 	}
-	for _, k := range m.Came {
+	for _, k := range m.ProxiesJoined {
 		p.members[k.Name] = k
 	}
-	if m.Hello != nil || len(m.Went)+len(m.Came) > 0 {
+	if m.Hello != nil || len(m.ProxiesLeft)+len(m.ProxiesJoined) > 0 {
 		c.setMembers()
 	}
-	sent, known := p.sent.of(m.Renewed)
-	if m.Tables == nil && known {
+	sent, known := p.sent.of(m.LeaseRenewed)
+	if m.RoutingTables == nil && known {
 		p.renewed = max(p.renewed, sent)
 		c.setRight()
 	}
-	if len(m.Tables) > 0 && name == c.steersAt {
+	if len(m.RoutingTables) > 0 && name == c.steersAt {
 		if !known || now > sent+tablesFor { // worked out before its process was frozen, or its line held up
 			c.log.Warn("tables that are old", "from", name)
 			line.Close() // changes would be lost: on the next line they come whole
 			return
 		}
-		c.setTables(now, m.Tables)
+		c.setTables(now, m.RoutingTables)
 	}
 	c.judgeReady(now)
 }
@@ -260,19 +260,19 @@
 		return
 	}
 	read, behind := map[string]bool{}, false
-	for _, v := range c.epoch.All() {
+	for _, v := range c.epoch.AllVoters() {
 		if p := c.controllers[v.Name]; p != nil && p.line != nil && p.settled && p.votes {
-			read[v.ID] = true
+			read[v.StoreID] = true
 			for name, held := range p.held { // what it holds may be in force, evacuations too
 				have := c.have
 				if zone, ok := strings.CutPrefix(name, zonePrefix); ok {
-					have = c.zones[zone].Stamp
+					have = c.zones[zone].Version
 				}
 				behind = behind || have.Less(held)
 			}
 		}
 	}
-	enough := c.epoch.Most(func(v rpc.Voter) bool { return read[v.ID] }) && !behind
+	enough := c.epoch.HasMajority(func(v rpc.Voter) bool { return read[v.StoreID] }) && !behind
 	if enough || now > c.heardAt+readAtLeast {
 		c.ready.Store(true)
 		c.log.Info("ready", "read", len(read), "version", c.view.Load().Version, "backends", len(c.lives))
@@ -281,12 +281,12 @@
 
 // offered takes a register that is in force. What was once in force here never gives way to something older, whoever
 // says so.
-func (c *Carrier) offered(now time.Duration, r rpc.Register, safe rpc.Stamp) {
-	if safe != r.Stamp {
+func (c *Carrier) offered(now time.Duration, r rpc.Register, safe rpc.Version) {
+	if safe != r.Version {
 		return
 	}
 	if r.Name == charterName {
-		if !c.have.Less(r.Stamp) { // of two bodies under one version, all keep the same
+		if !c.have.Less(r.Version) { // of two bodies under one version, all keep the same
 			return
 		}
 		next, err := routeconfig.Read(r.Value)
@@ -305,17 +305,17 @@
 				c.put(now, l)
 			}
 		}
-		c.have = r.Stamp
+		c.have = r.Version
 		c.view.Store(next)
 		c.log.Info("configuration", "version", next.Version)
 		return
 	}
-	if zone, ok := strings.CutPrefix(r.Name, zonePrefix); ok && c.zones[zone].Stamp.Less(r.Stamp) {
+	if zone, ok := strings.CutPrefix(r.Name, zonePrefix); ok && c.zones[zone].Version.Less(r.Version) {
 		was := c.evacuated(zone)
 		c.zones[zone] = r
 		// Backends of a zone that is taken back may have become cold shortly before. A new life has not seen the zone
 		// empty; the order's stamp is the time of day, a hint that is enough here.
-		ago := time.Duration(c.o.Clock.Now().UnixMilli()-int64(r.Stamp.Hi)) * time.Millisecond
+		ago := time.Duration(c.o.Clock.Now().UnixMilli()-int64(r.Version.Number)) * time.Millisecond
 		switch {
 		case c.evacuated(zone):
 			delete(c.takenBack, zone)
@@ -361,7 +361,7 @@
 	if best != nil {
 		c.wantedAt = now
 		best.asked++
-		best.line.Send(&rpc.Message{Want: []string{charterName}})
+		best.line.Send(&rpc.Message{RegisterUpdate: rpc.RegisterUpdate{FetchRegisters: []string{charterName}}})
 	}
 }
 
@@ -383,10 +383,10 @@
 }
 
 // told takes a controller's word of a backend. A life only moves on, and an older word says nothing.
-func (c *Carrier) told(now time.Duration, from string, b rpc.Backend) {
+func (c *Carrier) told(now time.Duration, from string, b rpc.Endpoint) {
 	l := c.lives[b.ID]
 	if l == nil {
-		l = &life{Backend: b, vouchers: map[string]bool{}, lonelyAt: now}
+		l = &life{Endpoint: b, vouchers: map[string]bool{}, lonelyAt: now}
 		c.lives[b.ID] = l
 	} else if b.Seq >= l.Seq || b.State > l.State {
 		was := l.State
@@ -394,18 +394,18 @@
 			b.Service, b.Address, b.Zone, b.Capacity = l.Service, l.Address, l.Zone, l.Capacity
 		}
 		b.Seq = max(b.Seq, l.Seq)
-		if l.Backend = b; b.State < was {
+		if l.Endpoint = b; b.State < was {
 			l.State = was
 		}
 	}
 	l.heardAt = now
-	if b.ColdLeft > 0 {
-		l.coldUntil = max(l.coldUntil, now+time.Duration(b.ColdLeft)*time.Millisecond)
+	if b.WarmupLeft > 0 {
+		l.coldUntil = max(l.coldUntil, now+time.Duration(b.WarmupLeft)*time.Millisecond)
 	}
 	if l.State == rpc.Gone && l.goneAt == 0 {
 		l.goneAt = now
 	}
-	if b.Vouched && l.State != rpc.Gone {
+	if b.Live && l.State != rpc.Gone {
 		l.vouchers[from] = true
 	} else {
 		c.unvouch(now, l, from)
@@ -495,15 +495,15 @@
 	}
 }
 
-func (c *Carrier) setTables(now time.Duration, tables []rpc.Table) {
+func (c *Carrier) setTables(now time.Duration, tables []rpc.RoutingTable) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, t := range tables {
-		if t.Whole || t.Weights != nil {
-			c.settler.Weights(t.Service, t.Whole, t.Weights)
+		if t.Full || t.Weights != nil {
+			c.settler.Weights(t.Service, t.Full, t.Weights)
 		}
-		if t.Gated {
-			c.settler.Level(t.Service, t.Level, now)
+		if t.Limited {
+			c.settler.Level(t.Service, t.RateLimit, now)
 		}
 	}
 }
@@ -535,20 +535,20 @@
 }
 
 func (c *Carrier) renew(p *controller, report bool) {
-	m := &rpc.Message{Renew: c.renewal}
-	p.sent.note(m.Renew, c.now())
+	m := &rpc.Message{Lease: rpc.Lease{RenewLease: c.renewal}}
+	p.sent.note(m.RenewLease, c.now())
 	if report && p.who.Name == c.steersAt {
-		m.Steer = true
+		m.WantTables = true
 		var r balancer.Report
 		c.settle(func(s *balancer.Settler) { r = s.Report() })
 		for _, u := range r.Uses {
-			m.Uses = append(m.Uses, rpc.Use{Service: u.Service, Came: u.Came, Voided: u.Voided})
+			m.ServiceLoads = append(m.ServiceLoads, rpc.ServiceLoad{Service: u.Service, Requests: u.Came, Failed: u.Voided})
 		}
 		for _, t := range r.Met {
-			m.Met = append(m.Met, rpc.Met{ID: t.ID, Tries: t.Tries, Voided: t.Voided,
-				Took: int64(t.Took / (100 * time.Microsecond)), Waiting: t.Waiting})
+			m.EndpointReports = append(m.EndpointReports, rpc.EndpointReport{ID: t.ID, Attempts: t.Tries, Failed: t.Voided,
+				Latency: int64(t.Took / (100 * time.Microsecond)), Queued: t.Waiting})
 		}
-		m.Spent = renewEvery.Seconds()
+		m.ReportSeconds = renewEvery.Seconds()
 	}
 	p.line.Send(m)
 }
@@ -571,7 +571,7 @@
 func (c *Carrier) leave() {
 	for _, p := range c.sorted() {
 		if p.line != nil {
-			p.line.Send(&rpc.Message{Leave: true})
+			p.line.Send(&rpc.Message{ProxyChanges: rpc.ProxyChanges{ReleaseLease: true}})
 		}
 	}
 }
--- a/internal/proxy/transit_test.go
+++ b/internal/proxy/transit_test.go
@@ -62,7 +62,7 @@
 	for i := range cores {
 		ip := fmt.Sprintf("10.0.0.%d", 10+i)
 		set.Seeds = append(set.Seeds, ip+":8544")
-		s.cores = append(s.cores, &core{s: s, all: true, settled: true, answers: true, life: 1, who: rpc.Controller{
+		s.cores = append(s.cores, &core{s: s, all: true, settled: true, answers: true, life: 1, who: rpc.Node{
 			Name: fmt.Sprintf("core-%d", i), Zone: []string{"north", "south"}[i%2], Address: ip + ":7540"}})
 	}
 	for _, k := range s.cores {
@@ -120,12 +120,12 @@
 // core is a scripted controller.
 type core struct {
 	s            *stage
-	who          rpc.Controller
+	who          rpc.Node
 	mu           sync.Mutex
-	line         *rpc.Line
+	line         *rpc.Conn
 	charter      rpc.Register
-	backends     []rpc.Backend
-	held         map[string]rpc.Stamp // beside the configuration
+	backends     []rpc.Endpoint
+	held         map[string]rpc.Version // beside the configuration
 	all, settled bool
 	answers      bool // it gives the configuration when it is asked
 	apart        bool // it says that it has no contact with a majority
@@ -147,12 +147,12 @@
 			if err != nil {
 				return
 			}
-			go k.serve(rpc.NewLine(conn))
+			go k.serve(rpc.NewConn(conn))
 		}
 	}()
 }
 
-func (k *core) serve(line *rpc.Line) {
+func (k *core) serve(line *rpc.Conn) {
 	defer line.Close()
 	for {
 		m, err := line.Receive(0)
@@ -164,41 +164,38 @@
 			k.hellos++
 			epoch := &rpc.Epoch{Number: 1}
 			for _, other := range k.s.cores {
-				epoch.Voters = append(epoch.Voters, rpc.Voter{Controller: other.who, ID: "disk of " + other.who.Name})
+				epoch.Voters = append(epoch.Voters, rpc.Voter{Node: other.who, StoreID: "disk of " + other.who.Name})
 			}
 			if k.epoch != nil {
 				epoch = k.epoch
 			}
-			first := &rpc.Message{Hello: &rpc.Hello{Who: k.who, Life: k.life}, Epoch: epoch, Apart: k.apart,
-				All: k.all && !k.apart, Settled: k.settled, Held: map[string]rpc.Stamp{}, Safe: map[string]rpc.Stamp{},
-				Backends: k.backends,
-				Members:  []rpc.Member{{Name: "edge-0", Zone: "north"}}}
+			first := &rpc.Message{Hello: &rpc.Hello{Node: k.who, Incarnation: k.life}, Consensus: rpc.Consensus{Epoch: epoch, Complete: k.all && !k.apart}, NoQuorum: k.apart, EndpointUpdate: rpc.EndpointUpdate{EndpointsSynced: k.settled, Endpoints: k.backends}, RegisterUpdate: rpc.RegisterUpdate{StoredVersions: map[string]rpc.Version{}, CommittedVersions: map[string]rpc.Version{}}, Lease: rpc.Lease{Proxies: []rpc.ProxyInfo{{Name: "edge-0", Zone: "north"}}}}
 			for name, stamp := range k.held {
-				first.Held[name] = stamp
+				first.StoredVersions[name] = stamp
 			}
 			if k.charter.Value != nil {
-				first.Held["charter"], first.Safe["charter"] = k.charter.Stamp, k.charter.Stamp
+				first.StoredVersions["charter"], first.CommittedVersions["charter"] = k.charter.Version, k.charter.Version
 			}
 			line.Send(first)
 			k.line = line
 		}
-		if m.Renew > 0 {
-			line.Send(&rpc.Message{Renewed: m.Renew, Apart: k.apart})
-			if k.renewed = m.Renew; m.Steer {
+		if m.RenewLease > 0 {
+			line.Send(&rpc.Message{Lease: rpc.Lease{LeaseRenewed: m.RenewLease}, NoQuorum: k.apart})
+			if k.renewed = m.RenewLease; m.WantTables {
 				k.steers++
 			} else {
 				k.steers = 0
 			}
 		}
-		for _, name := range m.Want {
+		for _, name := range m.FetchRegisters {
 			if !k.answers {
 				k.s.note("    %s is asked for the %s and says nothing", k.who.Name, name)
 				continue
 			}
-			k.s.note("    %s is asked for the %s and has version %d", k.who.Name, name, k.charter.Stamp.Hi)
+			k.s.note("    %s is asked for the %s and has version %d", k.who.Name, name, k.charter.Version.Number)
 			line.Send(offer(k.charter))
 		}
-		if m.Leave {
+		if m.ReleaseLease {
 			k.s.note("    %s is given the lease back", k.who.Name)
 		}
 		k.mu.Unlock()
@@ -207,14 +204,14 @@
 
 // offer is the word that a value is in force.
 func offer(r rpc.Register) *rpc.Message {
-	return &rpc.Message{Offers: []rpc.Register{r}, Safe: map[string]rpc.Stamp{r.Name: r.Stamp}}
+	return &rpc.Message{RegisterUpdate: rpc.RegisterUpdate{CommittedValues: []rpc.Register{r}, CommittedVersions: map[string]rpc.Version{r.Name: r.Version}}}
 }
 
 // tell says something to the carrier, which has acted on it when this returns.
 func (k *core) tell(m *rpc.Message) {
 	k.mu.Lock()
-	if m.Tables != nil && m.Renewed == 0 { // as they say it: the renewal that they were worked out after
-		m.Renewed, m.Apart = k.renewed, k.apart
+	if m.RoutingTables != nil && m.LeaseRenewed == 0 { // as they say it: the renewal that they were worked out after
+		m.LeaseRenewed, m.NoQuorum = k.renewed, k.apart
 	}
 	if k.line != nil {
 		k.line.Send(m)
@@ -223,14 +220,16 @@
 	time.Sleep(100 * time.Millisecond)
 }
 
-func (k *core) word(b ...rpc.Backend) { k.tell(&rpc.Message{Backends: b}) }
+func (k *core) word(b ...rpc.Endpoint) {
+	k.tell(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{Endpoints: b}})
+}
 
 // has lets a controller have a configuration in force, and say so.
 func (k *core) has(c conf) {
 	k.mu.Lock()
 	k.charter = c.register()
 	k.mu.Unlock()
-	k.tell(&rpc.Message{Safe: map[string]rpc.Stamp{"charter": k.charter.Stamp}})
+	k.tell(&rpc.Message{RegisterUpdate: rpc.RegisterUpdate{CommittedVersions: map[string]rpc.Version{"charter": k.charter.Version}}})
 }
 
 // conf is a configuration: routes "KIND PREFIX SERVICE" of the host a.example.
@@ -253,7 +252,7 @@
 	if c.limits == "" {
 		c.limits = `"maxHeaderBytes":1000,"maxBodyBytes":100000,"headerTimeoutS":3,"idleTimeoutS":15`
 	}
-	return rpc.Register{Name: "charter", Stamp: rpc.Stamp{Hi: uint64(c.version), Lo: 1},
+	return rpc.Register{Name: "charter", Version: rpc.Version{Number: uint64(c.version), ID: 1},
 		Value: fmt.Appendf(nil, `{"generation":"%08x","limits":{%s},"sockets":[{"authority":"a.example",`+
 			`"ruleset":[%s]}],"pools":[%s]}`,
 			c.version, c.limits, strings.Join(rules, ","), strings.Join(pools, ","))}
@@ -315,10 +314,10 @@
 
 // backend starts one that does this with each request, and lets all controllers tell of it. Of those of a service, one
 // in the north is asked first, those of the south one after the other.
-func (s *stage) backend(service, zone string, do act) rpc.Backend {
+func (s *stage) backend(service, zone string, do act) rpc.Endpoint {
 	s.lives++
-	b := rpc.Backend{ID: fmt.Sprintf("%s-%s", service, zone), Service: service, Zone: strings.TrimRight(zone, "12"),
-		Capacity: 4, Seq: 1, Address: fmt.Sprintf("10.0.1.%d:8080", s.lives), Vouched: true}
+	b := rpc.Endpoint{ID: fmt.Sprintf("%s-%s", service, zone), Service: service, Zone: strings.TrimRight(zone, "12"),
+		Capacity: 4, Seq: 1, Address: fmt.Sprintf("10.0.1.%d:8080", s.lives), Live: true}
 	if do != nil {
 		l, err := s.host(fmt.Sprintf("10.0.1.%d", s.lives)).Listen(b.Address)
 		if err != nil {
@@ -754,21 +753,21 @@
 		k.word(late)
 		ask()
 		s.part("a new life at its address")
-		k.word(rpc.Backend{ID: b.ID, State: rpc.Gone})
+		k.word(rpc.Endpoint{ID: b.ID, State: rpc.Gone})
 		b.ID, b.Seq, b.State = "alpha-new", 1, rpc.Ready
 		k.word(b)
 		ask()
 
 		evacuate := func(zone, value string, stamp uint64) {
-			k.tell(offer(rpc.Register{Name: "zone/" + zone, Stamp: rpc.Stamp{Hi: stamp}, Value: []byte(value)}))
+			k.tell(offer(rpc.Register{Name: "zone/" + zone, Version: rpc.Version{Number: stamp}, Value: []byte(value)}))
 		}
 		s.part("the north is evacuated")
 		evacuate("north", "1b", 10)
 		ask()
 		s.part("an older order, and one that is not in force")
 		evacuate("north", "0f", 9)
-		k.tell(&rpc.Message{Offers: []rpc.Register{{Name: "zone/north", Stamp: rpc.Stamp{Hi: 11},
-			Value: []byte("0f")}}})
+		k.tell(&rpc.Message{RegisterUpdate: rpc.RegisterUpdate{CommittedValues: []rpc.Register{{Name: "zone/north", Version: rpc.Version{Number: 11},
+			Value: []byte("0f")}}}})
 		ask()
 		s.part("the south too")
 		evacuate("south", "1b", 10)
@@ -780,12 +779,12 @@
 		s.part("weights and a level of the controller that steers")
 		one := s.backend("beta", "north1", ok)
 		two := s.backend("beta", "north2", ok)
-		k.tell(&rpc.Message{Tables: []rpc.Table{{Service: "beta", Whole: true,
+		k.tell(&rpc.Message{RoutingTables: []rpc.RoutingTable{{Service: "beta", Full: true,
 			Weights: map[string]float64{one.ID: 0, two.ID: 1}}}})
 		for range 3 {
 			s.ask("GET /beta/ HTTP/1.1")
 		}
-		k.tell(&rpc.Message{Tables: []rpc.Table{{Service: "beta", Gated: true, Level: 2}}})
+		k.tell(&rpc.Message{RoutingTables: []rpc.RoutingTable{{Service: "beta", Limited: true, RateLimit: 2}}})
 		for range 4 {
 			s.ask("GET /beta/ HTTP/1.1")
 		}
@@ -827,7 +826,7 @@
 		ask()
 		s.part("a value that is not in force, and one in force that cannot be read")
 		wrong := conf{version: 4, routes: both("alpha")}.register()
-		far.tell(&rpc.Message{Offers: []rpc.Register{wrong}})
+		far.tell(&rpc.Message{RegisterUpdate: rpc.RegisterUpdate{CommittedValues: []rpc.Register{wrong}}})
 		wrong.Value = []byte("{")
 		far.tell(offer(wrong))
 		s.ask("GET /beta/ HTTP/1.1")
@@ -881,7 +880,7 @@
 		for i, k := range s.cores {
 			k.mu.Lock()
 			k.charter = first.register()
-			k.held = map[string]rpc.Stamp{"zone/south": {Hi: 7}}
+			k.held = map[string]rpc.Version{"zone/south": {Number: 7}}
 			k.settled = i == 0
 			k.mu.Unlock()
 		}
@@ -893,9 +892,9 @@
 		at("before any word")
 		time.Sleep(300 * time.Millisecond)
 		at("one of three knows the backends")
-		s.cores[1].tell(&rpc.Message{Settled: true})
+		s.cores[1].tell(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{EndpointsSynced: true}})
 		at("two do, and hold an evacuation that has not come here")
-		s.cores[1].tell(offer(rpc.Register{Name: "zone/south", Stamp: rpc.Stamp{Hi: 7}, Value: []byte("1b")}))
+		s.cores[1].tell(offer(rpc.Register{Name: "zone/south", Version: rpc.Version{Number: 7}, Value: []byte("1b")}))
 		at("it has")
 		out = s.end()
 	})
