--- a/cmd/elmfold-controlplane/main.go
+++ b/cmd/elmfold-controlplane/main.go
@@ -1,4 +1,5 @@
-// Command counsel is the gateway's controller: it keeps the operator's word, knows backends and carriers, and steers.
+// Command elmfold-controlplane is the gateway's control plane: it stores the operator's configuration, knows endpoints
+// and proxies, and steers the proxies.
 package main
 
 import (
--- a/cmd/elmfold-proxy/main.go
+++ b/cmd/elmfold-proxy/main.go
@@ -1,4 +1,4 @@
-// Command transit is the gateway's carrier: it takes clients' requests to backends and the answers back.
+// Command elmfold-proxy is the gateway's data plane: it takes clients' requests to endpoints and the responses back.
 package main
 
 import (
--- a/internal/bench/gateway/bench_test.go
+++ b/internal/bench/gateway/bench_test.go
@@ -40,7 +40,7 @@
 		text := gateway.Configuration(1, gateway.Shape{Services: 200, Routes: n}, 0)
 		b.ReportMetric(float64(len(text)), "bytes")
 		for b.Loop() {
-			if _, err := routeconfig.Read(text); err != nil {
+			if _, err := routeconfig.Parse(text); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/compat/answers_test.go
+++ b/internal/compat/answers_test.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	settings, err := bootconfig.Read(text)
+	settings, err := bootconfig.Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,15 +130,15 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("the settings are read as\n%s", again)
 	}
-	if bootconfig.Variable != "ELMFOLD_CONFIG" {
-		t.Errorf("the file is named by %s", bootconfig.Variable)
+	if bootconfig.EnvVar != "ELMFOLD_CONFIG" {
+		t.Errorf("the file is named by %s", bootconfig.EnvVar)
 	}
 	for key, pair := range map[string][2]float64{
 		"bounds.ackS": {float64(settings.Bounds.Ack), 102}, "bounds.catchUpS": {float64(settings.Bounds.CatchUp), 104},
 		"bounds.graceS": {float64(settings.Bounds.Grace), 106}, "bounds.retryRatio": {settings.Bounds.RetryRatio, 0.25},
 		"bounds.retryWindowS": {float64(settings.Bounds.RetryWindow), 107}, "bounds.retrySlack": {settings.Bounds.RetrySlack, 108},
-		"bounds.coldExcess": {settings.Bounds.ColdExcess, 109}, "bounds.coldSlack": {settings.Bounds.ColdSlack, 110},
-		"beatS": {float64(settings.Beat), 2.5}, "limits.maxFds": {float64(settings.Limits.MaxFDs), 203},
+		"bounds.coldExcess": {settings.Bounds.SlowStartExcess, 109}, "bounds.coldSlack": {settings.Bounds.SlowStartSlack, 110},
+		"beatS": {float64(settings.HeartbeatInterval), 2.5}, "limits.maxFds": {float64(settings.Limits.MaxFDs), 203},
 		"limits.memoryMb": {settings.Limits.MemoryMB, 202}, "limits.diskMb": {settings.Limits.DiskMB, 204},
 		"faultBudget.machineFaults": {float64(settings.FaultBudget.Machines), 2},
 	} {
@@ -147,7 +147,7 @@
 		}
 	}
 	if settings.Listen["front"] != "10.0.0.100:8548" || settings.Seeds[1] != "10.0.0.11:8544" || settings.DataDir != "/var/lib/elmfold" ||
-		settings.Own() != "10.0.0.100:7540" || settings.Peer("10.0.0.11:8544") != "10.0.0.11:7540" || !settings.Bootstrap {
+		settings.OwnPeerAddress() != "10.0.0.100:7540" || settings.PeerAddress("10.0.0.11:8544") != "10.0.0.11:7540" || !settings.Bootstrap {
 		t.Errorf("%+v", settings)
 	}
 }
@@ -167,7 +167,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := routeconfig.Read(text)
+	c, err := routeconfig.Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,12 +177,12 @@
 	if l := c.Limits; l.HeaderBytes != 101 || l.BodyBytes != 102 || l.HeaderTimeout != 103*time.Second || l.IdleTimeout != 104*time.Second {
 		t.Errorf("limits %+v", l)
 	}
-	if p := c.Pools["alpha"]; p.HealthPath != "/alive" || p.MaxConns != 105 || p.Cold != 106*time.Second || p.ColdRate != 107 {
+	if p := c.Services["alpha"]; p.HealthPath != "/alive" || p.MaxConns != 105 || p.SlowStart != 106*time.Second || p.SlowStartRate != 107 {
 		t.Errorf("service %+v", p)
 	}
 	r := c.Route("A.example:80", "/a/x")
-	if r == nil || r.Name != "r-1" || !r.Safe || r.Target != 108*time.Second || r.Timeout != 109*time.Second || r.Priority != 2 ||
-		r.MaxTries != 4 || len(r.Splits) != 2 || r.Splits[0].Service != "alpha" || r.Splits[0].Share != 0.25 {
+	if r == nil || r.Name != "r-1" || !r.Idempotent || r.LatencyTarget != 108*time.Second || r.Timeout != 109*time.Second || r.Priority != 2 ||
+		r.MaxAttempts != 4 || len(r.Services) != 2 || r.Services[0].Service != "alpha" || r.Services[0].Weight != 0.25 {
 		t.Errorf("route %+v", r)
 	}
 }
@@ -193,7 +193,7 @@
 	names := regexp.MustCompile(`(?m)^ +(?:-\w, )?--[\w-]+|^  \w+ `)
 	for _, args := range [][]string{{"--help"}, {"check", "--help"}, {"status", "--help"}, {"run", "--help"}, {"version", "--help"}} {
 		var text bytes.Buffer
-		code := cli.Main("program", "about", args, &text, &text, nil)
+		code := cli.Program{Name: "program", About: "about", Out: &text, Err: &text}.Main(args)
 		fmt.Fprintf(&out, "%s: %d\n", strings.Join(args, " "), code)
 		for _, name := range names.FindAllString(text.String(), -1) {
 			fmt.Fprintf(&out, "  %s\n", strings.TrimSpace(name))
--- a/internal/compat/core_test.go
+++ b/internal/compat/core_test.go
@@ -47,11 +47,11 @@
 	settings := bootconfig.Default()
 	settings.Name, settings.IP, settings.Zone = n.name, fmt.Sprintf("127.77.0.%d", 10+i), nodeZones[i%3]
 	settings.Zones = map[string]string{"north": "land", "south": "land", "west": "land"}
-	settings.Ports, settings.Bootstrap, settings.FaultBudget.Machines = [2]int{7540, 7555}, true, 1
+	settings.PortRange, settings.Bootstrap, settings.FaultBudget.Machines = [2]int{7540, 7555}, true, 1
 	settings.Seeds = []string{nodeAddress(0, 8544), nodeAddress(1, 8544), nodeAddress(2, 8544)}
 	settings.Listen = map[string]string{"control": nodeAddress(i, 8544)}
 	n.host = network.Host(settings.IP)
-	listener, err := n.host.Listen(settings.Own())
+	listener, err := n.host.Listen(settings.OwnPeerAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/compat/mixed_test.go
+++ b/internal/compat/mixed_test.go
@@ -270,7 +270,7 @@
 		settings := bootconfig.Default()
 		settings.Name, settings.IP, settings.Zone = "edge-0", "10.0.0.100", "north"
 		settings.Zones = map[string]string{"north": "land"}
-		settings.Ports, settings.Seeds = [2]int{7540, 7555}, []string{nodeAddress(0, 8544)}
+		settings.PortRange, settings.Seeds = [2]int{7540, 7555}, []string{nodeAddress(0, 8544)}
 		dial := func(ctx context.Context, address string) (net.Conn, error) { return host.Dial(ctx, address, 0) }
 		proxy := proxy.New(proxy.Options{Settings: &settings, Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(),
 			Dial: func(address string) (net.Conn, error) {
--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -53,7 +53,7 @@
 		case "core.status":
 			answer, err = s.status()
 		default:
-			err = apierror.New(apierror.UnknownCall, call, nil)
+			err = apierror.New(apierror.UnknownMethod, call, nil)
 		}
 		s.answer(w, answer, err)
 	})
@@ -68,13 +68,13 @@
 		_, _ = w.Write(body)
 		return
 	}
-	f, ok := err.(*apierror.Fault)
+	f, ok := err.(*apierror.Error)
 	if !ok {
-		f = apierror.New(apierror.Invalid, "", err)
+		f = apierror.New(apierror.InvalidArgument, "", err)
 	}
-	rule := f.Kind.Rule()
-	if rule.After > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(rule.After.Seconds(), 'f', 3, 64))
+	rule := f.Kind.Policy()
+	if rule.RetryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(rule.RetryAfter.Seconds(), 'f', 3, 64))
 	}
 	text, _ := json.Marshal(map[string]string{"error": f.Error()})
 	h.Set("Content-Length", strconv.Itoa(len(text)))
@@ -87,9 +87,9 @@
 	b, err := io.ReadAll(io.LimitReader(r.Body, most+1))
 	switch {
 	case err != nil:
-		return nil, apierror.New(apierror.Invalid, "body", err)
+		return nil, apierror.New(apierror.InvalidArgument, "body", err)
 	case int64(len(b)) > most:
-		return nil, apierror.New(apierror.OverCapacity, "body", nil)
+		return nil, apierror.New(apierror.PayloadTooLarge, "body", nil)
 	}
 	return b, nil
 }
@@ -120,20 +120,20 @@
 		if errors.As(err, &kind) && kind.Field == "" { // the library's text names a Go type, which is nothing to the caller
 			err = fmt.Errorf("json: cannot unmarshal %s into a heartbeat", kind.Value)
 		}
-		return nil, apierror.New(apierror.Invalid, "heartbeat", err)
+		return nil, apierror.New(apierror.InvalidArgument, "heartbeat", err)
 	}
 	word := rpc.Endpoint{ID: id, Service: b.Descriptor.Service, Address: b.Address, Zone: b.Descriptor.Zone,
 		Capacity: max(int(b.Descriptor.Capacity), 1), Seq: b.Observed.CallSeq, Generation: b.Descriptor.Generation,
 		WarmupLeft: int(math.Ceil(max(b.Observed.ColdLeftS, 0) * 1000))}
 	switch {
 	case id == "":
-		return nil, apierror.New(apierror.Invalid, "of", fmt.Errorf("names no instance"))
+		return nil, apierror.New(apierror.InvalidArgument, "of", fmt.Errorf("names no instance"))
 	case word.Service == "" || word.Address == "":
-		return nil, apierror.New(apierror.Invalid, "descriptor.service, address", fmt.Errorf("is missing"))
+		return nil, apierror.New(apierror.InvalidArgument, "descriptor.service, address", fmt.Errorf("is missing"))
 	case b.Observed.State == "draining":
 		word.State = rpc.Draining
 	case b.Observed.State != "ready":
-		return nil, apierror.New(apierror.Invalid, "observed.state", fmt.Errorf("%q is neither ready nor draining", b.Observed.State))
+		return nil, apierror.New(apierror.InvalidArgument, "observed.state", fmt.Errorf("%q is neither ready nor draining", b.Observed.State))
 	}
 	done, target := make(chan error, 1), ""
 	s.queue.Do(func() {
@@ -181,7 +181,7 @@
 
 func (s *Server) deregister(id string) ([]byte, error) {
 	if id == "" {
-		return nil, apierror.New(apierror.Invalid, "of", fmt.Errorf("names no instance"))
+		return nil, apierror.New(apierror.InvalidArgument, "of", fmt.Errorf("names no instance"))
 	}
 	done := make(chan error, 1)
 	s.queue.Do(func() {
@@ -200,13 +200,13 @@
 	case err := <-done:
 		return err
 	case <-s.queue.Stopped():
-		return apierror.New(apierror.Stopping, "", nil)
+		return apierror.New(apierror.ShuttingDown, "", nil)
 	}
 }
 
 // apart is the answer of one that stands with too few others: the caller finds another sooner than it would by waiting.
 func (s *Server) apart() error {
-	return apierror.New(apierror.NotYet, "", errors.New("there is no contact with a majority of the voters"))
+	return apierror.New(apierror.Unavailable, "", errors.New("there is no contact with a majority of the voters"))
 }
 
 // ask puts a question to the replica and waits. What cannot be begun is said at once: it was not done and will not be.
@@ -217,14 +217,14 @@
 	s.queue.Do(func() {
 		switch {
 		case s.leaving:
-			failed <- apierror.New(apierror.Stopping, "", nil)
+			failed <- apierror.New(apierror.ShuttingDown, "", nil)
 		case !s.inTouch():
 			failed <- s.apart()
 		case s.now() < s.doubtTill:
-			failed <- apierror.New(apierror.NotYet, "", errors.New("this process was frozen just now"))
+			failed <- apierror.New(apierror.Unavailable, "", errors.New("this process was frozen just now"))
 		case s.o.Clock.Now().Sub(asked) > staleAfter || r.Context().Err() != nil:
 			// Guards against an order being taken after its caller gave it again elsewhere, and others followed it.
-			failed <- apierror.New(apierror.NotYet, "", errors.New("it has waited for too long"))
+			failed <- apierror.New(apierror.Unavailable, "", errors.New("it has waited for too long"))
 		default:
 			s.token++
 			s.waiting[s.token] = done
@@ -237,17 +237,17 @@
 		case consensus.Taken:
 			return d, nil
 		case consensus.Refused:
-			return d, apierror.New(apierror.Conflict, "generation", nil)
+			return d, apierror.New(apierror.VersionConflict, "generation", nil)
 		case consensus.Untaken:
-			return d, apierror.New(apierror.NotYet, "", nil)
+			return d, apierror.New(apierror.Unavailable, "", nil)
 		}
-		return d, apierror.New(apierror.Open, "", nil)
+		return d, apierror.New(apierror.OutcomeUnknown, "", nil)
 	case err := <-failed:
 		return consensus.Done{}, err
 	case <-s.queue.Stopped():
-		return consensus.Done{}, apierror.New(apierror.Open, "", nil)
+		return consensus.Done{}, apierror.New(apierror.OutcomeUnknown, "", nil)
 	case <-s.o.Clock.After(consensus.WriteWithin + time.Second):
-		return consensus.Done{}, apierror.New(apierror.Open, "", nil)
+		return consensus.Done{}, apierror.New(apierror.OutcomeUnknown, "", nil)
 	}
 }
 
@@ -256,7 +256,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err := routeconfig.Read(text)
+	c, err := routeconfig.Parse(text)
 	if err != nil {
 		return nil, err
 	}
@@ -270,16 +270,16 @@
 func (s *Server) read(r *http.Request, asked time.Time) ([]byte, error) {
 	d, err := s.ask(r, asked, func(token uint64) consensus.Event { return consensus.Read{Token: token, Name: charterName} })
 	if err == nil && d.Version == (consensus.Version{}) {
-		err = apierror.New(apierror.NotYet, "", errors.New("there is no configuration yet"))
+		err = apierror.New(apierror.Unavailable, "", errors.New("there is no configuration yet"))
 	}
 	return d.Value, err
 }
 
 func (s *Server) evacuate(r *http.Request, asked time.Time, zone string, begins bool) ([]byte, error) {
 	if _, known := s.o.Settings.Zones[zone]; !known {
-		return nil, apierror.New(apierror.Invalid, "of", fmt.Errorf("%q is no zone", zone))
+		return nil, apierror.New(apierror.InvalidArgument, "of", fmt.Errorf("%q is no zone", zone))
 	}
-	at, within := uint64(s.o.TimeOfDay().UnixMilli()), s.o.Settings.Bounds.Ack.Span()+callerPause
+	at, within := uint64(s.o.TimeOfDay().UnixMilli()), s.o.Settings.Bounds.Ack.Duration()+callerPause
 	_, err := s.ask(r, asked, func(token uint64) consensus.Event {
 		return consensus.Change{Token: token, Name: zonePrefix + zone, Apply: consensus.Evacuate(begins, rand.Uint64(), within, at)}
 	})
--- a/internal/controlplane/counsel.go
+++ b/internal/controlplane/counsel.go
@@ -86,24 +86,24 @@
 	disk  string // the id of its disk
 	blank bool   // ... which may have forgotten that there is an epoch
 	began time.Time
-	queue *session.Queue
-	keep  *session.Keeper // its Keep belongs to own
+	queue *session.CommandQueue
+	keep  *session.Dialer // its Keep belongs to own
 
 	// Owned by own.
 	replica      *consensus.Replica
 	table        *registry.Table
 	peers        map[string]*peer // by name
-	callers      session.Lines    // lines that other controllers dialled
-	carrierLines session.Lines    // that carriers did
+	callers      session.Sessions // lines that other controllers dialled
+	carrierLines session.Sessions // that carriers did
 	carriers     map[*rpc.Conn]*carrier
 	waiting      map[uint64]chan<- consensus.Done
 	token        uint64
 	words        map[uint64]*word
 	seq          uint64
-	charter      *routeconfig.Charter // in force
-	settled      bool                 // what others know of backends was heard, or nobody knows more
-	touched      bool                 // there was contact with a majority at the last look
-	everTouched  bool                 // ... or before
+	charter      *routeconfig.Config // in force
+	settled      bool                // what others know of backends was heard, or nobody knows more
+	touched      bool                // there was contact with a majority at the last look
+	everTouched  bool                // ... or before
 	tickAt       time.Duration
 	pingAt       time.Duration
 	doubtTill    time.Duration
@@ -119,15 +119,15 @@
 
 // New makes a Server; Run starts it.
 func New(o Options) *Server {
-	s := &Server{o: o, log: o.Log, life: rand.Uint64() | 1, began: o.Clock.Now(), queue: session.NewQueue(1024),
-		table: registry.New(o.Settings.Beat.Span()), peers: map[string]*peer{}, callers: session.Lines{Latest: true}, carrierLines: session.Lines{Latest: true},
+	s := &Server{o: o, log: o.Log, life: rand.Uint64() | 1, began: o.Clock.Now(), queue: session.NewCommandQueue(1024),
+		table: registry.New(o.Settings.HeartbeatInterval.Duration()), peers: map[string]*peer{}, callers: session.Sessions{PreferNewest: true}, carrierLines: session.Sessions{PreferNewest: true},
 		carriers: map[*rpc.Conn]*carrier{}, waiting: map[uint64]chan<- consensus.Done{}, words: map[uint64]*word{},
 		left: make(chan struct{})}
-	s.me = rpc.Node{Name: o.Settings.Name, Zone: o.Settings.Zone, Address: o.Settings.Own(),
+	s.me = rpc.Node{Name: o.Settings.Name, Zone: o.Settings.Zone, Address: o.Settings.OwnPeerAddress(),
 		ControlAddress: o.Settings.Listen["control"]}
-	s.keep = &session.Keeper{Queue: s.queue, Clock: o.Clock, Dial: o.Dial, Self: s.me.Name, Again: dialAgain,
-		Silence: silentFor, Hello: func() *rpc.Message { return &rpc.Message{Hello: s.hello()} }, Heard: s.heardPeer,
-		Lost: s.lost}
+	s.keep = &session.Dialer{Queue: s.queue, Clock: o.Clock, Dial: o.Dial, SelfName: s.me.Name, RetryInterval: dialAgain,
+		ReadTimeout: silentFor, Hello: func() *rpc.Message { return &rpc.Message{Hello: s.hello()} }, OnMessage: s.heardPeer,
+		OnDisconnect: s.lost}
 	first := o.Settings.Bootstrap && o.Fresh
 	drawn := fmt.Sprintf("%016x", rand.Uint64())
 	memory, err := consensus.Load(s.me.Name, o.Disk.All(), o.Known, first, drawn)
@@ -135,12 +135,8 @@
 		s.log.Error("the disk is taken for a new one", "err", err)
 		memory, _ = consensus.Load(s.me.Name, o.Disk.All(), false, false, drawn)
 	}
-	var seeds []string
-	for _, seed := range o.Settings.Seeds {
-		seeds = append(seeds, o.Settings.Peer(seed))
-	}
 	s.disk, s.blank = memory.Disk, memory.Blank
-	s.replica = consensus.New(consensus.Options{Me: s.me, Life: s.life, Faults: o.Settings.FaultBudget.Machines, Seeds: seeds,
+	s.replica = consensus.New(consensus.Options{Me: s.me, Life: s.life, Faults: o.Settings.FaultBudget.Machines, Seeds: o.Settings.SeedPeerAddresses(),
 		Memory: memory})
 	s.settled = first
 	s.steer = newSteerer(s)
@@ -155,16 +151,14 @@
 func (s *Server) Run() {
 	go s.accept()
 	ticks := s.o.Clock.NewTicker(tickEvery)
-	for _, seed := range s.o.Settings.Seeds {
-		s.keep.Keep(s.o.Settings.Peer(seed))
-	}
+	s.keep.ConnectAll(s.o.Settings.SeedPeerAddresses())
 	for _, v := range s.replica.Epoch().AllVoters() {
-		s.keep.Keep(v.Address)
+		s.keep.Connect(v.Address)
 	}
 	s.step()
 	for {
 		select {
-		case f := <-s.queue.C():
+		case f := <-s.queue.Commands():
 			f()
 		case <-ticks.Chan():
 			s.tick()
@@ -250,7 +244,7 @@
 	}
 	s.log.Info("epoch", "number", e.Number, "voters", strings.Join(names, " "), "changing", len(e.OldVoters) > 0)
 	for _, v := range e.AllVoters() {
-		s.keep.Keep(v.Address)
+		s.keep.Connect(v.Address)
 	}
 	s.toCarriers(&rpc.Message{Consensus: rpc.Consensus{Epoch: &e}})
 }
@@ -296,7 +290,7 @@
 	s.log.Info("in force", "register", r.Name, "hi", r.Version.Number)
 	m := &rpc.Message{RegisterUpdate: rpc.RegisterUpdate{CommittedVersions: map[string]rpc.Version{r.Name: r.Version}}}
 	if r.Name == charterName {
-		c, err := routeconfig.Read(r.Value)
+		c, err := routeconfig.Parse(r.Value)
 		if err != nil { // it was checked before it was written
 			s.log.Error("a configuration in force cannot be read", "err", err)
 			return
@@ -352,11 +346,11 @@
 	for seq, w := range s.words {
 		if now > w.until {
 			delete(s.words, seq)
-			w.done <- apierror.New(apierror.Unsafe, "", nil)
+			w.done <- apierror.New(apierror.NotDurable, "", nil)
 		}
 	}
 	// Nobody who knows more is there: all founders have told what they know, or what beats say is all there is.
-	if !s.settled && (s.metAll() || now > 2*s.o.Settings.Beat.Span()) {
+	if !s.settled && (s.metAll() || now > 2*s.o.Settings.HeartbeatInterval.Duration()) {
 		s.settled = true
 		s.toCarriers(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{EndpointsSynced: true}})
 	}
@@ -389,7 +383,7 @@
 func (s *Server) know(all ...rpc.Node) {
 	for _, c := range all {
 		if c.Name != "" && c.Name != s.me.Name {
-			s.keep.Keep(c.Address)
+			s.keep.Connect(c.Address)
 		}
 	}
 }
--- a/internal/controlplane/counsel_test.go
+++ b/internal/controlplane/counsel_test.go
@@ -48,10 +48,10 @@
 		set := bootconfig.Default()
 		set.Name, set.IP, set.Zone = k.name, k.ip, []string{"north", "south", "west"}[i%3]
 		set.Zones = map[string]string{"north": "land", "south": "land", "west": "land"}
-		set.Ports, set.Bootstrap, set.FaultBudget.Machines = [2]int{7540, 7555}, true, faults
+		set.PortRange, set.Bootstrap, set.FaultBudget.Machines = [2]int{7540, 7555}, true, faults
 		set.Seeds = []string{"10.0.0.10:8544", "10.0.0.11:8544", "10.0.0.12:8544"}[:n]
 		set.Listen = map[string]string{"control": k.ip + ":8544"}
-		lines, err := k.host.Listen(set.Own())
+		lines, err := k.host.Listen(set.OwnPeerAddress())
 		if err != nil {
 			panic(err)
 		}
--- a/internal/controlplane/lines.go
+++ b/internal/controlplane/lines.go
@@ -65,25 +65,25 @@
 			if from.IsProxy {
 				// Guards against a word on an old line, read late after a freeze, renewing a lease.
 				if m.Hello != nil {
-					s.carrierLines.Take(m.Hello, line)
+					s.carrierLines.Register(m.Hello, line)
 				}
-				if s.carrierLines.Speaks(from.Node.Name, line) {
+				if s.carrierLines.IsCurrent(from.Node.Name, line) {
 					s.heardCarrier(from, line, m)
 				}
 				return
 			}
 			if m.Hello != nil {
-				if _, ok := s.callers.Take(m.Hello, line); !ok {
+				if _, ok := s.callers.Register(m.Hello, line); !ok {
 					return
 				}
 				s.know(from.Node)
 				if p := s.peers[from.Node.Name]; p == nil || p.out == nil {
-					s.keep.Now(from.Node.Address) // it is there: after a loss of all each moment counts
+					s.keep.RetryNow(from.Node.Address) // it is there: after a loss of all each moment counts
 				}
 				line.Send(&rpc.Message{Hello: s.hello(), KnownPeers: s.known(), EndpointUpdate: rpc.EndpointUpdate{Endpoints: s.table.All(s.now()), EndpointsSynced: s.settled}})
 				s.step(consensus.Met{Who: from.Node, Disk: from.StoreID, Blank: from.MayHaveLostState})
 			}
-			if s.callers.Speaks(from.Node.Name, line) {
+			if s.callers.IsCurrent(from.Node.Name, line) {
 				s.heard(from.Node.Name, line, m)
 			}
 		})
@@ -93,9 +93,9 @@
 		switch {
 		case who == nil:
 		case who.IsProxy:
-			s.carrierLines.Lost(who.Node.Name, line)
+			s.carrierLines.Unregister(who.Node.Name, line)
 		default:
-			s.callers.Lost(who.Node.Name, line)
+			s.callers.Unregister(who.Node.Name, line)
 		}
 		if c := s.carriers[line]; c != nil {
 			delete(s.carriers, line)
--- a/internal/controlplane/main.go
+++ b/internal/controlplane/main.go
@@ -4,13 +4,12 @@
 	"context"
 	"errors"
 	"io"
+	"net"
 	"net/http"
 	"os"
-	"os/signal"
-	"runtime/debug"
-	"syscall"
 	"time"
 
+	"github.com/hashicorp/go-hclog"
 	"github.com/jonboulle/clockwork"
 
 	"elmfold/internal/controlplane/storage"
@@ -20,83 +19,101 @@
 )
 
 const (
-	leaveSpare = time.Second            // of the grace, for what comes after the handing over
-	callsEnd   = 300 * time.Millisecond // answers that are on their way
-)
+	programName = "elmfold-controlplane"
+	about       = "The gateway's controller: it keeps the operator's word, knows backends and carriers, and steers."
+
+	shutdownReserve     = time.Second            // of the grace period, for what comes after the handover
+	callShutdownTimeout = 300 * time.Millisecond // for answers that are on their way
+	diskShare           = 0.8                    // of the disk space allowed that records may take
 
-const about = "The gateway's controller: it keeps the operator's word, knows backends and carriers, and steers."
+	callHeaderTimeout = 5 * time.Second
+	callReadTimeout   = 20 * time.Second
+	callIdleTimeout   = 20 * time.Second
+)
 
-// Main is the program.
+// Main runs the program and returns its exit code.
 func Main(args []string, out, errs io.Writer) int {
-	return cli.Main("elmfold-controlplane", about, args, out, errs, serve)
+	return cli.Program{Name: programName, About: about, Out: out, Err: errs, Run: run}.Main(args)
 }
 
-func serve(settings *bootconfig.Settings, o cli.Options) error {
-	ring, log := logbuffer.New(settings.Name, os.Stderr, time.Now, o.Verbose)
-	if settings.Listen["control"] == "" || settings.DataDir == "" {
-		return errors.New("listen.control, dataDir: a controller needs both")
-	}
-	debug.SetGCPercent(60)
-	if mb := settings.Limits.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(mb * 0.8 * (1 << 20)))
+// run serves until a signal ends the program.
+func run(settings *bootconfig.Settings, options cli.Options) error {
+	buffer, log := logbuffer.New(settings.Name, os.Stderr, time.Now, options.Verbose)
+	if err := requireSettings(settings); err != nil {
+		return err
 	}
-	store, found, err := storage.Open(settings.DataDir, int64(settings.Limits.DiskMB*0.8)<<20)
+	cli.LimitMemory(settings.Limits)
+	store, found, err := storage.Open(settings.DataDir, int64(settings.Limits.DiskMB*diskShare)<<20)
 	if err != nil {
 		return err
 	}
-	log.Info("disk", "fresh", found.Fresh, "torn", found.Torn, "forgot", found.Forgot, "known", found.Known,
-		"records", found.Records)
-	if found.Forgot {
-		log.Warn("the disk has forgotten something: it is a new one now, and votes once it has all that the others have")
-	}
-	lines, err := cli.Listen(settings.Own())
+	logRecovery(log, found)
+	peers, err := cli.Listen(settings.OwnPeerAddress())
 	if err != nil {
 		return err
 	}
-	calls, err := cli.Listen(settings.Listen["control"])
+	calls, err := cli.Listen(settings.Listen[bootconfig.ListenControl])
 	if err != nil {
 		return err
 	}
-	s := New(Options{Settings: settings, Disk: store, Known: found.Known, Fresh: found.Fresh, Log: log,
-		Clock: clockwork.NewRealClock(), Dial: cli.Dial, Listen: lines, TimeOfDay: time.Now})
-	server := &http.Server{Handler: s.Handler(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 20 * time.Second,
-		IdleTimeout: 20 * time.Second}
-	go func() {
-		if err := server.Serve(calls); !errors.Is(err, http.ErrServerClosed) {
-			log.Error("calls are no longer served", "err", err)
-		}
-	}()
-	signals := make(chan os.Signal, 4)
-	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	go func() {
-		for sig := range signals {
-			if sig == syscall.SIGHUP {
-				if next, err := bootconfig.FromEnvironment(); err != nil {
-					log.Error("settings stay as they were", "err", err)
-				} else {
-					s.Reload(next)
-				}
-				continue
-			}
-			go func() { // a second signal finds this under way, and waits with it
-				s.Leave(settings.Bounds.Grace.Span() - leaveSpare)
-				ctx, cancel := context.WithTimeout(context.Background(), callsEnd)
-				defer cancel()
-				_ = server.Shutdown(ctx)
-				s.Stop()
-			}()
-		}
-	}()
+	s := New(Options{
+		Settings:  settings,
+		Disk:      store,
+		Known:     found.Known,
+		Fresh:     found.Fresh,
+		Log:       log,
+		Clock:     clockwork.NewRealClock(),
+		Dial:      cli.Dial,
+		Listen:    peers,
+		TimeOfDay: time.Now,
+	})
+	callServer := newCallServer(s.Handler())
+	go serveCalls(log, callServer, calls)
+	cli.HandleSignals(log, s.Reload, func() { // a second signal finds this under way, and waits with it
+		s.Leave(settings.Bounds.Grace.Duration() - shutdownReserve)
+		ctx, cancel := context.WithTimeout(context.Background(), callShutdownTimeout)
+		defer cancel()
+		_ = callServer.Shutdown(ctx) // calls that are not answered in time are repeated elsewhere
+		s.Stop()
+	})
 	s.Run()
-	ring.Flush()
+	buffer.Flush()
 	return store.Close()
 }
 
-// Reload takes settings that were changed while the program runs: new seeds are dialled, the rest waits for a restart.
+func requireSettings(settings *bootconfig.Settings) error {
+	err := settings.RequireListeners(bootconfig.ListenControl)
+	if settings.DataDir == "" {
+		err = errors.Join(err, errors.New("dataDir: is missing"))
+	}
+	return err
+}
+
+func logRecovery(log hclog.Logger, found storage.Found) {
+	log.Info("disk", "fresh", found.Fresh, "torn", found.Torn, "forgot", found.Forgot, "known", found.Known,
+		"records", found.Records)
+	if found.Forgot {
+		log.Warn("the disk has forgotten something: it is a new one now, and votes once it has all that the others have")
+	}
+}
+
+func newCallServer(handler http.Handler) *http.Server {
+	return &http.Server{
+		Handler:           handler,
+		ReadHeaderTimeout: callHeaderTimeout,
+		ReadTimeout:       callReadTimeout,
+		IdleTimeout:       callIdleTimeout,
+	}
+}
+
+func serveCalls(log hclog.Logger, server *http.Server, listener net.Listener) {
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+		log.Error("calls are no longer served", "err", err)
+	}
+}
+
+// Reload takes over settings that were changed while the program runs: new seeds are dialled, the rest waits for a
+// restart.
 func (s *Server) Reload(next *bootconfig.Settings) {
-	s.queue.Do(func() {
-		for _, seed := range next.Seeds {
-			s.keep.Keep(s.o.Settings.Peer(seed))
-		}
-	})
+	s.queue.Do(func() { s.keep.ConnectAll(next.SeedPeerAddresses()) })
 }
--- a/internal/controlplane/steer.go
+++ b/internal/controlplane/steer.go
@@ -33,14 +33,14 @@
 
 // configured takes the services of a configuration: the strictest route decides what is late. A service keeps its
 // target as long as a route has it: each new one begins its levels anew, and routes come and go.
-func (t *steerer) configured(c *routeconfig.Charter) {
+func (t *steerer) configured(c *routeconfig.Config) {
 	services, stays := map[string]steering.Service{}, map[string]bool{}
 	for _, r := range c.Routes() {
-		for _, split := range r.Splits {
-			if have, ok := services[split.Service]; !ok || r.Target < have.Target {
-				services[split.Service] = steering.Service{Target: r.Target}
+		for _, split := range r.Services {
+			if have, ok := services[split.Service]; !ok || r.LatencyTarget < have.Target {
+				services[split.Service] = steering.Service{Target: r.LatencyTarget}
 			}
-			stays[split.Service] = stays[split.Service] || r.Target == t.services[split.Service].Target
+			stays[split.Service] = stays[split.Service] || r.LatencyTarget == t.services[split.Service].Target
 		}
 	}
 	for name := range services {
--- a/internal/controlplane/storage/record.go
+++ b/internal/controlplane/storage/record.go
@@ -196,7 +196,7 @@
 // Know writes down that this disk holds all that it must: from now on it may vote.
 func (s *Store) Know() error { return s.Put(Marker, []byte{1}) }
 
-// Put returns once the record, or a later Put of its name, is synced: nil, or a *apierror.Fault. Unsafe: it may be on
+// Put returns once the record, or a later Put of its name, is synced: nil, or a *apierror.Error. Unsafe: it may be on
 // the disk or not, and Get shows what was before; the store heals itself at the next Put. Invalid: the name is.
 func (s *Store) Put(name string, value []byte) error {
 	answer := make(chan error, 1)
@@ -208,7 +208,7 @@
 // is refused): it must not wait.
 func (s *Store) PutAsync(name string, value []byte, done func(error)) {
 	if name == "" || len(name) > mostName {
-		done(apierror.New(apierror.Invalid, s.dir, errName))
+		done(apierror.New(apierror.InvalidArgument, s.dir, errName))
 		return
 	}
 	if err := s.enqueue(command{name, bytes.Clone(value), done}); err != nil {
@@ -357,7 +357,7 @@
 	return len(queue)
 }
 
-func (s *Store) unsafe(err error) error { return apierror.New(apierror.Unsafe, s.dir, err) }
+func (s *Store) unsafe(err error) error { return apierror.New(apierror.NotDurable, s.dir, err) }
 
 func (s *Store) heal() error {
 	switch {
--- a/internal/controlplane/storage/record_test.go
+++ b/internal/controlplane/storage/record_test.go
@@ -221,9 +221,9 @@
 	for i := range 3 {
 		d.full = true
 		d.gone = i == 2
-		var f *apierror.Fault
+		var f *apierror.Error
 		err := s.Put("a", []byte("two"))
-		if !errors.As(err, &f) || f.Kind != apierror.Unsafe || !errors.Is(err, syscall.ENOSPC) {
+		if !errors.As(err, &f) || f.Kind != apierror.NotDurable || !errors.Is(err, syscall.ENOSPC) {
 			t.Fatal(err)
 		}
 		if got, _ := s.Get("a"); string(got) != "one" {
--- a/internal/emulator/proxies/backend.go
+++ b/internal/emulator/proxies/backend.go
@@ -82,11 +82,11 @@
 	w := b.w
 	b.coming = slices.DeleteFunc(b.coming, func(o *job) bool { return o == j })
 	if b.dark {
-		j.say(unackedFor, balancer.Met{Kind: apierror.Broken, Silent: true})
+		j.say(unackedFor, balancer.Met{Kind: apierror.ConnectionBroken, Silent: true})
 		return
 	}
 	if b.gone || epoch != b.epoch {
-		j.say(b.oneWay(j.t.c), balancer.Met{Kind: apierror.Broken})
+		j.say(b.oneWay(j.t.c), balancer.Met{Kind: apierror.ConnectionBroken})
 		return
 	}
 	w.ledger.arrived(w, j)
@@ -99,7 +99,7 @@
 	case len(b.waiting) < w.Kinds[b.kind].Queue:
 		b.waiting = append(b.waiting, j)
 	default:
-		j.say(b.oneWay(j.t.c), b.met(apierror.Turned))
+		j.say(b.oneWay(j.t.c), b.met(apierror.RejectedByEndpoint))
 	}
 }
 
@@ -163,7 +163,7 @@
 			// Probes go out each second since the last byte; the first that stays without an answer is noticed at the next.
 			after = probeEvery - (w.now-j.sentAt)%probeEvery + probeEvery
 		}
-		j.say(after, balancer.Met{Kind: apierror.Broken, Silent: dark})
+		j.say(after, balancer.Met{Kind: apierror.ConnectionBroken, Silent: dark})
 	}
 	if !dark {
 		w.after(7*beat/2, func() { w.way.word(b, false) }) // nobody hears its beats
--- a/internal/emulator/proxies/carrier.go
+++ b/internal/emulator/proxies/carrier.go
@@ -86,15 +86,15 @@
 func (c *carrier) next(t *try) {
 	w := c.w
 	if w.now >= t.deadline {
-		if t.last = apierror.OutOfTime; t.mayHave {
-			t.last = apierror.Late
+		if t.last = apierror.DeadlineExceeded; t.mayHave {
+			t.last = apierror.ResponseTimeout
 		}
 		c.finish(t)
 		return
 	}
 	b, share, kind := w.way.pick(c, t)
 	if b == nil {
-		if t.last == apierror.None || !t.mayHave && t.offered == 0 && t.last != apierror.Dial {
+		if t.last == apierror.None || !t.mayHave && t.offered == 0 && t.last != apierror.ConnectFailed {
 			t.last = kind
 		}
 		c.finish(t)
@@ -109,7 +109,7 @@
 			return
 		}
 		t.tried = append(t.tried, b)
-		if m.Kind == apierror.Dial {
+		if m.Kind == apierror.ConnectFailed {
 			if t.unreached++; t.unreached >= dialsMost {
 				c.finish(t)
 				return
@@ -117,7 +117,7 @@
 		} else {
 			t.offered++
 		}
-		t.mayHave = t.mayHave || m.Kind.Rule().MayHave
+		t.mayHave = t.mayHave || m.Kind.Policy().MayHaveExecuted
 		if !w.way.again(c, t, m.Kind) {
 			c.finish(t)
 			return
@@ -133,7 +133,7 @@
 	b.coming = append(b.coming, j)
 	j.done = func(m balancer.Met) {
 		b.coming = slices.DeleteFunc(b.coming, func(o *job) bool { return o == j })
-		if m.HasLoad && m.Kind != apierror.Late && k.open <= share && len(k.idle) < idleMost {
+		if m.HasLoad && m.Kind != apierror.ResponseTimeout && k.open <= share && len(k.idle) < idleMost {
 			k.idle = append(k.idle, idle{w.now + keepFor, b.epoch})
 		} else {
 			k.open--
@@ -163,11 +163,11 @@
 		if !j.over {
 			j.over = true
 			if j.sentAt == 0 {
-				j.done(balancer.Met{Kind: apierror.OutOfTime})
+				j.done(balancer.Met{Kind: apierror.DeadlineExceeded})
 				return
 			}
 			b.cancel(j)
-			j.done(balancer.Met{Kind: apierror.Late})
+			j.done(balancer.Met{Kind: apierror.ResponseTimeout})
 		}
 	})
 }
@@ -178,10 +178,10 @@
 	switch {
 	case b.dark:
 		if end := w.now + dialFor; end < deadline {
-			w.at(end, func() { then(apierror.Dial, true) })
+			w.at(end, func() { then(apierror.ConnectFailed, true) })
 		} // else the try's own deadline ends it
 	case b.gone:
-		w.after(2*lag, func() { then(apierror.Dial, false) })
+		w.after(2*lag, func() { then(apierror.ConnectFailed, false) })
 	default:
 		w.s.Connections++
 		w.after(2*lag+handshake, func() { then(apierror.None, false) })
@@ -190,12 +190,12 @@
 
 // finish answers the client by what was met last, as transit does.
 func (c *carrier) finish(t *try) {
-	switch rule := t.last.Rule(); {
+	switch rule := t.last.Policy(); {
 	case t.last == apierror.None:
 		t.answer(apierror.None, 0)
-	case t.mayHave && !rule.MayHave:
-		t.refuse(apierror.Broken, 0)
-	case t.last == apierror.Full:
+	case t.mayHave && !rule.MayHaveExecuted:
+		t.refuse(apierror.ConnectionBroken, 0)
+	case t.last == apierror.EndpointsSaturated:
 		t.refuse(t.last, c.w.way.later(c, t))
 	default:
 		t.refuse(t.last, 0)
@@ -204,7 +204,7 @@
 
 func (t *try) refuse(kind apierror.Kind, after time.Duration) {
 	if after <= 0 {
-		after = kind.Rule().After
+		after = kind.Policy().RetryAfter
 	}
 	t.answer(kind, after)
 }
--- a/internal/emulator/proxies/client.go
+++ b/internal/emulator/proxies/client.go
@@ -140,7 +140,7 @@
 
 // promises says whether an end is told as a promise that the request has not run.
 func promises(kind apierror.Kind) bool {
-	status := kind.Rule().Status
+	status := kind.Policy().Status
 	return status == 503 || status == 429 || status == 408 || status == 421
 }
 
--- a/internal/emulator/proxies/ways.go
+++ b/internal/emulator/proxies/ways.go
@@ -257,7 +257,7 @@
 		}
 	}
 	if len(all) == 0 {
-		return nil, 0, apierror.NoBackend
+		return nil, 0, apierror.NoEndpoint
 	}
 	u, v := t.r.chance.IntN(len(all)), t.r.chance.IntN(len(all))
 	best := all[u]
@@ -283,14 +283,14 @@
 func (p *plain) end(c *carrier, _ *try, b *backend, m balancer.Met) {
 	v := p.see(c, b)
 	v.busy--
-	if m.Kind == apierror.Dial || m.Kind == apierror.Broken {
+	if m.Kind == apierror.ConnectFailed || m.Kind == apierror.ConnectionBroken {
 		v.till = p.w.now + time.Second
 	}
 }
 
 func (p *plain) again(_ *carrier, t *try, kind apierror.Kind) bool {
-	rule := kind.Rule()
-	return rule.Elsewhere && (!rule.MayHave || p.w.Kinds[t.r.kind].Safe) && t.offered < maxTries
+	rule := kind.Policy()
+	return rule.Retryable && (!rule.MayHaveExecuted || p.w.Kinds[t.r.kind].Safe) && t.offered < maxTries
 }
 
 func (p *plain) later(_ *carrier, t *try) time.Duration {
@@ -380,7 +380,7 @@
 		answered += time.Duration(float64(b.takes(kind.Work, 0)) * (math.Exp(1.645*sigma-sigma*sigma/2) - 1))
 	}
 	if b == nil || answered > t.sent+kind.Aim && waits > 0 {
-		return nil, 0, apierror.Full
+		return nil, 0, apierror.EndpointsSaturated
 	}
 	if b.cold() {
 		b.lastCold = z.w.now
@@ -389,8 +389,8 @@
 }
 
 func (z *central) again(_ *carrier, t *try, kind apierror.Kind) bool {
-	rule := kind.Rule()
-	return rule.Elsewhere && (!rule.MayHave || z.w.Kinds[t.r.kind].Safe) && t.offered < maxTries
+	rule := kind.Policy()
+	return rule.Retryable && (!rule.MayHaveExecuted || z.w.Kinds[t.r.kind].Safe) && t.offered < maxTries
 }
 
 // later is when there is room for one that finds none, by what is there now.
--- a/internal/fakes/gateway/deployment.go
+++ b/internal/fakes/gateway/deployment.go
@@ -123,12 +123,12 @@
 	for _, z := range d.Plan.Zones {
 		s.Zones[z] = "lab"
 	}
-	s.Ports, s.Bootstrap, s.Counted = [2]int{firstPort, lastPort}, true, p.role == roleControlPlane
+	s.PortRange, s.Bootstrap, s.Counted = [2]int{firstPort, lastPort}, true, p.role == roleControlPlane
 	for _, c := range d.Controllers[:min(3, len(d.Controllers))] {
 		s.Seeds = append(s.Seeds, c.Control())
 	}
 	s.Listen = map[string]string{"front": p.Front(), "readiness": at(p.IP, readyPort)}
-	s.Beat, s.FaultBudget.Machines, s.FaultBudget.Zones = bootconfig.Seconds(d.Plan.Beat), d.Plan.Faults, 1
+	s.HeartbeatInterval, s.FaultBudget.Machines, s.FaultBudget.Zones = bootconfig.Seconds(d.Plan.Beat), d.Plan.Faults, 1
 	s.Limits.MaxFDs = 16000
 	if p.role == roleControlPlane {
 		s.Listen = map[string]string{"control": p.Control()}
@@ -157,7 +157,7 @@
 		p.cmd.Args = append(p.cmd.Args, "-v")
 	}
 	p.cmd.Stdout, p.cmd.Stderr = log, log
-	p.cmd.Env = append(append(os.Environ(), bootconfig.Variable+"="+p.settings), p.environment...)
+	p.cmd.Env = append(append(os.Environ(), bootconfig.EnvVar+"="+p.settings), p.environment...)
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a lab that is killed leaves none behind
 	if err := p.cmd.Start(); err != nil {
 		return fmt.Errorf("%s: %w", p.program, err)
--- a/internal/fakes/gateway/gateway_test.go
+++ b/internal/fakes/gateway/gateway_test.go
@@ -15,16 +15,16 @@
 
 // What the operator puts is a configuration with just the routes that RouteOf names.
 func TestConfiguration(t *testing.T) {
-	c, err := routeconfig.Read(Configuration(0x1f, Shape{Services: 3, Routes: 20}, 1))
+	c, err := routeconfig.Parse(Configuration(0x1f, Shape{Services: 3, Routes: 20}, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Version != 0x1f || len(c.Routes()) != 21 || len(c.Pools) != 3 {
-		t.Fatalf("version %d, %d routes, %d services", c.Version, len(c.Routes()), len(c.Pools))
+	if c.Version != 0x1f || len(c.Routes()) != 21 || len(c.Services) != 3 {
+		t.Fatalf("version %d, %d routes, %d services", c.Version, len(c.Routes()), len(c.Services))
 	}
 	for i := range 21 {
 		host, prefix := RouteOf(i)
-		if r := c.Route(host, prefix+"x"); r == nil || r.Splits[0].Service != ServiceName(i%3) {
+		if r := c.Route(host, prefix+"x"); r == nil || r.Services[0].Service != ServiceName(i%3) {
 			t.Fatalf("route %d: %+v", i, r)
 		}
 	}
--- a/internal/gateway/apierror/fault_test.go
+++ b/internal/gateway/apierror/apierror_test.go
@@ -15,16 +15,16 @@
 func TestTable(t *testing.T) {
 	var b strings.Builder
 	for _, k := range Kinds() {
-		r := k.Rule()
+		r := k.Policy()
 		fmt.Fprintf(&b, "%-17s %d", k, r.Status)
-		if r.MayHave {
+		if r.MayHaveExecuted {
 			b.WriteString(", may have run")
 		}
-		if r.Elsewhere {
+		if r.Retryable {
 			b.WriteString(", elsewhere")
 		}
-		if r.After > 0 {
-			fmt.Fprintf(&b, ", again after %v", r.After)
+		if r.RetryAfter > 0 {
+			fmt.Fprintf(&b, ", again after %v", r.RetryAfter)
 		}
 		b.WriteString("\n")
 	}
@@ -34,18 +34,18 @@
 // These statuses promise that the request has not run and never will.
 func TestNoPromiseOfWhatMayHaveRun(t *testing.T) {
 	for _, k := range Kinds() {
-		if r := k.Rule(); r.Name == "" || r.MayHave && slices.Contains([]int{408, 421, 429, 503}, r.Status) {
+		if r := k.Policy(); r.Name == "" || r.MayHaveExecuted && slices.Contains([]int{408, 421, 429, 503}, r.Status) {
 			t.Errorf("%d %+v", k, r)
 		}
 	}
 }
 
 func TestError(t *testing.T) {
-	for want, f := range map[string]*Fault{
-		"late":                            New(Late, "", nil),
-		"i-1: late":                       New(Late, "i-1", nil),
-		"late: unexpected EOF":            New(Late, "", io.ErrUnexpectedEOF),
-		"i-1: broken off: unexpected EOF": New(Broken, "i-1", io.ErrUnexpectedEOF),
+	for want, f := range map[string]*Error{
+		"late":                            New(ResponseTimeout, "", nil),
+		"i-1: late":                       New(ResponseTimeout, "i-1", nil),
+		"late: unexpected EOF":            New(ResponseTimeout, "", io.ErrUnexpectedEOF),
+		"i-1: broken off: unexpected EOF": New(ConnectionBroken, "i-1", io.ErrUnexpectedEOF),
 	} {
 		if f.Error() != want || f.Cause != nil && !errors.Is(f, f.Cause) {
 			t.Errorf("%q, not %q", f, want)
--- a/internal/gateway/bootconfig/premise_test.go
+++ b/internal/gateway/bootconfig/bootconfig_test.go
@@ -36,15 +36,15 @@
 	if err := os.WriteFile(path, []byte(example), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	t.Setenv(Variable, path)
+	t.Setenv(EnvVar, path)
 	s, err := FromEnvironment()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := s.Bounds.LossSlack.Span(); got != 200*time.Millisecond {
+	if got := s.Bounds.LossSlack.Duration(); got != 200*time.Millisecond {
 		t.Errorf("0.2 s are %v", got)
 	}
-	if own, peer := s.Own(), s.Peer(s.Seeds[1]); own != "10.1.0.34:7540" || peer != "10.2.0.37:7540" {
+	if own, peer := s.OwnPeerAddress(), s.PeerAddress(s.Seeds[1]); own != "10.1.0.34:7540" || peer != "10.2.0.37:7540" {
 		t.Errorf("own %s, peer %s", own, peer)
 	}
 	text, _ := json.MarshalIndent(s, "", "  ")
@@ -80,7 +80,12 @@
 			t.Errorf("%s: %v", what, err)
 			return
 		}
-		fmt.Fprintf(&b, "%s\n    %s\n", what, strings.ReplaceAll(strings.ReplaceAll(err.Error(), path, "boot.json"), "\n", "\n    "))
+		fmt.Fprintf(
+			&b,
+			"%s\n    %s\n",
+			what,
+			strings.ReplaceAll(strings.ReplaceAll(err.Error(), path, "boot.json"), "\n", "\n    "),
+		)
 	}
 	for _, c := range [][2]string{{"nodeName", ""}, {"nodeName", "7"}, {"ip", `"10.1.0"`}, {"zone", `"hall-x"`},
 		{"zone", ""}, {"zones", `["hall-a"]`}, {"portRange", "[7555, 7540]"}, {"portRange", "[1, 70000]"},
@@ -97,19 +102,19 @@
 	if _, err := Load("/nowhere/boot.json"); err == nil || !strings.Contains(err.Error(), "/nowhere/boot.json") {
 		t.Errorf("no file: %v", err)
 	}
-	t.Setenv(Variable, "")
-	if _, err := FromEnvironment(); err == nil || !strings.Contains(err.Error(), Variable) {
+	t.Setenv(EnvVar, "")
+	if _, err := FromEnvironment(); err == nil || !strings.Contains(err.Error(), EnvVar) {
 		t.Errorf("no variable: %v", err)
 	}
 }
 
 // What a file of the future says beside is read past, and what it does not say is as it was.
 func TestUnknownAndMissingFields(t *testing.T) {
-	s, err := Read([]byte(change(t, "future", `{"a": [1, {"nodeName": "other"}], "b": null}`)))
+	s, err := Parse([]byte(change(t, "future", `{"a": [1, {"nodeName": "other"}], "b": null}`)))
 	if err != nil || s.Name != "edge-hall-a-1" {
 		t.Errorf("%+v, %v", s, err)
 	}
-	s, err = Read([]byte(change(t, "bounds", `{"drainS": 3, "future": true, "ackS": null}`)))
+	s, err = Parse([]byte(change(t, "bounds", `{"drainS": 3, "future": true, "ackS": null}`)))
 	if err != nil || s.Bounds.Drain != 3 || s.Bounds.Ack != Default().Bounds.Ack {
 		t.Errorf("%+v, %v", s, err)
 	}
--- /dev/null
+++ b/internal/gateway/cli/check.go
@@ -0,0 +1,52 @@
+package cli
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"os"
+
+	"elmfold/internal/gateway/bootconfig"
+	"elmfold/internal/gateway/routeconfig"
+)
+
+// settingsMarker tells a settings file that cannot be read from a configuration.
+var settingsMarker = []byte(`"nodeName"`)
+
+type checkCommand struct {
+	Args struct {
+		File string `positional-arg-name:"FILE" description:"settings, or a configuration"`
+	} `positional-args:"yes" required:"yes"`
+	out io.Writer
+}
+
+// Execute checks a file: one with a nodeName is settings, any other a configuration.
+func (c *checkCommand) Execute([]string) error {
+	text, err := os.ReadFile(c.Args.File)
+	if err != nil {
+		return err
+	}
+	summary, err := summarize(text)
+	if err != nil {
+		return fmt.Errorf("%s: %w", c.Args.File, err)
+	}
+	_, err = fmt.Fprintf(c.out, "%s: %s\n", c.Args.File, summary)
+	return err
+}
+
+// summarize says in a few words what a valid file holds.
+func summarize(text []byte) (string, error) {
+	settings, settingsErr := bootconfig.Parse(text)
+	if settingsErr == nil {
+		return fmt.Sprintf("settings of %s, role %s, zone %s", settings.Name, settings.Role, settings.Zone), nil
+	}
+	if bytes.Contains(text, settingsMarker) {
+		return "", settingsErr
+	}
+	config, err := routeconfig.Parse(text)
+	if err != nil {
+		return "", err
+	}
+	return fmt.Sprintf("configuration %s, %d routes, %d services", routeconfig.FormatVersion(config.Version),
+		len(config.Routes()), len(config.Services)), nil
+}
--- /dev/null
+++ b/internal/gateway/cli/cli.go
@@ -0,0 +1,116 @@
+// Package cli is what both programs of the gateway begin with: the command line, the signals, the limits of the
+// process, and how nodes are dialled and listened for.
+package cli
+
+import (
+	"errors"
+	"fmt"
+	"io"
+
+	"github.com/jessevdk/go-flags"
+
+	"elmfold/internal/gateway/bootconfig"
+)
+
+// Version of the gateway.
+const Version = "0.1.0"
+
+// Exit codes.
+const (
+	ExitOK      = 0
+	ExitFailure = 1 // something failed while it ran
+	ExitUsage   = 2 // the command line, the settings or a checked file is wrong
+)
+
+// Options of the command line.
+type Options struct {
+	Verbose bool `short:"v" long:"verbose" description:"write each log line as it comes, not only when something goes wrong"` //nolint:lll // a struct tag cannot be broken
+}
+
+// RunFunc serves until the program ends.
+type RunFunc func(*bootconfig.Settings, Options) error
+
+// Program is what the command line of a program needs to know of it.
+type Program struct {
+	Name     string
+	About    string    // one sentence
+	Out, Err io.Writer // what was asked for; what went wrong
+	Run      RunFunc
+}
+
+// Main reads the command line and carries it out; without a command the program runs, on the settings that the
+// environment names. It returns the exit code.
+func (p Program) Main(args []string) int {
+	var options Options
+	start := &runCommand{}
+	parser := p.newParser(&options, start)
+	rest, err := parser.ParseArgs(args)
+	var usage *flags.Error
+	switch {
+	case errors.As(err, &usage) && usage.Type == flags.ErrHelp:
+		fmt.Fprintln(p.Out, usage.Message)
+		return ExitOK
+	case errors.As(err, new(unreachableError)):
+		return p.fail(ExitFailure, err)
+	case err != nil:
+		return p.fail(ExitUsage, err)
+	case len(rest) > 0:
+		return p.fail(ExitUsage, fmt.Errorf("there is no command %q", rest[0]))
+	case parser.Active != nil && !start.wanted:
+		return ExitOK // the command was carried out while the arguments were parsed
+	}
+	settings, err := bootconfig.FromEnvironment()
+	if err != nil {
+		return p.fail(ExitUsage, err)
+	}
+	if err := p.Run(settings, options); err != nil {
+		return p.fail(ExitFailure, err)
+	}
+	return ExitOK
+}
+
+func (p Program) fail(code int, err error) int {
+	fmt.Fprintf(p.Err, "%s: %v\n", p.Name, err)
+	return code
+}
+
+func (p Program) newParser(options *Options, start *runCommand) *flags.Parser {
+	parser := flags.NewNamedParser(p.Name, flags.HelpFlag|flags.PassDoubleDash)
+	parser.ShortDescription, parser.LongDescription = p.About, p.About
+	parser.SubcommandsOptional = true
+	must(parser.AddGroup("Options", "", options))
+	must(parser.AddCommand("run", "serve (as without a command)",
+		"Serves by the settings file that "+bootconfig.EnvVar+" names.", start))
+	must(parser.AddCommand("check", "check a file",
+		"Checks a settings file or a configuration: one line a fault.", &checkCommand{out: p.Out}))
+	must(parser.AddCommand("status", "ask a controller how the core stands",
+		"Prints who votes, who is in touch, and what is safe, as one controller sees it.", &statusCommand{out: p.Out}))
+	must(parser.AddCommand("version", "print the version",
+		"Prints the version.", &versionCommand{name: p.Name, out: p.Out}))
+	return parser
+}
+
+// must stands for errors that only a wrong declaration in this package can cause.
+func must[T any](_ T, err error) {
+	if err != nil {
+		panic(err)
+	}
+}
+
+// runCommand only notes that it was given: the program runs once all arguments are parsed.
+type runCommand struct{ wanted bool }
+
+func (r *runCommand) Execute([]string) error {
+	r.wanted = true
+	return nil
+}
+
+type versionCommand struct {
+	name string
+	out  io.Writer
+}
+
+func (v *versionCommand) Execute([]string) error {
+	_, err := fmt.Fprintln(v.out, v.name, Version)
+	return err
+}
--- a/internal/gateway/cli/entry_test.go
+++ b/internal/gateway/cli/cli_test.go
@@ -61,7 +61,7 @@
 	write("empty.json", "", "", "")
 	var out strings.Builder
 	try := func(environment string, args ...string) {
-		t.Setenv(bootconfig.Variable, environment)
+		t.Setenv(bootconfig.EnvVar, environment)
 		var said, errs bytes.Buffer
 		run := func(s *bootconfig.Settings, o cli.Options) error {
 			fmt.Fprintf(&said, "(runs as %s, verbose %t)\n", s.Name, o.Verbose)
@@ -70,8 +70,9 @@
 			}
 			return nil
 		}
-		code := cli.Main("elmfold-controlplane", "The controller.", args, &said, &errs, run)
-		line := append([]string{"$", bootconfig.Variable + "=" + environment, "elmfold-controlplane"}, args...)
+		program := cli.Program{Name: "elmfold-controlplane", About: "The controller.", Out: &said, Err: &errs, Run: run}
+		code := program.Main(args)
+		line := append([]string{"$", bootconfig.EnvVar + "=" + environment, "elmfold-controlplane"}, args...)
 		fmt.Fprintln(&out, strings.Join(line, " "))
 		for line := range strings.Lines(wrapped.ReplaceAllString(said.String(), " ")) {
 			out.WriteString(strings.TrimRight("    "+line, " \n") + "\n")
--- /dev/null
+++ b/internal/gateway/cli/statustable.go
@@ -0,0 +1,122 @@
+package cli
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"elmfold/internal/controlplane/consensus"
+	"elmfold/internal/gateway/routeconfig"
+)
+
+const (
+	zoneRegisterPrefix = "zone/"
+	tablePadding       = 2 // blanks between columns
+)
+
+// PrintStatus writes a status for people to read.
+func PrintStatus(to io.Writer, s Status) error {
+	var b bytes.Buffer
+	printSummary(&b, s)
+	w := tabwriter.NewWriter(&b, 0, 0, tablePadding, ' ', 0)
+	printMembers(w, s)
+	_ = w.Flush() // into memory, which does not fail
+	printRegisters(w, s)
+	_ = w.Flush()
+	_, err := to.Write(b.Bytes())
+	return err
+}
+
+func printSummary(w io.Writer, s Status) {
+	contact, votes := "in touch with a majority", "votes"
+	if !s.InTouch {
+		contact = "NOT in touch with a majority: what follows may be old"
+	}
+	if !s.Votes {
+		votes = "does not vote"
+	}
+	fmt.Fprintf(w, "%s: %s; %s\n", s.Me.Name, contact, votes)
+	switch {
+	case s.Epoch == 0:
+		fmt.Fprintln(w, "no epoch yet: the seeds have not decided who votes")
+	case s.Changing:
+		fmt.Fprintf(w, "epoch %d: its voters change\n", s.Epoch)
+	default:
+		fmt.Fprintf(w, "epoch %d\n", s.Epoch)
+	}
+	if s.Leaving {
+		fmt.Fprintf(w, "leaving; not handed over yet: %s\n", list(s.Missing))
+	}
+	if len(s.Evacuated) > 0 {
+		fmt.Fprintf(w, "evacuated: %s\n", list(s.Evacuated))
+	}
+}
+
+func printMembers(w io.Writer, s Status) {
+	fmt.Fprint(w, "\n\tname\tzone\tdisk\ttouch\tholds\n")
+	for _, m := range s.Voters {
+		printMember(w, "voter", m)
+	}
+	for _, m := range s.Learners {
+		printMember(w, "learner", m)
+	}
+	if !s.Votes {
+		printMember(w, "this one", s.Me)
+	}
+}
+
+func printMember(w io.Writer, role string, m consensus.MemberStatus) {
+	if m.Change != "" {
+		role += ", " + m.Change
+	}
+	contact := "in touch"
+	if !m.InTouch {
+		contact = fmt.Sprintf("silent %.0f s", m.SilentS)
+	}
+	if m.Leaving {
+		contact += ", leaving"
+	}
+	if m.Gone {
+		contact = "gone: its machine has another disk"
+	}
+	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", role, m.Name, m.Zone, m.Disk, contact, holdings(m))
+}
+
+// holdings says what of the committed registers a member has on its disk.
+func holdings(m consensus.MemberStatus) string {
+	switch {
+	case m.Gone:
+		return "-"
+	case len(m.Lacks) > 0:
+		return "lacks " + list(m.Lacks)
+	case len(m.Unheard) > 0:
+		return "not heard yet of " + list(m.Unheard)
+	case !m.Whole:
+		return "not known yet"
+	}
+	return "all"
+}
+
+func printRegisters(w io.Writer, s Status) {
+	fmt.Fprint(w, "\nregister\tnewest\tdecided\tknown on\n")
+	for _, r := range s.Registers {
+		decided := "yes"
+		if !r.Chosen {
+			decided = "not yet"
+		}
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d of %d\n", r.Name, newestVersion(r), decided, r.Disks, len(s.Voters))
+	}
+}
+
+// newestVersion is the version of a register as its writer gave it: a generation, or the time of day of an evacuation.
+func newestVersion(r consensus.RegisterStatus) string {
+	if strings.HasPrefix(r.Name, zoneRegisterPrefix) {
+		return time.UnixMilli(int64(r.Hi)).UTC().Format(time.DateTime)
+	}
+	return routeconfig.FormatVersion(uint32(r.Hi))
+}
+
+func list(names []string) string { return strings.Join(names, ", ") }
--- a/internal/gateway/logbuffer/trace_test.go
+++ b/internal/gateway/logbuffer/logbuffer_test.go
@@ -29,7 +29,7 @@
 	if last := lines[len(lines)-1]; last != "03:04:05.000 [ERROR] e0: broken: why=reset" {
 		t.Errorf("the last is %q", last)
 	}
-	if out.Len() > ringBytes || out.Len() < ringBytes*9/10 {
+	if out.Len() > maxBufferedBytes || out.Len() < maxBufferedBytes*9/10 {
 		t.Errorf("%d bytes come out", out.Len())
 	}
 	for i, line := range lines[:len(lines)-2] {
@@ -39,7 +39,7 @@
 	}
 	out.Reset()
 	log.Info("after")
-	now = now.Add(again + 1)
+	now = now.Add(minDumpInterval + 1)
 	ring.Flush()
 	if got := out.String(); got != "03:04:05.000 [INFO]  e0: after\n" {
 		t.Errorf("what was written before is written again: %q", got)
--- a/internal/gateway/routeconfig/charter_test.go
+++ b/internal/gateway/routeconfig/config_test.go
@@ -23,20 +23,20 @@
 	`"coldRateS":4.1},{"name":"wuno96b","healthPath":"/health","maxConns":100,"coldS":3.0,"coldRateS":4.1},` +
 	`{"name":"kafi81c","healthPath":"/health","maxConns":100,"coldS":3.0,"coldRateS":4.1}]}`
 
-func read(t testing.TB, body string) *Charter {
+func read(t testing.TB, body string) *Config {
 	t.Helper()
-	c, err := Read([]byte(body))
+	c, err := Parse([]byte(body))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-func show(c *Charter) string {
+func show(c *Config) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version %s limits %+v\n", FormatVersion(c.Version), c.Limits)
 	for _, name := range []string{"huvo11a", "wuno96b", "kafi81c"} {
-		fmt.Fprintf(&b, "pool %+v\n", *c.Pools[name])
+		fmt.Fprintf(&b, "pool %+v\n", *c.Services[name])
 	}
 	for _, r := range c.Routes() {
 		fmt.Fprintf(&b, "route %+v\n", *r)
@@ -71,8 +71,8 @@
 		{`"targetS":1`, `"targetS":1e300`}, {`"/lepu270/"`, `"lepu270/"`}, {`"/lepu270/"`, `""`},
 		{`"predicate":{"pathPrefix":"/lepu270/"},`, ``}, {`"name":"wuno96b"`, `"name":"huvo11a"`},
 	} {
-		_, err := Read([]byte(strings.Replace(example, edit[0], edit[1], 1)))
-		if f := (*apierror.Fault)(nil); !errors.As(err, &f) || f.Kind != apierror.Invalid || f.Where == "" {
+		_, err := Parse([]byte(strings.Replace(example, edit[0], edit[1], 1)))
+		if f := (*apierror.Error)(nil); !errors.As(err, &f) || f.Kind != apierror.InvalidArgument || f.Subject == "" {
 			t.Errorf("%q: %v", edit, err)
 		}
 		from := edit[0]
@@ -83,19 +83,19 @@
 	}
 	autogold.Equal(t, b.String())
 	for i := range len(example) {
-		if _, err := Read([]byte(example[:i])); err == nil {
+		if _, err := Parse([]byte(example[:i])); err == nil {
 			t.Errorf("cut short at byte %d it is taken", i)
 		}
 	}
 }
 
 func TestPick(t *testing.T) {
-	split := read(t, example).Route("jepu9.example", "/lepu270/").Pick
+	split := read(t, example).Route("jepu9.example", "/lepu270/").PickService
 	if split(0) != "huvo11a" || split(0.8999) != "huvo11a" || split(0.9001) != "kafi81c" || split(1-1e-16) != "kafi81c" {
 		t.Error("not by the shares")
 	}
 	none := read(t, strings.Replace(example, `"share":10`, `"share":0`, 1)).Routes()[0]
-	if none.Pick(1-1e-16) != "huvo11a" {
+	if none.PickService(1-1e-16) != "huvo11a" {
 		t.Error("a service without a share is picked")
 	}
 }
@@ -115,7 +115,7 @@
 				Predicate: &Document_Predicate{PathPrefix: r.prefix}, Effect: &Document_Effect{Service: "s", TimeoutS: 1}}}})
 		}
 		body, _ := protojson.Marshal(doc)
-		c, err := Read(body)
+		c, err := Parse(body)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -169,7 +169,7 @@
 func BenchmarkRead(b *testing.B) {
 	body := []byte(many(4000))
 	for b.Loop() {
-		if _, err := Read(body); err != nil {
+		if _, err := Parse(body); err != nil {
 			b.Fatal(err)
 		}
 	}
--- /dev/null
+++ b/internal/gateway/routeconfig/parse.go
@@ -0,0 +1,219 @@
+package routeconfig
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"math"
+	"strings"
+	"time"
+
+	"github.com/zeebo/xxh3"
+	"google.golang.org/protobuf/encoding/protojson"
+
+	"elmfold/internal/gateway/apierror"
+)
+
+const (
+	maxTimeoutSeconds    = 600
+	maxTargetOverTimeout = 60 * time.Second // a latency target so far above its timeout is refused
+	maxDurationSeconds   = 365 * 24 * 3600  // beyond some 292 years a time.Duration would turn negative
+	idempotentRouteKind  = "safe"           // of routeKind in the body
+	defaultHeaderBytes   = 16384
+	defaultBodyBytes     = 64 << 20
+	defaultHeaderTimeout = 3 * time.Second
+	defaultIdleTimeout   = 15 * time.Second
+	protojsonNoBreak     = "\u00a0" // protobuf varies its error texts between builds with it
+	protojsonErrorPrefix = "proto:"
+)
+
+// Parse reads the body of a configuration, validates it and compiles it. The error is always an *apierror.Error of kind
+// InvalidArgument that names the key. Fields that are not known are ignored. Only what the operator's protocol calls
+// invalid, or what cannot be acted upon, is refused: a needless refusal leaves the operator without its change.
+func Parse(body []byte) (*Config, error) {
+	var doc Document
+	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(body, &doc); err != nil {
+		return nil, invalid("configuration", "cannot be read whole: %s", plainProtojson(err))
+	}
+	version, err := ParseVersion(doc.GetGeneration())
+	if err != nil {
+		return nil, invalid("generation", "%w", err)
+	}
+	body = bytes.Clone(body) // the caller's buffer may be used again
+	c := &Config{
+		Version:  version,
+		Limits:   compileLimits(doc.GetLimits()),
+		Services: make(map[string]*Service, len(doc.GetPools())),
+		Body:     body,
+		Digest:   xxh3.Hash(body),
+		hosts:    make(map[string]*hostRoutes, len(doc.GetSockets())),
+	}
+	if err := c.compileServices(doc.GetPools()); err != nil {
+		return nil, err
+	}
+	if err := c.compileHosts(doc.GetSockets()); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// plainProtojson is the text of a protojson error without what has no place in an answer.
+func plainProtojson(err error) string {
+	text := strings.ReplaceAll(err.Error(), protojsonNoBreak, " ")
+	return strings.TrimSpace(strings.TrimPrefix(text, protojsonErrorPrefix))
+}
+
+func invalid(key, format string, args ...any) *apierror.Error {
+	return apierror.New(apierror.InvalidArgument, key, fmt.Errorf(format, args...))
+}
+
+// keyError is an error at a key, relative to what was being compiled.
+type keyError struct {
+	key   string
+	cause error
+}
+
+func (e *keyError) Error() string { return e.key + ": " + e.cause.Error() }
+
+func (e *keyError) Unwrap() error { return e.cause }
+
+// within puts the error one level down in the document.
+func (e *keyError) within(key string) *keyError { return &keyError{key + "." + e.key, e.cause} }
+
+func (c *Config) compileServices(pools []*Document_Pool) error {
+	for i, p := range pools {
+		if c.Services[p.GetName()] != nil {
+			return invalid(fmt.Sprintf("pools[%d].name", i), "%q is there twice", p.GetName())
+		}
+		c.Services[p.GetName()] = &Service{
+			Name:          p.GetName(),
+			HealthPath:    p.GetHealthPath(),
+			MaxConns:      int(max(p.GetMaxConns(), 0)),
+			SlowStart:     seconds(p.GetColdS(), 0),
+			SlowStartRate: positiveOr(p.GetColdRateS(), 0),
+		}
+	}
+	return nil
+}
+
+func (c *Config) compileHosts(sockets []*Document_Socket) error {
+	for i, s := range sockets {
+		name := toLower(hostOf(s.GetAuthority()))
+		host := c.hosts[name]
+		if host == nil {
+			host = &hostRoutes{byPrefix: make(map[string]*Route, len(s.GetRuleset()))}
+			c.hosts[name] = host
+		}
+		for j, rule := range s.GetRuleset() {
+			r, err := c.compileRoute(rule)
+			if err != nil {
+				key := fmt.Sprintf("sockets[%d].ruleset[%d].%s", i, j, err.key)
+				return invalid(key, "route %q: %w", rule.GetName(), err.cause)
+			}
+			r.Host = name
+			c.routes = append(c.routes, r)
+			if host.byPrefix[r.Prefix] == nil { // of two with the same prefix, the first counts
+				host.byPrefix[r.Prefix] = r
+			}
+		}
+	}
+	for _, h := range c.hosts {
+		h.indexLengths()
+	}
+	return nil
+}
+
+func (c *Config) compileRoute(rule *Document_Rule) (*Route, *keyError) {
+	prefix := rule.GetPredicate().GetPathPrefix()
+	if !strings.HasPrefix(prefix, "/") {
+		return nil, &keyError{"predicate.pathPrefix", fmt.Errorf("%q lacks a leading slash", prefix)}
+	}
+	effect := rule.GetEffect()
+	services, keyErr := c.compileWeights(effect)
+	if keyErr != nil {
+		return nil, keyErr.within("effect")
+	}
+	timeout, target := effect.GetTimeoutS(), rule.GetTargetS()
+	if inRange := timeout > 0 && timeout <= maxTimeoutSeconds; !inRange { // NaN, which protojson reads, is refused too
+		return nil, &keyError{"effect.timeoutS",
+			fmt.Errorf("%v s is not over 0 and at most %d", timeout, maxTimeoutSeconds)}
+	}
+	// Compared in nanoseconds: sums of fractions would not be exact.
+	if seconds(target, 0) >= seconds(timeout, 0)+maxTargetOverTimeout {
+		return nil, &keyError{"targetS", fmt.Errorf("%v s is %d s or more above the timeoutS of %v",
+			target, int(maxTargetOverTimeout.Seconds()), timeout)}
+	}
+	limit := max(seconds(timeout, 0), 1) // a timeout below a nanosecond must not become none at all
+	return &Route{
+		Name:          rule.GetName(),
+		Prefix:        prefix,
+		Idempotent:    rule.GetRouteKind() == idempotentRouteKind,
+		LatencyTarget: seconds(target, limit),
+		Timeout:       limit,
+		Priority:      int(rule.GetPriority()),
+		MaxAttempts:   int(max(effect.GetMaxTries(), 1)),
+		Services:      services,
+	}, nil
+}
+
+// compileWeights are the services of a rule. trafficSplit goes before service.
+func (c *Config) compileWeights(effect *Document_Effect) ([]WeightedService, *keyError) {
+	service, shares := effect.GetService(), effect.GetTrafficSplit()
+	switch {
+	case service == "" && len(shares) == 0:
+		return nil, &keyError{"service", errors.New("it names no service")}
+	case service != "" && c.Services[service] == nil:
+		return nil, &keyError{"service", unknownServiceError(service)}
+	case len(shares) == 0:
+		return []WeightedService{{Service: service, Weight: 1}}, nil
+	}
+	var services []WeightedService
+	var sum float64
+	for i, s := range shares {
+		if c.Services[s.GetService()] == nil {
+			return nil, &keyError{fmt.Sprintf("trafficSplit[%d].service", i), unknownServiceError(s.GetService())}
+		}
+		if valid := s.GetShare() >= 0; !valid { // NaN is refused too
+			return nil, &keyError{fmt.Sprintf("trafficSplit[%d].share", i),
+				fmt.Errorf("%v is not 0 or above", s.GetShare())}
+		}
+		if s.GetShare() > 0 {
+			services = append(services, WeightedService{Service: s.GetService(), Weight: s.GetShare()})
+		}
+		sum += s.GetShare()
+	}
+	if valid := sum > 0 && !math.IsInf(sum, 0); !valid {
+		return nil, &keyError{"trafficSplit", fmt.Errorf("the shares sum to %v", sum)}
+	}
+	for i := range services {
+		services[i].Weight /= sum
+	}
+	return services, nil
+}
+
+func unknownServiceError(name string) error { return fmt.Errorf("%q is not among the pools", name) }
+
+func compileLimits(l *Document_Limits) Limits {
+	return Limits{
+		HeaderBytes:   int(positiveOr(l.GetMaxHeaderBytes(), defaultHeaderBytes)),
+		BodyBytes:     positiveOr(l.GetMaxBodyBytes(), defaultBodyBytes),
+		HeaderTimeout: seconds(l.GetHeaderTimeoutS(), defaultHeaderTimeout),
+		IdleTimeout:   seconds(l.GetIdleTimeoutS(), defaultIdleTimeout),
+	}
+}
+
+// positiveOr is n if it is over 0, otherwise the default; NaN is not over 0.
+func positiveOr[T int64 | float64](n, otherwise T) T {
+	if n > 0 {
+		return n
+	}
+	return otherwise
+}
+
+// seconds converts a time in seconds, cut at a year; the default, if it is not over 0.
+func seconds(s float64, otherwise time.Duration) time.Duration {
+	if over := s > 0; !over { // NaN is not over 0 either
+		return otherwise
+	}
+	return time.Duration(math.Round(min(s, maxDurationSeconds) * float64(time.Second)))
+}
--- a/internal/gateway/rpc/conn.go
+++ b/internal/gateway/rpc/conn.go
@@ -25,8 +25,9 @@
 }
 
 // Conn carries messages over a network connection. Send never waits for the other side: where the frames that wait
-// exceed maxPendingBytes the connection is closed, because a reader that has fallen so far behind is better off with the
-// first message of a new connection. Send and Close are safe for concurrent use; Receive belongs to one goroutine.
+// exceed maxPendingBytes the connection is closed, because a reader that has fallen so far behind is better off
+// with the first message of a new connection. Send and Close are safe for concurrent use; Receive belongs to one
+// goroutine.
 type Conn struct {
 	netConn net.Conn
 	reader  *bufio.Reader
--- a/internal/gateway/rpc/epoch.go
+++ b/internal/gateway/rpc/epoch.go
@@ -2,15 +2,17 @@
 
 import "slices"
 
-// Voter is a disk that votes: the control-plane node whose machine it is in, and the disk's own id. The id is drawn when
-// the disk is first written, so that a wiped disk is another voter and never votes on what the old one has forgotten.
+// Voter is a disk that votes: the control-plane node whose machine it is in, and the disk's own id. The id is drawn
+// when the disk is first written, so that a wiped disk is another voter and never votes on what the old one has
+// forgotten.
 type Voter struct {
 	Node    `cbor:"1,keyasint"`
 	StoreID string `cbor:"2,keyasint"`
 }
 
-// Epoch is who votes in the control plane. Each epoch is decided by the voters of the one before. While OldVoters is not
-// empty the epoch is a joint one: a change from OldVoters to Voters is under way, and each quorum needs both.
+// Epoch is who votes in the control plane. Each epoch is decided by the voters of the one before. While OldVoters
+// is not empty the epoch is a joint one: a change from OldVoters to Voters is under way, and each quorum needs
+// both.
 type Epoch struct {
 	Number       uint64  `cbor:"1,keyasint"` // 0: none was decided yet
 	OldVoters    []Voter `cbor:"2,keyasint,omitempty"`
@@ -21,8 +23,8 @@
 // IsJoint reports whether a change of voters is under way.
 func (e Epoch) IsJoint() bool { return len(e.OldVoters) > 0 }
 
-// TargetSize is how many voters there should be: as many as in the first epoch, and one more if that is even, because an
-// even number of voters survives no more losses than the odd one below it.
+// TargetSize is how many voters there should be: as many as in the first epoch, and one more if that is even,
+// because an even number of voters survives no more losses than the odd one below it.
 func (e Epoch) TargetSize() int {
 	if e.FoundingSize == 0 {
 		return len(e.Voters) | 1
--- a/internal/gateway/rpc/message.go
+++ b/internal/gateway/rpc/message.go
@@ -44,8 +44,9 @@
 
 // RegisterUpdate tells a proxy of the registers that a control-plane node holds, and lets a receiver fetch one.
 type RegisterUpdate struct {
-	CommittedValues   []Register         `cbor:"4,keyasint,omitempty"`
-	StoredVersions    map[string]Version `cbor:"5,keyasint,omitempty"` // by register: what the sender's disk has, committed or not
+	CommittedValues []Register `cbor:"4,keyasint,omitempty"`
+	// by register: what the sender's disk has, committed or not
+	StoredVersions    map[string]Version `cbor:"5,keyasint,omitempty"`
 	CommittedVersions map[string]Version `cbor:"6,keyasint,omitempty"` // by register
 	FetchRegisters    []string           `cbor:"7,keyasint,omitempty"` // names of registers whose values the sender wants
 }
@@ -53,13 +54,15 @@
 // Consensus is what control-plane nodes tell each other to decide registers. It counts only if it comes from a voter of
 // the receiver's own epoch, but for the epoch itself and for values that were chosen.
 type Consensus struct {
-	EpochNumber     uint64                  `cbor:"27,keyasint,omitempty"` // of the epoch in which all of this is said
-	StoreID         string                  `cbor:"28,keyasint,omitempty"` // of the sender's disk
-	Epoch           *Epoch                  `cbor:"29,keyasint,omitempty"` // the newest that the sender knows to be decided; to proxies too
-	Paxos           []PaxosMessage          `cbor:"30,keyasint,omitempty"`
-	ChosenBallots   map[string]BallotNumber `cbor:"31,keyasint,omitempty"` // by register: a ballot whose value is chosen
-	ChosenValues    []ChosenValue           `cbor:"32,keyasint,omitempty"`
-	AcceptedBallots map[string]BallotNumber `cbor:"33,keyasint,omitempty"` // by register: what the sender's disk has accepted
+	EpochNumber uint64 `cbor:"27,keyasint,omitempty"` // of the epoch in which all of this is said
+	StoreID     string `cbor:"28,keyasint,omitempty"` // of the sender's disk
+	// the newest that the sender knows to be decided; to proxies too
+	Epoch         *Epoch                  `cbor:"29,keyasint,omitempty"`
+	Paxos         []PaxosMessage          `cbor:"30,keyasint,omitempty"`
+	ChosenBallots map[string]BallotNumber `cbor:"31,keyasint,omitempty"` // by register: a ballot whose value is chosen
+	ChosenValues  []ChosenValue           `cbor:"32,keyasint,omitempty"`
+	// by register: what the sender's disk has accepted
+	AcceptedBallots map[string]BallotNumber `cbor:"33,keyasint,omitempty"`
 	// Complete says that AcceptedBallots names every register of the sender. To a proxy it says that the sender votes
 	// and has quorum contact.
 	Complete     bool   `cbor:"9,keyasint,omitempty"`
@@ -78,7 +81,8 @@
 
 // Lease renews a proxy's lease and answers the renewal.
 type Lease struct {
-	RenewLease   uint64      `cbor:"15,keyasint,omitempty"` // number of the renewal, rising; control-plane nodes use it as a keep-alive
+	// number of the renewal, rising; control-plane nodes use it as a keep-alive
+	RenewLease   uint64      `cbor:"15,keyasint,omitempty"`
 	LeaseRenewed uint64      `cbor:"16,keyasint,omitempty"` // the number that is answered
 	Proxies      []ProxyInfo `cbor:"17,keyasint,omitempty"` // in a first message: all that hold a lease
 }
@@ -88,7 +92,8 @@
 	ServiceLoads    []ServiceLoad    `cbor:"18,keyasint,omitempty"`
 	EndpointReports []EndpointReport `cbor:"19,keyasint,omitempty"`
 	ReportSeconds   float64          `cbor:"20,keyasint,omitempty"` // that the report covers
-	WantTables      bool             `cbor:"21,keyasint,omitempty"` // the sender wants its routing tables from the receiver
+	// the sender wants its routing tables from the receiver
+	WantTables bool `cbor:"21,keyasint,omitempty"`
 }
 
 // ProxyChanges says which proxies got or lost their lease since the first message of the connection, and gives the
--- a/internal/gateway/rpc/message_test.go
+++ b/internal/gateway/rpc/message_test.go
@@ -92,7 +92,13 @@
 			for i := range senders {
 				all.Go(func() {
 					for n := range each {
-						ends[0].Send(&Message{Acknowledgement: Acknowledgement{WantAck: uint64(i)}, Lease: Lease{RenewLease: uint64(n + 1)}, RegisterUpdate: RegisterUpdate{FetchRegisters: []string{"charter"}}})
+						ends[0].Send(
+							&Message{
+								Acknowledgement: Acknowledgement{WantAck: uint64(i)},
+								Lease:           Lease{RenewLease: uint64(n + 1)},
+								RegisterUpdate:  RegisterUpdate{FetchRegisters: []string{"charter"}},
+							},
+						)
 					}
 				})
 			}
@@ -167,7 +173,11 @@
 		a, b := net.Pipe()
 		line := NewConn(a)
 		defer line.Close()
-		big := &Message{RegisterUpdate: RegisterUpdate{CommittedValues: []Register{{Name: "charter", Value: make([]byte, maxPendingBytes/2)}}}}
+		big := &Message{
+			RegisterUpdate: RegisterUpdate{
+				CommittedValues: []Register{{Name: "charter", Value: make([]byte, maxPendingBytes/2)}},
+			},
+		}
 		began := time.Now()
 		for range 3 {
 			line.Send(big)
--- a/internal/gateway/rpc/registers.go
+++ b/internal/gateway/rpc/registers.go
@@ -59,7 +59,8 @@
 	Ballot         BallotNumber `cbor:"3,keyasint"`
 	AcceptedBallot BallotNumber `cbor:"4,keyasint,omitempty"` // Promise: the ballot under which Value was accepted
 	Value          *Register    `cbor:"5,keyasint,omitempty"` // Promise: what was accepted; Accept: what is proposed
-	ValueAge       uint64       `cbor:"6,keyasint,omitempty"` // Promise, Accept: ms since Value was chosen, plus 1; 0: unknown
+	// Promise, Accept: ms since Value was chosen, plus 1; 0: unknown
+	ValueAge uint64 `cbor:"6,keyasint,omitempty"`
 }
 
 // ChosenValue is a value that was chosen, with the ballot that chose it.
--- a/internal/gateway/session/rapport_test.go
+++ b/internal/gateway/session/session_test.go
@@ -21,10 +21,10 @@
 )
 
 // own runs the queue's commands until it is stopped.
-func own(q *session.Queue) {
+func own(q *session.CommandQueue) {
 	for {
 		select {
-		case f := <-q.C():
+		case f := <-q.Commands():
 			f()
 		case <-q.Stopped():
 			return
@@ -36,7 +36,7 @@
 // nobody waits.
 func TestQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := session.NewQueue(2)
+		q := session.NewCommandQueue(2)
 		var got []int
 		for i := range 6 {
 			q.Post(func() { got = append(got, i) })
@@ -77,8 +77,8 @@
 type stage struct {
 	mu    sync.Mutex // of out and lines
 	out   strings.Builder
-	q     *session.Queue
-	k     *session.Keeper
+	q     *session.CommandQueue
+	k     *session.Dialer
 	lines map[string]chan *rpc.Conn // that were accepted at an address; none: it refuses
 	began time.Time
 	// All that were accepted: a line that nobody reads ends with Close alone.
@@ -86,12 +86,17 @@
 }
 
 func begin(addresses ...string) *stage {
-	s := &stage{q: session.NewQueue(16), lines: map[string]chan *rpc.Conn{}, began: time.Now()}
+	s := &stage{q: session.NewCommandQueue(16), lines: map[string]chan *rpc.Conn{}, began: time.Now()}
 	for _, a := range addresses {
 		s.lines[a] = make(chan *rpc.Conn, 64)
 	}
-	s.k = &session.Keeper{Queue: s.q, Clock: clockwork.NewRealClock(), Self: "me", Again: 250 * time.Millisecond,
-		Silence: 3 * time.Second, Hello: func() *rpc.Message {
+	s.k = &session.Dialer{
+		Queue:         s.q,
+		Clock:         clockwork.NewRealClock(),
+		SelfName:      "me",
+		RetryInterval: 250 * time.Millisecond,
+		ReadTimeout:   3 * time.Second,
+		Hello: func() *rpc.Message {
 			return &rpc.Message{Hello: &rpc.Hello{Node: rpc.Node{Name: "me"}, Incarnation: 9}}
 		},
 		Dial: func(address string) (net.Conn, error) {
@@ -108,17 +113,18 @@
 			accepts <- s.accepted[len(s.accepted)-1]
 			return here, nil
 		},
-		Heard: func(name string, _ *rpc.Conn, m *rpc.Message) {
+		OnMessage: func(name string, _ *rpc.Conn, m *rpc.Message) {
 			if m.Hello != nil {
 				s.note("%s is up, life %d", name, m.Hello.Incarnation)
 			} else {
 				s.note("%s says %d", name, m.WantAck)
 			}
 		},
-		Lost: func(name string, _ *rpc.Conn) { s.note("%s is lost", name) }}
+		OnDisconnect: func(name string, _ *rpc.Conn) { s.note("%s is lost", name) },
+	}
 	go own(s.q)
 	for _, a := range addresses {
-		s.q.Do(func() { s.k.Keep(a) })
+		s.q.Do(func() { s.k.Connect(a) })
 		time.Sleep(10 * time.Millisecond) // nothing happens at one moment, so that its order is always the same
 	}
 	return s
@@ -183,7 +189,7 @@
 		l := s.line("a")
 		s.says(l, hello("core-0", 1))
 		s.says(l, word(1))
-		s.q.Do(func() { s.k.Keep("a"); s.k.Keep("") }) // kept already, and nobody
+		s.q.Do(func() { s.k.Connect("a"); s.k.Connect("") }) // kept already, and nobody
 		time.Sleep(time.Second)
 		l.Close()
 		l = s.line("a")
@@ -200,7 +206,8 @@
 	})
 }
 
-// A line that says something before its hello, or hello twice or namelessly, ends; one that leads back here is given up.
+// A line that says something before its hello, or hello twice or namelessly, ends; one that leads back here is
+// given up.
 func TestLineThatIsNone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := begin("a", "b")
@@ -293,12 +300,12 @@
 			_, err := l.Receive(time.Second)
 			return err != nil && time.Since(began) == time.Second
 		}
-		lines := session.Lines{Latest: true}
+		lines := session.Sessions{PreferNewest: true}
 		take := func(i int, life uint64, wantOK bool, wantReplaced *rpc.Conn) {
 			t.Helper()
-			replaced, ok := lines.Take(hello("edge-0", life).Hello, all[i])
+			replaced, ok := lines.Register(hello("edge-0", life).Hello, all[i])
 			if ok != wantOK || replaced != wantReplaced || open(all[i]) != ok || replaced != nil && open(replaced) ||
-				lines.Speaks("edge-0", all[i]) != ok {
+				lines.IsCurrent("edge-0", all[i]) != ok {
 				t.Errorf("line %d of life %d: %v, replaced %v", i, life, ok, replaced)
 			}
 		}
@@ -307,30 +314,34 @@
 		take(1, 1, true, nil) // hello again
 		take(2, 2, true, all[1])
 		take(3, 1, false, nil)
-		if lines.Lost("edge-0", all[1]) || !lines.Lost("edge-0", all[2]) || lines.Speaks("edge-0", nil) {
+		if lines.Unregister("edge-0", all[1]) || !lines.Unregister("edge-0", all[2]) || lines.IsCurrent("edge-0", nil) {
 			t.Error("lost lines are mixed up")
 		}
 		take(4, 1, false, nil)
 		for i := range 30 { // many lives: what is remembered of them is bounded, the last ones are
-			lines.Lost("edge-0", all[4+i])
+			lines.Unregister("edge-0", all[4+i])
 			take(5+i, uint64(3+i), true, nil)
 		}
 		take(36, 31, false, nil)
-		if lines.Speaks("edge-1", all[0]) || lines.Lost("edge-1", all[0]) {
+		if lines.IsCurrent("edge-1", all[0]) || lines.Unregister("edge-1", all[0]) {
 			t.Error("a name that nobody has said")
 		}
 	})
 }
 
-// Guards against a dial to a machine that was dark, which hangs until its time is over, holding up the line to it once it
-// is heard of.
+// Guards against a dial to a machine that was dark, which hangs until its time is over, holding up the line to it
+// once it is heard of.
 func TestDialledAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		var mu sync.Mutex
 		var dials []time.Duration
 		var light atomic.Bool
-		k := &session.Keeper{Queue: session.NewQueue(8), Clock: clockwork.NewRealClock(), Again: time.Second, Silence: time.Second,
+		k := &session.Dialer{
+			Queue:         session.NewCommandQueue(8),
+			Clock:         clockwork.NewRealClock(),
+			RetryInterval: time.Second,
+			ReadTimeout:   time.Second,
 			Dial: func(string) (net.Conn, error) {
 				mu.Lock()
 				dials = append(dials, time.Since(began))
@@ -343,13 +354,15 @@
 				go func() { _, _ = io.Copy(io.Discard, there) }()
 				return here, nil
 			},
-			Hello: func() *rpc.Message { return &rpc.Message{} },
-			Heard: func(string, *rpc.Conn, *rpc.Message) {}, Lost: func(string, *rpc.Conn) {}}
-		k.Now("nowhere") // what is not kept is let be
-		k.Keep("there")
+			Hello:        func() *rpc.Message { return &rpc.Message{} },
+			OnMessage:    func(string, *rpc.Conn, *rpc.Message) {},
+			OnDisconnect: func(string, *rpc.Conn) {},
+		}
+		k.RetryNow("nowhere") // what is not kept is let be
+		k.Connect("there")
 		time.Sleep(100 * time.Millisecond)
 		light.Store(true)
-		k.Now("there")
+		k.RetryNow("there")
 		time.Sleep(100 * time.Millisecond)
 		k.Queue.Stop()
 		time.Sleep(5 * time.Second) // what dials or waits sees the end
--- a/internal/proxy/balancer/verdict.go
+++ b/internal/proxy/balancer/verdict.go
@@ -248,7 +248,7 @@
 	v.tokensAt = now
 	if v.tokens < 1 {
 		v.voided++
-		return apierror.OverLevel, time.Duration((1 - v.tokens) / v.level * float64(time.Second))
+		return apierror.RateLimited, time.Duration((1 - v.tokens) / v.level * float64(time.Second))
 	}
 	v.tokens--
 	return apierror.None, 0
@@ -346,7 +346,7 @@
 func (s *Settler) Pick(now time.Duration, a Ask) (*Backend, apierror.Kind) {
 	v := s.services[a.Service]
 	if v == nil || len(v.backends) == 0 {
-		return nil, apierror.NoBackend
+		return nil, apierror.NoEndpoint
 	}
 	tried, limit := a.Tried, v.limit(a)
 	share := s.share(v)
@@ -393,10 +393,10 @@
 	if best == nil || best.load(now) >= limit {
 		for _, b := range v.backends {
 			if b.Usable {
-				return nil, apierror.Full
+				return nil, apierror.EndpointsSaturated
 			}
 		}
-		return nil, apierror.NoBackend
+		return nil, apierror.NoEndpoint
 	}
 	best.busy++
 	best.share = share
@@ -445,7 +445,7 @@
 		s.silent(now, b, now-m.Took)
 	}
 	switch m.Kind {
-	case apierror.None, apierror.Failed:
+	case apierror.None, apierror.EndpointFailed:
 		b.answered = now
 		if !b.proving {
 			b.Doubted = false
@@ -457,17 +457,17 @@
 		if v := s.service(b.Service); m.HasLoad && m.Waiting == 0 || v.took == 0 || m.Took < v.took {
 			v.took = time.Duration(tookKeep*float64(cmp.Or(v.took, m.Took)) + (1-tookKeep)*float64(m.Took))
 		}
-		if m.Kind == apierror.Failed {
+		if m.Kind == apierror.EndpointFailed {
 			b.voided++
 		} else {
 			b.took, b.answers = b.took+m.Took, b.answers+1
 		}
-	case apierror.Dial:
+	case apierror.ConnectFailed:
 		b.voided++
 		b.doubt(now)
-	case apierror.Full: // beyond its connections
+	case apierror.EndpointsSaturated: // beyond its connections
 		b.down(now, shedDown)
-	case apierror.Turned:
+	case apierror.RejectedByEndpoint:
 		b.answered = now
 		b.down(now, shedDown)
 		b.failures = 0
@@ -477,12 +477,12 @@
 	case apierror.Misdirected:
 		b.voided++
 		b.down(now, foreignDown)
-	case apierror.Late:
+	case apierror.ResponseTimeout:
 		b.voided++
 		if b.failures++; b.failures >= illAfter {
 			b.downTill = max(b.downTill, now+illDown)
 		}
-	case apierror.Broken, apierror.Garbled, apierror.Foreign, apierror.CutOff:
+	case apierror.ConnectionBroken, apierror.InvalidResponse, apierror.MismatchedResponse, apierror.TruncatedResponse:
 		b.voided++
 		if b.failures++; b.failures >= illAfter {
 			b.downTill = max(b.downTill, now+illFirst)
@@ -554,8 +554,8 @@
 // have run if its route allows repetition. Offered is how many backends it was sent to, each of them after the
 // first draws on the budget that all carriers share; so does the next one, if it counts.
 func (s *Settler) Again(now time.Duration, name string, kind apierror.Kind, repeatable bool, offered, maxTries int) bool {
-	rule := kind.Rule()
-	if !rule.Elsewhere || rule.MayHave && !repeatable || offered >= maxTries {
+	rule := kind.Policy()
+	if !rule.Retryable || rule.MayHaveExecuted && !repeatable || offered >= maxTries {
 		return false
 	}
 	if offered == 0 {
--- a/internal/proxy/balancer/verdict_test.go
+++ b/internal/proxy/balancer/verdict_test.go
@@ -83,7 +83,7 @@
 				c, at := f.carriers[i], now-f.born[i]
 				asked = append(asked, now)
 				c.Admit(at, "s")
-				for offered := 1; r.Float64() < s.failed && c.Again(at, "s", apierror.Turned, true, offered, 4); offered++ {
+				for offered := 1; r.Float64() < s.failed && c.Again(at, "s", apierror.RejectedByEndpoint, true, offered, 4); offered++ {
 					again = append(again, now)
 				}
 			}
@@ -167,7 +167,7 @@
 			}
 			if p, _ := c.Pick(now, Ask{Service: "s", ToAim: time.Second}); p != nil {
 				sent = append(sent, now)
-				c.End(now, p, Met{Kind: []apierror.Kind{apierror.None, apierror.Late, apierror.Foreign}[r.IntN(3)]})
+				c.End(now, p, Met{Kind: []apierror.Kind{apierror.None, apierror.ResponseTimeout, apierror.MismatchedResponse}[r.IntN(3)]})
 			}
 		}
 		for _, from := range sent {
@@ -209,8 +209,8 @@
 // Over drawn requests: what was tried, may not be used, is in doubt or full is never picked; with room in the own
 // zone nothing leaves it, without any it does; and all that was taken is given back.
 func TestPick(t *testing.T) {
-	kinds := []apierror.Kind{apierror.None, apierror.None, apierror.None, apierror.None, apierror.Failed, apierror.Dial, apierror.Turned,
-		apierror.Misdirected, apierror.Late, apierror.Broken, apierror.CutOff}
+	kinds := []apierror.Kind{apierror.None, apierror.None, apierror.None, apierror.None, apierror.EndpointFailed, apierror.ConnectFailed, apierror.RejectedByEndpoint,
+		apierror.Misdirected, apierror.ResponseTimeout, apierror.ConnectionBroken, apierror.TruncatedResponse}
 	for seed := range uint64(100) {
 		r := rand.New(rand.NewPCG(seed, 11))
 		s := New("e0", "a", bounds, 0)
@@ -247,7 +247,7 @@
 				o := open[i]
 				open = slices.Delete(open, i, i+1)
 				kind := kinds[r.IntN(len(kinds))]
-				s.End(now, o.b, Met{Kind: kind, Took: now - o.from, Silent: kind == apierror.Dial && r.IntN(2) == 0})
+				s.End(now, o.b, Met{Kind: kind, Took: now - o.from, Silent: kind == apierror.ConnectFailed && r.IntN(2) == 0})
 				continue
 			}
 			var tried []string
@@ -311,10 +311,10 @@
 		}
 		zones += b.Zone
 	}
-	if zones[:6] != "aaaaaa" || !slices.Contains([]byte(zones), 'b') || kind != apierror.Full {
+	if zones[:6] != "aaaaaa" || !slices.Contains([]byte(zones), 'b') || kind != apierror.EndpointsSaturated {
 		t.Errorf("%s, then %v", zones, kind)
 	}
-	if _, kind := s.Pick(0, Ask{Service: "none"}); kind != apierror.NoBackend {
+	if _, kind := s.Pick(0, Ask{Service: "none"}); kind != apierror.NoEndpoint {
 		t.Errorf("a service without backends: %v", kind)
 	}
 }
@@ -328,7 +328,7 @@
 		return b
 	}
 	one, two := pick(0), pick(0)
-	s.End(time.Second, one, Met{Kind: apierror.Dial})
+	s.End(time.Second, one, Met{Kind: apierror.ConnectFailed})
 	first, second := s.Doubts(), s.Doubts()
 	if len(first) != 1 || len(second) != 0 {
 		t.Errorf("proved by %d, then by %d", len(first), len(second))
@@ -352,8 +352,8 @@
 				for range 100 {
 					s.Admit(time.Minute, "s")
 				}
-				got, rule := s.Again(time.Minute, "s", kind, repeatable, offered, 3), kind.Rule()
-				if want := rule.Elsewhere && (repeatable || !rule.MayHave) && offered < 3; got != want {
+				got, rule := s.Again(time.Minute, "s", kind, repeatable, offered, 3), kind.Policy()
+				if want := rule.Retryable && (repeatable || !rule.MayHaveExecuted) && offered < 3; got != want {
 					t.Errorf("%v, repeatable %v, at %d of 3: %v", kind, repeatable, offered, got)
 				}
 			}
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -142,7 +142,7 @@
 	w        http.ResponseWriter
 	r        *http.Request
 	began    time.Time
-	charter  *routeconfig.Charter
+	charter  *routeconfig.Config
 	route    *routeconfig.Route
 	service  string
 	target   string
@@ -175,7 +175,7 @@
 func (c *Carrier) carry(w http.ResponseWriter, r *http.Request) {
 	q := request{w: w, r: r, began: c.o.Clock.Now(), charter: c.view.Load()}
 	if q.charter == nil {
-		c.refuse(&q, apierror.Unready, 0)
+		c.refuse(&q, apierror.NotReady, 0)
 		return
 	}
 	if kind := q.read(); kind != apierror.None {
@@ -213,10 +213,10 @@
 		}
 	}
 	if size > limits.HeaderBytes {
-		return apierror.HeaderLarge
+		return apierror.HeaderTooLarge
 	}
 	if r.ContentLength > limits.BodyBytes {
-		return apierror.BodyLarge
+		return apierror.BodyTooLarge
 	}
 	q.target = r.RequestURI
 	if rest, ok := strings.CutPrefix(q.target, "http://"); ok { // absolute form: the path begins after the authority
@@ -231,7 +231,7 @@
 	if q.route = q.charter.Route(r.Host, path); q.route == nil {
 		return apierror.NoRoute
 	}
-	q.service = q.route.Pick(rand.Float64())
+	q.service = q.route.PickService(rand.Float64())
 	time_ := q.route.Timeout
 	if text := r.Header.Get(upstream.FieldBudget); text != "" {
 		if ms, err := strconv.ParseFloat(text, 64); err == nil && ms > 0 && ms < budgetMost.Seconds()*1000 {
@@ -280,9 +280,9 @@
 		q.stream.done.Store(q.length == 0)
 		return apierror.None
 	case errors.As(err, &large):
-		return apierror.BodyLarge
+		return apierror.BodyTooLarge
 	case errors.As(err, &slow) && slow.Timeout():
-		return apierror.ClientSlow
+		return apierror.ClientTimeout
 	}
 	return apierror.Malformed
 }
@@ -304,14 +304,14 @@
 	last, offered, ran, unreached := apierror.None, 0, false, 0
 	for {
 		if !c.o.Clock.Now().Before(q.deadline) {
-			if last = apierror.OutOfTime; ran {
-				last = apierror.Late
+			if last = apierror.DeadlineExceeded; ran {
+				last = apierror.ResponseTimeout
 			}
 			break
 		}
 		var b *balancer.Backend
 		var kind apierror.Kind
-		ask := balancer.Ask{Service: q.service, Tried: tried, ToAim: q.route.Target - c.o.Clock.Now().Sub(q.began),
+		ask := balancer.Ask{Service: q.service, Tried: tried, ToAim: q.route.LatencyTarget - c.o.Clock.Now().Sub(q.began),
 			Priority: q.route.Priority, Draws: [2]float64{rand.Float64(), rand.Float64()}}
 		c.settle(func(s *balancer.Settler) {
 			if b, kind = s.Pick(c.now(), ask); b != nil {
@@ -319,7 +319,7 @@
 			}
 		})
 		if b == nil {
-			if last == apierror.None || !ran && offered == 0 && last != apierror.Dial {
+			if last == apierror.None || !ran && offered == 0 && last != apierror.ConnectFailed {
 				last = kind
 			}
 			break
@@ -340,20 +340,20 @@
 			break
 		}
 		tried = append(tried, call.Instance)
-		if last == apierror.Dial {
+		if last == apierror.ConnectFailed {
 			if unreached++; unreached >= dialsMost {
 				break
 			}
 		} else {
 			offered++
 		}
-		ran = ran || last.Rule().MayHave
+		ran = ran || last.Policy().MayHaveExecuted
 		if q.r.Context().Err() != nil { // the client has gone: a further try would draw on the budget for nobody
 			break
 		}
 		again := false
 		c.settle(func(s *balancer.Settler) {
-			again = q.stream == nil && s.Again(c.now(), q.service, last, q.route.Safe, offered, q.route.MaxTries)
+			again = q.stream == nil && s.Again(c.now(), q.service, last, q.route.Idempotent, offered, q.route.MaxAttempts)
 		})
 		if !again {
 			break
@@ -363,16 +363,16 @@
 		}
 	}
 	switch {
-	case answer != nil && (last == apierror.None || last == apierror.Failed) && !promises(answer.Status):
+	case answer != nil && (last == apierror.None || last == apierror.EndpointFailed) && !promises(answer.Status):
 		c.pass(q, answer)
 		return
-	case answer != nil && (last == apierror.None || last == apierror.Failed):
+	case answer != nil && (last == apierror.None || last == apierror.EndpointFailed):
 		// A backend's own 503 without the word that it has not run it: passed on, it would be a promise.
-		c.refuse(q, apierror.Failed, 0)
-	case ran && !last.Rule().MayHave: // an earlier backend may have run it: no promise can be made any more
-		c.refuse(q, apierror.Broken, 0)
-	case last == apierror.Full:
-		c.refuse(q, last, balancer.After(q.route.Target, rand.Float64()))
+		c.refuse(q, apierror.EndpointFailed, 0)
+	case ran && !last.Policy().MayHaveExecuted: // an earlier backend may have run it: no promise can be made any more
+		c.refuse(q, apierror.ConnectionBroken, 0)
+	case last == apierror.EndpointsSaturated:
+		c.refuse(q, last, balancer.After(q.route.LatencyTarget, rand.Float64()))
 	default:
 		c.refuse(q, last, 0)
 	}
@@ -396,7 +396,7 @@
 		wanted := false
 		c.settle(func(s *balancer.Settler) {
 			if wanted = s.Wanted(d); wanted && err == nil {
-				s.Proved(c.now(), d, c.o.Settings.Beat.Span()+unsureFor)
+				s.Proved(c.now(), d, c.o.Settings.HeartbeatInterval.Duration()+unsureFor)
 			}
 		})
 		if !wanted || err == nil {
@@ -420,16 +420,16 @@
 	if a != nil {
 		m.Running, m.Waiting, m.HasLoad, m.Cold, m.HasCold = a.Load.Running, a.Load.Waiting, a.HasLoad, a.Cold, a.HasCold
 	}
-	var f *apierror.Fault
+	var f *apierror.Error
 	switch {
 	case errors.As(err, &f):
 		var slow net.Error
 		m.Kind = f.Kind
-		m.Silent = f.Kind != apierror.Late && errors.As(f.Cause, &slow) && slow.Timeout()
+		m.Silent = f.Kind != apierror.ResponseTimeout && errors.As(f.Cause, &slow) && slow.Timeout()
 	case err != nil:
-		m.Kind = apierror.Broken
+		m.Kind = apierror.ConnectionBroken
 	case a.Status >= 500, promises(a.Status): // without the word that it has not run, a promise says nothing
-		m.Kind = apierror.Failed
+		m.Kind = apierror.EndpointFailed
 	}
 	return m, m.Kind
 }
@@ -517,10 +517,10 @@
 
 // refuse answers by the table of kinds.
 func (c *Carrier) refuse(q *request, kind apierror.Kind, after time.Duration) {
-	rule := kind.Rule()
+	rule := kind.Policy()
 	h := q.w.Header()
 	if after <= 0 {
-		after = rule.After
+		after = rule.RetryAfter
 	}
 	if after > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
--- a/internal/proxy/main.go
+++ b/internal/proxy/main.go
@@ -3,11 +3,10 @@
 import (
 	"errors"
 	"io"
+	"net"
 	"net/http"
 	"os"
-	"os/signal"
-	"runtime/debug"
-	"syscall"
+	"sync"
 	"time"
 
 	"github.com/jonboulle/clockwork"
@@ -17,67 +16,70 @@
 	"elmfold/internal/gateway/logbuffer"
 )
 
-const about = "The gateway's carrier: it takes clients' requests to backends and the answers back."
+const (
+	programName = "elmfold-proxy"
+	about       = "The gateway's carrier: it takes clients' requests to backends and the answers back."
+	// shutdownReserve is kept of the grace period for what comes after the requests are done.
+	shutdownReserve = 300 * time.Millisecond
 
-// Main is the program.
+	readinessHeaderTimeout = 5 * time.Second
+	readinessIdleTimeout   = 20 * time.Second
+)
+
+// Main runs the program and returns its exit code.
 func Main(args []string, out, errs io.Writer) int {
-	return cli.Main("elmfold-proxy", about, args, out, errs, serve)
+	return cli.Program{Name: programName, About: about, Out: out, Err: errs, Run: run}.Main(args)
 }
 
-func serve(settings *bootconfig.Settings, o cli.Options) error {
-	ring, log := logbuffer.New(settings.Name, os.Stderr, time.Now, o.Verbose)
-	if settings.Listen["front"] == "" || settings.Listen["readiness"] == "" {
-		return errors.New("listen.front, listen.readiness: a carrier needs both")
-	}
-	debug.SetGCPercent(60)
-	if mb := settings.Limits.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(mb * 0.8 * (1 << 20)))
+// run serves until a signal ends the program.
+func run(settings *bootconfig.Settings, options cli.Options) error {
+	buffer, log := logbuffer.New(settings.Name, os.Stderr, time.Now, options.Verbose)
+	defer buffer.Flush()
+	if err := settings.RequireListeners(bootconfig.ListenClients, bootconfig.ListenReadiness); err != nil {
+		return err
 	}
-	readiness, err := cli.Listen(settings.Listen["readiness"])
+	cli.LimitMemory(settings.Limits)
+	readiness, err := cli.Listen(settings.Listen[bootconfig.ListenReadiness])
 	if err != nil {
 		return err
 	}
-	front, err := cli.Listen(settings.Listen["front"])
+	clients, err := cli.Listen(settings.Listen[bootconfig.ListenClients])
 	if err != nil {
 		return err
 	}
 	c := New(Options{Settings: settings, Log: log, Clock: clockwork.NewRealClock(), Dial: cli.Dial})
 	go c.Run()
-	go func() {
-		_ = (&http.Server{Handler: c.Readiness(), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 20 * time.Second}).Serve(readiness)
-	}()
+	go serveReadiness(c, readiness)
 	served := make(chan error, 1)
-	go func() { served <- c.Serve(front) }()
-	signals := make(chan os.Signal, 4)
-	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	for {
-		select {
-		case err := <-served:
-			if !errors.Is(err, http.ErrServerClosed) {
-				return err
-			}
-			served = nil
-		case sig := <-signals:
-			if sig == syscall.SIGHUP {
-				if next, err := bootconfig.FromEnvironment(); err != nil {
-					log.Error("settings stay as they were", "err", err)
-				} else {
-					c.Reload(next)
-				}
-				continue
-			}
-			c.Shutdown(settings.Bounds.Grace.Span() - 300*time.Millisecond)
-			ring.Flush()
-			return nil
+	go func() { served <- c.Serve(clients) }()
+	stopped := make(chan struct{})
+	stop := sync.OnceFunc(func() {
+		c.Shutdown(settings.Bounds.Grace.Duration() - shutdownReserve)
+		close(stopped)
+	})
+	cli.HandleSignals(log, c.Reload, stop)
+	select {
+	case err := <-served:
+		if !errors.Is(err, http.ErrServerClosed) {
+			return err
 		}
+		<-stopped // Shutdown made Serve return, and waits for the requests under way
+	case <-stopped:
 	}
+	return nil
 }
 
-// Reload takes settings that were changed while the program runs: new seeds are dialled, the rest waits for a restart.
+func serveReadiness(c *Carrier, listener net.Listener) {
+	server := &http.Server{
+		Handler:           c.Readiness(),
+		ReadHeaderTimeout: readinessHeaderTimeout,
+		IdleTimeout:       readinessIdleTimeout,
+	}
+	_ = server.Serve(listener) // lasts as long as the process; a platform that finds no answer takes it out of service
+}
+
+// Reload takes over settings that were changed while the program runs: new seeds are dialled, the rest waits for a
+// restart.
 func (c *Carrier) Reload(next *bootconfig.Settings) {
-	c.queue.Do(func() {
-		for _, seed := range next.Seeds {
-			c.keep.Keep(c.o.Settings.Peer(seed))
-		}
-	})
+	c.queue.Do(func() { c.keep.ConnectAll(next.SeedPeerAddresses()) })
 }
--- a/internal/proxy/transit.go
+++ b/internal/proxy/transit.go
@@ -82,10 +82,10 @@
 	me    rpc.Node
 	life  uint64
 	began time.Time
-	queue *session.Queue
-	keep  *session.Keeper // its Keep belongs to own
+	queue *session.CommandQueue
+	keep  *session.Dialer // its Keep belongs to own
 
-	view     atomic.Pointer[routeconfig.Charter]
+	view     atomic.Pointer[routeconfig.Config]
 	ready    atomic.Bool
 	stopping atomic.Bool
 	mu       sync.Mutex // of settler
@@ -113,16 +113,16 @@
 
 // New makes a Carrier; Run starts it.
 func New(o Options) *Carrier {
-	c := &Carrier{o: o, log: o.Log, life: rand.Uint64() | 1, began: o.Clock.Now(), queue: session.NewQueue(1024),
+	c := &Carrier{o: o, log: o.Log, life: rand.Uint64() | 1, began: o.Clock.Now(), queue: session.NewCommandQueue(1024),
 		controllers: map[string]*controller{}, lives: map[string]*life{}, zones: map[string]rpc.Register{},
 		takenBack: map[string]time.Duration{}, heardAt: -1, renewal: 1}
 	set := o.Settings
-	c.me = rpc.Node{Name: set.Name, Zone: set.Zone, Address: set.Own()}
-	c.keep = &session.Keeper{Queue: c.queue, Clock: o.Clock, Dial: o.Dial, Again: dialAgain, Silence: silentFor,
+	c.me = rpc.Node{Name: set.Name, Zone: set.Zone, Address: set.OwnPeerAddress()}
+	c.keep = &session.Dialer{Queue: c.queue, Clock: o.Clock, Dial: o.Dial, RetryInterval: dialAgain, ReadTimeout: silentFor,
 		Hello: func() *rpc.Message {
 			return &rpc.Message{Hello: &rpc.Hello{Node: c.me, Incarnation: c.life, IsProxy: true}}
 		},
-		Heard: c.heard, Lost: c.lost}
+		OnMessage: c.heard, OnDisconnect: c.lost}
 	o.Backends.Now = o.Clock.Now
 	if c.clientsMost = int64(set.Limits.MaxFDs) * 6 / 10; c.clientsMost == 0 {
 		c.clientsMost = 2400
@@ -130,20 +130,18 @@
 	c.pool = upstream.New(o.Backends)
 	c.server = c.newServer()
 	c.settler = balancer.New(set.Name, set.Zone, balancer.Bounds{RetryRatio: set.Bounds.RetryRatio,
-		RetrySlack: set.Bounds.RetrySlack, RetryWindow: set.Bounds.RetryWindow.Span(), ColdExcess: set.Bounds.ColdExcess,
-		ColdSlack: set.Bounds.ColdSlack}, 0)
+		RetrySlack: set.Bounds.RetrySlack, RetryWindow: set.Bounds.RetryWindow.Duration(), ColdExcess: set.Bounds.SlowStartExcess,
+		ColdSlack: set.Bounds.SlowStartSlack}, 0)
 	return c
 }
 
 // Run owns what is told until Stop.
 func (c *Carrier) Run() {
-	for _, seed := range c.o.Settings.Seeds {
-		c.keep.Keep(c.o.Settings.Peer(seed))
-	}
+	c.keep.ConnectAll(c.o.Settings.SeedPeerAddresses())
 	ticks := c.o.Clock.NewTicker(renewEvery)
 	for {
 		select {
-		case f := <-c.queue.C():
+		case f := <-c.queue.Commands():
 			f()
 		case <-ticks.Chan():
 			c.tick()
@@ -198,12 +196,12 @@
 	}
 	p.settled = p.settled || m.EndpointsSynced
 	for _, k := range m.KnownPeers {
-		c.keep.Keep(k.Address)
+		c.keep.Connect(k.Address)
 	}
 	if m.Epoch != nil && m.Epoch.Number > c.epoch.Number {
 		c.epoch = *m.Epoch
 		for _, v := range c.epoch.AllVoters() {
-			c.keep.Keep(v.Address)
+			c.keep.Connect(v.Address)
 		}
 	}
 	if m.Complete { // what it holds, told in contact with a majority
@@ -289,14 +287,14 @@
 		if !c.have.Less(r.Version) { // of two bodies under one version, all keep the same
 			return
 		}
-		next, err := routeconfig.Read(r.Value)
+		next, err := routeconfig.Parse(r.Value)
 		if err != nil {
 			c.log.Error("a configuration in force cannot be read", "err", err)
 			return
 		}
 		c.settle(func(s *balancer.Settler) {
-			for _, p := range next.Pools {
-				s.Configure(p.Name, p.MaxConns, p.ColdRate, p.Cold)
+			for _, p := range next.Services {
+				s.Configure(p.Name, p.MaxConns, p.SlowStartRate, p.SlowStart)
 			}
 		})
 		// Guards against a new life that knew that a zone was taken back before it knew for how long its backends are cold.
@@ -444,7 +442,7 @@
 // doubted: nobody hears its beats, though somebody who has listened for long enough is there. While controllers are
 // away, or have just started, their silence says nothing.
 func (c *Carrier) doubted(now time.Duration, l *life) bool {
-	span := doubtBeats * c.o.Settings.Beat.Span()
+	span := doubtBeats * c.o.Settings.HeartbeatInterval.Duration()
 	if now < l.lonelyAt+span {
 		return false
 	}
--- a/internal/proxy/transit_test.go
+++ b/internal/proxy/transit_test.go
@@ -58,7 +58,7 @@
 	set := bootconfig.Default()
 	set.Name, set.IP, set.Zone = "edge-0", "10.0.0.100", "north"
 	set.Zones = map[string]string{"north": "land", "south": "land"}
-	set.Ports, set.FaultBudget.Machines = [2]int{7540, 7555}, (cores-1)/2
+	set.PortRange, set.FaultBudget.Machines = [2]int{7540, 7555}, (cores-1)/2
 	for i := range cores {
 		ip := fmt.Sprintf("10.0.0.%d", 10+i)
 		set.Seeds = append(set.Seeds, ip+":8544")
--- a/internal/proxy/upstream/answer.go
+++ b/internal/proxy/upstream/answer.go
@@ -29,16 +29,16 @@
 		k.room = -1
 		switch {
 		case err != nil && !k.seen:
-			return nil, t.failed(apierror.Broken, err)
+			return nil, t.failed(apierror.ConnectionBroken, err)
 		case err != nil:
-			return nil, t.failed(apierror.CutOff, err)
+			return nil, t.failed(apierror.TruncatedResponse, err)
 		case resp.ProtoMajor != 1 || resp.StatusCode < 100 || resp.StatusCode == http.StatusSwitchingProtocols:
-			return nil, t.fault(apierror.Garbled, errVersion) // nobody has asked for another protocol: no answer would come
+			return nil, t.fault(apierror.InvalidResponse, errVersion) // nobody has asked for another protocol: no answer would come
 		case resp.StatusCode >= 200:
 			return resp, nil
 		}
 	}
-	return nil, t.fault(apierror.Garbled, errInterim)
+	return nil, t.fault(apierror.InvalidResponse, errInterim)
 }
 
 // skip reads past an answer to another request, whole; false: its end can't be found, as that request or this one was
@@ -66,7 +66,7 @@
 	if n := resp.ContentLength; n >= 0 && n <= int64(hold) {
 		b = make([]byte, n)
 		if _, err = io.ReadFull(resp.Body, b); err != nil {
-			return nil, false, t.failed(apierror.CutOff, err)
+			return nil, false, t.failed(apierror.TruncatedResponse, err)
 		}
 		return b, true, nil
 	}
@@ -86,7 +86,7 @@
 			return b, true, nil
 		}
 		if err != nil {
-			return nil, false, t.failed(apierror.CutOff, err)
+			return nil, false, t.failed(apierror.TruncatedResponse, err)
 		}
 	}
 	return b, false, nil
--- a/internal/proxy/upstream/attempt.go
+++ b/internal/proxy/upstream/attempt.go
@@ -2,7 +2,7 @@
 //
 // Nothing is ever sent twice: http.Transport resends by itself on a stale connection and hides bytes that come after
 // an answer, so the request is written by hand here and only the answer is parsed by net/http. Every error is a
-// *apierror.Fault, and its kind says whether a backend may have run the request.
+// *apierror.Error, and its kind says whether a backend may have run the request.
 package upstream
 
 import (
@@ -58,7 +58,7 @@
 	Status int
 	Header http.Header // end-to-end only, without Content-Length
 	Body   []byte      // the whole body if Rest is nil, else its start
-	// Rest is the remainder of a body longer than HoldMost. Its errors are io.EOF or a *apierror.Fault (CutOff, Garbled,
+	// Rest is the remainder of a body longer than HoldMost. Its errors are io.EOF or a *apierror.Error (CutOff, Garbled,
 	// Late, Broken). Close it; before io.EOF that ends the connection.
 	Rest    io.ReadCloser
 	Length  int64 // of the whole body, -1: unknown; to HEAD what the backend said
@@ -128,7 +128,7 @@
 	spoilt bool          // the connection is out of step and can't be used again
 }
 
-// Do sends the request once and returns the backend's answer. The error is a *apierror.Fault:
+// Do sends the request once and returns the backend's answer. The error is a *apierror.Error:
 // not run: Dial, Full (closed before a byte was written), Turned, Misdirected, OutOfTime and Malformed (not offered);
 // may have run: Broken, Garbled, Foreign, CutOff, Late.
 // With Turned and Misdirected the Answer is there too (status, fields, body if it came whole), to be passed on.
@@ -152,7 +152,7 @@
 	left := c.Deadline.Sub(p.o.Now())
 	if left <= 0 { // dialling took it, or this process was frozen meanwhile
 		p.drop(k)
-		return nil, apierror.New(apierror.OutOfTime, c.Addr, nil)
+		return nil, apierror.New(apierror.DeadlineExceeded, c.Addr, nil)
 	}
 	k.last = c.AttemptID
 	t := &try{p: p, ctx: ctx, c: c, k: k}
@@ -196,7 +196,7 @@
 		mine := c.AttemptID == "" || id == c.AttemptID || id == "" && refused && !ok2 && !t.k.used
 		if !mine {
 			if surplus++; surplus > 2 || !t.skip(resp) {
-				return nil, t.fault(apierror.Foreign, errForeign)
+				return nil, t.fault(apierror.MismatchedResponse, errForeign)
 			}
 			continue
 		}
@@ -204,11 +204,11 @@
 		case refused:
 			return t.refusal(resp)
 		case len(h["Content-Encoding"]) > 0:
-			return nil, t.fault(apierror.Garbled, errEncoded)
+			return nil, t.fault(apierror.InvalidResponse, errEncoded)
 		case ok2 && len(h[FieldSeal]) == 0:
-			return nil, t.fault(apierror.Foreign, errUnsealed)
+			return nil, t.fault(apierror.MismatchedResponse, errUnsealed)
 		case ok2 && openEnded(resp, c.Method):
-			return nil, t.fault(apierror.CutOff, errOpenEnded) // its end can't be told from a break
+			return nil, t.fault(apierror.TruncatedResponse, errOpenEnded) // its end can't be told from a break
 		}
 		a := t.newAnswer(resp)
 		body, whole, err := t.body(resp)
@@ -231,7 +231,7 @@
 // refusal is the answer of a backend that did not run the request. The head says so; a body that does not come, or not
 // at once, doesn't change that and isn't waited for: a refusal is to be told at once.
 func (t *try) refusal(resp *http.Response) (*Answer, error) {
-	kind := apierror.Turned
+	kind := apierror.RejectedByEndpoint
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		kind = apierror.Misdirected
 	}
@@ -268,7 +268,7 @@
 	HasLoad  bool
 }
 
-// Health asks the backend how it is: GET path, without an id. A *apierror.Fault (as of Do) says that no answer came; an
+// Health asks the backend how it is: GET path, without an id. A *apierror.Error (as of Do) says that no answer came; an
 // answer other than 200, a refusal included, is a Health that is not OK.
 func (p *Pool) Health(ctx context.Context, addr, path string, deadline time.Time) (Health, error) {
 	c := &Call{Addr: addr, Method: http.MethodGet, Target: path, Host: addr, Deadline: deadline}
@@ -287,7 +287,7 @@
 		}
 		if len(resp.Header[FieldSelf]) == 0 && len(resp.Header[FieldID]) > 0 { // the late answer to a request
 			if surplus++; surplus > 2 || !t.skip(resp) {
-				return Health{}, t.fault(apierror.Foreign, errForeign)
+				return Health{}, t.fault(apierror.MismatchedResponse, errForeign)
 			}
 			continue
 		}
@@ -324,23 +324,23 @@
 )
 
 // fault ends the connection with a kind that may have run.
-func (t *try) fault(kind apierror.Kind, cause error) *apierror.Fault {
+func (t *try) fault(kind apierror.Kind, cause error) *apierror.Error {
 	t.end(false)
 	return apierror.New(kind, t.c.Addr, cause)
 }
 
 // failed says why reading stopped: ended is the kind if it was the connection's end.
-func (t *try) failed(ended apierror.Kind, err error) *apierror.Fault {
+func (t *try) failed(ended apierror.Kind, err error) *apierror.Error {
 	broke := t.k.broke
 	switch {
 	case broke == nil || broke == errHead:
-		ended = apierror.Garbled // the bytes were there and made no sense
+		ended = apierror.InvalidResponse // the bytes were there and made no sense
 	case errors.Is(broke, os.ErrDeadlineExceeded) || errors.Is(t.ctx.Err(), context.DeadlineExceeded):
-		ended = apierror.Late
+		ended = apierror.ResponseTimeout
 	case t.ctx.Err() != nil:
-		ended, err = apierror.Broken, t.ctx.Err()
+		ended, err = apierror.ConnectionBroken, t.ctx.Err()
 	case t.send.failure() != nil:
-		ended, err = apierror.Broken, t.send.failure() // the client's body broke off, and with it the connection
+		ended, err = apierror.ConnectionBroken, t.send.failure() // the client's body broke off, and with it the connection
 	default:
 		err = broke
 	}
@@ -384,7 +384,7 @@
 		r.err = io.EOF
 		r.t.settle(r.resp)
 	case err != nil:
-		r.err = r.t.failed(apierror.CutOff, err)
+		r.err = r.t.failed(apierror.TruncatedResponse, err)
 	}
 	return n, r.err
 }
--- a/internal/proxy/upstream/attempt_test.go
+++ b/internal/proxy/upstream/attempt_test.go
@@ -69,7 +69,7 @@
 }
 
 func kind(err error) apierror.Kind {
-	var f *apierror.Fault
+	var f *apierror.Error
 	if err != nil && !errors.As(err, &f) {
 		panic(err)
 	}
@@ -225,7 +225,7 @@
 			t.Fatal(err)
 		}
 		c := get("me2")
-		if _, err := p.Do(t.Context(), c); kind(err) != apierror.Broken || arrived != 2 || p.Open("b:1") != 0 {
+		if _, err := p.Do(t.Context(), c); kind(err) != apierror.ConnectionBroken || arrived != 2 || p.Open("b:1") != 0 {
 			t.Fatalf("%v, %d arrivals, %d open", err, arrived, p.Open("b:1"))
 		}
 	})
@@ -234,7 +234,7 @@
 // A connection that ends before a byte was taken has carried nothing; after the first byte nobody knows.
 func TestFirstByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for taken, want := range []apierror.Kind{apierror.Dial, apierror.Broken} {
+		for taken, want := range []apierror.Kind{apierror.ConnectFailed, apierror.ConnectionBroken} {
 			p := backend(Options{}, func(s *side) { io.ReadFull(s.Conn, make([]byte, taken)) })
 			if _, err := p.Do(t.Context(), get("me")); kind(err) != want || p.Open("b:1") != 0 {
 				t.Errorf("%d bytes taken: %v, %d open", taken, err, p.Open("b:1"))
@@ -316,11 +316,11 @@
 		p.Forget(addr)
 	}
 	refuse = true
-	if _, err := do("a"); kind(err) != apierror.Full || p.Open(addr) != 0 {
+	if _, err := do("a"); kind(err) != apierror.EndpointsSaturated || p.Open(addr) != 0 {
 		t.Fatal(err)
 	}
 	l.Close()
-	if _, err := do("a"); kind(err) != apierror.Dial || p.Open(addr) != 0 {
+	if _, err := do("a"); kind(err) != apierror.ConnectFailed || p.Open(addr) != 0 {
 		t.Fatal(err)
 	}
 }
@@ -342,17 +342,17 @@
 			time.AfterFunc(time.Second, cancel)
 			_, err := p.Do(ctx, get("me"))
 			synctest.Wait()
-			if kind(err) != apierror.Broken || !errors.Is(err, context.Canceled) || ended.Sub(from) != time.Second {
+			if kind(err) != apierror.ConnectionBroken || !errors.Is(err, context.Canceled) || ended.Sub(from) != time.Second {
 				t.Errorf("%q: %v after %v", say, err, ended.Sub(from))
 			}
 			_, err = p.Do(ctx, get("me"))
-			if kind(err) != apierror.Dial {
+			if kind(err) != apierror.ConnectFailed {
 				t.Errorf("offered for one who is gone: %v", err)
 			}
 		}
 		c := get("me")
 		c.Deadline = time.Now()
-		if _, err := p.Do(t.Context(), c); kind(err) != apierror.OutOfTime || p.Open("b:1") != 0 {
+		if _, err := p.Do(t.Context(), c); kind(err) != apierror.DeadlineExceeded || p.Open("b:1") != 0 {
 			t.Error(err)
 		}
 	})
@@ -377,7 +377,7 @@
 				})
 				a, err := p.Do(t.Context(), get("me"))
 				if cut >= 0 && cut < 64<<10 {
-					if kind(err) != apierror.CutOff {
+					if kind(err) != apierror.TruncatedResponse {
 						t.Error(err)
 					}
 					continue
@@ -390,7 +390,7 @@
 				switch {
 				case cut < 0 && (err != nil || string(a.Body)+string(got) != body || p.Idle("b:1") != 1):
 					t.Errorf("%d: %v, %d bytes, idle %d", i, err, len(a.Body)+len(got), p.Idle("b:1"))
-				case cut >= 0 && (kind(err) != apierror.CutOff || p.Open("b:1") != 0):
+				case cut >= 0 && (kind(err) != apierror.TruncatedResponse || p.Open("b:1") != 0):
 					t.Errorf("%d: %v", i, err)
 				}
 				p.Forget("b:1")
@@ -421,13 +421,13 @@
 		r, w := io.Pipe()
 		c := get("me")
 		c.Method, c.Stream, c.StreamLen = "POST", r, -1
-		if a, err := p.Do(t.Context(), c); kind(err) != apierror.Turned || string(a.Body) != "no" || p.Open("b:1") != 0 {
+		if a, err := p.Do(t.Context(), c); kind(err) != apierror.RejectedByEndpoint || string(a.Body) != "no" || p.Open("b:1") != 0 {
 			t.Error(a, err)
 		}
 		w.Close()
 		gone := errors.New("client gone")
 		c.Stream, c.StreamLen = io.MultiReader(strings.NewReader("abc"), failing{gone}), 9
-		if _, err := p.Do(t.Context(), c); kind(err) != apierror.Broken || !errors.Is(err, gone) || p.Open("b:1") != 0 {
+		if _, err := p.Do(t.Context(), c); kind(err) != apierror.ConnectionBroken || !errors.Is(err, gone) || p.Open("b:1") != 0 {
 			t.Error(err)
 		}
 	})
@@ -531,7 +531,7 @@
 		if h, err := health(); h.OK || err != nil {
 			t.Error(h, err)
 		}
-		if h, err := health(); h.OK || kind(err) != apierror.Broken {
+		if h, err := health(); h.OK || kind(err) != apierror.ConnectionBroken {
 			t.Error(h, err)
 		}
 	})
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -105,10 +105,10 @@
 func (p *Pool) take(ctx context.Context, c *Call, fresh bool) (*conn, error) {
 	addr, deadline, now := c.Addr, c.Deadline, p.o.Now()
 	if !now.Before(deadline) {
-		return nil, apierror.New(apierror.OutOfTime, addr, nil)
+		return nil, apierror.New(apierror.DeadlineExceeded, addr, nil)
 	}
 	if err := ctx.Err(); err != nil {
-		return nil, apierror.New(apierror.Dial, addr, err)
+		return nil, apierror.New(apierror.ConnectFailed, addr, err)
 	}
 	for !fresh {
 		k := p.pop(addr)
@@ -131,9 +131,9 @@
 	if err := k.quiet(); err != nil { // beyond maxConns a backend resets at once: seen here, it's known not to have run
 		p.drop(k)
 		if err == errSurplus {
-			return nil, apierror.New(apierror.Dial, addr, err)
+			return nil, apierror.New(apierror.ConnectFailed, addr, err)
 		}
-		return nil, apierror.New(apierror.Full, addr, err)
+		return nil, apierror.New(apierror.EndpointsSaturated, addr, err)
 	}
 	return k, nil
 }
@@ -176,11 +176,11 @@
 }
 
 // unsent is the fault of a request of which no byte was written.
-func (p *Pool) unsent(addr string, deadline time.Time, err error) *apierror.Fault {
+func (p *Pool) unsent(addr string, deadline time.Time, err error) *apierror.Error {
 	if !p.o.Now().Before(deadline) {
-		return apierror.New(apierror.OutOfTime, addr, err)
+		return apierror.New(apierror.DeadlineExceeded, addr, err)
 	}
-	return apierror.New(apierror.Dial, addr, err)
+	return apierror.New(apierror.ConnectFailed, addr, err)
 }
 
 // pop takes the idle connection used last.
--- a/internal/proxy/upstream/datapath_test.go
+++ b/internal/proxy/upstream/datapath_test.go
@@ -113,7 +113,7 @@
 // nobody. Guards against the late answer on a connection that another request has taken up.
 func TestLateAnswerComesToNobody(t *testing.T) {
 	for _, begin := range []string{"", ok + "Content-Le", ok + "Content-Length: 5\n\nri"} {
-		for _, why := range []apierror.Kind{apierror.Late, apierror.Broken} {
+		for _, why := range []apierror.Kind{apierror.ResponseTimeout, apierror.ConnectionBroken} {
 			synctest.Test(t, func(t *testing.T) {
 				heard := make(chan error, 1)
 				p := backend(Options{}, func(s *side) {
@@ -133,7 +133,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				c := get("me")
-				if c.Deadline = time.Now().Add(time.Second); why == apierror.Broken {
+				if c.Deadline = time.Now().Add(time.Second); why == apierror.ConnectionBroken {
 					c.Deadline = time.Now().Add(time.Minute)
 					time.AfterFunc(time.Second, cancel)
 				}
@@ -167,7 +167,7 @@
 			return nil, ctx.Err()
 		}})
 		from := time.Now()
-		if _, err := p.Do(t.Context(), get("me")); kind(err) != apierror.Dial || time.Since(from) != 250*time.Millisecond {
+		if _, err := p.Do(t.Context(), get("me")); kind(err) != apierror.ConnectFailed || time.Since(from) != 250*time.Millisecond {
 			t.Errorf("%v after %v", err, time.Since(from))
 		}
 		if n := <-came; n != 0 || p.Open("b:1") != 0 {
@@ -202,7 +202,7 @@
 			}()
 			return timersLate{a}, nil
 		}
-		if _, err := New(o).Do(t.Context(), get("me")); kind(err) != apierror.OutOfTime {
+		if _, err := New(o).Do(t.Context(), get("me")); kind(err) != apierror.DeadlineExceeded {
 			t.Error(err)
 		}
 		if <-ended; len(got) != 0 {
@@ -221,7 +221,7 @@
 		c := get("me")
 		c.Method, c.HasBody, c.Body = "POST", true, []byte(strings.Repeat("x", 10000))
 		from := time.Now()
-		if _, err := p.Do(t.Context(), c); kind(err) != apierror.Late || time.Since(from) != 5*time.Second || p.Open("b:1") != 0 {
+		if _, err := p.Do(t.Context(), c); kind(err) != apierror.ResponseTimeout || time.Since(from) != 5*time.Second || p.Open("b:1") != 0 {
 			t.Errorf("%v after %v", err, time.Since(from))
 		}
 		if <-ended; len(half) != 100 || end != nil {
@@ -249,9 +249,9 @@
 		}
 		for n := range whole + 1 {
 			p := backend(Options{}, func(s *side) { io.ReadFull(s.Conn, make([]byte, n)) })
-			want := apierror.Broken
+			want := apierror.ConnectionBroken
 			if n == 0 {
-				want = apierror.Dial
+				want = apierror.ConnectFailed
 			}
 			if _, err := p.Do(t.Context(), get("me")); kind(err) != want || p.Open("b:1") != 0 {
 				t.Errorf("after %d of %d bytes of the request: %v", n, whole, err)
@@ -263,9 +263,9 @@
 				s.request()
 				io.WriteString(s, answer[:n])
 			})
-			want := apierror.CutOff
+			want := apierror.TruncatedResponse
 			if n == 0 {
-				want = apierror.Broken
+				want = apierror.ConnectionBroken
 			}
 			if _, err := p.Do(t.Context(), get("me")); kind(err) != want || p.Open("b:1") != 0 {
 				t.Errorf("after %d of %d bytes of the answer: %v", n, len(answer), err)
@@ -281,8 +281,8 @@
 		for _, k := range []struct {
 			say  string
 			want apierror.Kind
-		}{{"HTTP/1.1 503 F\nX-Elmfold-Attempt-Id: me\n" + no, apierror.Turned}, {right, apierror.None}, {"", apierror.Broken},
-			{strings.Replace(right, "me", "other", 1), apierror.Broken}} {
+		}{{"HTTP/1.1 503 F\nX-Elmfold-Attempt-Id: me\n" + no, apierror.RejectedByEndpoint}, {right, apierror.None}, {"", apierror.ConnectionBroken},
+			{strings.Replace(right, "me", "other", 1), apierror.ConnectionBroken}} {
 			p := backend(Options{}, func(s *side) {
 				io.ReadFull(s.Conn, make([]byte, 200))
 				s.say(k.say)
@@ -290,7 +290,7 @@
 			c := get("me")
 			c.Method, c.Body, c.Stream, c.StreamLen = "POST", []byte(strings.Repeat("x", 40)), endless{}, 1<<30
 			a, err := p.Do(t.Context(), c)
-			if kind(err) != k.want || k.want == apierror.Turned && (a == nil || a.Status != 503) || p.Open("b:1") != 0 {
+			if kind(err) != k.want || k.want == apierror.RejectedByEndpoint && (a == nil || a.Status != 503) || p.Open("b:1") != 0 {
 				t.Errorf("%q: %v, %v, %d open", k.say, a, err, p.Open("b:1"))
 			}
 			synctest.Wait()
--- a/internal/simulation/aimed.go
+++ b/internal/simulation/aimed.go
@@ -91,7 +91,7 @@
 		return false
 	}
 	for _, i := range free[:min(n, len(free))] {
-		d.lost[i] = now + span + d.w.Ledger.Bounds.CatchUp.Span() + 200*time.Millisecond
+		d.lost[i] = now + span + d.w.Ledger.Bounds.CatchUp.Duration() + 200*time.Millisecond
 	}
 	return true
 }
@@ -315,7 +315,7 @@
 		w.Go(func() {
 			d.fresh(b)
 			b.Crash()
-			time.Sleep(w.Ledger.Bounds.AddrReuse.Span())
+			time.Sleep(w.Ledger.Bounds.AddrReuse.Duration())
 			if deaf {
 				for _, c := range w.Cores() {
 					w.Net.Cut(b.host.IP, c.IP)
@@ -428,7 +428,7 @@
 	empty := false
 	d.w.Ledger.do(func() {
 		for _, o := range d.w.Ledger.Orders {
-			empty = empty || o.Zone == zone && o.Begin && o.Acked > 0 && d.w.Now() > o.Acked+d.w.Ledger.Bounds.Evacuate.Span()
+			empty = empty || o.Zone == zone && o.Begin && o.Acked > 0 && d.w.Now() > o.Acked+d.w.Ledger.Bounds.Evacuate.Duration()
 		}
 	})
 	for _, b := range d.w.Backends() {
@@ -440,7 +440,7 @@
 
 // apart is longer than an order may come again: nearer, nobody can tell two operators' orders from one's that is repeated.
 func (d *draw) apart(r *rand.Rand) {
-	least := d.w.Ledger.Bounds.Ack.Span() + 1500*time.Millisecond
+	least := d.w.Ledger.Bounds.Ack.Duration() + 1500*time.Millisecond
 	time.Sleep(between(r, least, least+2*time.Second))
 }
 
--- a/internal/simulation/backend.go
+++ b/internal/simulation/backend.go
@@ -419,7 +419,7 @@
 	if told != nil && acked != "" {
 		told(acked)
 	}
-	if !b.sleep(w.Ledger.Bounds.Drain.Span() + 700*time.Millisecond + longer) {
+	if !b.sleep(w.Ledger.Bounds.Drain.Duration() + 700*time.Millisecond + longer) {
 		return
 	}
 	for _, at := range w.controls(r, acked) {
--- a/internal/simulation/core.go
+++ b/internal/simulation/core.go
@@ -74,7 +74,7 @@
 	w.cores.Store(&all)
 	from := w.Now()
 	if m.later {
-		from += w.Ledger.Bounds.SeedLag.Span()
+		from += w.Ledger.Bounds.SeedLag.Duration()
 	}
 	w.listed = append(w.listed, listing{m, from, -1})
 }
@@ -135,7 +135,7 @@
 	w.cores.Store(&all)
 	for i := range w.listed {
 		if w.listed[i].m == m {
-			w.listed[i].to = w.Now() + w.Ledger.Bounds.SeedLag.Span()
+			w.listed[i].to = w.Now() + w.Ledger.Bounds.SeedLag.Duration()
 		}
 	}
 	next := m.successor
@@ -305,7 +305,7 @@
 			case !m.begun || m.retired: // a retired one counts as it was lost, until its successor starts
 			case out && k < 0:
 				disk := slices.ContainsFunc(l.Losses, func(x Loss) bool { // it had not caught up
-					return x.Machine == m.name && x.Disk && x.counts(now, l.Bounds.CatchUp.Span())
+					return x.Machine == m.name && x.Disk && x.counts(now, l.Bounds.CatchUp.Duration())
 				})
 				l.Losses = append(l.Losses, Loss{Machine: m.name, Disk: disk, From: now, To: -1})
 			case !out && k >= 0:
--- a/internal/simulation/days.go
+++ b/internal/simulation/days.go
@@ -158,7 +158,7 @@
 	close(stop)
 	close(probed)
 	if w.Ledger.Closing < 0 {
-		w.Replace(d.next(d.r), true, nil, w.Ledger.Bounds.Ack.Span())
+		w.Replace(d.next(d.r), true, nil, w.Ledger.Bounds.Ack.Duration())
 	}
 	w.ReadBack()
 	d.mu.Lock()
@@ -254,7 +254,7 @@
 		service := pick(r, []string{"pages", "orders", "views"})
 		w.Go(func() {
 			b.Crash()
-			if time.Sleep(w.Ledger.Bounds.AddrReuse.Span() + span/4); reuse {
+			if time.Sleep(w.Ledger.Bounds.AddrReuse.Duration() + span/4); reuse {
 				d.log("%s at the address of %s", service, b.ID)
 				w.Backend(service, b.Zone, strings.TrimSuffix(b.Address, ":8080"), 4, workOf(service), true)
 			} else {
@@ -289,7 +289,7 @@
 			from, to := pick(r, w.Cores()), pick(r, w.Cores())
 			w.Go(func() {
 				w.Evacuate(zone, true, from)
-				time.Sleep(w.Ledger.Bounds.Evacuate.Span() + span)
+				time.Sleep(w.Ledger.Bounds.Evacuate.Duration() + span)
 				d.cool(zone)
 				time.Sleep(200 * time.Millisecond)
 				d.log("take back %s", zone)
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -148,7 +148,7 @@
 	default:
 	}
 	if d.full {
-		err = apierror.New(apierror.Unsafe, "disk", errFull)
+		err = apierror.New(apierror.NotDurable, "disk", errFull)
 	} else {
 		d.keep(p)
 	}
--- a/internal/simulation/ledger.go
+++ b/internal/simulation/ledger.go
@@ -244,13 +244,13 @@
 
 // InTouch says whether a machine was so at every moment of a span.
 func (l *Ledger) InTouch(machine string, from, to time.Duration) bool {
-	return l.settled(from, to) && l.untroubled(machine, from-l.Bounds.Contact.Span(), to)
+	return l.settled(from, to) && l.untroubled(machine, from-l.Bounds.Contact.Duration(), to)
 }
 
 // settled says whether the core was so at every moment of a span: more than half of it runs, each reaching the others,
 // and nothing was done to it in the contactS before.
 func (l *Ledger) settled(from, to time.Duration) bool {
-	k := l.before(from - l.Bounds.Contact.Span())
+	k := l.before(from - l.Bounds.Contact.Duration())
 	return (k == len(l.Core) || l.Core[k].At > to) && (k == 0 || 2*l.Core[k-1].Joined > l.Core[k-1].Size)
 }
 
@@ -280,7 +280,7 @@
 // more disks were lost than that, so that nothing acknowledged need be there any more.
 func (l *Ledger) beyond() (spans []Span, disks time.Duration) {
 	disks = forever
-	catchUp := l.Bounds.CatchUp.Span()
+	catchUp := l.Bounds.CatchUp.Duration()
 	var moments []time.Duration
 	for _, x := range l.Losses {
 		if moments = append(moments, x.From); x.To >= 0 {
@@ -331,7 +331,7 @@
 // to be borne.
 func (l *Ledger) owed(to time.Duration) (all []Span) {
 	spans, disks := l.beyond()
-	contact := l.Bounds.Contact.Span()
+	contact := l.Bounds.Contact.Duration()
 	for k, s := range l.Core {
 		till := to
 		if k+1 < len(l.Core) {
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -60,7 +60,7 @@
 
 // Evacuate begins or ends the evacuation of a zone.
 func (w *World) Evacuate(zone string, begin bool, at *Machine) *Order {
-	return w.send(&Order{Zone: zone, Begin: begin, Valid: true}, at, w.Ledger.Bounds.Ack.Span(), 0)
+	return w.send(&Order{Zone: zone, Begin: begin, Valid: true}, at, w.Ledger.Bounds.Ack.Duration(), 0)
 }
 
 // call is an order as it is called, and its body.
@@ -148,7 +148,7 @@
 func (w *World) ReadBack() {
 	r := w.Rand("reader", 0)
 	read := Read{From: w.Now()}
-	for began := w.Now(); w.Now() < began+w.Ledger.Bounds.Contact.Span()+time.Second; {
+	for began := w.Now(); w.Now() < began+w.Ledger.Bounds.Contact.Duration()+time.Second; {
 		for _, address := range w.controls(r, "") {
 			status, body, err := w.ask(0, address, nil, false)
 			if read.At = w.Now(); err == nil && status == 200 {
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -62,7 +62,7 @@
 
 // outer says that a machine owes such a bound all the same: nothing befell it itself, and most of the core went on.
 func (l *Ledger) outer(machine string, from, to time.Duration) bool {
-	return l.untroubled(machine, from-l.Bounds.Contact.Span(), to) && l.most(from, to)
+	return l.untroubled(machine, from-l.Bounds.Contact.Duration(), to) && l.most(from, to)
 }
 
 // runs are the arrivals of a try that a backend worked on.
@@ -159,8 +159,8 @@
 			if !there || a.Outcome == Misdirected {
 				continue
 			}
-			if late := a.At > at+l.Bounds.Drain.Span() && t.touches(l, a.At); late ||
-				t.At > at+known && l.untroubled(t.Carrier, at-l.Bounds.Contact.Span(), a.At) {
+			if late := a.At > at+l.Bounds.Drain.Duration() && t.touches(l, a.At); late ||
+				t.At > at+known && l.untroubled(t.Carrier, at-l.Bounds.Contact.Duration(), a.At) {
 				out.add("DRAIN", a.At, "%s reached %s by %s %.3f s after its leaving was acknowledged", t.ID, a.Backend,
 					t.Carrier, (a.At - at).Seconds())
 			}
@@ -177,8 +177,8 @@
 		till := l.takenBack(o)
 		for _, t := range l.Tries {
 			for _, a := range t.Arrivals {
-				if a.Zone == o.Zone && a.Outcome != Misdirected && a.At > o.Acked+l.Bounds.Evacuate.Span() && a.At < till &&
-					(t.touches(l, a.At) || a.At > o.Acked+l.Bounds.Evacuate.Span()+stretchMost && l.outer(t.Carrier, o.Acked, a.At)) {
+				if a.Zone == o.Zone && a.Outcome != Misdirected && a.At > o.Acked+l.Bounds.Evacuate.Duration() && a.At < till &&
+					(t.touches(l, a.At) || a.At > o.Acked+l.Bounds.Evacuate.Duration()+stretchMost && l.outer(t.Carrier, o.Acked, a.At)) {
 					out.add("EVAC", a.At, "%s reached %s in %s by %s %.3f s after the evacuation was acknowledged", t.ID,
 						a.Backend, a.Zone, t.Carrier, (a.At - o.Acked).Seconds())
 				}
@@ -219,7 +219,7 @@
 	var all []string
 	least := uint32(0)
 	for _, o := range l.Orders {
-		if o.Config != nil && o.Valid && o.Acked > 0 && t.At > o.Acked+l.Bounds.ConfigApply.Span() {
+		if o.Config != nil && o.Valid && o.Acked > 0 && t.At > o.Acked+l.Bounds.ConfigApply.Duration() {
 			least = max(least, o.Config.Version)
 		}
 	}
@@ -249,7 +249,7 @@
 			}
 		}
 	}
-	w := l.Bounds.RetryWindow.Span()
+	w := l.Bounds.RetryWindow.Duration()
 	for service, extra := range again {
 		slices.Sort(extra)
 		slices.Sort(asked[service])
@@ -296,7 +296,7 @@
 			for all[from] <= a-time.Second {
 				from++
 			}
-			if n := float64(i - from + 1); n > c.Rate*l.Bounds.ColdExcess+l.Bounds.ColdSlack {
+			if n := float64(i - from + 1); n > c.Rate*l.Bounds.SlowStartExcess+l.Bounds.SlowStartSlack {
 				out.add("FAILBACK", a, "%s got %.0f requests within a second while cold", c.Backend, n)
 				break
 			}
@@ -354,9 +354,9 @@
 		for _, s := range handled {
 			acked, stretched := uint32(0), uint32(0)
 			for _, o := range all {
-				if o.Valid && o.Acked > 0 && s.t.At > o.Acked+l.Bounds.ConfigApply.Span() {
+				if o.Valid && o.Acked > 0 && s.t.At > o.Acked+l.Bounds.ConfigApply.Duration() {
 					acked = max(acked, o.Config.Version)
-					if s.t.At > o.Acked+l.Bounds.ConfigApply.Span()+stretchMost && o.Config.Version > stretched &&
+					if s.t.At > o.Acked+l.Bounds.ConfigApply.Duration()+stretchMost && o.Config.Version > stretched &&
 						l.outer(s.t.Carrier, o.Acked, s.at) {
 						stretched = o.Config.Version
 					}
@@ -485,17 +485,17 @@
 // cutOff: LOST around planned ends.
 func (l *Ledger) cutOff(out *breaches) {
 	for _, term := range l.Terms {
-		till := term.At + l.Bounds.Grace.Span() + time.Second
+		till := term.At + l.Bounds.Grace.Duration() + time.Second
 		for _, t := range l.Tries {
 			if t.Carrier != term.Machine || t.End < term.At || t.End > till || t.Written == 0 || t.GaveUp {
 				continue
 			}
 			broke := slices.ContainsFunc(t.Replies, func(r Reply) bool { return !r.Whole })
 			ran, _ := t.runs()
-			cut := !t.Whole && (len(t.Arrivals) > 0 || t.End > t.Written+l.Bounds.LossSlack.Span())
+			cut := !t.Whole && (len(t.Arrivals) > 0 || t.End > t.Written+l.Bounds.LossSlack.Duration())
 			inPlace := t.Whole && t.Seal == "" && t.Status/100 == 5 && ran > 0 && len(t.Replies) == 0 && t.End < t.At+t.Timeout
-			late := t.End > term.At+l.Bounds.Grace.Span()/2 && ran > 0 // its backend was still at work
-			if (cut || inPlace) && !broke && !late && l.calm(term.Machine, t.At-l.Bounds.Contact.Span(), t.End) {
+			late := t.End > term.At+l.Bounds.Grace.Duration()/2 && ran > 0 // its backend was still at work
+			if (cut || inPlace) && !broke && !late && l.calm(term.Machine, t.At-l.Bounds.Contact.Duration(), t.End) {
 				out.add("LOST", t.End, "%s was broken off by %s after its SIGTERM", t.ID, t.Carrier)
 			}
 		}
@@ -528,7 +528,7 @@
 		if !o.Valid || l.conflicts(o) {
 			continue
 		}
-		within, what := l.Bounds.Ack.Span(), fmt.Sprintf("the evacuation of %s, begin %t,", o.Zone, o.Begin)
+		within, what := l.Bounds.Ack.Duration(), fmt.Sprintf("the evacuation of %s, begin %t,", o.Zone, o.Begin)
 		if o.Config != nil {
 			within += time.Duration(len(o.Config.Routes)) * 3 * time.Millisecond
 			what = fmt.Sprintf("version %08x", o.Config.Version)
@@ -610,7 +610,7 @@
 			}
 			last = max(last, o.Acked)
 		}
-		from := last + l.Bounds.Evacuate.Span() + 5*time.Second
+		from := last + l.Bounds.Evacuate.Duration() + 5*time.Second
 		k := slices.IndexFunc(owed, func(s Span) bool { return s.From <= from && s.To >= from+5*time.Second })
 		if !clear || open != 0 || k < 0 {
 			continue
--- a/internal/simulation/stories_test.go
+++ b/internal/simulation/stories_test.go
@@ -157,7 +157,7 @@
 			w.PowerOn(w.Cores()[0])
 			time.Sleep(3 * time.Second)
 			// What it has read again must carry the next loss.
-			time.Sleep(w.Ledger.Bounds.CatchUp.Span())
+			time.Sleep(w.Ledger.Bounds.CatchUp.Duration())
 			w.Power(w.Cores()[1])
 			w.Wipe(w.Cores()[1])
 			time.Sleep(time.Second)
@@ -482,7 +482,7 @@
 			time.Sleep(200 * time.Millisecond)
 			began := w.Now()
 			w.Term(m)
-			if took := w.Now() - began; took > w.Ledger.Bounds.Grace.Span()-100*time.Millisecond {
+			if took := w.Now() - began; took > w.Ledger.Bounds.Grace.Duration()-100*time.Millisecond {
 				t.Errorf("it took %v to end", took)
 			}
 			if status := <-got; status != 200 {
@@ -503,7 +503,7 @@
 				if b.Service == "pages" {
 					w.Go(func() {
 						b.Crash()
-						time.Sleep(w.Ledger.Bounds.AddrReuse.Span())
+						time.Sleep(w.Ledger.Bounds.AddrReuse.Duration())
 						w.Backend("views", b.Zone, strings.TrimSuffix(b.Address, ":8080"), 4, b.Work, false)
 					})
 					time.Sleep(300 * time.Millisecond)
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -175,13 +175,13 @@
 	for _, z := range w.shape.Zones {
 		s.Zones[z] = "land"
 	}
-	s.Ports, s.Bootstrap, s.Counted = [2]int{ports, ports + 15}, !m.started && !m.later, m.Disk != nil
+	s.PortRange, s.Bootstrap, s.Counted = [2]int{ports, ports + 15}, !m.started && !m.later, m.Disk != nil
 	if s.Seeds = m.seeds; s.Seeds == nil {
 		s.Seeds = w.seeds(m)
 	}
 	m.seeds = nil
 	s.Limits.MaxFDs, s.FaultBudget.Machines, s.FaultBudget.Zones = 4100, w.shape.Faults, 1
-	s.Beat, s.Bounds = bootconfig.Seconds(w.Beat.Seconds()), w.Ledger.Bounds
+	s.HeartbeatInterval, s.Bounds = bootconfig.Seconds(w.Beat.Seconds()), w.Ledger.Bounds
 	s.Listen = map[string]string{"front": m.front(), "readiness": m.IP + ":8542"}
 	if m.Disk != nil {
 		s.Listen = map[string]string{"control": m.control()}
@@ -240,7 +240,7 @@
 	if m.Disk != nil {
 		disk, known, fresh := m.Disk.Open(h)
 		s := controlplane.New(controlplane.Options{Settings: set, Disk: disk, Known: known, Fresh: fresh, Log: log,
-			Clock: clockwork.NewRealClock(), Dial: dial, Listen: must(h.Listen(set.Own())), TimeOfDay: m.timeOfDay})
+			Clock: clockwork.NewRealClock(), Dial: dial, Listen: must(h.Listen(set.OwnPeerAddress())), TimeOfDay: m.timeOfDay})
 		calls := quiet(&http.Server{Handler: s.Handler(), ReadTimeout: 20 * time.Second})
 		listen := must(h.Listen(m.control()))
 		go func() { _ = calls.Serve(listen) }()
@@ -331,7 +331,7 @@
 
 // Term sends SIGTERM; the process ends by itself, or by SIGKILL after graceS.
 func (w *World) Term(m *Machine) {
-	grace := w.Ledger.Bounds.Grace.Span()
+	grace := w.Ledger.Bounds.Grace.Duration()
 	w.mu.Lock()
 	if m.host == nil || m.ending {
 		w.mu.Unlock()
--- a/internal/simulation/worst.go
+++ b/internal/simulation/worst.go
@@ -187,12 +187,12 @@
 
 // settle waits until a loss counts no more, a little longer, or a little less.
 func (d *draw) settle(times float64) {
-	time.Sleep(time.Duration(times * float64(d.w.Ledger.Bounds.CatchUp.Span())))
+	time.Sleep(time.Duration(times * float64(d.w.Ledger.Bounds.CatchUp.Duration())))
 }
 
 // send sends an order at a controller, from one of the operators, while the script goes on.
 func (d *draw) send(o *Order, at *Machine, lost int) {
-	d.w.Go(func() { d.w.send(o, at, d.w.Ledger.Bounds.Ack.Span(), lost) })
+	d.w.Go(func() { d.w.send(o, at, d.w.Ledger.Bounds.Ack.Duration(), lost) })
 }
 
 func (d *draw) order(r *rand.Rand, at *Machine, lost int) {
--- a/internal/simulation/worst_test.go
+++ b/internal/simulation/worst_test.go
@@ -51,9 +51,9 @@
 // end waits until all that is to be borne is over, and wants an order to be taken, and to be read from all.
 func (n *night) end() {
 	w, b := n.World, n.Ledger.Bounds
-	time.Sleep(b.CatchUp.Span() + b.Contact.Span())
+	time.Sleep(b.CatchUp.Duration() + b.Contact.Duration())
 	c := n.Next()
-	o := w.Replace(c, true, nil, b.Ack.Span())
+	o := w.Replace(c, true, nil, b.Ack.Duration())
 	if o.Acked == 0 {
 		n.Errorf("afterwards version %08x is not acknowledged", c.Version)
 	}
@@ -63,7 +63,7 @@
 // order sends the next configuration; it says in the log how long it took.
 func (n *night) order(at *Machine) *Order {
 	c := n.Next()
-	o := n.Replace(c, true, at, n.Ledger.Bounds.Ack.Span())
+	o := n.Replace(c, true, at, n.Ledger.Bounds.Ack.Duration())
 	if o.Acked > 0 {
 		n.note("%08x acknowledged by %s after %.3f s", c.Version, o.By, (o.Acked - o.At).Seconds())
 	} else {
@@ -80,7 +80,7 @@
 func (n *night) must(o *Order) {
 	n.Helper()
 	if o.Acked == 0 {
-		n.Errorf("at %.3f s an order is not acknowledged after %v", n.Now().Seconds(), n.Ledger.Bounds.Ack.Span())
+		n.Errorf("at %.3f s an order is not acknowledged after %v", n.Now().Seconds(), n.Ledger.Bounds.Ack.Duration())
 	}
 }
 
@@ -316,7 +316,7 @@
 // they are in.
 func TestReplaced(t *testing.T) {
 	catchUp := func(n *night, times float64) {
-		time.Sleep(time.Duration(times * float64(n.Ledger.Bounds.CatchUp.Span())))
+		time.Sleep(time.Duration(times * float64(n.Ledger.Bounds.CatchUp.Duration())))
 	}
 	for _, c := range []struct {
 		name string
@@ -640,12 +640,12 @@
 						n.must(w.Evacuate("north", k%100 == 0, all[k/50%2]))
 					}
 					at := all[k%2]
-					if o := w.Replace(n.Next(), true, at, w.Ledger.Bounds.Ack.Span()); o.Acked == 0 {
+					if o := w.Replace(n.Next(), true, at, w.Ledger.Bounds.Ack.Duration()); o.Acked == 0 {
 						t.Fatalf("change %d is not acknowledged", k)
 					}
 					time.Sleep(20 * time.Millisecond)
 				}
-				time.Sleep(w.Ledger.Bounds.CatchUp.Span())
+				time.Sleep(w.Ledger.Bounds.CatchUp.Duration())
 				for _, m := range all {
 					records, size := m.Disk.Size()
 					if n.note("%s: %d records, %d bytes", m.Name, records, size); records > 64 || size > 4*least+16<<10 {
