--- a/internal/bench/gateway/bench_test.go
+++ b/internal/bench/gateway/bench_test.go
@@ -52,7 +52,7 @@
 	bySize(b, backendSizes, func(b *testing.B, n int) {
 		table := registry.New(1500 * time.Millisecond)
 		for _, l := range lives(n, 200) {
-			table.Beat(time.Second, l)
+			table.Heartbeat(time.Second, l)
 		}
 		size := 0
 		for b.Loop() {
@@ -72,7 +72,7 @@
 		table, all, i := registry.New(1500*time.Millisecond), lives(n, 200), 0
 		for b.Loop() {
 			all[i%n].Seq += uint64(n)
-			table.Beat(time.Second, all[i%n])
+			table.Heartbeat(time.Second, all[i%n])
 			i++
 		}
 	})
@@ -82,10 +82,10 @@
 	bySize(b, backendSizes, func(b *testing.B, n int) {
 		table := registry.New(1500 * time.Millisecond)
 		for _, l := range lives(n, 200) {
-			table.Beat(time.Second, l)
+			table.Heartbeat(time.Second, l)
 		}
 		for b.Loop() {
-			table.Tick(time.Second)
+			table.ExpireHeartbeats(time.Second)
 		}
 	})
 }
--- a/internal/compat/core_test.go
+++ b/internal/compat/core_test.go
@@ -29,7 +29,7 @@
 	host   *simulation.Host
 	server *controlplane.Server
 	store  *storage.Store
-	found  storage.Found
+	found  storage.Recovery
 }
 
 var nodeZones = []string{"north", "south", "west"}
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.server = controlplane.New(controlplane.Options{Settings: &settings, Disk: n.store, Known: n.found.Known, Fresh: n.found.Fresh,
+	n.server = controlplane.New(controlplane.Options{Settings: &settings, Disk: n.store, Known: n.found.Complete, Fresh: n.found.Fresh,
 		Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(), Listen: listener, TimeOfDay: time.Now,
 		Dial: func(address string) (net.Conn, error) {
 			ctx, cancel := context.WithTimeout(context.Background(), 350*time.Millisecond)
--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -137,7 +137,7 @@
 	}
 	done, target := make(chan error, 1), ""
 	s.queue.Do(func() {
-		news, _ := s.table.Beat(s.now(), word)
+		news, _ := s.table.Heartbeat(s.now(), word)
 		if word.State == rpc.Draining {
 			// Every word of leaving goes to others, not only the first: it may be the repetition of one that was
 			// not acknowledged because they could not be reached.
@@ -185,7 +185,7 @@
 	}
 	done := make(chan error, 1)
 	s.queue.Do(func() {
-		news := s.table.Leave(s.now(), id, 0)
+		news := s.table.Deregister(s.now(), id, 0)
 		if news == nil {
 			news = []rpc.Endpoint{{ID: id, State: rpc.Gone}}
 		}
--- a/internal/controlplane/consensus/model_test.go
+++ b/internal/controlplane/consensus/model_test.go
@@ -246,7 +246,7 @@
 		under := g.prop.Phase != paxos.Idle && g.prop.Ballot == b.Ballot
 		switch b.Kind {
 		case rpc.Promise:
-			if under && g.prop.Phase == paxos.Asking {
+			if under && g.prop.Phase == paxos.Preparing {
 				return false
 			}
 		case rpc.Accepted:
--- a/internal/controlplane/consensus/register.go
+++ b/internal/controlplane/consensus/register.go
@@ -119,7 +119,7 @@
 	was := g.acc.Accepted
 	switch b.Kind {
 	case rpc.Prepare:
-		if !g.acc.Promise(b.Ballot) {
+		if !g.acc.Prepare(b.Ballot) {
 			answer.Kind = rpc.Preempted
 			break
 		}
@@ -278,7 +278,7 @@
 // word is what the ballot under way asks.
 func (r *Replica) word(g *register) rpc.PaxosMessage {
 	b := rpc.PaxosMessage{Kind: rpc.Prepare, Register: g.name, Ballot: g.prop.Ballot}
-	if g.prop.Phase == paxos.Offering {
+	if g.prop.Phase == paxos.Accepting {
 		b.Kind, b.Value = rpc.Accept, g.prop.Value
 		if g.decidedAt != neverSeen {
 			b.ValueAge = uint64(max(r.now-g.decidedAt, 0)/time.Millisecond) + 1
@@ -294,10 +294,10 @@
 
 // promised goes on with the value of the greatest ballot that was accepted, changed by the orders.
 func (r *Replica) promised(g *register, disk string, b *rpc.PaxosMessage) {
-	if !g.prop.Promised(disk, b.Ballot, b.AcceptedBallot, b.Value) {
+	if !g.prop.OnPromise(disk, b.Ballot, b.AcceptedBallot, b.Value) {
 		return
 	}
-	if b.AcceptedBallot == g.prop.Best && b.AcceptedBallot != (BallotNumber{}) { // the longest that any of them has had this value
+	if b.AcceptedBallot == g.prop.HighestAccepted && b.AcceptedBallot != (BallotNumber{}) { // the longest that any of them has had this value
 		if b.AcceptedBallot != g.accepted {
 			g.accepted, g.ages = b.AcceptedBallot, Age{}
 		}
@@ -305,7 +305,7 @@
 			g.ages = Age{age, true}
 		}
 	}
-	if !r.most(g, g.prop.Answered) {
+	if !r.most(g, g.prop.HasResponded) {
 		return
 	}
 	holds := Register{Name: g.name}
@@ -327,14 +327,14 @@
 		r.close(g, next)
 		return
 	}
-	if next.Version == holds.Version && r.lasts(g, g.prop.Has) { // it stands on enough disks under one ballot
-		r.decided(g, g.prop.Best, holds)
+	if next.Version == holds.Version && r.lasts(g, g.prop.HasHighest) { // it stands on enough disks under one ballot
+		r.decided(g, g.prop.HighestAccepted, holds)
 		return
 	}
 	for _, o := range g.batch {
 		o.tried = true
 	}
-	g.prop.Offer(&next)
+	g.prop.StartAccept(&next)
 	g.sentAt = r.now
 	if g.decidedAt = neverSeen; ages.Known {
 		g.decidedAt = r.now - ages.Span
@@ -343,7 +343,7 @@
 }
 
 func (r *Replica) agreed(g *register, disk string, b *rpc.PaxosMessage) {
-	if g.prop.Agreed(disk, b.Ballot) && r.lasts(g, g.prop.Answered) {
+	if g.prop.OnAccepted(disk, b.Ballot) && r.lasts(g, g.prop.HasResponded) {
 		r.decided(g, g.prop.Ballot, *g.prop.Value)
 	}
 }
@@ -414,11 +414,11 @@
 	if g.prop.Phase != paxos.Idle && r.now >= g.sentAt+askAgain {
 		g.sentAt = r.now
 		for _, to := range r.lines() {
-			if p := r.peers[to]; r.counts(p) && !g.prop.Answered(p.disk) {
+			if p := r.peers[to]; r.counts(p) && !g.prop.HasResponded(p.disk) {
 				r.resend(g, p)
 			}
 		}
-		if !g.prop.Answered(r.disk) && !g.putting { // the own disk failed before
+		if !g.prop.HasResponded(r.disk) && !g.putting { // the own disk failed before
 			b := r.word(g)
 			r.accept(r.o.Me.Name, g, &b)
 		}
--- a/internal/controlplane/consensus/votes_test.go
+++ b/internal/controlplane/consensus/votes_test.go
@@ -111,7 +111,7 @@
 		x := newTrio(t, one1, flaws{}, nil)
 		b := x.asked(5)
 		x.says(1, promiseOf(b))
-		if p := x.r.regs[charter].prop; p.Phase != paxos.Offering {
+		if p := x.r.regs[charter].prop; p.Phase != paxos.Accepting {
 			t.Fatalf("%s: no offer: %+v", what, p)
 		}
 		d, n := one[Done](x.says(c.who, c.m(b)))
@@ -149,7 +149,7 @@
 		for _, i := range c.promise {
 			x.says(i, promiseOf(b))
 		}
-		if got := x.r.regs[charter].prop.Phase == paxos.Offering; got != (c.agree != nil) {
+		if got := x.r.regs[charter].prop.Phase == paxos.Accepting; got != (c.agree != nil) {
 			t.Errorf("%s: offers %v", what, got)
 		}
 		done := 0
--- a/internal/controlplane/counsel.go
+++ b/internal/controlplane/counsel.go
@@ -91,7 +91,7 @@
 
 	// Owned by own.
 	replica      *consensus.Replica
-	table        *registry.Table
+	table        *registry.Registry
 	peers        map[string]*peer // by name
 	callers      session.Sessions // lines that other controllers dialled
 	carrierLines session.Sessions // that carriers did
@@ -357,12 +357,12 @@
 }
 
 func (s *Server) expire(now time.Duration) {
-	if news := s.table.Tick(now); len(news) > 0 {
+	if news := s.table.ExpireHeartbeats(now); len(news) > 0 {
 		s.toCarriers(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{Endpoints: news}})
 		s.steer.changed()
 	}
 	// Once a second and as changes: while a fleet starts, each member told at once to each would be its square.
-	if went, came := s.table.Changes(now); len(went)+len(came) > 0 {
+	if went, came := s.table.LeaseChanges(now); len(went)+len(came) > 0 {
 		s.toCarriers(&rpc.Message{ProxyChanges: rpc.ProxyChanges{ProxiesLeft: went, ProxiesJoined: came}})
 		s.steer.changed()
 	}
--- a/internal/controlplane/lines.go
+++ b/internal/controlplane/lines.go
@@ -142,7 +142,7 @@
 // toldBackends takes words of another controller; what is news here is passed on to the carriers at once, as the one
 // that it came from may be gone before it told them all.
 func (s *Server) toldBackends(words []rpc.Endpoint) {
-	if news := s.table.Told(s.now(), words); len(news) > 0 {
+	if news := s.table.ApplyRemote(s.now(), words); len(news) > 0 {
 		s.later(news)
 		s.steer.changed()
 	}
@@ -193,8 +193,8 @@
 		c = &carrier{who: from.Node, line: line}
 		s.carriers[line] = c
 		first := s.standing()
-		first.Hello, first.KnownPeers, first.Endpoints, first.EndpointsSynced, first.Proxies = s.hello(), s.known(), s.table.Own(now),
-			s.settled, s.table.Members()
+		first.Hello, first.KnownPeers, first.Endpoints, first.EndpointsSynced, first.Proxies = s.hello(), s.known(), s.table.Local(now),
+			s.settled, s.table.Proxies()
 		line.Send(first)
 	}
 	if c == nil {
@@ -203,7 +203,7 @@
 	if m.RenewLease > 0 {
 		line.Send(&rpc.Message{Lease: rpc.Lease{LeaseRenewed: m.RenewLease}, NoQuorum: !s.inTouch()})
 		c.renewed = m.RenewLease
-		s.table.Renew(now, rpc.ProxyInfo{Name: c.who.Name, Zone: c.who.Zone})
+		s.table.RenewLease(now, rpc.ProxyInfo{Name: c.who.Name, Zone: c.who.Zone})
 		s.steer.report(c, m)
 	}
 	for _, name := range m.FetchRegisters {
@@ -212,6 +212,6 @@
 		}
 	}
 	if m.ReleaseLease {
-		s.table.Release(c.who.Name)
+		s.table.ReleaseLease(c.who.Name)
 	}
 }
--- a/internal/controlplane/main.go
+++ b/internal/controlplane/main.go
@@ -59,7 +59,7 @@
 	s := New(Options{
 		Settings:  settings,
 		Disk:      store,
-		Known:     found.Known,
+		Known:     found.Complete,
 		Fresh:     found.Fresh,
 		Log:       log,
 		Clock:     clockwork.NewRealClock(),
@@ -89,10 +89,10 @@
 	return err
 }
 
-func logRecovery(log hclog.Logger, found storage.Found) {
-	log.Info("disk", "fresh", found.Fresh, "torn", found.Torn, "forgot", found.Forgot, "known", found.Known,
+func logRecovery(log hclog.Logger, found storage.Recovery) {
+	log.Info("disk", "fresh", found.Fresh, "torn", found.Torn, "forgot", found.LostData, "known", found.Complete,
 		"records", found.Records)
-	if found.Forgot {
+	if found.LostData {
 		log.Warn("the disk has forgotten something: it is a new one now, and votes once it has all that the others have")
 	}
 }
--- a/internal/controlplane/paxos/ballot_test.go
+++ b/internal/controlplane/paxos/paxos_test.go
@@ -41,10 +41,10 @@
 	}
 	for i := range c.proposers {
 		from := map[string]BallotNumber{}
-		for who, b := range w.proposers[i].From {
+		for who, b := range w.proposers[i].Responses {
 			from[who] = b
 		}
-		c.proposers[i].From = from
+		c.proposers[i].Responses = from
 	}
 	return &c
 }
@@ -70,7 +70,7 @@
 	p := &w.proposers[m.ballot.Incarnation-1]
 	switch m.kind {
 	case 'a':
-		if a.Promise(m.ballot) {
+		if a.Prepare(m.ballot) {
 			w.say(message{'p', m.acceptor, m.ballot, a.Accepted, a.Value})
 		}
 	case 'o':
@@ -93,12 +93,12 @@
 			}
 		}
 	case 'p':
-		if p.Promised(who, m.ballot, m.accepted, m.value) && len(p.From) >= 2 {
+		if p.OnPromise(who, m.ballot, m.accepted, m.value) && len(p.Responses) >= 2 {
 			value := int(m.ballot.Incarnation) // its own
-			if p.Best != (BallotNumber{}) && w.flaw != "own value" {
+			if p.HighestAccepted != (BallotNumber{}) && w.flaw != "own value" {
 				value = p.Value
 			}
-			p.Offer(value)
+			p.StartAccept(value)
 			if was, there := w.offered[m.ballot]; there && was != value {
 				return fmt.Errorf("ballot %v is offered with %d and %d", m.ballot, was, value)
 			}
@@ -108,7 +108,7 @@
 			}
 		}
 	case 'g':
-		if p.Agreed(who, m.ballot) && len(p.From) >= 2 && w.chosen != p.Value {
+		if p.OnAccepted(who, m.ballot) && len(p.Responses) >= 2 && w.chosen != p.Value {
 			return fmt.Errorf("%d is thought to be chosen, %d is", p.Value, w.chosen)
 		}
 	}
@@ -177,10 +177,10 @@
 	if !a.Learn(BallotNumber{Round: 5}, "five") || a.Value != "five" || a.Promised != (BallotNumber{Round: 9}) {
 		t.Errorf("%+v", a)
 	}
-	if !a.Learn(BallotNumber{Round: 12}, "twelve") || a.Promised != (BallotNumber{Round: 12}) || a.Promise(BallotNumber{Round: 11}) || a.Accept(BallotNumber{Round: 11}, "eleven") {
+	if !a.Learn(BallotNumber{Round: 12}, "twelve") || a.Promised != (BallotNumber{Round: 12}) || a.Prepare(BallotNumber{Round: 11}) || a.Accept(BallotNumber{Round: 11}, "eleven") {
 		t.Errorf("%+v", a)
 	}
-	if !a.Accept(BallotNumber{Round: 12}, "twelve") || !a.Promise(BallotNumber{Round: 12}) {
+	if !a.Accept(BallotNumber{Round: 12}, "twelve") || !a.Prepare(BallotNumber{Round: 12}) {
 		t.Errorf("what is asked again is refused: %+v", a)
 	}
 }
@@ -189,21 +189,21 @@
 func TestProposalCountsOnce(t *testing.T) {
 	var p Proposal[string]
 	b := BallotNumber{Round: 2, Incarnation: 1}
-	if p.Promised("x", b, BallotNumber{}, "") || p.Agreed("x", b) {
+	if p.OnPromise("x", b, BallotNumber{}, "") || p.OnAccepted("x", b) {
 		t.Error("nothing was begun")
 	}
 	p.Begin(b)
-	if !p.Promised("x", b, BallotNumber{Round: 1}, "one") || p.Promised("x", b, BallotNumber{Round: 1}, "one") || p.Promised("y", BallotNumber{Round: 1, Incarnation: 1}, BallotNumber{}, "") || p.Agreed("x", b) {
+	if !p.OnPromise("x", b, BallotNumber{Round: 1}, "one") || p.OnPromise("x", b, BallotNumber{Round: 1}, "one") || p.OnPromise("y", BallotNumber{Round: 1, Incarnation: 1}, BallotNumber{}, "") || p.OnAccepted("x", b) {
 		t.Errorf("%+v", p)
 	}
-	if !p.Promised("y", b, BallotNumber{}, "") || !p.Has("x") || p.Has("y") || p.Has("z") || p.Value != "one" {
+	if !p.OnPromise("y", b, BallotNumber{}, "") || !p.HasHighest("x") || p.HasHighest("y") || p.HasHighest("z") || p.Value != "one" {
 		t.Errorf("%+v", p)
 	}
-	p.Offer("new")
-	if p.Promised("z", b, BallotNumber{Round: 1, Incarnation: 5}, "late") || p.Answered("x") || !p.Agreed("x", b) || p.Agreed("x", b) || !p.Answered("x") || p.Value != "new" {
+	p.StartAccept("new")
+	if p.OnPromise("z", b, BallotNumber{Round: 1, Incarnation: 5}, "late") || p.HasResponded("x") || !p.OnAccepted("x", b) || p.OnAccepted("x", b) || !p.HasResponded("x") || p.Value != "new" {
 		t.Errorf("%+v", p)
 	}
-	if p.Stop(); p.Agreed("y", b) {
+	if p.Stop(); p.OnAccepted("y", b) {
 		t.Error("it was stopped")
 	}
 }
--- a/internal/controlplane/rollout/ballot.go
+++ b/internal/controlplane/rollout/ballot.go
@@ -88,11 +88,11 @@
 	case Ask, Offer:
 		s.vote(who, c, m)
 	case Promise:
-		if c.prop.Promised(who, m.Ballot, m.Accepted, m.Value) {
+		if c.prop.OnPromise(who, m.Ballot, m.Accepted, m.Value) {
 			s.promised(c)
 		}
 	case Agreed:
-		if _, agree := s.Quorums(); c.prop.Agreed(who, m.Ballot) && len(c.prop.From) >= agree {
+		if _, agree := s.Quorums(); c.prop.OnAccepted(who, m.Ballot) && len(c.prop.Responses) >= agree {
 			s.end(c, c.prop.Value)
 		}
 	case Higher:
@@ -115,7 +115,7 @@
 	}
 	answer := Message{Version: c.Version, Ballot: m.Ballot}
 	switch {
-	case m.Kind == Ask && c.Promise(m.Ballot):
+	case m.Kind == Ask && c.Prepare(m.Ballot):
 		answer.Kind, answer.Accepted, answer.Value = Promise, c.Accepted, c.Value
 	case m.Kind == Offer && c.Accept(m.Ballot, m.Value):
 		if answer.Kind = Agreed; c.lookAt == neverYet {
@@ -178,18 +178,18 @@
 
 // promised goes on with what the greatest ballot accepted; its own judgement counts only where there is none.
 func (s *Steward) promised(c *change) {
-	if ask, _ := s.Quorums(); len(c.prop.From) < ask {
+	if ask, _ := s.Quorums(); len(c.prop.Responses) < ask {
 		return
 	}
 	value := c.prop.Value
-	if c.prop.Best == (BallotNumber{}) {
+	if c.prop.HighestAccepted == (BallotNumber{}) {
 		if value = s.wish(c); value.none() {
 			c.prop.Stop()
 			c.lookAt = neverYet
 			return
 		}
 	}
-	c.prop.Offer(value)
+	c.prop.StartAccept(value)
 	s.spread(Message{Kind: Offer, Version: c.Version, Ballot: c.prop.Ballot, Value: value})
 }
 
--- a/internal/controlplane/rollout/every_test.go
+++ b/internal/controlplane/rollout/every_test.go
@@ -16,7 +16,7 @@
 
 func (c *change) clone() *change {
 	d := *c
-	d.asked, d.says, d.prop.From = maps.Clone(c.asked), maps.Clone(c.says), maps.Clone(c.prop.From)
+	d.asked, d.says, d.prop.Responses = maps.Clone(c.asked), maps.Clone(c.says), maps.Clone(c.prop.Responses)
 	return &d
 }
 
@@ -146,9 +146,9 @@
 					uint64(c.prop.Phase), uint64(c.since))
 			}
 			if p := c.prop; p.Phase != paxos.Idle {
-				b = put(b, p.Ballot.Round, p.Ballot.Incarnation, p.Best.Round, p.Best.Incarnation, uint64(len(p.From)))
-				for _, f := range slices.Sorted(maps.Keys(p.From)) {
-					b = put(append(b, f...), p.From[f].Round, p.From[f].Incarnation)
+				b = put(b, p.Ballot.Round, p.Ballot.Incarnation, p.HighestAccepted.Round, p.HighestAccepted.Incarnation, uint64(len(p.Responses)))
+				for _, f := range slices.Sorted(maps.Keys(p.Responses)) {
+					b = put(append(b, f...), p.Responses[f].Round, p.Responses[f].Incarnation)
 				}
 				b = putDecision(b, p.Value)
 			}
--- a/internal/controlplane/rollout/world_test.go
+++ b/internal/controlplane/rollout/world_test.go
@@ -189,7 +189,7 @@
 			w.push(i, k, Told{Take, Target{m.Version, m.Value.Digest}})
 		}
 	}
-	if c := w.st[i].changes[m.Version]; !m.Value.Taken || c == nil || c.prop.Best != (BallotNumber{}) {
+	if c := w.st[i].changes[m.Version]; !m.Value.Taken || c == nil || c.prop.HighestAccepted != (BallotNumber{}) {
 		return
 	}
 	live, have := map[string]int{}, map[string]int{}
--- a/internal/controlplane/steer.go
+++ b/internal/controlplane/steer.go
@@ -60,13 +60,13 @@
 func (t *steerer) step(now time.Duration) {
 	if !t.counted {
 		t.counted = true
-		t.b.Members(t.s.table.Members())
+		t.b.Members(t.s.table.Proxies())
 	}
 	if t.dirty {
 		t.dirty = false
 		evacuated := t.s.evacuated()
 		var all []steering.Backend
-		for _, l := range t.s.table.Lives() {
+		for _, l := range t.s.table.Active() {
 			if l.Service != "" {
 				all = append(all, steering.Backend{ID: l.ID, Service: l.Service, Zone: l.Zone, Capacity: l.Capacity,
 					Ready: l.State == rpc.Ready && !evacuated[l.Zone]})
--- a/internal/controlplane/storage/record_test.go
+++ b/internal/controlplane/storage/store_test.go
@@ -17,7 +17,7 @@
 	"elmfold/internal/gateway/apierror"
 )
 
-func mustOpen(t testing.TB, dir string, most int64) (*Store, Found) {
+func mustOpen(t testing.TB, dir string, most int64) (*Store, Recovery) {
 	t.Helper()
 	s, found, err := Open(dir, most)
 	if err != nil {
@@ -67,11 +67,11 @@
 func three(t testing.TB) (name string, file []byte, ends []int) {
 	dir := t.TempDir()
 	s, found := mustOpen(t, dir, 0)
-	if found != (Found{Fresh: true}) {
+	if found != (Recovery{Fresh: true}) {
 		t.Fatal(found)
 	}
-	ends = append(ends, int(s.size))
-	steps := []func() error{s.Know, func() error { return s.Put("a", []byte("one")) },
+	ends = append(ends, int(s.logBytes))
+	steps := []func() error{s.MarkComplete, func() error { return s.Put("a", []byte("one")) },
 		func() error { return s.Put("b", []byte("two")) }, func() error { return s.Put("a", []byte("three")) }}
 	for _, step := range steps {
 		if err := step(); err != nil {
@@ -95,7 +95,7 @@
 		// Cut off, and as a hole of zeros, as a disk leaves a write that it had begun.
 		for _, tail := range [][]byte{nil, make([]byte, len(file)-cut)} {
 			dir := place(t, name, append(slices.Clone(file[:cut]), tail...))
-			want, found := map[string]string{"a": "one", "b": "two"}, Found{Torn: cut+len(tail) > last, Known: true, Records: 2}
+			want, found := map[string]string{"a": "one", "b": "two"}, Recovery{Torn: cut+len(tail) > last, Complete: true, Records: 2}
 			if cut == len(file) {
 				want["a"], found.Torn = "three", false
 			}
@@ -132,11 +132,11 @@
 			delete(want, "b")
 		}
 		forgot := !frame && hit < 4
-		if !found.Torn || found.Forgot != forgot || found.Known == forgot || !maps.Equal(all(s), want) {
+		if !found.Torn || found.LostData != forgot || found.Complete == forgot || !maps.Equal(all(s), want) {
 			t.Fatalf("byte %d (entry %d): %+v %v", at, hit, found, all(s))
 		}
 		_ = s.Close()
-		again := Found{Known: !forgot, Records: len(want)}
+		again := Recovery{Complete: !forgot, Records: len(want)}
 		if s, found = mustOpen(t, dir, 0); found != again || !maps.Equal(all(s), want) {
 			t.Fatalf("byte %d, opened again: %+v %v", at, found, all(s))
 		}
@@ -145,7 +145,7 @@
 
 // faulty is a log whose disk can be made to fail, and which knows what was synced.
 type faulty struct {
-	journal
+	segmentLog
 	disk *disk
 }
 
@@ -160,7 +160,7 @@
 	held   chan struct{}
 }
 
-func (d *disk) open(path string) (journal, error) {
+func (d *disk) open(path string) (segmentLog, error) {
 	inner, err := wal.Open(path, &wal.Options{NoSync: true, SegmentSize: 1 << 40})
 	return faulty{inner, d}, err
 }
@@ -169,7 +169,7 @@
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
 	if !f.disk.full {
-		return f.journal.WriteBatch(b)
+		return f.segmentLog.WriteBatch(b)
 	}
 	// The front of the commit still found room.
 	files, _ := filepath.Glob(filepath.Join(f.disk.dir, folder, "*"))
@@ -191,7 +191,7 @@
 	f.disk.syncs++
 	files, _ := filepath.Glob(filepath.Join(f.disk.dir, folder, "*"))
 	f.disk.synced, _ = os.ReadFile(files[0])
-	return f.journal.Sync()
+	return f.segmentLog.Sync()
 }
 
 // A loss of power at the moment that a Put returns leaves what was synced: the record must be in it.
@@ -236,7 +236,7 @@
 	}
 	_ = s.Close()
 	s, found := mustOpen(t, d.dir, 0)
-	if want := map[string]string{"a": "one", "b": "three"}; found != (Found{Records: 2}) || !maps.Equal(all(s), want) {
+	if want := map[string]string{"a": "one", "b": "three"}; found != (Recovery{Records: 2}) || !maps.Equal(all(s), want) {
 		t.Fatal(found, all(s))
 	}
 }
@@ -283,22 +283,22 @@
 		if err := s.Put("v", value); err != nil {
 			t.Fatal(i, err)
 		}
-		if s.size+s.liveSz > most {
-			t.Fatal(s.size, s.liveSz)
+		if s.logBytes+s.liveBytes > most {
+			t.Fatal(s.logBytes, s.liveBytes)
 		}
 	}
-	if err := s.Put("w", value); !errors.Is(err, errRoom) {
+	if err := s.Put("w", value); !errors.Is(err, errDiskFull) {
 		t.Fatal(err)
 	}
 	put(t, s, "old", "still kept")
 	_ = s.Close()
-	if s.liveSz != s.measure() || logFile(t, dir) == "00000000000000000001" {
-		t.Fatal(s.liveSz, s.measure())
+	if s.liveBytes != s.liveSize() || logFile(t, dir) == "00000000000000000001" {
+		t.Fatal(s.liveBytes, s.liveSize())
 	}
 	name := filepath.Base(logFile(t, dir))
 	file, _ := os.ReadFile(logFile(t, dir))
-	next := snapshot(s.next, s.live)
-	newName := fmt.Sprintf("%020d", s.next)
+	next := encodeSnapshot(s.nextSeq, s.live)
+	newName := fmt.Sprintf("%020d", s.nextSeq)
 	for file2, data := range map[string][]byte{newName + ".TEMP": next[:len(next)/2], newName: next} {
 		for _, torn := range []int{0, 5} { // of the old one
 			dir := place(t, name, file[:len(file)-torn])
@@ -309,7 +309,7 @@
 			old, _ := s.Get("old")
 			got, _ := s.Get("v")
 			lost := torn > 0 && file2 != newName
-			if found != (Found{Torn: lost, Records: 2}) || !bytes.Equal(got, value) || lost != (string(old) == "kept") {
+			if found != (Recovery{Torn: lost, Records: 2}) || !bytes.Equal(got, value) || lost != (string(old) == "kept") {
 				t.Fatalf("%s: %+v %q", file2, found, old)
 			}
 			put(t, s, "after", "")
--- a/internal/gateway/bootconfig/bootconfig.go
+++ b/internal/gateway/bootconfig/bootconfig.go
@@ -29,18 +29,18 @@
 
 // Settings are what the platform tells a process.
 type Settings struct {
-	Name      string            `json:"nodeName"`
-	Role      string            `json:"role"`
-	IP        string            `json:"ip"`
-	Zone      string            `json:"zone"`
-	Region    string            `json:"region"`
-	Zones     map[string]string `json:"zones"`     // the region of each zone
-	Listen    map[string]string `json:"listen"`    // "ip:port" by purpose, see ListenClients
+	Name   string            `json:"nodeName"`
+	Role   string            `json:"role"`
+	IP     string            `json:"ip"`
+	Zone   string            `json:"zone"`
+	Region string            `json:"region"`
+	Zones  map[string]string `json:"zones"`  // the region of each zone
+	Listen map[string]string `json:"listen"` // "ip:port" by purpose, see ListenClients
 	// first and last port that is free for the system; the same on all machines
-	PortRange [2]int            `json:"portRange"`
-	Seeds     []string          `json:"seedNodes"` // control addresses of the nodes that found the control plane
-	Bootstrap bool              `json:"bootstrap"` // this is the first start of the whole system
-	Counted   bool              `json:"counted"`   // the machine counts towards FaultBudget.Machines
+	PortRange [2]int   `json:"portRange"`
+	Seeds     []string `json:"seedNodes"` // control addresses of the nodes that found the control plane
+	Bootstrap bool     `json:"bootstrap"` // this is the first start of the whole system
+	Counted   bool     `json:"counted"`   // the machine counts towards FaultBudget.Machines
 
 	Limits            Limits      `json:"limits"`
 	DataDir           string      `json:"dataDir"` // the folder on this machine's disk
@@ -66,8 +66,8 @@
 
 // Bounds are the figures of the platform's rules. Default has their defaults.
 type Bounds struct {
-	SeedLag         Seconds `json:"seedLagS"`     // by which callers' lists of control-plane nodes lag; default 3
-	AddrReuse       Seconds `json:"addrReuseS"`   // until the address of an ended endpoint may serve another; default 2
+	SeedLag   Seconds `json:"seedLagS"`   // by which callers' lists of control-plane nodes lag; default 3
+	AddrReuse Seconds `json:"addrReuseS"` // until the address of an ended endpoint may serve another; default 2
 	// of undisturbed contact before a machine is held to the rules; default 3
 	Contact         Seconds `json:"contactS"`
 	Ack             Seconds `json:"ackS"`         // within which callers may repeat a control call; default 5
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -99,7 +99,7 @@
 	slices.Reverse(all)
 	for _, at := range all {
 		if e.HasMajority(func(v rpc.Voter) bool { r, ok := renewed[v.Name]; return ok && r >= at }) {
-			return at + registry.RightFor, true
+			return at + registry.LeaseUseDuration, true
 		}
 	}
 	return 0, false
--- a/internal/proxy/core_test.go
+++ b/internal/proxy/core_test.go
@@ -128,7 +128,7 @@
 		{moved, answers{"d": 9 * s, "e": 9 * s, "a": 9 * s, "b": 5 * s}, 5 * s},
 	} {
 		until, ok := rightUntil(k.epoch, k.by)
-		if ok != (k.want >= 0) || ok && until != k.want+registry.RightFor {
+		if ok != (k.want >= 0) || ok && until != k.want+registry.LeaseUseDuration {
 			t.Errorf("%d: %v, %v", i, until, ok)
 		}
 	}
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -59,7 +59,7 @@
 		d.before = nil
 	}
 	if noticed {
-		delete(d.live, storage.Marker)
+		delete(d.live, storage.CompleteMarker)
 	}
 }
 
@@ -73,7 +73,7 @@
 func (d *Disk) Open(h *Host) (o *handle, known, fresh bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, known = d.live[storage.Marker]
+	_, known = d.live[storage.CompleteMarker]
 	return &handle{d, h}, known, len(d.live) == 0
 }
 
@@ -82,7 +82,7 @@
 	defer o.d.mu.Unlock()
 	all := map[string][]byte{}
 	for name, v := range o.d.live {
-		if name != storage.Marker {
+		if name != storage.CompleteMarker {
 			all[name] = bytes.Clone(v)
 		}
 	}
