--- a/internal/bench/controlplane/carrier.go
+++ b/internal/bench/controlplane/carrier.go
@@ -66,7 +66,7 @@
 		}
 	})
 	r, known := all[zone]
-	return known && consensus.Evacuated(r.Value), heard
+	return known && consensus.IsEvacuated(r.Value), heard
 }
 
 // whole says whether a controller's first word to a new carrier claims to be all that there is.
@@ -153,7 +153,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r, known := c.told[zone]
-	return known && consensus.Evacuated(r.Value)
+	return known && consensus.IsEvacuated(r.Value)
 }
 
 // evacuatedIs waits until both a carrier that was there and a new one hold a zone to be evacuated, or not to be, and
--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -211,8 +211,8 @@
 
 // ask puts a question to the replica and waits. What cannot be begun is said at once: it was not done and will not be.
 // Of what was begun and got no answer nothing is known.
-func (s *Server) ask(r *http.Request, asked time.Time, event func(token uint64) consensus.Event) (consensus.Done, error) {
-	done := make(chan consensus.Done, 1)
+func (s *Server) ask(r *http.Request, asked time.Time, event func(token uint64) consensus.Event) (consensus.RequestDone, error) {
+	done := make(chan consensus.RequestDone, 1)
 	failed := make(chan error, 1)
 	s.queue.Do(func() {
 		switch {
@@ -233,21 +233,21 @@
 	})
 	select {
 	case d := <-done:
-		switch d.Fate {
-		case consensus.Taken:
+		switch d.Outcome {
+		case consensus.Committed:
 			return d, nil
-		case consensus.Refused:
+		case consensus.Conflict:
 			return d, apierror.New(apierror.VersionConflict, "generation", nil)
-		case consensus.Untaken:
+		case consensus.Aborted:
 			return d, apierror.New(apierror.Unavailable, "", nil)
 		}
 		return d, apierror.New(apierror.OutcomeUnknown, "", nil)
 	case err := <-failed:
-		return consensus.Done{}, err
+		return consensus.RequestDone{}, err
 	case <-s.queue.Stopped():
-		return consensus.Done{}, apierror.New(apierror.OutcomeUnknown, "", nil)
-	case <-s.o.Clock.After(consensus.WriteWithin + time.Second):
-		return consensus.Done{}, apierror.New(apierror.OutcomeUnknown, "", nil)
+		return consensus.RequestDone{}, apierror.New(apierror.OutcomeUnknown, "", nil)
+	case <-s.o.Clock.After(consensus.RequestTimeout + time.Second):
+		return consensus.RequestDone{}, apierror.New(apierror.OutcomeUnknown, "", nil)
 	}
 }
 
@@ -261,14 +261,14 @@
 		return nil, err
 	}
 	_, err = s.ask(r, asked, func(token uint64) consensus.Event {
-		return consensus.Change{Token: token, Name: charterName,
-			Apply: consensus.Replace(uint64(c.Version), c.Digest, bytes.Clone(text))}
+		return consensus.Propose{RequestID: token, Register: charterName,
+			Change: consensus.ReplaceConfig(uint64(c.Version), c.Digest, bytes.Clone(text))}
 	})
 	return []byte("{}"), err
 }
 
 func (s *Server) read(r *http.Request, asked time.Time) ([]byte, error) {
-	d, err := s.ask(r, asked, func(token uint64) consensus.Event { return consensus.Read{Token: token, Name: charterName} })
+	d, err := s.ask(r, asked, func(token uint64) consensus.Event { return consensus.ReadRequest{RequestID: token, Register: charterName} })
 	if err == nil && d.Version == (consensus.Version{}) {
 		err = apierror.New(apierror.Unavailable, "", errors.New("there is no configuration yet"))
 	}
@@ -281,7 +281,7 @@
 	}
 	at, within := uint64(s.o.TimeOfDay().UnixMilli()), s.o.Settings.Bounds.Ack.Duration()+callerPause
 	_, err := s.ask(r, asked, func(token uint64) consensus.Event {
-		return consensus.Change{Token: token, Name: zonePrefix + zone, Apply: consensus.Evacuate(begins, rand.Uint64(), within, at)}
+		return consensus.Propose{RequestID: token, Register: zonePrefix + zone, Change: consensus.Evacuate(begins, rand.Uint64(), within, at)}
 	})
 	return []byte("{}"), err
 }
--- a/internal/controlplane/consensus/acknowledger_test.go
+++ b/internal/controlplane/consensus/acknowledger_test.go
@@ -12,10 +12,10 @@
 		w.run(4000 * ms)
 		i := int(seed) % shape[0]
 		q := w.configuration(i, 1, 7)
-		for q.fate != Taken && w.now < 6000*ms && w.fault == "" {
+		for q.fate != Committed && w.now < 6000*ms && w.fault == "" {
 			w.run(w.now + ms)
 		}
-		if q.fate != Taken {
+		if q.fate != Committed {
 			t.Errorf("seed %d: it is not taken: %v %s", seed, q, w.fault)
 			continue
 		}
@@ -25,7 +25,7 @@
 			if j == i {
 				continue
 			}
-			if r, is := m.r.InForce(charter); !is || r.Version.Number != 1 {
+			if r, is := m.r.CommittedValue(charter); !is || r.Version.Number != 1 {
 				t.Errorf("seed %d: %s has not heard of it", seed, m.who.Name)
 			}
 		}
--- a/internal/controlplane/consensus/bounded_test.go
+++ b/internal/controlplane/consensus/bounded_test.go
@@ -31,15 +31,15 @@
 			queue = append(queue, c.nodes[i].Step(c.now, Persisted{Seq: o.Seq})...)
 		case Send:
 			for j, r := range c.nodes {
-				if r != nil && r.o.Me.Name == o.To {
-					c.queue = append(c.queue, func() { c.step(j, Heard{controllerOf(i).Name, o.Message}) })
+				if r != nil && r.options.Self.Name == o.To {
+					c.queue = append(c.queue, func() { c.step(j, MessageReceived{controllerOf(i).Name, o.Message}) })
 				}
 			}
-		case Done:
-			if o.Fate == Taken {
+		case RequestDone:
+			if o.Outcome == Committed {
 				c.done++
 			}
-		case Left:
+		case HandedOver:
 			c.left++
 		}
 	}
@@ -69,18 +69,33 @@
 func (c *calm) start(t *testing.T, i int, life uint64, first bool) {
 	t.Helper()
 	records := maps.Clone(c.records[i])
-	_, known := records[recordMark]
-	delete(records, recordMark)
-	m, err := Load(controllerOf(i).Name, records, known, first, fmt.Sprintf("d%d.%d", i, life))
+	_, known := records[recordComplete]
+	delete(records, recordComplete)
+	m, err := LoadState(controllerOf(i).Name, records, known, first, fmt.Sprintf("d%d.%d", i, life))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.nodes[i] = New(Options{Me: controllerOf(i), Life: life<<32 | uint64(i), Faults: 1, Seeds: []string{"a0", "a1", "a2"}, Memory: m})
+	c.nodes[i] = New(
+		Options{
+			Self:        controllerOf(i),
+			Incarnation: life<<32 | uint64(i),
+			MaxFaults:   1,
+			Seeds:       []string{"a0", "a1", "a2"},
+			State:       m,
+		},
+	)
 	c.step(i)
 	for j, r := range c.nodes {
 		if r != nil && j != i {
-			c.step(i, Up{Who: controllerOf(j), Disk: r.Disk(), Blank: r.Blank()})
-			c.step(j, Up{Who: controllerOf(i), Disk: c.nodes[i].Disk(), Blank: c.nodes[i].Blank()})
+			c.step(i, PeerConnected{Node: controllerOf(j), StoreID: r.StoreID(), MayHaveLostState: r.MayHaveLostState()})
+			c.step(
+				j,
+				PeerConnected{
+					Node:             controllerOf(i),
+					StoreID:          c.nodes[i].StoreID(),
+					MayHaveLostState: c.nodes[i].MayHaveLostState(),
+				},
+			)
 		}
 	}
 	c.settle()
@@ -107,11 +122,11 @@
 	for name, value := range c.records[i] {
 		disk += len(name) + len(value)
 	}
-	return disk, len(rpc.Encode(c.nodes[i].all(0))), len(c.nodes[i].key(nil))
+	return disk, len(rpc.Encode(&rpc.Message{Consensus: c.nodes[i].stateReport(0)})), len(c.nodes[i].key(nil))
 }
 
-// After ten thousand changes, restarts and new controllers, a disk, a message and a process are as small as after a hundred; and a
-// member that was away for all of it has all within one exchange.
+// After ten thousand changes, restarts and new controllers, a disk, a message and a process are as small as after a
+// hundred; and a member that was away for all of it has all within one exchange.
 func TestBoundedOverChanges(t *testing.T) {
 	t.Parallel()
 	c := newCalm(t, 4)
@@ -121,9 +136,19 @@
 			version++
 			i := k % 3
 			if k%5 == 4 {
-				c.step(i, Change{version, fmt.Sprint("zone/", k%2), Evacuate(k%4 < 2, version, ms, 1_700_000_000_000+version*1000)})
+				c.step(
+					i,
+					Propose{version, fmt.Sprint("zone/", k%2), Evacuate(k%4 < 2, version, ms, 1_700_000_000_000+version*1000)},
+				)
 			} else {
-				c.step(i, Change{version, charter, Replace(version, version*2654435761, fmt.Appendf(nil, "configuration %08d", version))})
+				c.step(
+					i,
+					Propose{
+						version,
+						charter,
+						ReplaceConfig(version, version*2654435761, fmt.Appendf(nil, "configuration %08d", version)),
+					},
+				)
 			}
 			c.settle()
 			if k%20 == 0 {
@@ -136,21 +161,29 @@
 	disk, words, memory := c.sizes(0)
 	c.nodes[3] = nil // away
 	for i := range 3 {
-		c.step(i, Down{controllerOf(3).Name})
+		c.step(i, PeerDisconnected{controllerOf(3).Name})
 	}
 	changes(10_000)
 	if c.done != 10_100 {
 		t.Fatalf("%d of 10100 were taken", c.done)
 	}
 	disk2, words2, memory2 := c.sizes(0)
-	t.Logf("after 100 and after 10,100 changes: disk %d and %d bytes, what it says it has %d and %d, the process's state %d and %d", disk, disk2, words, words2, memory, memory2)
+	t.Logf(
+		"after 100 and after 10,100 changes: disk %d and %d bytes, what it says it has %d and %d, the process's state %d and %d",
+		disk,
+		disk2,
+		words,
+		words2,
+		memory,
+		memory2,
+	)
 	if disk2 > disk+64 || words2 > words+32 || memory2 > memory+256 {
 		t.Error("it grows with the number of changes")
 	}
 	c.start(t, 3, 2, false)
 	for _, name := range []string{charter, "zone/0", "zone/1"} {
-		want, _ := c.nodes[0].InForce(name)
-		if got, _ := c.nodes[3].InForce(name); got.Version != want.Version {
+		want, _ := c.nodes[0].CommittedValue(name)
+		if got, _ := c.nodes[3].CommittedValue(name); got.Version != want.Version {
 			t.Errorf("the one that was away has %s %v after one exchange, not %v", name, got.Version, want.Version)
 		}
 	}
@@ -162,7 +195,7 @@
 		}
 		for j := range c.nodes {
 			if j != i {
-				c.step(j, Down{controllerOf(i).Name})
+				c.step(j, PeerDisconnected{controllerOf(i).Name})
 			}
 		}
 		c.start(t, i, life, false)
@@ -170,7 +203,13 @@
 	}
 	disk3, words3, memory3 := c.sizes(0)
 	e := c.nodes[0].Epoch()
-	t.Logf("... and after 50 restarts, 16 of them with new disks (epoch %d): %d, %d and %d", e.Number, disk3, words3, memory3)
+	t.Logf(
+		"... and after 50 restarts, 16 of them with new disks (epoch %d): %d, %d and %d",
+		e.Number,
+		disk3,
+		words3,
+		memory3,
+	)
 	if e.Number < 20 || disk3 > disk+128 || words3 > words+32 || memory3 > memory+512 {
 		t.Error("it grows with the number of restarts")
 	}
--- a/internal/controlplane/consensus/clone_test.go
+++ b/internal/controlplane/consensus/clone_test.go
@@ -9,7 +9,8 @@
 	"unsafe"
 )
 
-// A Replica is copied and told from others by its memory, whatever its fields are: none is forgotten as the code changes.
+// A Replica is copied and told from others by its memory, whatever its fields are: none is forgotten as the code
+// changes.
 
 type handler struct {
 	plain bool // no pointers in it: its bytes are all
@@ -23,7 +24,12 @@
 )
 
 // skipped are fields that say nothing of what a Replica will do.
-var skipped = map[string]bool{"Replica.o": true, "Replica.orders": true, "Replica.seq": true, "order.apply": true}
+var skipped = map[string]bool{
+	"Replica.options":  true,
+	"Replica.actions":  true,
+	"Replica.writeSeq": true,
+	"request.change":   true,
+}
 
 func handlerOf(t reflect.Type) *handler {
 	handlersMu.Lock()
@@ -245,7 +251,7 @@
 func (r *Replica) clone() *Replica {
 	c := new(Replica)
 	replicaHandler().copy(unsafe.Pointer(c), unsafe.Pointer(r))
-	c.orders = nil
+	c.actions = nil
 	return c
 }
 
--- a/internal/controlplane/consensus/drawn_test.go
+++ b/internal/controlplane/consensus/drawn_test.go
@@ -268,7 +268,7 @@
 	}
 	m.leftToEnd = func() { d.after(d.upTo(50*ms), left) }
 	d.after(grace, left)
-	d.step(i, Leave{})
+	d.step(i, ShutDown{})
 }
 
 // squeeze lets those that miss a change meet only those that had it and are wiped: the tightest that may be.
@@ -304,8 +304,8 @@
 	}
 }
 
-// checkEnd: after the faults all hold the same, know it to be chosen, and nothing that was acknowledged is missing; each
-// takes an order and answers a read; the voters are those that are there.
+// checkEnd: after the faults all hold the same, know it to be chosen, and nothing that was acknowledged is missing;
+// each takes an order and answers a read; the voters are those that are there.
 func (d *days) checkEnd(probes []*operation) {
 	var newest Epoch
 	for _, e := range d.epochs {
@@ -321,7 +321,7 @@
 	}
 	spare := 0
 	for _, m := range d.machines {
-		if m.r != nil && !newest.IsVoter(m.r.Disk()) {
+		if m.r != nil && !newest.IsVoter(m.r.StoreID()) {
 			spare++
 		}
 	}
@@ -348,26 +348,39 @@
 			d.failf("%s is down", m.who.Name)
 			return
 		}
-		if m.r.Epoch().Number != newest.Number || !m.r.InTouch(d.now-m.startAt) {
-			d.failf("%s is in epoch %d of %d, in touch: %v", m.who.Name, m.r.Epoch().Number, newest.Number, m.r.InTouch(d.now-m.startAt))
+		if m.r.Epoch().Number != newest.Number || !m.r.HasQuorum(d.now-m.startAt) {
+			d.failf(
+				"%s is in epoch %d of %d, in touch: %v",
+				m.who.Name,
+				m.r.Epoch().Number,
+				newest.Number,
+				m.r.HasQuorum(d.now-m.startAt),
+			)
 		}
 		if first == nil {
 			first = m
 		}
 		for name := range names {
-			v, chosen := m.r.Newest(name)
-			f, _ := first.r.Newest(name)
-			force, is := m.r.InForce(name)
+			v, chosen := m.r.Accepted(name)
+			f, _ := first.r.Accepted(name)
+			force, is := m.r.CommittedValue(name)
 			if v.Version != f.Version || string(v.Value) != string(f.Value) {
 				d.failf("%s has %s %v at the end, %s has %v", m.who.Name, name, v.Version, first.who.Name, f.Version)
 			}
 			if v.Version != (Version{}) && (!chosen || !is || force.Version != v.Version) {
-				d.failf("%s does not know %s %v to be chosen at the end: %v, in force %v", m.who.Name, name, v.Version, chosen, force.Version)
+				d.failf(
+					"%s does not know %s %v to be chosen at the end: %v, in force %v",
+					m.who.Name,
+					name,
+					v.Version,
+					chosen,
+					force.Version,
+				)
 			}
 		}
 	}
 	for _, q := range probes {
-		if q != nil && (q.ret == endless || q.fate != Taken) {
+		if q != nil && (q.ret == endless || q.fate != Committed) {
 			d.failf("after the faults this is not taken: %v", q)
 		}
 	}
@@ -377,7 +390,7 @@
 	return playTraced(seed, s, f, log, nil)
 }
 
-func playTraced(seed uint64, s story, f driverFlaws, log func(string, ...any), trace func(int, Order)) *world {
+func playTraced(seed uint64, s story, f driverFlaws, log func(string, ...any), trace func(int, Action)) *world {
 	n, faults := sizes(seed, s.budget)
 	w := newWorld(seed, n, faults, f, log)
 	w.trace = trace
@@ -484,7 +497,13 @@
 	if failed > 0 {
 		t.Errorf("%d of %d seeds failed", failed, to-from)
 	}
-	t.Logf("%d days, %d answers, %d epochs, longest without an order taken (simulated, where that is asked) %v", to-from, done, epochs, blocked)
+	t.Logf(
+		"%d days, %d answers, %d epochs, longest without an order taken (simulated, where that is asked) %v",
+		to-from,
+		done,
+		epochs,
+		blocked,
+	)
 	if done < int(to-from)*20 || epochs < int(to-from)*2 {
 		t.Errorf("only %d answers and %d epochs: this shows little", done, epochs)
 	}
--- a/internal/controlplane/consensus/memory_test.go
+++ b/internal/controlplane/consensus/durablestate_test.go
@@ -26,42 +26,56 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return map[string][]byte{oldFounders: text, oldReg + charter: oldRegister(7, 99, "seven"), oldReg + "zone/a": oldRegister(1_700_000_000_000, 3, "2b")}
+	return map[string][]byte{
+		legacyFounders:                  text,
+		legacyRegisterPrefix + charter:  oldRegister(7, 99, "seven"),
+		legacyRegisterPrefix + "zone/a": oldRegister(1_700_000_000_000, 3, "2b"),
+	}
 }
 
-func load(t *testing.T, records map[string][]byte, known, first bool) Memory {
+func load(t *testing.T, records map[string][]byte, known, first bool) DurableState {
 	t.Helper()
-	m, err := Load("c0", records, known, first, "drawn")
+	m, err := LoadState("c0", records, known, first, "drawn")
 	if err != nil {
 		t.Fatal(err)
 	}
 	return m
 }
 
-func checkOld(t *testing.T, what string, m Memory) {
+func checkOld(t *testing.T, what string, m DurableState) {
 	t.Helper()
-	if m.Disk != "first:c0" || m.Blank || m.Epoch.Number != 1 || len(m.Epoch.Voters) != 3 || m.Epoch.Voters[2].StoreID != "first:c2" {
-		t.Errorf("%s: disk %s, blank %v, epoch %d, voters %v", what, m.Disk, m.Blank, m.Epoch.Number, ids(m.Epoch.Voters))
+	if m.StoreID != "first:c0" || m.MayHaveLostState || m.Epoch.Number != 1 || len(m.Epoch.Voters) != 3 ||
+		m.Epoch.Voters[2].StoreID != "first:c2" {
+		t.Errorf(
+			"%s: disk %s, blank %v, epoch %d, voters %v",
+			what,
+			m.StoreID,
+			m.MayHaveLostState,
+			m.Epoch.Number,
+			ids(m.Epoch.Voters),
+		)
 	}
 	c, z := m.Acceptors[charter], m.Acceptors["zone/a"]
-	if c.Value.Version != (Version{Number: 7, ID: 99}) || string(c.Value.Value) != "seven" || c.Accepted != (BallotNumber{Round: 7, Incarnation: 99}) || c.Value.Name != charter {
+	if c.Value.Version != (Version{Number: 7, ID: 99}) || string(c.Value.Value) != "seven" ||
+		c.Accepted != (BallotNumber{Round: 7, Incarnation: 99}) ||
+		c.Value.Name != charter {
 		t.Errorf("%s: %+v", what, c)
 	}
-	if n, last, _ := open(z.Value.Value); n != 2 || last != begun {
+	if e := parseEvacuations(z.Value.Value); e.open != 2 || e.last != lastBegan {
 		t.Errorf("%s: %q", what, z.Value.Value)
 	}
 }
 
-// A disk of the version before is one of its founders, with all that it held; and so it is if power is lost at whatever step
-// of its first start with this version.
+// A disk of the version before is one of its founders, with all that it held; and so it is if power is lost at
+// whatever step of its first start with this version.
 func TestLoadDiskOfTheVersionBefore(t *testing.T) {
 	records := oldRecords(t, 3)
 	m := load(t, records, true, false)
 	checkOld(t, "first start", m)
-	if m.Born {
+	if m.Identified {
 		t.Error("it votes before its records are of this version")
 	}
-	r := New(Options{Me: controllerOf(0), Life: 1, Faults: 1, Seeds: []string{"a0"}, Memory: m})
+	r := New(Options{Self: controllerOf(0), Incarnation: 1, MaxFaults: 1, Seeds: []string{"a0"}, State: m})
 	var puts []Persist
 	for _, o := range r.Step(0) {
 		if p, is := o.(Persist); is {
@@ -71,7 +85,7 @@
 	for n := range len(puts) + 1 {
 		disk := maps.Clone(records)
 		for _, p := range puts[:n] {
-			if disk[p.Record] = p.Value; p.Record == recordMark {
+			if disk[p.Record] = p.Value; p.Record == recordComplete {
 				delete(disk, p.Record) // it was known before; Load is told so
 			}
 		}
@@ -83,14 +97,14 @@
 // What is not known to be whole is somebody new, and keeps nothing of who it was.
 func TestLoadForgottenDisk(t *testing.T) {
 	records := oldRecords(t, 3)
-	records[recordDisk] = pack(diskRecord{"d1", true})
+	records[recordDisk] = marshal(diskRecord{"d1", true})
 	records[recordEpoch] = encodeEpoch(Epoch{Number: 4})
-	records[recordOf(charter)] = encode(4, load(t, oldRecords(t, 3), true, false).Acceptors[charter])
+	records[registerRecordName(charter)] = encodeRegister(4, load(t, oldRecords(t, 3), true, false).Acceptors[charter])
 	m := load(t, records, false, false)
-	if m.Disk != "drawn" || !m.Blank || m.Born || m.Epoch.Number != 0 || len(m.Acceptors) > 0 {
+	if m.StoreID != "drawn" || !m.MayHaveLostState || m.Identified || m.Epoch.Number != 0 || len(m.Acceptors) > 0 {
 		t.Errorf("%+v", m)
 	}
-	r := New(Options{Me: controllerOf(0), Life: 1, Memory: m})
+	r := New(Options{Self: controllerOf(0), Incarnation: 1, State: m})
 	left, last := maps.Clone(records), ""
 	for _, o := range r.Step(0) {
 		if p, is := o.(Persist); is {
@@ -101,25 +115,32 @@
 			}
 		}
 	}
-	if names := slices.Sorted(maps.Keys(left)); !slices.Equal(names, []string{recordMark, recordDisk}) || last != recordMark {
+	if names := slices.Sorted(
+		maps.Keys(left),
+	); !slices.Equal(names, []string{recordComplete, recordDisk}) ||
+		last != recordComplete {
 		t.Errorf("it keeps %q, and puts %q last", names, last)
 	}
 }
 
 // A record that cannot be read ends the start; it must not be taken for nothing.
 func TestLoadBrokenRecords(t *testing.T) {
-	whole := map[string][]byte{recordDisk: pack(diskRecord{"d0", true}), recordEpoch: encodeEpoch(Epoch{Number: 1}), recordOf(charter): pack(regRecord{})}
+	whole := map[string][]byte{
+		recordDisk:                  marshal(diskRecord{"d0", true}),
+		recordEpoch:                 encodeEpoch(Epoch{Number: 1}),
+		registerRecordName(charter): marshal(registerRecord{}),
+	}
 	load(t, whole, true, false)
 	for name := range whole {
 		broken := maps.Clone(whole)
 		broken[name] = broken[name][:len(broken[name])-1]
-		if _, err := Load("c0", broken, true, false, "drawn"); err == nil {
+		if _, err := LoadState("c0", broken, true, false, "drawn"); err == nil {
 			t.Errorf("a broken record %s is taken", name)
 		}
 	}
 	old := oldRecords(t, 3)
-	old[oldFounders] = old[oldFounders][1:]
-	if _, err := Load("c0", old, true, false, "drawn"); err == nil {
+	old[legacyFounders] = old[legacyFounders][1:]
+	if _, err := LoadState("c0", old, true, false, "drawn"); err == nil {
 		t.Error("broken founders are taken")
 	}
 }
@@ -128,7 +149,16 @@
 func TestLoadEpochRegisterOfAnOlderEpoch(t *testing.T) {
 	a := load(t, oldRecords(t, 3), true, false).Acceptors[charter]
 	for era, want := range map[uint64]int{3: 0, 4: 1} {
-		m := load(t, map[string][]byte{recordDisk: pack(diskRecord{"d0", true}), recordEpoch: encodeEpoch(Epoch{Number: 4}), recordOf(epochName): encode(era, a)}, true, false)
+		m := load(
+			t,
+			map[string][]byte{
+				recordDisk:                        marshal(diskRecord{"d0", true}),
+				recordEpoch:                       encodeEpoch(Epoch{Number: 4}),
+				registerRecordName(epochRegister): encodeRegister(era, a),
+			},
+			true,
+			false,
+		)
 		if len(m.Acceptors) != want {
 			t.Errorf("of epoch %d in epoch 4: %d", era, len(m.Acceptors))
 		}
--- a/internal/controlplane/consensus/zones_test.go
+++ b/internal/controlplane/consensus/evacuations_test.go
@@ -43,7 +43,15 @@
 		before := z.Version
 		do()
 		state, _, _ := strings.Cut(string(z.Value), ":")
-		fmt.Fprintf(&b, "%8d %-44s %-3s counts %-5v evacuated %v\n", at, what, state, z.Version != before, Evacuated(z.Value))
+		fmt.Fprintf(
+			&b,
+			"%8d %-44s %-3s counts %-5v evacuated %v\n",
+			at,
+			what,
+			state,
+			z.Version != before,
+			IsEvacuated(z.Value),
+		)
 	}
 	order := func(at uint64, begins bool, what string) { say(at, what, func() { z.order(day+at, 0, begins) }) }
 	order(1_000, false, "nothing to take back")
@@ -70,10 +78,10 @@
 	autogold.Equal(t, b.String())
 }
 
-// What counting and a plain state break, for two operators on one zone whose calls are repeated. A plain state opens a zone
-// that one of them still empties; counting without regard to repetitions leaves it empty for ever. Counting as it is done
-// here does neither, unless two orders of different operators come within the span of repetitions of each other: that
-// price is shown.
+// What counting and a plain state break, for two operators on one zone whose calls are repeated. A plain state
+// opens a zone that one of them still empties; counting without regard to repetitions leaves it empty for ever.
+// Counting as it is done here does neither, unless two orders of different operators come within the span of
+// repetitions of each other: that price is shown.
 func TestCountingAgainstAPlainState(t *testing.T) {
 	type result struct{ opened, stuck int } // days on which the zone was open under an operator; was empty for ever
 	var plain, naive, counted [2]result     // on days when orders came apart, and near each other
@@ -122,7 +130,7 @@
 					under := c.at >= begins[op] && c.at < ends[op]
 					opened[0] = opened[0] || under && !simple
 					opened[1] = opened[1] || under && n == 0
-					opened[2] = opened[2] || under && !Evacuated(z.Value)
+					opened[2] = opened[2] || under && !IsEvacuated(z.Value)
 				}
 			}
 		}
@@ -130,13 +138,20 @@
 			if opened[i] {
 				r.opened++
 			}
-			if []bool{simple, n > 0, Evacuated(z.Value)}[i] {
+			if []bool{simple, n > 0, IsEvacuated(z.Value)}[i] {
 				r.stuck++
 			}
 		}
 	}
 	for kind, what := range []string{"no two orders of the two within 9.5 s", "some"} {
-		t.Logf("%d days, %s: plain %+v, counted with repetitions %+v, as it is %+v", days[kind], what, plain[kind], naive[kind], counted[kind])
+		t.Logf(
+			"%d days, %s: plain %+v, counted with repetitions %+v, as it is %+v",
+			days[kind],
+			what,
+			plain[kind],
+			naive[kind],
+			counted[kind],
+		)
 	}
 	if counted[0] != (result{}) || plain[0].opened == 0 || naive[0].stuck == 0 {
 		t.Errorf("plain %+v, naive %+v, counted %+v", plain, naive, counted)
@@ -151,17 +166,17 @@
 		holds   Register
 		version uint64
 		value   string
-		fate    Fate
+		fate    Outcome
 		after   string
 	}{
-		{"nothing holds", Register{Name: charter}, 1, "one", Taken, "one"},
-		{"version 0 where nothing holds", Register{Name: charter}, 0, "zero", Taken, "zero"},
-		{"a higher number", holds, 6, "six", Taken, "six"},
-		{"the same again", holds, 5, "five", Taken, "five"},
-		{"the same number with other bytes", holds, 5, "cinq", Refused, "five"},
-		{"a lower number", holds, 4, "four", Taken, "five"},
+		{"nothing holds", Register{Name: charter}, 1, "one", Committed, "one"},
+		{"version 0 where nothing holds", Register{Name: charter}, 0, "zero", Committed, "zero"},
+		{"a higher number", holds, 6, "six", Committed, "six"},
+		{"the same again", holds, 5, "five", Committed, "five"},
+		{"the same number with other bytes", holds, 5, "cinq", Conflict, "five"},
+		{"a lower number", holds, 4, "four", Committed, "five"},
 	} {
-		next, fate := Replace(c.version, 9, []byte(c.value))(c.holds, Age{})
+		next, fate := ReplaceConfig(c.version, 9, []byte(c.value))(c.holds, Age{})
 		if fate != c.fate || string(next.Value) != c.after || next.Name != charter {
 			t.Errorf("%s: %d, %q", c.what, fate, next.Value)
 		}
--- a/internal/controlplane/consensus/wish_test.go
+++ b/internal/controlplane/consensus/membership_test.go
@@ -10,15 +10,16 @@
 	"github.com/hexops/autogold"
 )
 
-// Who votes next, for what is known of the voters and of those that wait. A voter's letter is the machine, a digit after it a
-// later disk of that machine; "~" silent for 4 s, "." for 1.5 s, "!" it leaves, "*" its machine is back with another disk. One
-// that waits is in brackets unless it has all that is chosen, and marked "'" if it came after the voters' last answers.
+// Who votes next, for what is known of the voters and of those that wait. A voter's letter is the machine, a digit
+// after it a later disk of that machine; "~" silent for 4 s, "." for 1.5 s, "!" it leaves, "*" its machine is back
+// with another disk. One that waits is in brackets unless it has all that is chosen, and marked "'" if it came
+// after the voters' last answers.
 func TestWish(t *testing.T) {
 	var b strings.Builder
 	const now = 100 * time.Second
-	seats := func(text string, waits bool) (all []seat) {
+	seats := func(text string, waits bool) (all []candidate) {
 		for _, w := range strings.Fields(text) {
-			s := seat{whole: waits && w[0] != '[', seen: now - 100*ms, came: now - 20*time.Second}
+			s := candidate{caughtUp: waits && w[0] != '[', lastContact: now - 100*ms, connectedAt: now - 20*time.Second}
 			w = strings.Trim(w, "[]")
 			id := strings.TrimRight(w, "~.!*'")
 			s.Voter = Voter{Node: controllerOf(0), StoreID: id}
@@ -26,15 +27,15 @@
 			for _, mark := range w[len(id):] {
 				switch mark {
 				case '~':
-					s.away, s.seen = 4*time.Second, now-4*time.Second
+					s.silence, s.lastContact = 4*time.Second, now-4*time.Second
 				case '.':
-					s.away, s.seen = 1500*ms, now-1500*ms
+					s.silence, s.lastContact = 1500*ms, now-1500*ms
 				case '!':
-					s.leaving = true
+					s.shuttingDown = true
 				case '*':
-					s.wiped, s.away, s.seen = true, 10*time.Second, now-10*time.Second
+					s.replaced, s.silence, s.lastContact = true, 10*time.Second, now-10*time.Second
 				case '\'':
-					s.came = now
+					s.connectedAt = now
 				}
 			}
 			all = append(all, s)
@@ -43,7 +44,7 @@
 	}
 	say := func(faults, most int, voters, others string) {
 		var next []string
-		for _, v := range wish(seats(voters, false), seats(others, true), faults, most) {
+		for _, v := range chooseVoters(seats(voters, false), seats(others, true), faults, most) {
 			next = append(next, v.StoreID)
 		}
 		was := strings.Join(next, " ")
--- a/internal/controlplane/consensus/model_test.go
+++ b/internal/controlplane/consensus/model_test.go
@@ -19,8 +19,9 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-// The model runs the real Replicas, with a small number of things that may happen, in every order in which they may. Time
-// stands still but for the moves that advance one process's clock. A message that is never delivered is lost.
+// The model runs the real Replicas, with a small number of things that may happen, in every order in which they
+// may. Time stands still but for the moves that advance one process's clock. A message that is never delivered is
+// lost.
 
 // scope is what may happen.
 type scope struct {
@@ -125,7 +126,11 @@
 	}
 	s.epochs[1], s.newest = encodeEpoch(first), first
 	for i := range n {
-		records := map[string][]byte{recordDisk: pack(diskRecord{fmt.Sprint("d", i), i < m.voters}), recordMark: {1}, recordEpoch: encodeEpoch(first)}
+		records := map[string][]byte{
+			recordDisk:     marshal(diskRecord{fmt.Sprint("d", i), i < m.voters}),
+			recordComplete: {1},
+			recordEpoch:    encodeEpoch(first),
+		}
 		s.nodes = append(s.nodes, &modelNode{records: records, now: 10 * ms, timers: m.timers})
 	}
 	for i := range s.nodes {
@@ -137,7 +142,7 @@
 	for len(s.bag) > 0 && m.fault == "" { // all of that arrives
 		w := s.bag[0]
 		s.bag = slices.Delete(s.bag, 0, 1)
-		m.step(s, w.to, Heard{controllerOf(w.from).Name, w.m})
+		m.step(s, w.to, MessageReceived{controllerOf(w.from).Name, w.m})
 	}
 	return s
 }
@@ -146,9 +151,9 @@
 func (m *model) start(s *modelState, i int, life uint64) {
 	n := s.nodes[i]
 	records := maps.Clone(n.records)
-	_, known := records[recordMark]
-	delete(records, recordMark)
-	memory, err := Load(controllerOf(i).Name, records, known, false, fmt.Sprintf("d%d.%d", i, life))
+	_, known := records[recordComplete]
+	delete(records, recordComplete)
+	memory, err := LoadState(controllerOf(i).Name, records, known, false, fmt.Sprintf("d%d.%d", i, life))
 	if err != nil {
 		m.fault = err.Error()
 		return
@@ -158,26 +163,32 @@
 			memory.Acceptors[name] = paxos.Acceptor[Register]{Promised: a.Accepted, Accepted: a.Accepted, Value: a.Value}
 		}
 	}
-	s.nodes[i] = &modelNode{records: n.records, has: n.has, now: n.now, timers: n.timers, r: New(Options{Me: controllerOf(i), Life: life << 20, Faults: (m.voters - 1) / 2,
-		Seeds: []string{"a0"}, Memory: memory})}
+	s.nodes[i] = &modelNode{
+		records: n.records,
+		has:     n.has,
+		now:     n.now,
+		timers:  n.timers,
+		r: New(Options{Self: controllerOf(i), Incarnation: life << 20, MaxFaults: (m.voters - 1) / 2,
+			Seeds: []string{"a0"}, State: memory}),
+	}
 }
 
 // lines come up between one and all others.
 func (m *model) lines(s *modelState, i int) {
 	for j := range s.nodes {
 		if j != i {
-			m.step(s, i, Up{Who: controllerOf(j), Disk: s.nodes[j].r.Disk()})
-			m.step(s, j, Up{Who: controllerOf(i), Disk: s.nodes[i].r.Disk()})
+			m.step(s, i, PeerConnected{Node: controllerOf(j), StoreID: s.nodes[j].r.StoreID()})
+			m.step(s, j, PeerConnected{Node: controllerOf(i), StoreID: s.nodes[i].r.StoreID()})
 		}
 	}
 }
 
 // step has one process take events; what it says and writes is on its way then.
 func (m *model) step(s *modelState, i int, events ...Event) {
-	m.run(s, i, func(r *Replica, now time.Duration) []Order { return r.Step(now, events...) })
+	m.run(s, i, func(r *Replica, now time.Duration) []Action { return r.Step(now, events...) })
 }
 
-func (m *model) run(s *modelState, i int, do func(*Replica, time.Duration) []Order) {
+func (m *model) run(s *modelState, i int, do func(*Replica, time.Duration) []Action) {
 	if m.fault != "" {
 		return
 	}
@@ -201,11 +212,11 @@
 			}
 		case Send:
 			m.send(s, i, &n, o)
-		case InForce:
+		case ValueCommitted:
 			m.tells(s, i, "in force", o.Register)
-		case Done:
+		case RequestDone:
 			m.done(s, i, o)
-		case Entered:
+		case EpochEntered:
 			text := encodeEpoch(o.Epoch)
 			if was := s.epochs[o.Number]; was != nil && !bytes.Equal(was, text) {
 				m.failf("two epochs are number %d", o.Number)
@@ -219,7 +230,7 @@
 			}
 		}
 	}
-	n.r.orders = nil
+	n.r.actions = nil
 	n.key = xxh3.Uint128{}
 	if slices.ContainsFunc(s.bag, func(x modelMessage) bool { return x.to == i && n.r.deaf(x.m) }) {
 		s.bag = slices.DeleteFunc(slices.Clone(s.bag), func(x modelMessage) bool { return x.to == i && n.r.deaf(x.m) })
@@ -227,26 +238,30 @@
 	m.check(s)
 }
 
-// deaf says of a message that it will change nothing, whenever it comes: an answer to a ballot that is over, or word that
-// something is chosen that is known to be. Such ones are lost at once, so that fewer states differ by them alone.
+// deaf says of a message that it will change nothing, whenever it comes: an answer to a ballot that is over, or
+// word that something is chosen that is known to be. Such ones are lost at once, so that fewer states differ by
+// them alone.
 func (r *Replica) deaf(w *rpc.Message) bool {
-	if w.EpochNumber != r.epoch.Number || w.Epoch != nil || w.AcceptedBallots != nil || w.Complete || w.QueryState || w.FetchRegisters != nil || w.ChosenValues != nil || w.ShuttingDown {
+	if w.EpochNumber != r.epoch.Number || w.Epoch != nil || w.AcceptedBallots != nil || w.Complete || w.QueryState ||
+		w.FetchRegisters != nil ||
+		w.ChosenValues != nil ||
+		w.ShuttingDown {
 		return false
 	}
 	for name, b := range w.ChosenBallots {
-		if g := r.regs[name]; g == nil || name == epochName || g.safe.Less(b) {
+		if g := r.registers[name]; g == nil || name == epochRegister || g.chosenBallot.Less(b) {
 			return false
 		}
 	}
 	for _, b := range w.Paxos {
-		g := r.regs[b.Register]
-		if g == nil || turnOf(b.Ballot) > g.turn {
+		g := r.registers[b.Register]
+		if g == nil || roundOf(b.Ballot) > g.round {
 			return false
 		}
-		under := g.prop.Phase != paxos.Idle && g.prop.Ballot == b.Ballot
+		under := g.proposal.Phase != paxos.Idle && g.proposal.Ballot == b.Ballot
 		switch b.Kind {
 		case rpc.Promise:
-			if under && g.prop.Phase == paxos.Preparing {
+			if under && g.proposal.Phase == paxos.Preparing {
 				return false
 			}
 		case rpc.Accepted:
@@ -254,7 +269,7 @@
 				return false
 			}
 		case rpc.Preempted:
-			if g.prop.Phase != paxos.Idle && g.prop.Ballot.Less(b.Ballot) {
+			if g.proposal.Phase != paxos.Idle && g.proposal.Ballot.Less(b.Ballot) {
 				return false
 			}
 		default:
@@ -271,17 +286,17 @@
 }
 
 func (m *model) send(s *modelState, i int, n *modelNode, o Send) {
-	j := slices.IndexFunc(s.nodes, func(o2 *modelNode) bool { return o2.r.o.Me.Name == o.To })
+	j := slices.IndexFunc(s.nodes, func(o2 *modelNode) bool { return o2.r.options.Self.Name == o.To })
 	w := o.Message
 	switch {
 	case w.Ping: // touch is not what is looked at here: questions for it are answered at once
-		m.step(s, j, Heard{controllerOf(i).Name, w})
+		m.step(s, j, MessageReceived{controllerOf(i).Name, w})
 		return
 	case w.Pong:
-		if s.nodes[j].r.touch.pingAt != endlessly {
+		if s.nodes[j].r.contact.pingedAt != endlessly {
 			later := *s.nodes[j]
 			later.r = later.r.clone()
-			later.r.Step(later.now, Heard{controllerOf(i).Name, w})
+			later.r.Step(later.now, MessageReceived{controllerOf(i).Name, w})
 			s.nodes[j] = &later
 		}
 		return
@@ -314,19 +329,19 @@
 	}
 }
 
-func (m *model) done(s *modelState, i int, d Done) {
-	if d.Token == 0 || d.Fate != Taken && d.Fate != Refused {
+func (m *model) done(s *modelState, i int, d RequestDone) {
+	if d.RequestID == 0 || d.Outcome != Committed && d.Outcome != Conflict {
 		return
 	}
-	o := m.orders[d.Token-1]
+	o := m.orders[d.RequestID-1]
 	same := d.Version == Version{Number: o.version, ID: o.digest}
 	switch {
-	case d.Fate == Taken && (d.Version.Number < o.version || d.Version.Number == o.version && !same):
+	case d.Outcome == Committed && (d.Version.Number < o.version || d.Version.Number == o.version && !same):
 		m.failf("c%d: a number is confirmed with another value: %v for %v", i, d.Version, o)
-	case d.Fate == Refused && (d.Version.Number < o.version || same):
+	case d.Outcome == Conflict && (d.Version.Number < o.version || same):
 		m.failf("c%d: %v is refused by %v", i, o, d.Version)
 	}
-	if floor := s.floors[d.Token-1]; d.Version.Less(floor) {
+	if floor := s.floors[d.RequestID-1]; d.Version.Less(floor) {
 		m.failf("c%d: %v is answered with %v, though %v was told before", i, o, d.Version, floor)
 	}
 	m.tells(s, i, "taken", d.Register)
@@ -340,7 +355,7 @@
 	e := s.newest
 	lack := map[string]bool{}
 	for _, n := range s.nodes {
-		lack[n.r.Disk()] = n.has.Less(s.held.Version)
+		lack[n.r.StoreID()] = n.has.Less(s.held.Version)
 	}
 	if e.HasMajority(func(v Voter) bool { return lack[v.StoreID] }) {
 		m.failf("%v was told, and a majority of epoch %d has not got it on their disks", s.held.Version, e.Number)
@@ -393,24 +408,29 @@
 				s.given |= 1 << i
 				s.floors[i] = s.held.Version
 				value := fmt.Appendf(nil, "%d/%d", o.version, o.digest)
-				m.step(s, o.at, Change{uint64(i + 1), charter, Replace(o.version, o.digest, value)})
+				m.step(s, o.at, Propose{uint64(i + 1), charter, ReplaceConfig(o.version, o.digest, value)})
 			})
 		}
 	}
 	if m.joins && !s.joined {
 		all = append(all, func(s *modelState) {
 			s.joined = true
-			m.run(s, 0, func(r *Replica, now time.Duration) []Order {
-				if r.now, r.orders = now, nil; r.epoch.Number != 1 {
+			m.run(s, 0, func(r *Replica, now time.Duration) []Action {
+				if r.now, r.actions = now, nil; r.epoch.Number != 1 {
 					return nil // it has lost its disk
 				}
-				next := sorted(append(slices.Clone(r.epoch.Voters[:m.voters-1]), Voter{Node: controllerOf(m.voters), StoreID: fmt.Sprint("d", m.voters)}))
+				next := sortVoters(
+					append(
+						slices.Clone(r.epoch.Voters[:m.voters-1]),
+						Voter{Node: controllerOf(m.voters), StoreID: fmt.Sprint("d", m.voters)},
+					),
+				)
 				e := Epoch{Number: r.epoch.Number + 1, OldVoters: r.epoch.Voters, Voters: next}
 				if m.flaws.noJoint {
 					e.OldVoters = nil
 				}
-				r.decide(e)
-				return r.orders
+				r.proposeEpoch(e)
+				return r.actions
 			})
 		})
 	}
@@ -426,7 +446,7 @@
 				c := *w
 				c.EpochNumber, w = r.epoch.Number, &c
 			}
-			m.step(s, x.to, Heard{controllerOf(x.from).Name, w})
+			m.step(s, x.to, MessageReceived{controllerOf(x.from).Name, w})
 		}
 		all = append(all, func(s *modelState) {
 			s.bag = slices.Delete(slices.Clone(s.bag), k, k+1)
@@ -474,14 +494,14 @@
 	} else {
 		n.records[p.Record] = p.Value
 	}
-	if p.Record == recordOf(charter) {
+	if p.Record == registerRecordName(charter) {
 		n.read()
 	}
 }
 
 func (n *modelNode) read() {
-	var a regRecord
-	if text := n.records[recordOf(charter)]; text != nil {
+	var a registerRecord
+	if text := n.records[registerRecordName(charter)]; text != nil {
 		if err := cbor.Unmarshal(text, &a); err != nil {
 			panic(err)
 		}
@@ -514,7 +534,7 @@
 		old := c.records
 		c.records = map[string][]byte{}
 		if m.flaws.keepsName {
-			for _, name := range []string{recordDisk, recordEpoch, recordMark} {
+			for _, name := range []string{recordDisk, recordEpoch, recordComplete} {
 				c.records[name] = old[name]
 			}
 		}
@@ -526,7 +546,7 @@
 	m.start(s, i, s.lives)
 	for j := range s.nodes {
 		if j != i {
-			m.step(s, j, Down{controllerOf(i).Name})
+			m.step(s, j, PeerDisconnected{controllerOf(i).Name})
 		}
 	}
 	m.lines(s, i)
@@ -539,8 +559,8 @@
 	return &c
 }
 
-// explore visits all states, by depth first, or the first of them where there are too many: then by one, so that these are
-// the same each time.
+// explore visits all states, by depth first, or the first of them where there are too many: then by one, so that
+// these are the same each time.
 func (m *model) explore(workers int) {
 	m.visited = map[xxh3.Uint128]struct{}{}
 	s := m.begin()
@@ -620,10 +640,28 @@
 	t.Parallel()
 	whole := []scope{
 		{name: "2 voters, 2 orders under one number", voters: 2, orders: sameNumber},
-		{name: "2 voters, 1 order, 1 crash, 1 message doubled", voters: 2, orders: oneOrder, crashes: 1, doubles: 1, only: -1},
+		{
+			name:    "2 voters, 1 order, 1 crash, 1 message doubled",
+			voters:  2,
+			orders:  oneOrder,
+			crashes: 1,
+			doubles: 1,
+			only:    -1,
+		},
 		{name: "3 voters, 1 order", voters: 3, orders: oneOrder},
-		{name: "3 voters, 1 order, 1 message doubled, disks that answer at once", voters: 3, orders: oneOrder, doubles: 1, instant: true},
-		{name: "3 voters, 2 orders under one number, disks that answer at once", voters: 3, orders: sameNumber, instant: true},
+		{
+			name:    "3 voters, 1 order, 1 message doubled, disks that answer at once",
+			voters:  3,
+			orders:  oneOrder,
+			doubles: 1,
+			instant: true,
+		},
+		{
+			name:    "3 voters, 2 orders under one number, disks that answer at once",
+			voters:  3,
+			orders:  sameNumber,
+			instant: true,
+		},
 	}
 	most := 12000
 	if raced { // CI plays the largest one without the race detector
@@ -639,10 +677,34 @@
 	}
 	cut := []scope{
 		{name: "3 voters, 2 orders under one number", voters: 3, orders: sameNumber},
-		{name: "3 voters, 2 orders under one number, 1 crash, disks that answer at once", voters: 3, orders: sameNumber, crashes: 1, only: -1, instant: true},
-		{name: "3 voters, 1 learner, 1 order, 1 change of voters, disks that answer at once", voters: 3, learner: true, orders: oneOrder, joins: true, instant: true},
-		{name: "3 voters, 1 learner, 2 orders, 1 crash with or without its disk, 1 change of voters, 1 message doubled, clocks that go on", voters: 3, learner: true,
-			orders: oneThenTwo, crashes: 1, wipes: 1, only: -1, doubles: 1, timers: 1, joins: true},
+		{
+			name:    "3 voters, 2 orders under one number, 1 crash, disks that answer at once",
+			voters:  3,
+			orders:  sameNumber,
+			crashes: 1,
+			only:    -1,
+			instant: true,
+		},
+		{
+			name:    "3 voters, 1 learner, 1 order, 1 change of voters, disks that answer at once",
+			voters:  3,
+			learner: true,
+			orders:  oneOrder,
+			joins:   true,
+			instant: true,
+		},
+		{
+			name:    "3 voters, 1 learner, 2 orders, 1 crash with or without its disk, 1 change of voters, 1 message doubled, clocks that go on",
+			voters:  3,
+			learner: true,
+			orders:  oneThenTwo,
+			crashes: 1,
+			wipes:   1,
+			only:    -1,
+			doubles: 1,
+			timers:  1,
+			joins:   true,
+		},
 	}
 	lines := make([]string, len(cut))
 	parallel(len(cut), func(k int) {
@@ -653,7 +715,13 @@
 		for seed := range uint64(8) {
 			m.draw(seed, 25)
 		}
-		lines[k] = fmt.Sprintf("%s: CUT after %d states and %d steps, there are more; then %d steps of drawn plays", m.name, states, steps, m.steps-steps)
+		lines[k] = fmt.Sprintf(
+			"%s: CUT after %d states and %d steps, there are more; then %d steps of drawn plays",
+			m.name,
+			states,
+			steps,
+			m.steps-steps,
+		)
 		if m.fault != "" || !m.cut {
 			t.Errorf("%s: cut %v, %s", m.name, m.cut, m.fault)
 		}
--- a/internal/controlplane/consensus/orders_test.go
+++ b/internal/controlplane/consensus/orders_test.go
@@ -10,8 +10,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ordersOf is the digest of all orders of a drawn day, in their order: what is put on which disk, sent to whom, in force
-// and answered. Messages count by their keys and values.
+// ordersOf is the digest of all orders of a drawn day, in their order: what is put on which disk, sent to whom, in
+// force and answered. Messages count by their keys and values.
 func ordersOf(t *testing.T, seed uint64, s story) string {
 	t.Helper()
 	canonical, err := cbor.CanonicalEncOptions().EncMode()
@@ -27,7 +27,7 @@
 	}
 	sum, count := sha256.New(), 0
 	var w *world
-	w = playTraced(seed, s, driverFlaws{}, quiet, func(i int, o Order) {
+	w = playTraced(seed, s, driverFlaws{}, quiet, func(i int, o Action) {
 		count++
 		fmt.Fprintf(sum, "%d ", i)
 		switch o := o.(type) {
@@ -35,13 +35,13 @@
 			fmt.Fprintf(sum, "persist %d %s %x\n", o.Seq, o.Record, o.Value)
 		case Send:
 			fmt.Fprintf(sum, "send %s %x\n", o.To, encoded(o.Message))
-		case InForce:
+		case ValueCommitted:
 			fmt.Fprintf(sum, "in force %x\n", encoded(o.Register))
-		case Entered:
+		case EpochEntered:
 			fmt.Fprintf(sum, "entered %x\n", encoded(o.Epoch))
-		case Done:
-			fmt.Fprintf(sum, "done %d %d %x\n", o.Token, o.Fate, encoded(o.Register))
-		case Left:
+		case RequestDone:
+			fmt.Fprintf(sum, "done %d %d %x\n", o.RequestID, o.Outcome, encoded(o.Register))
+		case HandedOver:
 			fmt.Fprintln(sum, "left")
 		}
 	})
--- a/internal/controlplane/consensus/status.go
+++ b/internal/controlplane/consensus/status.go
@@ -1,135 +1,198 @@
 package consensus
 
 import (
-	"maps"
 	"slices"
 	"strings"
 	"time"
 )
 
-// Status is what a controller knows of the core, for the operator. Names are in their order.
+// Status is what a node knows of the control plane, for operators. Its JSON is the answer to core.status, whose keys do
+// not change. Names are in their order.
 type Status struct {
-	Epoch     uint64           `json:"epoch"`    // 0: there is none yet, or it is not known here
-	Changing  bool             `json:"changing"` // a change of voters is under way: old and new ones count
-	InTouch   bool             `json:"inTouch"`  // this controller, with a majority of the voters
-	Votes     bool             `json:"votes"`    // its disk does
-	Leaving   bool             `json:"leaving"`  // it hands over, and ends
-	Missing   []string         `json:"missing,omitempty"`
-	Me        MemberStatus     `json:"me"`
-	Voters    []MemberStatus   `json:"voters"`
-	Learners  []MemberStatus   `json:"learners"` // controllers with a line that do not vote
-	Registers []RegisterStatus `json:"registers"`
+	Epoch         uint64           `json:"epoch"`             // 0: there is none yet, or it is not known here
+	Changing      bool             `json:"changing"`          // the epoch is a joint one
+	HasQuorum     bool             `json:"inTouch"`           // this node has contact with a majority of the voters
+	IsVoter       bool             `json:"votes"`             // its disk votes
+	ShuttingDown  bool             `json:"leaving"`           // it hands over, and ends
+	NotHandedOver []string         `json:"missing,omitempty"` // what it has not handed over yet
+	Self          MemberStatus     `json:"me"`
+	Voters        []MemberStatus   `json:"voters"`
+	Learners      []MemberStatus   `json:"learners"` // connected nodes that do not vote
+	Registers     []RegisterStatus `json:"registers"`
 }
 
-// MemberStatus is a controller with its disk, as another one, or itself, sees it.
+// MemberStatus is a node with its disk, as another node, or itself, sees it.
 type MemberStatus struct {
-	Name    string   `json:"name"`
-	Zone    string   `json:"zone"`
-	Disk    string   `json:"disk"`
-	InTouch bool     `json:"inTouch"`           // it answers questions
-	SilentS float64  `json:"silentS,omitempty"` // since its last answer, or the start of this process
-	Gone    bool     `json:"gone,omitempty"`    // a voter whose machine came back with another disk
-	Leaving bool     `json:"leaving,omitempty"`
-	Change  string   `json:"change,omitempty"`  // while voters change: "in" or "out"
-	Whole   bool     `json:"whole"`             // its disk has all that is known to be chosen, as it said last
-	Lacks   []string `json:"lacks,omitempty"`   // the registers of which it has not the newest value
-	Unheard []string `json:"unheard,omitempty"` // ... and those that changed since it last said what it has
+	Name          string   `json:"name"`
+	Zone          string   `json:"zone"`
+	StoreID       string   `json:"disk"`
+	Responsive    bool     `json:"inTouch"`           // it answers pings
+	SilentSeconds float64  `json:"silentS,omitempty"` // since its last pong, or the start of this process
+	Replaced      bool     `json:"gone,omitempty"`    // a voter whose machine came back with another disk
+	ShuttingDown  bool     `json:"leaving,omitempty"`
+	Change        string   `json:"change,omitempty"`  // in a joint epoch: changeIn, changeOut or empty
+	CaughtUp      bool     `json:"whole"`             // its disk has all that is known to be chosen, as it said last
+	Missing       []string `json:"lacks,omitempty"`   // registers of which it lacks the newest value
+	Unconfirmed   []string `json:"unheard,omitempty"` // and those that changed since it last said what it has
 }
 
-// RegisterStatus is the newest value of a register on this controller's disk. Disks are the voters known to have it.
+// Values of MemberStatus.Change.
+const (
+	changeIn  = "in"  // becomes a voter
+	changeOut = "out" // was a voter
+)
+
+// RegisterStatus is the newest value of a register on this node's disk.
 type RegisterStatus struct {
-	Name   string `json:"name"`
-	Hi     uint64 `json:"hi"` // its stamp
-	Lo     uint64 `json:"lo,string"`
-	Chosen bool   `json:"chosen"` // known to be decided; otherwise it is found out within a second, in touch
-	Disks  int    `json:"disks"`
+	Name          string `json:"name"`
+	VersionNumber uint64 `json:"hi"`
+	VersionID     uint64 `json:"lo,string"`
+	Chosen        bool   `json:"chosen"` // known to be decided; otherwise it is found out within a second, given a quorum
+	Disks         int    `json:"disks"`  // voters that are known to have it
 }
 
-// Status reads the state of the core; it changes nothing.
+// Status reads the state; it changes nothing.
 func (r *Replica) Status(now time.Duration) Status {
-	all := r.epoch.AllVoters()
-	s := Status{Epoch: r.epoch.Number, Changing: len(r.epoch.OldVoters) > 0, InTouch: r.InTouch(now), Votes: r.Votes(),
-		Leaving: r.leaving, Missing: r.missing, Me: r.myStatus(), Voters: []MemberStatus{}, Learners: []MemberStatus{},
-		Registers: []RegisterStatus{}}
-	for _, v := range all {
-		m := r.myStatus()
-		if v.StoreID != r.disk {
+	return Status{
+		Epoch:         r.epoch.Number,
+		Changing:      r.epoch.IsJoint(),
+		HasQuorum:     r.HasQuorum(now),
+		IsVoter:       r.IsVoter(),
+		ShuttingDown:  r.shuttingDown,
+		NotHandedOver: r.notHandedOver,
+		Self:          r.selfStatus(),
+		Voters:        r.voterStatuses(now),
+		Learners:      r.learnerStatuses(now),
+		Registers:     r.registerStatuses(),
+	}
+}
+
+func (r *Replica) voterStatuses(now time.Duration) []MemberStatus {
+	all := []MemberStatus{}
+	for _, v := range r.epoch.AllVoters() {
+		m := r.selfStatus()
+		if v.StoreID != r.storeID {
 			p := r.peers[v.Name]
 			m = r.peerStatus(now, v, p)
-			m.Gone = v.Name == r.o.Me.Name || p != nil && p.disk != v.StoreID
-		}
-		switch {
-		case !s.Changing:
-		case !slices.Contains(r.epoch.OldVoters, v):
-			m.Change = "in"
-		case !slices.Contains(r.epoch.Voters, v):
-			m.Change = "out"
+			m.Replaced = v.Name == r.options.Self.Name || p != nil && p.storeID != v.StoreID
 		}
-		s.Voters = append(s.Voters, m)
+		m.Change = r.changeOf(v)
+		all = append(all, m)
 	}
-	slices.SortStableFunc(s.Voters, func(a, b MemberStatus) int { return strings.Compare(a.Name, b.Name) })
-	for _, name := range r.lines() {
-		if p := r.peers[name]; !r.epoch.IsVoter(p.disk) {
-			s.Learners = append(s.Learners, r.peerStatus(now, Voter{Node: p.Node, StoreID: p.disk}, p))
+	slices.SortStableFunc(all, func(a, b MemberStatus) int { return strings.Compare(a.Name, b.Name) })
+	return all
+}
+
+func (r *Replica) changeOf(v Voter) string {
+	switch {
+	case !r.epoch.IsJoint():
+		return ""
+	case !slices.Contains(r.epoch.OldVoters, v):
+		return changeIn
+	case !slices.Contains(r.epoch.Voters, v):
+		return changeOut
+	}
+	return ""
+}
+
+func (r *Replica) learnerStatuses(now time.Duration) []MemberStatus {
+	all := []MemberStatus{}
+	for _, name := range r.connectedPeers() {
+		if p := r.peers[name]; !r.epoch.IsVoter(p.storeID) {
+			all = append(all, r.peerStatus(now, p.voter(), p))
 		}
 	}
-	for _, name := range r.Names() {
-		g := r.regs[name]
-		on := RegisterStatus{Name: name, Hi: g.acc.Value.Version.Number, Lo: g.acc.Value.Version.ID, Chosen: g.chosen()}
-		for _, v := range all {
-			p := r.peers[v.Name]
-			if v.StoreID == r.disk && !g.disk.Less(g.acc.Accepted) ||
-				p != nil && p.disk == v.StoreID && !p.has[name].Less(g.acc.Accepted) {
-				on.Disks++
+	return all
+}
+
+func (r *Replica) registerStatuses() []RegisterStatus {
+	all := []RegisterStatus{}
+	for _, name := range r.RegisterNames() {
+		g := r.registers[name]
+		all = append(all, RegisterStatus{
+			Name:          name,
+			VersionNumber: g.acceptor.Value.Version.Number,
+			VersionID:     g.acceptor.Value.Version.ID,
+			Chosen:        g.isChosen(),
+			Disks:         r.countDisks(g),
+		})
+	}
+	return all
+}
+
+// countDisks is the number of voters that are known to have what is accepted here, or something newer.
+func (r *Replica) countDisks(g *register) (disks int) {
+	for _, v := range r.epoch.AllVoters() {
+		p := r.peers[v.Name]
+		switch {
+		case v.StoreID == r.storeID:
+			if !g.storedBallot.Less(g.acceptor.Accepted) {
+				disks++
 			}
+		case p != nil && p.storeID == v.StoreID && !p.accepted[g.name].Less(g.acceptor.Accepted):
+			disks++
 		}
-		s.Registers = append(s.Registers, on)
 	}
-	return s
+	return disks
 }
 
-func (r *Replica) myStatus() MemberStatus {
-	m := MemberStatus{Name: r.o.Me.Name, Zone: r.o.Me.Zone, Disk: r.disk, InTouch: true, Leaving: r.leaving}
-	m.lack(r, r.born, r.now, func(name string) BallotNumber { return r.regs[name].disk })
+func (r *Replica) selfStatus() MemberStatus {
+	m := MemberStatus{
+		Name:         r.options.Self.Name,
+		Zone:         r.options.Self.Zone,
+		StoreID:      r.storeID,
+		Responsive:   true,
+		ShuttingDown: r.shuttingDown,
+	}
+	if r.identified {
+		r.noteMissing(&m, r.now, func(name string) BallotNumber { return r.registers[name].storedBallot })
+	}
 	return m
 }
 
-// peerStatus is that of another controller; p is nil if it was not heard of in this life.
+// peerStatus is that of another node; p is nil if it was not heard of in this incarnation.
 func (r *Replica) peerStatus(now time.Duration, v Voter, p *peer) MemberStatus {
-	m := MemberStatus{Name: v.Name, Zone: v.Zone, Disk: v.StoreID}
-	silent := now
-	if p != nil && p.disk == v.StoreID {
-		m.Leaving, silent = p.leaving, now-p.seenAt
-		m.InTouch = p.up && silent <= TouchFor
-		m.lack(r, p.hasAt != never, p.hasAt, func(name string) BallotNumber { return p.has[name] })
+	m := MemberStatus{Name: v.Name, Zone: v.Zone, StoreID: v.StoreID}
+	silence := now
+	if p != nil && p.storeID == v.StoreID {
+		m.ShuttingDown, silence = p.shuttingDown, now-p.lastContact
+		m.Responsive = p.connected && silence <= QuorumContactTimeout
+		if p.reportedAt != never {
+			r.noteMissing(&m, p.reportedAt, func(name string) BallotNumber { return p.accepted[name] })
+		}
 	}
-	if !m.InTouch {
-		m.SilentS = silent.Round(100 * time.Millisecond).Seconds()
+	if !m.Responsive {
+		m.SilentSeconds = silence.Round(100 * time.Millisecond).Seconds()
 	}
 	return m
 }
 
-// lack says what a disk has not of what is known to be chosen, or of what others have that is newer, by what was said of
-// it at a time.
-func (m *MemberStatus) lack(r *Replica, said bool, at time.Duration, has func(name string) BallotNumber) {
-	if !said {
-		return
-	}
-	for _, name := range slices.Sorted(maps.Keys(r.regs)) {
-		g := r.regs[name]
-		newest := g.safe
-		for _, ahead := range g.ahead {
-			if m.Disk == r.disk && newest.Less(ahead) {
-				newest = ahead
-			}
+// noteMissing notes what a disk lacks of what is known to be chosen, by what was reported of it at a time.
+func (r *Replica) noteMissing(m *MemberStatus, reportedAt time.Duration, accepted func(name string) BallotNumber) {
+	for _, name := range r.sortedRegisters() {
+		g := r.registers[name]
+		newest := g.chosenBallot
+		if m.StoreID == r.storeID {
+			newest = g.newestAnywhere()
 		}
 		switch {
-		case name == epochName || !has(name).Less(newest):
-		case at < g.openAt:
-			m.Unheard = append(m.Unheard, name)
+		case name == epochRegister || !accepted(name).Less(newest):
+		case reportedAt < g.unconfirmedSince:
+			m.Unconfirmed = append(m.Unconfirmed, name)
 		default:
-			m.Lacks = append(m.Lacks, name)
+			m.Missing = append(m.Missing, name)
+		}
+	}
+	m.CaughtUp = len(m.Missing)+len(m.Unconfirmed) == 0
+}
+
+// newestAnywhere is the highest ballot that is known to be chosen here, or to be accepted by a peer.
+func (g *register) newestAnywhere() BallotNumber {
+	newest := g.chosenBallot
+	for _, ballot := range g.newerAt {
+		if newest.Less(ballot) {
+			newest = ballot
 		}
 	}
-	m.Whole = len(m.Lacks)+len(m.Unheard) == 0
+	return newest
 }
--- a/internal/controlplane/consensus/votes_test.go
+++ b/internal/controlplane/consensus/votes_test.go
@@ -15,29 +15,37 @@
 	r   *Replica
 	now time.Duration
 	era uint64
-	out []Order
+	out []Action
 }
 
 func voters(ids ...int) (all []Voter) {
 	for _, i := range ids {
 		all = append(all, Voter{Node: controllerOf(i), StoreID: fmt.Sprint("d", i)})
 	}
-	return sorted(all)
+	return sortVoters(all)
 }
 
-func newTrio(t *testing.T, e Epoch, f flaws, acceptors map[string]paxos.Acceptor[Register]) *trio {
+func newTrio(t *testing.T, e Epoch, f injectedBugs, acceptors map[string]paxos.Acceptor[Register]) *trio {
 	x := &trio{t: t, era: e.Number, now: ms}
-	x.r = New(Options{Me: controllerOf(0), Life: 9, Faults: 1, flaws: f, Memory: Memory{Disk: "d0", Born: true, Epoch: e, Acceptors: acceptors}})
+	x.r = New(
+		Options{
+			Self:        controllerOf(0),
+			Incarnation: 9,
+			MaxFaults:   1,
+			bugs:        f,
+			State:       DurableState{StoreID: "d0", Identified: true, Epoch: e, Acceptors: acceptors},
+		},
+	)
 	x.step()
 	for i := 1; i < 5; i++ {
-		x.step(Up{Who: controllerOf(i), Disk: fmt.Sprint("d", i)})
+		x.step(PeerConnected{Node: controllerOf(i), StoreID: fmt.Sprint("d", i)})
 	}
 	x.touch()
 	return x
 }
 
 // step takes events; the disk is done at once.
-func (x *trio) step(events ...Event) []Order {
+func (x *trio) step(events ...Event) []Action {
 	x.now += ms
 	x.out = nil
 	for queue := x.r.Step(x.now, events...); len(queue) > 0; {
@@ -51,18 +59,18 @@
 	return x.out
 }
 
-func (x *trio) says(i int, m *rpc.Message) []Order {
+func (x *trio) says(i int, m *rpc.Message) []Action {
 	if m.EpochNumber == 0 {
 		m.EpochNumber = x.era
 	}
 	if m.StoreID == "" {
 		m.StoreID = fmt.Sprint("d", i)
 	}
-	return x.step(Heard{controllerOf(i).Name, m})
+	return x.step(MessageReceived{controllerOf(i).Name, m})
 }
 
 func (x *trio) touch() {
-	x.now += pingEvery
+	x.now += pingInterval
 	for _, o := range x.step() {
 		if s, is := o.(Send); is && s.Message.Ping {
 			var i int
@@ -70,12 +78,12 @@
 			x.says(i, &rpc.Message{Consensus: rpc.Consensus{Pong: true, QueryID: s.Message.QueryID}})
 		}
 	}
-	if !x.r.InTouch(x.now) {
+	if !x.r.HasQuorum(x.now) {
 		x.t.Fatal("not in touch")
 	}
 }
 
-func one[T any](orders []Order) (found T, n int) {
+func one[T any](orders []Action) (found T, n int) {
 	for _, o := range orders {
 		if o, is := o.(T); is {
 			found = o
@@ -87,8 +95,8 @@
 
 // asked gives an order, and tells the ballot that it begins.
 func (x *trio) asked(version uint64) BallotNumber {
-	x.step(Change{1, charter, Replace(version, 1, []byte("new"))})
-	return x.r.regs[charter].prop.Ballot
+	x.step(Propose{1, charter, ReplaceConfig(version, 1, []byte("new"))})
+	return x.r.registers[charter].proposal.Ballot
 }
 
 // Which votes make a value chosen: of a disk that votes, in this epoch, for this ballot, once each.
@@ -108,25 +116,29 @@
 		"for another life's ballot":    {func(b BallotNumber) *rpc.Message { b.Incarnation++; return agreedTo(b) }, 1, false},
 		"a promise, again":             {func(b BallotNumber) *rpc.Message { return promiseOf(b) }, 1, false},
 	} {
-		x := newTrio(t, one1, flaws{}, nil)
+		x := newTrio(t, one1, injectedBugs{}, nil)
 		b := x.asked(5)
 		x.says(1, promiseOf(b))
-		if p := x.r.regs[charter].prop; p.Phase != paxos.Accepting {
+		if p := x.r.registers[charter].proposal; p.Phase != paxos.Accepting {
 			t.Fatalf("%s: no offer: %+v", what, p)
 		}
-		d, n := one[Done](x.says(c.who, c.m(b)))
-		if (n > 0) != c.done || c.done && d.Fate != Taken {
+		d, n := one[RequestDone](x.says(c.who, c.m(b)))
+		if (n > 0) != c.done || c.done && d.Outcome != Committed {
 			t.Errorf("%s: done %v: %+v", what, n > 0, d)
 		}
 	}
 }
 
 func agreedTo(b BallotNumber) *rpc.Message {
-	return &rpc.Message{Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{{Kind: rpc.Accepted, Register: charter, Ballot: b}}}}
+	return &rpc.Message{
+		Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{{Kind: rpc.Accepted, Register: charter, Ballot: b}}},
+	}
 }
 
 func promiseOf(b BallotNumber) *rpc.Message {
-	return &rpc.Message{Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{{Kind: rpc.Promise, Register: charter, Ballot: b}}}}
+	return &rpc.Message{
+		Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{{Kind: rpc.Promise, Register: charter, Ballot: b}}},
+	}
 }
 
 // While voters change, old and new ones are both needed; a learner is none.
@@ -144,17 +156,17 @@
 		"written to new":               {[]int{1}, []int{3}, false},
 		"a learner":                    {[]int{4}, nil, false},
 	} {
-		x := newTrio(t, joint, flaws{}, nil)
+		x := newTrio(t, joint, injectedBugs{}, nil)
 		b := x.asked(5)
 		for _, i := range c.promise {
 			x.says(i, promiseOf(b))
 		}
-		if got := x.r.regs[charter].prop.Phase == paxos.Accepting; got != (c.agree != nil) {
+		if got := x.r.registers[charter].proposal.Phase == paxos.Accepting; got != (c.agree != nil) {
 			t.Errorf("%s: offers %v", what, got)
 		}
 		done := 0
 		for _, i := range c.agree {
-			_, n := one[Done](x.says(i, agreedTo(b)))
+			_, n := one[RequestDone](x.says(i, agreedTo(b)))
 			done += n
 		}
 		if (done > 0) != c.done {
@@ -166,8 +178,8 @@
 // kept is what the disk of a process has as it ends.
 func (x *trio) kept() map[string]paxos.Acceptor[Register] {
 	all := map[string]paxos.Acceptor[Register]{}
-	for name, g := range x.r.regs {
-		all[name] = g.acc
+	for name, g := range x.r.registers {
+		all[name] = g.acceptor
 	}
 	return all
 }
@@ -176,14 +188,25 @@
 func TestPromisesLastOverARestart(t *testing.T) {
 	e := Epoch{Number: 1, Voters: voters(0, 1, 2)}
 	play := func(forgets bool) rpc.PaxosKind {
-		x := newTrio(t, e, flaws{}, nil)
-		low, high := BallotNumber{Round: 1<<eraShift | 1, Incarnation: 1}, BallotNumber{Round: 1<<eraShift | 2, Incarnation: 2}
-		x.says(2, &rpc.Message{Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{{Kind: rpc.Prepare, Register: charter, Ballot: high}}}})
+		x := newTrio(t, e, injectedBugs{}, nil)
+		low, high := BallotNumber{
+			Round:       1<<epochShift | 1,
+			Incarnation: 1,
+		}, BallotNumber{
+			Round:       1<<epochShift | 2,
+			Incarnation: 2,
+		}
+		x.says(
+			2,
+			&rpc.Message{
+				Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{{Kind: rpc.Prepare, Register: charter, Ballot: high}}},
+			},
+		)
 		disk := map[string]paxos.Acceptor[Register]{}
 		if !forgets {
 			disk = x.kept()
 		}
-		x = newTrio(t, e, flaws{}, disk)
+		x = newTrio(t, e, injectedBugs{}, disk)
 		v := Register{Name: charter, Version: Version{Number: 5, ID: 1}}
 		for _, o := range x.says(1, &rpc.Message{Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{{Kind: rpc.Accept, Register: charter, Ballot: low, Value: &v}}}}) {
 			if s, is := o.(Send); is && len(s.Message.Paxos) > 0 {
@@ -202,29 +225,42 @@
 
 // What was half done in an older epoch does not win over what was chosen in a newer one, whose voters never met it.
 func TestBallotsOfNewerEpochsAreAbove(t *testing.T) {
-	play := func(f flaws) Register {
-		old := paxos.Acceptor[Register]{Promised: BallotNumber{Round: 7, Incarnation: 1}, Accepted: BallotNumber{Round: 7, Incarnation: 1}, Value: Register{Name: charter, Version: Version{Number: 9, ID: 1}, Value: []byte("half done")}}
-		if !f.flat {
-			old.Promised.Round |= 1 << eraShift
-			old.Accepted.Round |= 1 << eraShift
+	play := func(f injectedBugs) Register {
+		old := paxos.Acceptor[Register]{
+			Promised: BallotNumber{Round: 7, Incarnation: 1},
+			Accepted: BallotNumber{Round: 7, Incarnation: 1},
+			Value:    Register{Name: charter, Version: Version{Number: 9, ID: 1}, Value: []byte("half done")},
+		}
+		if !f.unorderedEpochs {
+			old.Promised.Round |= 1 << epochShift
+			old.Accepted.Round |= 1 << epochShift
 		}
 		// c0 and c2 hold nothing and choose version 5 in epoch 3.
 		x := newTrio(t, Epoch{Number: 3, Voters: voters(0, 1, 2)}, f, nil)
 		b := x.asked(5)
 		x.says(2, promiseOf(b))
-		if d, n := one[Done](x.says(2, agreedTo(b))); n != 1 || d.Fate != Taken {
+		if d, n := one[RequestDone](x.says(2, agreedTo(b))); n != 1 || d.Outcome != Committed {
 			t.Fatalf("%+v", d)
 		}
 		// c1 is back with what an older epoch began, and c0 reads from both.
-		x.step(Change{2, charter, func(holds Register, _ Age) (Register, Fate) { return holds, Taken }})
-		b = x.r.regs[charter].prop.Ballot
-		x.says(1, &rpc.Message{Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{{Kind: rpc.Promise, Register: charter, Ballot: b, AcceptedBallot: old.Accepted, Value: &old.Value}}}})
-		return *x.r.regs[charter].prop.Value
+		x.step(Propose{2, charter, func(holds Register, _ Age) (Register, Outcome) { return holds, Committed }})
+		b = x.r.registers[charter].proposal.Ballot
+		x.says(
+			1,
+			&rpc.Message{
+				Consensus: rpc.Consensus{
+					Paxos: []rpc.PaxosMessage{
+						{Kind: rpc.Promise, Register: charter, Ballot: b, AcceptedBallot: old.Accepted, Value: &old.Value},
+					},
+				},
+			},
+		)
+		return *x.r.registers[charter].proposal.Value
 	}
-	if v := play(flaws{}); v.Version.Number != 5 {
+	if v := play(injectedBugs{}); v.Version.Number != 5 {
 		t.Errorf("%q wins", v.Value)
 	}
-	if v := play(flaws{flat: true}); v.Version.Number == 5 {
+	if v := play(injectedBugs{unorderedEpochs: true}); v.Version.Number == 5 {
 		t.Error("a flaw that is planted here is not seen")
 	}
 }
@@ -232,7 +268,11 @@
 // A learner is not wished for as a voter before it has all, on its disk, as it said in this epoch.
 func TestLearnersAreWholeBeforeTheyVote(t *testing.T) {
 	e := Epoch{Number: 2, Voters: voters(0, 1, 2), FoundingSize: 5} // there is room for it
-	has := paxos.Acceptor[Register]{Promised: BallotNumber{Round: 5}, Accepted: BallotNumber{Round: 5}, Value: Register{Name: charter, Version: Version{Number: 5, ID: 1}}}
+	has := paxos.Acceptor[Register]{
+		Promised: BallotNumber{Round: 5},
+		Accepted: BallotNumber{Round: 5},
+		Value:    Register{Name: charter, Version: Version{Number: 5, ID: 1}},
+	}
 	for what, c := range map[string]struct {
 		m      *rpc.Message
 		wished bool
@@ -244,16 +284,21 @@
 		"of the disk before":  {&rpc.Message{Consensus: rpc.Consensus{AcceptedBallots: map[string]BallotNumber{charter: has.Accepted}, Complete: true, StoreID: "d3.old"}}, false},
 		"it has said nothing": {&rpc.Message{}, false},
 	} {
-		x := newTrio(t, e, flaws{}, map[string]paxos.Acceptor[Register]{charter: has})
-		x.says(1, &rpc.Message{Consensus: rpc.Consensus{AcceptedBallots: map[string]BallotNumber{charter: has.Accepted}, Complete: true}})
-		if _, known := x.r.InForce(charter); !known {
+		x := newTrio(t, e, injectedBugs{}, map[string]paxos.Acceptor[Register]{charter: has})
+		x.says(
+			1,
+			&rpc.Message{
+				Consensus: rpc.Consensus{AcceptedBallots: map[string]BallotNumber{charter: has.Accepted}, Complete: true},
+			},
+		)
+		if _, known := x.r.CommittedValue(charter); !known {
 			t.Fatal("it is not known what is chosen")
 		}
 		x.touch()
 		x.touch()
 		x.says(3, c.m)
 		wished := false
-		for _, v := range x.r.wish() {
+		for _, v := range x.r.desiredVoters() {
 			wished = wished || v.StoreID == "d3"
 		}
 		if wished != c.wished {
--- a/internal/controlplane/consensus/world_test.go
+++ b/internal/controlplane/consensus/world_test.go
@@ -42,7 +42,7 @@
 	dropsPromises bool // what was promised is not on the disk
 	takesLate     bool // an order that was given up is given again by the controller itself
 	ackAtOne      bool // an order is acknowledged as soon as one disk has it
-	code          flaws
+	code          injectedBugs
 }
 
 // line is what one process sends to another: in order, perhaps late, lost with the line, or still to come after it.
@@ -104,14 +104,27 @@
 	begins          bool
 	ident           uint64
 	call, ret       time.Duration // ret: endless, while it has no answer
-	fate            Fate
+	fate            Outcome
 	got             Register
 	event           Event
 }
 
 func (o *operation) String() string {
-	return fmt.Sprintf("#%d %c %s %d/%d %v %x at %s [%v %v] fate %d: %v", o.token, o.kind, o.name, o.version, o.digest, o.begins, o.ident,
-		o.at, o.call, o.ret, o.fate, o.got.Version)
+	return fmt.Sprintf(
+		"#%d %c %s %d/%d %v %x at %s [%v %v] fate %d: %v",
+		o.token,
+		o.kind,
+		o.name,
+		o.version,
+		o.digest,
+		o.begins,
+		o.ident,
+		o.at,
+		o.call,
+		o.ret,
+		o.fate,
+		o.got.Version,
+	)
 }
 
 type happening struct {
@@ -145,7 +158,7 @@
 	rand     *rand.Rand
 	flaws    driverFlaws
 	log      func(format string, v ...any)
-	trace    func(i int, o Order) // each order, before it is carried out; nil: none
+	trace    func(i int, o Action) // each order, before it is carried out; nil: none
 	now      time.Duration
 	seq      int
 	agenda   agenda
@@ -190,8 +203,12 @@
 
 func (w *world) add(first bool) int {
 	i := len(w.machines)
-	m := &machine{who: rpc.Node{Name: fmt.Sprint("c", i), Zone: string(rune('a' + i%3)), Address: fmt.Sprintf("10.0.0.%d:7000", i)},
-		first: first, records: map[string][]byte{}, lines: map[int]*line{}}
+	m := &machine{
+		who:     rpc.Node{Name: fmt.Sprint("c", i), Zone: string(rune('a' + i%3)), Address: fmt.Sprintf("10.0.0.%d:7000", i)},
+		first:   first,
+		records: map[string][]byte{},
+		lines:   map[int]*line{},
+	}
 	w.machines = append(w.machines, m)
 	return i
 }
@@ -231,12 +248,12 @@
 		return
 	}
 	w.drawn++
-	_, known := m.records[recordMark]
+	_, known := m.records[recordComplete]
 	records := maps.Clone(m.records)
-	delete(records, recordMark)
+	delete(records, recordComplete)
 	first := m.first && len(records) == 0 || w.flaws.blankCounts
 	m.first = false
-	memory, err := Load(m.who.Name, records, known, first, fmt.Sprint("d", w.drawn))
+	memory, err := LoadState(m.who.Name, records, known, first, fmt.Sprint("d", w.drawn))
 	if err != nil {
 		w.failf("%s: %v", m.who.Name, err)
 		return
@@ -251,10 +268,27 @@
 	m.lines, m.inForce, m.writes, m.held = map[int]*line{}, map[string]Version{}, nil, nil
 	m.diskAt, m.startAt, m.backAt, m.entered, m.dueAt = w.now, w.now, w.now, memory.Epoch.Number, endless
 	m.frozen, m.backlog, m.leaving = false, nil, false
-	m.id = memory.Disk
-	m.r = New(Options{Me: m.who, Life: w.rand.Uint64() | 1, Faults: w.faults, Seeds: w.seeds, Memory: memory, flaws: w.flaws.code})
-	w.log("%v %s starts: disk %s blank %v born %v epoch %d, has %v", w.now, m.who.Name, m.id, memory.Blank, memory.Born, memory.Epoch.Number,
-		m.r.Names())
+	m.id = memory.StoreID
+	m.r = New(
+		Options{
+			Self:        m.who,
+			Incarnation: w.rand.Uint64() | 1,
+			MaxFaults:   w.faults,
+			Seeds:       w.seeds,
+			State:       memory,
+			bugs:        w.flaws.code,
+		},
+	)
+	w.log(
+		"%v %s starts: disk %s blank %v born %v epoch %d, has %v",
+		w.now,
+		m.who.Name,
+		m.id,
+		memory.MayHaveLostState,
+		memory.Identified,
+		memory.Epoch.Number,
+		m.r.RegisterNames(),
+	)
 	w.seen(i, memory.Epoch.Number)
 	life := m.life
 	var tick func()
@@ -277,8 +311,8 @@
 func (w *world) seen(i int, epoch uint64) {
 	m := w.machines[i]
 	for name, value := range m.records {
-		if reg, is := strings.CutPrefix(name, recordReg); is && reg != epochName {
-			var a regRecord
+		if reg, is := strings.CutPrefix(name, recordRegisterPrefix); is && reg != epochRegister {
+			var a registerRecord
 			if cbor.Unmarshal(value, &a) == nil && a.Accepted != (BallotNumber{}) {
 				w.had(reg, m.id, epoch, a)
 			}
@@ -308,7 +342,7 @@
 	f.had[epoch][id] = true
 }
 
-func (w *world) had(name, id string, epoch uint64, a regRecord) {
+func (w *world) had(name, id string, epoch uint64, a registerRecord) {
 	w.fact(name, a.Accepted, a.Value).on(id, epoch)
 }
 
@@ -348,7 +382,7 @@
 			return
 		}
 		m.lines[j] = &line{}
-		w.step(i, Up{o.who, o.r.Disk(), o.r.Blank() && !w.flaws.blankCounts})
+		w.step(i, PeerConnected{o.who, o.r.StoreID(), o.r.MayHaveLostState() && !w.flaws.blankCounts})
 	})
 }
 
@@ -362,7 +396,7 @@
 		l.dead = true // else what was sent still comes, late
 	}
 	delete(m.lines, j)
-	w.step(i, Down{w.machines[j].who.Name})
+	w.step(i, PeerDisconnected{w.machines[j].who.Name})
 	w.dial(i, j)
 }
 
@@ -406,7 +440,7 @@
 	old := m.records
 	m.records = map[string][]byte{}
 	if w.flaws.keepsName && old[recordDisk] != nil {
-		for _, name := range []string{recordDisk, recordEpoch, recordMark} {
+		for _, name := range []string{recordDisk, recordEpoch, recordComplete} {
 			if old[name] != nil {
 				m.records[name] = old[name]
 			}
@@ -419,21 +453,24 @@
 
 // disk says whether a disk of that id is still somewhere.
 func (w *world) disk(id string) bool {
-	return slices.ContainsFunc(w.machines, func(m *machine) bool { return !m.gone && m.id == id && (m.r != nil || w.bears(m, id)) })
+	return slices.ContainsFunc(
+		w.machines,
+		func(m *machine) bool { return !m.gone && m.id == id && (m.r != nil || w.bears(m, id)) },
+	)
 }
 
 // bears says whether the records of a machine that is down hold an id.
 func (w *world) bears(m *machine, id string) bool {
 	var d diskRecord
-	_, known := m.records[recordMark]
+	_, known := m.records[recordComplete]
 	if known && m.records[recordDisk] != nil && cbor.Unmarshal(m.records[recordDisk], &d) == nil {
 		return d.ID == id
 	}
 	return strings.HasPrefix(id, "first:") && known
 }
 
-// mayLose says whether the system is to bear that the disk of a machine is lost now: of each epoch that may be in use no
-// more are lost than are to be borne, and enough are left.
+// mayLose says whether the system is to bear that the disk of a machine is lost now: of each epoch that may be in
+// use no more are lost than are to be borne, and enough are left.
 func (w *world) mayLose(i int) bool {
 	if w.faults == 0 {
 		return false
@@ -449,7 +486,8 @@
 		sure, lost := 0, 1
 		for _, m := range w.machines {
 			var d diskRecord
-			first := m.records[recordDisk] != nil && cbor.Unmarshal(m.records[recordDisk], &d) == nil && d.First && m.records[recordMark] != nil
+			first := m.records[recordDisk] != nil && cbor.Unmarshal(m.records[recordDisk], &d) == nil && d.FirstStart &&
+				m.records[recordComplete] != nil
 			switch {
 			case m == w.machines[i]:
 			case m.frozen || m.r == nil && !m.gone || len(w.blocked) > 0:
@@ -500,14 +538,14 @@
 		}
 	}
 	for _, m := range w.machines {
-		var a regRecord
-		if text := m.records[recordOf(epochName)]; text != nil && cbor.Unmarshal(text, &a) == nil {
+		var a registerRecord
+		if text := m.records[registerRecordName(epochRegister)]; text != nil && cbor.Unmarshal(text, &a) == nil {
 			half(a.Value)
 		}
-		if m.r != nil && m.r.regs[epochName] != nil {
-			g := m.r.regs[epochName]
-			if half(g.acc.Value); g.prop.Value != nil {
-				half(*g.prop.Value)
+		if m.r != nil && m.r.registers[epochRegister] != nil {
+			g := m.r.registers[epochRegister]
+			if half(g.acceptor.Value); g.proposal.Value != nil {
+				half(*g.proposal.Value)
 			}
 		}
 	}
@@ -527,13 +565,15 @@
 	m := o.Message
 	if w.flaws.hasAll && m.Complete {
 		r := w.machines[i].r
-		if !r.Votes() || len(r.epoch.OldVoters) > 0 && !slices.ContainsFunc(r.epoch.OldVoters, func(v Voter) bool { return v.StoreID == r.disk }) {
+		if !r.IsVoter() ||
+			len(r.epoch.OldVoters) > 0 &&
+				!slices.ContainsFunc(r.epoch.OldVoters, func(v Voter) bool { return v.StoreID == r.storeID }) {
 			all := maps.Clone(m.AcceptedBallots)
 			for _, other := range w.machines {
-				if other.r != nil && other.r.Votes() {
-					for name, g := range other.r.regs {
-						if name != epochName && all[name].Less(g.safe) {
-							all[name] = g.safe
+				if other.r != nil && other.r.IsVoter() {
+					for name, g := range other.r.registers {
+						if name != epochRegister && all[name].Less(g.chosenBallot) {
+							all[name] = g.chosenBallot
 						}
 					}
 				}
@@ -542,12 +582,12 @@
 		}
 	}
 	for _, b := range m.Paxos {
-		if b.Kind == rpc.Accept && b.Register != epochName {
+		if b.Kind == rpc.Accept && b.Register != epochRegister {
 			w.fact(b.Register, b.Ballot, *b.Value)
 		}
-		if b.Kind == rpc.Accept && b.Register == epochName {
-			if e, err := decodeEpoch(b.Value.Value); err != nil || e.Number <= b.Ballot.Round>>eraShift {
-				w.failf("%s offers epoch %d to follow epoch %d", w.machines[i].who.Name, e.Number, b.Ballot.Round>>eraShift)
+		if b.Kind == rpc.Accept && b.Register == epochRegister {
+			if e, err := decodeEpoch(b.Value.Value); err != nil || e.Number <= b.Ballot.Round>>epochShift {
+				w.failf("%s offers epoch %d to follow epoch %d", w.machines[i].who.Name, e.Number, b.Ballot.Round>>epochShift)
 			}
 		}
 	}
@@ -574,7 +614,7 @@
 		if r := w.machines[j].r; w.flaws.oldEras && r != nil && m.EpochNumber > 0 && r.epoch.IsVoter(m.StoreID) {
 			m.EpochNumber = r.epoch.Number
 		}
-		w.step(j, Heard{w.machines[i].who.Name, m})
+		w.step(j, MessageReceived{w.machines[i].who.Name, m})
 	}
 }
 
@@ -690,7 +730,7 @@
 		orders = append(orders, w.spoil(m, e)...)
 	}
 	life := m.life
-	if due := m.startAt + m.r.Due(); due < m.dueAt || m.dueAt <= w.now {
+	if due := m.startAt + m.r.NextDeadline(); due < m.dueAt || m.dueAt <= w.now {
 		m.dueAt = due
 		if due < w.now+tickEvery {
 			w.after(due-w.now, func() {
@@ -716,13 +756,13 @@
 			w.put(i, o)
 		case Send:
 			w.send(i, o)
-		case InForce:
+		case ValueCommitted:
 			w.checkInForce(m, o.Register)
-		case Entered:
+		case EpochEntered:
 			w.checkEntered(i, o.Epoch)
-		case Done:
+		case RequestDone:
 			w.checkDone(i, o)
-		case Left:
+		case HandedOver:
 			w.checkLeft(i, o)
 		default:
 			w.failf("%T is no order", o)
@@ -731,7 +771,7 @@
 }
 
 // spoil adds what the planted flaws would say.
-func (w *world) spoil(m *machine, e Event) (orders []Order) {
+func (w *world) spoil(m *machine, e Event) (orders []Action) {
 	switch e := e.(type) {
 	case Persisted:
 		if !w.flaws.ackAtOne {
@@ -739,18 +779,21 @@
 		}
 		for _, token := range slices.Sorted(maps.Keys(w.asked)) {
 			q := w.asked[token]
-			if r, _ := m.r.Newest(q.name); q.kind == 'c' && q.at == m.who.Name && r.Version == (Version{Number: q.version, ID: q.digest}) {
-				orders = append(orders, Done{Token: token, Fate: Taken, Register: r})
+			if r, _ := m.r.Accepted(
+				q.name,
+			); q.kind == 'c' && q.at == m.who.Name &&
+				r.Version == (Version{Number: q.version, ID: q.digest}) {
+				orders = append(orders, RequestDone{RequestID: token, Outcome: Committed, Register: r})
 			}
 		}
-	case Read:
+	case ReadRequest:
 		if w.flaws.readsItself {
-			r, _ := m.r.Newest(e.Name)
-			orders = append(orders, Done{Token: e.Token, Fate: Taken, Register: r})
+			r, _ := m.r.Accepted(e.Register)
+			orders = append(orders, RequestDone{RequestID: e.RequestID, Outcome: Committed, Register: r})
 		}
-	case Leave:
+	case ShutDown:
 		if w.flaws.leavesAtOnce {
-			orders = append(orders, Left{})
+			orders = append(orders, HandedOver{})
 		}
 	}
 	return orders
@@ -768,8 +811,8 @@
 	id, life := m.id, m.life
 	// A ballot may be accepted and outbid before it is put: what is put then stands behind its vote too.
 	var votes []rpc.PaxosMessage
-	for _, v := range m.r.puts[p.Seq].waits {
-		if v.answer.Kind == rpc.Accepted && v.answer.Register != epochName {
+	for _, v := range m.r.writes[p.Seq].answers {
+		if v.answer.Kind == rpc.Accepted && v.answer.Register != epochRegister {
 			votes = append(votes, v.answer)
 		}
 	}
@@ -785,7 +828,7 @@
 		w.recorded(i, id, p)
 		for _, v := range votes {
 			if f := w.facts[v.Register][v.Ballot]; f != nil {
-				f.on(id, v.Ballot.Round>>eraShift)
+				f.on(id, v.Ballot.Round>>epochShift)
 			}
 		}
 	}}
@@ -834,19 +877,19 @@
 
 // recorded takes down what a disk got.
 func (w *world) recorded(i int, id string, p Persist) {
-	reg, is := strings.CutPrefix(p.Record, recordReg)
+	reg, is := strings.CutPrefix(p.Record, recordRegisterPrefix)
 	switch {
 	case p.Record == recordEpoch:
 		if e, err := decodeEpoch(p.Value); err == nil {
 			w.epochOn[id] = max(w.epochOn[id], e.Number)
 		}
-	case is && reg != epochName:
-		var a regRecord
+	case is && reg != epochRegister:
+		var a registerRecord
 		if err := cbor.Unmarshal(p.Value, &a); err != nil {
 			w.failf("%v", err)
 		}
 		if a.Accepted != (BallotNumber{}) {
-			w.had(reg, id, a.Era, a)
+			w.had(reg, id, a.EpochNumber, a)
 			w.had(reg, id, w.machines[i].entered, a)
 		}
 	}
@@ -859,7 +902,14 @@
 		w.failf("%s enters epoch %d after %d", m.who.Name, e.Number, m.entered)
 	}
 	if was, there := w.epochs[e.Number]; there && !bytes.Equal(encodeEpoch(was), encodeEpoch(e)) {
-		w.failf("two epochs are number %d: %v %v and %v %v", e.Number, ids(was.OldVoters), ids(was.Voters), ids(e.OldVoters), ids(e.Voters))
+		w.failf(
+			"two epochs are number %d: %v %v and %v %v",
+			e.Number,
+			ids(was.OldVoters),
+			ids(was.Voters),
+			ids(e.OldVoters),
+			ids(e.Voters),
+		)
 	}
 	w.epochs[e.Number] = e
 	m.entered = e.Number
@@ -899,29 +949,29 @@
 	return fmt.Sprintf("%020d/%020d/%s", r.Version.Number, r.Version.ID, r.Value)
 }
 
-func (w *world) checkDone(i int, d Done) {
+func (w *world) checkDone(i int, d RequestDone) {
 	m := w.machines[i]
-	q, asked := w.asked[d.Token]
+	q, asked := w.asked[d.RequestID]
 	if !asked {
 		return
 	}
-	delete(w.asked, d.Token)
-	q.ret, q.fate, q.got = w.now, d.Fate, d.Register
+	delete(w.asked, d.RequestID)
+	q.ret, q.fate, q.got = w.now, d.Outcome, d.Register
 	w.log("%v %s done %v", w.now, m.who.Name, q)
 	if q.at != m.who.Name {
 		w.failf("%s answers %v", m.who.Name, q)
 	}
 	switch {
-	case d.Fate == Untaken && w.flaws.takesLate && q.kind == 'c':
+	case d.Outcome == Aborted && w.flaws.takesLate && q.kind == 'c':
 		w.after(w.upTo(time.Second), func() {
-			w.step(i, Change{Token: 1 << 40, Name: q.name, Apply: Replace(q.version, q.digest, []byte(q.value))})
+			w.step(i, Propose{RequestID: 1 << 40, Register: q.name, Change: ReplaceConfig(q.version, q.digest, []byte(q.value))})
 		})
-	case d.Fate == Unknown || d.Fate == Untaken:
+	case d.Outcome == Indeterminate || d.Outcome == Aborted:
 		return
 	case q.kind != 'r':
 		w.taken = w.now
 	}
-	if d.Fate == Untaken {
+	if d.Outcome == Aborted {
 		return
 	}
 	w.done++
@@ -937,20 +987,20 @@
 	case 'c':
 		same := q.got.Version.Number == q.version && string(q.got.Value) == q.value
 		switch {
-		case q.fate == Taken && (q.got.Version.Number < q.version || q.got.Version.Number == q.version && !same):
+		case q.fate == Committed && (q.got.Version.Number < q.version || q.got.Version.Number == q.version && !same):
 			w.failf("a number is confirmed with other bytes: %v", q)
-		case q.fate == Refused && (q.got.Version.Number < q.version || same):
+		case q.fate == Conflict && (q.got.Version.Number < q.version || same):
 			w.failf("refused though nothing else has its number: %v", q)
 		}
 	case 'e':
-		if q.fate != Taken {
+		if q.fate != Committed {
 			w.failf("an evacuation's order is never refused: %v", q)
 		}
 	}
 }
 
 // checkLeft: nothing that is chosen needs the disk of one that leaves.
-func (w *world) checkLeft(i int, o Left) {
+func (w *world) checkLeft(i int, o HandedOver) {
 	m := w.machines[i]
 	w.log("%v %s has left", w.now, m.who.Name)
 	var newest Epoch
@@ -969,8 +1019,9 @@
 		if top.Version == (Version{}) {
 			continue
 		}
-		var mine regRecord
-		if text := m.records[recordOf(name)]; text == nil || cbor.Unmarshal(text, &mine) != nil || mine.Value.Version.Less(top.Version) {
+		var mine registerRecord
+		if text := m.records[registerRecordName(name)]; text == nil || cbor.Unmarshal(text, &mine) != nil ||
+			mine.Value.Version.Less(top.Version) {
 			continue // it has no copy
 		}
 		on, others := 0, 0
@@ -980,14 +1031,15 @@
 			}
 			others++
 			for _, o := range w.machines {
-				var a regRecord
+				var a registerRecord
 				records := o.records
-				if o.lostID == v.StoreID && w.now < o.lostAt+handAgain { // one that leaves can't know yet
+				if o.lostID == v.StoreID && w.now < o.lostAt+handoverInterval { // one that leaves can't know yet
 					records = o.lost
 				} else if o.id != v.StoreID {
 					continue
 				}
-				if records[recordOf(name)] != nil && cbor.Unmarshal(records[recordOf(name)], &a) == nil && !a.Value.Version.Less(top.Version) {
+				if records[registerRecordName(name)] != nil && cbor.Unmarshal(records[registerRecordName(name)], &a) == nil &&
+					!a.Value.Version.Less(top.Version) {
 					on++
 				}
 			}
@@ -1011,30 +1063,44 @@
 	q.token, q.at, q.call, q.ret = w.token, m.who.Name, w.now, endless
 	switch q.kind {
 	case 'r':
-		q.event = Read{q.token, q.name}
+		q.event = ReadRequest{q.token, q.name}
 	case 'c':
-		apply := Replace(q.version, q.digest, []byte(q.value))
+		apply := ReplaceConfig(q.version, q.digest, []byte(q.value))
 		if w.flaws.confirmsTwice {
-			apply = func(holds Register, age Age) (Register, Fate) {
-				next, _ := Replace(q.version, q.digest, []byte(q.value))(holds, age)
-				return next, Taken
+			apply = func(holds Register, age Age) (Register, Outcome) {
+				next, _ := ReplaceConfig(q.version, q.digest, []byte(q.value))(holds, age)
+				return next, Committed
 			}
 		}
-		q.event = Change{q.token, q.name, apply}
+		q.event = Propose{q.token, q.name, apply}
 	case 'e':
 		at := uint64(int64(w.now/ms) + 1_700_000_000_000 + int64(m.skew/ms))
-		q.event = Change{q.token, q.name, Evacuate(q.begins, q.ident, within, at)}
+		q.event = Propose{q.token, q.name, Evacuate(q.begins, q.ident, within, at)}
 	}
 	o := &q
 	w.asked[q.token] = o
 	w.history = append(w.history, o)
-	w.log("%v %s asked #%d %c %s %d/%d %v %x", w.now, m.who.Name, q.token, q.kind, q.name, q.version, q.digest, q.begins, q.ident)
+	w.log(
+		"%v %s asked #%d %c %s %d/%d %v %x",
+		w.now,
+		m.who.Name,
+		q.token,
+		q.kind,
+		q.name,
+		q.version,
+		q.digest,
+		q.begins,
+		q.ident,
+	)
 	w.step(i, q.event)
 	return o
 }
 
 func (w *world) configuration(i int, version, digest uint64) *operation {
-	return w.ask(i, operation{kind: 'c', name: charter, version: version, digest: digest, value: fmt.Sprintf("%d/%d", version, digest)})
+	return w.ask(
+		i,
+		operation{kind: 'c', name: charter, version: version, digest: digest, value: fmt.Sprintf("%d/%d", version, digest)},
+	)
 }
 
 func (w *world) read(i int, name string) *operation {
@@ -1045,9 +1111,10 @@
 	return w.ask(i, operation{kind: 'e', name: zone, begins: begins, ident: w.rand.Uint64()})
 }
 
-// checkHistory: each register's calls and answers fit one order of changes: each answer tells a state that held between its
-// call and its return, each state was made by a call that may have been taken, at an instant between that call and its
-// return; states only rise. It is exact for these registers, whose states are ordered by their stamps.
+// checkHistory: each register's calls and answers fit one order of changes: each answer tells a state that held
+// between its call and its return, each state was made by a call that may have been taken, at an instant between
+// that call and its return; states only rise. It is exact for these registers, whose states are ordered by their
+// stamps.
 func (w *world) checkHistory() {
 	names := map[string]bool{}
 	for _, q := range w.history {
@@ -1058,20 +1125,23 @@
 	}
 }
 
-// checkRefused: another value was asked for under the number of what was refused (it may have been followed at once), and
-// what was refused never held.
+// checkRefused: another value was asked for under the number of what was refused (it may have been followed at
+// once), and what was refused never held.
 func (w *world) checkRefused(name string) {
 	for _, q := range w.history {
-		if q.name != name || q.fate != Refused || q.ret == endless {
+		if q.name != name || q.fate != Conflict || q.ret == endless {
 			continue
 		}
 		other := false
 		for _, o := range w.history {
-			same := o.name == name && o.ret != endless && (o.fate == Taken || o.fate == Refused) && o.got.Version.Number == q.version
+			same := o.name == name && o.ret != endless && (o.fate == Committed || o.fate == Conflict) &&
+				o.got.Version.Number == q.version
 			if same && string(o.got.Value) == q.value {
 				w.failf("%v was refused, and %v", q, o)
 			}
-			other = other || o.kind == 'c' && o.version == q.version && o.value != q.value && o.call <= q.ret && (o.ret == endless || o.fate != Untaken)
+			other = other ||
+				o.kind == 'c' && o.version == q.version && o.value != q.value && o.call <= q.ret &&
+					(o.ret == endless || o.fate != Aborted)
 		}
 		if !other {
 			w.failf("refused though nothing else can have its number: %v", q)
@@ -1095,7 +1165,7 @@
 		}
 	}
 	tells := func(value []byte, at time.Duration) {
-		_, _, ids := open(value)
+		ids := parseEvacuations(value).ids
 		for i, id := range ids {
 			q := calls[id]
 			if q == nil {
@@ -1111,7 +1181,7 @@
 		}
 	}
 	for _, q := range w.history {
-		if q.name == name && q.ret != endless && q.fate == Taken {
+		if q.name == name && q.ret != endless && q.fate == Committed {
 			tells(q.got.Value, q.ret)
 		}
 	}
@@ -1119,7 +1189,7 @@
 		tells([]byte(key[42:]), at)
 	}
 	for _, q := range w.history {
-		if q.kind != 'e' || q.name != name || q.ret == endless || q.fate != Taken || chain[q.ident] != nil {
+		if q.kind != 'e' || q.name != name || q.ret == endless || q.fate != Committed || chain[q.ident] != nil {
 			continue
 		}
 		repeats := false
@@ -1144,7 +1214,7 @@
 	w.checkCounted(name)
 	states := map[string]*state{"": {seenBy: endless}}
 	for _, q := range w.history {
-		if q.name != name || q.ret == endless || q.fate != Taken && q.fate != Refused {
+		if q.name != name || q.ret == endless || q.fate != Committed && q.fate != Conflict {
 			continue
 		}
 		key := stateKey(q.got)
@@ -1165,7 +1235,10 @@
 		var value string
 		_, _ = fmt.Sscanf(key[:41], "%020d/%020d", &hi, &lo)
 		value = key[42:]
-		states[key] = &state{value: Register{Name: name, Version: Version{Number: hi, ID: lo}, Value: []byte(value)}, seenBy: at}
+		states[key] = &state{
+			value:  Register{Name: name, Version: Version{Number: hi, ID: lo}, Value: []byte(value)},
+			seenBy: at,
+		}
 	}
 	keys := slices.Sorted(maps.Keys(states))
 	var at time.Duration
@@ -1191,12 +1264,12 @@
 			if q.name != name || !q.makes(s.value) {
 				continue
 			}
-			if q.ret != endless && q.fate == Untaken {
+			if q.ret != endless && q.fate == Aborted {
 				untaken = true
 				continue
 			}
 			end := q.ret
-			if q.fate == Unknown {
+			if q.fate == Indeterminate {
 				end = endless
 			}
 			if t := max(base, q.call); t <= end {
@@ -1211,8 +1284,15 @@
 			w.failf("no call can have made %s %q after %v, when what was before it was still told", name, s.value.Value, base)
 			return
 		case at > s.seenBy:
-			w.failf("%s %q is told at %v: after %q was told to a call of %v, or before any call made it (%v)", name, s.value.Value, s.seenBy, before.value.Value,
-				before.asked, at)
+			w.failf(
+				"%s %q is told at %v: after %q was told to a call of %v, or before any call made it (%v)",
+				name,
+				s.value.Value,
+				s.seenBy,
+				before.value.Value,
+				before.asked,
+				at,
+			)
 			return
 		}
 		if name != charter {
@@ -1228,27 +1308,29 @@
 	case 'c':
 		return v.Version.Number == o.version && string(v.Value) == o.value
 	case 'e':
-		_, last, ids := open(v.Value)
-		return len(ids) > 0 && ids[len(ids)-1] == o.ident && (last == begun) == o.begins
+		e := parseEvacuations(v.Value)
+		return len(e.ids) > 0 && e.ids[len(e.ids)-1] == o.ident && (e.last == lastBegan) == o.begins
 	}
 	return false
 }
 
-// checkSteps: from one state of a zone that was told to the next one each order counts once, and repetitions not at all.
+// checkSteps: from one state of a zone that was told to the next one each order counts once, and repetitions not at
+// all.
 func (w *world) checkSteps(name string, from, to *state) {
-	n, _, was := open(from.value.Value)
-	m, _, now := open(to.value.Value)
+	old, current := parseEvacuations(from.value.Value), parseEvacuations(to.value.Value)
+	n, was := old.open, old.ids
+	m, now := current.open, current.ids
 	next := now
 	if len(was) > 0 {
 		k := slices.Index(now, was[len(was)-1])
 		if k < 0 {
-			if len(now) < idsKept {
+			if len(now) < maxRememberedIDs {
 				w.failf("%s %q does not follow from %q", name, to.value.Value, from.value.Value)
 			}
 			return // more steps than are kept lie between
 		}
 		next = now[k+1:]
-	} else if len(now) == idsKept {
+	} else if len(now) == maxRememberedIDs {
 		return
 	}
 	prior := func(id uint64) *operation {
@@ -1265,7 +1347,7 @@
 	}
 	for _, id := range next {
 		q := prior(id)
-		if q == nil || q.fate == Untaken && q.ret != endless {
+		if q == nil || q.fate == Aborted && q.ret != endless {
 			w.failf("%s %q has an order that was never taken: %v", name, to.value.Value, q)
 			return
 		}
--- a/internal/controlplane/counsel.go
+++ b/internal/controlplane/counsel.go
@@ -96,7 +96,7 @@
 	callers      session.Sessions // lines that other controllers dialled
 	carrierLines session.Sessions // that carriers did
 	carriers     map[*rpc.Conn]*carrier
-	waiting      map[uint64]chan<- consensus.Done
+	waiting      map[uint64]chan<- consensus.RequestDone
 	token        uint64
 	words        map[uint64]*word
 	seq          uint64
@@ -121,7 +121,7 @@
 func New(o Options) *Server {
 	s := &Server{o: o, log: o.Log, life: rand.Uint64() | 1, began: o.Clock.Now(), queue: session.NewCommandQueue(1024),
 		table: registry.New(o.Settings.HeartbeatInterval.Duration()), peers: map[string]*peer{}, callers: session.Sessions{PreferNewest: true}, carrierLines: session.Sessions{PreferNewest: true},
-		carriers: map[*rpc.Conn]*carrier{}, waiting: map[uint64]chan<- consensus.Done{}, words: map[uint64]*word{},
+		carriers: map[*rpc.Conn]*carrier{}, waiting: map[uint64]chan<- consensus.RequestDone{}, words: map[uint64]*word{},
 		left: make(chan struct{})}
 	s.me = rpc.Node{Name: o.Settings.Name, Zone: o.Settings.Zone, Address: o.Settings.OwnPeerAddress(),
 		ControlAddress: o.Settings.Listen["control"]}
@@ -130,14 +130,14 @@
 		OnDisconnect: s.lost}
 	first := o.Settings.Bootstrap && o.Fresh
 	drawn := fmt.Sprintf("%016x", rand.Uint64())
-	memory, err := consensus.Load(s.me.Name, o.Disk.All(), o.Known, first, drawn)
+	memory, err := consensus.LoadState(s.me.Name, o.Disk.All(), o.Known, first, drawn)
 	if err != nil { // a disk that cannot be read has forgotten; the others have what was on it
 		s.log.Error("the disk is taken for a new one", "err", err)
-		memory, _ = consensus.Load(s.me.Name, o.Disk.All(), false, false, drawn)
+		memory, _ = consensus.LoadState(s.me.Name, o.Disk.All(), false, false, drawn)
 	}
-	s.disk, s.blank = memory.Disk, memory.Blank
-	s.replica = consensus.New(consensus.Options{Me: s.me, Life: s.life, Faults: o.Settings.FaultBudget.Machines, Seeds: o.Settings.SeedPeerAddresses(),
-		Memory: memory})
+	s.disk, s.blank = memory.StoreID, memory.MayHaveLostState
+	s.replica = consensus.New(consensus.Options{Self: s.me, Incarnation: s.life, MaxFaults: o.Settings.FaultBudget.Machines, Seeds: o.Settings.SeedPeerAddresses(),
+		State: memory})
 	s.settled = first
 	s.steer = newSteerer(s)
 	return s
@@ -177,14 +177,14 @@
 	s.queue.Do(func() {
 		if !s.leaving {
 			s.leaving = true
-			s.step(consensus.Leave{})
+			s.step(consensus.ShutDown{})
 		}
 	})
 	select {
 	case <-s.left:
 	case <-s.queue.Stopped():
 	case <-s.o.Clock.After(within):
-		s.queue.Do(func() { s.log.Warn("not all could be handed over", "missing", strings.Join(s.replica.Missing(), ", ")) })
+		s.queue.Do(func() { s.log.Warn("not all could be handed over", "missing", strings.Join(s.replica.NotHandedOver(), ", ")) })
 	}
 }
 
@@ -209,21 +209,21 @@
 			if p := s.peers[o.To]; p != nil && p.out != nil {
 				p.out.Send(o.Message)
 			}
-		case consensus.InForce:
+		case consensus.ValueCommitted:
 			s.inForce(o.Register)
-		case consensus.Entered:
+		case consensus.EpochEntered:
 			s.entered(o.Epoch)
-		case consensus.Done:
-			if done := s.waiting[o.Token]; done != nil {
-				delete(s.waiting, o.Token)
+		case consensus.RequestDone:
+			if done := s.waiting[o.RequestID]; done != nil {
+				delete(s.waiting, o.RequestID)
 				done <- o
 			}
-		case consensus.Left:
+		case consensus.HandedOver:
 			close(s.left)
 		}
 	}
 	s.lookTouch()
-	if due := s.replica.Due(); (s.dueAt == 0 || due < s.dueAt) && due < s.now()+tickEvery {
+	if due := s.replica.NextDeadline(); (s.dueAt == 0 || due < s.dueAt) && due < s.now()+tickEvery {
 		s.dueAt = due
 		s.o.Clock.AfterFunc(due-s.now(), func() {
 			s.queue.Post(func() {
@@ -264,19 +264,19 @@
 	s.toCarriers(s.standing())
 }
 
-func (s *Server) inTouch() bool { return s.replica.InTouch(s.now()) }
+func (s *Server) inTouch() bool { return s.replica.HasQuorum(s.now()) }
 
 // standing is what this controller holds of the registers, as carriers are told it first on a line.
 func (s *Server) standing() *rpc.Message {
 	m := &rpc.Message{RegisterUpdate: rpc.RegisterUpdate{StoredVersions: map[string]rpc.Version{}, CommittedVersions: map[string]rpc.Version{}}, NoQuorum: !s.inTouch()}
-	m.Complete = s.replica.Votes() && !m.NoQuorum
+	m.Complete = s.replica.IsVoter() && !m.NoQuorum
 	if e := s.replica.Epoch(); e.Number > 0 {
 		m.Epoch = &e
 	}
-	for _, name := range s.replica.Names() {
-		r, _ := s.replica.Newest(name)
+	for _, name := range s.replica.RegisterNames() {
+		r, _ := s.replica.Accepted(name)
 		m.StoredVersions[name] = r.Version
-		if r, is := s.replica.InForce(name); is {
+		if r, is := s.replica.CommittedValue(name); is {
 			if m.CommittedVersions[name] = r.Version; name != charterName {
 				m.CommittedValues = append(m.CommittedValues, r)
 			}
@@ -314,9 +314,9 @@
 // evacuated are the zones that nothing is to be sent to.
 func (s *Server) evacuated() map[string]bool {
 	out := map[string]bool{}
-	for _, name := range s.replica.Names() {
+	for _, name := range s.replica.RegisterNames() {
 		if zone, ok := strings.CutPrefix(name, zonePrefix); ok {
-			if r, is := s.replica.InForce(name); is && consensus.Evacuated(r.Value) {
+			if r, is := s.replica.CommittedValue(name); is && consensus.IsEvacuated(r.Value) {
 				out[zone] = true
 			}
 		}
--- a/internal/controlplane/lines.go
+++ b/internal/controlplane/lines.go
@@ -11,7 +11,7 @@
 func (s *Server) lost(name string, _ *rpc.Conn) {
 	s.peers[name].out = nil
 	s.log.Info("line lost", "to", name)
-	s.step(consensus.Down{Who: name})
+	s.step(consensus.PeerDisconnected{Name: name})
 }
 
 // heardPeer takes a message on a line that was dialled from here.
@@ -25,7 +25,7 @@
 		p.who, p.out, p.told = m.Hello.Node, line, true
 		s.log.Info("line up", "to", name)
 		line.Send(&rpc.Message{KnownPeers: s.known(), EndpointUpdate: rpc.EndpointUpdate{Endpoints: s.table.All(s.now())}})
-		s.step(consensus.Up{Who: m.Hello.Node, Disk: m.Hello.StoreID, Blank: m.Hello.MayHaveLostState})
+		s.step(consensus.PeerConnected{Node: m.Hello.Node, StoreID: m.Hello.StoreID, MayHaveLostState: m.Hello.MayHaveLostState})
 	}
 	s.heard(name, line, m)
 }
@@ -81,7 +81,7 @@
 					s.keep.RetryNow(from.Node.Address) // it is there: after a loss of all each moment counts
 				}
 				line.Send(&rpc.Message{Hello: s.hello(), KnownPeers: s.known(), EndpointUpdate: rpc.EndpointUpdate{Endpoints: s.table.All(s.now()), EndpointsSynced: s.settled}})
-				s.step(consensus.Met{Who: from.Node, Disk: from.StoreID, Blank: from.MayHaveLostState})
+				s.step(consensus.PeerIdentified{Node: from.Node, StoreID: from.StoreID, MayHaveLostState: from.MayHaveLostState})
 			}
 			if s.callers.IsCurrent(from.Node.Name, line) {
 				s.heard(from.Node.Name, line, m)
@@ -128,7 +128,7 @@
 		}
 	}
 	if m.StoreID != "" {
-		s.step(consensus.Heard{Who: name, Message: m})
+		s.step(consensus.MessageReceived{From: name, Message: m})
 	}
 }
 
@@ -207,7 +207,7 @@
 		s.steer.report(c, m)
 	}
 	for _, name := range m.FetchRegisters {
-		if r, is := s.replica.InForce(name); is {
+		if r, is := s.replica.CommittedValue(name); is {
 			line.Send(&rpc.Message{RegisterUpdate: rpc.RegisterUpdate{CommittedValues: []rpc.Register{r}, CommittedVersions: map[string]rpc.Version{name: r.Version}}})
 		}
 	}
--- a/internal/controlplane/paxos/paxos.go
+++ b/internal/controlplane/paxos/paxos.go
@@ -1,11 +1,11 @@
-// Package paxos is the agreement on one register, without its network, its disk and its time: what one disk has promised
-// and accepted (Acceptor), and one attempt to have a value chosen (Proposal). Who votes, and how many are a quorum, its
-// users know: consensus for the registers, rollout for its decisions.
+// Package paxos is the agreement on one register, without its network, its disk and its time: what one disk has
+// promised and accepted (Acceptor), and one attempt to have a value chosen (Proposal). Who votes, and how many are
+// a quorum, its users know: consensus for the registers, rollout for its decisions.
 //
-// It is single-decree Paxos (Lamport, Paxos Made Simple, 2001), used again and again on the same register as in CASPaxos
-// (Rystsov, 2018). A proposer prepares a ballot at a quorum, and learns from the promises which value may have been chosen
-// under a lower ballot; it changes that value, and has the result accepted by a quorum. A value that a quorum has accepted
-// under one ballot is chosen: every later ballot finds it.
+// It is single-decree Paxos (Lamport, Paxos Made Simple, 2001), used again and again on the same register as in
+// CASPaxos (Rystsov, 2018). A proposer prepares a ballot at a quorum, and learns from the promises which value may
+// have been chosen under a lower ballot; it changes that value, and has the result accepted by a quorum. A value
+// that a quorum has accepted under one ballot is chosen: every later ballot finds it.
 //
 // An acceptor's answer may be sent only once the state behind it is on its disk. Otherwise a loss of power would let it
 // break a promise, or forget a value that was chosen with its vote.
--- a/internal/controlplane/paxos/paxos_test.go
+++ b/internal/controlplane/paxos/paxos_test.go
@@ -53,8 +53,18 @@
 	if !slices.Contains(w.messages, m) {
 		w.messages = append(w.messages, m)
 		slices.SortFunc(w.messages, func(a, b message) int {
-			return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.acceptor, b.acceptor), cmp.Compare(a.ballot.Round, b.ballot.Round), cmp.Compare(a.ballot.Incarnation, b.ballot.Incarnation),
-				cmp.Compare(a.accepted.Round, b.accepted.Round), cmp.Compare(a.accepted.Incarnation, b.accepted.Incarnation), cmp.Compare(a.value, b.value))
+			return cmp.Or(
+				cmp.Compare(a.kind, b.kind),
+				cmp.Compare(a.acceptor, b.acceptor),
+				cmp.Compare(a.ballot.Round, b.ballot.Round),
+				cmp.Compare(a.ballot.Incarnation, b.ballot.Incarnation),
+				cmp.Compare(
+					a.accepted.Round,
+					b.accepted.Round,
+				),
+				cmp.Compare(a.accepted.Incarnation, b.accepted.Incarnation),
+				cmp.Compare(a.value, b.value),
+			)
 		})
 	}
 }
@@ -151,7 +161,8 @@
 	return len(visited), nil
 }
 
-// Two proposers and three acceptors, by depth first up to a bound, words that come late, twice, out of order or never: one value is chosen at most.
+// Two proposers and three acceptors, by depth first up to a bound, words that come late, twice, out of order or
+// never: one value is chosen at most.
 func TestInterleavings(t *testing.T) {
 	const most = 5000
 	states, err := explore([2]int{1, 1}, "", most)
@@ -177,7 +188,9 @@
 	if !a.Learn(BallotNumber{Round: 5}, "five") || a.Value != "five" || a.Promised != (BallotNumber{Round: 9}) {
 		t.Errorf("%+v", a)
 	}
-	if !a.Learn(BallotNumber{Round: 12}, "twelve") || a.Promised != (BallotNumber{Round: 12}) || a.Prepare(BallotNumber{Round: 11}) || a.Accept(BallotNumber{Round: 11}, "eleven") {
+	if !a.Learn(BallotNumber{Round: 12}, "twelve") || a.Promised != (BallotNumber{Round: 12}) ||
+		a.Prepare(BallotNumber{Round: 11}) ||
+		a.Accept(BallotNumber{Round: 11}, "eleven") {
 		t.Errorf("%+v", a)
 	}
 	if !a.Accept(BallotNumber{Round: 12}, "twelve") || !a.Prepare(BallotNumber{Round: 12}) {
@@ -193,14 +206,21 @@
 		t.Error("nothing was begun")
 	}
 	p.Begin(b)
-	if !p.OnPromise("x", b, BallotNumber{Round: 1}, "one") || p.OnPromise("x", b, BallotNumber{Round: 1}, "one") || p.OnPromise("y", BallotNumber{Round: 1, Incarnation: 1}, BallotNumber{}, "") || p.OnAccepted("x", b) {
+	if !p.OnPromise("x", b, BallotNumber{Round: 1}, "one") || p.OnPromise("x", b, BallotNumber{Round: 1}, "one") ||
+		p.OnPromise("y", BallotNumber{Round: 1, Incarnation: 1}, BallotNumber{}, "") ||
+		p.OnAccepted("x", b) {
 		t.Errorf("%+v", p)
 	}
-	if !p.OnPromise("y", b, BallotNumber{}, "") || !p.HasHighest("x") || p.HasHighest("y") || p.HasHighest("z") || p.Value != "one" {
+	if !p.OnPromise("y", b, BallotNumber{}, "") || !p.HasHighest("x") || p.HasHighest("y") || p.HasHighest("z") ||
+		p.Value != "one" {
 		t.Errorf("%+v", p)
 	}
 	p.StartAccept("new")
-	if p.OnPromise("z", b, BallotNumber{Round: 1, Incarnation: 5}, "late") || p.HasResponded("x") || !p.OnAccepted("x", b) || p.OnAccepted("x", b) || !p.HasResponded("x") || p.Value != "new" {
+	if p.OnPromise("z", b, BallotNumber{Round: 1, Incarnation: 5}, "late") || p.HasResponded("x") ||
+		!p.OnAccepted("x", b) ||
+		p.OnAccepted("x", b) ||
+		!p.HasResponded("x") ||
+		p.Value != "new" {
 		t.Errorf("%+v", p)
 	}
 	if p.Stop(); p.OnAccepted("y", b) {
--- a/internal/controlplane/registry/endpoints.go
+++ b/internal/controlplane/registry/endpoints.go
@@ -141,8 +141,8 @@
 	return changed
 }
 
-// evictPrevious marks the endpoint as gone that had the address of e before: its process ended without saying so, or its
-// deregistration is still on its way.
+// evictPrevious marks the endpoint as gone that had the address of e before: its process ended without saying so,
+// or its deregistration is still on its way.
 func (r *Registry) evictPrevious(now time.Duration, e *Entry) []rpc.Endpoint {
 	if e.State == rpc.Gone || e.Address == "" {
 		return nil
@@ -171,8 +171,8 @@
 	return endpoint
 }
 
-// ExpireHeartbeats ends what was not heard of for too long. It returns what is to be told to proxies: the endpoints that
-// are no longer live here.
+// ExpireHeartbeats ends what was not heard of for too long. It returns what is to be told to proxies: the endpoints
+// that are no longer live here.
 func (r *Registry) ExpireHeartbeats(now time.Duration) (changes []rpc.Endpoint) {
 	timeout := time.Duration(missedHeartbeats * float64(r.heartbeatInterval))
 	for _, id := range slices.Sorted(maps.Keys(r.entries)) {
@@ -198,9 +198,9 @@
 	return r.snapshots(now, func(*Entry) bool { return true })
 }
 
-// Local are the endpoints that are live here, and those that drain or are gone: what a proxy with a new connection here
-// cannot do without. The others it hears of from the nodes where they are live, and all of them from the one that steers
-// it.
+// Local are the endpoints that are live here, and those that drain or are gone: what a proxy with a new connection
+// here cannot do without. The others it hears of from the nodes where they are live, and all of them from the one
+// that steers it.
 func (r *Registry) Local(now time.Duration) []rpc.Endpoint {
 	return r.snapshots(now, func(e *Entry) bool { return e.live || e.State != rpc.Ready })
 }
--- a/internal/controlplane/registry/registry_test.go
+++ b/internal/controlplane/registry/registry_test.go
@@ -128,7 +128,8 @@
 // A lease outlasts the right that goes with it, and its end is told once.
 func TestLease(t *testing.T) {
 	table := New(s)
-	if !table.RenewLease(10*s, rpc.ProxyInfo{Name: "e1", Zone: "a"}) || table.RenewLease(11*s, rpc.ProxyInfo{Name: "e1", Zone: "a"}) {
+	if !table.RenewLease(10*s, rpc.ProxyInfo{Name: "e1", Zone: "a"}) ||
+		table.RenewLease(11*s, rpc.ProxyInfo{Name: "e1", Zone: "a"}) {
 		t.Error("only the first renewal is news")
 	}
 	table.RenewLease(11*s, rpc.ProxyInfo{Name: "e0", Zone: "b"})
--- a/internal/controlplane/storage/segments.go
+++ b/internal/controlplane/storage/segments.go
@@ -151,8 +151,9 @@
 	return nil
 }
 
-// compact writes all records to a new file, which takes the place of the others. The steps are ordered so that a loss of
-// power after any of them leaves the old file, the new one, or both; a new one under its final name is whole.
+// compact writes all records to a new file, which takes the place of the others. The steps are ordered so that a
+// loss of power after any of them leaves the old file, the new one, or both; a new one under its final name is
+// whole.
 func (s *Store) compact() error {
 	path := filepath.Join(s.dir, fmt.Sprintf("%0*d", segmentNameDigits, s.nextSeq))
 	file := encodeSnapshot(s.nextSeq, s.live)
--- a/internal/controlplane/storage/store.go
+++ b/internal/controlplane/storage/store.go
@@ -2,8 +2,9 @@
 // versions, never a replicated log. What was acknowledged lasts over a kill and over a loss of power; what the disk has
 // lost of it is reported by Open.
 //
-// The records lie in one segment of a write-ahead log (tidwall/wal). Each commit is appended and synced; once the log is
-// several times as large as the records in it, they are written to a new segment, which takes the place of the old one.
+// The records lie in one segment of a write-ahead log (tidwall/wal). Each commit is appended and synced; once the
+// log is several times as large as the records in it, they are written to a new segment, which takes the place of
+// the old one.
 //
 //	store.go    the interface, and the queue to the writer
 //	writer.go   the goroutine that owns the disk: commits and their answers
@@ -23,8 +24,8 @@
 	"elmfold/internal/gateway/apierror"
 )
 
-// CompleteMarker names the record that MarkComplete writes. A disk that has lost something acknowledged loses its marker
-// with it, so that a kill right after the repair cannot hide the loss from the next Open. All leaves it out.
+// CompleteMarker names the record that MarkComplete writes. A disk that has lost something acknowledged loses its
+// marker with it, so that a kill right after the repair cannot hide the loss from the next Open. All leaves it out.
 const CompleteMarker = "complete"
 
 const (
@@ -97,9 +98,10 @@
 	compactAt int64      // size of the log at which it is compacted
 }
 
-// Open opens or makes the folder dir/word, repairs it, and has all that it returns synced. The files stay under maxBytes,
-// a compaction under way included (0: no limit), so the records may take up to a third of it. An error (NotDurable)
-// means that the disk cannot be read or written now, and Open may be tried again. It waits for the disk.
+// Open opens or makes the folder dir/word, repairs it, and has all that it returns synced. The files stay under
+// maxBytes, a compaction under way included (0: no limit), so the records may take up to a third of it. An error
+// (NotDurable) means that the disk cannot be read or written now, and Open may be tried again. It waits for the
+// disk.
 func Open(dir string, maxBytes int64) (*Store, Recovery, error) {
 	return openWith(dir, maxBytes, func(path string) (segmentLog, error) {
 		// One segment, compacted as a whole: the library's own truncations rename and remove without a sync of the
@@ -157,9 +159,9 @@
 // MarkComplete records that this disk holds all that it must: from now on it may vote. It waits for the disk.
 func (s *Store) MarkComplete() error { return s.Put(CompleteMarker, []byte{1}) }
 
-// Put returns once the record, or a later Put of its name, is synced: nil, or an *apierror.Error. NotDurable: it may be
-// on the disk or not, and Get shows what was before; the store repairs itself at the next Put. InvalidArgument: the name
-// is not valid.
+// Put returns once the record, or a later Put of its name, is synced: nil, or an *apierror.Error. NotDurable: it
+// may be on the disk or not, and Get shows what was before; the store repairs itself at the next Put.
+// InvalidArgument: the name is not valid.
 func (s *Store) Put(name string, value []byte) error {
 	answer := make(chan error, 1)
 	s.PutAsync(name, value, func(err error) { answer <- err })
--- a/internal/controlplane/storage/store_test.go
+++ b/internal/controlplane/storage/store_test.go
@@ -95,7 +95,14 @@
 		// Cut off, and as a hole of zeros, as a disk leaves a write that it had begun.
 		for _, tail := range [][]byte{nil, make([]byte, len(file)-cut)} {
 			dir := place(t, name, append(slices.Clone(file[:cut]), tail...))
-			want, found := map[string]string{"a": "one", "b": "two"}, Recovery{Torn: cut+len(tail) > last, Complete: true, Records: 2}
+			want, found := map[string]string{
+				"a": "one",
+				"b": "two",
+			}, Recovery{
+				Torn:     cut+len(tail) > last,
+				Complete: true,
+				Records:  2,
+			}
 			if cut == len(file) {
 				want["a"], found.Torn = "three", false
 			}
--- a/internal/gateway/cli/statustable.go
+++ b/internal/gateway/cli/statustable.go
@@ -32,13 +32,13 @@
 
 func printSummary(w io.Writer, s Status) {
 	contact, votes := "in touch with a majority", "votes"
-	if !s.InTouch {
+	if !s.HasQuorum {
 		contact = "NOT in touch with a majority: what follows may be old"
 	}
-	if !s.Votes {
+	if !s.IsVoter {
 		votes = "does not vote"
 	}
-	fmt.Fprintf(w, "%s: %s; %s\n", s.Me.Name, contact, votes)
+	fmt.Fprintf(w, "%s: %s; %s\n", s.Self.Name, contact, votes)
 	switch {
 	case s.Epoch == 0:
 		fmt.Fprintln(w, "no epoch yet: the seeds have not decided who votes")
@@ -47,8 +47,8 @@
 	default:
 		fmt.Fprintf(w, "epoch %d\n", s.Epoch)
 	}
-	if s.Leaving {
-		fmt.Fprintf(w, "leaving; not handed over yet: %s\n", list(s.Missing))
+	if s.ShuttingDown {
+		fmt.Fprintf(w, "leaving; not handed over yet: %s\n", list(s.NotHandedOver))
 	}
 	if len(s.Evacuated) > 0 {
 		fmt.Fprintf(w, "evacuated: %s\n", list(s.Evacuated))
@@ -63,8 +63,8 @@
 	for _, m := range s.Learners {
 		printMember(w, "learner", m)
 	}
-	if !s.Votes {
-		printMember(w, "this one", s.Me)
+	if !s.IsVoter {
+		printMember(w, "this one", s.Self)
 	}
 }
 
@@ -73,28 +73,28 @@
 		role += ", " + m.Change
 	}
 	contact := "in touch"
-	if !m.InTouch {
-		contact = fmt.Sprintf("silent %.0f s", m.SilentS)
+	if !m.Responsive {
+		contact = fmt.Sprintf("silent %.0f s", m.SilentSeconds)
 	}
-	if m.Leaving {
+	if m.ShuttingDown {
 		contact += ", leaving"
 	}
-	if m.Gone {
+	if m.Replaced {
 		contact = "gone: its machine has another disk"
 	}
-	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", role, m.Name, m.Zone, m.Disk, contact, holdings(m))
+	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", role, m.Name, m.Zone, m.StoreID, contact, holdings(m))
 }
 
 // holdings says what of the committed registers a member has on its disk.
 func holdings(m consensus.MemberStatus) string {
 	switch {
-	case m.Gone:
+	case m.Replaced:
 		return "-"
-	case len(m.Lacks) > 0:
-		return "lacks " + list(m.Lacks)
-	case len(m.Unheard) > 0:
-		return "not heard yet of " + list(m.Unheard)
-	case !m.Whole:
+	case len(m.Missing) > 0:
+		return "lacks " + list(m.Missing)
+	case len(m.Unconfirmed) > 0:
+		return "not heard yet of " + list(m.Unconfirmed)
+	case !m.CaughtUp:
 		return "not known yet"
 	}
 	return "all"
@@ -114,9 +114,9 @@
 // newestVersion is the version of a register as its writer gave it: a generation, or the time of day of an evacuation.
 func newestVersion(r consensus.RegisterStatus) string {
 	if strings.HasPrefix(r.Name, zoneRegisterPrefix) {
-		return time.UnixMilli(int64(r.Hi)).UTC().Format(time.DateTime)
+		return time.UnixMilli(int64(r.VersionNumber)).UTC().Format(time.DateTime)
 	}
-	return routeconfig.FormatVersion(uint32(r.Hi))
+	return routeconfig.FormatVersion(uint32(r.VersionNumber))
 }
 
 func list(names []string) string { return strings.Join(names, ", ") }
--- a/internal/proxy/transit.go
+++ b/internal/proxy/transit.go
@@ -330,7 +330,7 @@
 	}
 }
 
-func (c *Carrier) evacuated(zone string) bool { return consensus.Evacuated(c.zones[zone].Value) }
+func (c *Carrier) evacuated(zone string) bool { return consensus.IsEvacuated(c.zones[zone].Value) }
 
 // want asks for the newest configuration: of those that said that it is in force one in touch, the nearest, and another
 // each time that no answer came. Guards against the nearest one being cut off from the core: it has only what is older.
