--- a/internal/bench/gateway/bench_test.go
+++ b/internal/bench/gateway/bench_test.go
@@ -130,16 +130,16 @@
 		zones := []string{"zone-0", "zone-1"}
 		s, services := steering.New(zones, 0), map[string]steering.Service{}
 		for i := range n {
-			services[gateway.ServiceName(i)] = steering.Service{Target: time.Second}
+			services[gateway.ServiceName(i)] = steering.Service{LatencyTarget: time.Second}
 		}
 		s.Configure(services)
-		var all []steering.Backend
+		var all []steering.Endpoint
 		for i, l := range lives(1420, n) {
-			all = append(all, steering.Backend{ID: l.ID, Service: l.Service, Zone: zones[i/n%2], Capacity: 4, Ready: true})
+			all = append(all, steering.Endpoint{ID: l.ID, Service: l.Service, Zone: zones[i/n%2], Capacity: 4, Ready: true})
 		}
 		var names []string
 		now := time.Duration(0)
-		s.Backends(now, all)
+		s.SetEndpoints(now, all)
 		for i := range carriers {
 			names = append(names, fmt.Sprintf("c-%03d", i))
 			s.Join(names[i], zones[i%2])
--- a/internal/controlplane/main.go
+++ b/internal/controlplane/main.go
@@ -16,6 +16,7 @@
 	"elmfold/internal/gateway/bootconfig"
 	"elmfold/internal/gateway/cli"
 	"elmfold/internal/gateway/logbuffer"
+	"elmfold/internal/gateway/logfield"
 )
 
 const (
@@ -57,20 +58,20 @@
 		return err
 	}
 	s := New(Options{
-		Settings:  settings,
-		Disk:      store,
-		Known:     found.Complete,
-		Fresh:     found.Fresh,
-		Log:       log,
-		Clock:     clockwork.NewRealClock(),
-		Dial:      cli.Dial,
-		Listen:    peers,
-		TimeOfDay: time.Now,
+		Settings:     settings,
+		Disk:         store,
+		DiskComplete: found.Complete,
+		DiskFresh:    found.Fresh,
+		Log:          log,
+		Clock:        clockwork.NewRealClock(),
+		Dial:         cli.Dial,
+		Listener:     peers,
+		TimeOfDay:    time.Now,
 	})
 	callServer := newCallServer(s.Handler())
 	go serveCalls(log, callServer, calls)
 	cli.HandleSignals(log, s.Reload, func() { // a second signal finds this under way, and waits with it
-		s.Leave(settings.Bounds.Grace.Duration() - shutdownReserve)
+		s.Shutdown(settings.Bounds.Grace.Duration() - shutdownReserve)
 		ctx, cancel := context.WithTimeout(context.Background(), callShutdownTimeout)
 		defer cancel()
 		_ = callServer.Shutdown(ctx) // calls that are not answered in time are repeated elsewhere
@@ -90,10 +91,10 @@
 }
 
 func logRecovery(log hclog.Logger, found storage.Recovery) {
-	log.Info("disk", "fresh", found.Fresh, "torn", found.Torn, "forgot", found.LostData, "known", found.Complete,
-		"records", found.Records)
+	log.Info("disk opened", logfield.Fresh, found.Fresh, logfield.Torn, found.Torn, logfield.LostData, found.LostData,
+		logfield.Complete, found.Complete, logfield.Records, found.Records)
 	if found.LostData {
-		log.Warn("the disk has forgotten something: it is a new one now, and votes once it has all that the others have")
+		log.Warn("disk has lost data: it gets a new identity, and votes once it is caught up")
 	}
 }
 
@@ -108,12 +109,12 @@
 
 func serveCalls(log hclog.Logger, server *http.Server, listener net.Listener) {
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		log.Error("calls are no longer served", "err", err)
+		log.Error("control listener failed", logfield.Error, err)
 	}
 }
 
 // Reload takes over settings that were changed while the program runs: new seeds are dialled, the rest waits for a
 // restart.
 func (s *Server) Reload(next *bootconfig.Settings) {
-	s.queue.Do(func() { s.keep.ConnectAll(next.SeedPeerAddresses()) })
+	s.queue.Do(func() { s.dialer.ConnectAll(next.SeedPeerAddresses()) })
 }
--- /dev/null
+++ b/internal/controlplane/proxies.go
@@ -0,0 +1,91 @@
+package controlplane
+
+import (
+	"elmfold/internal/gateway/rpc"
+)
+
+// onProxyMessage handles a message of a proxy on its current connection.
+func (s *Server) onProxyMessage(from rpc.Hello, conn *rpc.Conn, m *rpc.Message) {
+	p := s.proxies[conn]
+	if p == nil {
+		if m.Hello == nil {
+			return
+		}
+		p = &proxyConn{node: from.Node, conn: conn}
+		s.proxies[conn] = p
+		s.sendFirstMessage(conn)
+	}
+	if m.RenewLease > 0 {
+		s.onRenewal(p, m)
+	}
+	for _, name := range m.FetchRegisters {
+		s.sendRegister(conn, name)
+	}
+	if m.ReleaseLease {
+		s.registry.ReleaseLease(p.node.Name)
+	}
+}
+
+// sendFirstMessage gives a proxy the whole state that it needs on a new connection.
+func (s *Server) sendFirstMessage(conn *rpc.Conn) {
+	m := s.registerSnapshot()
+	m.Hello, m.KnownPeers = s.hello(), s.knownNodes()
+	m.Endpoints, m.EndpointsSynced = s.registry.Local(s.now()), s.endpointsSynced
+	m.Proxies = s.registry.Proxies()
+	conn.Send(m)
+}
+
+// registerSnapshot is what this node holds of the registers.
+func (s *Server) registerSnapshot() *rpc.Message {
+	m := &rpc.Message{
+		NoQuorum: !s.hasQuorumNow(),
+		RegisterUpdate: rpc.RegisterUpdate{
+			StoredVersions:    map[string]rpc.Version{},
+			CommittedVersions: map[string]rpc.Version{},
+		},
+	}
+	m.Complete = s.replica.IsVoter() && !m.NoQuorum
+	if e := s.replica.Epoch(); e.Number > 0 {
+		m.Epoch = &e
+	}
+	for _, name := range s.replica.RegisterNames() {
+		accepted, _ := s.replica.Accepted(name)
+		m.StoredVersions[name] = accepted.Version
+		r, committed := s.replica.CommittedValue(name)
+		if !committed {
+			continue
+		}
+		m.CommittedVersions[name] = r.Version
+		if name != configRegister { // which is large: a proxy fetches it from one node
+			m.CommittedValues = append(m.CommittedValues, r)
+		}
+	}
+	return m
+}
+
+// onRenewal renews a proxy's lease, and takes the load report that comes along.
+func (s *Server) onRenewal(p *proxyConn, m *rpc.Message) {
+	p.conn.Send(&rpc.Message{Lease: rpc.Lease{LeaseRenewed: m.RenewLease}, NoQuorum: !s.hasQuorumNow()})
+	p.lastRenewal = m.RenewLease
+	s.registry.RenewLease(s.now(), rpc.ProxyInfo{Name: p.node.Name, Zone: p.node.Zone})
+	s.steering.onReport(p, &m.LoadReport)
+}
+
+func (s *Server) sendRegister(conn *rpc.Conn, name string) {
+	r, committed := s.replica.CommittedValue(name)
+	if !committed {
+		return
+	}
+	conn.Send(&rpc.Message{RegisterUpdate: rpc.RegisterUpdate{
+		CommittedValues:   []rpc.Register{r},
+		CommittedVersions: map[string]rpc.Version{name: r.Version},
+	}})
+}
+
+// broadcastToProxies sends a message to all proxies, encoded once.
+func (s *Server) broadcastToProxies(m *rpc.Message) {
+	body := rpc.Encode(m)
+	for conn := range s.proxies {
+		conn.SendEncoded(body)
+	}
+}
--- /dev/null
+++ b/internal/controlplane/replica.go
@@ -0,0 +1,140 @@
+package controlplane
+
+import (
+	"strings"
+
+	"elmfold/internal/controlplane/consensus"
+	"elmfold/internal/gateway/logfield"
+	"elmfold/internal/gateway/routeconfig"
+	"elmfold/internal/gateway/rpc"
+)
+
+// step hands events to the replica and carries out its actions, in their order.
+func (s *Server) step(events ...consensus.Event) {
+	for _, action := range s.replica.Step(s.now(), events...) {
+		s.carryOut(action)
+	}
+	s.noticeQuorum()
+	s.scheduleDeadline()
+}
+
+func (s *Server) carryOut(action consensus.Action) {
+	switch a := action.(type) {
+	case consensus.Persist:
+		s.options.Disk.PutAsync(a.Record, a.Value, func(err error) {
+			s.queue.Post(func() { s.onPersisted(a, err) })
+		})
+	case consensus.Send:
+		if p := s.peers[a.To]; p != nil && p.conn != nil {
+			p.conn.Send(a.Message)
+		}
+	case consensus.ValueCommitted:
+		s.onCommitted(a.Register)
+	case consensus.EpochEntered:
+		s.onEpoch(a.Epoch)
+	case consensus.RequestDone:
+		if done := s.requests[a.RequestID]; done != nil {
+			delete(s.requests, a.RequestID)
+			done <- a
+		}
+	case consensus.HandedOver:
+		close(s.handedOver)
+	}
+}
+
+func (s *Server) onPersisted(written consensus.Persist, err error) {
+	if err != nil {
+		s.log.Error("write failed", logfield.Record, written.Record, logfield.Error, err)
+	}
+	s.step(consensus.Persisted{Seq: written.Seq, Err: err})
+}
+
+// scheduleDeadline has step called when the replica needs it before the next tick.
+func (s *Server) scheduleDeadline() {
+	next := s.replica.NextDeadline()
+	isEarlier := s.deadline == 0 || next < s.deadline
+	if !isEarlier || next >= s.now()+tickInterval {
+		return
+	}
+	s.deadline = next
+	s.options.Clock.AfterFunc(next-s.now(), func() {
+		s.queue.Post(func() {
+			if s.deadline == next { // otherwise an earlier deadline has taken its place
+				s.deadline = 0
+			}
+			s.step()
+		})
+	})
+}
+
+// hasQuorumNow reports whether this node has quorum contact at this moment.
+func (s *Server) hasQuorumNow() bool { return s.replica.HasQuorum(s.now()) }
+
+// noticeQuorum tells proxies once quorum contact is established: what is said from now on is current.
+func (s *Server) noticeQuorum() {
+	hasQuorum := s.hasQuorumNow()
+	if hasQuorum == s.hasQuorum {
+		return
+	}
+	s.hasQuorum, s.hadQuorum = hasQuorum, true
+	epoch := s.replica.Epoch().Number
+	if !hasQuorum {
+		s.log.Warn("quorum contact lost", logfield.Epoch, epoch)
+		return
+	}
+	s.log.Info("quorum contact established", logfield.Epoch, epoch)
+	s.broadcastToProxies(s.registerSnapshot())
+}
+
+// onEpoch: who votes has changed.
+func (s *Server) onEpoch(e rpc.Epoch) {
+	names := make([]string, 0, len(e.Voters))
+	for _, v := range e.Voters {
+		names = append(names, v.Name)
+	}
+	s.log.Info("epoch entered", logfield.Epoch, e.Number, logfield.Voters, strings.Join(names, " "),
+		logfield.Changing, e.IsJoint())
+	s.connectVoters(e)
+	s.broadcastToProxies(&rpc.Message{Consensus: rpc.Consensus{Epoch: &e}})
+}
+
+func (s *Server) connectVoters(e rpc.Epoch) {
+	for _, v := range e.AllVoters() {
+		s.dialer.Connect(v.Address)
+	}
+}
+
+// onCommitted tells proxies of a committed value. They fetch a configuration from the nearest node that has it; values of
+// the other registers are small and go along.
+func (s *Server) onCommitted(r rpc.Register) {
+	s.log.Info("value committed", logfield.Register, r.Name, logfield.Version, r.Version.Number)
+	update := rpc.RegisterUpdate{CommittedVersions: map[string]rpc.Version{r.Name: r.Version}}
+	if r.Name == configRegister {
+		config, err := routeconfig.Parse(r.Value)
+		if err != nil { // it was checked before it was proposed
+			s.log.Error("committed configuration cannot be parsed", logfield.Error, err)
+			return
+		}
+		s.config = config
+		s.steering.configure(config)
+	} else {
+		update.CommittedValues = []rpc.Register{r}
+		s.steering.invalidate()
+	}
+	s.broadcastToProxies(&rpc.Message{RegisterUpdate: update})
+}
+
+// evacuatedZones are the zones that nothing is to be sent to.
+func (s *Server) evacuatedZones() map[string]bool {
+	zones := map[string]bool{}
+	for _, name := range s.replica.RegisterNames() {
+		zone, isZone := strings.CutPrefix(name, zoneRegisterPrefix)
+		if !isZone {
+			continue
+		}
+		if r, committed := s.replica.CommittedValue(name); committed && consensus.IsEvacuated(r.Value) {
+			zones[zone] = true
+		}
+	}
+	return zones
+}
--- a/internal/controlplane/counsel_test.go
+++ b/internal/controlplane/server_test.go
@@ -57,8 +57,8 @@
 		}
 		host := k.host // this life's: a dial may outlast it
 		disk, known, fresh := k.disk.Open(k.host)
-		k.server = controlplane.New(controlplane.Options{Settings: &set, Disk: disk, Known: known, Fresh: fresh,
-			Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(), Listen: lines, TimeOfDay: time.Now,
+		k.server = controlplane.New(controlplane.Options{Settings: &set, Disk: disk, DiskComplete: known, DiskFresh: fresh,
+			Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(), Listener: lines, TimeOfDay: time.Now,
 			Dial: func(address string) (net.Conn, error) {
 				ctx, cancel := context.WithTimeout(context.Background(), 350*time.Millisecond)
 				defer cancel()
--- a/internal/controlplane/status_test.go
+++ b/internal/controlplane/status_test.go
@@ -97,8 +97,8 @@
 	}
 	disk, known, fresh := k.disk.Open(k.host)
 	host := k.host
-	k.server = controlplane.New(controlplane.Options{Settings: &set, Disk: disk, Known: known, Fresh: fresh,
-		Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(), Listen: lines, TimeOfDay: time.Now,
+	k.server = controlplane.New(controlplane.Options{Settings: &set, Disk: disk, DiskComplete: known, DiskFresh: fresh,
+		Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(), Listener: lines, TimeOfDay: time.Now,
 		Dial: func(address string) (net.Conn, error) {
 			ctx, cancel := context.WithTimeout(context.Background(), 350*time.Millisecond)
 			defer cancel()
@@ -170,7 +170,7 @@
 		c.note("\nIt leaves while another is dark")
 		c.net.Dark(two.ip, true)
 		time.Sleep(500 * time.Millisecond)
-		go three.server.Leave(5 * time.Second)
+		go three.server.Shutdown(5 * time.Second)
 		time.Sleep(200 * time.Millisecond)
 		c.view(three, ids)
 		c.note("at another")
--- a/internal/controlplane/steering/bearing.go
+++ b/internal/controlplane/steering/bearing.go
@@ -42,18 +42,18 @@
 
 // Service is what choice has to know of one.
 type Service struct {
-	Target time.Duration // inside which an answer earns its full worth
+	LatencyTarget time.Duration // inside which an answer earns its full worth
 }
 
-// Backend is one that is in use or drains; those that are gone are left out of the list.
-type Backend struct {
+// Endpoint is one that is in use or drains; those that are gone are left out of the list.
+type Endpoint struct {
 	ID, Service, Zone string
 	Capacity          int
 	Ready             bool // false: it drains, or its zone is evacuated
 }
 
-// Bearing steers the carriers that joined, for all services.
-type Bearing struct {
+// Adapter steers the carriers that joined, for all services.
+type Adapter struct {
 	Log func(service, text string) // lines for people; may be nil
 
 	zones     []string
@@ -77,24 +77,24 @@
 }
 
 type backend struct {
-	Backend
+	Endpoint
 	in   *service
 	seen bool // in the list that is being taken
 }
 
 // New makes a Bearing that knows no service. Controllers that start together should not tick together: firstTick, up to
 // a second, is when this one does first; 0 is a whole one.
-func New(zones []string, firstTick time.Duration) *Bearing {
+func New(zones []string, firstTick time.Duration) *Adapter {
 	zones = slices.Compact(slices.Sorted(slices.Values(zones)))
-	return &Bearing{zones: zones, firstTick: firstTick, began: -1, services: map[string]*service{},
+	return &Adapter{zones: zones, firstTick: firstTick, began: -1, services: map[string]*service{},
 		backends: map[string]*backend{}, carriers: map[string]*carrier{}, members: make([]float64, len(zones))}
 }
 
 func ticks(d time.Duration) policy.Time { return policy.Time(d / (100 * time.Microsecond)) }
 
-func (b *Bearing) zone(name string) int { return slices.Index(b.zones, name) }
+func (b *Adapter) zone(name string) int { return slices.Index(b.zones, name) }
 
-func (b *Bearing) at(now time.Duration) {
+func (b *Adapter) at(now time.Duration) {
 	if b.now = max(b.now, now); b.began < 0 {
 		b.began = now
 	}
@@ -103,7 +103,7 @@
 // Configure sets which services there are. Those that stay keep all that is known of them; one with another target is
 // decided anew on what is worth recalling, and its carriers are told whole tables. Backends of new services must be
 // listed again.
-func (b *Bearing) Configure(services map[string]Service) {
+func (b *Adapter) Configure(services map[string]Service) {
 	for name, s := range b.services {
 		if _, stays := services[name]; !stays {
 			delete(b.services, name)
@@ -111,7 +111,7 @@
 		}
 	}
 	for name, c := range services {
-		target := cmp.Or(max(c.Target, 0), defaultSLA)
+		target := cmp.Or(max(c.LatencyTarget, 0), defaultSLA)
 		if s := b.services[name]; s == nil {
 			s = &service{b: b, name: name, target: target, fence: -1, places: map[string]int{}}
 			b.services[name] = s
@@ -123,13 +123,13 @@
 	b.names = slices.Sorted(maps.Keys(b.services))
 }
 
-// Backends takes the whole list, in any order. Those of services or zones that are not known here are read past.
-func (b *Bearing) Backends(now time.Duration, all []Backend) {
+// SetEndpoints takes the whole list, in any order. Those of services or zones that are not known here are read past.
+func (b *Adapter) SetEndpoints(now time.Duration, all []Endpoint) {
 	b.at(now)
 	for _, e := range b.backends {
 		e.seen = false
 	}
-	for _, e := range slices.SortedFunc(slices.Values(all), func(a, b Backend) int { return cmp.Compare(a.ID, b.ID) }) {
+	for _, e := range slices.SortedFunc(slices.Values(all), func(a, b Endpoint) int { return cmp.Compare(a.ID, b.ID) }) {
 		s := b.services[e.Service]
 		if s == nil || b.zone(e.Zone) < 0 {
 			continue
@@ -143,8 +143,8 @@
 			old = &backend{in: s}
 			b.backends[e.ID] = old
 		}
-		if old.seen = true; old.Backend != e {
-			old.Backend = e
+		if old.seen = true; old.Endpoint != e {
+			old.Endpoint = e
 			s.list(e)
 		}
 	}
@@ -156,9 +156,9 @@
 	}
 }
 
-// Members takes all carriers that hold a lease, those that steer here among them: what comes to the others is guessed
+// SetProxies takes all carriers that hold a lease, those that steer here among them: what comes to the others is guessed
 // from their number.
-func (b *Bearing) Members(all []rpc.ProxyInfo) {
+func (b *Adapter) SetProxies(all []rpc.ProxyInfo) {
 	clear(b.members)
 	for _, m := range all {
 		if z := b.zone(m.Zone); z >= 0 {
@@ -169,7 +169,7 @@
 
 // Join takes a carrier that has a new line and steers here. It is told whole tables once it has reported: choice holds
 // one that it has not heard of to a request a second. After a start of this controller all wait for two seconds.
-func (b *Bearing) Join(name, zone string) {
+func (b *Adapter) Join(name, zone string) {
 	z := b.zone(zone)
 	if z < 0 {
 		return // it goes by what it knows itself
@@ -191,7 +191,7 @@
 }
 
 // Leave takes that a carrier's line broke, or that it steers elsewhere.
-func (b *Bearing) Leave(name string) {
+func (b *Adapter) Leave(name string) {
 	if c := b.carriers[name]; c != nil && c.here {
 		c.here, c.leftAt = false, b.now
 		for _, s := range b.services {
@@ -201,7 +201,7 @@
 }
 
 // Report takes what came to a joined carrier and was met by it in so many seconds.
-func (b *Bearing) Report(name string, uses []rpc.ServiceLoad, met []rpc.EndpointReport, spent float64) {
+func (b *Adapter) Report(name string, uses []rpc.ServiceLoad, met []rpc.EndpointReport, spent float64) {
 	c := b.carriers[name]
 	if c == nil || !c.here || !(spent > 0) || math.IsInf(spent, 1) {
 		return
@@ -222,7 +222,7 @@
 // Step runs what is due and returns, by carrier, what it is to hold from now on and was not told yet: nil where
 // nothing changed. It should be called a few times a second; drains and losses go out with the first call after they
 // were listed, all else once a second.
-func (b *Bearing) Step(now time.Duration) map[string][]rpc.RoutingTable {
+func (b *Adapter) Step(now time.Duration) map[string][]rpc.RoutingTable {
 	b.at(now)
 	var out map[string][]rpc.RoutingTable
 	for _, name := range b.names {
--- a/internal/controlplane/steering/bearing_test.go
+++ b/internal/controlplane/steering/bearing_test.go
@@ -15,9 +15,9 @@
 
 // rig drives a Bearing as the controller does: a call every 200 ms, a report of each carrier a second.
 type rig struct {
-	b        *Bearing
+	b        *Adapter
 	now      time.Duration
-	list     []Backend
+	list     []Endpoint
 	carriers []string // in the order in which they report
 	rate     map[string]float64
 	took     time.Duration
@@ -33,19 +33,19 @@
 func newRig(carriers ...string) *rig {
 	r := &rig{b: New([]string{"c", "a", "b"}, 0), rate: map[string]float64{}, took: 100 * time.Millisecond,
 		weights: map[string]map[string]float64{}, levels: map[string]float64{}}
-	r.b.Configure(map[string]Service{"svc": {Target: time.Second}})
+	r.b.Configure(map[string]Service{"svc": {LatencyTarget: time.Second}})
 	for _, z := range []string{"a", "b", "c"} {
 		for i := range 2 {
-			r.list = append(r.list, Backend{ID: fmt.Sprint(z, i), Service: "svc", Zone: z, Capacity: 6, Ready: true})
+			r.list = append(r.list, Endpoint{ID: fmt.Sprint(z, i), Service: "svc", Zone: z, Capacity: 6, Ready: true})
 		}
 	}
-	r.b.Backends(0, r.list)
+	r.b.SetEndpoints(0, r.list)
 	members := []rpc.ProxyInfo{{Name: "y0", Zone: "b"}, {Name: "y1", Zone: "b"},
 		{Name: "z0", Zone: "c"}, {Name: "z1", Zone: "c"}}
 	for _, c := range carriers {
 		members = append(members, rpc.ProxyInfo{Name: c, Zone: "a"})
 	}
-	r.b.Members(members)
+	r.b.SetProxies(members)
 	for _, c := range carriers {
 		r.join(c)
 	}
@@ -140,29 +140,29 @@
 	r.seconds(6)
 	first := r.list
 	r.note("# a2 is new while requests come: a tenth, doubled every 5 s")
-	r.list = append(slices.Clone(first), Backend{ID: "a2", Service: "svc", Zone: "a", Capacity: 6, Ready: true})
-	r.b.Backends(r.now, r.list)
+	r.list = append(slices.Clone(first), Endpoint{ID: "a2", Service: "svc", Zone: "a", Capacity: 6, Ready: true})
+	r.b.SetEndpoints(r.now, r.list)
 	r.seconds(20)
 	r.note("# a2 drains: out with the next call, before the tick")
 	r.list[len(r.list)-1].Ready = false
-	r.b.Backends(r.now, r.list)
+	r.b.SetEndpoints(r.now, r.list)
 	r.step()
 	r.note("# a2 is gone, then its zone is evacuated: the other zones join")
-	r.b.Backends(r.now, first)
+	r.b.SetEndpoints(r.now, first)
 	r.seconds(2)
 	away := slices.Clone(first)
 	for i := range away {
 		away[i].Ready = away[i].Zone != "a"
 	}
-	r.b.Backends(r.now, away)
+	r.b.SetEndpoints(r.now, away)
 	r.seconds(2)
 	r.note("# and taken back, without a ramp")
-	r.b.Backends(r.now, first)
+	r.b.SetEndpoints(r.now, first)
 	r.seconds(40)
 	r.note("# its place is another's now; a target changes: all anew, with what is known")
-	r.b.Backends(r.now, append(slices.Clone(first), Backend{ID: "a3", Service: "svc", Zone: "a", Capacity: 3, Ready: true}))
+	r.b.SetEndpoints(r.now, append(slices.Clone(first), Endpoint{ID: "a3", Service: "svc", Zone: "a", Capacity: 3, Ready: true}))
 	r.seconds(2)
-	r.b.Configure(map[string]Service{"svc": {Target: 2 * time.Second}})
+	r.b.Configure(map[string]Service{"svc": {LatencyTarget: 2 * time.Second}})
 	r.seconds(2)
 	autogold.Equal(t, r.said.String())
 	if n := len(r.b.services["svc"].ids); n != 7 {
@@ -178,15 +178,15 @@
 	if r.weights["p0"]["b0"] > 0 {
 		t.Errorf("other zones joined though all zones are as well used: %v", r.weights["p0"])
 	}
-	half := slices.DeleteFunc(slices.Clone(r.list), func(b Backend) bool { return b.ID == "a0" })
-	r.b.Backends(r.now, half)
+	half := slices.DeleteFunc(slices.Clone(r.list), func(b Endpoint) bool { return b.ID == "a0" })
+	r.b.SetEndpoints(r.now, half)
 	r.seconds(3)
 	w := r.weights["p0"]
 	others := w["b0"] + w["b1"] + w["c0"] + w["c1"]
 	if away := others / (w["a1"] + others); away < 0.3 || away > 0.5 {
 		t.Errorf("half of the zone is lost: %.2f goes elsewhere, of %v", away, w)
 	}
-	r.b.Backends(r.now, r.list)
+	r.b.SetEndpoints(r.now, r.list)
 	r.seconds(25)
 	if w := r.weights["p0"]; w["b0"]+w["b1"]+w["c0"]+w["c1"] > 0 {
 		t.Errorf("the zone is whole again: %v", w)
@@ -221,21 +221,21 @@
 	for _, size := range []struct{ services, backends, carriers int }{{3, 10, 10}, {1, 500, 136}, {200, 35, 136}} {
 		b.Run(fmt.Sprint(size.services, "x", size.backends, "x", size.carriers), func(b *testing.B) {
 			g := New([]string{"a", "b", "c", "d", "e"}, 0)
-			config, list, members := map[string]Service{}, []Backend{}, []rpc.ProxyInfo{}
+			config, list, members := map[string]Service{}, []Endpoint{}, []rpc.ProxyInfo{}
 			for s := range size.services {
-				config[fmt.Sprint("s", s)] = Service{Target: time.Second}
+				config[fmt.Sprint("s", s)] = Service{LatencyTarget: time.Second}
 				for i := range size.backends {
-					list = append(list, Backend{ID: fmt.Sprint(s, "-", i), Service: fmt.Sprint("s", s), Zone: g.zones[i%5],
+					list = append(list, Endpoint{ID: fmt.Sprint(s, "-", i), Service: fmt.Sprint("s", s), Zone: g.zones[i%5],
 						Capacity: 6, Ready: true})
 				}
 			}
 			g.Configure(config)
-			g.Backends(0, list)
+			g.SetEndpoints(0, list)
 			for c := range size.carriers {
 				g.Join(fmt.Sprint("p", c), "a")
 				members = append(members, rpc.ProxyInfo{Name: fmt.Sprint("p", c), Zone: "a"})
 			}
-			g.Members(members)
+			g.SetProxies(members)
 			now, told := time.Duration(0), 0
 			second := func() {
 				for c := range size.carriers {
--- a/internal/controlplane/steering/service.go
+++ b/internal/controlplane/steering/service.go
@@ -12,7 +12,7 @@
 
 // service is one Assigner with what stands between it and names.
 type service struct {
-	b        *Bearing
+	b        *Adapter
 	name     string
 	target   time.Duration
 	assigner *policy.Assigner // nil: it is made at the next step
@@ -129,7 +129,7 @@
 }
 
 // list takes a backend that is new or changed.
-func (s *service) list(b Backend) {
+func (s *service) list(b Endpoint) {
 	at, known := s.places[b.ID]
 	if !known {
 		if at = slices.Index(s.ids, ""); at < 0 {
--- a/internal/emulator/proxies/ways.go
+++ b/internal/emulator/proxies/ways.go
@@ -42,9 +42,9 @@
 type settled struct {
 	w        *world
 	settlers []*balancer.Settler
-	bearings []*steering.Bearing
+	bearings []*steering.Adapter
 	byID     map[string]*backend
-	listed   []steering.Backend
+	listed   []steering.Endpoint
 }
 
 func (s *settled) begin() {
@@ -57,7 +57,7 @@
 		zones = append(zones, zoneName(z))
 	}
 	for _, k := range w.Kinds {
-		services[k.Name] = steering.Service{Target: k.Aim}
+		services[k.Name] = steering.Service{LatencyTarget: k.Aim}
 	}
 	name := func(i int) string { return fmt.Sprintf("c%d", i) }
 	for i, c := range w.carriers {
@@ -67,7 +67,7 @@
 	for z := range zones {
 		b := steering.New(zones, time.Duration(balancer.Rank(zones[z], "tick")%uint64(time.Second)))
 		b.Configure(services)
-		b.Members(leases)
+		b.SetProxies(leases)
 		s.bearings = append(s.bearings, b)
 	}
 	for i, c := range w.carriers {
@@ -137,7 +137,7 @@
 func (s *settled) word(b *backend, there bool) {
 	w := s.w
 	if s.byID[b.id] == nil {
-		s.listed = append(s.listed, steering.Backend{ID: b.id, Service: w.Kinds[b.kind].Name, Zone: zoneName(b.zone),
+		s.listed = append(s.listed, steering.Endpoint{ID: b.id, Service: w.Kinds[b.kind].Name, Zone: zoneName(b.zone),
 			Capacity: b.slots, Ready: true})
 	}
 	s.byID[b.id] = b
@@ -146,7 +146,7 @@
 			Capacity: b.slots, Usable: there, ColdUntil: b.coldUntil})
 	}
 	for _, v := range s.bearings {
-		v.Backends(w.now, s.listed)
+		v.SetEndpoints(w.now, s.listed)
 	}
 }
 
--- a/internal/gateway/cli/process.go
+++ b/internal/gateway/cli/process.go
@@ -9,6 +9,7 @@
 	"github.com/hashicorp/go-hclog"
 
 	"elmfold/internal/gateway/bootconfig"
+	"elmfold/internal/gateway/logfield"
 )
 
 const (
@@ -40,7 +41,7 @@
 			}
 			settings, err := bootconfig.FromEnvironment()
 			if err != nil {
-				log.Error("settings stay as they were", "err", err)
+				log.Error("settings not reloaded", logfield.Error, err)
 				continue
 			}
 			reload(settings)
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -239,8 +239,8 @@
 	}
 	if m.Disk != nil {
 		disk, known, fresh := m.Disk.Open(h)
-		s := controlplane.New(controlplane.Options{Settings: set, Disk: disk, Known: known, Fresh: fresh, Log: log,
-			Clock: clockwork.NewRealClock(), Dial: dial, Listen: must(h.Listen(set.OwnPeerAddress())), TimeOfDay: m.timeOfDay})
+		s := controlplane.New(controlplane.Options{Settings: set, Disk: disk, DiskComplete: known, DiskFresh: fresh, Log: log,
+			Clock: clockwork.NewRealClock(), Dial: dial, Listener: must(h.Listen(set.OwnPeerAddress())), TimeOfDay: m.timeOfDay})
 		calls := quiet(&http.Server{Handler: s.Handler(), ReadTimeout: 20 * time.Second})
 		listen := must(h.Listen(m.control()))
 		go func() { _ = calls.Serve(listen) }()
@@ -348,8 +348,8 @@
 	w.busy.Go(func() {
 		if c != nil {
 			c.Shutdown(grace - 300*time.Millisecond)
-		} else if l, ok := any(s).(interface{ Leave(within time.Duration) }); ok {
-			l.Leave(grace - 300*time.Millisecond)
+		} else if s != nil {
+			s.Shutdown(grace - 300*time.Millisecond)
 		}
 		close(left)
 	})
