--- a/internal/controlplane/steering/bearing_test.go
+++ b/internal/controlplane/steering/adapter_test.go
@@ -206,13 +206,13 @@
 		t.Errorf("told of nothing:\n%s", r.said.String())
 	}
 	s := r.b.services["svc"]
-	at := s.stirred
-	if r.seconds(5); s.stirred != at {
+	at := s.lastActivity
+	if r.seconds(5); s.lastActivity != at {
 		t.Error("a service that nobody uses has news")
 	}
 	r.rate["p0"] = 30
-	if r.seconds(2); s.slots[0].rate < 15 {
-		t.Errorf("a use that came back counts as %.1f/s", s.slots[0].rate)
+	if r.seconds(2); s.proxies[0].rate < 15 {
+		t.Errorf("a use that came back counts as %.1f/s", s.proxies[0].rate)
 	}
 }
 
