--- a/internal/controlplane/consensus/shutdown.go
+++ b/internal/controlplane/consensus/shutdown.go
@@ -99,5 +99,5 @@
 			count++
 		}
 	}
-	return count >= min(max(r.options.MaxFaults+1, len(set)/2+1), others)
+	return count >= min(rpc.QuorumSize(len(set), r.options.MaxFaults), others)
 }
--- a/internal/controlplane/rollout/every_test.go
+++ b/internal/controlplane/rollout/every_test.go
@@ -14,9 +14,9 @@
 	"elmfold/internal/controlplane/paxos"
 )
 
-func (c *change) clone() *change {
+func (c *trackedVersion) clone() *trackedVersion {
 	d := *c
-	d.asked, d.says, d.prop.Responses = maps.Clone(c.asked), maps.Clone(c.says), maps.Clone(c.prop.Responses)
+	d.askedToPrepare, d.confirmations, d.proposal.Responses = maps.Clone(c.askedToPrepare), maps.Clone(c.confirmations), maps.Clone(c.proposal.Responses)
 	return &d
 }
 
@@ -36,20 +36,20 @@
 	w.shared &^= 1 << i
 	if i >= w.n {
 		d := *w.car[i-w.n]
-		d.has = map[uint64]*own{}
-		for version, o := range w.car[i-w.n].has {
+		d.versions = map[uint64]*versionState{}
+		for version, o := range w.car[i-w.n].versions {
 			p := *o
-			d.has[version] = &p
+			d.versions[version] = &p
 		}
 		w.car[i-w.n] = &d
 		return
 	}
 	s := *w.st[i]
-	s.up, s.members, s.changes = maps.Clone(s.up), maps.Clone(s.members), map[uint64]*change{}
-	for version, c := range w.st[i].changes {
-		s.changes[version] = c.clone()
+	s.connected, s.leases, s.versions = maps.Clone(s.connected), maps.Clone(s.leases), map[uint64]*trackedVersion{}
+	for version, c := range w.st[i].versions {
+		s.versions[version] = c.clone()
 	}
-	s.waits, s.orders = slices.Clone(s.waits), nil
+	s.answers, s.actions = slices.Clone(s.answers), nil
 	w.st[i], w.disks[i], w.proved[i] = &s, maps.Clone(w.disks[i]), maps.Clone(w.proved[i])
 }
 
@@ -68,7 +68,7 @@
 }
 
 func putDecision(b []byte, d Decision) []byte {
-	return put(b, bit(d.Taken), d.Digest, uint64(d.Reason))
+	return put(b, bit(d.Committed), d.Digest, uint64(d.Reason))
 }
 
 func putItem(b []byte, x any) []byte {
@@ -78,10 +78,10 @@
 		return putDecision(b, x.Value)
 	case hello:
 		return put(b, 2, x.life)
-	case Told:
-		return put(b, 3, uint64(x.Word), x.Digest)
+	case CommandReceived:
+		return put(b, 3, uint64(x.Command), x.Digest)
 	case Confirmed:
-		return put(b, 4, x.Life, x.Digest)
+		return put(b, 4, x.Incarnation, x.Digest)
 	case Persist:
 		return putVote(put(b, 5), x.Vote)
 	}
@@ -89,7 +89,7 @@
 }
 
 func putVote(b []byte, v Vote) []byte {
-	b = put(b, v.Promised.Round, v.Promised.Incarnation, v.Accepted.Round, v.Accepted.Incarnation, bit(v.Known))
+	b = put(b, v.Promised.Round, v.Promised.Incarnation, v.Accepted.Round, v.Accepted.Incarnation, bit(v.Decided))
 	return putDecision(b, v.Value)
 }
 
@@ -101,15 +101,15 @@
 	for k := w.n; k < w.n+w.m; k++ {
 		c := w.car[k-w.n]
 		gen := func(life uint64) uint64 { return (life + 15) / 16 }
-		col := put(nil, gen(w.life[k]), c.serves.Version, c.taken.Version)
-		if o := c.has[1]; o != nil {
+		col := put(nil, gen(w.life[k]), c.active.Version, c.committed.Version)
+		if o := c.versions[1]; o != nil {
 			col = put(col, uint64(o.state), o.digest)
 		}
 		for i := range w.n {
 			s := w.st[i]
-			col = put(col, 99, gen(s.members[name(k)].life))
-			if ch := s.changes[1]; ch != nil && !ch.Known { // what was counted is of no use after the end
-				col = put(col, gen(ch.asked[name(k)]), gen(ch.says[name(k)].life), gen(w.proved[i][about{k, 0}].life),
+			col = put(col, 99, gen(s.leases[name(k)].incarnation))
+			if ch := s.versions[1]; ch != nil && !ch.Decided { // what was counted is of no use after the end
+				col = put(col, gen(ch.askedToPrepare[name(k)]), gen(ch.confirmations[name(k)].incarnation), gen(w.proved[i][about{k, 0}].life),
 					gen(w.proved[i][about{k, 1}].life))
 			}
 			for _, q := range [][]any{*w.queue(i, k), *w.queue(k, i)} {
@@ -119,7 +119,7 @@
 					case hello:
 						col = putItem(col, hello{gen(x.life)})
 					case Confirmed:
-						x.Life = gen(x.Life)
+						x.Incarnation = gen(x.Incarnation)
 						col = putItem(col, x)
 					default:
 						col = putItem(col, x)
@@ -135,17 +135,17 @@
 	}
 	for i := range w.n {
 		s := w.st[i]
-		b = put(b, 77, uint64(w.now[i]), s.life, s.taken.Version, uint64(len(s.waits)))
-		for _, x := range s.waits {
-			b = put(putItem(b, x.m), s.seq-x.seq)
+		b = put(b, 77, uint64(w.now[i]), s.incarnation, s.committed.Version, uint64(len(s.answers)))
+		for _, x := range s.answers {
+			b = put(putItem(b, x.message), s.seq-x.seq)
 		}
-		if c := s.changes[1]; c != nil {
+		if c := s.versions[1]; c != nil {
 			b = putVote(b, c.Vote)
-			if !c.Known {
-				b = put(b, uint64(c.step), uint64(c.halt), uint64(c.againAt), uint64(c.wishAt+1), uint64(c.lookAt+1), c.maxRound,
-					uint64(c.prop.Phase), uint64(c.since))
+			if !c.Decided {
+				b = put(b, uint64(c.stage), uint64(c.haltReason), uint64(c.retryAt), uint64(c.wantedSince+1), uint64(c.recoverAt+1), c.maxRound,
+					uint64(c.proposal.Phase), uint64(c.since))
 			}
-			if p := c.prop; p.Phase != paxos.Idle {
+			if p := c.proposal; p.Phase != paxos.Idle {
 				b = put(b, p.Ballot.Round, p.Ballot.Incarnation, p.HighestAccepted.Round, p.HighestAccepted.Incarnation, uint64(len(p.Responses)))
 				for _, f := range slices.Sorted(maps.Keys(p.Responses)) {
 					b = put(append(b, f...), p.Responses[f].Round, p.Responses[f].Incarnation)
@@ -241,8 +241,8 @@
 		for q := range w.queues {
 			if to := q % all; len(w.queues[q]) > 0 && (only < 0 || only == to && to >= w.n) {
 				quiet = false
-				if from := q / all; inOrder && from >= w.n && slices.ContainsFunc(w.car[:from-w.n], func(c *Carrier) bool {
-					return len(*w.queue(int(c.life-1)%16, to)) > 0
+				if from := q / all; inOrder && from >= w.n && slices.ContainsFunc(w.car[:from-w.n], func(c *Participant) bool {
+					return len(*w.queue(int(c.incarnation-1)%16, to)) > 0
 				}) {
 					continue
 				}
@@ -263,7 +263,7 @@
 				visit(true, func(v *world) { v.crash(i, false) })
 			}
 		}
-		if d, is := w.chosen[1]; quiet && is && d.Taken {
+		if d, is := w.chosen[1]; quiet && is && d.Committed {
 			got.taken++
 		} else if quiet && is {
 			got.halted++
@@ -277,7 +277,7 @@
 
 // small: with 3 carriers 2 are enough, exactly the bound. The leases are known, the version has just become safe.
 func small(carriers int, f flaws) *world {
-	w := newWorld(2, carriers, 0, Plan{Steps: []Step{{Share: 0.6, Within: time.Minute}}}, f)
+	w := newWorld(2, carriers, 0, Plan{Stages: []Stage{{MinShare: 0.6, Timeout: time.Minute}}}, f)
 	w.settle()
 	w.propose(Target{1, 7})
 	return w
--- a/internal/controlplane/rollout/world_test.go
+++ b/internal/controlplane/rollout/world_test.go
@@ -41,11 +41,11 @@
 	n, m     int
 	plan     Plan
 	flaws    flaws
-	st       []*Steward
+	st       []*Coordinator
 	disks    []map[uint64]Vote
-	pend     [][]Order // for the disk
+	pend     [][]Action // for the disk
 	now      []time.Duration
-	car      []*Carrier
+	car      []*Participant
 	life     []uint64 // of all
 	queues   [][]any  // from*(n+m)+to
 	forgot   []bool   // the disk has no mark that it is whole
@@ -64,15 +64,15 @@
 func name(i int) string { return string(rune('a' + i)) }
 
 func newWorld(n, m, faults int, plan Plan, f flaws) *world {
-	w := &world{n: n, m: m, plan: plan, flaws: f, faults: faults, st: make([]*Steward, n), disks: make([]map[uint64]Vote, n),
-		pend: make([][]Order, n), now: make([]time.Duration, n), car: make([]*Carrier, m), life: make([]uint64, n+m),
+	w := &world{n: n, m: m, plan: plan, flaws: f, faults: faults, st: make([]*Coordinator, n), disks: make([]map[uint64]Vote, n),
+		pend: make([][]Action, n), now: make([]time.Duration, n), car: make([]*Participant, m), life: make([]uint64, n+m),
 		queues: make([][]any, (n+m)*(n+m)), cut: make([]bool, n+m), forgot: make([]bool, n), proved: make([]map[about]heardOf, n),
 		ballots: map[ballotKey]accepted{}, chosen: map[uint64]Decision{}}
 	for i := range n + m {
 		w.life[i] = uint64(i + 1)
 	}
 	for i := range m {
-		w.car[i] = NewCarrier(w.life[n+i], 6*time.Second)
+		w.car[i] = NewParticipant(w.life[n+i], 6*time.Second)
 	}
 	for i := range n {
 		w.disks[i] = map[uint64]Vote{}
@@ -105,7 +105,7 @@
 			disk = append(disk, v)
 		}
 	}
-	w.st[i] = New(name(i), w.life[i], founders, w.faults, w.plan, votes, disk)
+	w.st[i] = New(Options{Self: name(i), Incarnation: w.life[i], Voters: founders, MaxFaults: w.faults, Plan: w.plan, IsVoter: votes, Disk: disk})
 	w.pend[i], w.proved[i] = nil, map[about]heardOf{}
 	for j := range w.n + w.m {
 		if j != i {
@@ -113,7 +113,7 @@
 		}
 	}
 	for _, t := range w.safe {
-		w.step(i, Safe{t})
+		w.step(i, BodyStored{t})
 	}
 }
 
@@ -124,19 +124,19 @@
 		return
 	}
 	if j < w.n {
-		w.step(i, Up{name(j)})
-		w.step(j, Up{name(i)})
+		w.step(i, PeerConnected{name(j)})
+		w.step(j, PeerConnected{name(i)})
 		return
 	}
 	w.push(j, i, hello{w.life[j]})
-	w.carry(j, Linked{name(i)})
+	w.carry(j, ControllerConnected{name(i)})
 }
 
 func (w *world) unlink(i, j int) {
 	*w.queue(i, j), *w.queue(j, i) = nil, nil
 	if j < w.n && w.st[j] != nil {
-		w.step(i, Down{name(j)})
-		w.step(j, Down{name(i)})
+		w.step(i, PeerDisconnected{name(j)})
+		w.step(j, PeerDisconnected{name(i)})
 		*w.queue(i, j), *w.queue(j, i) = nil, nil
 	}
 }
@@ -155,7 +155,7 @@
 	w.own(i)
 	s := w.st[i]
 	if w.flaws.noPromise {
-		for _, c := range s.changes {
+		for _, c := range s.versions {
 			c.Promised = BallotNumber{}
 		}
 	}
@@ -164,17 +164,17 @@
 		case Persist, Drop:
 			w.pend[i] = append(slices.Clip(w.pend[i]), o)
 		case Send:
-			if o.Kind == Offer {
+			if o.Kind == AcceptRequest {
 				w.offered(i, o.Message)
 			}
 			w.push(i, int(o.To[0]-'a'), o.Message)
-		case Tell:
+		case SendCommand:
 			for k := w.n; k < w.n+w.m; k++ {
-				if o.Carrier == "" || o.Carrier == name(k) {
-					w.push(i, k, Told{o.Word, o.Target})
+				if o.Proxy == "" || o.Proxy == name(k) {
+					w.push(i, k, CommandReceived{o.Command, o.Target})
 				}
 			}
-		case End:
+		case VersionDecided:
 			if chosen, is := w.chosen[o.Version]; !is || chosen != o.Decision {
 				w.failf("%s tells %d %+v, chosen is %+v", name(i), o.Version, o.Decision, chosen)
 			}
@@ -184,12 +184,12 @@
 
 // offered checks a value that is offered for the first time against the plain table.
 func (w *world) offered(i int, m Message) {
-	if w.flaws.tooSoon && m.Value.Taken {
+	if w.flaws.tooSoon && m.Value.Committed {
 		for k := w.n; k < w.n+w.m; k++ {
-			w.push(i, k, Told{Take, Target{m.Version, m.Value.Digest}})
+			w.push(i, k, CommandReceived{CommandActivate, Target{m.Version, m.Value.Digest}})
 		}
 	}
-	if c := w.st[i].changes[m.Version]; !m.Value.Taken || c == nil || c.prop.HighestAccepted != (BallotNumber{}) {
+	if c := w.st[i].versions[m.Version]; !m.Value.Committed || c == nil || c.proposal.HighestAccepted != (BallotNumber{}) {
 		return
 	}
 	live, have := map[string]int{}, map[string]int{}
@@ -204,9 +204,9 @@
 			all++
 		}
 	}
-	last := w.plan.Steps[len(w.plan.Steps)-1]
+	last := w.plan.Stages[len(w.plan.Stages)-1]
 	for zone, n := range live {
-		if float64(have[zone]) < last.Share*float64(n)-1e-9 {
+		if float64(have[zone]) < last.MinShare*float64(n)-1e-9 {
 			w.failf("%s offers taken with %d of %d in %s", name(i), have[zone], n, zone)
 		}
 	}
@@ -219,26 +219,26 @@
 func (w *world) carry(k int, events ...Event) {
 	w.own(k)
 	c := w.car[k-w.n]
-	before := c.Serves()
+	before := c.Active()
 	for _, o := range c.Step(0, events...) {
 		switch o := o.(type) {
 		case Fetch:
-			w.carry(k, Got(o))
+			w.carry(k, BodyReceived(o))
 		case Compile:
-			w.carry(k, Compiled{Target: o.Target})
-		case Confirm:
+			w.carry(k, CompileDone{Target: o.Target})
+		case SendConfirmation:
 			for i := range w.n {
 				if o.To == "" || o.To == name(i) {
-					w.push(k, i, Confirmed{name(k), o.Life, o.Target, o.Refused})
+					w.push(k, i, Confirmed{name(k), o.Incarnation, o.Target, o.NotReadable})
 				}
 			}
-		case Switch:
-			if d := w.chosen[o.Version]; !d.Taken || d.Digest != o.Digest {
+		case Activate:
+			if d := w.chosen[o.Version]; !d.Committed || d.Digest != o.Digest {
 				w.failf("%s serves %v, chosen is %+v", name(k), o.Target, d)
 			}
 		}
 	}
-	if c.Serves().Version < before.Version {
+	if c.Active().Version < before.Version {
 		w.failf("%s went back", name(k))
 	}
 }
@@ -251,18 +251,18 @@
 	*q = slices.Clone((*q)[1:])
 	switch what := what.(type) {
 	case Message:
-		w.step(to, Heard{name(from), what})
+		w.step(to, MessageReceived{name(from), what})
 	case hello:
 		w.proved[to][about{carrier: from}] = heardOf{life: what.life}
-		w.step(to, Leased{name(from), w.zone(from), what.life}, Reached{name(from)})
-	case Told:
+		w.step(to, LeaseGranted{name(from), w.zone(from), what.life}, ProxyConnected{name(from)})
+	case CommandReceived:
 		w.carry(to, what)
 	case Confirmed:
-		if w.proved[to][about{carrier: from}].life == what.Life {
-			w.proved[to][about{from, what.Version}] = heardOf{what.Life, what.Digest}
+		if w.proved[to][about{carrier: from}].life == what.Incarnation {
+			w.proved[to][about{from, what.Version}] = heardOf{what.Incarnation, what.Digest}
 		}
 		if w.flaws.oldLife {
-			what.Life = w.st[to].members[name(from)].life
+			what.Incarnation = w.st[to].leases[name(from)].incarnation
 		}
 		w.step(to, what)
 	}
@@ -278,10 +278,10 @@
 		delete(w.disks[i], o.Version)
 	case Persist:
 		if err == nil {
-			if w.disks[i][o.Version] = o.Vote; o.Shut {
+			if w.disks[i][o.Version] = o.Vote; o.Closed {
 				w.forgot[i] = false
 			}
-			if o.Accepted != (BallotNumber{}) && !o.Known {
+			if o.Accepted != (BallotNumber{}) && !o.Decided {
 				w.accept(i, o.Vote)
 			}
 		}
@@ -302,7 +302,7 @@
 	if _, agree := w.st[i].Quorums(); bits.OnesCount64(a.by) >= agree {
 		if was, is := w.chosen[v.Version]; is && was != v.Value {
 			what := ""
-			if was.Taken != v.Value.Taken {
+			if was.Committed != v.Value.Committed {
 				what = ", and one was taken"
 			}
 			w.failf("two ends of %d: %+v and %+v%s", v.Version, was, v.Value, what)
@@ -316,7 +316,7 @@
 	w.own(i)
 	w.life[i] += 16
 	if i >= w.n {
-		w.car[i-w.n] = NewCarrier(w.life[i], 6*time.Second)
+		w.car[i-w.n] = NewParticipant(w.life[i], 6*time.Second)
 		for j := range w.n { // what it had sent may come yet, then its successor speaks
 			*w.queue(j, i) = nil
 			if w.push(i, j, hello{w.life[i]}); w.twoLines {
@@ -340,7 +340,7 @@
 func (w *world) propose(t Target) {
 	w.safe = append(w.safe, t)
 	for i := range w.n {
-		w.step(i, Safe{t})
+		w.step(i, BodyStored{t})
 	}
 }
 
