--- a/internal/compat/answers_test.go
+++ b/internal/compat/answers_test.go
@@ -147,7 +147,8 @@
 		}
 	}
 	if settings.Listen["front"] != "10.0.0.100:8548" || settings.Seeds[1] != "10.0.0.11:8544" || settings.DataDir != "/var/lib/elmfold" ||
-		settings.OwnPeerAddress() != "10.0.0.100:7540" || settings.PeerAddress("10.0.0.11:8544") != "10.0.0.11:7540" || !settings.Bootstrap {
+		settings.OwnPeerAddress() != "10.0.0.100:7540" || settings.PeerAddress("10.0.0.11:8544") != "10.0.0.11:7540" ||
+		!settings.Bootstrap {
 		t.Errorf("%+v", settings)
 	}
 }
@@ -174,15 +175,18 @@
 	if !bytes.Equal(c.Body, text) || c.Version != 0xabcdef || c.Digest != 0x4e84cfa41d1a23df {
 		t.Errorf("version %x, digest %x", c.Version, c.Digest)
 	}
-	if l := c.Limits; l.HeaderBytes != 101 || l.BodyBytes != 102 || l.HeaderTimeout != 103*time.Second || l.IdleTimeout != 104*time.Second {
+	if l := c.Limits; l.HeaderBytes != 101 || l.BodyBytes != 102 || l.HeaderTimeout != 103*time.Second ||
+		l.IdleTimeout != 104*time.Second {
 		t.Errorf("limits %+v", l)
 	}
-	if p := c.Services["alpha"]; p.HealthPath != "/alive" || p.MaxConns != 105 || p.SlowStart != 106*time.Second || p.SlowStartRate != 107 {
+	if p := c.Services["alpha"]; p.HealthPath != "/alive" || p.MaxConns != 105 || p.SlowStart != 106*time.Second ||
+		p.SlowStartRate != 107 {
 		t.Errorf("service %+v", p)
 	}
 	r := c.Route("A.example:80", "/a/x")
 	if r == nil || r.Name != "r-1" || !r.Idempotent || r.LatencyTarget != 108*time.Second || r.Timeout != 109*time.Second || r.Priority != 2 ||
-		r.MaxAttempts != 4 || len(r.Services) != 2 || r.Services[0].Service != "alpha" || r.Services[0].Weight != 0.25 {
+		r.MaxAttempts != 4 || len(r.Services) != 2 || r.Services[0].Service != "alpha" ||
+		r.Services[0].Weight != 0.25 {
 		t.Errorf("route %+v", r)
 	}
 }
--- a/internal/compat/core_test.go
+++ b/internal/compat/core_test.go
@@ -59,13 +59,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.server = controlplane.New(controlplane.Options{Settings: &settings, Disk: n.store, DiskComplete: n.found.Complete, DiskFresh: n.found.Fresh,
-		Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(), Listener: listener, TimeOfDay: time.Now,
-		Dial: func(address string) (net.Conn, error) {
-			ctx, cancel := context.WithTimeout(context.Background(), 350*time.Millisecond)
-			defer cancel()
-			return n.host.Dial(ctx, address, 3*time.Second)
-		}})
+	n.server = controlplane.New(
+		controlplane.Options{Settings: &settings, Disk: n.store, DiskComplete: n.found.Complete, DiskFresh: n.found.Fresh,
+			Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(), Listener: listener, TimeOfDay: time.Now,
+			Dial: func(address string) (net.Conn, error) {
+				ctx, cancel := context.WithTimeout(context.Background(), 350*time.Millisecond)
+				defer cancel()
+				return n.host.Dial(ctx, address, 3*time.Second)
+			}},
+	)
 	go n.server.Run()
 	return n
 }
--- a/internal/compat/frozen_test.go
+++ b/internal/compat/frozen_test.go
@@ -215,9 +215,15 @@
 
 func startOldNode(t *testing.T, network *simulation.Net, i, peers int) *oldNode {
 	t.Helper()
-	n := &oldNode{t: t, done: make(chan struct{}), disk: "0ld0ld0ld0ld000" + string(rune('0'+i)), regs: map[string]*oldAcceptor{}, out: map[string]*oldLine{},
+	n := &oldNode{
+		t:    t,
+		done: make(chan struct{}),
+		disk: "0ld0ld0ld0ld000" + string(rune('0'+i)),
+		regs: map[string]*oldAcceptor{},
+		out:  map[string]*oldLine{},
 		who: oldController{Name: "core-" + string(rune('0'+i)), Zone: nodeZones[i%3], Address: nodeAddress(i, 7540),
-			Control: nodeAddress(i, 8544)}}
+			Control: nodeAddress(i, 8544)},
+	}
 	n.host = network.Host(nodeAddress(i, 0)[:len("127.77.0.10")])
 	listener, err := n.host.Listen(n.who.Address)
 	if err != nil {
--- a/internal/compat/messages_test.go
+++ b/internal/compat/messages_test.go
@@ -33,7 +33,11 @@
 		{"seq", func(m *rpc.Message) { m.WantAck = 1 }},
 		{"reply", func(m *rpc.Message) { m.Ack = 2 }},
 		{"hello-of-a-proxy", func(m *rpc.Message) {
-			m.Hello = &rpc.Hello{Node: rpc.Node{Name: "edge-0", Zone: "north", Address: "10.0.0.100:7540"}, Incarnation: 77, IsProxy: true}
+			m.Hello = &rpc.Hello{
+				Node:        rpc.Node{Name: "edge-0", Zone: "north", Address: "10.0.0.100:7540"},
+				Incarnation: 77,
+				IsProxy:     true,
+			}
 		}},
 		{"hello-of-a-controlplane-node", func(m *rpc.Message) {
 			m.Hello = &rpc.Hello{Node: node, Incarnation: 78, StoreID: "0123456789abcdef", MayHaveLostState: true}
@@ -52,7 +56,9 @@
 			m.Paxos = []rpc.PaxosMessage{{Kind: rpc.Prepare, Register: "charter", Ballot: ballot}}
 		}},
 		{"ballot-promise", func(m *rpc.Message) {
-			m.Paxos = []rpc.PaxosMessage{{Kind: rpc.Promise, Register: "charter", Ballot: ballot, AcceptedBallot: older, Value: &value, ValueAge: 12}}
+			m.Paxos = []rpc.PaxosMessage{
+				{Kind: rpc.Promise, Register: "charter", Ballot: ballot, AcceptedBallot: older, Value: &value, ValueAge: 12},
+			}
 		}},
 		{"ballot-accept", func(m *rpc.Message) {
 			m.Paxos = []rpc.PaxosMessage{{Kind: rpc.Accept, Register: "zone/north", Ballot: ballot, Value: &value, ValueAge: 13}}
@@ -77,8 +83,22 @@
 		{"apart", func(m *rpc.Message) { m.NoQuorum = true }},
 		{"know", func(m *rpc.Message) { m.KnownPeers = []rpc.Node{node, other} }},
 		{"backends", func(m *rpc.Message) {
-			m.Endpoints = []rpc.Endpoint{{ID: "b-1", Service: "alpha", Address: "10.0.1.1:8080", Zone: "north", Capacity: 16, Seq: 17,
-				State: rpc.Draining, WarmupLeft: 18, Live: true, Generation: "g-2"}, {ID: "b-2", State: rpc.Gone}, {ID: "b-3", State: rpc.Ready}}
+			m.Endpoints = []rpc.Endpoint{
+				{
+					ID:              "b-1",
+					Service:         "alpha",
+					Address:         "10.0.1.1:8080",
+					Zone:            "north",
+					Capacity:        16,
+					Seq:             17,
+					State:           rpc.Draining,
+					WarmupRemaining: 18,
+					Live:            true,
+					Generation:      "g-2",
+				},
+				{ID: "b-2", State: rpc.Gone},
+				{ID: "b-3", State: rpc.Ready},
+			}
 		}},
 		{"settled", func(m *rpc.Message) { m.EndpointsSynced = true }},
 		{"renew", func(m *rpc.Message) { m.RenewLease = 19 }},
@@ -93,10 +113,12 @@
 		{"spent", func(m *rpc.Message) { m.ReportSeconds = 1.25 }},
 		{"steer", func(m *rpc.Message) { m.WantTables = true }},
 		{"tables", func(m *rpc.Message) {
-			m.RoutingTables = []rpc.RoutingTable{{Service: "alpha", Full: true, Weights: map[string]float64{"b-1": 0.75}, Limited: true, RateLimit: 26.5}}
+			m.RoutingTables = []rpc.RoutingTable{
+				{Service: "alpha", Full: true, Weights: map[string]float64{"b-1": 0.75}, Limited: true, RateLimit: 26.5},
+			}
 		}},
-		{"came", func(m *rpc.Message) { m.ProxiesJoined = []rpc.ProxyInfo{{Name: "edge-1", Zone: "south"}} }},
-		{"went", func(m *rpc.Message) { m.ProxiesLeft = []string{"edge-2"} }},
+		{"came", func(m *rpc.Message) { m.ProxiesAdded = []rpc.ProxyInfo{{Name: "edge-1", Zone: "south"}} }},
+		{"went", func(m *rpc.Message) { m.ProxiesRemoved = []string{"edge-2"} }},
 		{"leave", func(m *rpc.Message) { m.ReleaseLease = true }},
 	}
 }
--- a/internal/compat/mixed_test.go
+++ b/internal/compat/mixed_test.go
@@ -63,7 +63,8 @@
 		}
 		n.wantOK("config.replace", "", eight)
 		time.Sleep(time.Second)
-		if epoch, _ := third.known(); epoch.Number != 3 || len(epoch.Voters) != 3 || string(third.value("charter").Value) != eight {
+		if epoch, _ := third.known(); epoch.Number != 3 || len(epoch.Voters) != 3 ||
+			string(third.value("charter").Value) != eight {
 			t.Errorf("the new voter has epoch %+v and %.40s", epoch, third.value("charter").Value)
 		}
 		n.stop()
@@ -99,11 +100,15 @@
 			return proposer.heard[0].Ballots[0]
 		}
 		promise := round(oldBallot{Kind: oldAsk, Name: "charter", Number: number})
-		if promise.Kind != oldPromise || promise.Number != number || promise.Value == nil || promise.Value.Stamp.Hi != 7 || promise.Age == 0 {
+		if promise.Kind != oldPromise || promise.Number != number || promise.Value == nil || promise.Value.Stamp.Hi != 7 ||
+			promise.Age == 0 {
 			t.Errorf("the promise: %+v", promise)
 		}
 		eight := oldRegister{Name: "charter", Stamp: oldStamp{Hi: 8, Lo: 1}, Value: []byte(configuration(t, 8))}
-		if agreed := round(oldBallot{Kind: oldOffer, Name: "charter", Number: number, Value: &eight}); agreed.Kind != oldAgreed || agreed.Number != number {
+		if agreed := round(
+			oldBallot{Kind: oldOffer, Name: "charter", Number: number, Value: &eight},
+		); agreed.Kind != oldAgreed ||
+			agreed.Number != number {
 			t.Errorf("the vote: %+v", agreed)
 		}
 		proposer.mu.Lock()
@@ -145,13 +150,24 @@
 			t.Fatal(err)
 		}
 		line := newOldLine(conn)
-		line.send(oldMessage{Hello: &oldHello{Who: oldController{Name: "edge-0", Zone: "north", Address: "10.0.0.100:7540"}, Life: 5, Carrier: true}})
+		line.send(
+			oldMessage{
+				Hello: &oldHello{
+					Who:     oldController{Name: "edge-0", Zone: "north", Address: "10.0.0.100:7540"},
+					Life:    5,
+					Carrier: true,
+				},
+			},
+		)
 		first, err := line.receive()
 		if err != nil || first.Hello == nil || first.Hello.Who.Name != "core-0" || !first.All || first.Apart || !first.Settled ||
 			first.Epoch == nil || first.Epoch.Number != 1 || len(first.Epoch.Voters) != 3 || len(first.Know) != 3 ||
 			first.Held["charter"].Hi != 7 || first.Safe["charter"].Hi != 7 || first.Safe["zone/west"] == (oldStamp{}) ||
 			len(first.Offers) != 1 || first.Offers[0].Name != "zone/west" || !strings.HasPrefix(string(first.Offers[0].Value), "1b:") ||
-			len(first.Backends) != 1 || first.Backends[0].ID != "b-1" || !first.Backends[0].Vouched || first.Backends[0].Capacity != 16 {
+			len(first.Backends) != 1 ||
+			first.Backends[0].ID != "b-1" ||
+			!first.Backends[0].Vouched ||
+			first.Backends[0].Capacity != 16 {
 			t.Errorf("the first message: %+v, %v", first, err)
 		}
 		var all oldMessage
@@ -183,13 +199,15 @@
 		time.Sleep(time.Second)
 		_ = conn.Close()
 		<-heard
-		if all.Renewed != 6 || len(all.Offers) != 1 || string(all.Offers[0].Value) != configuration(t, 7) || len(seen) == 0 || seen[0] != "charter" {
+		if all.Renewed != 6 || len(all.Offers) != 1 || string(all.Offers[0].Value) != configuration(t, 7) || len(seen) == 0 ||
+			seen[0] != "charter" {
 			t.Errorf("renewed %d, offered %d, in force %q", all.Renewed, len(all.Offers), seen)
 		}
 		if len(all.Came) != 1 || all.Came[0].Name != "edge-0" {
 			t.Errorf("members: %+v", all.Came)
 		}
-		if len(all.Tables) == 0 || all.Tables[0].Service != "alpha" || !all.Tables[0].Whole || all.Tables[0].Weights["b-1"] <= 0 {
+		if len(all.Tables) == 0 || all.Tables[0].Service != "alpha" || !all.Tables[0].Whole ||
+			all.Tables[0].Weights["b-1"] <= 0 {
 			t.Errorf("tables: %+v", all.Tables)
 		}
 		if len(all.Backends) == 0 || all.Backends[len(all.Backends)-1].State != 2 {
@@ -231,11 +249,19 @@
 				mu.Lock()
 				if m.Hello != nil {
 					hello = m.Hello
-					line.send(oldMessage{Hello: &oldHello{Who: who, Life: 3, Disk: "d"}, All: true, Settled: true,
-						Epoch: &oldEpoch{Number: 1, Voters: []oldVoter{{Controller: who, ID: "d"}}, Founded: 1},
-						Held:  map[string]oldStamp{"charter": {Hi: 7, Lo: 1}}, Safe: map[string]oldStamp{"charter": {Hi: 7, Lo: 1}},
-						Know: []oldController{who}, Members: []oldMember{{Name: "edge-0", Zone: "north"}},
-						Backends: []oldBackend{{ID: "b-1", Service: "alpha", Address: "10.0.1.1:8080", Zone: "north", Capacity: 4, Seq: 1, Vouched: true}}})
+					line.send(oldMessage{
+						Hello:   &oldHello{Who: who, Life: 3, Disk: "d"},
+						All:     true,
+						Settled: true,
+						Epoch:   &oldEpoch{Number: 1, Voters: []oldVoter{{Controller: who, ID: "d"}}, Founded: 1},
+						Held:    map[string]oldStamp{"charter": {Hi: 7, Lo: 1}},
+						Safe:    map[string]oldStamp{"charter": {Hi: 7, Lo: 1}},
+						Know:    []oldController{who},
+						Members: []oldMember{{Name: "edge-0", Zone: "north"}},
+						Backends: []oldBackend{
+							{ID: "b-1", Service: "alpha", Address: "10.0.1.1:8080", Zone: "north", Capacity: 4, Seq: 1, Vouched: true},
+						},
+					})
 				}
 				if m.Renew > 0 {
 					line.send(oldMessage{Renewed: m.Renew})
@@ -244,8 +270,10 @@
 				}
 				for _, name := range m.Want {
 					told.Want = append(told.Want, name)
-					line.send(oldMessage{Offers: []oldRegister{{Name: name, Stamp: oldStamp{Hi: 7, Lo: 1}, Value: []byte(configuration(t, 7))}},
-						Safe: map[string]oldStamp{name: {Hi: 7, Lo: 1}}})
+					line.send(
+						oldMessage{Offers: []oldRegister{{Name: name, Stamp: oldStamp{Hi: 7, Lo: 1}, Value: []byte(configuration(t, 7))}},
+							Safe: map[string]oldStamp{name: {Hi: 7, Lo: 1}}},
+					)
 				}
 				told.Leave = told.Leave || m.Leave
 				mu.Unlock()
@@ -315,7 +343,8 @@
 		if hello == nil || hello.Who.Name != "edge-0" || hello.Who.Zone != "north" || !hello.Carrier || hello.Life == 0 {
 			t.Errorf("hello: %+v", hello)
 		}
-		if len(told.Want) == 0 || told.Want[0] != "charter" || told.Renew == 0 || !told.Steer || told.Spent != 1 || !told.Leave {
+		if len(told.Want) == 0 || told.Want[0] != "charter" || told.Renew == 0 || !told.Steer || told.Spent != 1 ||
+			!told.Leave {
 			t.Errorf("told: %+v", told)
 		}
 		came, tries := 0.0, 0.0
--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -68,15 +68,15 @@
 }
 
 func writeError(w http.ResponseWriter, err error) {
-	var known *apierror.Error
-	if !errors.As(err, &known) {
-		known = apierror.New(apierror.InvalidArgument, "", err)
+	var apiErr *apierror.Error
+	if !errors.As(err, &apiErr) {
+		apiErr = apierror.New(apierror.InvalidArgument, "", err)
 	}
-	policy := known.Kind.Policy()
+	policy := apiErr.Kind.Policy()
 	if policy.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(policy.RetryAfter.Seconds(), 'f', 3, 64))
 	}
-	body, err := json.Marshal(map[string]string{"error": known.Error()})
+	body, err := json.Marshal(map[string]string{"error": apiErr.Error()})
 	if err != nil {
 		body = emptyAnswer() // cannot happen: a map of strings
 	}
--- a/internal/controlplane/connections.go
+++ b/internal/controlplane/connections.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// onAcceptedMessage handles a message of a connection if that is the current one. A message on an old connection that is
-// read late, after the process was suspended, must not renew a lease.
+// onAcceptedMessage handles a message of a connection if that is the current one. A message on an old connection
+// that is read late, after the process was suspended, must not renew a lease.
 func (s *Server) onAcceptedMessage(from rpc.Hello, conn *rpc.Conn, m *rpc.Message) {
 	name := from.Node.Name
 	if from.IsProxy {
--- a/internal/controlplane/consensus/acceptor.go
+++ b/internal/controlplane/consensus/acceptor.go
@@ -86,7 +86,7 @@
 	}
 	r.noteAge(g, same, m.ValueAge)
 	if previous != g.acceptor.Accepted {
-		g.unconfirmedSince = r.now
+		g.unconfirmedAt = r.now
 	}
 	return rpc.PaxosMessage{Kind: rpc.Accepted, Register: g.name, Ballot: m.Ballot}
 }
--- a/internal/controlplane/consensus/drawn_test.go
+++ b/internal/controlplane/consensus/drawn_test.go
@@ -268,7 +268,7 @@
 	}
 	m.leftToEnd = func() { d.after(d.upTo(50*ms), left) }
 	d.after(grace, left)
-	d.step(i, ShutDown{})
+	d.step(i, Shutdown{})
 }
 
 // squeeze lets those that miss a change meet only those that had it and are wiped: the tightest that may be.
--- a/internal/controlplane/consensus/events.go
+++ b/internal/controlplane/consensus/events.go
@@ -21,7 +21,7 @@
 )
 
 // Event is what Step is told: Propose, ReadRequest, Persisted, PeerIdentified, PeerConnected, PeerDisconnected,
-// MessageReceived or ShutDown.
+// MessageReceived or Shutdown.
 type Event interface{ isEvent() }
 
 // Propose asks for a change of a register. RequestDone answers it.
@@ -62,8 +62,8 @@
 	Message *rpc.Message
 }
 
-// ShutDown says that this process is to end. The Replica hands over what only it has; HandedOver answers it.
-type ShutDown struct{}
+// Shutdown says that this process is to end. The Replica hands over what only it has; HandedOver answers it.
+type Shutdown struct{}
 
 func (Propose) isEvent()          {}
 func (ReadRequest) isEvent()      {}
@@ -72,7 +72,7 @@
 func (PeerConnected) isEvent()    {}
 func (PeerDisconnected) isEvent() {}
 func (MessageReceived) isEvent()  {}
-func (ShutDown) isEvent()         {}
+func (Shutdown) isEvent()         {}
 
 // Action is what Step asks its caller to do: Persist, Send, ValueCommitted, EpochEntered, RequestDone or HandedOver.
 // Actions are carried out in their order.
@@ -105,7 +105,7 @@
 	Register
 }
 
-// HandedOver answers a ShutDown: nothing needs this process any more.
+// HandedOver answers a Shutdown: nothing needs this process any more.
 type HandedOver struct{}
 
 func (Persist) isAction()        {}
--- a/internal/controlplane/consensus/joint.go
+++ b/internal/controlplane/consensus/joint.go
@@ -31,13 +31,13 @@
 		key += v.StoreID + " "
 	}
 	if key != r.desired {
-		r.desired, r.desiredSince = key, r.now
+		r.desired, r.desiredAt = key, r.now
 	}
 	stagger := time.Duration(r.rankAmongVoters(epochRegister)) * voterStagger
 	if r.shuttingDown {
 		stagger = 0
 	}
-	if r.now < r.desiredSince+stagger || r.now < r.epochChangedAt+minEpochInterval {
+	if r.now < r.desiredAt+stagger || r.now < r.epochChangedAt+minEpochInterval {
 		return
 	}
 	joint := Epoch{
--- a/internal/controlplane/consensus/membership.go
+++ b/internal/controlplane/consensus/membership.go
@@ -14,14 +14,16 @@
 type candidate struct {
 	Voter
 	lastContact  time.Duration // negative: none in this incarnation
-	silence      time.Duration // since then
+	inactivity   time.Duration // since then
 	connectedAt  time.Duration // of a node that does not vote
 	shuttingDown bool
 	replaced     bool // its machine is back with another disk: this one is gone for good
 	caughtUp     bool // it has all that is chosen
 }
 
-func (c candidate) isGone() bool { return (c.shuttingDown || c.silence > voterTimeout) && !c.replaced }
+func (c candidate) isGone() bool {
+	return (c.shuttingDown || c.inactivity > voterTimeout) && !c.replaced
+}
 
 // desiredVoters are those who should vote: those that do, with at most a few changes.
 func (r *Replica) desiredVoters() []Voter {
@@ -49,17 +51,17 @@
 	}
 	p := r.peers[v.Name]
 	if p == nil { // it was not seen in this incarnation
-		return candidate{Voter: v, silence: r.now, lastContact: never}
+		return candidate{Voter: v, inactivity: r.now, lastContact: never}
 	}
 	// Silence counts from when this node itself had quorum contact again. And a machine that was back with another disk,
 	// and is silent again, is gone like any other.
 	c := candidate{
 		Voter:        v,
 		lastContact:  p.lastContact,
-		silence:      r.now - max(p.lastContact, r.contact.since),
+		inactivity:   r.now - max(p.lastContact, r.contact.establishedAt),
 		shuttingDown: p.shuttingDown,
 	}
-	c.replaced = p.storeID != v.StoreID && (p.connected || c.silence <= voterTimeout)
+	c.replaced = p.storeID != v.StoreID && (p.connected || c.inactivity <= voterTimeout)
 	return c
 }
 
@@ -113,21 +115,21 @@
 	next []Voter
 	gone []candidate // voters whose place is free, the longest silent first
 	// stable says that no voter shuts down or was replaced.
-	stable        bool
-	allAnsweredBy time.Duration // the earliest of the voters' last contacts
+	stable          bool
+	earliestContact time.Duration // the earliest of the voters' last contacts
 }
 
 func newVoterChange(voters []candidate) *voterChange {
-	c := &voterChange{stable: true, allAnsweredBy: time.Duration(math.MaxInt64)}
+	c := &voterChange{stable: true, earliestContact: time.Duration(math.MaxInt64)}
 	for _, v := range voters {
 		c.next = append(c.next, v.Voter)
 		c.stable = c.stable && !v.shuttingDown && !v.replaced
-		c.allAnsweredBy = min(c.allAnsweredBy, v.lastContact)
+		c.earliestContact = min(c.earliestContact, v.lastContact)
 		if v.isGone() {
 			c.gone = append(c.gone, v)
 		}
 	}
-	slices.SortStableFunc(c.gone, func(a, b candidate) int { return cmp.Compare(b.silence, a.silence) })
+	slices.SortStableFunc(c.gone, func(a, b candidate) int { return cmp.Compare(b.inactivity, a.inactivity) })
 	return c
 }
 
@@ -137,5 +139,5 @@
 
 // mayGrow reports whether a learner may come beside the voters.
 func (c *voterChange) mayGrow(learner candidate, maxSize int) bool {
-	return c.stable && c.allAnsweredBy > learner.connectedAt+pingInterval && len(c.next) < maxSize
+	return c.stable && c.earliestContact > learner.connectedAt+pingInterval && len(c.next) < maxSize
 }
--- a/internal/controlplane/consensus/membership_test.go
+++ b/internal/controlplane/consensus/membership_test.go
@@ -27,13 +27,13 @@
 			for _, mark := range w[len(id):] {
 				switch mark {
 				case '~':
-					s.silence, s.lastContact = 4*time.Second, now-4*time.Second
+					s.inactivity, s.lastContact = 4*time.Second, now-4*time.Second
 				case '.':
-					s.silence, s.lastContact = 1500*ms, now-1500*ms
+					s.inactivity, s.lastContact = 1500*ms, now-1500*ms
 				case '!':
 					s.shuttingDown = true
 				case '*':
-					s.replaced, s.silence, s.lastContact = true, 10*time.Second, now-10*time.Second
+					s.replaced, s.inactivity, s.lastContact = true, 10*time.Second, now-10*time.Second
 				case '\'':
 					s.connectedAt = now
 				}
--- a/internal/controlplane/consensus/proposer.go
+++ b/internal/controlplane/consensus/proposer.go
@@ -211,7 +211,7 @@
 	g.proposal.Stop()
 	g.preemptions++
 	steps := time.Duration(min(g.preemptions, maxBackoffSteps))
-	jitter := mixBits(g.round, r.options.Incarnation) % uint64(backoffJitter*steps)
+	jitter := hash64(g.round, r.options.Incarnation) % uint64(backoffJitter*steps)
 	g.retryAt = r.now + minBackoff + time.Duration(jitter)
 	g.requeue()
 }
@@ -251,7 +251,7 @@
 	return r.now >= q.startedAt+RequestTimeout || q.id > 0 && !r.HasQuorum(r.now)
 }
 
-// Constants of mixBits and rendezvousHash: the golden ratio and a multiplier of splitmix64; FNV-1a of 64 bits.
+// Constants of hash64 and rendezvousHash: the golden ratio and a multiplier of splitmix64; FNV-1a of 64 bits.
 const (
 	goldenRatio    = 0x9e3779b97f4a7c15
 	splitmixFactor = 0xbf58476d1ce4e5b9
@@ -259,8 +259,8 @@
 	fnvPrime64     = 1099511628211
 )
 
-// mixBits draws a number from two, the same for all that ask.
-func mixBits(a, b uint64) uint64 {
+// hash64 draws a number from two, the same for all that ask.
+func hash64(a, b uint64) uint64 {
 	x := a*goldenRatio ^ b
 	x ^= x >> 31
 	x *= splitmixFactor
@@ -275,5 +275,5 @@
 			h = (h ^ uint64(s[i])) * fnvPrime64
 		}
 	}
-	return mixBits(h, 0)
+	return hash64(h, 0)
 }
--- a/internal/controlplane/consensus/quorumcontact.go
+++ b/internal/controlplane/consensus/quorumcontact.go
@@ -18,22 +18,22 @@
 // of the ping. So a process that was frozen, and answers that lay in a socket, do not count for what is no longer
 // true.
 type quorumContact struct {
-	confirmedAt time.Duration // the sending of the newest ping that a majority answered
-	pingedAt    time.Duration
-	since       time.Duration // since when there is contact without a gap
-	pings       []ping        // the newest, at most maxOpenPings
+	confirmedAt   time.Duration // the sending of the newest ping that a majority answered
+	pingedAt      time.Duration
+	establishedAt time.Duration // since when there is contact without a gap
+	pings         []ping        // the newest, at most maxOpenPings
 }
 
 type ping struct {
 	queryID    uint64
 	sentAt     time.Duration
-	answeredBy map[string]bool // by store id
+	responders map[string]bool // by store id
 }
 
 func (c *quorumContact) onPong(queryID uint64, storeID string) {
 	for _, p := range c.pings {
 		if p.queryID == queryID {
-			p.answeredBy[storeID] = true
+			p.responders[storeID] = true
 		}
 	}
 }
@@ -49,10 +49,10 @@
 		r.broadcast(rpc.Consensus{Ping: true, QueryID: id})
 	}
 	for _, p := range c.pings {
-		answered := func(v Voter) bool { return p.answeredBy[v.StoreID] || r.isStaleIdentity(v) }
+		answered := func(v Voter) bool { return p.responders[v.StoreID] || r.isStaleIdentity(v) }
 		if p.sentAt > c.confirmedAt && r.epoch.HasMajority(answered) {
 			if r.now > c.confirmedAt+QuorumContactTimeout {
-				c.since = r.now
+				c.establishedAt = r.now
 			}
 			c.confirmedAt = p.sentAt
 		}
--- a/internal/controlplane/consensus/register.go
+++ b/internal/controlplane/consensus/register.go
@@ -42,8 +42,8 @@
 	announced    Version       // of the last ValueCommitted
 	chosenAt     time.Duration // since when the value here is committed, as far as is known
 	// since when it is here, in this incarnation: it has been committed for so long at least
-	receivedAt       time.Duration
-	unconfirmedSince time.Duration // since when it is here and not known to be chosen
+	receivedAt    time.Duration
+	unconfirmedAt time.Duration // since when it is here and not known to be chosen
 	// the stored ballot that all peers were told of, as nobody said that it is chosen
 	reportedBallot BallotNumber
 	fetchedAt      time.Duration           // when the value was last asked for
@@ -77,7 +77,7 @@
 		consider(g.retryAt)
 	}
 	if !g.isChosen() && g.hasAccepted() && g.reportedBallot != g.storedBallot {
-		consider(g.unconfirmedSince + announceDelay)
+		consider(g.unconfirmedAt + announceDelay)
 	}
 }
 
@@ -86,10 +86,10 @@
 	g := r.registers[name]
 	if g == nil {
 		g = &register{
-			name:             name,
-			chosenAt:         unknownTime,
-			unconfirmedSince: r.now,
-			newerAt:          map[string]BallotNumber{},
+			name:          name,
+			chosenAt:      unknownTime,
+			unconfirmedAt: r.now,
+			newerAt:       map[string]BallotNumber{},
 		}
 		g.acceptor.Value.Name = name
 		r.registers[name] = g
@@ -119,10 +119,10 @@
 		return
 	}
 	stagger := time.Duration(r.rankAmongVoters(g.name)) * voterStagger
-	if r.now < g.unconfirmedSince+finishTimeout+stagger {
+	if r.now < g.unconfirmedAt+finishTimeout+stagger {
 		return
 	}
-	g.unconfirmedSince = r.now
+	g.unconfirmedAt = r.now
 	isOpenFounding := r.epoch.Number == 0 && g.name == epochRegister // which tryFounding finishes
 	if !isOpenFounding {
 		r.finishOpenProposal(g)
--- a/internal/controlplane/consensus/replica.go
+++ b/internal/controlplane/consensus/replica.go
@@ -119,7 +119,7 @@
 	lastPeerAt     time.Duration // when the last new peer was identified
 	epochChangedAt time.Duration
 	desired        string // the change of voters that is to be proposed, as a key
-	desiredSince   time.Duration
+	desiredAt      time.Duration
 	jointScan      *stateScan // nil outside joint epochs
 
 	shuttingDown      bool
@@ -229,8 +229,8 @@
 		r.onPropose(e)
 	case ReadRequest:
 		r.onRead(e)
-	case ShutDown:
-		r.onShutDown()
+	case Shutdown:
+		r.onShutdown()
 	}
 }
 
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -56,7 +56,7 @@
 // announceAccepted tells all peers of a ballot that is not known to be chosen. Otherwise a value that its proposer had
 // chosen, and died before it told anybody, would wait for another ballot.
 func (r *Replica) announceAccepted(g *register) {
-	isDue := r.now >= g.unconfirmedSince+announceDelay && g.reportedBallot != g.storedBallot
+	isDue := r.now >= g.unconfirmedAt+announceDelay && g.reportedBallot != g.storedBallot
 	if isDue && g.name != epochRegister && r.IsVoter() {
 		g.reportedBallot = g.storedBallot
 		r.broadcastAccepted(g)
--- a/internal/controlplane/consensus/shutdown.go
+++ b/internal/controlplane/consensus/shutdown.go
@@ -14,8 +14,8 @@
 // ownVote stands in NotHandedOver for the vote of the own disk.
 const ownVote = "its vote"
 
-// onShutDown begins to hand over.
-func (r *Replica) onShutDown() {
+// onShutdown begins to hand over.
+func (r *Replica) onShutdown() {
 	r.shuttingDown, r.shutdownAt = true, r.now
 	r.queryForHandover()
 }
@@ -88,14 +88,14 @@
 }
 
 // isDurableWithoutSelf reports whether enough disks of a set, the own one left out, have a value.
-func (r *Replica) isDurableWithoutSelf(set []Voter, has map[string]bool) bool {
+func (r *Replica) isDurableWithoutSelf(set []Voter, onDisk map[string]bool) bool {
 	others, count := 0, 0
 	for _, v := range set {
 		if v.StoreID == r.storeID {
 			continue
 		}
 		others++
-		if has[v.StoreID] {
+		if onDisk[v.StoreID] {
 			count++
 		}
 	}
--- a/internal/controlplane/consensus/status.go
+++ b/internal/controlplane/consensus/status.go
@@ -23,17 +23,17 @@
 
 // MemberStatus is a node with its disk, as another node, or itself, sees it.
 type MemberStatus struct {
-	Name          string   `json:"name"`
-	Zone          string   `json:"zone"`
-	StoreID       string   `json:"disk"`
-	Responsive    bool     `json:"inTouch"`           // it answers pings
-	SilentSeconds float64  `json:"silentS,omitempty"` // since its last pong, or the start of this process
-	Replaced      bool     `json:"gone,omitempty"`    // a voter whose machine came back with another disk
-	ShuttingDown  bool     `json:"leaving,omitempty"`
-	Change        string   `json:"change,omitempty"`  // in a joint epoch: changeIn, changeOut or empty
-	CaughtUp      bool     `json:"whole"`             // its disk has all that is known to be chosen, as it said last
-	Missing       []string `json:"lacks,omitempty"`   // registers of which it lacks the newest value
-	Unconfirmed   []string `json:"unheard,omitempty"` // and those that changed since it last said what it has
+	Name            string   `json:"name"`
+	Zone            string   `json:"zone"`
+	StoreID         string   `json:"disk"`
+	Responsive      bool     `json:"inTouch"`           // it answers pings
+	InactiveSeconds float64  `json:"silentS,omitempty"` // since its last pong, or the start of this process
+	Replaced        bool     `json:"gone,omitempty"`    // a voter whose machine came back with another disk
+	ShuttingDown    bool     `json:"leaving,omitempty"`
+	Change          string   `json:"change,omitempty"`  // in a joint epoch: changeIn, changeOut or empty
+	CaughtUp        bool     `json:"whole"`             // its disk has all that is known to be chosen, as it said last
+	Missing         []string `json:"lacks,omitempty"`   // registers of which it lacks the newest value
+	Unconfirmed     []string `json:"unheard,omitempty"` // and those that changed since it last said what it has
 }
 
 // Values of MemberStatus.Change.
@@ -162,7 +162,7 @@
 		}
 	}
 	if !m.Responsive {
-		m.SilentSeconds = silence.Round(100 * time.Millisecond).Seconds()
+		m.InactiveSeconds = silence.Round(100 * time.Millisecond).Seconds()
 	}
 	return m
 }
@@ -177,7 +177,7 @@
 		}
 		switch {
 		case name == epochRegister || !accepted(name).Less(newest):
-		case reportedAt < g.unconfirmedSince:
+		case reportedAt < g.unconfirmedAt:
 			m.Unconfirmed = append(m.Unconfirmed, name)
 		default:
 			m.Missing = append(m.Missing, name)
--- a/internal/controlplane/consensus/world_test.go
+++ b/internal/controlplane/consensus/world_test.go
@@ -791,7 +791,7 @@
 			r, _ := m.r.Accepted(e.Register)
 			orders = append(orders, RequestDone{RequestID: e.RequestID, Outcome: Committed, Register: r})
 		}
-	case ShutDown:
+	case Shutdown:
 		if w.flaws.leavesAtOnce {
 			orders = append(orders, HandedOver{})
 		}
--- a/internal/controlplane/endpointcalls.go
+++ b/internal/controlplane/endpointcalls.go
@@ -36,8 +36,8 @@
 	} `json:"observed"`
 }
 
-// heartbeat handles a heartbeat. A ready endpoint is acknowledged once it is known here; a draining one once enough nodes
-// know it.
+// heartbeat handles a heartbeat. A ready endpoint is acknowledged once it is known here; a draining one once enough
+// nodes know it.
 func (s *Server) heartbeat(r *http.Request, id string) ([]byte, error) {
 	body, err := readBody(r, maxHeartbeatBytes)
 	if err != nil {
@@ -88,14 +88,14 @@
 // endpoint checks a heartbeat and returns what it says of the endpoint.
 func (h *heartbeat) endpoint(id string) (rpc.Endpoint, error) {
 	e := rpc.Endpoint{
-		ID:         id,
-		Service:    h.Descriptor.Service,
-		Address:    h.Address,
-		Zone:       h.Descriptor.Zone,
-		Capacity:   max(int(h.Descriptor.Capacity), 1),
-		Seq:        h.Observed.CallSeq,
-		Generation: h.Descriptor.Generation,
-		WarmupLeft: int(math.Ceil(max(h.Observed.ColdLeftS, 0) * 1000)),
+		ID:              id,
+		Service:         h.Descriptor.Service,
+		Address:         h.Address,
+		Zone:            h.Descriptor.Zone,
+		Capacity:        max(int(h.Descriptor.Capacity), 1),
+		Seq:             h.Observed.CallSeq,
+		Generation:      h.Descriptor.Generation,
+		WarmupRemaining: int(math.Ceil(max(h.Observed.ColdLeftS, 0) * 1000)),
 	}
 	switch {
 	case id == "":
@@ -123,8 +123,8 @@
 // there is nowhere to send an endpoint.
 func (s *Server) isStarting() bool { return !s.hadQuorum && s.now() <= startupDuration }
 
-// heartbeatTarget is where endpoints of a zone should send their heartbeats: to the zone's own node, so that heartbeats do
-// not cross zones. It is empty if they should stay.
+// heartbeatTarget is where endpoints of a zone should send their heartbeats: to the zone's own node, so that
+// heartbeats do not cross zones. It is empty if they should stay.
 func (s *Server) heartbeatTarget(zone string) string {
 	if zone == s.self.Zone {
 		return ""
--- a/internal/controlplane/endpoints.go
+++ b/internal/controlplane/endpoints.go
@@ -19,7 +19,7 @@
 
 // pendingAck is a report of an endpoint that leaves, waiting for other nodes to have it.
 type pendingAck struct {
-	ackedBy  map[string]bool // names of nodes
+	acks     map[string]bool // names of nodes
 	deadline time.Duration
 	done     chan<- error
 }
@@ -48,8 +48,8 @@
 	s.steering.invalidate()
 }
 
-// spreadDurably does so for endpoints that leave, and answers once enough nodes have it: the one that acknowledges may be
-// gone the next moment, and a proxy that starts reads from a majority, so it meets one that knows.
+// spreadDurably does so for endpoints that leave, and answers once enough nodes have it: the one that acknowledges
+// may be gone the next moment, and a proxy that starts reads from a majority, so it meets one that knows.
 func (s *Server) spreadDurably(changes []rpc.Endpoint, done chan<- error) {
 	s.lastAckID++
 	update := rpc.EndpointUpdate{Endpoints: changes}
@@ -61,7 +61,7 @@
 	})
 	s.steering.invalidate()
 	pending := &pendingAck{
-		ackedBy:  map[string]bool{s.self.Name: true},
+		acks:     map[string]bool{s.self.Name: true},
 		deadline: s.now() + ackTimeout,
 		done:     done,
 	}
@@ -80,7 +80,7 @@
 	if pending == nil {
 		return
 	}
-	pending.ackedBy[from] = true
+	pending.acks[from] = true
 	if s.isDurable(pending) {
 		delete(s.pendingAcks, id)
 		pending.done <- nil
@@ -91,7 +91,7 @@
 // may be lost at once are gone.
 func (s *Server) isDurable(p *pendingAck) bool {
 	return s.replica.Epoch().IsDurable(s.options.Settings.FaultBudget.Machines, func(v rpc.Voter) bool {
-		return p.ackedBy[v.Name]
+		return p.acks[v.Name]
 	})
 }
 
@@ -104,9 +104,9 @@
 	}
 }
 
-// batchForProxies tells proxies of endpoints that come, batched for as long as telling all proxies takes, and at once of
-// those that leave or are in slow start. A few proxies are always told at once: after a loss of all power each moment
-// without endpoints is lost.
+// batchForProxies tells proxies of endpoints that come, batched for as long as telling all proxies takes, and at
+// once of those that leave or are in slow start. A few proxies are always told at once: after a loss of all power
+// each moment without endpoints is lost.
 func (s *Server) batchForProxies(changes []rpc.Endpoint) {
 	delay := time.Duration(len(s.proxies)) * batchPerProxy
 	isFirst := len(s.batchedEndpoints) == 0
@@ -121,7 +121,7 @@
 
 func isUrgent(changes []rpc.Endpoint) bool {
 	for _, e := range changes {
-		if e.State != rpc.Ready || e.WarmupLeft > 0 {
+		if e.State != rpc.Ready || e.WarmupRemaining > 0 {
 			return true
 		}
 	}
@@ -136,7 +136,8 @@
 	}
 }
 
-// allEndpoints is the whole list as an encoded message, for a proxy that is steered here. It is made once a tick at most.
+// allEndpoints is the whole list as an encoded message, for a proxy that is steered here. It is made once a tick at
+// most.
 func (s *Server) allEndpoints() []byte {
 	if now := s.now(); s.encodedEndpoints == nil || now >= s.encodedAt+tickInterval {
 		s.flushEndpoints()
--- a/internal/controlplane/operatorcalls.go
+++ b/internal/controlplane/operatorcalls.go
@@ -107,7 +107,7 @@
 		return apierror.New(apierror.ShuttingDown, "", nil)
 	case !s.hasQuorumNow():
 		return noQuorumError()
-	case s.now() < s.distrustedUntil:
+	case s.now() < s.distrustEnd:
 		return apierror.New(apierror.Unavailable, "", errors.New("this process was frozen just now"))
 	case waited > maxQueueDelay || r.Context().Err() != nil:
 		// An order must not be committed after its caller gave it again elsewhere, and others followed it.
--- a/internal/controlplane/registry/endpoints.go
+++ b/internal/controlplane/registry/endpoints.go
@@ -16,15 +16,15 @@
 	tombstoneTTL = 90 * time.Second
 	// unconfirmedTTL is how long an endpoint that is not live here is remembered after its last report.
 	unconfirmedTTL = 4 * tombstoneTTL
-	// neverHeard stands for no heartbeat in LastHeartbeat.
-	neverHeard = time.Duration(-1)
+	// noHeartbeat stands for no heartbeat in LastHeartbeat.
+	noHeartbeat = time.Duration(-1)
 )
 
 // Entry is what is known of an endpoint.
 type Entry struct {
 	rpc.Endpoint                // as last reported, but for Live and WarmupLeft, which are not kept here
 	LastHeartbeat time.Duration // that was received here; negative: none was
-	WarmupUntil   time.Duration // until when it is in slow start
+	WarmupEnd     time.Duration // until when it is in slow start
 	goneAt        time.Duration
 	updatedAt     time.Duration // the last report of it, by whomever
 	live          bool          // as proxies were told
@@ -56,7 +56,7 @@
 	e := r.entries[id]
 	switch {
 	case e == nil:
-		e = &Entry{Endpoint: rpc.Endpoint{ID: id}, LastHeartbeat: neverHeard}
+		e = &Entry{Endpoint: rpc.Endpoint{ID: id}, LastHeartbeat: noHeartbeat}
 		r.entries[id] = e
 	case e.State == rpc.Gone:
 		return nil
@@ -99,11 +99,11 @@
 func newEntry(now time.Duration, reported rpc.Endpoint) *Entry {
 	e := &Entry{
 		Endpoint:      reported,
-		LastHeartbeat: neverHeard,
-		WarmupUntil:   now + warmupLeft(reported),
+		LastHeartbeat: noHeartbeat,
+		WarmupEnd:     now + warmupLeft(reported),
 		updatedAt:     now,
 	}
-	e.Live, e.WarmupLeft = false, 0
+	e.Live, e.WarmupRemaining = false, 0
 	if e.State == rpc.Gone {
 		e.goneAt = now
 	}
@@ -111,7 +111,7 @@
 }
 
 func warmupLeft(reported rpc.Endpoint) time.Duration {
-	return max(time.Duration(reported.WarmupLeft)*time.Millisecond, 0)
+	return max(time.Duration(reported.WarmupRemaining)*time.Millisecond, 0)
 }
 
 // advance moves the state on, never back: a late heartbeat does not revive what drains.
@@ -129,15 +129,15 @@
 // update takes over the data of a report that is not outdated. Heartbeats of an endpoint in slow start report less time
 // left each time: only one that ends later by more than slack is a change.
 func (e *Entry) update(now time.Duration, reported rpc.Endpoint, slack time.Duration) (changed bool) {
-	until := now + time.Duration(reported.WarmupLeft)*time.Millisecond
+	until := now + time.Duration(reported.WarmupRemaining)*time.Millisecond
 	changed = reported.Address != e.Address || reported.Service != e.Service || reported.Capacity != e.Capacity ||
-		reported.WarmupLeft > 0 && until > e.WarmupUntil+slack
-	if until > e.WarmupUntil || reported.WarmupLeft == 0 {
-		e.WarmupUntil = until
+		reported.WarmupRemaining > 0 && until > e.WarmupEnd+slack
+	if until > e.WarmupEnd || reported.WarmupRemaining == 0 {
+		e.WarmupEnd = until
 	}
 	state := e.State
 	e.Endpoint = reported
-	e.State, e.Live, e.WarmupLeft = state, false, 0
+	e.State, e.Live, e.WarmupRemaining = state, false, 0
 	return changed
 }
 
@@ -167,7 +167,7 @@
 func (e *Entry) snapshot(now time.Duration, live bool) rpc.Endpoint {
 	endpoint := e.Endpoint
 	endpoint.Live = live
-	endpoint.WarmupLeft = int(max(e.WarmupUntil-now, 0) / time.Millisecond)
+	endpoint.WarmupRemaining = int(max(e.WarmupEnd-now, 0) / time.Millisecond)
 	return endpoint
 }
 
--- a/internal/controlplane/registry/leases.go
+++ b/internal/controlplane/registry/leases.go
@@ -19,15 +19,15 @@
 
 type lease struct {
 	rpc.ProxyInfo
-	until time.Duration
+	expiresAt time.Duration
 }
 
 // RenewLease handles a proxy's renewal. It reports whether the proxy had no lease before.
 func (r *Registry) RenewLease(now time.Duration, proxy rpc.ProxyInfo) (isNew bool) {
 	_, held := r.leases[proxy.Name]
-	r.leases[proxy.Name] = lease{ProxyInfo: proxy, until: now + LeaseDuration}
+	r.leases[proxy.Name] = lease{ProxyInfo: proxy, expiresAt: now + LeaseDuration}
 	if !held {
-		r.joined = append(r.joined, proxy)
+		r.added = append(r.added, proxy)
 	}
 	return !held
 }
@@ -35,27 +35,27 @@
 // ReleaseLease ends the lease of a proxy, if it has one.
 func (r *Registry) ReleaseLease(name string) {
 	if _, held := r.leases[name]; held {
-		r.left = append(r.left, name)
+		r.removed = append(r.removed, name)
 		delete(r.leases, name)
 	}
 }
 
 // LeaseChanges expires the leases that were not renewed, and returns which proxies lost or got their lease since the
-// last call. A proxy that stands in both left first and joined again.
-func (r *Registry) LeaseChanges(now time.Duration) (left []string, joined []rpc.ProxyInfo) {
+// last call. A proxy that stands in both was removed first.
+func (r *Registry) LeaseChanges(now time.Duration) (removed []string, added []rpc.ProxyInfo) {
 	for _, name := range slices.Sorted(maps.Keys(r.leases)) {
-		if now > r.leases[name].until {
+		if now > r.leases[name].expiresAt {
 			r.ReleaseLease(name)
 		}
 	}
-	left = r.left
-	for _, proxy := range r.joined {
+	removed = r.removed
+	for _, proxy := range r.added {
 		if _, held := r.leases[proxy.Name]; held {
-			joined = append(joined, proxy)
+			added = append(added, proxy)
 		}
 	}
-	r.left, r.joined = nil, nil
-	return left, joined
+	r.removed, r.added = nil, nil
+	return removed, added
 }
 
 // Proxies are those that hold a lease, in the order of their names.
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -23,8 +23,8 @@
 	entries           map[string]*Entry // by endpoint id
 	byAddress         map[string]string // the newest endpoint id of each address
 	leases            map[string]lease  // by proxy name
-	joined            []rpc.ProxyInfo   // since the last LeaseChanges
-	left              []string          // since the last LeaseChanges
+	added             []rpc.ProxyInfo   // since the last LeaseChanges
+	removed           []string          // since the last LeaseChanges
 }
 
 // New makes an empty Registry. heartbeatInterval is the time between two heartbeats of an endpoint.
--- a/internal/controlplane/registry/registry_test.go
+++ b/internal/controlplane/registry/registry_test.go
@@ -32,7 +32,7 @@
 		fmt.Fprintf(&out, "%4v %s\n", now, what)
 		for _, b := range news {
 			fmt.Fprintf(&out, "       %s at %s: %s, seq %d, vouched %v, cold for %d ms\n", b.ID, b.Address, states[b.State],
-				b.Seq, b.Live, b.WarmupLeft)
+				b.Seq, b.Live, b.WarmupRemaining)
 		}
 	}
 	hear := func(now time.Duration, what string, b rpc.Endpoint) {
@@ -43,10 +43,10 @@
 		show(now, what, news)
 	}
 	cold := beat("i-1", 2, rpc.Ready)
-	cold.WarmupLeft = 3000
+	cold.WarmupRemaining = 3000
 	hear(1*s, "i-1 beats", beat("i-1", 1, rpc.Ready))
 	hear(2*s, "i-1 beats, cold now", cold)
-	cold.Seq, cold.WarmupLeft = 3, 2000
+	cold.Seq, cold.WarmupRemaining = 3, 2000
 	hear(3*s, "i-1 beats, still cold", cold)
 	hear(4*s, "an older beat of i-1", beat("i-1", 1, rpc.Ready))
 	show(4*s, "another controller tells of i-2, which it hears",
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// onCommitted tells proxies of a committed value. They fetch a configuration from the nearest node that has it; values of
-// the other registers are small and go along.
+// onCommitted tells proxies of a committed value. They fetch a configuration from the nearest node that has it;
+// values of the other registers are small and go along.
 func (s *Server) onCommitted(r rpc.Register) {
 	s.log.Info("value committed", logfield.Register, r.Name, logfield.Version, r.Version.Number)
 	update := rpc.RegisterUpdate{CommittedVersions: map[string]rpc.Version{r.Name: r.Version}}
--- a/internal/controlplane/rollout/coordinator.go
+++ b/internal/controlplane/rollout/coordinator.go
@@ -2,8 +2,8 @@
 // the one decision, to commit or to halt it, that the voters agree on. It does no I/O and reads no clock: Step is told
 // what happened and returns what is to be done. Rules and states: docs/notes/stages.md. It is not wired in yet.
 //
-// The decision is single-decree Paxos for each version (package paxos). A plain register cannot decide: of two nodes that
-// write different decisions both may be told before one of them is overwritten.
+// The decision is single-decree Paxos for each version (package paxos). A plain register cannot decide: of two
+// nodes that write different decisions both may be told before one of them is overwritten.
 //
 //	events.go       events, actions, the plan
 //	coordinator.go  the part of a control-plane node
@@ -55,7 +55,7 @@
 	// Of the stages.
 
 	stage          int // len(Plan.Stages): all are passed
-	since          time.Duration
+	stageStartedAt time.Duration
 	confirmedAt    time.Duration           // since when the stage has enough confirmations; unset: it has not
 	askedToPrepare map[string]uint64       // by proxy: the incarnation that was asked, or has prepared it
 	confirmations  map[string]confirmation // by proxy
@@ -66,10 +66,10 @@
 
 	// Of the ballot that this node has begun.
 
-	proposal    paxos.Proposal[Decision]
-	retryAt     time.Duration
-	wantedSince time.Duration // since when this node has a decision to propose; unset: it has none
-	maxRound    uint64
+	proposal paxos.Proposal[Decision]
+	retryAt  time.Duration
+	wantedAt time.Duration // since when this node has a decision to propose; unset: it has none
+	maxRound uint64
 }
 
 func newTrackedVersion(version uint64) *trackedVersion {
@@ -77,7 +77,7 @@
 		Vote:           Vote{Version: version},
 		recoverAt:      unset,
 		confirmedAt:    unset,
-		wantedSince:    unset,
+		wantedAt:       unset,
 		askedToPrepare: map[string]uint64{},
 		confirmations:  map[string]confirmation{},
 	}
@@ -110,19 +110,19 @@
 	plan        Plan
 	isVoter     bool
 
-	connected   map[string]bool  // peers
-	leases      map[string]lease // by proxy
-	versions    map[uint64]*trackedVersion
-	committed   Target        // the greatest version that is known to be committed
-	closedUpTo  uint64        // no ballots are answered up to this version
-	listenUntil time.Duration // nothing is counted before
-	now         time.Duration
-	actions     []Action
-
-	seq           uint64 // of the last Persist
-	answers       []pendingAnswer
-	obsolete      []uint64 // versions whose records the one of the committed version replaces
-	obsoleteAfter uint64   // the Persist of that one
+	connected  map[string]bool  // peers
+	leases     map[string]lease // by proxy
+	versions   map[uint64]*trackedVersion
+	committed  Target        // the greatest version that is known to be committed
+	closedUpTo uint64        // no ballots are answered up to this version
+	listenEnd  time.Duration // nothing is counted before
+	now        time.Duration
+	actions    []Action
+
+	seq         uint64 // of the last Persist
+	answers     []pendingAnswer
+	obsolete    []uint64 // versions whose records the one of the committed version replaces
+	obsoleteSeq uint64   // the Persist of that one
 }
 
 // New makes a Coordinator.
@@ -137,7 +137,7 @@
 		connected:   map[string]bool{},
 		leases:      map[string]lease{},
 		versions:    map[uint64]*trackedVersion{},
-		listenUntil: unset,
+		listenEnd:   unset,
 	}
 	for _, vote := range o.Disk {
 		c.load(vote)
@@ -185,8 +185,8 @@
 // Step handles what happened up to now, a steady time, and what is due by now.
 func (c *Coordinator) Step(now time.Duration, events ...Event) []Action {
 	c.now, c.actions = now, nil
-	if c.listenUntil == unset {
-		c.listenUntil = now + c.plan.ListenFor
+	if c.listenEnd == unset {
+		c.listenEnd = now + c.plan.ListenDuration
 	}
 	if c.seq == 0 {
 		c.dropObsolete() // what an earlier process had not come to
@@ -238,7 +238,7 @@
 	case CaughtUp:
 		c.onCaughtUp(e.UpTo)
 	case Resumed:
-		c.listenUntil = c.now + c.plan.ListenFor
+		c.listenEnd = c.now + c.plan.ListenDuration
 	}
 }
 
@@ -254,7 +254,7 @@
 		clear(v.askedToPrepare)
 	}
 	v.stored, v.digest = true, t.Digest
-	v.stage, v.since, v.confirmedAt = 0, c.now, unset
+	v.stage, v.stageStartedAt, v.confirmedAt = 0, c.now, unset
 }
 
 func (c *Coordinator) onLeaseGranted(e LeaseGranted) {
--- a/internal/controlplane/rollout/decision.go
+++ b/internal/controlplane/rollout/decision.go
@@ -57,7 +57,7 @@
 		}
 		return a.seq == e.Seq
 	})
-	if e.Seq == c.obsoleteAfter && e.Err == nil {
+	if e.Seq == c.obsoleteSeq && e.Err == nil {
 		c.dropObsolete()
 	}
 	for _, a := range ready {
@@ -163,17 +163,17 @@
 	c.broadcast(Message{Kind: PrepareRequest, Version: v.Version, Ballot: v.proposal.Ballot})
 }
 
-// mayPropose reports whether this node has a decision to propose, and it is its turn. All nodes see the last confirmation
-// at about the same time: one proposal is enough, the others are for its death.
+// mayPropose reports whether this node has a decision to propose, and it is its turn. All nodes see the last
+// confirmation at about the same time: one proposal is enough, the others are for its death.
 func (c *Coordinator) mayPropose(v *trackedVersion) bool {
 	if c.ownDecision(v).isZero() {
-		v.wantedSince = unset
+		v.wantedAt = unset
 		return false
 	}
-	if v.wantedSince == unset {
-		v.wantedSince = c.now
+	if v.wantedAt == unset {
+		v.wantedAt = c.now
 	}
-	return c.now >= v.wantedSince+time.Duration(c.rankAmongVoters(v.Version))*voterStagger
+	return c.now >= v.wantedAt+time.Duration(c.rankAmongVoters(v.Version))*voterStagger
 }
 
 // rankAmongVoters is the number of connected voters that come before this node.
@@ -235,7 +235,7 @@
 	}
 	if c.committed.Version < v.Version {
 		c.committed, c.closedUpTo = Target{v.Version, d.Digest}, max(c.closedUpTo, v.Version)
-		c.obsoleteAfter = seq
+		c.obsoleteSeq = seq
 		c.dropSuperseded()
 		c.sendCommand("", CommandActivate, c.committed)
 	}
--- a/internal/controlplane/rollout/drawn_test.go
+++ b/internal/controlplane/rollout/drawn_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// drawn plays one schedule: proposals, crashes, lost disks, cuts, failing disks, among deliveries in any order of lines.
-// Then all is healed, and all must have one version.
+// drawn plays one schedule: proposals, crashes, lost disks, cuts, failing disks, among deliveries in any order of
+// lines. Then all is healed, and all must have one version.
 func drawn(seed uint64, f flaws) (w *world, moves int) {
 	r := rand.New(rand.NewPCG(seed, 33))
 	shape := [][2]int{{3, 1}, {5, 2}}[seed%2]
-	plan := Plan{ListenFor: 300 * time.Millisecond, MaxEnded: 3, Stages: []Stage{
+	plan := Plan{ListenDuration: 300 * time.Millisecond, MaxEnded: 3, Stages: []Stage{
 		{Proxies: 1, MinShare: 1, Timeout: 8 * time.Second},
 		{Zones: 1, MinShare: 1, Soak: 200 * time.Millisecond, Timeout: 8 * time.Second},
 		{MinShare: 0.5, Timeout: 8 * time.Second}}}
@@ -273,7 +273,10 @@
 
 // A version that kills whoever loads it never leaves the first stage, and is halted.
 func TestKillsWhoLoadsIt(t *testing.T) {
-	plan := Plan{MaxEnded: 3, Stages: []Stage{{Proxies: 1, MinShare: 1, Timeout: time.Hour}, {MinShare: 0.5, Timeout: time.Hour}}}
+	plan := Plan{
+		MaxEnded: 3,
+		Stages:   []Stage{{Proxies: 1, MinShare: 1, Timeout: time.Hour}, {MinShare: 0.5, Timeout: time.Hour}},
+	}
 	s := steward(plan, "x1", "x2", "x3", "y1", "y2", "y3")
 	told, life, now := 0, uint64(100), time.Duration(0)
 	orders := play(s, now, BodyStored{Target{1, 7}})
@@ -308,7 +311,12 @@
 		t.Fatal("it serves another body than the one that was taken")
 	}
 	c.Step(0, has(3, 2)...)
-	c.Step(0, CommandReceived{CommandActivate, Target{2, 1}}, CommandReceived{CommandDiscard, Target{Version: 3}}, CommandReceived{CommandPrepare, Target{2, 1}})
+	c.Step(
+		0,
+		CommandReceived{CommandActivate, Target{2, 1}},
+		CommandReceived{CommandDiscard, Target{Version: 3}},
+		CommandReceived{CommandPrepare, Target{2, 1}},
+	)
 	c.Step(0, has(2, 1)...)
 	if c.Active() != (Target{3, 2}) {
 		t.Fatal(c.Active())
--- a/internal/controlplane/rollout/events.go
+++ b/internal/controlplane/rollout/events.go
@@ -215,8 +215,8 @@
 	CommandDiscard                     // it is halted, or superseded
 )
 
-// SendCommand is a command for a proxy, or for all that are connected (""). It is lost with the connection, and sent anew
-// at ProxyConnected.
+// SendCommand is a command for a proxy, or for all that are connected (""). It is lost with the connection, and
+// sent anew at ProxyConnected.
 type SendCommand struct {
 	Proxy   string
 	Command Command
@@ -276,7 +276,7 @@
 // Plan is how versions are rolled out.
 type Plan struct {
 	Stages            []Stage
-	ListenFor         time.Duration // a node that starts counts nothing before; a lease's duration
+	ListenDuration    time.Duration // a node that starts counts nothing before; a lease's duration
 	MaxEnded          int           // so many ended proxies halt a version; 0: none does
 	MaxNotReadable    int           // so many proxies that cannot read it halt a version; 0: none does
 	MinAttempts       float64       // on both sides, from which on they are compared; 0: never
--- a/internal/controlplane/rollout/every_test.go
+++ b/internal/controlplane/rollout/every_test.go
@@ -16,7 +16,13 @@
 
 func (c *trackedVersion) clone() *trackedVersion {
 	d := *c
-	d.askedToPrepare, d.confirmations, d.proposal.Responses = maps.Clone(c.askedToPrepare), maps.Clone(c.confirmations), maps.Clone(c.proposal.Responses)
+	d.askedToPrepare, d.confirmations, d.proposal.Responses = maps.Clone(
+		c.askedToPrepare,
+	), maps.Clone(
+		c.confirmations,
+	), maps.Clone(
+		c.proposal.Responses,
+	)
 	return &d
 }
 
@@ -24,7 +30,15 @@
 func (w *world) clone() *world {
 	v := *w
 	v.st, v.car, v.disks, v.proved = slices.Clone(w.st), slices.Clone(w.car), slices.Clone(w.disks), slices.Clone(w.proved)
-	v.pend, v.queues, v.now, v.life = slices.Clone(w.pend), slices.Clone(w.queues), slices.Clone(w.now), slices.Clone(w.life)
+	v.pend, v.queues, v.now, v.life = slices.Clone(
+		w.pend,
+	), slices.Clone(
+		w.queues,
+	), slices.Clone(
+		w.now,
+	), slices.Clone(
+		w.life,
+	)
 	v.shared = 1<<(w.n+w.m) - 1
 	return &v
 }
@@ -109,8 +123,13 @@
 			s := w.st[i]
 			col = put(col, 99, gen(s.leases[name(k)].incarnation))
 			if ch := s.versions[1]; ch != nil && !ch.Decided { // what was counted is of no use after the end
-				col = put(col, gen(ch.askedToPrepare[name(k)]), gen(ch.confirmations[name(k)].incarnation), gen(w.proved[i][about{k, 0}].life),
-					gen(w.proved[i][about{k, 1}].life))
+				col = put(
+					col,
+					gen(ch.askedToPrepare[name(k)]),
+					gen(ch.confirmations[name(k)].incarnation),
+					gen(w.proved[i][about{k, 0}].life),
+					gen(w.proved[i][about{k, 1}].life),
+				)
 			}
 			for _, q := range [][]any{*w.queue(i, k), *w.queue(k, i)} {
 				col = put(col, uint64(len(q)))
@@ -142,11 +161,27 @@
 		if c := s.versions[1]; c != nil {
 			b = putVote(b, c.Vote)
 			if !c.Decided {
-				b = put(b, uint64(c.stage), uint64(c.haltReason), uint64(c.retryAt), uint64(c.wantedSince+1), uint64(c.recoverAt+1), c.maxRound,
-					uint64(c.proposal.Phase), uint64(c.since))
+				b = put(
+					b,
+					uint64(c.stage),
+					uint64(c.haltReason),
+					uint64(c.retryAt),
+					uint64(c.wantedAt+1),
+					uint64(c.recoverAt+1),
+					c.maxRound,
+					uint64(c.proposal.Phase),
+					uint64(c.stageStartedAt),
+				)
 			}
 			if p := c.proposal; p.Phase != paxos.Idle {
-				b = put(b, p.Ballot.Round, p.Ballot.Incarnation, p.HighestAccepted.Round, p.HighestAccepted.Incarnation, uint64(len(p.Responses)))
+				b = put(
+					b,
+					p.Ballot.Round,
+					p.Ballot.Incarnation,
+					p.HighestAccepted.Round,
+					p.HighestAccepted.Incarnation,
+					uint64(len(p.Responses)),
+				)
 				for _, f := range slices.Sorted(maps.Keys(p.Responses)) {
 					b = put(append(b, f...), p.Responses[f].Round, p.Responses[f].Incarnation)
 				}
@@ -194,9 +229,9 @@
 	states, taken, halted, open int
 }
 
-// every explores all schedules; it ends at the first fault. Ticks is how often time passes at each controller; a span is
-// long enough for whatever waits. Eager bounds the space: a word to a carrier arrives, and a disk has its record, before
-// anything else happens but a crash of one of those concerned.
+// every explores all schedules; it ends at the first fault. Ticks is how often time passes at each controller; a
+// span is long enough for whatever waits. Eager bounds the space: a word to a carrier arrives, and a disk has its
+// record, before anything else happens but a crash of one of those concerned.
 //
 // InOrder: carriers that are alike are heard in the order of their names at each controller; who they are makes no
 // difference while none of them ends.
--- a/internal/controlplane/rollout/participant.go
+++ b/internal/controlplane/rollout/participant.go
@@ -27,20 +27,20 @@
 
 // Participant is the part of one proxy. It never goes back to an earlier version. It belongs to one goroutine.
 type Participant struct {
-	incarnation uint64
-	staleAfter  time.Duration
-	active      Target
-	committed   Target        // the greatest version that it was told to activate
-	behindSince time.Duration // since when committed is not active
-	stale       bool
-	versions    map[uint64]*versionState
-	actions     []Action
+	incarnation  uint64
+	staleTimeout time.Duration
+	active       Target
+	committed    Target        // the greatest version that it was told to activate
+	behindAt     time.Duration // since when committed is not active
+	stale        bool
+	versions     map[uint64]*versionState
+	actions      []Action
 }
 
-// NewParticipant makes a Participant that serves nothing. staleAfter is how long it may be told to activate a version
+// NewParticipant makes a Participant that serves nothing. staleTimeout is how long it may be told to activate a version
 // that it cannot get before it is no longer fresh.
-func NewParticipant(incarnation uint64, staleAfter time.Duration) *Participant {
-	return &Participant{incarnation: incarnation, staleAfter: staleAfter, versions: map[uint64]*versionState{}}
+func NewParticipant(incarnation uint64, staleTimeout time.Duration) *Participant {
+	return &Participant{incarnation: incarnation, staleTimeout: staleTimeout, versions: map[uint64]*versionState{}}
 }
 
 // Active is what is served.
@@ -58,7 +58,7 @@
 			p.emit(Fetch{Target{number, v.digest}})
 		}
 	}
-	stale := p.active.Version < p.committed.Version && now >= p.behindSince+p.staleAfter
+	stale := p.active.Version < p.committed.Version && now >= p.behindAt+p.staleTimeout
 	if stale != p.stale {
 		p.stale = stale
 		p.emit(FreshnessChanged{!stale})
@@ -106,7 +106,7 @@
 func (p *Participant) onActivate(now time.Duration, t Target) {
 	if t.Version > p.committed.Version {
 		if p.active.Version == p.committed.Version { // otherwise it is behind already
-			p.behindSince = now
+			p.behindAt = now
 		}
 		p.committed = t
 	}
--- a/internal/controlplane/rollout/progress.go
+++ b/internal/controlplane/rollout/progress.go
@@ -53,9 +53,9 @@
 		confirmed.digest == v.digest
 }
 
-// isStageConfirmed reports whether a stage has its confirmations. With ask, those proxies of the stage that were not told
-// yet are told to prepare the version.
-func (c *Coordinator) isStageConfirmed(v *trackedVersion, stage Stage, ask bool) bool {
+// isStageConfirmed reports whether a stage has its confirmations. With tellMissing, those proxies of the stage that
+// were not told yet are told to prepare the version.
+func (c *Coordinator) isStageConfirmed(v *trackedVersion, stage Stage, tellMissing bool) bool {
 	zones, proxies := c.leasesByZone(v.Version)
 	if stage.Zones > 0 {
 		zones = zones[:min(stage.Zones, len(zones))]
@@ -73,7 +73,7 @@
 				confirmed++
 			}
 		}
-		if ask {
+		if tellMissing {
 			c.askToPrepare(v, names, wanted)
 		}
 		total += confirmed
@@ -112,8 +112,8 @@
 		v.haltReason = Superseded
 		return
 	}
-	if c.now < c.listenUntil {
-		v.since = c.now
+	if c.now < c.listenEnd {
+		v.stageStartedAt = c.now
 		return
 	}
 	v.haltReason = c.harmReason(v)
@@ -128,7 +128,7 @@
 func (c *Coordinator) passStage(v *trackedVersion, stage Stage) bool {
 	if !c.isStageConfirmed(v, stage, true) {
 		v.confirmedAt = unset
-		if c.now >= v.since+stage.Timeout {
+		if c.now >= v.stageStartedAt+stage.Timeout {
 			v.haltReason = TooFewConfirmed
 		}
 		return false
@@ -140,7 +140,7 @@
 		return false
 	}
 	v.stage++
-	v.since, v.confirmedAt = c.now, unset
+	v.stageStartedAt, v.confirmedAt = c.now, unset
 	return true
 }
 
@@ -191,13 +191,13 @@
 		return Decision{Reason: v.haltReason}
 	}
 	stages := c.plan.Stages
-	if !v.stored || c.now < c.listenUntil || v.stage < len(stages) || len(stages) == 0 {
+	if !v.stored || c.now < c.listenEnd || v.stage < len(stages) || len(stages) == 0 {
 		return Decision{}
 	}
 	if c.isStageConfirmed(v, stages[len(stages)-1], false) {
 		return Decision{Committed: true, Digest: v.digest}
 	}
 	// It has lost confirmations between the last count and the ballot: back to the last stage.
-	v.stage, v.since, v.confirmedAt = len(stages)-1, c.now, unset
+	v.stage, v.stageStartedAt, v.confirmedAt = len(stages)-1, c.now, unset
 	return Decision{}
 }
--- a/internal/controlplane/rollout/world_test.go
+++ b/internal/controlplane/rollout/world_test.go
@@ -35,8 +35,9 @@
 }
 type heardOf struct{ life, digest uint64 }
 
-// world plays controllers 0..n-1 and carriers n..n+m-1. What is under way stands in queues; the schedule is the caller's.
-// Beside it stands a plain model: which ballots have which disks, hence what is chosen, and who confirmed to whom.
+// world plays controllers 0..n-1 and carriers n..n+m-1. What is under way stands in queues; the schedule is the
+// caller's. Beside it stands a plain model: which ballots have which disks, hence what is chosen, and who confirmed
+// to whom.
 type world struct {
 	n, m     int
 	plan     Plan
@@ -64,10 +65,28 @@
 func name(i int) string { return string(rune('a' + i)) }
 
 func newWorld(n, m, faults int, plan Plan, f flaws) *world {
-	w := &world{n: n, m: m, plan: plan, flaws: f, faults: faults, st: make([]*Coordinator, n), disks: make([]map[uint64]Vote, n),
-		pend: make([][]Action, n), now: make([]time.Duration, n), car: make([]*Participant, m), life: make([]uint64, n+m),
-		queues: make([][]any, (n+m)*(n+m)), cut: make([]bool, n+m), forgot: make([]bool, n), proved: make([]map[about]heardOf, n),
-		ballots: map[ballotKey]accepted{}, chosen: map[uint64]Decision{}}
+	w := &world{
+		n:      n,
+		m:      m,
+		plan:   plan,
+		flaws:  f,
+		faults: faults,
+		st:     make([]*Coordinator, n),
+		disks:  make([]map[uint64]Vote, n),
+		pend:   make([][]Action, n),
+		now:    make([]time.Duration, n),
+		car:    make([]*Participant, m),
+		life:   make([]uint64, n+m),
+		queues: make(
+			[][]any,
+			(n+m)*(n+m),
+		),
+		cut:     make([]bool, n+m),
+		forgot:  make([]bool, n),
+		proved:  make([]map[about]heardOf, n),
+		ballots: map[ballotKey]accepted{},
+		chosen:  map[uint64]Decision{},
+	}
 	for i := range n + m {
 		w.life[i] = uint64(i + 1)
 	}
@@ -105,7 +124,17 @@
 			disk = append(disk, v)
 		}
 	}
-	w.st[i] = New(Options{Self: name(i), Incarnation: w.life[i], Voters: founders, MaxFaults: w.faults, Plan: w.plan, IsVoter: votes, Disk: disk})
+	w.st[i] = New(
+		Options{
+			Self:        name(i),
+			Incarnation: w.life[i],
+			Voters:      founders,
+			MaxFaults:   w.faults,
+			Plan:        w.plan,
+			IsVoter:     votes,
+			Disk:        disk,
+		},
+	)
 	w.pend[i], w.proved[i] = nil, map[about]heardOf{}
 	for j := range w.n + w.m {
 		if j != i {
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -1,6 +1,6 @@
-// Package controlplane is the server of a control-plane node. It stores what operators order together with the other
-// nodes, knows endpoints by their heartbeats and proxies by their leases, tells proxies what changed, and steers those of
-// its zone.
+// Package controlplane is the server of a control-plane node. It stores what operators order together with the
+// other nodes, knows endpoints by their heartbeats and proxies by their leases, tells proxies what changed, and
+// steers those of its zone.
 //
 // One goroutine, the owner (Server.Run), holds all tables and works through a queue of commands. Connections, the disk
 // and HTTP calls only queue commands and wait for answers; the owner never waits for any of them. What is decided, is
@@ -41,13 +41,14 @@
 	commandQueueCapacity = 1024
 	tickInterval         = 200 * time.Millisecond
 	dialRetryInterval    = 300 * time.Millisecond
-	// connTimeout is when a connection is closed on which nothing arrives: both sides send something each keepAliveInterval.
+	// connTimeout is when a connection is closed on which nothing arrives: both sides send something each
+	// keepAliveInterval.
 	connTimeout       = 3 * time.Second
 	keepAliveInterval = time.Second
-	// suspendedAfter is how late a tick must be for the process to have been suspended. What it then reads from its
+	// suspensionThreshold is how late a tick must be for the process to have been suspended. What it then reads from its
 	// sockets may be outdated: for distrustDuration it takes no proposals.
-	suspendedAfter   = time.Second
-	distrustDuration = 500 * time.Millisecond
+	suspensionThreshold = time.Second
+	distrustDuration    = 500 * time.Millisecond
 	// startupDuration is how long a node that never had quorum contact may still be among others that start.
 	startupDuration = 3 * time.Second
 )
@@ -111,7 +112,7 @@
 	hasQuorum        bool                // when it was last looked at
 	lastTick         time.Duration
 	lastKeepAlive    time.Duration
-	distrustedUntil  time.Duration
+	distrustEnd      time.Duration
 	batchedEndpoints []rpc.Endpoint // reports for proxies that may wait for the tick
 	encodedEndpoints []byte         // all endpoints, as a message
 	encodedAt        time.Duration
@@ -211,13 +212,14 @@
 // Stop ends Run.
 func (s *Server) Stop() { s.queue.Stop() }
 
-// Shutdown hands over to the other nodes what only this one has: requests under way are finished, values are copied, the
-// vote moves on. It returns once that is done, or after the timeout. New calls are refused from its beginning.
+// Shutdown hands over to the other nodes what only this one has: requests under way are finished, values are
+// copied, the vote moves on. It returns once that is done, or after the timeout. New calls are refused from its
+// beginning.
 func (s *Server) Shutdown(timeout time.Duration) {
 	s.queue.Do(func() {
 		if !s.shuttingDown {
 			s.shuttingDown = true
-			s.step(consensus.ShutDown{})
+			s.step(consensus.Shutdown{})
 		}
 	})
 	select {
@@ -250,8 +252,8 @@
 
 // noticeSuspension distrusts what is read for a while after the process did not run.
 func (s *Server) noticeSuspension(now time.Duration) {
-	if s.lastTick > 0 && now-s.lastTick > suspendedAfter {
-		s.distrustedUntil = now + distrustDuration
+	if s.lastTick > 0 && now-s.lastTick > suspensionThreshold {
+		s.distrustEnd = now + distrustDuration
 		s.log.Warn("process was suspended", logfield.Duration, now-s.lastTick)
 	}
 	s.lastTick = now
@@ -264,8 +266,8 @@
 		s.broadcastToProxies(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{Endpoints: changes}})
 		s.steering.invalidate()
 	}
-	if left, joined := s.registry.LeaseChanges(now); len(left)+len(joined) > 0 {
-		s.broadcastToProxies(&rpc.Message{ProxyChanges: rpc.ProxyChanges{ProxiesLeft: left, ProxiesJoined: joined}})
+	if removed, added := s.registry.LeaseChanges(now); len(removed)+len(added) > 0 {
+		s.broadcastToProxies(&rpc.Message{ProxyChanges: rpc.ProxyChanges{ProxiesRemoved: removed, ProxiesAdded: added}})
 		s.steering.invalidate()
 	}
 }
--- a/internal/controlplane/server_test.go
+++ b/internal/controlplane/server_test.go
@@ -153,7 +153,7 @@
 			}
 			for _, b := range m.Endpoints {
 				c.note("    carrier hears: %s %s, %s at %q, call %d, cold for %d ms", b.ID,
-					[]string{"ready", "draining", "gone"}[b.State], b.Service, b.Address, b.Seq, b.WarmupLeft)
+					[]string{"ready", "draining", "gone"}[b.State], b.Service, b.Address, b.Seq, b.WarmupRemaining)
 			}
 			for _, name := range []string{"charter", "zone/north", "zone/south"} {
 				if s, ok := m.CommittedVersions[name]; ok && m.Hello == nil {
--- a/internal/controlplane/status_test.go
+++ b/internal/controlplane/status_test.go
@@ -66,7 +66,13 @@
 		}
 		now := fmt.Sprintf("epoch %d:", s.Epoch)
 		for _, m := range s.Voters {
-			now += fmt.Sprintf(" %s %s%s%s,", m.Name, m.StoreID, map[bool]string{true: " gone"}[m.Replaced], map[string]string{"in": " comes", "out": " goes"}[m.Change])
+			now += fmt.Sprintf(
+				" %s %s%s%s,",
+				m.Name,
+				m.StoreID,
+				map[bool]string{true: " gone"}[m.Replaced],
+				map[string]string{"in": " comes", "out": " goes"}[m.Change],
+			)
 		}
 		now += " learn:"
 		for _, m := range s.Learners {
--- a/internal/controlplane/steering.go
+++ b/internal/controlplane/steering.go
@@ -12,8 +12,8 @@
 	"elmfold/internal/proxy/balancer"
 )
 
-// steerer gives what is known here to the decisions (package steering), and their routing tables to the proxies that are
-// steered here: those of the own zone, and of zones whose node is away.
+// steerer gives what is known here to the decisions (package steering), and their routing tables to the proxies
+// that are steered here: those of the own zone, and of zones whose node is away.
 type steerer struct {
 	server           *Server
 	adapter          *steering.Adapter
@@ -37,8 +37,9 @@
 	return t
 }
 
-// configure takes over the services of a configuration. The strictest route of a service decides what is late. A service
-// keeps its target as long as any route has it: each new one begins its rate limits anew, and routes come and go.
+// configure takes over the services of a configuration. The strictest route of a service decides what is late. A
+// service keeps its target as long as any route has it: each new one begins its rate limits anew, and routes come
+// and go.
 func (t *steerer) configure(config *routeconfig.Config) {
 	services := map[string]steering.Service{}
 	keepsTarget := map[string]bool{}
--- a/internal/controlplane/steering/adapter.go
+++ b/internal/controlplane/steering/adapter.go
@@ -2,12 +2,13 @@
 // events, and orders become the routing tables of proxies. There is one policy.Assigner for each service; the proxies
 // that are steered here are its proxies.
 //
-// An Adapter does no I/O, reads no clock and is not safe for concurrent use: the owner of the control-plane server calls
-// it. Times are durations since the process began. Equal calls give equal tables.
+// An Adapter does no I/O, reads no clock and is not safe for concurrent use: the owner of the control-plane server
+// calls it. Times are durations since the process began. Equal calls give equal tables.
 //
-// Some of what policy can do is not used here. Retries are decided by the proxies' shared budget. Endpoints in slow start
-// are held to a rate of their own by the one proxy that sends to them. Connections between proxies and control-plane
-// nodes are ordered and wide, so fences are answered at once and nothing is held back for a narrow channel.
+// Some of what policy can do is not used here. Retries are decided by the proxies' shared budget. Endpoints in slow
+// start are held to a rate of their own by the one proxy that sends to them. Connections between proxies and
+// control-plane nodes are ordered and wide, so fences are answered at once and nothing is held back for a narrow
+// channel.
 //
 //	adapter.go    the interface: services, endpoints, proxies, reports
 //	service.go    one service: when its Assigner runs
@@ -107,9 +108,9 @@
 	}
 }
 
-// Configure sets which services there are. Those that stay keep all that is known of them; one with another target is
-// decided anew from what is worth recollecting, and its proxies get full tables. Endpoints of new services must be listed
-// again.
+// Configure sets which services there are. Those that stay keep all that is known of them; one with another target
+// is decided anew from what is worth recollecting, and its proxies get full tables. Endpoints of new services must
+// be listed again.
 func (a *Adapter) Configure(services map[string]Service) {
 	for name, s := range a.services {
 		if _, stays := services[name]; !stays {
@@ -168,8 +169,8 @@
 	}
 }
 
-// SetProxies takes over all proxies that hold a lease, those that are steered here among them: the load of the others is
-// estimated from their number.
+// SetProxies takes over all proxies that hold a lease, those that are steered here among them: the load of the
+// others is estimated from their number.
 func (a *Adapter) SetProxies(all []rpc.ProxyInfo) {
 	clear(a.leases)
 	for _, p := range all {
@@ -179,9 +180,9 @@
 	}
 }
 
-// Join adds a proxy that has a new connection and is steered here. It gets full tables once it has reported: policy holds
-// one that it has not heard of to a request a second. After the start of this node all proxies wait for joinDelay. A
-// proxy of a zone that is not known decides for itself.
+// Join adds a proxy that has a new connection and is steered here. It gets full tables once it has reported: policy
+// holds one that it has not heard of to a request a second. After the start of this node all proxies wait for
+// joinDelay. A proxy of a zone that is not known decides for itself.
 func (a *Adapter) Join(name, zone string) {
 	index := a.zoneIndex(zone)
 	if index < 0 {
--- a/internal/controlplane/steering/adapter_test.go
+++ b/internal/controlplane/steering/adapter_test.go
@@ -160,7 +160,10 @@
 	r.b.SetEndpoints(r.now, first)
 	r.seconds(40)
 	r.note("# its place is another's now; a target changes: all anew, with what is known")
-	r.b.SetEndpoints(r.now, append(slices.Clone(first), Endpoint{ID: "a3", Service: "svc", Zone: "a", Capacity: 3, Ready: true}))
+	r.b.SetEndpoints(
+		r.now,
+		append(slices.Clone(first), Endpoint{ID: "a3", Service: "svc", Zone: "a", Capacity: 3, Ready: true}),
+	)
 	r.seconds(2)
 	r.b.Configure(map[string]Service{"svc": {LatencyTarget: 2 * time.Second}})
 	r.seconds(2)
--- a/internal/controlplane/steering/events.go
+++ b/internal/controlplane/steering/events.go
@@ -16,11 +16,11 @@
 	joinDelay = 2 * time.Second
 	// maxIdleTicks is the number of ticks without a request after which an idle proxy is no longer reported as such.
 	maxIdleTicks = 12
-	// rateHalfLife is what a second leaves of an old rate, as in policy. That of a rate below minSteadyRate requests/s
-	// falls more slowly, by slowestDecay at the least.
-	rateHalfLife  = 0.5
-	minSteadyRate = 5.0
-	slowestDecay  = 0.4
+	// rateDecayPerSecond is what a second leaves of an old rate, as in policy. That of a rate below minSteadyRate
+	// requests/s falls more slowly, by slowestDecay at the least.
+	rateDecayPerSecond = 0.5
+	minSteadyRate      = 5.0
+	slowestDecay       = 0.4
 	// minRateSeconds bounds the time that a rate is taken over.
 	minRateSeconds = 0.2
 )
@@ -29,15 +29,16 @@
 	state := s.proxyState(p)
 	wasIdle := !state.joined || state.idleTicks >= maxIdleTicks
 	if state.requests == 0 && wasIdle {
-		state.toldUpTo = p.reported - seconds // nothing was told of the time before
+		state.reportedUpTo = p.reported - seconds // nothing was told of the time before
 	}
 	state.requests += load.Requests
 	state.failed += max(load.Failed, 0)
 	s.hasTraffic = true
 }
 
-// addReport adds how attempts at an endpoint went. Policy has no use for Queued: it takes how much an endpoint holds, and
-// only from probes, because what responses tell comes from busy moments; that requests wait shows in the latency.
+// addReport adds how attempts at an endpoint went. Policy has no use for Queued: it takes how much an endpoint
+// holds, and only from probes, because what responses tell comes from busy moments; that requests wait shows in the
+// latency.
 func (s *service) addReport(report rpc.EndpointReport) {
 	state := &s.endpoints[s.indexOf[report.ID]]
 	succeeded := max(report.Attempts-report.Failed, 0)
@@ -74,14 +75,14 @@
 		state.joined = true
 		if state.requests == 0 {
 			// A load of 0 for the last report: otherwise policy takes it for a proxy that it knows nothing of.
-			state.idleTicks, state.toldUpTo = 0, p.reported-1
+			state.idleTicks, state.reportedUpTo = 0, p.reported-1
 		}
 		events = append(events, policy.Joined{Proxy: p.index, Zone: p.zone})
 	}
 	if state.requests == 0 {
 		return events
 	}
-	seconds := p.reported - state.toldUpTo
+	seconds := p.reported - state.reportedUpTo
 	// Policy subtracts from what a rate limit lets in what failed there; what the limit rejected is in it already.
 	admitted := state.requests
 	if state.rateLimit > 0 {
@@ -96,7 +97,7 @@
 	})
 	state.follow(state.requests, seconds)
 	state.requests, state.failed, state.idleTicks = 0, 0, 0
-	state.toldUpTo = p.reported
+	state.reportedUpTo = p.reported
 	return events
 }
 
@@ -131,13 +132,13 @@
 func (s *service) idleEvents() (events []policy.Event) {
 	for i := range s.proxies {
 		state, p := &s.proxies[i], s.adapter.proxyIndex[i]
-		seconds := p.reported - state.toldUpTo
+		seconds := p.reported - state.reportedUpTo
 		if !state.joined || seconds <= 0 || state.idleTicks >= maxIdleTicks {
 			continue
 		}
 		events = append(events, policy.Used{Proxy: i, Counting: policy.Time(seconds * float64(policy.Second))})
 		state.follow(0, seconds)
-		state.toldUpTo = p.reported
+		state.reportedUpTo = p.reported
 		state.idleTicks++
 	}
 	return events
@@ -147,7 +148,7 @@
 // idler beside it than they are.
 func (p *proxyState) follow(requests, seconds float64) {
 	steadiness := min(max(p.rate/minSteadyRate, slowestDecay), 1)
-	kept := math.Pow(rateHalfLife, max(seconds, minRateSeconds)*steadiness)
+	kept := math.Pow(rateDecayPerSecond, max(seconds, minRateSeconds)*steadiness)
 	if p.rate == 0 {
 		kept = 0
 	}
--- a/internal/controlplane/steering/service.go
+++ b/internal/controlplane/steering/service.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// tickEarly and tickLate are how much too early or late a tick may come and still count as in time: the owner's
+	// maxTickLead and maxTickDelay are how much too early or late a tick may come and still count as in time: the owner's
 	// ticker is coarse and jitters.
-	tickEarly = 100 * time.Millisecond
-	tickLate  = 500 * time.Millisecond
-	// quietAfter is how long nothing must happen before a service has no ticks any more. Nothing that an Assigner does
+	maxTickLead  = 100 * time.Millisecond
+	maxTickDelay = 500 * time.Millisecond
+	// idleTimeout is how long nothing must happen before a service has no ticks any more. Nothing that an Assigner does
 	// takes that long.
-	quietAfter = 45 * policy.Second
+	idleTimeout = 45 * policy.Second
 	// endpointIndexTTL is how long after an endpoint is gone its index may mean no other.
 	endpointIndexTTL = 35 * policy.Second
-	// settleDuration is the time after the start of this node in which an endpoint that is heard of was there before.
-	settleDuration = 5 * time.Second
+	// startupDuration is the time after the start of this node in which an endpoint that is heard of was there before.
+	startupDuration = 5 * time.Second
 	// targetFactor is the SLA time that policy is given, in latency targets. Policy takes a fleet for overloaded once its
 	// median latency is 0.4 of the SLA time, and lifts rate limits by steps that go by the same measure. Here proxies shed
 	// at once what would be late, so the rate limit is the second line, against what they cannot see: it acts when half
@@ -81,7 +81,7 @@
 type proxyState struct {
 	joined           bool
 	requests, failed float64 // since the last step
-	toldUpTo         float64 // of proxy.reported
+	reportedUpTo     float64 // of proxy.reported
 	rate             float64 // requests/s, smoothed
 	idleTicks        int     // ticks in a row without a request
 	rateLimit        float64 // as told; 0: unlimited
@@ -127,8 +127,8 @@
 	})
 	s.alarms = nil
 	s.applyOrders(at, s.assigner.Step(at, nil))
-	// Policy believes the load of other zones by steps, a tick each. Before it does, it takes all zones to ask for what the
-	// own one does, or for nothing, and sends requests to other zones on the calmest day.
+	// Policy believes the load of other zones by steps, a tick each. Before it does, it takes all zones to ask for
+	// what the own one does, or for nothing, and sends requests to other zones on the calmest day.
 	for range spilloverBeliefSteps {
 		events := []policy.Event{policy.Elsewhere{Uses: [][]float64{make([]float64, len(s.adapter.zones))}}}
 		for _, alarm := range s.alarms {
@@ -162,7 +162,7 @@
 	events := s.gatherEvents()
 	if len(events) > 0 {
 		s.lastActivity = due
-	} else if due > s.lastActivity+quietAfter {
+	} else if due > s.lastActivity+idleTimeout {
 		for i := range s.alarms {
 			s.alarms[i].at = max(s.alarms[i].at, due+policy.Second)
 		}
@@ -177,8 +177,8 @@
 	return updates
 }
 
-// dueTime says whether a step is due, and the time that it counts for. A tick that comes a little early or late counts as
-// in time: otherwise a rise that is due each second would be late by one.
+// dueTime says whether a step is due, and the time that it counts for. A tick that comes a little early or late
+// counts as in time: otherwise a rise that is due each second would be late by one.
 func (s *service) dueTime(at policy.Time) (due policy.Time, isDue bool) {
 	next := policy.Time(math.MinInt64)
 	for _, alarm := range s.alarms {
@@ -187,7 +187,7 @@
 		}
 	}
 	switch {
-	case next > at-policyTime(tickLate):
+	case next > at-policyTime(maxTickDelay):
 		return next, true
 	case next == math.MinInt64 && len(s.changedEntries) == 0:
 		return at, false
@@ -195,7 +195,7 @@
 	return at, true
 }
 
-func (a alarm) isDue(at policy.Time) bool { return a.at <= at+policyTime(tickEarly) }
+func (a alarm) isDue(at policy.Time) bool { return a.at <= at+policyTime(maxTickLead) }
 
 // takeAlarms removes the alarms that are due, and returns them as events.
 func (s *service) takeAlarms(at policy.Time) (events []policy.Event) {
@@ -229,7 +229,7 @@
 	isNew := !known || state.entry.Status == policy.Gone
 	// One that comes while there is traffic has just started, and begins with little. One that was there before this node
 	// knew of it does not.
-	if isNew && s.hasTraffic && s.adapter.now >= s.adapter.startedAt+settleDuration {
+	if isNew && s.hasTraffic && s.adapter.now >= s.adapter.startedAt+startupDuration {
 		state.entry.Up = max(policyTime(s.adapter.now), 1)
 	}
 	state.entry.Zone = s.adapter.zoneIndex(e.Zone)
--- a/internal/controlplane/steering/spillover.go
+++ b/internal/controlplane/steering/spillover.go
@@ -7,12 +7,13 @@
 )
 
 const (
-	// spillFrom is the part of a zone's capacity in use from which other zones may be asked for its excess, and spillUntil
+	// spillStart is the part of a zone's capacity in use from which other zones may be asked for its excess, and spillStop
 	// that below which they no longer are.
-	spillFrom, spillUntil = 0.85, 0.7
-	// fairFrom and fairUntil are the same for the part that is left of a zone's fair share of all capacity.
-	fairFrom, fairUntil = 0.5, 0.6
-	// homeMargin is the factor by which zones without a proxy here are said to be fuller, where nothing is to leave a zone.
+	spillStart, spillStop = 0.85, 0.7
+	// fairStart and fairStop are the same for the part that is left of a zone's fair share of all capacity.
+	fairStart, fairStop = 0.5, 0.6
+	// homeMargin is the factor by which zones without a proxy here are said to be fuller, where nothing is to leave a
+	// zone.
 	homeMargin = 1.5
 	// An endpoint in slow start counts with rampStart of its capacity, which doubles each rampStep.
 	rampStart    = 0.1
@@ -29,8 +30,9 @@
 	demand   float64 // requests/s of all of them, estimated
 }
 
-// loadElsewhere estimates the load of the proxies that are steered by other nodes, by zone, in requests/s: as if each of
-// them received what one here does. Policy then lets other zones join for what a zone is asked for over its fair share.
+// loadElsewhere estimates the load of the proxies that are steered by other nodes, by zone, in requests/s: as if
+// each of them received what one here does. Policy then lets other zones join for what a zone is asked for over its
+// fair share.
 //
 // That is more often than the design has it, and what crosses zones costs. So where some of the zone's capacity is free
 // and at least half of its fair share is there, the other zones are said to be as full as the fullest one here, which
@@ -107,9 +109,9 @@
 
 // needsSpillover reports whether any zone is nearly full, or has lost most of its fair share of the capacity.
 func (s *service) needsSpillover(zones []zoneLoad, capacity float64) bool {
-	maxBusy, minFair := spillFrom, fairFrom
+	maxBusy, minFair := spillStart, fairStart
 	if s.spillsOver {
-		maxBusy, minFair = spillUntil, fairUntil
+		maxBusy, minFair = spillStop, fairStop
 	}
 	fleet := 0.0
 	for _, z := range zones {
--- a/internal/controlplane/steering/tables.go
+++ b/internal/controlplane/steering/tables.go
@@ -23,7 +23,7 @@
 
 	// Of the current step.
 
-	touched  bool
+	dirty    bool
 	full     bool // the proxy was put on it
 	previous []previousWeight
 }
@@ -41,55 +41,55 @@
 }
 
 // applyOrders takes over the orders of the Assigner, and returns what the proxies concerned were not told yet, in the
-// order in which their tables were first touched.
+// order in which their tables were first dirty.
 func (s *service) applyOrders(at policy.Time, orders []policy.Order) (updates []tableUpdate) {
-	var touched []int
-	touch := func(id int) *tableState {
+	var dirty []int
+	markDirty := func(id int) *tableState {
 		for len(s.tables) <= id {
 			s.tables = append(s.tables, tableState{proxy: -1})
 		}
 		t := &s.tables[id]
-		if !t.touched {
-			t.touched = true
-			touched = append(touched, id)
+		if !t.dirty {
+			t.dirty = true
+			dirty = append(dirty, id)
 		}
 		return t
 	}
 	for _, order := range orders {
-		s.applyOrder(at, order, touch)
+		s.applyOrder(at, order, markDirty)
 	}
-	for _, id := range touched {
+	for _, id := range dirty {
 		t := &s.tables[id]
 		if t.proxy >= 0 && s.proxies[t.proxy].joined {
 			if table, changed := s.encodeTable(t); changed {
 				updates = append(updates, tableUpdate{proxy: s.adapter.proxyIndex[t.proxy], table: table})
 			}
 		}
-		t.previous, t.full, t.touched = t.previous[:0], false, false
+		t.previous, t.full, t.dirty = t.previous[:0], false, false
 	}
 	return updates
 }
 
-func (s *service) applyOrder(at policy.Time, order policy.Order, touch func(id int) *tableState) {
+func (s *service) applyOrder(at policy.Time, order policy.Order, markDirty func(id int) *tableState) {
 	switch o := order.(type) {
 	case policy.Clear:
-		clear(touch(o.Table).weights) // it comes only before a Use, and the table is told whole then
+		clear(markDirty(o.Table).weights) // it comes only before a Use, and the table is told whole then
 	case policy.Line:
-		t := touch(o.Table)
+		t := markDirty(o.Table)
 		t.weights = append(t.weights, make([]float64, max(len(s.ids)-len(t.weights), 0))...)
 		s.notePrevious(t, o.Backend)
 		t.weights[o.Backend] = o.Weight
 	case policy.Gate:
-		t := touch(o.Table)
+		t := markDirty(o.Table)
 		t.rateLimit = max(o.Level, minRateLimit)
 		if o.Level >= unlimitedRate {
 			t.rateLimit = 0
 		}
 	case policy.Use: // each proxy has a table of its own
-		t := touch(o.Table)
+		t := markDirty(o.Table)
 		t.proxy, t.full = o.Proxy, true
 	case policy.Withdraw:
-		s.withdraw(o, touch)
+		s.withdraw(o, markDirty)
 	case policy.Fence:
 		s.fence = o.Number
 	case policy.Wake:
@@ -102,10 +102,10 @@
 }
 
 // withdraw takes an endpoint out of all tables, or puts it back.
-func (s *service) withdraw(o policy.Withdraw, touch func(id int) *tableState) {
+func (s *service) withdraw(o policy.Withdraw, markDirty func(id int) *tableState) {
 	for id := range s.tables {
 		if t := &s.tables[id]; o.Backend < len(t.weights) && t.weights[o.Backend] > 0 {
-			s.notePrevious(touch(id), o.Backend)
+			s.notePrevious(markDirty(id), o.Backend)
 		}
 	}
 	s.endpoints[o.Backend].withdrawn = o.Out
--- a/internal/gateway/cli/statustable.go
+++ b/internal/gateway/cli/statustable.go
@@ -74,7 +74,7 @@
 	}
 	contact := "in touch"
 	if !m.Responsive {
-		contact = fmt.Sprintf("silent %.0f s", m.SilentSeconds)
+		contact = fmt.Sprintf("silent %.0f s", m.InactiveSeconds)
 	}
 	if m.ShuttingDown {
 		contact += ", leaving"
--- a/internal/gateway/logfield/logfield.go
+++ b/internal/gateway/logfield/logfield.go
@@ -1,5 +1,5 @@
-// Package logfield has the names of the fields in the log lines of the gateway's programs, so that one thing has one name
-// in all of them. docs/operate/gateway.md lists the lines.
+// Package logfield has the names of the fields in the log lines of the gateway's programs, so that one thing has
+// one name in all of them. docs/operate/gateway.md lists the lines.
 package logfield
 
 // Names of fields.
--- a/internal/gateway/rpc/epoch.go
+++ b/internal/gateway/rpc/epoch.go
@@ -76,8 +76,8 @@
 	return true
 }
 
-// QuorumSize is how many of so many voters must have a value for it to survive the loss of maxFaults machines at once: a
-// majority, and at least one more than may be lost, where there are so many.
+// QuorumSize is how many of so many voters must have a value for it to survive the loss of maxFaults machines at
+// once: a majority, and at least one more than may be lost, where there are so many.
 func QuorumSize(voters, maxFaults int) int { return min(max(maxFaults+1, voters/2+1), voters) }
 
 func countVoters(set []Voter, counted func(Voter) bool) (n int) {
--- a/internal/gateway/rpc/message.go
+++ b/internal/gateway/rpc/message.go
@@ -99,9 +99,9 @@
 // ProxyChanges says which proxies got or lost their lease since the first message of the connection, and gives the
 // sender's own lease back.
 type ProxyChanges struct {
-	ProxiesJoined []ProxyInfo `cbor:"25,keyasint,omitempty"`
-	ProxiesLeft   []string    `cbor:"26,keyasint,omitempty"` // names; a proxy that stands in both left first
-	ReleaseLease  bool        `cbor:"23,keyasint,omitempty"`
+	ProxiesAdded   []ProxyInfo `cbor:"25,keyasint,omitempty"`
+	ProxiesRemoved []string    `cbor:"26,keyasint,omitempty"` // names; a proxy that stands in both left first
+	ReleaseLease   bool        `cbor:"23,keyasint,omitempty"`
 }
 
 // Encode makes the body of a frame, once for any number of connections.
--- a/internal/proxy/transit.go
+++ b/internal/proxy/transit.go
@@ -226,13 +226,13 @@
 			p.members[k.Name] = k
 		}
 	}
-	for _, name := range m.ProxiesLeft {
+	for _, name := range m.ProxiesRemoved {
 		delete(p.members, name)
 	}
-	for _, k := range m.ProxiesJoined {
+	for _, k := range m.ProxiesAdded {
 		p.members[k.Name] = k
 	}
-	if m.Hello != nil || len(m.ProxiesLeft)+len(m.ProxiesJoined) > 0 {
+	if m.Hello != nil || len(m.ProxiesRemoved)+len(m.ProxiesAdded) > 0 {
 		c.setMembers()
 	}
 	sent, known := p.sent.of(m.LeaseRenewed)
@@ -397,8 +397,8 @@
 		}
 	}
 	l.heardAt = now
-	if b.WarmupLeft > 0 {
-		l.coldUntil = max(l.coldUntil, now+time.Duration(b.WarmupLeft)*time.Millisecond)
+	if b.WarmupRemaining > 0 {
+		l.coldUntil = max(l.coldUntil, now+time.Duration(b.WarmupRemaining)*time.Millisecond)
 	}
 	if l.State == rpc.Gone && l.goneAt == 0 {
 		l.goneAt = now
