--- a/internal/compat/answers_test.go
+++ b/internal/compat/answers_test.go
@@ -136,8 +136,14 @@
 	for key, pair := range map[string][2]float64{
 		"bounds.ackS": {float64(settings.Bounds.Ack), 102}, "bounds.catchUpS": {float64(settings.Bounds.CatchUp), 104},
 		"bounds.graceS": {float64(settings.Bounds.Grace), 106}, "bounds.retryRatio": {settings.Bounds.RetryRatio, 0.25},
-		"bounds.retryWindowS": {float64(settings.Bounds.RetryWindow), 107}, "bounds.retrySlack": {settings.Bounds.RetrySlack, 108},
-		"bounds.coldExcess": {settings.Bounds.SlowStartExcess, 109}, "bounds.coldSlack": {settings.Bounds.SlowStartSlack, 110},
+		"bounds.retryWindowS": {
+			float64(settings.Bounds.RetryWindow),
+			107,
+		}, "bounds.retrySlack": {settings.Bounds.RetrySlack, 108},
+		"bounds.coldExcess": {
+			settings.Bounds.SlowStartExcess,
+			109,
+		}, "bounds.coldSlack": {settings.Bounds.SlowStartSlack, 110},
 		"beatS": {float64(settings.HeartbeatInterval), 2.5}, "limits.maxFds": {float64(settings.Limits.MaxFDs), 203},
 		"limits.memoryMb": {settings.Limits.MemoryMB, 202}, "limits.diskMb": {settings.Limits.DiskMB, 204},
 		"faultBudget.machineFaults": {float64(settings.FaultBudget.Machines), 2},
@@ -146,7 +152,8 @@
 			t.Errorf("%s is read as %v, it is %v", key, pair[0], pair[1])
 		}
 	}
-	if settings.Listen["front"] != "10.0.0.100:8548" || settings.Seeds[1] != "10.0.0.11:8544" || settings.DataDir != "/var/lib/elmfold" ||
+	if settings.Listen["front"] != "10.0.0.100:8548" || settings.Seeds[1] != "10.0.0.11:8544" ||
+		settings.DataDir != "/var/lib/elmfold" ||
 		settings.OwnPeerAddress() != "10.0.0.100:7540" || settings.PeerAddress("10.0.0.11:8544") != "10.0.0.11:7540" ||
 		!settings.Bootstrap {
 		t.Errorf("%+v", settings)
@@ -184,7 +191,8 @@
 		t.Errorf("service %+v", p)
 	}
 	r := c.Route("A.example:80", "/a/x")
-	if r == nil || r.Name != "r-1" || !r.Idempotent || r.LatencyTarget != 108*time.Second || r.Timeout != 109*time.Second || r.Priority != 2 ||
+	if r == nil || r.Name != "r-1" || !r.Idempotent || r.LatencyTarget != 108*time.Second ||
+		r.Timeout != 109*time.Second || r.Priority != 2 ||
 		r.MaxAttempts != 4 || len(r.Services) != 2 || r.Services[0].Service != "alpha" ||
 		r.Services[0].Weight != 0.25 {
 		t.Errorf("route %+v", r)
@@ -195,7 +203,13 @@
 func TestFlagsStay(t *testing.T) {
 	var out strings.Builder
 	names := regexp.MustCompile(`(?m)^ +(?:-\w, )?--[\w-]+|^  \w+ `)
-	for _, args := range [][]string{{"--help"}, {"check", "--help"}, {"status", "--help"}, {"run", "--help"}, {"version", "--help"}} {
+	for _, args := range [][]string{
+		{"--help"},
+		{"check", "--help"},
+		{"status", "--help"},
+		{"run", "--help"},
+		{"version", "--help"},
+	} {
 		var text bytes.Buffer
 		code := cli.Program{Name: "program", About: "about", Out: &text, Err: &text}.Main(args)
 		fmt.Fprintf(&out, "%s: %d\n", strings.Join(args, " "), code)
--- a/internal/compat/disk_test.go
+++ b/internal/compat/disk_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// The disks of three nodes of d330930 were left by a kill: version 7 of the configuration was in force, the evacuation of
-// "north" had begun, that of "south" had begun and finished. Whatever happened to one of the disks since, three nodes of
-// this version go on from there.
+// The disks of three nodes of d330930 were left by a kill: version 7 of the configuration was in force, the
+// evacuation of "north" had begun, that of "south" had begun and finished. Whatever happened to one of the disks
+// since, three nodes of this version go on from there.
 func TestDisksOfTheOlderVersionAreReadOn(t *testing.T) {
 	const disk0, disk1, disk2 = "7a2179a73216820c", "18807b5a4df411fc", "ae187abbb65f010d"
 	edit := func(change func([]byte) []byte) func(*testing.T, string) {
--- a/internal/compat/frozen_test.go
+++ b/internal/compat/frozen_test.go
@@ -191,8 +191,8 @@
 	return m, err
 }
 
-// oldNode is a voter as d330930 was one, in what it says: an acceptor for each register, learning from copies, contact by
-// ping and pong. It proposes nothing by itself.
+// oldNode is a voter as d330930 was one, in what it says: an acceptor for each register, learning from copies,
+// contact by ping and pong. It proposes nothing by itself.
 type oldNode struct {
 	t    *testing.T
 	who  oldController
@@ -274,7 +274,7 @@
 }
 
 func (n *oldNode) serve(l *oldLine, accepted bool) {
-	defer l.conn.Close()
+	defer func() { _ = l.conn.Close() }()
 	hello := &oldHello{Who: n.who, Life: 4711, Disk: n.disk}
 	if !accepted {
 		l.send(oldMessage{Hello: hello})
--- a/internal/compat/mixed_test.go
+++ b/internal/compat/mixed_test.go
@@ -160,10 +160,14 @@
 			},
 		)
 		first, err := line.receive()
-		if err != nil || first.Hello == nil || first.Hello.Who.Name != "core-0" || !first.All || first.Apart || !first.Settled ||
+		if err != nil || first.Hello == nil || first.Hello.Who.Name != "core-0" || !first.All || first.Apart ||
+			!first.Settled ||
 			first.Epoch == nil || first.Epoch.Number != 1 || len(first.Epoch.Voters) != 3 || len(first.Know) != 3 ||
 			first.Held["charter"].Hi != 7 || first.Safe["charter"].Hi != 7 || first.Safe["zone/west"] == (oldStamp{}) ||
-			len(first.Offers) != 1 || first.Offers[0].Name != "zone/west" || !strings.HasPrefix(string(first.Offers[0].Value), "1b:") ||
+			len(first.Offers) != 1 || first.Offers[0].Name != "zone/west" || !strings.HasPrefix(
+			string(first.Offers[0].Value),
+			"1b:",
+		) ||
 			len(first.Backends) != 1 ||
 			first.Backends[0].ID != "b-1" ||
 			!first.Backends[0].Vouched ||
--- a/internal/controlplane/consensus/bounded_test.go
+++ b/internal/controlplane/consensus/bounded_test.go
@@ -169,7 +169,8 @@
 	}
 	disk2, words2, memory2 := c.sizes(0)
 	t.Logf(
-		"after 100 and after 10,100 changes: disk %d and %d bytes, what it says it has %d and %d, the process's state %d and %d",
+		"after 100 and after 10,100 changes: disk %d and %d bytes, what it says it has %d and %d, the process's state "+
+			"%d and %d",
 		disk,
 		disk2,
 		words,
--- a/internal/controlplane/consensus/drawn_test.go
+++ b/internal/controlplane/consensus/drawn_test.go
@@ -535,14 +535,20 @@
 		f    driverFlaws
 		says string
 	}{
-		"a vote is said before it is synced":        {driverFlaws{lyingDisk: true}, "it was not chosen"},
-		"an order is acknowledged by one disk":      {driverFlaws{ackAtOne: true}, "its value was not chosen"},
-		"a number is confirmed twice":               {driverFlaws{confirmsTwice: true}, "a number is confirmed with other bytes"},
-		"a read without a majority":                 {driverFlaws{readsItself: true}, "no call can have made"},
-		"what is half done is told as chosen":       {driverFlaws{tellsHalfDone: true}, "it was not chosen"},
-		"an order that was given up is taken later": {driverFlaws{takesLate: true}, "of a call that was said never to be taken"},
-		"an old epoch's words count":                {driverFlaws{oldEras: true}, "to follow epoch"},
-		"a leave without handing over":              {driverFlaws{leavesAtOnce: true}, "other disks"},
+		"a vote is said before it is synced":   {driverFlaws{lyingDisk: true}, "it was not chosen"},
+		"an order is acknowledged by one disk": {driverFlaws{ackAtOne: true}, "its value was not chosen"},
+		"a number is confirmed twice": {
+			driverFlaws{confirmsTwice: true},
+			"a number is confirmed with other bytes",
+		},
+		"a read without a majority":           {driverFlaws{readsItself: true}, "no call can have made"},
+		"what is half done is told as chosen": {driverFlaws{tellsHalfDone: true}, "it was not chosen"},
+		"an order that was given up is taken later": {
+			driverFlaws{takesLate: true},
+			"of a call that was said never to be taken",
+		},
+		"an old epoch's words count":   {driverFlaws{oldEras: true}, "to follow epoch"},
+		"a leave without handing over": {driverFlaws{leavesAtOnce: true}, "other disks"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var others []string
--- a/internal/controlplane/consensus/durablestate_test.go
+++ b/internal/controlplane/consensus/durablestate_test.go
@@ -16,10 +16,10 @@
 }
 
 // oldRecords are those of a disk of the version before.
-func oldRecords(t *testing.T, founders int) map[string][]byte {
+func oldRecords(t *testing.T) map[string][]byte {
 	t.Helper()
 	var all []rpc.Node
-	for i := range founders {
+	for i := range 3 {
 		all = append(all, controllerOf(i))
 	}
 	text, err := json.Marshal(all)
@@ -33,9 +33,9 @@
 	}
 }
 
-func load(t *testing.T, records map[string][]byte, known, first bool) DurableState {
+func load(t *testing.T, records map[string][]byte, known bool) DurableState {
 	t.Helper()
-	m, err := LoadState("c0", records, known, first, "drawn")
+	m, err := LoadState("c0", records, known, false, "drawn")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,8 +69,8 @@
 // A disk of the version before is one of its founders, with all that it held; and so it is if power is lost at
 // whatever step of its first start with this version.
 func TestLoadDiskOfTheVersionBefore(t *testing.T) {
-	records := oldRecords(t, 3)
-	m := load(t, records, true, false)
+	records := oldRecords(t)
+	m := load(t, records, true)
 	checkOld(t, "first start", m)
 	if m.Identified {
 		t.Error("it votes before its records are of this version")
@@ -89,18 +89,18 @@
 				delete(disk, p.Record) // it was known before; Load is told so
 			}
 		}
-		again := load(t, disk, true, false)
+		again := load(t, disk, true)
 		checkOld(t, fmt.Sprintf("power lost after %d of %d records", n, len(puts)), again)
 	}
 }
 
 // What is not known to be whole is somebody new, and keeps nothing of who it was.
 func TestLoadForgottenDisk(t *testing.T) {
-	records := oldRecords(t, 3)
+	records := oldRecords(t)
 	records[recordDisk] = marshal(diskRecord{"d1", true})
 	records[recordEpoch] = encodeEpoch(Epoch{Number: 4})
-	records[registerRecordName(charter)] = encodeRegister(4, load(t, oldRecords(t, 3), true, false).Acceptors[charter])
-	m := load(t, records, false, false)
+	records[registerRecordName(charter)] = encodeRegister(4, load(t, oldRecords(t), true).Acceptors[charter])
+	m := load(t, records, false)
 	if m.StoreID != "drawn" || !m.MayHaveLostState || m.Identified || m.Epoch.Number != 0 || len(m.Acceptors) > 0 {
 		t.Errorf("%+v", m)
 	}
@@ -130,7 +130,7 @@
 		recordEpoch:                 encodeEpoch(Epoch{Number: 1}),
 		registerRecordName(charter): marshal(registerRecord{}),
 	}
-	load(t, whole, true, false)
+	load(t, whole, true)
 	for name := range whole {
 		broken := maps.Clone(whole)
 		broken[name] = broken[name][:len(broken[name])-1]
@@ -138,7 +138,7 @@
 			t.Errorf("a broken record %s is taken", name)
 		}
 	}
-	old := oldRecords(t, 3)
+	old := oldRecords(t)
 	old[legacyFounders] = old[legacyFounders][1:]
 	if _, err := LoadState("c0", old, true, false, "drawn"); err == nil {
 		t.Error("broken founders are taken")
@@ -147,7 +147,7 @@
 
 // The register of epochs is begun anew by each epoch: what was voted in the one before says nothing in this one.
 func TestLoadEpochRegisterOfAnOlderEpoch(t *testing.T) {
-	a := load(t, oldRecords(t, 3), true, false).Acceptors[charter]
+	a := load(t, oldRecords(t), true).Acceptors[charter]
 	for era, want := range map[uint64]int{3: 0, 4: 1} {
 		m := load(
 			t,
@@ -155,10 +155,7 @@
 				recordDisk:                        marshal(diskRecord{"d0", true}),
 				recordEpoch:                       encodeEpoch(Epoch{Number: 4}),
 				registerRecordName(epochRegister): encodeRegister(era, a),
-			},
-			true,
-			false,
-		)
+			}, true)
 		if len(m.Acceptors) != want {
 			t.Errorf("of epoch %d in epoch 4: %d", era, len(m.Acceptors))
 		}
--- a/internal/controlplane/consensus/membership_test.go
+++ b/internal/controlplane/consensus/membership_test.go
@@ -66,12 +66,57 @@
 		most   int // 0: 7
 	}{
 		{"nothing happens", 1, [][2]string{{"a b c", ""}, {"a", ""}, {"a b c d e f g", ""}}, 0},
-		{"three founded, and others come or wake", 1, [][2]string{{"a b c", "d"}, {"a b c", "d e f g"}, {"a b c~", "d e"}, {"a b", "c d"}}, 3},
-		{"a new one", 1, [][2]string{{"a b c", "d"}, {"a b c", "[d]"}, {"a b c.", "d"}, {"a b c", "d'"}, {"a b", "c"}, {"a", "b"}, {"a b c d", "e f"}, {"a b c d e f g", "h"}}, 0},
-		{"a disk that was wiped", 1, [][2]string{{"a* b c", "a1"}, {"a* b c", "[a1]"}, {"a* b c", "d"}, {"a* b c", "a1 d"}, {"a* b~ c", "a1 d"}}, 0},
-		{"silence", 1, [][2]string{{"a b c~", ""}, {"a b c~", "d"}, {"a b c~", "[d]"}, {"a b c d~", ""}, {"a b c d e~", ""}, {"a b c d~ e~", "f"}, {"a b c d~ e~", "f g"}, {"a b~", ""}, {"a b~", "c"}, {"a b c d e f~", ""}}, 0},
+		{
+			"three founded, and others come or wake",
+			1,
+			[][2]string{{"a b c", "d"}, {"a b c", "d e f g"}, {"a b c~", "d e"}, {"a b", "c d"}},
+			3,
+		},
+		{
+			"a new one",
+			1,
+			[][2]string{
+				{"a b c", "d"},
+				{"a b c", "[d]"},
+				{"a b c.", "d"},
+				{"a b c", "d'"},
+				{"a b", "c"},
+				{"a", "b"},
+				{"a b c d", "e f"},
+				{"a b c d e f g", "h"},
+			},
+			0,
+		},
+		{
+			"a disk that was wiped",
+			1,
+			[][2]string{{"a* b c", "a1"}, {"a* b c", "[a1]"}, {"a* b c", "d"}, {"a* b c", "a1 d"}, {"a* b~ c", "a1 d"}},
+			0,
+		},
+		{
+			"silence",
+			1,
+			[][2]string{
+				{"a b c~", ""},
+				{"a b c~", "d"},
+				{"a b c~", "[d]"},
+				{"a b c d~", ""},
+				{"a b c d e~", ""},
+				{"a b c d~ e~", "f"},
+				{"a b c d~ e~", "f g"},
+				{"a b~", ""},
+				{"a b~", "c"},
+				{"a b c d e f~", ""},
+			},
+			0,
+		},
 		{"silence, two to be borne", 2, [][2]string{{"a b c d~", ""}, {"a b c d e f~", ""}, {"a b c d e~", "f"}}, 0},
-		{"one that leaves", 1, [][2]string{{"a! b c", ""}, {"a! b c", "d"}, {"a! b c d", ""}, {"a! b! c d", ""}, {"a! b", ""}, {"a! b c~", "d"}}, 0},
+		{
+			"one that leaves",
+			1,
+			[][2]string{{"a! b c", ""}, {"a! b c", "d"}, {"a! b c d", ""}, {"a! b! c d", ""}, {"a! b", ""}, {"a! b c~", "d"}},
+			0,
+		},
 		{"one that leaves, none to be borne", 0, [][2]string{{"a! b", ""}, {"a!", ""}, {"a! b c", ""}, {"a b~", ""}}, 0},
 	} {
 		fmt.Fprintf(&b, "%s\n", c.what)
--- a/internal/controlplane/consensus/model_test.go
+++ b/internal/controlplane/consensus/model_test.go
@@ -52,9 +52,6 @@
 	keepsName     bool // a wiped disk still votes as who it was
 	dropsPromises bool // a promise is not on the disk
 	oldEras       bool // the epoch of a word is not looked at
-	tellsHalfDone bool // what a disk has is told as chosen
-	hasAll        bool // a learner says it has all
-	alone         bool // a majority of one
 	noJoint       bool // the new voters count alone at once
 }
 
@@ -211,7 +208,7 @@
 				queue = append(queue, n.r.Step(n.now, Persisted{Seq: o.Seq})...)
 			}
 		case Send:
-			m.send(s, i, &n, o)
+			m.send(s, i, o)
 		case ValueCommitted:
 			m.tells(s, i, "in force", o.Register)
 		case RequestDone:
@@ -285,7 +282,7 @@
 	}
 }
 
-func (m *model) send(s *modelState, i int, n *modelNode, o Send) {
+func (m *model) send(s *modelState, i int, o Send) {
 	j := slices.IndexFunc(s.nodes, func(o2 *modelNode) bool { return o2.r.options.Self.Name == o.To })
 	w := o.Message
 	switch {
@@ -694,7 +691,8 @@
 			instant: true,
 		},
 		{
-			name:    "3 voters, 1 learner, 2 orders, 1 crash with or without its disk, 1 change of voters, 1 message doubled, clocks that go on",
+			name: "3 voters, 1 learner, 2 orders, 1 crash with or without its disk, 1 change of voters, 1 message " +
+				"doubled, clocks that go on",
 			voters:  3,
 			learner: true,
 			orders:  oneThenTwo,
@@ -738,11 +736,34 @@
 		scope
 		says string
 	}{
-		"a vote is said before it is synced": {scope{voters: 3, orders: oneOrder, crashes: 1, only: -1, most: 20000, flaws: modelFlaws{early: true}},
+		"a vote is said before it is synced": {scope{
+			voters:  3,
+			orders:  oneOrder,
+			crashes: 1,
+			only:    -1,
+			most:    20000,
+			flaws:   modelFlaws{early: true},
+		},
 			"has not got it on their disks"},
-		"a vote from a wiped disk": {scope{voters: 3, orders: oneOrder, wipes: 1, only: 2, instant: true, most: 20000, flaws: modelFlaws{keepsName: true}},
+		"a vote from a wiped disk": {scope{
+			voters:  3,
+			orders:  oneOrder,
+			wipes:   1,
+			only:    2,
+			instant: true,
+			most:    20000,
+			flaws:   modelFlaws{keepsName: true},
+		},
 			"has not got it on their disks"},
-		"two epochs that do not meet": {scope{voters: 3, learner: true, orders: oneOrder, joins: true, timers: 1, only: -1, flaws: modelFlaws{noJoint: true}},
+		"two epochs that do not meet": {scope{
+			voters:  3,
+			learner: true,
+			orders:  oneOrder,
+			joins:   true,
+			timers:  1,
+			only:    -1,
+			flaws:   modelFlaws{noJoint: true},
+		},
 			"has not got it on their disks"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/controlplane/consensus/orders_test.go
+++ b/internal/controlplane/consensus/orders_test.go
@@ -26,8 +26,7 @@
 		return b
 	}
 	sum, count := sha256.New(), 0
-	var w *world
-	w = playTraced(seed, s, driverFlaws{}, quiet, func(i int, o Action) {
+	w := playTraced(seed, s, driverFlaws{}, quiet, func(i int, o Action) {
 		count++
 		fmt.Fprintf(sum, "%d ", i)
 		switch o := o.(type) {
--- a/internal/controlplane/consensus/votes_test.go
+++ b/internal/controlplane/consensus/votes_test.go
@@ -107,14 +107,26 @@
 		who  int
 		done bool
 	}{
-		"a vote":                       {func(b BallotNumber) *rpc.Message { return agreedTo(b) }, 1, true},
-		"of an older epoch":            {func(b BallotNumber) *rpc.Message { m := agreedTo(b); m.EpochNumber = 1; return m }, 1, false},
-		"of a newer epoch":             {func(b BallotNumber) *rpc.Message { m := agreedTo(b); m.EpochNumber = 3; return m }, 1, false},
+		"a vote": {func(b BallotNumber) *rpc.Message { return agreedTo(b) }, 1, true},
+		"of an older epoch": {
+			func(b BallotNumber) *rpc.Message { m := agreedTo(b); m.EpochNumber = 1; return m },
+			1,
+			false,
+		},
+		"of a newer epoch": {
+			func(b BallotNumber) *rpc.Message { m := agreedTo(b); m.EpochNumber = 3; return m },
+			1,
+			false,
+		},
 		"of a disk that does not vote": {func(b BallotNumber) *rpc.Message { return agreedTo(b) }, 3, false},
-		"of the disk it had before":    {func(b BallotNumber) *rpc.Message { m := agreedTo(b); m.StoreID = "d1.old"; return m }, 1, false},
-		"for another ballot":           {func(b BallotNumber) *rpc.Message { b.Round--; return agreedTo(b) }, 1, false},
-		"for another life's ballot":    {func(b BallotNumber) *rpc.Message { b.Incarnation++; return agreedTo(b) }, 1, false},
-		"a promise, again":             {func(b BallotNumber) *rpc.Message { return promiseOf(b) }, 1, false},
+		"of the disk it had before": {
+			func(b BallotNumber) *rpc.Message { m := agreedTo(b); m.StoreID = "d1.old"; return m },
+			1,
+			false,
+		},
+		"for another ballot":        {func(b BallotNumber) *rpc.Message { b.Round--; return agreedTo(b) }, 1, false},
+		"for another life's ballot": {func(b BallotNumber) *rpc.Message { b.Incarnation++; return agreedTo(b) }, 1, false},
+		"a promise, again":          {func(b BallotNumber) *rpc.Message { return promiseOf(b) }, 1, false},
 	} {
 		x := newTrio(t, one1, injectedBugs{}, nil)
 		b := x.asked(5)
@@ -208,7 +220,12 @@
 		}
 		x = newTrio(t, e, injectedBugs{}, disk)
 		v := Register{Name: charter, Version: Version{Number: 5, ID: 1}}
-		for _, o := range x.says(1, &rpc.Message{Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{{Kind: rpc.Accept, Register: charter, Ballot: low, Value: &v}}}}) {
+		for _, o := range x.says(
+			1,
+			&rpc.Message{
+				Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{{Kind: rpc.Accept, Register: charter, Ballot: low, Value: &v}}},
+			},
+		) {
 			if s, is := o.(Send); is && len(s.Message.Paxos) > 0 {
 				return s.Message.Paxos[0].Kind
 			}
@@ -277,11 +294,39 @@
 		m      *rpc.Message
 		wished bool
 	}{
-		"it has all":          {&rpc.Message{Consensus: rpc.Consensus{AcceptedBallots: map[string]BallotNumber{charter: has.Accepted}, Complete: true}}, true},
-		"it has less":         {&rpc.Message{Consensus: rpc.Consensus{AcceptedBallots: map[string]BallotNumber{charter: {Round: 4}}, Complete: true}}, false},
-		"it has nothing":      {&rpc.Message{Consensus: rpc.Consensus{Complete: true}}, false},
-		"said in epoch 1":     {&rpc.Message{Consensus: rpc.Consensus{AcceptedBallots: map[string]BallotNumber{charter: has.Accepted}, Complete: true, EpochNumber: 1}}, false},
-		"of the disk before":  {&rpc.Message{Consensus: rpc.Consensus{AcceptedBallots: map[string]BallotNumber{charter: has.Accepted}, Complete: true, StoreID: "d3.old"}}, false},
+		"it has all": {
+			&rpc.Message{
+				Consensus: rpc.Consensus{AcceptedBallots: map[string]BallotNumber{charter: has.Accepted}, Complete: true},
+			},
+			true,
+		},
+		"it has less": {
+			&rpc.Message{
+				Consensus: rpc.Consensus{AcceptedBallots: map[string]BallotNumber{charter: {Round: 4}}, Complete: true},
+			},
+			false,
+		},
+		"it has nothing": {&rpc.Message{Consensus: rpc.Consensus{Complete: true}}, false},
+		"said in epoch 1": {
+			&rpc.Message{
+				Consensus: rpc.Consensus{
+					AcceptedBallots: map[string]BallotNumber{charter: has.Accepted},
+					Complete:        true,
+					EpochNumber:     1,
+				},
+			},
+			false,
+		},
+		"of the disk before": {
+			&rpc.Message{
+				Consensus: rpc.Consensus{
+					AcceptedBallots: map[string]BallotNumber{charter: has.Accepted},
+					Complete:        true,
+					StoreID:         "d3.old",
+				},
+			},
+			false,
+		},
 		"it has said nothing": {&rpc.Message{}, false},
 	} {
 		x := newTrio(t, e, injectedBugs{}, map[string]paxos.Acceptor[Register]{charter: has})
--- a/internal/controlplane/consensus/world_test.go
+++ b/internal/controlplane/consensus/world_test.go
@@ -140,7 +140,9 @@
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
 }
 func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(happening)) }
+func (a *agenda) Push(x any) {
+	*a = append(*a, x.(happening)) //nolint:forcetypeassert // heap.Push is given no other
+}
 func (a *agenda) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
@@ -235,7 +237,7 @@
 // run plays until an instant, or the first fault.
 func (w *world) run(until time.Duration) {
 	for len(w.agenda) > 0 && w.agenda[0].at <= until && w.fault == "" {
-		h := heap.Pop(&w.agenda).(happening)
+		h := heap.Pop(&w.agenda).(happening) //nolint:forcetypeassert // holds nothing else
 		w.now = h.at
 		h.do()
 	}
@@ -1107,8 +1109,8 @@
 	return w.ask(i, operation{kind: 'r', name: name})
 }
 
-func (w *world) evacuate(i int, zone string, begins bool) *operation {
-	return w.ask(i, operation{kind: 'e', name: zone, begins: begins, ident: w.rand.Uint64()})
+func (w *world) evacuate(i int, zone string, begins bool) {
+	w.ask(i, operation{kind: 'e', name: zone, begins: begins, ident: w.rand.Uint64()})
 }
 
 // checkHistory: each register's calls and answers fit one order of changes: each answer tells a state that held
--- a/internal/controlplane/rollout/participant.go
+++ b/internal/controlplane/rollout/participant.go
@@ -81,7 +81,7 @@
 	case BodyReceived:
 		if v := p.versions[e.Version]; v != nil && v.state == Proposed && v.digest == e.Digest {
 			v.state = Fetched
-			p.emit(Compile{e.Target})
+			p.emit(Compile(e))
 		}
 	case CompileDone:
 		p.onCompileDone(e)
--- a/internal/controlplane/status_test.go
+++ b/internal/controlplane/status_test.go
@@ -92,7 +92,11 @@
 	old.Stop()
 	k.host = c.net.Host(k.ip)
 	set := bootconfig.Default()
-	set.Name, set.IP, set.Zone = k.name, k.ip, map[string]string{"core-0": "north", "core-1": "south", "core-2": "west"}[k.name]
+	set.Name, set.IP, set.Zone = k.name, k.ip, map[string]string{
+		"core-0": "north",
+		"core-1": "south",
+		"core-2": "west",
+	}[k.name]
 	set.Zones = map[string]string{"north": "land", "south": "land", "west": "land"}
 	set.PortRange, set.FaultBudget.Machines = [2]int{7540, 7555}, 1
 	set.Seeds = []string{"10.0.0.10:8544", "10.0.0.11:8544", "10.0.0.12:8544"}
--- a/internal/controlplane/steering/adapter_test.go
+++ b/internal/controlplane/steering/adapter_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-func (r *rig) note(format string, v ...any) { fmt.Fprintf(&r.said, format+"\n", v...) }
+func (r *rig) note(text string) { fmt.Fprintln(&r.said, text) }
 
 // The ordinary path: joins, a calm stretch, overload with a bounded total that busy carriers take from idle ones, a
 // leave that resets, and the lift.
--- a/internal/controlplane/storage/store_test.go
+++ b/internal/controlplane/storage/store_test.go
@@ -208,7 +208,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer func() { _ = s.Close() }()
 	for i := range 20 {
 		put(t, s, "v", fmt.Sprint(i))
 		after, found := mustOpen(t, place(t, filepath.Base(logFile(t, d.dir)), d.synced), 0)
--- a/internal/gateway/cli/cli_test.go
+++ b/internal/gateway/cli/cli_test.go
@@ -23,9 +23,11 @@
 const configuration = `{"generation":"0000000c","sockets":[{"authority":"a.example","ruleset":[{"name":"r-1",` +
 	`"predicate":{"pathPrefix":"/a/"},"effect":{"service":"alpha","timeoutS":5}}]}],"pools":[{"name":"alpha"}]}`
 
-const status = `{"epoch":7,"changing":true,"inTouch":false,"votes":false,"leaving":true,"missing":["charter","its vote"],` +
+const status = `{"epoch":7,"changing":true,"inTouch":false,"votes":false,"leaving":true,` +
+	`"missing":["charter","its vote"],` +
 	`"me":{"name":"core-3","zone":"north","disk":"0d","inTouch":true,"whole":true},` +
-	`"voters":[{"name":"core-0","zone":"north","disk":"0a","inTouch":false,"silentS":3.25,"lacks":["charter"],"leaving":true},` +
+	`"voters":[{"name":"core-0","zone":"north","disk":"0a","inTouch":false,"silentS":3.25,` +
+	`"lacks":["charter"],"leaving":true},` +
 	`{"name":"core-1","zone":"south","disk":"0b","gone":true,"change":"out"},` +
 	`{"name":"core-1","zone":"south","disk":"0c","inTouch":true,"unheard":["zone/north"],"change":"in"}],` +
 	`"learners":[{"name":"core-4","zone":"south","disk":"0e","inTouch":true}],` +
