--- a/internal/bench/gateway/bench_test.go
+++ b/internal/bench/gateway/bench_test.go
@@ -10,6 +10,7 @@
 	"elmfold/internal/controlplane/registry"
 	"elmfold/internal/controlplane/steering"
 	"elmfold/internal/fakes/gateway"
+	"elmfold/internal/gateway/apierror"
 	"elmfold/internal/gateway/routeconfig"
 	"elmfold/internal/gateway/rpc"
 	"elmfold/internal/proxy/balancer"
@@ -95,14 +96,14 @@
 	bySize(b, []int{50, 200, 675}, func(b *testing.B, n int) {
 		s := balancer.New("hollow-000", "zone-0", balancer.Bounds{}, 0)
 		for _, l := range lives(7100, 200) {
-			s.Put(0, balancer.Backend{ID: l.ID, Service: l.Service, Address: l.Address, Zone: l.Zone, Capacity: 4, Usable: true})
+			s.SetEndpoint(0, balancer.Endpoint{ID: l.ID, Service: l.Service, Address: l.Address, Zone: l.Zone, Capacity: 4, Usable: true})
 		}
-		var members []balancer.Member
+		var members []balancer.ProxyInfo
 		for i := range n {
-			members = append(members, balancer.Member{Name: fmt.Sprintf("hollow-%03d", i), Zone: fmt.Sprintf("zone-%d", i%10)})
+			members = append(members, balancer.ProxyInfo{Name: fmt.Sprintf("hollow-%03d", i), Zone: fmt.Sprintf("zone-%d", i%10)})
 		}
 		for b.Loop() {
-			s.Members(members)
+			s.SetProxies(members)
 		}
 	})
 }
@@ -112,14 +113,14 @@
 	bySize(b, []int{6, 36, 356}, func(b *testing.B, n int) {
 		s := balancer.New("hollow-000", "zone-0", balancer.Bounds{}, 0)
 		for _, l := range lives(n, 1) {
-			s.Put(0, balancer.Backend{ID: l.ID, Service: l.Service, Address: l.Address, Zone: l.Zone, Capacity: 4, Usable: true})
+			s.SetEndpoint(0, balancer.Endpoint{ID: l.ID, Service: l.Service, Address: l.Address, Zone: l.Zone, Capacity: 4, Usable: true})
 		}
 		for b.Loop() {
-			if k, _ := s.Pick(
+			if k, kind := s.Pick(
 				time.Second,
-				balancer.Ask{Service: gateway.ServiceName(0), ToAim: time.Second, Draws: [2]float64{0.3, 0.7}},
-			); k != nil {
-				s.End(time.Second, k, balancer.Met{Took: time.Millisecond})
+				balancer.Request{Service: gateway.ServiceName(0), TimeToTarget: time.Second, Draws: [2]float64{0.3, 0.7}},
+			); kind == apierror.None {
+				s.End(time.Second, k, balancer.Result{Latency: time.Millisecond})
 			}
 		}
 	})
--- a/internal/compat/mixed_test.go
+++ b/internal/compat/mixed_test.go
@@ -310,7 +310,7 @@
 				defer cancel()
 				return dial(ctx, address)
 			},
-			Backends: upstream.Options{Dial: dial}})
+			Upstream: upstream.Options{Dial: dial}})
 		front, err := host.Listen("10.0.0.100:8548")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/controlplane/steering.go
+++ b/internal/controlplane/steering.go
@@ -26,7 +26,7 @@
 func newSteerer(s *Server) *steerer {
 	zones := slices.Sorted(maps.Keys(s.options.Settings.Zones))
 	// Nodes that start together should not tick together.
-	firstTick := time.Duration(balancer.Rank(s.self.Name, "tick") % uint64(time.Second))
+	firstTick := time.Duration(balancer.RendezvousHash(s.self.Name, "tick") % uint64(time.Second))
 	t := &steerer{
 		server:         s,
 		adapter:        steering.New(zones, firstTick),
--- a/internal/emulator/proxies/backend.go
+++ b/internal/emulator/proxies/backend.go
@@ -44,7 +44,7 @@
 	sentAt time.Duration
 	began  time.Duration
 	ends   time.Duration
-	done   func(m balancer.Met)
+	done   func(m balancer.Result)
 }
 
 func (b *backend) cold() bool { return b.w.now < b.coldUntil }
@@ -62,7 +62,7 @@
 }
 
 // say lets a carrier know of a job's end after a span.
-func (j *job) say(after time.Duration, m balancer.Met) {
+func (j *job) say(after time.Duration, m balancer.Result) {
 	j.b.w.after(after, func() {
 		if !j.over {
 			j.over = true
@@ -71,8 +71,8 @@
 	})
 }
 
-func (b *backend) met(kind apierror.Kind) balancer.Met {
-	return balancer.Met{Kind: kind, Running: len(b.running), Waiting: len(b.waiting), HasLoad: true}
+func (b *backend) met(kind apierror.Kind) balancer.Result {
+	return balancer.Result{Kind: kind, Running: len(b.running), Queued: len(b.waiting), HasLoad: true}
 }
 
 func (b *backend) oneWay(c *carrier) time.Duration { return delay(b.zone, c.zone) }
@@ -82,11 +82,11 @@
 	w := b.w
 	b.coming = slices.DeleteFunc(b.coming, func(o *job) bool { return o == j })
 	if b.dark {
-		j.say(unackedFor, balancer.Met{Kind: apierror.ConnectionBroken, Silent: true})
+		j.say(unackedFor, balancer.Result{Kind: apierror.ConnectionBroken, Unresponsive: true})
 		return
 	}
 	if b.gone || epoch != b.epoch {
-		j.say(b.oneWay(j.t.c), balancer.Met{Kind: apierror.ConnectionBroken})
+		j.say(b.oneWay(j.t.c), balancer.Result{Kind: apierror.ConnectionBroken})
 		return
 	}
 	w.ledger.arrived(w, j)
@@ -163,7 +163,7 @@
 			// Probes go out each second since the last byte; the first that stays without an answer is noticed at the next.
 			after = probeEvery - (w.now-j.sentAt)%probeEvery + probeEvery
 		}
-		j.say(after, balancer.Met{Kind: apierror.ConnectionBroken, Silent: dark})
+		j.say(after, balancer.Result{Kind: apierror.ConnectionBroken, Unresponsive: dark})
 	}
 	if !dark {
 		w.after(7*beat/2, func() { w.way.word(b, false) }) // nobody hears its beats
@@ -174,7 +174,7 @@
 func (b *backend) back() {
 	w := b.w
 	b.dark, b.coldUntil = false, w.now+w.Kinds[b.kind].Cold
-	w.after(time.Duration(balancer.Rank(b.id, "beat")%uint64(beat))+told, func() { w.way.word(b, true) })
+	w.after(time.Duration(balancer.RendezvousHash(b.id, "beat")%uint64(beat))+told, func() { w.way.word(b, true) })
 }
 
 // reborn adds the new life of one that crashed.
--- a/internal/emulator/proxies/carrier.go
+++ b/internal/emulator/proxies/carrier.go
@@ -46,7 +46,7 @@
 	came      time.Duration // here
 	deadline  time.Duration
 	tried     []*backend
-	picked    *balancer.Backend // as the settler knows it
+	picked    balancer.Selection // as the settler knows it
 	offered   int
 	unreached int
 	arrived   int // at backends
@@ -101,8 +101,8 @@
 		return
 	}
 	began := w.now
-	c.do(t, b, func(m balancer.Met) {
-		m.Took = w.now - began
+	c.do(t, b, func(m balancer.Result) {
+		m.Latency = w.now - began
 		w.way.end(c, t, b, m)
 		if t.last = m.Kind; m.Kind == apierror.None {
 			c.finish(t)
@@ -127,11 +127,11 @@
 }
 
 // do sends a try to a backend on an idle connection or a new one.
-func (c *carrier) do(t *try, b *backend, done func(balancer.Met), share int) {
+func (c *carrier) do(t *try, b *backend, done func(balancer.Result), share int) {
 	w, k, lag := c.w, c.to(b), b.oneWay(c)
 	j := &job{t: t, b: b}
 	b.coming = append(b.coming, j)
-	j.done = func(m balancer.Met) {
+	j.done = func(m balancer.Result) {
 		b.coming = slices.DeleteFunc(b.coming, func(o *job) bool { return o == j })
 		if m.HasLoad && m.Kind != apierror.ResponseTimeout && k.open <= share && len(k.idle) < idleMost {
 			k.idle = append(k.idle, idle{w.now + keepFor, b.epoch})
@@ -153,7 +153,7 @@
 		c.connect(b, t.deadline, func(kind apierror.Kind, silent bool) {
 			if kind != apierror.None && !j.over {
 				j.over = true
-				j.done(balancer.Met{Kind: kind, Silent: silent})
+				j.done(balancer.Result{Kind: kind, Unresponsive: silent})
 			} else if !j.over {
 				send(b.epoch)
 			}
@@ -163,11 +163,11 @@
 		if !j.over {
 			j.over = true
 			if j.sentAt == 0 {
-				j.done(balancer.Met{Kind: apierror.DeadlineExceeded})
+				j.done(balancer.Result{Kind: apierror.DeadlineExceeded})
 				return
 			}
 			b.cancel(j)
-			j.done(balancer.Met{Kind: apierror.ResponseTimeout})
+			j.done(balancer.Result{Kind: apierror.ResponseTimeout})
 		}
 	})
 }
--- a/internal/emulator/proxies/ways.go
+++ b/internal/emulator/proxies/ways.go
@@ -23,7 +23,7 @@
 	sees() bool                  // it knows the true state at once
 	admit(c *carrier, t *try) (apierror.Kind, time.Duration)
 	pick(c *carrier, t *try) (b *backend, share int, kind apierror.Kind)
-	end(c *carrier, t *try, b *backend, m balancer.Met)
+	end(c *carrier, t *try, b *backend, m balancer.Result)
 	again(c *carrier, t *try, kind apierror.Kind) bool
 	later(c *carrier, t *try) time.Duration
 }
@@ -41,7 +41,7 @@
 // settled is the way in service: a settler a carrier, a bearing a zone.
 type settled struct {
 	w        *world
-	settlers []*balancer.Settler
+	settlers []*balancer.Balancer
 	bearings []*steering.Adapter
 	byID     map[string]*backend
 	listed   []steering.Endpoint
@@ -50,7 +50,7 @@
 func (s *settled) begin() {
 	w := s.w
 	s.byID = map[string]*backend{}
-	var members []balancer.Member
+	var members []balancer.ProxyInfo
 	var leases []rpc.ProxyInfo
 	zones, services := []string{}, map[string]steering.Service{}
 	for z := range w.Zones {
@@ -61,23 +61,23 @@
 	}
 	name := func(i int) string { return fmt.Sprintf("c%d", i) }
 	for i, c := range w.carriers {
-		members = append(members, balancer.Member{Name: name(i), Zone: zoneName(c.zone)})
+		members = append(members, balancer.ProxyInfo{Name: name(i), Zone: zoneName(c.zone)})
 		leases = append(leases, rpc.ProxyInfo{Name: name(i), Zone: zoneName(c.zone)})
 	}
 	for z := range zones {
-		b := steering.New(zones, time.Duration(balancer.Rank(zones[z], "tick")%uint64(time.Second)))
+		b := steering.New(zones, time.Duration(balancer.RendezvousHash(zones[z], "tick")%uint64(time.Second)))
 		b.Configure(services)
 		b.SetProxies(leases)
 		s.bearings = append(s.bearings, b)
 	}
 	for i, c := range w.carriers {
 		v := balancer.New(name(i), zoneName(c.zone), balancer.Bounds{RetryRatio: retryRatio, RetrySlack: retrySlack,
-			RetryWindow: retryWindow, ColdExcess: coldExcess, ColdSlack: coldSlack}, 0)
+			RetryWindow: retryWindow, SlowStartExcess: coldExcess, SlowStartSlack: coldSlack}, 0)
 		for _, k := range w.Kinds {
 			v.Configure(k.Name, k.MaxConns, k.ColdRate, k.Cold)
 		}
-		v.Members(members)
-		v.Right(time.Hour)
+		v.SetProxies(members)
+		v.ExtendLease(time.Hour)
 		s.settlers = append(s.settlers, v)
 	}
 	for _, b := range w.backends {
@@ -85,7 +85,7 @@
 	}
 	for i, c := range w.carriers {
 		s.bearings[c.zone].Join(name(i), zoneName(c.zone))
-		s.renew(i, name(i), time.Duration(balancer.Rank(name(i), "renew")%uint64(time.Second)))
+		s.renew(i, name(i), time.Duration(balancer.RendezvousHash(name(i), "renew")%uint64(time.Second)))
 	}
 	for z := range zones {
 		s.step(z)
@@ -99,12 +99,12 @@
 		r := s.settlers[i].Report()
 		var uses []rpc.ServiceLoad
 		var met []rpc.EndpointReport
-		for _, u := range r.Uses {
-			uses = append(uses, rpc.ServiceLoad{Service: u.Service, Requests: u.Came, Failed: u.Voided})
+		for _, u := range r.Services {
+			uses = append(uses, rpc.ServiceLoad{Service: u.Service, Requests: u.Requests, Failed: u.Failed})
 		}
-		for _, t := range r.Met {
-			met = append(met, rpc.EndpointReport{ID: t.ID, Attempts: t.Tries, Failed: t.Voided,
-				Latency: int64(t.Took / (100 * time.Microsecond)), Queued: t.Waiting})
+		for _, t := range r.Endpoints {
+			met = append(met, rpc.EndpointReport{ID: t.ID, Attempts: t.Attempts, Failed: t.Failed,
+				Latency: int64(t.Latency / (100 * time.Microsecond)), Queued: t.Queued})
 		}
 		s.bearings[w.carriers[i].zone].Report(name, uses, met, 1)
 		if w.now < w.end {
@@ -121,10 +121,10 @@
 		for i := range s.settlers {
 			for _, t := range tables[fmt.Sprintf("c%d", i)] {
 				if t.Full || t.Weights != nil {
-					s.settlers[i].Weights(t.Service, t.Full, t.Weights)
+					s.settlers[i].SetWeights(t.Service, t.Full, t.Weights)
 				}
 				if t.Limited {
-					s.settlers[i].Level(t.Service, t.RateLimit, w.now)
+					s.settlers[i].SetRateLimit(t.Service, t.RateLimit, w.now)
 				}
 			}
 		}
@@ -142,8 +142,8 @@
 	}
 	s.byID[b.id] = b
 	for _, v := range s.settlers {
-		v.Put(w.now, balancer.Backend{ID: b.id, Service: w.Kinds[b.kind].Name, Address: b.address, Zone: zoneName(b.zone),
-			Capacity: b.slots, Usable: there, ColdUntil: b.coldUntil})
+		v.SetEndpoint(w.now, balancer.Endpoint{ID: b.id, Service: w.Kinds[b.kind].Name, Address: b.address, Zone: zoneName(b.zone),
+			Capacity: b.slots, Usable: there, WarmupEnd: b.coldUntil})
 	}
 	for _, v := range s.bearings {
 		v.SetEndpoints(w.now, s.listed)
@@ -162,25 +162,25 @@
 	for _, b := range t.tried {
 		tried = append(tried, b.id)
 	}
-	b, kind := s.settlers[c.index].Pick(s.w.now, balancer.Ask{
-		Service:  k.Name,
-		Tried:    tried,
-		ToAim:    k.Aim - (s.w.now - t.came),
-		Priority: k.Priority,
-		Draws:    [2]float64{t.r.chance.Float64(), t.r.chance.Float64()},
+	b, kind := s.settlers[c.index].Pick(s.w.now, balancer.Request{
+		Service:      k.Name,
+		Tried:        tried,
+		TimeToTarget: k.Aim - (s.w.now - t.came),
+		Priority:     k.Priority,
+		Draws:        [2]float64{t.r.chance.Float64(), t.r.chance.Float64()},
 	})
-	if b == nil {
+	if kind != apierror.None {
 		return nil, 0, kind
 	}
 	t.picked = b
-	return s.byID[b.ID], b.Share(), apierror.None
+	return s.byID[b.ID], b.MaxConns, apierror.None
 }
 
-func (s *settled) end(c *carrier, t *try, _ *backend, m balancer.Met) {
+func (s *settled) end(c *carrier, t *try, _ *backend, m balancer.Result) {
 	v := s.settlers[c.index]
 	v.End(s.w.now, t.picked, m)
 	if m.Kind != apierror.None {
-		for _, d := range v.Doubts() {
+		for _, d := range v.TakeSuspects() {
 			i := slices.IndexFunc(s.w.backends, func(o *backend) bool { return o.address == d.Address })
 			s.prove(c, d, s.w.backends[i], 1)
 		}
@@ -188,18 +188,18 @@
 }
 
 // prove brings up a connection beside the requests until one does.
-func (s *settled) prove(c *carrier, d balancer.Doubt, b *backend, tries int) {
+func (s *settled) prove(c *carrier, d balancer.Suspect, b *backend, tries int) {
 	w, v, k := s.w, s.settlers[c.index], c.to(b)
 	if tries == 1 {
 		k.open -= len(k.idle)
 		k.idle = nil
 	}
 	c.connect(b, w.now+time.Hour, func(kind apierror.Kind, _ bool) {
-		if !v.Wanted(d) {
+		if !v.IsStillKnown(d) {
 			return
 		}
 		if kind == apierror.None {
-			v.Proved(w.now, d, beat+unsureFor)
+			v.HealthCheckPassed(w.now, d, beat+unsureFor)
 			k.open++
 			k.idle = append(k.idle, idle{w.now + keepFor, b.epoch})
 			return
@@ -212,11 +212,11 @@
 
 func (s *settled) again(c *carrier, t *try, kind apierror.Kind) bool {
 	k := s.w.Kinds[t.r.kind]
-	return s.settlers[c.index].Again(s.w.now, k.Name, kind, k.Safe, t.offered, maxTries)
+	return s.settlers[c.index].AllowRetry(s.w.now, k.Name, kind, k.Safe, t.offered, maxTries)
 }
 
 func (s *settled) later(_ *carrier, t *try) time.Duration {
-	return balancer.After(s.w.Kinds[t.r.kind].Aim, t.r.chance.Float64())
+	return balancer.RetryDelay(s.w.Kinds[t.r.kind].Aim, t.r.chance.Float64())
 }
 
 // plain are the naive ways. All of them leave a backend alone for a second after a connection that did not come up or
@@ -285,7 +285,7 @@
 	return best, idleMost, apierror.None
 }
 
-func (p *plain) end(c *carrier, _ *try, b *backend, m balancer.Met) {
+func (p *plain) end(c *carrier, _ *try, b *backend, m balancer.Result) {
 	v := p.see(c, b)
 	v.busy--
 	if m.Kind == apierror.ConnectFailed || m.Kind == apierror.ConnectionBroken {
@@ -299,7 +299,7 @@
 }
 
 func (p *plain) later(_ *carrier, t *try) time.Duration {
-	return balancer.After(p.w.Kinds[t.r.kind].Aim, t.r.chance.Float64())
+	return balancer.RetryDelay(p.w.Kinds[t.r.kind].Aim, t.r.chance.Float64())
 }
 
 // central is one picture with the true state: it knows what runs and waits where and for how long, each work before it
@@ -314,7 +314,7 @@
 func (z *central) word(*backend, bool)                                 {}
 func (z *central) sees() bool                                          { return true }
 func (z *central) admit(*carrier, *try) (apierror.Kind, time.Duration) { return apierror.None, 0 }
-func (z *central) end(*carrier, *try, *backend, balancer.Met)          {}
+func (z *central) end(*carrier, *try, *backend, balancer.Result)       {}
 
 // soonest is when the client would have its answer, and how long it would wait for a slot.
 func (z *central) soonest(b *backend, c *carrier, t *try) (answered, waits time.Duration) {
@@ -402,5 +402,5 @@
 func (z *central) later(c *carrier, t *try) time.Duration {
 	aim := z.w.Kinds[t.r.kind].Aim
 	_, answered, _ := z.best(c, t)
-	return max(answered-t.sent-aim, 0) + balancer.After(aim, t.r.chance.Float64())
+	return max(answered-t.sent-aim, 0) + balancer.RetryDelay(aim, t.r.chance.Float64())
 }
--- a/internal/fakes/gateway/hollow.go
+++ b/internal/fakes/gateway/hollow.go
@@ -198,7 +198,7 @@
 func (h *Hollow) steererOf(zone string) (best int) {
 	top := uint64(0)
 	for k, c := range h.d.Controllers {
-		rank := balancer.Rank(c.Name, zone) &^ (1 << 63)
+		rank := balancer.RendezvousHash(c.Name, zone) &^ (1 << 63)
 		if c.Zone == zone {
 			rank |= 1 << 63
 		}
--- a/internal/proxy/balancer/verdict_test.go
+++ b/internal/proxy/balancer/balancer_test.go
@@ -11,18 +11,24 @@
 	"elmfold/internal/gateway/apierror"
 )
 
-var bounds = Bounds{RetryRatio: 0.2, RetrySlack: 60, RetryWindow: 10 * time.Second, ColdExcess: 1.5, ColdSlack: 5}
+var bounds = Bounds{
+	RetryRatio:      0.2,
+	RetrySlack:      60,
+	RetryWindow:     10 * time.Second,
+	SlowStartExcess: 1.5,
+	SlowStartSlack:  5,
+}
 
-func members(n int) (all []Member) {
+func members(n int) (all []ProxyInfo) {
 	for i := range n {
-		all = append(all, Member{fmt.Sprint("e", i), "a"})
+		all = append(all, ProxyInfo{fmt.Sprint("e", i), "a"})
 	}
 	return all
 }
 
 // fleet is carriers that know of one another; each reads its own clock, which begins with its life.
 type fleet struct {
-	carriers []*Settler
+	carriers []*Balancer
 	born     []time.Duration
 }
 
@@ -31,10 +37,10 @@
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{make([]*Settler, n), make([]time.Duration, n)}
+	f := &fleet{make([]*Balancer, n), make([]time.Duration, n)}
 	for i := range n {
 		f.start(i, -time.Minute) // they run for a while
-		f.carriers[i].Members(members(n))
+		f.carriers[i].SetProxies(members(n))
 	}
 	return f
 }
@@ -75,7 +81,7 @@
 			if restarts > 0 && now >= restart {
 				i := r.IntN(len(f.carriers))
 				f.start(i, now)
-				f.carriers[i].Members(members(len(f.carriers)))
+				f.carriers[i].SetProxies(members(len(f.carriers)))
 				restart += time.Duration(r.Int64N(int64(2 * restarts)))
 			}
 			for range int(s.rate*tick.Seconds() + r.Float64()) {
@@ -83,7 +89,7 @@
 				c, at := f.carriers[i], now-f.born[i]
 				asked = append(asked, now)
 				c.Admit(at, "s")
-				for offered := 1; r.Float64() < s.failed && c.Again(
+				for offered := 1; r.Float64() < s.failed && c.AllowRetry(
 					at,
 					"s",
 					apierror.RejectedByEndpoint,
@@ -150,7 +156,7 @@
 func TestBudgetModelSeesTooMuch(t *testing.T) {
 	f := newFleet(10)
 	for _, c := range f.carriers {
-		c.most = 1
+		c.maxProxies = 1
 	}
 	asked, again := f.day(rand.New(rand.NewPCG(1, 1)), []spell{{5 * time.Second, 200, 1}}, 0)
 	if overBudget(asked, again) == "" {
@@ -163,32 +169,32 @@
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 9))
 		rate := []float64{0.3, 1, 4.1, 12, 40}[r.IntN(5)]
-		pair := []*Settler{New("e0", "a", bounds, 0), New("e1", "a", bounds, 0)}
-		b := Backend{ID: "i", Service: "s", Address: "10.0.0.1:80", Zone: "a", Capacity: 8, Usable: true,
-			ColdUntil: time.Hour}
+		pair := []*Balancer{New("e0", "a", bounds, 0), New("e1", "a", bounds, 0)}
+		b := Endpoint{ID: "i", Service: "s", Address: "10.0.0.1:80", Zone: "a", Capacity: 8, Usable: true,
+			WarmupEnd: time.Hour}
 		for i, c := range pair {
 			c.Configure("s", 0, rate, time.Hour)
-			c.Put(0, b)
-			c.Members(members(2)[i : i+1]) // each has heard of itself alone
-			c.Right(time.Hour)
+			c.SetEndpoint(0, b)
+			c.SetProxies(members(2)[i : i+1]) // each has heard of itself alone
+			c.ExtendLease(time.Hour)
 		}
 		var sent []time.Duration
 		for now := time.Duration(0); now < 6*time.Second; now += time.Duration(r.Int64N(int64(40 * time.Millisecond))) {
 			c := pair[r.IntN(2)]
 			if r.IntN(10) == 0 {
-				c.Put(now, b) // told again
+				c.SetEndpoint(now, b) // told again
 			}
-			if p, _ := c.Pick(now, Ask{Service: "s", ToAim: time.Second}); p != nil {
+			if p, kind := c.Pick(now, Request{Service: "s", TimeToTarget: time.Second}); kind == apierror.None {
 				sent = append(sent, now)
 				c.End(
 					now,
 					p,
-					Met{Kind: []apierror.Kind{apierror.None, apierror.ResponseTimeout, apierror.MismatchedResponse}[r.IntN(3)]},
+					Result{Kind: []apierror.Kind{apierror.None, apierror.ResponseTimeout, apierror.MismatchedResponse}[r.IntN(3)]},
 				)
 			}
 		}
 		for _, from := range sent {
-			if n := inside(sent, from, from+time.Second+1); n > rate*bounds.ColdExcess+bounds.ColdSlack {
+			if n := inside(sent, from, from+time.Second+1); n > rate*bounds.SlowStartExcess+bounds.SlowStartSlack {
 				t.Fatalf("seed %d: %v requests within a second from %v at a rate of %v", seed, n, from, rate)
 			}
 		}
@@ -204,17 +210,17 @@
 	for i := range 5 {
 		c := New(fmt.Sprint("e", i), "a", bounds, 0)
 		c.Configure("s", 0, 4, time.Minute)
-		c.Members(members(5))
-		c.Put(0, Backend{ID: "i", Service: "s", Zone: "a", Capacity: 8, Usable: true, ColdUntil: time.Minute})
-		if p, _ := c.Pick(time.Second, Ask{Service: "s", ToAim: time.Second}); p != nil {
+		c.SetProxies(members(5))
+		c.SetEndpoint(0, Endpoint{ID: "i", Service: "s", Zone: "a", Capacity: 8, Usable: true, WarmupEnd: time.Minute})
+		if _, kind := c.Pick(time.Second, Request{Service: "s", TimeToTarget: time.Second}); kind == apierror.None {
 			t.Errorf("%s sends without a lease", c.name)
 		}
-		c.Right(3 * time.Second)
-		if p, _ := c.Pick(2*time.Second, Ask{Service: "s", ToAim: time.Second}); p != nil {
+		c.ExtendLease(3 * time.Second)
+		if p, kind := c.Pick(2*time.Second, Request{Service: "s", TimeToTarget: time.Second}); kind == apierror.None {
 			owners++
-			c.End(2*time.Second, p, Met{})
+			c.End(2*time.Second, p, Result{})
 		}
-		if p, _ := c.Pick(4*time.Second, Ask{Service: "s", ToAim: time.Second}); p != nil {
+		if _, kind := c.Pick(4*time.Second, Request{Service: "s", TimeToTarget: time.Second}); kind == apierror.None {
 			t.Errorf("%s sends after its lease", c.name)
 		}
 	}
@@ -243,15 +249,21 @@
 		r := rand.New(rand.NewPCG(seed, 11))
 		s := New("e0", "a", bounds, 0)
 		s.Configure("s", 4, 0, 0) // 3 of 4 connections to each backend
-		var all []*Backend
+		var all []*endpoint
 		for i := range 6 {
-			b := Backend{ID: fmt.Sprint("i", i), Service: "s", Address: fmt.Sprint("10.0.0.", i, ":80"), Zone: "ab"[i%2 : i%2+1],
-				Capacity: 2 + r.IntN(2), Usable: r.IntN(4) > 0}
-			s.Put(0, b)
-			all = append(all, s.backends[b.ID])
+			b := Endpoint{
+				ID:       fmt.Sprint("i", i),
+				Service:  "s",
+				Address:  fmt.Sprint("10.0.0.", i, ":80"),
+				Zone:     "ab"[i%2 : i%2+1],
+				Capacity: 2 + r.IntN(2),
+				Usable:   r.IntN(4) > 0,
+			}
+			s.SetEndpoint(0, b)
+			all = append(all, s.endpoints[b.ID])
 		}
 		type try struct {
-			b    *Backend
+			b    Selection
 			from time.Duration
 		}
 		var open []try
@@ -259,15 +271,15 @@
 		for range 400 {
 			now += time.Duration(r.Int64N(int64(60 * time.Millisecond)))
 			if r.IntN(30) == 0 {
-				b := *all[r.IntN(6)]
+				b := all[r.IntN(6)].Endpoint
 				b.Usable = r.IntN(4) > 0
-				s.Put(now, b)
+				s.SetEndpoint(now, b)
 			}
-			for _, b := range s.Doubts() {
+			for _, b := range s.TakeSuspects() {
 				if r.IntN(2) == 0 {
-					s.Proved(now, b, 0)
+					s.HealthCheckPassed(now, b, 0)
 				} else {
-					b.b.proving = false
+					b.endpoint.checking = false
 				}
 			}
 			if len(open) > 0 && r.IntN(5) < 3 {
@@ -275,19 +287,23 @@
 				o := open[i]
 				open = slices.Delete(open, i, i+1)
 				kind := kinds[r.IntN(len(kinds))]
-				s.End(now, o.b, Met{Kind: kind, Took: now - o.from, Silent: kind == apierror.ConnectFailed && r.IntN(2) == 0})
+				s.End(
+					now,
+					o.b,
+					Result{Kind: kind, Latency: now - o.from, Unresponsive: kind == apierror.ConnectFailed && r.IntN(2) == 0},
+				)
 				continue
 			}
 			var tried []string
 			for range r.IntN(3) {
 				tried = append(tried, fmt.Sprint("i", r.IntN(6)))
 			}
-			may := func(b *Backend) bool {
-				return b.Usable && !b.Doubted && b.busy < 3 && now >= b.downTill && !slices.Contains(tried, b.ID)
+			may := func(b *endpoint) bool {
+				return b.Usable && !b.isSuspect && b.inFlight < 3 && now >= b.ejectedUntil && !slices.Contains(tried, b.ID)
 			}
 			home, away := 0, 0 // with room
 			for _, b := range all {
-				if may(b) && b.load(now) < spillAt {
+				if may(b) && b.load(now) < spillLoad {
 					if b.Zone == "a" {
 						home++
 					} else {
@@ -301,26 +317,26 @@
 			}
 			b, kind := s.Pick(
 				now,
-				Ask{Service: "s", ToAim: time.Hour, Tried: tried, Draws: [2]float64{r.Float64(), r.Float64()}},
+				Request{Service: "s", TimeToTarget: time.Hour, Tried: tried, Draws: [2]float64{r.Float64(), r.Float64()}},
 			)
 			switch {
-			case b == nil && (home+away > 0 || kind == apierror.None):
+			case b.endpoint == nil && (home+away > 0 || kind == apierror.None):
 				t.Fatalf("seed %d: nobody is picked (%v), %d and %d have room", seed, kind, home, away)
-			case b == nil:
+			case b.endpoint == nil:
 				continue
-			case !before[slices.Index(all, b)]:
-				t.Fatalf("seed %d: %+v is picked, after %v", seed, *b, tried)
-			case home == 0 && away > 0 && b.Zone == "a" && b.load(now) > spillAt+farPenalty+0.5:
-				t.Fatalf("seed %d: %+v is picked, %d of another zone have room", seed, *b, away)
+			case !before[slices.Index(all, b.endpoint)]:
+				t.Fatalf("seed %d: %+v is picked, after %v", seed, *b.endpoint, tried)
+			case home == 0 && away > 0 && b.endpoint.Zone == "a" && b.endpoint.load(now) > spillLoad+otherZonePenalty+0.5:
+				t.Fatalf("seed %d: %+v is picked, %d of another zone have room", seed, *b.endpoint, away)
 			}
 			open = append(open, try{b, now})
 		}
 		for _, o := range open {
-			s.End(now, o.b, Met{})
+			s.End(now, o.b, Result{})
 		}
 		for _, b := range all {
-			if b.busy != 0 {
-				t.Errorf("seed %d: %s is left with %d requests", seed, b.ID, b.busy)
+			if b.inFlight != 0 {
+				t.Errorf("seed %d: %s is left with %d requests", seed, b.ID, b.inFlight)
 			}
 		}
 	}
@@ -332,21 +348,21 @@
 	s := New("e0", "a", bounds, 0)
 	s.Configure("s", 0, 0, 0)
 	for i, zone := range []string{"a", "a", "b"} {
-		s.Put(0, Backend{ID: fmt.Sprint("i", i), Service: "s", Zone: zone, Capacity: 4, Usable: true})
+		s.SetEndpoint(0, Endpoint{ID: fmt.Sprint("i", i), Service: "s", Zone: zone, Capacity: 4, Usable: true})
 	}
 	var zones string
 	var kind apierror.Kind
 	for u := 0.05; ; u += 0.37 {
-		b, k := s.Pick(0, Ask{Service: "s", Draws: [2]float64{u - float64(int(u)), 0.5}})
-		if kind = k; b == nil {
+		b, k := s.Pick(0, Request{Service: "s", Draws: [2]float64{u - float64(int(u)), 0.5}})
+		if kind = k; k != apierror.None {
 			break
 		}
-		zones += b.Zone
+		zones += b.endpoint.Zone
 	}
 	if zones[:6] != "aaaaaa" || !slices.Contains([]byte(zones), 'b') || kind != apierror.EndpointsSaturated {
 		t.Errorf("%s, then %v", zones, kind)
 	}
-	if _, kind := s.Pick(0, Ask{Service: "none"}); kind != apierror.NoEndpoint {
+	if _, kind := s.Pick(0, Request{Service: "none"}); kind != apierror.NoEndpoint {
 		t.Errorf("a service without backends: %v", kind)
 	}
 }
@@ -354,23 +370,23 @@
 // A backend in doubt is handed out once to be proved, and gets no request until it was.
 func TestDoubtIsProvedByOne(t *testing.T) {
 	s := New("e0", "a", bounds, 0)
-	s.Put(0, Backend{ID: "i", Service: "s", Zone: "a", Capacity: 4, Usable: true})
-	pick := func(now time.Duration) *Backend {
-		b, _ := s.Pick(now, Ask{Service: "s", ToAim: time.Second})
+	s.SetEndpoint(0, Endpoint{ID: "i", Service: "s", Zone: "a", Capacity: 4, Usable: true})
+	pick := func(now time.Duration) Selection {
+		b, _ := s.Pick(now, Request{Service: "s", TimeToTarget: time.Second})
 		return b
 	}
 	one, two := pick(0), pick(0)
-	s.End(time.Second, one, Met{Kind: apierror.ConnectFailed})
-	first, second := s.Doubts(), s.Doubts()
+	s.End(time.Second, one, Result{Kind: apierror.ConnectFailed})
+	first, second := s.TakeSuspects(), s.TakeSuspects()
 	if len(first) != 1 || len(second) != 0 {
 		t.Errorf("proved by %d, then by %d", len(first), len(second))
 	}
-	s.End(2*time.Second, two, Met{Kind: apierror.None}) // an older one ends; the proof is still under way
-	if pick(time.Minute) != nil {
+	s.End(2*time.Second, two, Result{Kind: apierror.None}) // an older one ends; the proof is still under way
+	if pick(time.Minute).endpoint != nil {
 		t.Error("a request goes to a backend in doubt")
 	}
-	s.Proved(time.Minute, first[0], 0)
-	if pick(time.Minute) == nil {
+	s.HealthCheckPassed(time.Minute, first[0], 0)
+	if pick(time.Minute).endpoint == nil {
 		t.Error("nothing goes to it once it is proved")
 	}
 }
@@ -384,7 +400,7 @@
 				for range 100 {
 					s.Admit(time.Minute, "s")
 				}
-				got, rule := s.Again(time.Minute, "s", kind, repeatable, offered, 3), kind.Policy()
+				got, rule := s.AllowRetry(time.Minute, "s", kind, repeatable, offered, 3), kind.Policy()
 				if want := rule.Retryable && (repeatable || !rule.MayHaveExecuted) && offered < 3; got != want {
 					t.Errorf("%v, repeatable %v, at %d of 3: %v", kind, repeatable, offered, got)
 				}
--- /dev/null
+++ b/internal/proxy/clients.go
@@ -0,0 +1,135 @@
+package proxy
+
+import (
+	"net"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"github.com/go-chi/chi/v5"
+	"github.com/hashicorp/go-hclog"
+
+	"elmfold/internal/gateway/routeconfig"
+)
+
+const (
+	// Limits of a client's connection before a configuration is known.
+	initialHeaderTimeout = 3 * time.Second
+	initialIdleTimeout   = 15 * time.Second
+	// maxServerHeaderBytes is above what any configuration allows: parseHead holds to that.
+	maxServerHeaderBytes = 1 << 20
+)
+
+// connPhase is what a client's connection is doing.
+type connPhase int32
+
+const (
+	phaseHeader connPhase = iota // from the first byte that is awaited to the end of the header
+	phaseActive                  // a request is handled
+	phaseIdle                    // between requests
+)
+
+// clientConn bounds how long a client may take or stay idle, by the limits that are committed when it begins to:
+// http.Server's own fields cannot change while connections are open. The server sets no deadline (the zero time) at
+// three moments: when it waits for the next request, when that begins, and when it ends reading in the background.
+//
+// Embedding the interface hides ReadFrom of the net.TCPConn underneath: the platform has no sendfile or splice.
+type clientConn struct {
+	net.Conn
+	proxy  *Proxy
+	phase  atomic.Int32 // a connPhase
+	closed atomic.Bool
+}
+
+func (c *clientConn) setPhase(phase connPhase) { c.phase.Store(int32(phase)) }
+
+// SetReadDeadline sets the deadline of the phase in place of no deadline.
+func (c *clientConn) SetReadDeadline(t time.Time) error {
+	if t.IsZero() {
+		t = c.phaseDeadline()
+	}
+	return c.Conn.SetReadDeadline(t)
+}
+
+func (c *clientConn) phaseDeadline() time.Time {
+	limits := routeconfig.Limits{HeaderTimeout: initialHeaderTimeout, IdleTimeout: initialIdleTimeout}
+	if config := c.proxy.config.Load(); config != nil {
+		limits = config.Limits
+	}
+	switch connPhase(c.phase.Load()) {
+	case phaseIdle:
+		c.setPhase(phaseHeader)
+		return time.Now().Add(limits.IdleTimeout)
+	case phaseHeader:
+		return time.Now().Add(limits.HeaderTimeout)
+	case phaseActive:
+	}
+	return time.Time{}
+}
+
+// Close counts the connection off, once.
+func (c *clientConn) Close() error {
+	if c.closed.CompareAndSwap(false, true) {
+		c.proxy.clients.Add(-1)
+	}
+	return c.Conn.Close()
+}
+
+// clientListener accepts as many connections as the process may have.
+type clientListener struct {
+	net.Listener
+	proxy *Proxy
+}
+
+// Accept closes connections beyond the limit at once.
+func (l clientListener) Accept() (net.Conn, error) {
+	for {
+		netConn, err := l.Listener.Accept()
+		if err != nil {
+			return nil, err
+		}
+		if l.proxy.clients.Add(1) > l.proxy.maxClients {
+			l.proxy.clients.Add(-1)
+			_ = netConn.Close() // nothing was read from it
+			continue
+		}
+		c := &clientConn{Conn: netConn, proxy: l.proxy}
+		_ = c.SetReadDeadline(time.Time{}) // the server sets none before the first request
+		return c, nil
+	}
+}
+
+// Serve handles clients' connections until Shutdown.
+func (p *Proxy) Serve(l net.Listener) error {
+	return p.server.Serve(clientListener{l, p})
+}
+
+// newServer makes the server of clients' connections. Every path and method is handled as it came; nothing is
+// cleaned or redirected.
+func (p *Proxy) newServer() *http.Server {
+	mux := chi.NewRouter()
+	mux.NotFound(p.handle)
+	mux.MethodNotAllowed(p.handle)
+	return &http.Server{
+		Handler:                      mux,
+		MaxHeaderBytes:               maxServerHeaderBytes,
+		DisableGeneralOptionsHandler: true,
+		ErrorLog:                     p.log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
+		ConnState:                    followPhase,
+	}
+}
+
+func followPhase(netConn net.Conn, state http.ConnState) {
+	c, ok := netConn.(*clientConn)
+	if !ok {
+		return
+	}
+	switch state {
+	case http.StateActive:
+		c.setPhase(phaseActive)
+		_ = c.Conn.SetReadDeadline(time.Time{}) // fails only on a closed connection
+	case http.StateIdle:
+		c.setPhase(phaseIdle)
+	case http.StateNew, http.StateHijacked, http.StateClosed:
+	}
+}
--- /dev/null
+++ b/internal/proxy/endpoints.go
@@ -0,0 +1,143 @@
+package proxy
+
+import (
+	"time"
+
+	"elmfold/internal/gateway/rpc"
+	"elmfold/internal/proxy/balancer"
+)
+
+const (
+	// missedHeartbeats is how many heartbeat intervals an endpoint may be live at no node before it is not used.
+	missedHeartbeats = 4
+	// tombstoneTTL is how long an endpoint that is gone is remembered, so that an older report does not bring it back.
+	tombstoneTTL = 90 * time.Second
+)
+
+// endpointState is what nodes have reported of an endpoint.
+type endpointState struct {
+	rpc.Endpoint
+	liveAt        map[string]bool // names of nodes that receive its heartbeats
+	unconfirmedAt time.Duration   // since when there is none
+	warmupEnd     time.Duration
+	goneAt        time.Duration // 0: it is not gone
+	reportedAt    time.Duration // the last report of it
+}
+
+// onEndpoint handles a node's report of an endpoint.
+func (p *Proxy) onEndpoint(now time.Duration, from string, reported rpc.Endpoint) {
+	e := p.endpoints[reported.ID]
+	if e == nil {
+		e = &endpointState{Endpoint: reported, liveAt: map[string]bool{}, unconfirmedAt: now}
+		p.endpoints[reported.ID] = e
+	} else {
+		e.update(reported)
+	}
+	e.reportedAt = now
+	if reported.WarmupRemaining > 0 {
+		warmup := time.Duration(reported.WarmupRemaining) * time.Millisecond
+		e.warmupEnd = max(e.warmupEnd, now+warmup)
+	}
+	if e.State == rpc.Gone && e.goneAt == 0 {
+		e.goneAt = now
+	}
+	if reported.Live && e.State != rpc.Gone {
+		e.liveAt[from] = true
+	} else {
+		p.setNotLive(now, e, from)
+	}
+	p.updateBalancer(now, e)
+}
+
+// update takes over a report that is not outdated. The state only moves on.
+func (e *endpointState) update(reported rpc.Endpoint) {
+	if reported.Seq < e.Seq && reported.State <= e.State {
+		return
+	}
+	state := e.State
+	if e.Service != "" && reported.Service == "" { // a report of its end names no more than its id
+		reported.Service, reported.Address, reported.Zone = e.Service, e.Address, e.Zone
+		reported.Capacity = e.Capacity
+	}
+	reported.Seq = max(reported.Seq, e.Seq)
+	e.Endpoint = reported
+	e.State = max(reported.State, state)
+}
+
+// setNotLive notes that an endpoint is not live at a node.
+func (p *Proxy) setNotLive(now time.Duration, e *endpointState, node string) {
+	if !e.liveAt[node] {
+		return
+	}
+	delete(e.liveAt, node)
+	if len(e.liveAt) == 0 {
+		e.unconfirmedAt = now
+	}
+}
+
+// updateBalancer gives the balancer what is known of an endpoint.
+func (p *Proxy) updateBalancer(now time.Duration, e *endpointState) {
+	if e.Service == "" {
+		return // only its end was reported
+	}
+	if e.State == rpc.Gone {
+		p.withBalancer(func(b *balancer.Balancer) { b.RemoveEndpoint(e.ID) })
+		p.pool.CloseIdle(e.Address)
+		return
+	}
+	isUsable := e.State == rpc.Ready && !p.isEvacuated(e.Zone) && !p.isUnconfirmed(now, e)
+	p.withBalancer(func(b *balancer.Balancer) {
+		warmupEnd := e.warmupEnd
+		if recoveredAt, recovered := p.recoveredZones[e.Zone]; recovered {
+			warmupEnd = max(warmupEnd, recoveredAt+b.SlowStart(e.Service))
+		}
+		b.SetEndpoint(now, balancer.Endpoint{
+			ID:        e.ID,
+			Service:   e.Service,
+			Address:   e.Address,
+			Zone:      e.Zone,
+			Capacity:  e.Capacity,
+			Usable:    isUsable,
+			WarmupEnd: warmupEnd,
+		})
+	})
+}
+
+// isUnconfirmed reports whether an endpoint is live nowhere, though a node is there that has listened for long enough.
+// While nodes are away, or have just started, their silence says nothing.
+func (p *Proxy) isUnconfirmed(now time.Duration, e *endpointState) bool {
+	timeout := missedHeartbeats * p.options.Settings.HeartbeatInterval.Duration()
+	if now < e.unconfirmedAt+timeout {
+		return false
+	}
+	for name := range e.liveAt {
+		// Where a node is gone, its report no longer counts once others have had the time to receive the heartbeats.
+		if n := p.nodes[name]; n == nil || n.conn != nil || now < n.disconnectedAt+timeout {
+			return false
+		}
+	}
+	for _, n := range p.nodes {
+		if n.conn != nil && now > n.connectedAt+timeout {
+			return true
+		}
+	}
+	return false
+}
+
+// expireEndpoints forgets endpoints that are gone, and no longer uses those that are unconfirmed.
+func (p *Proxy) expireEndpoints(now time.Duration) {
+	for id, e := range p.endpoints {
+		switch {
+		case e.State == rpc.Gone:
+			if now > e.goneAt+tombstoneTTL {
+				delete(p.endpoints, id)
+			}
+		case p.isUnconfirmed(now, e):
+			p.updateBalancer(now, e)
+			if now > max(e.unconfirmedAt, e.reportedAt)+tombstoneTTL { // it ended without saying so
+				p.withBalancer(func(b *balancer.Balancer) { b.RemoveEndpoint(id) })
+				delete(p.endpoints, id)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/proxy/handler.go
@@ -0,0 +1,117 @@
+package proxy
+
+import (
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"elmfold/internal/gateway/apierror"
+	"elmfold/internal/gateway/routeconfig"
+	"elmfold/internal/proxy/balancer"
+	"elmfold/internal/proxy/upstream"
+)
+
+const (
+	// maxTimeBudget is the greatest time budget of a client that is believed.
+	maxTimeBudget = 10 * time.Minute
+	// Bytes of a head beside names and values: of the request line and of each field.
+	requestLineBytes = 20
+	fieldBytes       = 4
+)
+
+// clientRequest is a request of a client on its way.
+type clientRequest struct {
+	writer    http.ResponseWriter
+	request   *http.Request
+	arrivedAt time.Time
+	config    *routeconfig.Config // that it is handled by; nil: none is known
+	route     *routeconfig.Route
+	service   string
+	target    string // the request-target, from the path on
+	deadline  time.Time
+	body      requestBody
+}
+
+// handle takes a request from the client to an endpoint and the response back.
+func (p *Proxy) handle(w http.ResponseWriter, r *http.Request) {
+	q := &clientRequest{writer: w, request: r, arrivedAt: p.options.Clock.Now(), config: p.config.Load()}
+	if q.config == nil {
+		p.refuse(q, apierror.NotReady, 0)
+		return
+	}
+	if kind := q.parseHead(); kind != apierror.None {
+		p.refuse(q, kind, 0)
+		return
+	}
+	if kind, retryAfter := p.admit(q); kind != apierror.None {
+		p.refuse(q, kind, retryAfter)
+		return
+	}
+	if kind := q.bufferBody(); kind != apierror.None {
+		p.refuse(q, kind, 0)
+		return
+	}
+	p.forward(q)
+}
+
+func (p *Proxy) admit(q *clientRequest) (kind apierror.Kind, retryAfter time.Duration) {
+	p.withBalancer(func(b *balancer.Balancer) { kind, retryAfter = b.Admit(p.now(), q.service) })
+	return kind, retryAfter
+}
+
+// parseHead finds the route and the deadline by the request's head.
+func (q *clientRequest) parseHead() apierror.Kind {
+	limits := q.config.Limits
+	switch {
+	case headBytes(q.request) > limits.HeaderBytes:
+		return apierror.HeaderTooLarge
+	case q.request.ContentLength > limits.BodyBytes:
+		return apierror.BodyTooLarge
+	}
+	q.target = originForm(q.request.RequestURI)
+	if !strings.HasPrefix(q.target, "/") || q.request.Header.Get("Upgrade") != "" {
+		return apierror.Malformed
+	}
+	path, _, _ := strings.Cut(q.target, "?")
+	q.route = q.config.Route(q.request.Host, path)
+	if q.route == nil {
+		return apierror.NoRoute
+	}
+	q.service = q.route.PickService(rand.Float64())
+	q.deadline = q.arrivedAt.Add(q.timeout())
+	return apierror.None
+}
+
+func headBytes(r *http.Request) int {
+	size := len(r.Method) + len(r.RequestURI) + len(r.Host) + requestLineBytes
+	for name, values := range r.Header {
+		for _, v := range values {
+			size += len(name) + len(v) + fieldBytes
+		}
+	}
+	return size
+}
+
+// originForm is a request-target from the path on: in the absolute form (RFC 9112, 3.2.2) the path begins after the
+// authority.
+func originForm(target string) string {
+	if rest, isAbsolute := strings.CutPrefix(target, "http://"); isAbsolute {
+		if i := strings.IndexByte(rest, '/'); i >= 0 {
+			return rest[i:]
+		}
+	}
+	return target
+}
+
+// timeout is the route's, or the client's time budget if that is shorter.
+func (q *clientRequest) timeout() time.Duration {
+	text := q.request.Header.Get(upstream.HeaderTimeBudget)
+	ms, err := strconv.ParseFloat(text, 64)
+	isBudget := err == nil && ms > 0 && ms < maxTimeBudget.Seconds()*1000 // not so for NaN
+	if text == "" || !isBudget {
+		return q.route.Timeout
+	}
+	return min(q.route.Timeout, time.Duration(ms*float64(time.Millisecond)))
+}
--- /dev/null
+++ b/internal/proxy/leases.go
@@ -0,0 +1,145 @@
+package proxy
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"elmfold/internal/gateway/logfield"
+	"elmfold/internal/gateway/rpc"
+	"elmfold/internal/proxy/balancer"
+)
+
+const (
+	renewInterval = time.Second
+	// latencyUnit is that of rpc.EndpointReport.
+	latencyUnit = 100 * time.Microsecond
+)
+
+// renewLease renews the lease at a node. With report, the node that steers this proxy gets its load report.
+func (p *Proxy) renewLease(n *node, report bool) {
+	m := &rpc.Message{Lease: rpc.Lease{RenewLease: p.lastRenewal}}
+	n.renewals.record(m.RenewLease, p.now())
+	if report && n.info.Name == p.steeringNode {
+		m.LoadReport = p.loadReport()
+	}
+	n.conn.Send(m)
+}
+
+func (p *Proxy) loadReport() rpc.LoadReport {
+	var r balancer.Report
+	p.withBalancer(func(b *balancer.Balancer) { r = b.Report() })
+	report := rpc.LoadReport{WantTables: true, ReportSeconds: renewInterval.Seconds()}
+	for _, s := range r.Services {
+		report.ServiceLoads = append(report.ServiceLoads, rpc.ServiceLoad(s))
+	}
+	for _, e := range r.Endpoints {
+		report.EndpointReports = append(report.EndpointReports, rpc.EndpointReport{
+			ID:       e.ID,
+			Attempts: e.Attempts,
+			Failed:   e.Failed,
+			Latency:  int64(e.Latency / latencyUnit),
+			Queued:   e.Queued,
+		})
+	}
+	return report
+}
+
+// onProxies handles which proxies hold a lease at a node.
+func (p *Proxy) onProxies(n *node, m *rpc.Message) {
+	if m.Hello != nil {
+		for _, other := range m.Proxies {
+			n.proxies[other.Name] = other
+		}
+	}
+	for _, name := range m.ProxiesRemoved {
+		delete(n.proxies, name)
+	}
+	for _, other := range m.ProxiesAdded {
+		n.proxies[other.Name] = other
+	}
+	if m.Hello != nil || len(m.ProxiesRemoved)+len(m.ProxiesAdded) > 0 {
+		p.updateProxies()
+	}
+}
+
+// updateProxies gives the balancer all proxies that hold a lease at any connected node.
+func (p *Proxy) updateProxies() {
+	known := map[string]balancer.ProxyInfo{}
+	for _, n := range p.nodes {
+		if n.conn == nil {
+			continue
+		}
+		for _, other := range n.proxies {
+			known[other.Name] = balancer.ProxyInfo(other)
+		}
+	}
+	if len(known) == 0 {
+		return
+	}
+	all := make([]balancer.ProxyInfo, 0, len(known))
+	for _, other := range known {
+		all = append(all, other)
+	}
+	slices.SortFunc(all, func(a, b balancer.ProxyInfo) int { return strings.Compare(a.Name, b.Name) })
+	p.withBalancer(func(b *balancer.Balancer) { b.SetProxies(all) })
+}
+
+// extendLease: this proxy holds a lease if most voters have renewed it. It ends by this clock before theirs gives
+// it away.
+func (p *Proxy) extendLease() {
+	renewedAt := map[string]time.Duration{}
+	for name, n := range p.nodes {
+		if n.renewedAt >= 0 {
+			renewedAt[name] = n.renewedAt
+		}
+	}
+	if until, ok := leaseEnd(p.epoch, renewedAt); ok {
+		p.withBalancer(func(b *balancer.Balancer) { b.ExtendLease(until) })
+	}
+}
+
+// releaseLeases gives the leases back.
+func (p *Proxy) releaseLeases() {
+	p.leasesReleased = true // the tick renews none from here on
+	for _, n := range p.sortedNodes() {
+		if n.conn != nil {
+			n.conn.Send(&rpc.Message{ProxyChanges: rpc.ProxyChanges{ReleaseLease: true}})
+		}
+	}
+}
+
+// onTables handles the answer to a renewal, and routing tables. It reports false if the connection was closed
+// because the tables are outdated.
+func (p *Proxy) onTables(now time.Duration, n *node, m *rpc.Message) bool {
+	sentAt, known := n.renewals.sentTime(m.LeaseRenewed)
+	if m.RoutingTables == nil && known {
+		n.renewedAt = max(n.renewedAt, sentAt)
+		p.extendLease()
+	}
+	if len(m.RoutingTables) == 0 || n.info.Name != p.steeringNode {
+		return true
+	}
+	if !known || now > sentAt+maxTableAge {
+		// They were worked out before the node was suspended, or its connection held up. Changes would be lost with them:
+		// on the next connection they come whole.
+		p.log.Warn("outdated routing tables dropped", logfield.Node, n.info.Name)
+		n.conn.Close()
+		return false
+	}
+	p.applyTables(now, m.RoutingTables)
+	return true
+}
+
+func (p *Proxy) applyTables(now time.Duration, tables []rpc.RoutingTable) {
+	p.withBalancer(func(b *balancer.Balancer) {
+		for _, t := range tables {
+			if t.Full || t.Weights != nil {
+				b.SetWeights(t.Service, t.Full, t.Weights)
+			}
+			if t.Limited {
+				b.SetRateLimit(t.Service, t.RateLimit, now)
+			}
+		}
+	})
+}
--- a/internal/proxy/main.go
+++ b/internal/proxy/main.go
@@ -47,17 +47,17 @@
 	if err != nil {
 		return err
 	}
-	c := New(Options{Settings: settings, Log: log, Clock: clockwork.NewRealClock(), Dial: cli.Dial})
-	go c.Run()
-	go serveReadiness(c, readiness)
+	p := New(Options{Settings: settings, Log: log, Clock: clockwork.NewRealClock(), Dial: cli.Dial})
+	go p.Run()
+	go serveReadiness(p, readiness)
 	served := make(chan error, 1)
-	go func() { served <- c.Serve(clients) }()
+	go func() { served <- p.Serve(clients) }()
 	stopped := make(chan struct{})
 	stop := sync.OnceFunc(func() {
-		c.Shutdown(settings.Bounds.Grace.Duration() - shutdownReserve)
+		p.Shutdown(settings.Bounds.Grace.Duration() - shutdownReserve)
 		close(stopped)
 	})
-	cli.HandleSignals(log, c.Reload, stop)
+	cli.HandleSignals(log, p.Reload, stop)
 	select {
 	case err := <-served:
 		if !errors.Is(err, http.ErrServerClosed) {
@@ -69,9 +69,9 @@
 	return nil
 }
 
-func serveReadiness(c *Carrier, listener net.Listener) {
+func serveReadiness(p *Proxy, listener net.Listener) {
 	server := &http.Server{
-		Handler:           c.Readiness(),
+		Handler:           p.Readiness(),
 		ReadHeaderTimeout: readinessHeaderTimeout,
 		IdleTimeout:       readinessIdleTimeout,
 	}
@@ -80,6 +80,6 @@
 
 // Reload takes over settings that were changed while the program runs: new seeds are dialled, the rest waits for a
 // restart.
-func (c *Carrier) Reload(next *bootconfig.Settings) {
-	c.queue.Do(func() { c.keep.ConnectAll(next.SeedPeerAddresses()) })
+func (p *Proxy) Reload(next *bootconfig.Settings) {
+	p.queue.Do(func() { p.dialer.ConnectAll(next.SeedPeerAddresses()) })
 }
--- a/internal/proxy/transit_test.go
+++ b/internal/proxy/proxy_test.go
@@ -36,7 +36,7 @@
 type stage struct {
 	net     *simulation.Net
 	hosts   []*simulation.Host
-	carrier *proxy.Carrier
+	carrier *proxy.Proxy
 	cores   []*core
 	mu      sync.Mutex
 	out     strings.Builder
@@ -81,7 +81,7 @@
 			defer cancel()
 			return host.Dial(ctx, address, 0)
 		},
-		Backends: upstream.Options{Dial: func(ctx context.Context, address string) (net.Conn, error) {
+		Upstream: upstream.Options{Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			conn, err := host.Dial(ctx, address, 0)
 			s.mu.Lock()
 			slow := s.slow[address]
@@ -369,7 +369,7 @@
 
 // serve reads requests by hand: what arrived is shown as it came, but for the order of its fields, which is free.
 func (s *stage) serve(c net.Conn, id string, do act) {
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	br := bufio.NewReader(c)
 	for {
 		line, err := br.ReadString('\n')
--- a/internal/proxy/core_test.go
+++ b/internal/proxy/quorum_test.go
@@ -13,7 +13,7 @@
 
 // Guards against a carrier that turns to another controller at each short trouble, or stays with one that is cut off.
 func TestTouch(t *testing.T) {
-	k := touch{since: 1 * s}
+	k := quorumStatus{changedAt: 1 * s}
 	for i, step := range []struct {
 		now           time.Duration
 		apart         bool
@@ -32,8 +32,8 @@
 		{14 * s, false, true, false}, // apart for a moment
 		{17 * s, false, true, true},
 	} {
-		k.hear(step.now, step.apart)
-		if a, b := k.steady(step.now, true), k.steady(step.now, false); a != step.steers || b != step.other {
+		k.update(step.now, step.apart)
+		if a, b := k.isSteady(step.now, true), k.isSteady(step.now, false); a != step.steers || b != step.other {
 			t.Errorf("%d: goes on %v, is turned to %v", i, a, b)
 		}
 	}
@@ -42,40 +42,40 @@
 // In touch before apart, the own zone, then the same for all carriers of a zone; nobody in touch is no reason to be
 // steered by nobody.
 func TestSteerer(t *testing.T) {
-	north, south, west := candidate{
+	north, south, west := steeringCandidate{
 		"core-0",
 		"north",
 		true,
-	}, candidate{
+	}, steeringCandidate{
 		"core-1",
 		"south",
 		true,
-	}, candidate{
+	}, steeringCandidate{
 		"core-2",
 		"west",
 		true,
 	}
-	apart := func(c candidate) candidate { c.steady = false; return c }
-	other := steererOf("north", []candidate{south, west})
+	apart := func(c steeringCandidate) steeringCandidate { c.steady = false; return c }
+	other := chooseSteeringNode("north", []steeringCandidate{south, west})
 	for i, k := range []struct {
-		all  []candidate
+		all  []steeringCandidate
 		want string
 	}{
 		{nil, ""},
-		{[]candidate{south, north, west}, "core-0"},
-		{[]candidate{west, south}, other},
-		{[]candidate{apart(north), south, west}, other},
-		{[]candidate{apart(north), apart(south), west}, "core-2"},
-		{[]candidate{apart(north), apart(south), apart(west)}, "core-0"},
-		{[]candidate{apart(west), apart(south)}, other},
+		{[]steeringCandidate{south, north, west}, "core-0"},
+		{[]steeringCandidate{west, south}, other},
+		{[]steeringCandidate{apart(north), south, west}, other},
+		{[]steeringCandidate{apart(north), apart(south), west}, "core-2"},
+		{[]steeringCandidate{apart(north), apart(south), apart(west)}, "core-0"},
+		{[]steeringCandidate{apart(west), apart(south)}, other},
 	} {
-		if got := steererOf("north", k.all); got != k.want {
+		if got := chooseSteeringNode("north", k.all); got != k.want {
 			t.Errorf("%d: %q, want %q", i, got, k.want)
 		}
 	}
 	zones := map[string]int{}
 	for i := range 60 { // zones without a controller of their own spread over those that are there
-		zones[steererOf(fmt.Sprint("zone-", i), []candidate{north, south, west})]++
+		zones[chooseSteeringNode(fmt.Sprint("zone-", i), []steeringCandidate{north, south, west})]++
 	}
 	for name, n := range zones {
 		if n < 8 {
@@ -87,21 +87,21 @@
 // The renewal that tables were worked out after dates them: one of another line, one that was never sent and one that
 // is forgotten date nothing.
 func TestSentTimes(t *testing.T) {
-	var k sentTimes
-	if _, ok := k.of(1); ok {
+	var k renewalTimes
+	if _, ok := k.sentTime(1); ok {
 		t.Error("dated by what was not sent")
 	}
 	for n := uint64(5); n <= 20; n++ {
-		k.note(n, time.Duration(n)*s)
+		k.record(n, time.Duration(n)*s)
 	}
 	for n, want := range map[uint64]bool{0: false, 5: false, 12: false, 13: true, 20: true, 21: false, 28: false} {
-		if at, ok := k.of(n); ok != want || ok && at != time.Duration(n)*s {
+		if at, ok := k.sentTime(n); ok != want || ok && at != time.Duration(n)*s {
 			t.Errorf("%d: %v, %v", n, at, ok)
 		}
 	}
-	k = sentTimes{}
-	k.note(20, 20*s) // a new line
-	if _, ok := k.of(19); ok {
+	k = renewalTimes{}
+	k.record(20, 20*s) // a new line
+	if _, ok := k.sentTime(19); ok {
 		t.Error("dated by a renewal on another line")
 	}
 }
@@ -139,7 +139,7 @@
 		{moved, answers{"d": 9 * s, "e": 9 * s, "f": 9 * s}, -1},
 		{moved, answers{"d": 9 * s, "e": 9 * s, "a": 9 * s, "b": 5 * s}, 5 * s},
 	} {
-		until, ok := rightUntil(k.epoch, k.by)
+		until, ok := leaseEnd(k.epoch, k.by)
 		if ok != (k.want >= 0) || ok && until != k.want+registry.LeaseUseDuration {
 			t.Errorf("%d: %v, %v", i, until, ok)
 		}
@@ -159,7 +159,7 @@
 		{9 * s, -1, false, true, false},
 		{2 * s, 1 * s, true, true, true},
 	} {
-		if counts(k.now, k.first, k.has, k.apart) != k.want {
+		if mayTrustCommitted(k.now, k.first, k.has, k.apart) != k.want {
 			t.Errorf("%d", i)
 		}
 	}
@@ -167,13 +167,13 @@
 
 // Who is asked for a configuration: one in touch, then one of the zone.
 func TestNearer(t *testing.T) {
-	of := func(zone string, apart bool) *controller {
-		return &controller{who: rpc.Node{Zone: zone}, touch: touch{apart: apart}}
+	of := func(zone string, apart bool) *node {
+		return &node{info: rpc.Node{Zone: zone}, quorum: quorumStatus{lost: apart}}
 	}
-	order := []*controller{of("north", false), of("south", false), of("north", true), of("south", true)}
+	order := []*node{of("north", false), of("south", false), of("north", true), of("south", true)}
 	for i, p := range order {
 		for j, o := range order {
-			if p.nearer(o, "north") != (i < j) {
+			if p.isPreferredTo(o, "north") != (i < j) {
 				t.Errorf("%d before %d: %v", i, j, i >= j)
 			}
 		}
--- a/internal/proxy/touch_test.go
+++ b/internal/proxy/touch_test.go
@@ -103,7 +103,7 @@
 	})
 }
 
-// Where nobody is in touch, a new life goes on with the newest that was in force once, after readAtLeast: guards
+// Where nobody is in touch, a new life goes on with the newest that was in force once, after maxStartupWait: guards
 // against one that serves nothing for as long as the core is away. Being in touch later brings what is newer.
 func TestNewLifeWhileNobodyIsInTouch(t *testing.T) {
 	begin(t, 3, func(s *stage, at func(string)) {
--- a/internal/proxy/upstream/attempt.go
+++ b/internal/proxy/upstream/attempt.go
@@ -1,8 +1,16 @@
-// Package upstream is one try of a request at one backend, over connections that it owns.
+// Package upstream makes one attempt of a request at one endpoint, over connections that it owns.
 //
-// Nothing is ever sent twice: http.Transport resends by itself on a stale connection and hides bytes that come after
-// an answer, so the request is written by hand here and only the answer is parsed by net/http. Every error is a
-// *apierror.Error, and its kind says whether a backend may have run the request.
+// Nothing is ever sent twice. http.Transport resends by itself on a stale connection, and hides bytes that come after a
+// response; so the request is written by hand here, and only the response is parsed by net/http. Every error is an
+// *apierror.Error, and its kind says whether the endpoint may have executed the request.
+//
+//	attempt.go   an attempt: what is sent, whose response it is
+//	request.go   the bytes of a request
+//	sender.go    a request body that is streamed
+//	response.go  the head and body of a response
+//	health.go    health checks
+//	pool.go      the connections to all endpoints
+//	conn.go      one connection
 package upstream
 
 import (
@@ -12,387 +20,320 @@
 	"net"
 	"net/http"
 	"os"
-	"sync"
 	"time"
 
 	"elmfold/internal/gateway/apierror"
 )
 
-// The fields that the system and its backends speak in.
+// Header fields that the system and its endpoints use.
 const (
-	FieldID       = "X-Elmfold-Attempt-Id"
-	FieldBudget   = "X-Elmfold-Time-Budget-Ms"
-	FieldInstance = "X-Elmfold-Target-Instance"
-	FieldNotRun   = "X-Elmfold-Not-Executed"
-	FieldSeal     = "X-Elmfold-Server-Seal"
-	FieldLoad     = "X-Elmfold-Server-Load"
-	FieldCold     = "X-Elmfold-Cold-Ms"
-	FieldSelf     = "X-Elmfold-Instance-Id"
+	HeaderAttemptID      = "X-Elmfold-Attempt-Id"
+	HeaderTimeBudget     = "X-Elmfold-Time-Budget-Ms"
+	HeaderTargetInstance = "X-Elmfold-Target-Instance"
+	HeaderNotExecuted    = "X-Elmfold-Not-Executed"
+	HeaderServerSeal     = "X-Elmfold-Server-Seal"
+	HeaderServerLoad     = "X-Elmfold-Server-Load"
+	HeaderWarmup         = "X-Elmfold-Cold-Ms"
+	HeaderInstanceID     = "X-Elmfold-Instance-Id"
 )
 
-// Call is one request for one backend. It isn't changed.
+// Call is one request for one endpoint. It is not changed.
 type Call struct {
-	Addr, Instance string      // the backend's address (host:port) and id; no id: none is sent
-	Method         string      // as it came
-	Target         string      // the request-target's bytes as they came
-	Host           string      // value of Host
-	Header         http.Header // end-to-end fields, without Host, Content-Length and the three of X-Elmfold
-	AttemptID      string      // as the client sent it; "": none is sent and none is checked
-	Body           []byte      // what is held of the body; the whole of it if Stream is nil
-	HasBody        bool        // false: no Content-Length is sent (Stream nil)
-	// Stream is what follows Body, StreamLen its bytes (-1: unknown, sent in chunks). It may be read for a moment
-	// after Do has returned, when the backend answered before the end of the body.
+	Address       string      // "host:port" of the endpoint
+	EndpointID    string      // of the endpoint; "": none is sent
+	Method        string      // as it came
+	RequestTarget string      // the bytes as they came (RFC 9112, 3.2)
+	Host          string      // value of the field Host
+	Header        http.Header // end-to-end fields, without Host, Content-Length and the three of X-Elmfold
+	AttemptID     string      // as the client sent it; "": none is sent and none is checked
+	Body          []byte      // the buffered part of the body; the whole of it if Stream is nil
+	HasBody       bool        // false: no Content-Length is sent (Stream nil)
+	// Stream is what follows Body, StreamLen its bytes (-1: unknown, sent in chunks). It may be read for a moment after
+	// Do has returned, when the endpoint responded before the end of the body.
 	Stream    io.Reader
 	StreamLen int64
-	// MostOpen is how many connections may stand to the address, this one included; with more, this one is closed when
-	// the answer has come. 0: any number.
-	MostOpen int
-	Deadline time.Time // of the whole try, its Rest included; what is left goes out as the budget
+	// MaxConns is how many connections there may be to the address, this one included; with more, one is closed when the
+	// response has come. 0: any number.
+	MaxConns int
+	Deadline time.Time // of the whole attempt, the streamed part of the response included; what is left is sent along
 }
 
-// Load is what a backend says of itself: requests running, requests waiting, slots.
-type Load struct{ Running, Waiting, Slots int }
+// Load is what an endpoint says of itself, in requests.
+type Load struct{ Running, Queued, Capacity int }
 
-// Answer is a backend's own answer to the call.
-type Answer struct {
+// Response is an endpoint's own response to the call.
+type Response struct {
 	Status int
-	Header http.Header // end-to-end only, without Content-Length
-	Body   []byte      // the whole body if Rest is nil, else its start
-	// Rest is the remainder of a body longer than HoldMost. Its errors are io.EOF or a *apierror.Error (CutOff, Garbled,
-	// Late, Broken). Close it; before io.EOF that ends the connection.
-	Rest    io.ReadCloser
-	Length  int64 // of the whole body, -1: unknown; to HEAD what the backend said
-	Seal    bool
-	Load    Load
-	HasLoad bool
-	Cold    time.Duration
-	HasCold bool
+	Header http.Header // end-to-end fields, without Content-Length
+	Body   []byte      // the whole body if Rest is nil, otherwise its start
+	// Rest is the remainder of a body longer than Options.MaxBufferedBody. Its errors are io.EOF or an *apierror.Error
+	// (TruncatedResponse, InvalidResponse, ResponseTimeout, ConnectionBroken). Closing it before io.EOF ends the
+	// connection.
+	Rest       io.ReadCloser
+	Length     int64 // of the whole body, -1: unknown; to HEAD what the endpoint said
+	HasSeal    bool
+	Load       Load
+	HasLoad    bool          // Load was told
+	WarmupLeft time.Duration // until the endpoint's slow start ends
+	HasWarmup  bool          // WarmupLeft was told
 }
 
-// End closes what is left of an answer that nobody will read; it may be nil.
-func (a *Answer) End() {
-	if a != nil && a.Rest != nil {
-		_ = a.Rest.Close()
+// Close ends what is left of a response that nobody will read. The response may be nil.
+func (r *Response) Close() {
+	if r != nil && r.Rest != nil {
+		_ = r.Rest.Close() // never fails
 	}
 }
 
-// Options of a Pool; zero values take the defaults.
-type Options struct {
-	Dial        func(ctx context.Context, addr string) (net.Conn, error) // default: TCP over IPv4
-	Now         func() time.Time                                         // default: time.Now
-	DialTimeout time.Duration                                            // default 250 ms
-	HoldMost    int                                                      // bytes of a body taken whole, default 64 KB
-	MostIdle    int                                                      // idle connections a backend, default 8
-	IdleFor     time.Duration                                            // without a word of the backend, default 8 s
+// attempt is one request on one connection.
+type attempt struct {
+	pool        *Pool
+	ctx         context.Context
+	stopWatch   func() bool // of the watch over ctx; nil: there is none
+	call        *Call
+	conn        *conn
+	sender      *sender       // nil: Do has written everything itself
+	idleTimeout time.Duration // how long the connection may be idle afterwards
+	outOfStep   bool          // request and response no longer belong together: the connection is not used again
 }
 
-// Pool owns the connections to all backends. It is safe for concurrent use and has no goroutine of its own.
-type Pool struct {
-	o     Options
-	mu    sync.Mutex
-	homes map[string]*home
-}
+// maxSurplus is how many responses to other requests are read past.
+const maxSurplus = 2
 
-// New makes an empty Pool.
-func New(o Options) *Pool {
-	if o.Dial == nil {
-		o.Dial = dial
-	}
-	if o.Now == nil {
-		o.Now = time.Now
-	}
-	if o.DialTimeout == 0 {
-		o.DialTimeout = 250 * time.Millisecond
-	}
-	if o.HoldMost == 0 {
-		o.HoldMost = 64 << 10
-	}
-	if o.MostIdle == 0 {
-		o.MostIdle = 8
-	}
-	if o.IdleFor == 0 {
-		o.IdleFor = 8 * time.Second
-	}
-	return &Pool{o: o, homes: map[string]*home{}}
-}
-
-// try is one request on one connection.
-type try struct {
-	p      *Pool
-	ctx    context.Context
-	stop   func() bool // of the watch over ctx; nil: none
-	c      *Call
-	k      *conn
-	send   *sender       // nil: all was written by Do itself
-	keep   time.Duration // how long the connection may be idle afterwards
-	spoilt bool          // the connection is out of step and can't be used again
-}
+// Errors that stand as causes in the *apierror.Error of an attempt.
+var (
+	errMismatched = errors.New("answer to another request")
+	errEncoded    = errors.New("answer with a Content-Encoding")
+	errUnsealed   = errors.New("answer without a seal")
+	errUnbounded  = errors.New("answer without a length")
+	errHead       = errors.New("head of the answer over 64 KB")
+	errSurplus    = errors.New("bytes that nobody asked for")
+	errInterim    = errors.New("too many 1xx answers")
+	errVersion    = errors.New("no HTTP/1 answer")
+)
 
-// Do sends the request once and returns the backend's answer. The error is a *apierror.Error:
-// not run: Dial, Full (closed before a byte was written), Turned, Misdirected, OutOfTime and Malformed (not offered);
-// may have run: Broken, Garbled, Foreign, CutOff, Late.
-// With Turned and Misdirected the Answer is there too (status, fields, body if it came whole), to be passed on.
-func (p *Pool) Do(ctx context.Context, c *Call) (*Answer, error) {
-	if err := check(c); err != nil {
-		return nil, apierror.New(apierror.Malformed, c.Addr, err)
+// Do sends the request once and returns the endpoint's response. The error is an *apierror.Error.
+//
+// The request was not executed with ConnectFailed, EndpointsSaturated (closed before a byte was written),
+// RejectedByEndpoint, Misdirected, DeadlineExceeded and Malformed (not sent). It may have been with
+// ConnectionBroken, InvalidResponse, MismatchedResponse, TruncatedResponse and ResponseTimeout. With
+// RejectedByEndpoint and Misdirected the Response is there too (status, fields, body if it came whole), to be
+// passed on.
+func (p *Pool) Do(ctx context.Context, c *Call) (*Response, error) {
+	if err := validate(c); err != nil {
+		return nil, apierror.New(apierror.Malformed, c.Address, err)
 	}
-	t, err := p.start(ctx, c, c.AttemptID == "")
+	isNameless := c.AttemptID == ""
+	a, err := p.start(ctx, c, isNameless)
 	if err != nil {
 		return nil, err
 	}
-	return t.answer()
+	return a.receive()
 }
 
-// start brings the request onto a connection.
-func (p *Pool) start(ctx context.Context, c *Call, fresh bool) (*try, error) {
-	k, err := p.take(ctx, c, fresh)
+// start sends the request on a connection; fresh: on a new one.
+func (p *Pool) start(ctx context.Context, c *Call, fresh bool) (*attempt, error) {
+	k, err := p.acquire(ctx, c, fresh)
 	if err != nil {
 		return nil, err
 	}
-	left := c.Deadline.Sub(p.o.Now())
-	if left <= 0 { // dialling took it, or this process was frozen meanwhile
-		p.drop(k)
-		return nil, apierror.New(apierror.DeadlineExceeded, c.Addr, nil)
+	left := c.Deadline.Sub(p.options.Now())
+	if left <= 0 { // dialling took it, or this process was suspended meanwhile
+		p.closeConn(k)
+		return nil, apierror.New(apierror.DeadlineExceeded, c.Address, nil)
 	}
-	k.last = c.AttemptID
-	t := &try{p: p, ctx: ctx, c: c, k: k}
+	k.lastAttemptID = c.AttemptID
+	a := &attempt{pool: p, ctx: ctx, call: c, conn: k}
 	if ctx.Done() != nil {
-		t.stop = context.AfterFunc(ctx, func() { k.Conn.Close() })
+		a.stopWatch = context.AfterFunc(ctx, func() { _ = k.Close() })
 	}
-	buf := bufs.Get().(*[]byte)
+	buf := getBuffer()
 	*buf = appendRequest((*buf)[:0], c, left)
-	n, err := k.Conn.Write(*buf)
-	putBuf(buf)
+	written, err := k.Write(*buf)
+	putBuffer(buf)
 	if err != nil {
-		t.spoilt = true
-		if n == 0 { // no byte has left: it has not run, whatever ended the connection
-			t.end(false)
-			return nil, p.unsent(c.Addr, c.Deadline, err)
+		a.outOfStep = true
+		if written == 0 { // no byte has left: it was not executed, whatever ended the connection
+			a.end(false)
+			return nil, p.notSentError(c.Address, c.Deadline, err)
 		}
-		// Some bytes went out. A backend that refuses without reading the body ends the connection too; its answer
-		// may be waiting, and is better than a guess.
-		return t, nil
+		// Some bytes went out. An endpoint that rejects a request without reading the body ends the connection too; its
+		// response may be waiting, and is better than a guess.
+		return a, nil
 	}
 	if c.Stream != nil && c.StreamLen != 0 {
-		t.send = &sender{done: make(chan struct{})}
-		go t.send.run(k.Conn, c.Stream, c.StreamLen)
+		a.sender = startSender(k.Conn, c.Stream, c.StreamLen)
 	}
-	return t, nil
+	return a, nil
 }
 
-// answer waits for the answer of this call, and reads past those of others.
-func (t *try) answer() (*Answer, error) {
-	c := t.c
-	for surplus := 0; ; {
-		resp, err := t.head()
+// receive waits for the response to this call, and reads past those to others.
+func (a *attempt) receive() (*Response, error) {
+	for surplus := 0; ; surplus++ {
+		resp, err := a.readHead()
 		if err != nil {
 			return nil, err
 		}
-		h := resp.Header
-		id, ok2 := h.Get(FieldID), resp.StatusCode/100 == 2
-		refused := resp.StatusCode == http.StatusMisdirectedRequest || len(h[FieldNotRun]) > 0
-		// A refusal without an id is this call's only where the connection has carried no other request: else it may
-		// be a late answer to that, and says nothing about this call, which may well be at work.
-		mine := c.AttemptID == "" || id == c.AttemptID || id == "" && refused && !ok2 && !t.k.used
-		if !mine {
-			if surplus++; surplus > 2 || !t.skip(resp) {
-				return nil, t.fault(apierror.MismatchedResponse, errForeign)
-			}
-			continue
+		if a.isOwn(resp) {
+			return a.accept(resp)
 		}
-		switch {
-		case refused:
-			return t.refusal(resp)
-		case len(h["Content-Encoding"]) > 0:
-			return nil, t.fault(apierror.InvalidResponse, errEncoded)
-		case ok2 && len(h[FieldSeal]) == 0:
-			return nil, t.fault(apierror.MismatchedResponse, errUnsealed)
-		case ok2 && openEnded(resp, c.Method):
-			return nil, t.fault(apierror.TruncatedResponse, errOpenEnded) // its end can't be told from a break
+		if surplus == maxSurplus || !a.skipResponse(resp) {
+			return nil, a.fail(apierror.MismatchedResponse, errMismatched)
 		}
-		a := t.newAnswer(resp)
-		body, whole, err := t.body(resp)
-		if err != nil {
-			return nil, err
-		}
-		a.Body = body
-		if !whole {
-			a.Rest = &rest{t: t, resp: resp}
-			return a, nil
-		}
-		if c.Method != http.MethodHead {
-			a.Length = int64(len(body))
-		}
-		t.settle(resp)
-		return a, nil
 	}
 }
 
-// refusal is the answer of a backend that did not run the request. The head says so; a body that does not come, or not
-// at once, doesn't change that and isn't waited for: a refusal is to be told at once.
-func (t *try) refusal(resp *http.Response) (*Answer, error) {
-	kind := apierror.RejectedByEndpoint
-	if resp.StatusCode == http.StatusMisdirectedRequest {
-		kind = apierror.Misdirected
-	}
-	a, f := t.newAnswer(resp), apierror.New(kind, t.c.Addr, nil)
-	if int64(t.k.br.Buffered()) < resp.ContentLength || resp.ContentLength < 0 {
-		if soon := time.Now().Add(refusalWait); soon.Before(t.c.Deadline) {
-			t.k.SetReadDeadline(soon)
-		}
+// isOwn reports whether a response is to this call. A rejection without an id is this call's only where the
+// connection has carried no other request: otherwise it may be a late response to that one, and says nothing about
+// this call, which may well be executing.
+func (a *attempt) isOwn(resp *http.Response) bool {
+	id := resp.Header.Get(HeaderAttemptID)
+	if a.call.AttemptID == "" || id == a.call.AttemptID {
+		return true
 	}
-	body, whole, err := t.body(resp)
-	switch {
-	case err != nil: // body has ended the connection
-		a.Length = 0
-	case !whole:
-		a.Length = 0
-		t.end(false)
-	default:
-		a.Body = body
-		if t.c.Method != http.MethodHead {
-			a.Length = int64(len(body))
-		}
-		t.settle(resp)
-	}
-	return a, f
+	return id == "" && isRejection(resp) && !isSuccess(resp) && !a.conn.carriedOther
 }
 
-// Health is what a backend says when it is asked how it is.
-type Health struct {
-	OK       bool   // it answered 200
-	Instance string // its id; "": it gave none
-	Cold     time.Duration
-	HasCold  bool
-	Load     Load
-	HasLoad  bool
+// isRejection reports whether a response says that the request was not executed.
+func isRejection(resp *http.Response) bool {
+	return resp.StatusCode == http.StatusMisdirectedRequest || len(resp.Header[HeaderNotExecuted]) > 0
 }
 
-// Health asks the backend how it is: GET path, without an id. A *apierror.Error (as of Do) says that no answer came; an
-// answer other than 200, a refusal included, is a Health that is not OK.
-func (p *Pool) Health(ctx context.Context, addr, path string, deadline time.Time) (Health, error) {
-	c := &Call{Addr: addr, Method: http.MethodGet, Target: path, Host: addr, Deadline: deadline}
-	if err := check(c); err != nil {
-		return Health{}, apierror.New(apierror.Malformed, addr, err)
+func isSuccess(resp *http.Response) bool { return resp.StatusCode/100 == 2 }
+
+// accept checks the own response and reads its body.
+func (a *attempt) accept(resp *http.Response) (*Response, error) {
+	switch {
+	case isRejection(resp):
+		return a.receiveRejection(resp)
+	case len(resp.Header["Content-Encoding"]) > 0:
+		return nil, a.fail(apierror.InvalidResponse, errEncoded)
+	case isSuccess(resp) && len(resp.Header[HeaderServerSeal]) == 0:
+		return nil, a.fail(apierror.MismatchedResponse, errUnsealed)
+	case isSuccess(resp) && isUnbounded(resp, a.call.Method):
+		return nil, a.fail(apierror.TruncatedResponse, errUnbounded) // its end cannot be told from a break
 	}
-	t, err := p.start(ctx, c, false)
+	r := a.newResponse(resp)
+	body, whole, err := a.readBody(resp)
 	if err != nil {
-		return Health{}, err
+		return nil, err
 	}
-	t.k.bare = true
-	for surplus := 0; ; {
-		resp, err := t.head()
-		if err != nil {
-			return Health{}, err
-		}
-		if len(resp.Header[FieldSelf]) == 0 && len(resp.Header[FieldID]) > 0 { // the late answer to a request
-			if surplus++; surplus > 2 || !t.skip(resp) {
-				return Health{}, t.fault(apierror.MismatchedResponse, errForeign)
-			}
-			continue
-		}
-		a := t.newAnswer(resp)
-		_, whole, err := t.body(resp)
-		if err != nil {
-			return Health{}, err
-		}
-		if whole {
-			t.settle(resp)
-		} else {
-			t.end(false)
-		}
-		return Health{OK: a.Status == http.StatusOK, Instance: resp.Header.Get(FieldSelf),
-			Cold: a.Cold, HasCold: a.HasCold, Load: a.Load, HasLoad: a.HasLoad}, nil
+	r.Body = body
+	if !whole {
+		r.Rest = &bodyReader{attempt: a, response: resp}
+		return r, nil
 	}
+	if a.call.Method != http.MethodHead {
+		r.Length = int64(len(body))
+	}
+	a.release(resp)
+	return r, nil
 }
 
-var (
-	errForeign   = errors.New("answer to another request")
-	errEncoded   = errors.New("answer with a Content-Encoding")
-	errUnsealed  = errors.New("answer without a seal")
-	errOpenEnded = errors.New("answer without a length")
-	errHead      = errors.New("head of the answer over 64 KB")
-	errSurplus   = errors.New("bytes that nobody asked for")
-	errInterim   = errors.New("too many 1xx answers")
-	errVersion   = errors.New("no HTTP/1 answer")
-)
+// rejectionBodyWait is how long the body of a rejection is waited for.
+const rejectionBodyWait = 50 * time.Millisecond
 
-const (
-	headMost    = 64 << 10
-	readSize    = 4 << 10
-	refusalWait = 50 * time.Millisecond
-)
+// receiveRejection is the response of an endpoint that did not execute the request. The head says so; a body that does
+// not come, or not at once, does not change that and is not waited for: a rejection is to be told at once.
+func (a *attempt) receiveRejection(resp *http.Response) (*Response, error) {
+	kind := apierror.RejectedByEndpoint
+	if resp.StatusCode == http.StatusMisdirectedRequest {
+		kind = apierror.Misdirected
+	}
+	r, rejection := a.newResponse(resp), apierror.New(kind, a.call.Address, nil)
+	isBuffered := resp.ContentLength >= 0 && int64(a.conn.reader.Buffered()) >= resp.ContentLength
+	if soon := time.Now().Add(rejectionBodyWait); !isBuffered && soon.Before(a.call.Deadline) {
+		_ = a.conn.SetReadDeadline(soon) // fails only on a closed connection
+	}
+	body, whole, err := a.readBody(resp)
+	switch {
+	case err != nil: // which has ended the connection
+		r.Length = 0
+	case !whole:
+		r.Length = 0
+		a.end(false)
+	default:
+		r.Body = body
+		if a.call.Method != http.MethodHead {
+			r.Length = int64(len(body))
+		}
+		a.release(resp)
+	}
+	return r, rejection
+}
 
-// fault ends the connection with a kind that may have run.
-func (t *try) fault(kind apierror.Kind, cause error) *apierror.Error {
-	t.end(false)
-	return apierror.New(kind, t.c.Addr, cause)
+// fail ends the connection and returns an error of a request that may have been executed.
+func (a *attempt) fail(kind apierror.Kind, cause error) *apierror.Error {
+	a.end(false)
+	return apierror.New(kind, a.call.Address, cause)
 }
 
-// failed says why reading stopped: ended is the kind if it was the connection's end.
-func (t *try) failed(ended apierror.Kind, err error) *apierror.Error {
-	broke := t.k.broke
+// readFailure says why reading stopped: onEnd is the kind if it was the connection's end.
+func (a *attempt) readFailure(onEnd apierror.Kind, err error) *apierror.Error {
+	readErr := a.conn.readErr
 	switch {
-	case broke == nil || broke == errHead:
-		ended = apierror.InvalidResponse // the bytes were there and made no sense
-	case errors.Is(broke, os.ErrDeadlineExceeded) || errors.Is(t.ctx.Err(), context.DeadlineExceeded):
-		ended = apierror.ResponseTimeout
-	case t.ctx.Err() != nil:
-		ended, err = apierror.ConnectionBroken, t.ctx.Err()
-	case t.send.failure() != nil:
-		ended, err = apierror.ConnectionBroken, t.send.failure() // the client's body broke off, and with it the connection
-	default:
-		err = broke
+	case readErr == nil || errors.Is(readErr, errHead): // the bytes were there and made no sense
+		return a.fail(apierror.InvalidResponse, err)
+	case errors.Is(readErr, os.ErrDeadlineExceeded) || errors.Is(a.ctx.Err(), context.DeadlineExceeded):
+		return a.fail(apierror.ResponseTimeout, err)
+	case a.ctx.Err() != nil:
+		return a.fail(apierror.ConnectionBroken, a.ctx.Err())
+	case a.sender.streamFailure() != nil: // the client's body broke off, and with it the connection
+		return a.fail(apierror.ConnectionBroken, a.sender.streamFailure())
 	}
-	return t.fault(ended, err)
+	return a.fail(onEnd, readErr)
 }
 
-// settle gives the connection back after a whole answer, if both sides agree on where it stands.
-func (t *try) settle(resp *http.Response) {
-	ok := !t.spoilt && !resp.Close && resp.ProtoAtLeast(1, 1) && t.k.br.Buffered() == 0 && t.send.sent() &&
-		(t.c.AttemptID != "" || t.k.bare)
-	t.end(ok)
+// release gives the connection back after a whole response, if both sides agree on where it stands.
+func (a *attempt) release(resp *http.Response) {
+	isNamed := a.call.AttemptID != "" || a.conn.carriedNameless
+	inStep := !a.outOfStep && a.conn.reader.Buffered() == 0 && a.sender.isDone()
+	staysOpen := !resp.Close && resp.ProtoAtLeast(1, 1)
+	a.end(inStep && staysOpen && isNamed)
 }
 
-// end parts with the connection; it is called once a try.
-func (t *try) end(ok bool) {
-	if t.stop != nil && !t.stop() {
-		ok = false // the client went away meanwhile: it is being closed
+// end parts with the connection; it is called once for each attempt.
+func (a *attempt) end(reusable bool) {
+	if a.stopWatch != nil && !a.stopWatch() {
+		reusable = false // the client went away meanwhile: the connection is being closed
 	}
-	if ok {
-		t.k.used, t.k.heads = true, t.k.heads || t.c.Method == http.MethodHead
-		t.p.put(t.k, t.keep, t.c.MostOpen)
-	} else {
-		t.p.drop(t.k)
+	if !reusable {
+		a.pool.closeConn(a.conn)
+		return
 	}
+	a.conn.carriedOther = true
+	a.conn.carriedHead = a.conn.carriedHead || a.call.Method == http.MethodHead
+	a.pool.putIdle(a.conn, a.idleTimeout, a.call.MaxConns)
 }
 
-// rest is the part of an answer that flows.
-type rest struct {
-	t    *try
-	resp *http.Response
-	err  error // how it ended
+// bodyReader is the part of a response body that is streamed.
+type bodyReader struct {
+	attempt  *attempt
+	response *http.Response
+	err      error // how it ended
 }
 
-func (r *rest) Read(b []byte) (int, error) {
-	if r.err != nil {
-		return 0, r.err
+// Read reads on. The connection is given back at io.EOF.
+func (b *bodyReader) Read(buf []byte) (int, error) {
+	if b.err != nil {
+		return 0, b.err
 	}
-	n, err := r.resp.Body.Read(b)
+	n, err := b.response.Body.Read(buf)
 	switch {
 	case err == io.EOF:
-		r.err = io.EOF
-		r.t.settle(r.resp)
+		b.err = io.EOF
+		b.attempt.release(b.response)
 	case err != nil:
-		r.err = r.t.failed(apierror.TruncatedResponse, err)
+		b.err = b.attempt.readFailure(apierror.TruncatedResponse, err)
 	}
-	return n, r.err
+	return n, b.err
 }
 
-func (r *rest) Close() error {
-	if r.err == nil {
-		r.err = net.ErrClosed
-		r.t.end(false)
+// Close ends the connection, unless the body was read to its end.
+func (b *bodyReader) Close() error {
+	if b.err == nil {
+		b.err = net.ErrClosed
+		b.attempt.end(false)
 	}
 	return nil
 }
--- a/internal/proxy/upstream/attempt_test.go
+++ b/internal/proxy/upstream/attempt_test.go
@@ -46,7 +46,7 @@
 
 func (o oneByte) Read(b []byte) (int, error) { return o.Reader.Read(b[:min(1, len(b))]) }
 
-func (s *side) say(text string) { io.WriteString(s, strings.ReplaceAll(text, "\n", "\r\n")) }
+func (s *side) say(text string) { _, _ = io.WriteString(s, strings.ReplaceAll(text, "\n", "\r\n")) }
 
 // backend is a Pool whose connections each run the script at their other end, over net.Pipe.
 func backend(o Options, script func(s *side)) *Pool {
@@ -55,7 +55,7 @@
 		a, b := net.Pipe()
 		n := int(dials.Add(1))
 		go func() {
-			defer b.Close()
+			defer func() { _ = b.Close() }()
 			script(&side{b, bufio.NewReader(b), n})
 		}()
 		return a, nil
@@ -64,7 +64,7 @@
 }
 
 func get(id string) *Call {
-	return &Call{Addr: "b:1", Instance: "i-1", Method: "GET", Target: "/a", Host: "h.example", AttemptID: id,
+	return &Call{Address: "b:1", EndpointID: "i-1", Method: "GET", RequestTarget: "/a", Host: "h.example", AttemptID: id,
 		Deadline: time.Now().Add(5 * time.Second)}
 }
 
@@ -126,7 +126,7 @@
 		{"no answer", "SSH-2.0-x\n\n"},
 		{"no chunk", ok + "Transfer-Encoding: chunked\n\nzz\nabc\n"},
 		{"two lengths", ok + "Content-Length: 1\nContent-Length: 2\n\na"},
-		{"endless head", ok + "X-A: " + strings.Repeat("a", headMost)},
+		{"endless head", ok + "X-A: " + strings.Repeat("a", maxHeadBytes)},
 		{"silence", ""},
 		{"stalls in the body", ok + "Content-Length: 5\n\nabc"},
 	} {
@@ -146,20 +146,20 @@
 				fmt.Fprintf(&out, "%v; ", err)
 			}
 			if a != nil {
-				delete(a.Header, FieldID)
-				delete(a.Header, FieldSeal)
+				delete(a.Header, HeaderAttemptID)
+				delete(a.Header, HeaderServerSeal)
 				fmt.Fprintf(&out, "%d %q %d %v", a.Status, a.Body, a.Length, a.Header)
-				if a.HasLoad || a.HasCold {
-					fmt.Fprint(&out, " ", a.Load, a.Cold)
+				if a.HasLoad || a.HasWarmup {
+					fmt.Fprint(&out, " ", a.Load, a.WarmupLeft)
 				}
 				fmt.Fprint(&out, "; ")
 			}
-			fmt.Fprintf(&out, "idle %d of %d", p.Idle("b:1"), p.Open("b:1"))
+			fmt.Fprintf(&out, "idle %d of %d", p.IdleConns("b:1"), p.OpenConns("b:1"))
 			if d := time.Since(from); d > 0 {
 				fmt.Fprint(&out, " after ", d)
 			}
 			fmt.Fprintln(&out)
-			p.Forget("b:1")
+			p.CloseIdle("b:1")
 		})
 	}
 	autogold.Equal(t, out.String())
@@ -186,7 +186,7 @@
 				t.Fatal(err)
 			}
 		}
-		send(func(c *Call) { c.Target = "//a/../%2f;p=1//?q=%zz&&x={\"|^`\x80\xff#=" })
+		send(func(c *Call) { c.RequestTarget = "//a/../%2f;p=1//?q=%zz&&x={\"|^`\x80\xff#=" })
 		send(func(c *Call) { c.Method, c.HasBody, c.Header = "PuT", true, http.Header{"X-A": {"1", "2"}} })
 		send(func(c *Call) { c.Method, c.HasBody, c.Body = "POST", true, []byte("body") })
 		send(func(c *Call) {
@@ -195,16 +195,16 @@
 		send(func(c *Call) {
 			c.Method, c.Body, c.Stream, c.StreamLen = "POST", []byte("bo"), strings.NewReader("dy"), -1
 		})
-		send(func(c *Call) { c.Instance, c.Deadline = "", time.Now().Add(time.Microsecond) })
+		send(func(c *Call) { c.EndpointID, c.Deadline = "", time.Now().Add(time.Microsecond) })
 		send(func(c *Call) { c.AttemptID = "" })
 		for _, bad := range []string{"/a b", "/a\r\nX: y", ""} {
 			c := get("me")
-			c.Target = bad
+			c.RequestTarget = bad
 			if _, err := p.Do(t.Context(), c); kind(err) != apierror.Malformed {
 				t.Errorf("%q: %v", bad, err)
 			}
 		}
-		p.Forget("b:1")
+		p.CloseIdle("b:1")
 	})
 	autogold.Equal(t, out.String())
 }
@@ -225,8 +225,8 @@
 			t.Fatal(err)
 		}
 		c := get("me2")
-		if _, err := p.Do(t.Context(), c); kind(err) != apierror.ConnectionBroken || arrived != 2 || p.Open("b:1") != 0 {
-			t.Fatalf("%v, %d arrivals, %d open", err, arrived, p.Open("b:1"))
+		if _, err := p.Do(t.Context(), c); kind(err) != apierror.ConnectionBroken || arrived != 2 || p.OpenConns("b:1") != 0 {
+			t.Fatalf("%v, %d arrivals, %d open", err, arrived, p.OpenConns("b:1"))
 		}
 	})
 }
@@ -235,9 +235,9 @@
 func TestFirstByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for taken, want := range []apierror.Kind{apierror.ConnectFailed, apierror.ConnectionBroken} {
-			p := backend(Options{}, func(s *side) { io.ReadFull(s.Conn, make([]byte, taken)) })
-			if _, err := p.Do(t.Context(), get("me")); kind(err) != want || p.Open("b:1") != 0 {
-				t.Errorf("%d bytes taken: %v, %d open", taken, err, p.Open("b:1"))
+			p := backend(Options{}, func(s *side) { _, _ = io.ReadFull(s.Conn, make([]byte, taken)) })
+			if _, err := p.Do(t.Context(), get("me")); kind(err) != want || p.OpenConns("b:1") != 0 {
+				t.Errorf("%d bytes taken: %v, %d open", taken, err, p.OpenConns("b:1"))
 			}
 		}
 	})
@@ -245,11 +245,15 @@
 
 // readable waits until the connection has something to tell: bytes, its end or a reset.
 func readable(t *testing.T, nc net.Conn) {
-	raw, err := nc.(*net.TCPConn).SyscallConn()
+	tcp, ok := nc.(*net.TCPConn)
+	if !ok {
+		t.Fatalf("%T is no TCP connection", nc)
+	}
+	raw, err := tcp.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw.Read(func(fd uintptr) bool {
+	_ = raw.Read(func(fd uintptr) bool {
 		_, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return err != syscall.EAGAIN
 	})
@@ -262,13 +266,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	addr := l.Addr().String()
 	var mine net.Conn
 	refuse, theirs := false, make(chan *side, 1)
 	p := New(Options{Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		var err error
-		if mine, err = dial(ctx, addr); err != nil {
+		if mine, err = dialTCP(ctx, addr); err != nil {
 			return nil, err
 		}
 		nc, err := l.Accept()
@@ -276,29 +280,34 @@
 			return nil, err
 		}
 		if refuse {
-			nc.Close()
+			_ = nc.Close()
 			readable(t, mine)
 			return mine, nil
 		}
 		s := &side{Conn: nc, br: bufio.NewReader(nc)}
 		go func() {
 			for r := s.request(); r != ""; r = s.request() {
-				id := r[strings.Index(r, FieldID)+len(FieldID)+2:][:1]
+				id := r[strings.Index(r, HeaderAttemptID)+len(HeaderAttemptID)+2:][:1]
 				s.say(strings.Replace(ok, "me", id, 1) + "Content-Length: 1\n\n" + id)
 			}
-			nc.Close()
+			_ = nc.Close()
 		}()
 		theirs <- s
 		return mine, nil
 	}})
-	do := func(id string) (*Answer, error) {
+	do := func(id string) (*Response, error) {
 		c := get(id)
-		c.Addr = addr
+		c.Address = addr
 		return p.Do(t.Context(), c)
 	}
 	for i, spoil := range []func(s *side){
-		func(s *side) { s.Close() },
-		func(s *side) { s.Conn.(*net.TCPConn).SetLinger(0); s.Close() },
+		func(s *side) { _ = s.Close() },
+		func(s *side) {
+			if tcp, ok := s.Conn.(*net.TCPConn); ok {
+				_ = tcp.SetLinger(0)
+			}
+			_ = s.Close()
+		},
 		func(s *side) { s.say(strings.Replace(old, "before", "d", 1)) },
 	} {
 		if _, err := do("a"); err != nil {
@@ -309,18 +318,18 @@
 		}
 		spoil(<-theirs)
 		readable(t, mine)
-		if a, err := do("d"); err != nil || string(a.Body) != "d" || p.Open(addr) != 1 {
-			t.Fatalf("%d: %v, %v, %d open", i, a, err, p.Open(addr))
+		if a, err := do("d"); err != nil || string(a.Body) != "d" || p.OpenConns(addr) != 1 {
+			t.Fatalf("%d: %v, %v, %d open", i, a, err, p.OpenConns(addr))
 		}
 		<-theirs
-		p.Forget(addr)
+		p.CloseIdle(addr)
 	}
 	refuse = true
-	if _, err := do("a"); kind(err) != apierror.EndpointsSaturated || p.Open(addr) != 0 {
+	if _, err := do("a"); kind(err) != apierror.EndpointsSaturated || p.OpenConns(addr) != 0 {
 		t.Fatal(err)
 	}
-	l.Close()
-	if _, err := do("a"); kind(err) != apierror.ConnectFailed || p.Open(addr) != 0 {
+	_ = l.Close()
+	if _, err := do("a"); kind(err) != apierror.ConnectFailed || p.OpenConns(addr) != 0 {
 		t.Fatal(err)
 	}
 }
@@ -333,7 +342,7 @@
 		p := backend(Options{}, func(s *side) {
 			s.request()
 			s.say(say)
-			io.Copy(io.Discard, s.br)
+			_, _ = io.Copy(io.Discard, s.br)
 			ended = time.Now()
 		})
 		for _, say = range []string{"", ok + "Content-Le", ok + "Content-Length: 9\n\nabc"} {
@@ -352,7 +361,7 @@
 		}
 		c := get("me")
 		c.Deadline = time.Now()
-		if _, err := p.Do(t.Context(), c); kind(err) != apierror.DeadlineExceeded || p.Open("b:1") != 0 {
+		if _, err := p.Do(t.Context(), c); kind(err) != apierror.DeadlineExceeded || p.OpenConns("b:1") != 0 {
 			t.Error(err)
 		}
 	})
@@ -382,18 +391,18 @@
 					}
 					continue
 				}
-				if err != nil || a.Rest == nil || len(a.Body) < 64<<10 || p.Idle("b:1") != 0 {
+				if err != nil || a.Rest == nil || len(a.Body) < 64<<10 || p.IdleConns("b:1") != 0 {
 					t.Fatal(a, err)
 				}
 				got, err := io.ReadAll(a.Rest)
-				a.Rest.Close()
+				_ = a.Rest.Close()
 				switch {
-				case cut < 0 && (err != nil || string(a.Body)+string(got) != body || p.Idle("b:1") != 1):
-					t.Errorf("%d: %v, %d bytes, idle %d", i, err, len(a.Body)+len(got), p.Idle("b:1"))
-				case cut >= 0 && (kind(err) != apierror.TruncatedResponse || p.Open("b:1") != 0):
+				case cut < 0 && (err != nil || string(a.Body)+string(got) != body || p.IdleConns("b:1") != 1):
+					t.Errorf("%d: %v, %d bytes, idle %d", i, err, len(a.Body)+len(got), p.IdleConns("b:1"))
+				case cut >= 0 && (kind(err) != apierror.TruncatedResponse || p.OpenConns("b:1") != 0):
 					t.Errorf("%d: %v", i, err)
 				}
-				p.Forget("b:1")
+				p.CloseIdle("b:1")
 			}
 		}
 		p := backend(Options{}, func(s *side) { s.request(); s.say(ok + framed[0]) })
@@ -401,8 +410,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.Rest.Close()
-		if p.Open("b:1") != 0 {
+		_ = a.Rest.Close()
+		if p.OpenConns("b:1") != 0 {
 			t.Error("left open")
 		}
 	})
@@ -416,7 +425,7 @@
 			if _, err := http.ReadRequest(s.br); err == nil && s.n == 1 {
 				s.say("HTTP/1.1 503 F\nX-Elmfold-Attempt-Id: me\n" + no)
 			}
-			io.Copy(io.Discard, s.br)
+			_, _ = io.Copy(io.Discard, s.br)
 		})
 		r, w := io.Pipe()
 		c := get("me")
@@ -425,17 +434,17 @@
 			t.Context(),
 			c,
 		); kind(err) != apierror.RejectedByEndpoint || string(a.Body) != "no" ||
-			p.Open("b:1") != 0 {
+			p.OpenConns("b:1") != 0 {
 			t.Error(a, err)
 		}
-		w.Close()
+		_ = w.Close()
 		gone := errors.New("client gone")
 		c.Stream, c.StreamLen = io.MultiReader(strings.NewReader("abc"), failing{gone}), 9
 		if _, err := p.Do(
 			t.Context(),
 			c,
 		); kind(err) != apierror.ConnectionBroken || !errors.Is(err, gone) ||
-			p.Open("b:1") != 0 {
+			p.OpenConns("b:1") != 0 {
 			t.Error(err)
 		}
 	})
@@ -459,11 +468,11 @@
 				t.Fatal(err)
 			}
 			from := time.Now()
-			for p.Idle("b:1") > 0 {
+			for p.IdleConns("b:1") > 0 {
 				time.Sleep(50 * time.Millisecond) // virtual
-				p.Prune(time.Now())
+				p.PruneIdle(time.Now())
 			}
-			if keep[v] = time.Since(from); p.Open("b:1") != 0 {
+			if keep[v] = time.Since(from); p.OpenConns("b:1") != 0 {
 				t.Error("left open")
 			}
 		}
@@ -472,7 +481,7 @@
 			t.Errorf("got %s\nwant %s", got, want)
 		}
 		release := make(chan bool)
-		p := backend(Options{MostIdle: 2}, func(s *side) {
+		p := backend(Options{MaxIdleConns: 2}, func(s *side) {
 			for s.request() != "" {
 				<-release
 				s.say(ok + "Content-Length: 0\n\n")
@@ -492,11 +501,11 @@
 				}
 			}
 		}
-		if three(func() {}); p.Idle("b:1") != 2 || p.Open("b:1") != 2 {
-			t.Errorf("idle %d of %d", p.Idle("b:1"), p.Open("b:1"))
+		if three(func() {}); p.IdleConns("b:1") != 2 || p.OpenConns("b:1") != 2 {
+			t.Errorf("idle %d of %d", p.IdleConns("b:1"), p.OpenConns("b:1"))
 		}
-		if three(func() { p.Forget("b:1") }); p.Open("b:1") != 0 {
-			t.Errorf("%d came back", p.Open("b:1"))
+		if three(func() { p.CloseIdle("b:1") }); p.OpenConns("b:1") != 0 {
+			t.Errorf("%d came back", p.OpenConns("b:1"))
 		}
 	})
 }
@@ -525,15 +534,15 @@
 		health := func() (Health, error) {
 			return p.Health(t.Context(), "b:1", "/health", time.Now().Add(time.Second))
 		}
-		want := Health{OK: true, Instance: "i-1", Cold: 250 * time.Millisecond, HasCold: true,
+		want := Health{OK: true, EndpointID: "i-1", WarmupLeft: 250 * time.Millisecond, HasWarmup: true,
 			Load: Load{3, 0, 8}, HasLoad: true}
-		if h, err := health(); h != want || err != nil || p.Open("b:1") != 0 {
+		if h, err := health(); h != want || err != nil || p.OpenConns("b:1") != 0 {
 			t.Error(h, err)
 		}
-		if h, err := health(); !h.OK || err != nil || p.Idle("b:1") != 1 {
+		if h, err := health(); !h.OK || err != nil || p.IdleConns("b:1") != 1 {
 			t.Error(h, err)
 		}
-		if a, err := p.Do(t.Context(), get("me")); err != nil || string(a.Body) != "a" || p.Open("b:1") != 0 {
+		if a, err := p.Do(t.Context(), get("me")); err != nil || string(a.Body) != "a" || p.OpenConns("b:1") != 0 {
 			t.Error(a, err)
 		}
 		if h, err := health(); h.OK || err != nil {
@@ -551,7 +560,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	answer := []byte(strings.ReplaceAll(ok+"Content-Length: 512\n\n", "\n", "\r\n") + strings.Repeat("x", 512))
 	go func() {
 		for {
@@ -563,10 +572,10 @@
 				buf := make([]byte, 4096)
 				for {
 					if n, err := nc.Read(buf); err != nil || !bytes.HasSuffix(buf[:n], []byte("\r\n\r\n")) {
-						nc.Close()
+						_ = nc.Close()
 						return
 					}
-					nc.Write(answer)
+					_, _ = nc.Write(answer)
 				}
 			}()
 		}
@@ -575,14 +584,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	c := get("me")
-	c.Addr, c.Header = l.Addr().String(), http.Header{"Accept": {"*/*"}, "User-Agent": {"u"}}
+	c.Address, c.Header = l.Addr().String(), http.Header{"Accept": {"*/*"}, "User-Agent": {"u"}}
 	b.Run("do", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
 			c.Deadline = time.Now().Add(time.Second)
 			p.mu.Lock()
-			if h := p.homes[c.Addr]; h != nil && len(h.idle) > 0 {
-				h.idle[0].last = "" // the same id each time spares the backend its parsing
+			if h := p.hosts[c.Address]; h != nil && len(h.idle) > 0 {
+				h.idle[0].lastAttemptID = "" // the same id each time spares the backend its parsing
 			}
 			p.mu.Unlock()
 			if _, err := p.Do(ctx, c); err != nil {
@@ -591,14 +600,14 @@
 		}
 	})
 	b.Run("bare", func(b *testing.B) {
-		nc, err := net.Dial("tcp4", c.Addr)
+		nc, err := net.Dial("tcp4", c.Address)
 		if err != nil {
 			b.Fatal(err)
 		}
-		defer nc.Close()
+		defer func() { _ = nc.Close() }()
 		req, buf := appendRequest(nil, c, time.Second), make([]byte, 4096)
 		for b.Loop() {
-			nc.Write(req)
+			_, _ = nc.Write(req)
 			if _, err := io.ReadFull(nc, buf[:len(answer)]); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/proxy/upstream/datapath_test.go
+++ b/internal/proxy/upstream/datapath_test.go
@@ -58,7 +58,7 @@
 					if r == "" {
 						return
 					}
-					id := strings.TrimSpace(strings.SplitN(r[strings.Index(r, FieldID)+len(FieldID)+2:], "\r\n", 2)[0])
+					id := strings.TrimSpace(strings.SplitN(r[strings.Index(r, HeaderAttemptID)+len(HeaderAttemptID)+2:], "\r\n", 2)[0])
 					if arrived[id]++; id == "me" {
 						said, end := strings.CutSuffix(c.say, "|")
 						if s.say(said); end {
@@ -80,7 +80,7 @@
 					call.Method = c.method
 				}
 				a, err := p.Do(t.Context(), call)
-				if id == "before" && (err != nil || p.Idle("b:1") != 1) {
+				if id == "before" && (err != nil || p.IdleConns("b:1") != 1) {
 					t.Fatal(a, err)
 				}
 				if id != "before" {
@@ -94,7 +94,7 @@
 					if d := time.Since(from); d > 0 {
 						fmt.Fprint(&out, " after ", d)
 					}
-					fmt.Fprintf(&out, " (came %d, idle %d of %d);", arrived[id], p.Idle("b:1"), p.Open("b:1"))
+					fmt.Fprintf(&out, " (came %d, idle %d of %d);", arrived[id], p.IdleConns("b:1"), p.OpenConns("b:1"))
 				}
 				// Whatever it is, a success is this request's own, and nothing is sent twice by itself.
 				if a != nil && a.Status == 200 && call.Method == "GET" && err == nil && string(a.Body) != "right" &&
@@ -103,7 +103,7 @@
 				}
 			}
 			fmt.Fprintln(&out)
-			p.Forget("b:1")
+			p.CloseIdle("b:1")
 		})
 	}
 	autogold.Equal(t, out.String())
@@ -138,14 +138,14 @@
 					time.AfterFunc(time.Second, cancel)
 				}
 				from := time.Now()
-				if _, err := p.Do(ctx, c); kind(err) != why || time.Since(from) != time.Second || p.Open("b:1") != 0 {
-					t.Errorf("%q: %v after %v, %d open", begin, err, time.Since(from), p.Open("b:1"))
+				if _, err := p.Do(ctx, c); kind(err) != why || time.Since(from) != time.Second || p.OpenConns("b:1") != 0 {
+					t.Errorf("%q: %v after %v, %d open", begin, err, time.Since(from), p.OpenConns("b:1"))
 				}
 				a, err := p.Do(t.Context(), get("me"))
 				if err != nil || string(a.Body) != "right" || <-heard == nil {
 					t.Errorf("%q: %v, %v", begin, a, err)
 				}
-				p.Forget("b:1")
+				p.CloseIdle("b:1")
 			})
 		}
 	}
@@ -163,7 +163,7 @@
 				came <- int(n)
 			}()
 			<-ctx.Done()
-			a.Close()
+			_ = a.Close()
 			return nil, ctx.Err()
 		}})
 		from := time.Now()
@@ -174,8 +174,8 @@
 			time.Since(from) != 250*time.Millisecond {
 			t.Errorf("%v after %v", err, time.Since(from))
 		}
-		if n := <-came; n != 0 || p.Open("b:1") != 0 {
-			t.Errorf("%d bytes came, %d open", n, p.Open("b:1"))
+		if n := <-came; n != 0 || p.OpenConns("b:1") != 0 {
+			t.Errorf("%d bytes came, %d open", n, p.OpenConns("b:1"))
 		}
 	})
 }
@@ -229,7 +229,7 @@
 			t.Context(),
 			c,
 		); kind(err) != apierror.ResponseTimeout || time.Since(from) != 5*time.Second ||
-			p.Open("b:1") != 0 {
+			p.OpenConns("b:1") != 0 {
 			t.Errorf("%v after %v", err, time.Since(from))
 		}
 		if <-ended; len(half) != 100 || end != nil {
@@ -256,12 +256,12 @@
 			t.Fatal(err)
 		}
 		for n := range whole + 1 {
-			p := backend(Options{}, func(s *side) { io.ReadFull(s.Conn, make([]byte, n)) })
+			p := backend(Options{}, func(s *side) { _, _ = io.ReadFull(s.Conn, make([]byte, n)) })
 			want := apierror.ConnectionBroken
 			if n == 0 {
 				want = apierror.ConnectFailed
 			}
-			if _, err := p.Do(t.Context(), get("me")); kind(err) != want || p.Open("b:1") != 0 {
+			if _, err := p.Do(t.Context(), get("me")); kind(err) != want || p.OpenConns("b:1") != 0 {
 				t.Errorf("after %d of %d bytes of the request: %v", n, whole, err)
 			}
 		}
@@ -269,13 +269,13 @@
 		for n := range answer {
 			p := backend(Options{}, func(s *side) {
 				s.request()
-				io.WriteString(s, answer[:n])
+				_, _ = io.WriteString(s, answer[:n])
 			})
 			want := apierror.TruncatedResponse
 			if n == 0 {
 				want = apierror.ConnectionBroken
 			}
-			if _, err := p.Do(t.Context(), get("me")); kind(err) != want || p.Open("b:1") != 0 {
+			if _, err := p.Do(t.Context(), get("me")); kind(err) != want || p.OpenConns("b:1") != 0 {
 				t.Errorf("after %d of %d bytes of the answer: %v", n, len(answer), err)
 			}
 		}
@@ -295,15 +295,15 @@
 		}, {right, apierror.None}, {"", apierror.ConnectionBroken},
 			{strings.Replace(right, "me", "other", 1), apierror.ConnectionBroken}} {
 			p := backend(Options{}, func(s *side) {
-				io.ReadFull(s.Conn, make([]byte, 200))
+				_, _ = io.ReadFull(s.Conn, make([]byte, 200))
 				s.say(k.say)
 			})
 			c := get("me")
 			c.Method, c.Body, c.Stream, c.StreamLen = "POST", []byte(strings.Repeat("x", 40)), endless{}, 1<<30
 			a, err := p.Do(t.Context(), c)
 			if kind(err) != k.want || k.want == apierror.RejectedByEndpoint && (a == nil || a.Status != 503) ||
-				p.Open("b:1") != 0 {
-				t.Errorf("%q: %v, %v, %d open", k.say, a, err, p.Open("b:1"))
+				p.OpenConns("b:1") != 0 {
+				t.Errorf("%q: %v, %v, %d open", k.say, a, err, p.OpenConns("b:1"))
 			}
 			synctest.Wait()
 		}
@@ -326,10 +326,14 @@
 			}
 		})
 		for i, id := range []string{"me", "", "", "me"} {
-			if a, err := p.Do(t.Context(), get(id)); err != nil || string(a.Body) != "right" || on != i+1 || p.Open("b:1") != 1 {
-				t.Errorf("%d: %v, %v on connection %d, %d open", i, a, err, on, p.Open("b:1"))
+			if a, err := p.Do(
+				t.Context(),
+				get(id),
+			); err != nil || string(a.Body) != "right" || on != i+1 ||
+				p.OpenConns("b:1") != 1 {
+				t.Errorf("%d: %v, %v on connection %d, %d open", i, a, err, on, p.OpenConns("b:1"))
 			}
 		}
-		p.Forget("b:1")
+		p.CloseIdle("b:1")
 	})
 }
--- a/internal/proxy/upstream/most_test.go
+++ b/internal/proxy/upstream/most_test.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	release := make(chan struct{})
 	here := make(chan struct{}, 3)
 	go func() {
@@ -32,7 +32,7 @@
 					}
 					here <- struct{}{}
 					<-release
-					fmt.Fprint(c, "HTTP/1.1 200 OK\r\n"+FieldID+": a\r\n"+FieldSeal+": s\r\nContent-Length: 0\r\n\r\n")
+					fmt.Fprint(c, "HTTP/1.1 200 OK\r\n"+HeaderAttemptID+": a\r\n"+HeaderServerSeal+": s\r\nContent-Length: 0\r\n\r\n")
 				}
 			}()
 		}
@@ -41,15 +41,18 @@
 	done := make(chan error, 3)
 	for range 3 {
 		go func() {
-			_, err := p.Do(context.Background(), &Call{Addr: l.Addr().String(), Instance: "i", Method: "GET", Target: "/",
-				Host: "h", AttemptID: "a", MostOpen: 2, Deadline: time.Now().Add(time.Minute)})
+			_, err := p.Do(
+				context.Background(),
+				&Call{Address: l.Addr().String(), EndpointID: "i", Method: "GET", RequestTarget: "/",
+					Host: "h", AttemptID: "a", MaxConns: 2, Deadline: time.Now().Add(time.Minute)},
+			)
 			done <- err
 		}()
 	}
 	for range 3 {
 		<-here
 	}
-	if n := p.Open(l.Addr().String()); n != 3 {
+	if n := p.OpenConns(l.Addr().String()); n != 3 {
 		t.Errorf("%d connections while three requests are at work", n)
 	}
 	close(release)
@@ -58,7 +61,7 @@
 			t.Error(err)
 		}
 	}
-	if n := p.Open(l.Addr().String()); n != 2 {
+	if n := p.OpenConns(l.Addr().String()); n != 2 {
 		t.Errorf("%d connections stay, 2 may", n)
 	}
 }
--- a/internal/simulation/aimed.go
+++ b/internal/simulation/aimed.go
@@ -399,7 +399,7 @@
 			for _, m := range left {
 				if best == nil && (!near || m.Zone == zone) ||
 					best != nil && near == (best.Zone == zone) && (!near || m.Zone == zone) &&
-						balancer.Rank(m.Name, b.ID) > balancer.Rank(best.Name, b.ID) {
+						balancer.RendezvousHash(m.Name, b.ID) > balancer.RendezvousHash(best.Name, b.ID) {
 					best = m
 				}
 			}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -60,7 +60,7 @@
 	Disk           *Disk // nil: it carries
 	life           int
 	host           *Host // nil: no process runs
-	carrier        *proxy.Carrier
+	carrier        *proxy.Proxy
 	controller     *controlplane.Server
 	stop           func() // of what the process leaves behind in this one
 	started        bool   // once before
@@ -263,7 +263,7 @@
 		}
 	} else {
 		c := proxy.New(proxy.Options{Settings: set, Log: log, Clock: clockwork.NewRealClock(), Dial: dial,
-			Backends: upstream.Options{Dial: func(ctx context.Context, address string) (net.Conn, error) {
+			Upstream: upstream.Options{Dial: func(ctx context.Context, address string) (net.Conn, error) {
 				return h.Dial(ctx, address, 2*time.Second)
 			}}})
 		ready := quiet(&http.Server{Handler: c.Readiness()})
