--- a/internal/controlplane/rollout/drawn_test.go
+++ b/internal/controlplane/rollout/drawn_test.go
@@ -11,7 +11,7 @@
 
 // drawn plays one schedule: proposals, crashes, lost disks, cuts, failing disks, among deliveries in any order of
 // lines. Then all is healed, and all must have one version.
-func drawn(seed uint64, f flaws) (w *world, moves int) {
+func drawn(seed uint64, f flaws) (w *world) {
 	r := rand.New(rand.NewPCG(seed, 33))
 	shape := [][2]int{{3, 1}, {5, 2}}[seed%2]
 	plan := Plan{ListenDuration: 300 * time.Millisecond, MaxEnded: 3, Stages: []Stage{
@@ -59,7 +59,7 @@
 		}
 	}
 	version := uint64(0)
-	for moves = 0; moves < 2500 && w.fault == ""; moves++ {
+	for moves := 0; moves < 2500 && w.fault == ""; moves++ {
 		i, q := r.IntN(w.n), r.IntN(len(w.queues))
 		switch k := r.IntN(1000); {
 		case k < 800:
@@ -153,13 +153,13 @@
 			w.failf("in the end %s serves %v, %v is taken", name(w.n+k), c.Active(), most)
 		}
 	}
-	return w, moves
+	return w
 }
 
 func TestDrawnSchedules(t *testing.T) {
 	ends := map[string]int{}
 	for seed := range uint64(300) {
-		w, _ := drawn(seed, flaws{})
+		w := drawn(seed, flaws{})
 		if w.fault != "" {
 			t.Fatalf("seed %d: %s", seed, w.fault)
 		}
@@ -187,7 +187,7 @@
 	} {
 		caught := ""
 		for seed := uint64(0); seed < 3000 && !strings.Contains(caught, c.says); seed++ {
-			w, _ := drawn(seed, c.flaws)
+			w := drawn(seed, c.flaws)
 			caught = w.fault
 		}
 		if !strings.Contains(caught, c.says) {
