--- /dev/null
+++ b/internal/policy/steps_test.go
@@ -0,0 +1,347 @@
+package policy
+
+import (
+	"fmt"
+	"hash"
+	"hash/fnv"
+	"math/rand/v2"
+	"os"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// The orders of drawn days, step for step, are those of d330930: a change of names or of shape changes none of them.
+// testdata/steps.txt was written with the decisions of d330930; each line is a day, its steps and the digest of all its
+// orders. POLICY_DAYS=n plays n days and prints one digest of all.
+
+const recordedDays = 24
+
+func TestStepsStayTheSame(t *testing.T) {
+	if text := os.Getenv("POLICY_DAYS"); text != "" {
+		n, err := strconv.Atoi(text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		steps, sum := 0, fnv.New64a()
+		for seed := range n {
+			day := drawnDay(uint64(seed))
+			steps += day.steps
+			_, _ = fmt.Fprintln(sum, day)
+		}
+		t.Logf("%d days, %d steps, digest %016x", n, steps, sum.Sum64())
+		return
+	}
+	text, err := os.ReadFile("testdata/steps.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.Split(strings.TrimSpace(string(text)), "\n")
+	if len(want) != recordedDays {
+		t.Fatalf("%d days are recorded, want %d", len(want), recordedDays)
+	}
+	for seed, line := range want {
+		if got := fmt.Sprint(drawnDay(uint64(seed))); got != line {
+			t.Errorf("seed %d: %s, want %s", seed, got, line)
+		}
+	}
+}
+
+type playedDay struct {
+	seed          uint64
+	steps, orders int
+	digest        uint64
+}
+
+func (d playedDay) String() string {
+	return fmt.Sprintf("day %d: %d steps, %d orders, %016x", d.seed, d.steps, d.orders, d.digest)
+}
+
+// drawnDay plays 300 s of a drawn deployment: reports that come or not, lists that change, fail and lie, proxies that
+// come and go, overload, what other controllers tell, confinement, channels that are slow, figures of an earlier start.
+func drawnDay(seed uint64) playedDay {
+	d := dayDraw{rand: rand.New(rand.NewPCG(seed, 7)), played: playedDay{seed: seed}, sum: fnv.New64a()}
+	d.drawDeployment()
+	d.a = New(d.deployment)
+	d.begin()
+	for d.now < 300*Second {
+		d.now += Time(d.rand.IntN(int(Second/2))) + 1
+		d.draw()
+		d.step()
+	}
+	d.played.digest = d.sum.Sum64()
+	return d.played
+}
+
+type dayDraw struct {
+	rand               *rand.Rand
+	played             playedDay
+	sum                hash.Hash64
+	deployment         Deployment
+	a                  *Assigner
+	now                Time
+	events             []Event
+	backends, proxies  int
+	rush               float64
+	wakes              []dueWake
+	slowChannel, quiet bool
+	tellsOthers, cells bool
+	unanswered         []int
+}
+
+type dueWake struct {
+	at   Time
+	name uint32
+}
+
+func (d *dayDraw) chance(p float64) bool { return d.rand.Float64() < p }
+
+func (d *dayDraw) drawDeployment() {
+	zones := 1 + d.rand.IntN(4)
+	d.backends, d.proxies = 4+d.rand.IntN(40), 2+d.rand.IntN(24)
+	products := []Product{{Revenue: 1, SLA: 8000}}
+	if d.chance(0.7) {
+		products = append(products, Product{Revenue: 3, SLA: 20000, OwnZone: true})
+	}
+	if d.chance(0.5) {
+		products = append(products, Product{Revenue: 2, SLA: 8000, OnlyZones: []int{0}, OnlyKinds: []int{0, 1}})
+	}
+	if d.chance(0.3) {
+		products = append(products, Product{Revenue: 1, SLA: 4000, OnlyKinds: []int{1}})
+	}
+	d.deployment = Deployment{
+		Products: products, Zones: zones, Proxies: d.proxies + d.rand.IntN(10), GoneBinds: d.chance(0.5),
+		Levels: []LevelKind{LevelRate, LevelRate, LevelShare, LevelNone}[d.rand.IntN(4)],
+		Cold:   Time(d.rand.IntN(20)) * Second, ColdCapacity: 0.1 + 0.3*d.rand.Float64(),
+		ColdMultiple: 1 + 3*d.rand.Float64(), LinesHead: 6, MessagesOver: 10 * Second,
+		Asked: d.chance(0.2), Probes: d.chance(0.3), Gauges: []Gauge{GaugeOther, GaugeHeld},
+	}
+	if d.chance(0.7) {
+		d.deployment.ConnsLeast = 50 + 1000*d.rand.Float64()
+	}
+	if d.chance(0.8) {
+		d.deployment.LinesPerS = 200 + 4000*d.rand.Float64()
+		d.deployment.LinesMost = d.deployment.LinesPerS * (0.5 + 2*d.rand.Float64())
+		d.deployment.MessagesMost = 10 + d.rand.IntN(40)
+	}
+	if d.chance(0.5) {
+		d.deployment.FirstTick = Time(1 + d.rand.IntN(int(Second)))
+	}
+	d.rush, d.slowChannel, d.tellsOthers, d.cells = 1, d.chance(0.3), d.chance(0.4), d.chance(0.4)
+	d.quiet = d.chance(0.2)
+}
+
+func (d *dayDraw) entry(b int, status Status) Entry {
+	zones := max(d.deployment.Zones, 1)
+	return Entry{Backend: b, Zone: b % zones, Kind: b / zones % 2, Status: status, Weight: 1 + float64(b%4)}
+}
+
+func (d *dayDraw) begin() {
+	if d.chance(0.3) {
+		for p := range d.proxies {
+			d.add(Recalled{What: FigureUse, Proxy: p, Value: 20 * d.rand.Float64(), Age: Second, Part: d.rand.Float64()})
+		}
+		d.add(Recalled{What: FigureTotal, Value: 30 * d.rand.Float64(), Age: Second, Part: 1})
+		d.add(Recalled{What: FigureKnee, Value: 40 * d.rand.Float64(), Age: Second, Part: 1})
+		d.add(Recalled{What: FigurePace, Value: 40 * d.rand.Float64(), Age: Second, Part: 1})
+	}
+	var all []Entry
+	for b := range d.backends {
+		all = append(all, d.entry(b, Ready))
+	}
+	d.add(Listed{Kind: ListCached, Entries: all})
+	for b := range d.backends {
+		if d.chance(0.1) {
+			d.add(Recalled{What: FigureRelief, Backend: b, Value: d.rand.Float64(), Part: d.rand.Float64()})
+		}
+	}
+	for p := range d.proxies {
+		if d.chance(0.8) {
+			d.join(p)
+		}
+	}
+}
+
+func (d *dayDraw) add(e ...Event) { d.events = append(d.events, e...) }
+
+func (d *dayDraw) join(p int) {
+	d.add(Joined{Proxy: p, Zone: p % d.deployment.Zones, Rate: 30 * d.rand.Float64(), Brings: d.chance(0.5)})
+}
+
+// draw adds what happens until this step.
+func (d *dayDraw) draw() {
+	due := d.wakes[:0]
+	for _, w := range d.wakes {
+		if w.at <= d.now {
+			d.add(Woken{Name: w.name})
+			continue
+		}
+		due = append(due, w)
+	}
+	d.wakes = due
+	if d.chance(0.03) {
+		d.rush = []float64{0.3, 1, 1, 2, 6}[d.rand.IntN(5)]
+	}
+	if !d.quiet || d.chance(0.1) {
+		d.reports()
+	}
+	if d.chance(0.2) {
+		d.change()
+	}
+	d.answerFences()
+}
+
+func (d *dayDraw) reports() {
+	for p := range d.proxies {
+		if !d.chance(0.3) {
+			continue
+		}
+		for k := range d.deployment.Products {
+			if d.chance(0.9) {
+				txns := float64(d.rand.IntN(30)) * d.rush
+				d.add(Used{Proxy: p, Product: k, Txns: txns, Voided: txns * 0.1 * d.rand.Float64(),
+					Counting: Time(1 + d.rand.IntN(int(2*Second)))})
+			}
+		}
+	}
+	for b := range d.backends {
+		if !d.chance(0.4) {
+			continue
+		}
+		tries := float64(d.rand.IntN(40))
+		slow := 1 + d.rush*d.rush*d.rand.Float64()
+		if b%7 == int(d.now/(40*Second))%7 {
+			slow *= 4
+		}
+		h := Heard{Backend: b, Tries: tries, Voided: float64(d.rand.IntN(3)), Took: Time(400 + 700*slow)}
+		if d.tellsOthers && d.chance(0.5) {
+			d.add(Told{Heard: h, Age: Time(d.rand.IntN(int(5 * Second)))})
+			continue
+		}
+		d.add(h)
+	}
+	if d.tellsOthers && d.chance(0.3) {
+		uses := make([][]float64, len(d.deployment.Products))
+		for k := range uses {
+			for range d.deployment.Zones {
+				uses[k] = append(uses[k], 200*d.rand.Float64())
+			}
+		}
+		d.add(Elsewhere{Uses: uses})
+	}
+	for b := range d.backends {
+		if d.deployment.Probes && d.chance(0.2) {
+			d.add(Probed{Backend: b, Load: []float64{1, float64(d.rand.IntN(20))}})
+		}
+	}
+}
+
+func (d *dayDraw) change() {
+	b, p := d.rand.IntN(d.backends), d.rand.IntN(d.proxies)
+	switch d.rand.IntN(12) {
+	case 0, 1:
+		d.add(Listed{Kind: ListChange, Entries: []Entry{d.entry(b, Draining)}})
+	case 2, 3:
+		e := d.entry(b, Ready)
+		e.Up = d.now
+		d.add(Listed{Kind: ListChange, Entries: []Entry{e}})
+	case 4:
+		d.add(Listed{Kind: ListChange, Entries: []Entry{{Backend: b, Status: Gone}}})
+	case 5:
+		var all []Entry
+		for i := range d.backends {
+			if d.chance(0.85) {
+				all = append(all, d.entry(i, Ready))
+			}
+		}
+		d.add(Listed{Kind: ListFull, Entries: all})
+	case 6:
+		d.add(Listed{Kind: ListFailed})
+	case 7, 8:
+		d.add(Left{Proxy: p})
+		if d.chance(0.7) {
+			d.join(p)
+		}
+	case 9:
+		d.join(p)
+	case 10:
+		if d.cells {
+			d.confine(p)
+		}
+	case 11:
+		d.add(Listed{Kind: ListChange, Entries: []Entry{{Backend: b, Status: Gone}}}, Dropped{Backend: b})
+	}
+}
+
+func (d *dayDraw) confine(p int) {
+	e := Allowed{Proxy: p, Confined: d.chance(0.7), Still: d.chance(0.3)}
+	if d.chance(0.5) {
+		e.Most = 40 * d.rand.Float64()
+	}
+	for b := range d.backends {
+		if d.chance(0.4) {
+			e.Backends = append(e.Backends, b)
+		}
+	}
+	d.add(e)
+}
+
+// answerFences has some proxies say that a batch has reached them.
+func (d *dayDraw) answerFences() {
+	var open []int
+	for _, number := range d.unanswered {
+		if d.slowChannel && d.chance(0.7) {
+			open = append(open, number)
+			continue
+		}
+		for p := range d.proxies {
+			if d.chance(0.9) {
+				d.add(Fenced{Proxy: p, Number: number})
+			}
+		}
+	}
+	d.unanswered = open
+}
+
+func (d *dayDraw) step() {
+	orders := d.a.Step(d.now, d.events)
+	d.events = nil
+	d.played.steps++
+	d.played.orders += len(orders)
+	for _, o := range orders {
+		d.note(o)
+	}
+}
+
+// note takes an order into the digest by its kind's number and its figures, whatever these are called.
+func (d *dayDraw) note(o Order) {
+	write := func(kind int, figures ...any) { _, _ = fmt.Fprintln(d.sum, append([]any{d.now, kind}, figures...)...) }
+	switch o := o.(type) {
+	case Line:
+		write(1, o.Table, o.Backend, o.Weight)
+	case Clear:
+		write(2, o.Table)
+	case Use:
+		write(3, o.Proxy, o.Table, o.Products)
+	case Withdraw:
+		write(4, o.Backend, o.Out, o.Bound)
+	case Gate:
+		write(5, o.Table, o.Level, uint8(o.Tries), o.Products)
+	case Fence:
+		write(6, o.Number, o.All)
+		d.unanswered = append(d.unanswered, o.Number)
+	case Wake:
+		write(7, o.After, o.Name)
+		d.wakes = append(d.wakes, dueWake{d.now + o.After, o.Name})
+	case Probe:
+		write(8, o.Backend)
+	case Follow:
+		write(9, o.On)
+	case Reload:
+		write(10)
+	case Log:
+		write(11, o.Text)
+	default:
+		write(12)
+	}
+}
