--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -23,7 +23,7 @@
 // A panic of an instance becomes its last word, and what it had begun to say is taken back.
 func TestPanic(t *testing.T) {
 	reply := simwire.NewReply(simwire.NewDecoder(strings.NewReader("")))
-	step(reply, 3, policy.New(policy.Deployment{}), 1, []policy.Event{policy.Fenced{Proxy: -1}})
+	step(reply, 3, policy.New(policy.Deployment{}), 1, []policy.Event{policy.MarkerAcked{Proxy: -1}})
 	var out bytes.Buffer
 	_, _ = reply.WriteTo(&out)
 	if got := out.Bytes(); got[7] != 1 || got[8] != 100 || !strings.Contains(string(got), "panic: ") {
--- a/internal/bench/pubsub/channel.go
+++ b/internal/bench/pubsub/channel.go
@@ -338,7 +338,7 @@
 	}
 	gate := textproto.Part{
 		Products: []string{"fetch-result"},
-		Gate:     &textproto.Gate{Level: 12.5, Tries: policy.TryUnrun},
+		Gate:     &textproto.Gate{Level: 12.5, Tries: policy.RetryUnexecuted},
 		Marked:   true,
 		Mark:     905,
 	}
--- a/internal/bench/tenancy/step.go
+++ b/internal/bench/tenancy/step.go
@@ -42,32 +42,32 @@
 	orders := s.c.Step(s.now, events)
 	inCells = time.Since(began)
 	for _, o := range orders {
-		if a, ok := o.(policy.Allowed); ok {
+		if a, ok := o.(policy.ProxyConfined); ok {
 			also = append(also, a)
 			told++
 		}
 	}
 	began = time.Now()
-	s.a.Step(s.now, append(also, policy.Woken{}))
+	s.a.Step(s.now, append(also, policy.TimerFired{}))
 	return inCells, time.Since(began), told
 }
 
 func stageFor(plan tenancy.Plan, list []tenancy.Backend) *stage {
 	d := policy.Deployment{
-		Products:     []policy.Product{{Revenue: 1, SLA: 8000}, {Revenue: 2, SLA: 8000, OwnZone: true}},
-		Zones:        2,
-		Proxies:      stepProxies,
-		GoneBinds:    true,
-		Cold:         10 * policy.Second,
-		ColdCapacity: 0.3,
-		ColdMultiple: 3,
-		ConnsLeast:   4000,
-		LinesPerS:    1e6,
-		LinesMost:    1e7,
-		LinesHead:    6,
-		MessagesOver: 10 * policy.Second,
+		Products:        []policy.Product{{Revenue: 1, SLA: 8000}, {Revenue: 2, SLA: 8000, OwnZone: true}},
+		Zones:           2,
+		Proxies:         stepProxies,
+		RemovalBinds:    true,
+		WarmupTime:      10 * policy.Second,
+		WarmupCapacity:  0.3,
+		WarmupOverload:  3,
+		MinConns:        4000,
+		LinesPerSecond:  1e6,
+		MaxQueuedLines:  1e7,
+		MessageOverhead: 6,
+		MessageWindow:   10 * policy.Second,
 	}
-	plan.Products, plan.Zones, plan.Cold = d.Products, 2, d.Cold
+	plan.Products, plan.Zones, plan.Cold = d.Products, 2, d.WarmupTime
 	s := &stage{c: tenancy.New(stepProxies), a: policy.New(d), now: 1000 * policy.Second}
 	events := []tenancy.Event{tenancy.Listed{Backends: list}, tenancy.Planned{Plan: plan}}
 	var also []policy.Event
@@ -75,10 +75,10 @@
 	for _, b := range list {
 		entries = append(entries, policy.Entry{Backend: b.At, Zone: b.Zone, Status: policy.Ready, Weight: 1})
 	}
-	also = append(also, policy.Listed{Kind: policy.ListFull, Entries: entries})
+	also = append(also, policy.ListUpdate{Kind: policy.ListFull, Entries: entries})
 	for i := range stepProxies {
 		events = append(events, tenancy.Joined{Proxy: i, Zone: i % 2})
-		also = append(also, policy.Joined{Proxy: i, Zone: i % 2, Rate: 5})
+		also = append(also, policy.ProxyConnected{Proxy: i, Zone: i % 2, Rate: 5})
 	}
 	s.step(events, also)
 	for range 3 {
@@ -135,7 +135,7 @@
 	inCells, inChoice, told := s.step(
 		[]tenancy.Event{tenancy.Listed{Backends: list}},
 		[]policy.Event{
-			policy.Listed{Entries: []policy.Entry{{Backend: stepBackends - 1, Zone: 1, Status: policy.Ready, Weight: 1}}},
+			policy.ListUpdate{Entries: []policy.Entry{{Backend: stepBackends - 1, Zone: 1, Status: policy.Ready, Weight: 1}}},
 		},
 	)
 	r.Row("shuffled, one backend comes", millis(inCells), millis(inChoice), told, enter)
@@ -154,7 +154,7 @@
 	}
 	r.Row("... its other steps, the longest, all told", millis(worst), "", all, 17)
 	inCells, inChoice, told = s.step([]tenancy.Event{tenancy.Listed{Backends: list[:stepBackends-1]}},
-		[]policy.Event{policy.Listed{Entries: []policy.Entry{{Backend: stepBackends - 1, Status: policy.Gone}}}})
+		[]policy.Event{policy.ListUpdate{Entries: []policy.Entry{{Backend: stepBackends - 1, Status: policy.Gone}}}})
 	r.Row("20 fixed cells, one backend goes", millis(inCells), millis(inChoice), told, 250)
 	r.Figure = fmt.Sprintf(
 		"one backend that comes to %d: %s ms in cells, %d of %d proxies told, %d is the least",
--- a/internal/controller/config/launch_test.go
+++ b/internal/controller/config/launch_test.go
@@ -59,8 +59,8 @@
 	look, pay := d.Products[0], d.Products[1]
 	if look.SLA != 8000 || look.Revenue != 2 || look.OwnZone || !pay.OwnZone || pay.OnlyZones[0] != 1 ||
 		pay.OnlyKinds[0] != 1 ||
-		d.Proxies != 12 || d.LinesPerS != 3700 ||
-		d.Asked ||
+		d.Proxies != 12 || d.LinesPerSecond != 3700 ||
+		d.PullsList ||
 		len(d.Gauges) > 0 {
 		t.Errorf("deployment %+v", d)
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -244,7 +244,7 @@
 	c.lists.begin(func(tell func(any)) Source {
 		r := discovery.New(c.sheet.Discovery, tell, c.log)
 		r.From(known)
-		go r.Run(!c.sheet.Deployment.Asked || !known.Whole)
+		go r.Run(!c.sheet.Deployment.PullsList || !known.Whole)
 		return r
 	})
 }
--- a/internal/controller/eventloop/carry.go
+++ b/internal/controller/eventloop/carry.go
@@ -24,18 +24,18 @@
 	}
 	for _, o := range orders {
 		switch o := o.(type) {
-		case policy.Line:
+		case policy.SetWeight:
 			t := d.table(o.Table)
 			t.weight = append(t.weight, make([]float64, max(o.Backend+1-len(t.weight), 0))...)
 			t.weight[o.Backend], t.lines = o.Weight, append(t.lines, o.Backend)
 			touchUsers(o.Table)
-		case policy.Clear:
+		case policy.ClearTable:
 			t := d.table(o.Table)
 			clear(t.weight)
 			clear(t.gated)
 			t.cleared, t.lines, t.changed = true, nil, 0
 			touchUsers(o.Table)
-		case policy.Gate:
+		case policy.Admission:
 			t := d.table(o.Table)
 			for k := range d.products {
 				if o.Products == 0 || o.Products>>k&1 > 0 {
@@ -43,7 +43,7 @@
 				}
 			}
 			touchUsers(o.Table)
-		case policy.Use:
+		case policy.AssignTable:
 			p := &d.proxies[o.Proxy]
 			if p.stream == nil {
 				continue
@@ -58,24 +58,24 @@
 			d.use(o.Proxy)
 			touch(o.Proxy)
 		case policy.Withdraw:
-			d.out[o.Backend] = o.Out
-			if !o.Bound {
+			d.out[o.Backend] = o.Withdrawn
+			if !o.Deferred {
 				d.told = append(d.told, o.Backend)
 			}
 			for i := range d.proxies {
 				p := &d.proxies[i]
-				if p.stream != nil && (!o.Bound || !slices.Contains(p.tables, none)) && p.toldOf(o.Backend) != shutFor(o.Out) &&
+				if p.stream != nil && (!o.Deferred || !slices.Contains(p.tables, none)) && p.toldOf(o.Backend) != shutFor(o.Withdrawn) &&
 					d.holds(p, o.Backend) {
 					touch(i)
 				}
 			}
-		case policy.Fence:
+		case policy.Marker:
 			mark, all = o.Number, o.All
-		case policy.Wake:
-			d.wakes = append(d.wakes, wake{at: d.now + max(o.After, 0), name: o.Name})
-		case policy.Follow:
+		case policy.SetTimer:
+			d.wakes = append(d.wakes, wake{at: d.now + max(o.Delay, 0), name: o.Name})
+		case policy.FollowList:
 			d.lists.Follow(o.On)
-		case policy.Reload:
+		case policy.ReloadList:
 			d.lists.Reload()
 		case policy.Log:
 			d.log.Info(o.Text)
@@ -113,7 +113,7 @@
 // table gives a table that an order of this step changes.
 func (d *Desk) table(id int) *table {
 	for len(d.tables) <= id {
-		d.tables = append(d.tables, table{gates: make([]policy.Gate, d.products), gated: make([]bool, d.products)})
+		d.tables = append(d.tables, table{gates: make([]policy.Admission, d.products), gated: make([]bool, d.products)})
 	}
 	if t := &d.tables[id]; !t.laid {
 		t.laid, d.laid = true, append(d.laid, id)
@@ -266,7 +266,7 @@
 	for k := range d.products {
 		if gates>>k&1 > 0 && t.gated[k] {
 			parts = append(parts, textproto.Part{Products: d.productNames(1 << k),
-				Gate: &textproto.Gate{Level: t.gates[k].Level, Tries: t.gates[k].Tries}})
+				Gate: &textproto.Gate{Level: t.gates[k].RateLimit, Tries: t.gates[k].Retries}})
 		}
 	}
 	return parts
--- a/internal/controller/eventloop/confine.go
+++ b/internal/controller/eventloop/confine.go
@@ -25,7 +25,7 @@
 		e := d.entries[at]
 		if on || !d.goneBinds && d.backends[at] != "" && e.Status == policy.Ready {
 			all = append(all, tenancy.Backend{At: at, ID: d.backends[at], Zone: e.Zone, Kind: e.Kind, Status: e.Status,
-				Weight: e.Weight, Up: e.Up})
+				Weight: e.Weight, Up: e.StartedAt})
 		}
 	}
 	return all
@@ -38,19 +38,19 @@
 	listed := false
 	for _, e := range d.events {
 		switch e := e.(type) {
-		case policy.Listed:
+		case policy.ListUpdate:
 			listed = listed || e.Kind != policy.ListFailed
-		case policy.Joined:
+		case policy.ProxyConnected:
 			events = append(events, tenancy.Joined{Proxy: e.Proxy, Zone: e.Zone})
-		case policy.Left:
+		case policy.ProxyDisconnected:
 			events = append(events, tenancy.Left{Proxy: e.Proxy})
-		case policy.Used:
+		case policy.UsageReport:
 			events = append(
 				events,
-				tenancy.Used{Proxy: e.Proxy, Product: e.Product, Txns: e.Txns, Voided: e.Voided, Counting: e.Counting},
+				tenancy.Used{Proxy: e.Proxy, Product: e.Product, Txns: e.Txns, Voided: e.Failed, Counting: e.Period},
 			)
-		case policy.Heard:
-			events = append(events, tenancy.Heard{Backend: e.Backend, Tries: e.Tries, Voided: e.Voided, Took: e.Took})
+		case policy.BackendReport:
+			events = append(events, tenancy.Heard{Backend: e.Backend, Tries: e.Attempts, Voided: e.Failed, Took: e.Latency})
 		}
 	}
 	if listed {
--- a/internal/controller/eventloop/desk.go
+++ b/internal/controller/eventloop/desk.go
@@ -92,7 +92,7 @@
 
 type table struct {
 	weight  []float64
-	gates   []policy.Gate // by product
+	gates   []policy.Admission // by product
 	gated   []bool
 	users   []int  // proxies that are on it, in their order
 	lines   []int  // changed in this step
@@ -158,7 +158,7 @@
 	return &Desk{
 		assigner:  policy.New(d),
 		products:  len(d.Products),
-		goneBinds: d.GoneBinds,
+		goneBinds: d.RemovalBinds,
 		names:     names,
 		lists:     lists,
 		log:       log,
@@ -241,7 +241,7 @@
 	case reconcile.List:
 		d.hearList(said, policy.ListChange)
 	case reconcile.Failed:
-		d.events = append(d.events, policy.Listed{Kind: policy.ListFailed})
+		d.events = append(d.events, policy.ListUpdate{Kind: policy.ListFailed})
 	case textproto.Source:
 		if _, joined := d.owners[from]; joined || d.sources[from] {
 			return errTwice
@@ -262,7 +262,7 @@
 		// Only marks that this stream was sent are answers; each is taken once.
 		if at := slices.Index(p.marks, said.Number); at >= 0 {
 			p.marks = slices.Delete(p.marks, at, at+1)
-			d.events = append(d.events, policy.Fenced{Proxy: said.Proxy, Number: said.Number})
+			d.events = append(d.events, policy.MarkerAcked{Proxy: said.Proxy, Number: said.Number})
 		}
 	case textproto.Used:
 		k := d.product(said.Product)
@@ -271,8 +271,8 @@
 		}
 		p, err := d.speaker(from, said.Proxy)
 		if p != nil {
-			d.events = append(d.events, policy.Used{Proxy: said.Proxy, Product: k, Txns: said.Txns,
-				Voided: said.Voided, Counting: said.Counting})
+			d.events = append(d.events, policy.UsageReport{Proxy: said.Proxy, Product: k, Txns: said.Txns,
+				Failed: said.Voided, Period: said.Counting})
 			if d.onlook != nil && said.Counting > 0 {
 				d.onlook.Uses(
 					said.Proxy,
@@ -294,8 +294,8 @@
 		if !listed {
 			return errBackend
 		}
-		d.events = append(d.events, policy.Heard{Backend: b, Tries: said.Tries, Voided: said.Voided,
-			Took: said.Took})
+		d.events = append(d.events, policy.BackendReport{Backend: b, Attempts: said.Tries, Failed: said.Voided,
+			Latency: said.Took})
 		if d.onlook != nil {
 			d.onlook.Met(
 				said.Backend,
@@ -320,7 +320,7 @@
 			if b, listed := d.index[h.Backend]; listed { // who tells may know another list
 				d.events = append(
 					d.events,
-					policy.Told{Heard: policy.Heard{Backend: b, Tries: h.Tries, Voided: h.Voided, Took: h.Took}, Age: said.Age},
+					policy.RemoteReport{BackendReport: policy.BackendReport{Backend: b, Attempts: h.Tries, Failed: h.Voided, Latency: h.Took}, Age: said.Age},
 				)
 			}
 		}
@@ -333,7 +333,7 @@
 				uses[k][z] += u.Txns
 			}
 		}
-		d.events = append(d.events, policy.Elsewhere{Uses: uses})
+		d.events = append(d.events, policy.RemoteUsage{Uses: uses})
 	case warmstart.Believe:
 		return d.recalled(said)
 	case ShowCells:
@@ -375,7 +375,7 @@
 func (d *Desk) leave(at int) {
 	d.unuse(at)
 	d.proxies[at] = proxy{}
-	d.events = append(d.events, policy.Left{Proxy: at})
+	d.events = append(d.events, policy.ProxyDisconnected{Proxy: at})
 	if d.onlook != nil {
 		d.onlook.Left(at)
 	}
@@ -409,7 +409,7 @@
 	if said.Fresh {
 		p.brought = shutIn // nothing was ordered, so nothing is shut out
 	}
-	d.events = append(d.events, policy.Joined{Proxy: said.Proxy, Zone: zone, Rate: said.Rate, Brings: !said.Fresh})
+	d.events = append(d.events, policy.ProxyConnected{Proxy: said.Proxy, Zone: zone, Rate: said.Rate, BringsTables: !said.Fresh})
 	return nil
 }
 
@@ -442,7 +442,7 @@
 		e := policy.Entry{Backend: at, Zone: zone, Kind: slices.Index(d.names.Kinds, m.Kind),
 			Status: status, Weight: max(m.Size, 0)}
 		if up := m.UpSince * float64(policy.Second) / 1000; up > 0 {
-			e.Up = policy.Time(math.Min(up, float64(longest)))
+			e.StartedAt = policy.Time(math.Min(up, float64(longest)))
 		}
 		entries = append(entries, e)
 		d.entries = append(d.entries, make([]policy.Entry, max(at+1-len(d.entries), 0))...)
@@ -460,7 +460,7 @@
 			d.goneAt[at] = d.now
 		}
 	}
-	d.events = append(d.events, policy.Listed{Kind: kind, Entries: entries})
+	d.events = append(d.events, policy.ListUpdate{Kind: kind, Entries: entries})
 }
 
 // place gives a backend a place of its own, one that was given back where there is one.
@@ -500,7 +500,7 @@
 				t.weight[at] = 0
 			}
 		}
-		d.events = append(d.events, policy.Dropped{Backend: at})
+		d.events = append(d.events, policy.IndexReleased{Backend: at})
 	}
 }
 
@@ -510,7 +510,7 @@
 	due := func(w wake) bool { return w.at <= d.now }
 	for _, w := range d.wakes {
 		if due(w) {
-			d.events = append(d.events, policy.Woken{Name: w.name})
+			d.events = append(d.events, policy.TimerFired{Name: w.name})
 		}
 	}
 	d.wakes = slices.DeleteFunc(d.wakes, due)
--- a/internal/controller/eventloop/desk_test.go
+++ b/internal/controller/eventloop/desk_test.go
@@ -53,9 +53,9 @@
 
 func deploymentOf(proxies int) policy.Deployment {
 	return policy.Deployment{Products: []policy.Product{{Revenue: 1, SLA: 8000}, {Revenue: 2, SLA: 8000},
-		{Revenue: 3, SLA: 8000, OnlyZones: []int{0}}}, Zones: 2, Proxies: proxies, GoneBinds: true,
-		Cold: 17 * policy.Second, ColdCapacity: 0.2, ColdMultiple: 3, ConnsLeast: 500, LinesPerS: 3000, LinesMost: 3000,
-		LinesHead: 6, MessagesOver: 10 * policy.Second}
+		{Revenue: 3, SLA: 8000, OnlyZones: []int{0}}}, Zones: 2, Proxies: proxies, RemovalBinds: true,
+		WarmupTime: 17 * policy.Second, WarmupCapacity: 0.2, WarmupOverload: 3, MinConns: 500, LinesPerSecond: 3000, MaxQueuedLines: 3000,
+		MessageOverhead: 6, MessageWindow: 10 * policy.Second}
 }
 
 func newDesk(proxies int) *Desk {
@@ -91,18 +91,18 @@
 		want []policy.Event
 	}{
 		{first, used, nil},
-		{first, join, []policy.Event{policy.Joined{Proxy: 2, Zone: 1, Rate: 7, Brings: true}}},
+		{first, join, []policy.Event{policy.ProxyConnected{Proxy: 2, Zone: 1, Rate: 7, BringsTables: true}}},
 		{first, join, nil},
-		{first, used, []policy.Event{policy.Used{Proxy: 2, Product: 1, Txns: 3, Counting: 10000}}},
+		{first, used, []policy.Event{policy.UsageReport{Proxy: 2, Product: 1, Txns: 3, Period: 10000}}},
 		{first, textproto.Used{Proxy: 1, Product: "order"}, nil},
 		{older, join, nil},
 		{older, used, nil},
-		{second, join, []policy.Event{policy.Left{Proxy: 2}, policy.Joined{Proxy: 2, Zone: 1, Rate: 7, Brings: true}}},
+		{second, join, []policy.Event{policy.ProxyDisconnected{Proxy: 2}, policy.ProxyConnected{Proxy: 2, Zone: 1, Rate: 7, BringsTables: true}}},
 		{first, used, nil},
 		{first, textproto.Ended{}, nil},
 		{older, textproto.Ended{}, nil},
-		{second, used, []policy.Event{policy.Used{Proxy: 2, Product: 1, Txns: 3, Counting: 10000}}},
-		{second, textproto.Ended{}, []policy.Event{policy.Left{Proxy: 2}}},
+		{second, used, []policy.Event{policy.UsageReport{Proxy: 2, Product: 1, Txns: 3, Period: 10000}}},
+		{second, textproto.Ended{}, []policy.Event{policy.ProxyDisconnected{Proxy: 2}}},
 		{second, textproto.Ended{}, nil},
 	} {
 		d.Hear(News{c.from, c.said})
@@ -158,7 +158,7 @@
 	}
 	d.Hear(News{source, textproto.Used{Proxy: 1, Product: "look", Txns: 1}})
 	d.Hear(News{source, heard})
-	want := []policy.Event{policy.Used{Proxy: 1, Txns: 1}, policy.Heard{Tries: 2}}
+	want := []policy.Event{policy.UsageReport{Proxy: 1, Txns: 1}, policy.BackendReport{Attempts: 2}}
 	if got := d.heard(); !reflect.DeepEqual(got, want) {
 		t.Errorf("from a collector: %+v", got)
 	}
@@ -183,11 +183,11 @@
 	d.Hear(News{Said: list(true, serving("s-2"))})
 	d.Hear(News{Said: reconcile.Failed{}})
 	want := []policy.Event{
-		policy.Listed{Kind: policy.ListCached, Entries: []policy.Entry{{Status: policy.Ready, Weight: 1}}},
-		policy.Listed{Kind: policy.ListChange, Entries: []policy.Entry{{Zone: -1, Kind: -1, Status: policy.Gone},
-			{Backend: 1, Zone: 1, Kind: -1, Status: policy.Draining, Weight: 2, Up: 12345}}},
-		policy.Listed{Kind: policy.ListFull, Entries: []policy.Entry{{Backend: 1, Status: policy.Ready, Weight: 1}}},
-		policy.Listed{Kind: policy.ListFailed},
+		policy.ListUpdate{Kind: policy.ListCached, Entries: []policy.Entry{{Status: policy.Ready, Weight: 1}}},
+		policy.ListUpdate{Kind: policy.ListChange, Entries: []policy.Entry{{Zone: -1, Kind: -1, Status: policy.Gone},
+			{Backend: 1, Zone: 1, Kind: -1, Status: policy.Draining, Weight: 2, StartedAt: 12345}}},
+		policy.ListUpdate{Kind: policy.ListFull, Entries: []policy.Entry{{Backend: 1, Status: policy.Ready, Weight: 1}}},
+		policy.ListUpdate{Kind: policy.ListFailed},
 	}
 	if got := d.heard(); !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
@@ -202,24 +202,24 @@
 	d.Hear(News{fresh, textproto.Joined{Proxy: 1, Zone: "a", Fresh: true}})
 	bind := func(p int) []policy.Order {
 		return []policy.Order{
-			policy.Clear{Table: p},
-			policy.Line{Table: p, Backend: 0, Weight: 1.5},
-			policy.Line{
+			policy.ClearTable{Table: p},
+			policy.SetWeight{Table: p, Backend: 0, Weight: 1.5},
+			policy.SetWeight{
 				Table:   p,
 				Backend: 1,
 				Weight:  1e-5,
 			},
-			policy.Gate{Table: p, Level: 1e6, Tries: policy.TryUnrun, Products: 1},
-			policy.Gate{Table: p, Level: 0.25, Products: 6},
-			policy.Use{Proxy: p, Table: p},
-			policy.Fence{Number: 9},
+			policy.Admission{Table: p, RateLimit: 1e6, Retries: policy.RetryUnexecuted, Products: 1},
+			policy.Admission{Table: p, RateLimit: 0.25, Products: 6},
+			policy.AssignTable{Proxy: p, Table: p},
+			policy.Marker{Number: 9},
 		}
 	}
 	for i, c := range []struct {
 		orders       []policy.Order
 		brings, cold string
 	}{
-		{[]policy.Order{policy.Withdraw{Backend: 1, Out: true}, policy.Withdraw{Backend: 2}}, "CONFIG out=s-1 back=s-2\r\n",
+		{[]policy.Order{policy.Withdraw{Backend: 1, Withdrawn: true}, policy.Withdraw{Backend: 2}}, "CONFIG out=s-1 back=s-2\r\n",
 			"CONFIG out=s-1\r\n"},
 		{bind(0), "CONFIG back=s-0 more=1\r\nCONFIG classes=look+order+pay whole=1 lines=s-0:1.5,s-1:0.00001 more=1\r\n" +
 			"CONFIG classes=look level=1000000 retry=1 more=1\r\nCONFIG classes=order level=0.25 retry=0 more=1\r\n" +
@@ -228,19 +228,19 @@
 			"CONFIG classes=look level=1000000 retry=1 more=1\r\nCONFIG classes=order level=0.25 retry=0 more=1\r\n" +
 			"CONFIG classes=pay level=0.25 retry=0 ticket=9\r\n"},
 		{[]policy.Order{
-			policy.Line{Table: 0, Backend: 0},
-			policy.Line{Table: 0, Backend: 2, Weight: 2},
-			policy.Fence{Number: 10},
+			policy.SetWeight{Table: 0, Backend: 0},
+			policy.SetWeight{Table: 0, Backend: 2, Weight: 2},
+			policy.Marker{Number: 10},
 		},
 			"CONFIG classes=look+order+pay lines=s-0:0,s-2:2 ticket=10\r\n", ""},
-		{[]policy.Order{policy.Withdraw{Backend: 2, Out: true}}, "CONFIG out=s-2\r\n", ""},
-		{[]policy.Order{policy.Withdraw{Backend: 1}, policy.Line{Table: 1, Backend: 2, Weight: 1}}, "CONFIG back=s-1\r\n",
+		{[]policy.Order{policy.Withdraw{Backend: 2, Withdrawn: true}}, "CONFIG out=s-2\r\n", ""},
+		{[]policy.Order{policy.Withdraw{Backend: 1}, policy.SetWeight{Table: 1, Backend: 2, Weight: 1}}, "CONFIG back=s-1\r\n",
 			"CONFIG out=s-2 back=s-1 more=1\r\nCONFIG classes=look+order+pay lines=s-2:1\r\n"},
-		{[]policy.Order{policy.Clear{Table: 1}, policy.Line{Table: 1, Backend: 0, Weight: 3}}, "",
+		{[]policy.Order{policy.ClearTable{Table: 1}, policy.SetWeight{Table: 1, Backend: 0, Weight: 3}}, "",
 			"CONFIG classes=look+order+pay whole=1 lines=s-0:3\r\n"},
-		{[]policy.Order{policy.Use{Proxy: 1, Table: 5, Products: 4}}, "", "CONFIG classes=pay whole=1\r\n"},
-		{[]policy.Order{policy.Fence{Number: 0, All: true}}, "CONFIG ticket=0\r\n", "CONFIG ticket=0\r\n"},
-		{[]policy.Order{policy.Use{Proxy: 3, Table: 1}, policy.Fence{Number: 12}, policy.Note{}, policy.Probe{}}, "", ""},
+		{[]policy.Order{policy.AssignTable{Proxy: 1, Table: 5, Products: 4}}, "", "CONFIG classes=pay whole=1\r\n"},
+		{[]policy.Order{policy.Marker{Number: 0, All: true}}, "CONFIG ticket=0\r\n", "CONFIG ticket=0\r\n"},
+		{[]policy.Order{policy.AssignTable{Proxy: 3, Table: 1}, policy.Marker{Number: 12}, policy.Note{}, policy.Probe{}}, "", ""},
 	} {
 		d.carry(c.orders)
 		if got := strings.Join(brings.take(), "|"); got != c.brings {
@@ -250,7 +250,7 @@
 			t.Errorf("%d: a fresh one got\n%s, want\n%s", i, got, c.cold)
 		}
 	}
-	d.carry([]policy.Order{policy.Follow{On: true}, policy.Reload{}})
+	d.carry([]policy.Order{policy.FollowList{On: true}, policy.ReloadList{}})
 	if got, ok := d.lists.(*asked); !ok || *got != (asked{1, 1}) {
 		t.Errorf("lists were asked for %+v", got)
 	}
@@ -404,7 +404,7 @@
 		d.Hear(News{Said: list(false, gone)})
 		d.Hear(News{source, textproto.Heard{Zone: "a", Backend: fmt.Sprint("s-", i-60), Tries: 9, Took: 500}})
 		for _, e := range d.events {
-			if heard, ok := e.(policy.Heard); ok && i > 60 {
+			if heard, ok := e.(policy.BackendReport); ok && i > 60 {
 				t.Fatalf("%d: heard of place %d, which is %s now", i, heard.Backend, d.backends[heard.Backend])
 			}
 		}
@@ -470,38 +470,38 @@
 				switch rnd.Intn(9) {
 				case 0, 1, 2, 3:
 					w := float64(rnd.Intn(4)) / 4
-					orders = append(orders, policy.Line{Table: id, Backend: b, Weight: w})
+					orders = append(orders, policy.SetWeight{Table: id, Backend: b, Weight: w})
 					for _, h := range tables[id] {
 						if h.lines[name] = w; w == 0 {
 							delete(h.lines, name)
 						}
 					}
 				case 4:
-					orders = append(orders, policy.Clear{Table: id})
+					orders = append(orders, policy.ClearTable{Table: id})
 					clearTable(id)
 				case 5:
-					g := policy.Gate{
-						Table:    id,
-						Level:    float64(rnd.Intn(9)),
-						Tries:    policy.Tries(rnd.Intn(4)),
-						Products: uint16(1 << k),
+					g := policy.Admission{
+						Table:     id,
+						RateLimit: float64(rnd.Intn(9)),
+						Retries:   policy.RetryMode(rnd.Intn(4)),
+						Products:  uint16(1 << k),
 					}
 					orders = append(orders, g)
 					h := tables[id][names.Products[k]]
-					h.level, h.retry = g.Level, int(g.Tries)
+					h.level, h.retry = g.RateLimit, int(g.Retries)
 					tables[id][names.Products[k]] = h
 				case 6, 7:
-					o := policy.Withdraw{Backend: b, Out: rnd.Intn(2) == 0}
+					o := policy.Withdraw{Backend: b, Withdrawn: rnd.Intn(2) == 0}
 					orders = append(orders, o)
-					if delete(out, name); o.Out {
+					if delete(out, name); o.Withdrawn {
 						out[name] = true
 					}
 				case 8:
 					i, other := rnd.Intn(proxyCount), rnd.Intn(tableCount)
 					orders = append(
 						orders,
-						policy.Use{Proxy: i, Table: id, Products: 3},
-						policy.Use{Proxy: i, Table: other, Products: 4},
+						policy.AssignTable{Proxy: i, Table: id, Products: 3},
+						policy.AssignTable{Proxy: i, Table: other, Products: 4},
 					)
 					uses[i] = []int{id, id, other}
 				}
@@ -597,19 +597,19 @@
 			// As Step does, with a look at the orders before they are written.
 			due := func(w wake) bool { return w.at <= now }
 			if slices.ContainsFunc(d.wakes, due) {
-				d.events = append(d.events, policy.Woken{})
+				d.events = append(d.events, policy.TimerFired{})
 			}
 			d.wakes, d.now = slices.DeleteFunc(d.wakes, due), now
 			orders := d.assigner.Step(now, d.heard())
 			charge, ticket, cleared := make([]float64, proxyCount), 0, map[int]bool{}
 			for _, o := range orders {
-				if use, ok := o.(policy.Use); ok {
+				if use, ok := o.(policy.AssignTable); ok {
 					owner[use.Table] = use.Proxy
 				}
 			}
 			for _, o := range orders {
 				switch o := o.(type) {
-				case policy.Line:
+				case policy.SetWeight:
 					charge[owner[o.Table]]++
 					held := !cleared[o.Table] && o.Backend < len(d.tables[o.Table].weight) && d.tables[o.Table].weight[o.Backend] > 0
 					if !held && d.proxies[owner[o.Table]].brought == shutUnknown {
@@ -618,12 +618,12 @@
 					if o.Weight == 0 && d.out[o.Backend] {
 						charge[owner[o.Table]]++ // which lets back what is gone
 					}
-				case policy.Clear:
+				case policy.ClearTable:
 					charge[owner[o.Table]]++
 					cleared[o.Table] = true
-				case policy.Gate:
+				case policy.Admission:
 					charge[owner[o.Table]]++
-				case policy.Use:
+				case policy.AssignTable:
 					charge[o.Proxy]++
 				case policy.Withdraw:
 					for i := range d.proxies {
@@ -631,12 +631,12 @@
 							charge[i]++
 						}
 					}
-				case policy.Fence:
+				case policy.Marker:
 					ticket = o.Number
 				}
 			}
 			d.carry(orders)
-			queue = max(queue-dep.LinesPerS/10, 0)
+			queue = max(queue-dep.LinesPerSecond/10, 0)
 			for i, p := range proxies {
 				if p == nil || len(p.sent) == 0 {
 					continue
@@ -649,12 +649,12 @@
 					t.Errorf("seed %d, step %d, proxy %d: %v lines written, %v charged", seed, step, i, lines, charge[i]+1)
 					return false
 				}
-				queue += dep.LinesHead + float64(p.cost)
+				queue += dep.MessageOverhead + float64(p.cost)
 				if ticket > 0 {
 					answers = append(answers, answer{step + 1 + rnd.Intn(9), i, ticket})
 				}
 			}
-			if mosts = max(mosts, queue); queue > dep.LinesMost {
+			if mosts = max(mosts, queue); queue > dep.MaxQueuedLines {
 				t.Errorf("seed %d, step %d: %v lines wait", seed, step, queue)
 				return false
 			}
--- a/internal/controller/eventloop/many_test.go
+++ b/internal/controller/eventloop/many_test.go
@@ -189,7 +189,7 @@
 
 func shutWhileWaiting(t *testing.T, speed float64, slow bool) {
 	dep := deploymentOf(40)
-	dep.LinesPerS, dep.LinesMost = speed, 6000
+	dep.LinesPerSecond, dep.MaxQueuedLines = speed, 6000
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	d := New(dep, names, &asked{}, logrus.NewEntry(log))
@@ -264,7 +264,7 @@
 		hear("RATE node=0 route=look total=9 errors=1 interval=1000")
 		hear(spoilt)
 		events := d.heard()
-		if len(events) != 1 || events[0] != (policy.Used{Proxy: 0, Txns: 9, Voided: 1, Counting: policy.Second}) {
+		if len(events) != 1 || events[0] != (policy.UsageReport{Proxy: 0, Txns: 9, Failed: 1, Period: policy.Second}) {
 			t.Errorf("beside %q: %v", spoilt, events)
 		}
 	}
--- a/internal/controller/eventloop/memory.go
+++ b/internal/controller/eventloop/memory.go
@@ -19,8 +19,8 @@
 // KeepWith hands on what is worth keeping from now on.
 func (d *Desk) KeepWith(keep Keep) { d.keep = keep }
 
-var figures = map[policy.Figure]warmstart.Kind{policy.FigureUse: warmstart.Use, policy.FigureRelief: warmstart.Relief,
-	policy.FigureTotal: warmstart.Total, policy.FigureKnee: warmstart.Knee, policy.FigurePace: warmstart.Pace}
+var figures = map[policy.Figure]warmstart.Kind{policy.FigureUse: warmstart.Use, policy.FigureDerating: warmstart.Relief,
+	policy.FigureTotalLimit: warmstart.Total, policy.FigureKnee: warmstart.Knee, policy.FigureThroughput: warmstart.Pace}
 
 // recollect tells the keeper what has its turn, under names that hold at every controller.
 func (d *Desk) recollect() {
@@ -28,18 +28,18 @@
 		return
 	}
 	d.keptAt, d.turn = d.now, (d.turn+1)%turns
-	all := d.assigner.Recollect(d.turn, turns)
+	all := d.assigner.Snapshot(d.turn, turns)
 	facts := make([]warmstart.Fact, 0, len(all))
 	for _, r := range all {
 		f := warmstart.Fact{
-			Kind:  figures[r.What],
+			Kind:  figures[r.Figure],
 			Value: r.Value,
 			Age:   time.Duration(r.Age) * time.Second / time.Duration(policy.Second),
 		}
-		switch r.What {
+		switch r.Figure {
 		case policy.FigureUse:
 			f.Key = strconv.Itoa(r.Proxy) + "/" + d.names.Products[r.Product]
-		case policy.FigureRelief:
+		case policy.FigureDerating:
 			// A whole one is told only after one that was not, so that it ends that.
 			d.eased = append(d.eased, make([]bool, max(r.Backend+1-len(d.eased), 0))...)
 			eased := d.eased[r.Backend]
@@ -47,7 +47,7 @@
 			if f.Key = d.backends[r.Backend]; f.Key == "" || r.Value == 1 && !eased {
 				continue
 			}
-		case policy.FigureTotal, policy.FigureKnee, policy.FigurePace: // one each: no key
+		case policy.FigureTotalLimit, policy.FigureKnee, policy.FigureThroughput: // one each: no key
 		}
 		facts = append(facts, f)
 	}
@@ -56,10 +56,10 @@
 
 // recalled puts what is believed of earlier knowledge before the decisions, as a figure with its age.
 func (d *Desk) recalled(b warmstart.Believe) error {
-	r := policy.Recalled{
-		Value: b.Value,
-		Age:   policy.Time(b.Age * time.Duration(policy.Second) / time.Second),
-		Part:  b.Part,
+	r := policy.RestoredFigure{
+		Value:      b.Value,
+		Age:        policy.Time(b.Age * time.Duration(policy.Second) / time.Second),
+		Confidence: b.Part,
 	}
 	switch b.Kind {
 	case warmstart.Use:
@@ -68,7 +68,7 @@
 		if err != nil || at < 0 || at >= len(d.proxies) {
 			return fmt.Errorf("%w: %q", errProxy, b.Key)
 		}
-		if r.What, r.Proxy, r.Product = policy.FigureUse, at, d.product(product); r.Product < 0 {
+		if r.Figure, r.Proxy, r.Product = policy.FigureUse, at, d.product(product); r.Product < 0 {
 			return fmt.Errorf("%w: %q", errProduct, b.Key)
 		}
 	case warmstart.Relief:
@@ -76,13 +76,13 @@
 		if !listed {
 			return fmt.Errorf("%w: %q", errBackend, b.Key)
 		}
-		r.What, r.Backend = policy.FigureRelief, at
+		r.Figure, r.Backend = policy.FigureDerating, at
 	case warmstart.Total:
-		r.What = policy.FigureTotal
+		r.Figure = policy.FigureTotalLimit
 	case warmstart.Knee:
-		r.What = policy.FigureKnee
+		r.Figure = policy.FigureKnee
 	case warmstart.Pace:
-		r.What = policy.FigurePace
+		r.Figure = policy.FigureThroughput
 	default: // lists and shut-outs are settled elsewhere
 		return nil
 	}
--- a/internal/controller/flatsettings/deployment.go
+++ b/internal/controller/flatsettings/deployment.go
@@ -116,32 +116,32 @@
 	p := &pairs{text: flat}
 	zones, kinds := p.list("Zones"), p.list("Shapes")
 	d := policy.Deployment{
-		Zones:        max(len(zones), 1),
-		Proxies:      p.count("Specifics.ProxyCount", 1<<16),
-		Asked:        p.text["Discovery"] == "subscribe",
-		Probes:       p.flag("Ceilings.Probes"),
-		Slices:       p.count("Specifics.Shards", 1<<16),
-		GoneBinds:    !p.flag("Guarantees.DrainBindsAlone"),
-		Cold:         p.span("Guarantees.Cold", true),
-		ColdCapacity: p.number("Guarantees.StartCapacity", 0),
-		ColdMultiple: p.number("Guarantees.TipMultiple", 1),
-		ConnsLeast:   p.number("Specifics.SmallestConnTable", 0),
-		LinesPerS:    p.number("Specifics.LinesPerS", 0),
-		LinesMost:    p.number("Specifics.PendingMax", 0),
-		LinesHead:    p.number("Specifics.Overhead", 0),
-		MessagesMost: p.count("Specifics.PushesAllowed", 1<<20),
-		MessagesOver: p.span("Specifics.MessagesOver", true),
+		Zones:           max(len(zones), 1),
+		Proxies:         p.count("Specifics.ProxyCount", 1<<16),
+		PullsList:       p.text["Discovery"] == "subscribe",
+		Probes:          p.flag("Ceilings.Probes"),
+		Shards:          p.count("Specifics.Shards", 1<<16),
+		RemovalBinds:    !p.flag("Guarantees.DrainBindsAlone"),
+		WarmupTime:      p.span("Guarantees.Cold", true),
+		WarmupCapacity:  p.number("Guarantees.StartCapacity", 0),
+		WarmupOverload:  p.number("Guarantees.TipMultiple", 1),
+		MinConns:        p.number("Specifics.SmallestConnTable", 0),
+		LinesPerSecond:  p.number("Specifics.LinesPerS", 0),
+		MaxQueuedLines:  p.number("Specifics.PendingMax", 0),
+		MessageOverhead: p.number("Specifics.Overhead", 0),
+		MaxMessages:     p.count("Specifics.PushesAllowed", 1<<20),
+		MessageWindow:   p.span("Specifics.MessagesOver", true),
 	}
 	switch p.text["Specifics.ThrottleBy"] {
 	case "ratio":
-		d.Levels = policy.LevelShare
+		d.Limits = policy.LimitShare
 	case "none":
-		d.Levels = policy.LevelNone
+		d.Limits = policy.LimitNone
 	}
 	for _, f := range p.list("Report.Fields") {
 		gauge := policy.GaugeOther
 		if f == "active" {
-			gauge = policy.GaugeHeld
+			gauge = policy.GaugeInFlight
 		}
 		d.Gauges = append(d.Gauges, gauge)
 	}
--- a/internal/controller/operatorfile/cells.go
+++ b/internal/controller/operatorfile/cells.go
@@ -201,7 +201,7 @@
 // For gives the plan with what the platform's settings say of products and zones.
 func (c *Cells) For(d policy.Deployment) tenancy.Plan {
 	p := c.Plan
-	p.Products, p.Zones, p.Cold = d.Products, d.Zones, d.Cold
+	p.Products, p.Zones, p.Cold = d.Products, d.Zones, d.WarmupTime
 	return p
 }
 
--- a/internal/controller/tenancy/cells.go
+++ b/internal/controller/tenancy/cells.go
@@ -43,7 +43,7 @@
 // Undo reverts a move that is under way.
 type Undo struct{ Tenant string }
 
-// Order is a policy.Allowed or a Note.
+// Order is a policy.ProxyConfined or a Note.
 type Order any
 
 // Note is a line for people.
@@ -130,7 +130,7 @@
 	zone         int
 	tenant       int       // -1: none
 	txns, voided []float64 // a second, by product
-	told         policy.Allowed
+	told         policy.ProxyConfined
 	ever         bool // it was told something
 }
 
@@ -766,13 +766,13 @@
 			} else if t.phase != steady && i >= t.done {
 				may = union(settled, leaving)
 			}
-			c.send(p, policy.Allowed{Proxy: at, Confined: true, Backends: may, Most: shares[i],
-				Still: c.now < t.calm || t.sick || t.spent || t.phase == moving && i < t.both})
+			c.send(p, policy.ProxyConfined{Proxy: at, Confined: true, Backends: may, MaxRate: shares[i],
+				NoRetries: c.now < t.calm || t.sick || t.spent || t.phase == moving && i < t.both})
 		}
 	}
 	for i := range c.proxies {
 		if p := &c.proxies[i]; p.tenant < 0 && p.joined && p.ever && p.told.Confined {
-			c.send(p, policy.Allowed{Proxy: i})
+			c.send(p, policy.ProxyConfined{Proxy: i})
 		}
 	}
 }
@@ -810,11 +810,11 @@
 	return shares
 }
 
-func (c *Cells) send(p *proxy, o policy.Allowed) {
+func (c *Cells) send(p *proxy, o policy.ProxyConfined) {
 	was := p.told
-	near := was.Most > 0 && o.Most > 0 && o.Most < was.Most*(1+leastTell) && o.Most > was.Most*(1-leastTell)
-	if p.ever && was.Confined == o.Confined && was.Still == o.Still && slices.Equal(was.Backends, o.Backends) &&
-		(near || was.Most == o.Most) {
+	near := was.MaxRate > 0 && o.MaxRate > 0 && o.MaxRate < was.MaxRate*(1+leastTell) && o.MaxRate > was.MaxRate*(1-leastTell)
+	if p.ever && was.Confined == o.Confined && was.NoRetries == o.NoRetries && slices.Equal(was.Backends, o.Backends) &&
+		(near || was.MaxRate == o.MaxRate) {
 		return
 	}
 	p.told, p.ever = o, true
--- a/internal/controller/tenancy/cells_test.go
+++ b/internal/controller/tenancy/cells_test.go
@@ -60,13 +60,13 @@
 	c     *Cells
 	now   Time
 	list  []Backend
-	may   map[int]policy.Allowed
+	may   map[int]policy.ProxyConfined
 	notes []string
 	sent  int
 }
 
 func newDay(t *testing.T, p Plan, list []Backend, proxies int) *day {
-	d := &day{T: t, c: New(proxies), now: 1000 * second, list: list, may: map[int]policy.Allowed{}}
+	d := &day{T: t, c: New(proxies), now: 1000 * second, list: list, may: map[int]policy.ProxyConfined{}}
 	events := []Event{Listed{list}, Planned{p}}
 	for i := range proxies {
 		events = append(events, Joined{Proxy: i, Zone: i % p.Zones})
@@ -79,7 +79,7 @@
 	d.notes, d.sent = nil, 0
 	for _, o := range d.c.Step(d.now, events) {
 		switch o := o.(type) {
-		case policy.Allowed:
+		case policy.ProxyConfined:
 			d.may[o.Proxy] = o
 			d.sent++
 		case Note:
@@ -248,7 +248,7 @@
 				alive = append(alive, at)
 			}
 		}
-		if d.may[0].Most > 0 && d.may[0].Most <= p.Trickle {
+		if d.may[0].MaxRate > 0 && d.may[0].MaxRate <= p.Trickle {
 			break // what it lets in kills nobody
 		}
 		killed += len(alive)
@@ -258,7 +258,7 @@
 	if !holds(notes, "is shut in") || killed > 20 {
 		t.Errorf("%d of 40 are killed; %v", killed, notes)
 	}
-	if got := d.may[0]; len(got.Backends) == 0 || got.Most != p.Trickle {
+	if got := d.may[0]; len(got.Backends) == 0 || got.MaxRate != p.Trickle {
 		t.Errorf("shut in with %+v", got)
 	}
 }
@@ -283,7 +283,7 @@
 			} else if i >= 2*part+2 {
 				want, still = red, false
 			}
-			if got := d.may[i]; !slices.Equal(got.Backends, want) || got.Still != still {
+			if got := d.may[i]; !slices.Equal(got.Backends, want) || got.NoRetries != still {
 				t.Errorf("part %d, proxy %d: %+v, want %v", part, i, got, want)
 			}
 		}
@@ -293,7 +293,7 @@
 	}
 	d.pass(10)
 	for i := range 8 {
-		if got := d.may[i]; !slices.Equal(got.Backends, blue) || got.Still {
+		if got := d.may[i]; !slices.Equal(got.Backends, blue) || got.NoRetries {
 			t.Errorf("proxy %d ends with %+v", i, got)
 		}
 	}
@@ -311,7 +311,7 @@
 		t.Errorf("notes %v", d.notes)
 	}
 	d.step(Undo{"acme"})
-	if got := d.may[0]; !slices.Equal(got.Backends, blue) || !got.Still {
+	if got := d.may[0]; !slices.Equal(got.Backends, blue) || !got.NoRetries {
 		t.Errorf("undone, proxy 0 has %+v", got)
 	}
 }
@@ -497,17 +497,17 @@
 	}
 	notes := d.pass(10, news(0.9)...)
 	big, small := d.may[0], d.may[1]
-	if !holds(notes, "tenant t0 is bounded") || big.Most == 0 || big.Most > 35 || small.Most < 4.9 || !big.Still {
+	if !holds(notes, "tenant t0 is bounded") || big.MaxRate == 0 || big.MaxRate > 35 || small.MaxRate < 4.9 || !big.NoRetries {
 		t.Errorf("%v; the big one %+v, the small one %+v", notes, big, small)
 	}
 	for i := 2; i < 10; i++ {
-		if own := d.may[i]; own.Most > 0 &&
+		if own := d.may[i]; own.MaxRate > 0 &&
 			!slices.ContainsFunc(own.Backends, func(at int) bool { return slices.Contains(sick, at) }) {
 			t.Errorf("proxy %d is bounded too: %+v", i, own)
 		}
 	}
 	notes = d.pass(60, news(0)...)
-	if d.may[0].Most != 0 || !holds(notes, "no longer bounded") {
+	if d.may[0].MaxRate != 0 || !holds(notes, "no longer bounded") {
 		t.Errorf("after a minute %+v", d.may[0])
 	}
 }
@@ -568,8 +568,8 @@
 		still  bool
 	}{{15, false}, {40, true}, {5, false}} {
 		d.pass(8, news(c.voided)...)
-		if d.may[0].Still != c.still || d.may[1].Still != c.still || d.may[2].Still {
-			t.Errorf("%v of 200 voided: %v %v, the other cell %v", c.voided, d.may[0].Still, d.may[1].Still, d.may[2].Still)
+		if d.may[0].NoRetries != c.still || d.may[1].NoRetries != c.still || d.may[2].NoRetries {
+			t.Errorf("%v of 200 voided: %v %v, the other cell %v", c.voided, d.may[0].NoRetries, d.may[1].NoRetries, d.may[2].NoRetries)
 		}
 	}
 }
--- a/internal/controller/textproto/edge.go
+++ b/internal/controller/textproto/edge.go
@@ -258,7 +258,7 @@
 // Gate is a level with the way of trying again.
 type Gate struct {
 	Level float64
-	Tries policy.Tries
+	Tries policy.RetryMode
 }
 
 // Part is one line of a message to a proxy.
--- a/internal/controller/textproto/edge_test.go
+++ b/internal/controller/textproto/edge_test.go
@@ -74,7 +74,7 @@
 func TestAppend(t *testing.T) {
 	parts := []Part{{Out: []string{"s-1", "s-2"}, Back: []string{"s-3"}},
 		{Products: []string{"lookup", "order"}, Whole: true, Lines: []Line{{"s-1", 1.5}, {"s-2", 0}, {"s-3", 1e-7}}},
-		{Products: []string{"order"}, Gate: &Gate{Level: 1e21, Tries: policy.TryThrice}, Marked: true, Mark: 905}}
+		{Products: []string{"order"}, Gate: &Gate{Level: 1e21, Tries: policy.RetryTwice}, Marked: true, Mark: 905}}
 	want := "CONFIG out=s-1,s-2 back=s-3 more=1\r\n" +
 		"CONFIG classes=lookup+order whole=1 lines=s-1:1.5,s-2:0,s-3:0.0000001 more=1\r\n" +
 		"CONFIG classes=order level=1000000000000000000000 retry=3 ticket=905\r\n"
--- a/internal/controlplane/steering/events.go
+++ b/internal/controlplane/steering/events.go
@@ -55,7 +55,7 @@
 	events := slices.Clone(s.pendingEvents)
 	s.pendingEvents = s.pendingEvents[:0]
 	if len(s.changedEntries) > 0 {
-		events = append(events, policy.Listed{Kind: policy.ListChange, Entries: slices.Clone(s.changedEntries)})
+		events = append(events, policy.ListUpdate{Kind: policy.ListChange, Entries: slices.Clone(s.changedEntries)})
 		s.changedEntries = s.changedEntries[:0]
 	}
 	events = append(events, s.recollected...)
@@ -77,7 +77,7 @@
 			// A load of 0 for the last report: otherwise policy takes it for a proxy that it knows nothing of.
 			state.idleTicks, state.reportedUpTo = 0, p.reported-1
 		}
-		events = append(events, policy.Joined{Proxy: p.index, Zone: p.zone})
+		events = append(events, policy.ProxyConnected{Proxy: p.index, Zone: p.zone})
 	}
 	if state.requests == 0 {
 		return events
@@ -89,11 +89,11 @@
 		admitted = min(admitted, state.rateLimit*seconds)
 	}
 	succeeded := state.requests - min(state.failed, state.requests)
-	events = append(events, policy.Used{
-		Proxy:    p.index,
-		Txns:     state.requests,
-		Voided:   max(admitted-succeeded, 0),
-		Counting: policy.Time(seconds * float64(policy.Second)),
+	events = append(events, policy.UsageReport{
+		Proxy:  p.index,
+		Txns:   state.requests,
+		Failed: max(admitted-succeeded, 0),
+		Period: policy.Time(seconds * float64(policy.Second)),
 	})
 	state.follow(state.requests, seconds)
 	state.requests, state.failed, state.idleTicks = 0, 0, 0
@@ -109,9 +109,9 @@
 		if state.attempts == 0 {
 			continue
 		}
-		heard := policy.Heard{Backend: index, Tries: state.attempts, Voided: state.failed}
+		heard := policy.BackendReport{Backend: index, Attempts: state.attempts, Failed: state.failed}
 		if state.measured > 0 {
-			heard.Took = policy.Time(state.latencySum / state.measured)
+			heard.Latency = policy.Time(state.latencySum / state.measured)
 		}
 		measured += state.measured
 		latencySum += state.latencySum
@@ -136,7 +136,7 @@
 		if !state.joined || seconds <= 0 || state.idleTicks >= maxIdleTicks {
 			continue
 		}
-		events = append(events, policy.Used{Proxy: i, Counting: policy.Time(seconds * float64(policy.Second))})
+		events = append(events, policy.UsageReport{Proxy: i, Period: policy.Time(seconds * float64(policy.Second))})
 		state.follow(0, seconds)
 		state.reportedUpTo = p.reported
 		state.idleTicks++
--- a/internal/controlplane/steering/service.go
+++ b/internal/controlplane/steering/service.go
@@ -97,7 +97,7 @@
 		return
 	}
 	s.recollected = nil
-	for _, recollection := range s.assigner.Recollect(0, 1) {
+	for _, recollection := range s.assigner.Snapshot(0, 1) {
 		s.recollected = append(s.recollected, recollection)
 	}
 	s.assigner, s.alarms, s.pendingEvents, s.tables, s.fence = nil, nil, nil, nil, -1
@@ -118,21 +118,21 @@
 		Products: []policy.Product{{Revenue: 1, SLA: policyTime(targetFactor * s.latencyTarget)}},
 		Zones:    len(s.adapter.zones),
 		// No more proxies than are here: what is limited is their total, which a leave does not change (docs/design.md).
-		Proxies:      1,
-		Levels:       policy.LevelRate,
-		GoneBinds:    true,
-		Cold:         unlimitedWarmup,
-		ColdMultiple: math.Inf(1),
-		FirstTick:    s.firstTick(at),
+		Proxies:        1,
+		Limits:         policy.LimitRate,
+		RemovalBinds:   true,
+		WarmupTime:     unlimitedWarmup,
+		WarmupOverload: math.Inf(1),
+		FirstTick:      s.firstTick(at),
 	})
 	s.alarms = nil
 	s.applyOrders(at, s.assigner.Step(at, nil))
 	// Policy believes the load of other zones by steps, a tick each. Before it does, it takes all zones to ask for
 	// what the own one does, or for nothing, and sends requests to other zones on the calmest day.
 	for range spilloverBeliefSteps {
-		events := []policy.Event{policy.Elsewhere{Uses: [][]float64{make([]float64, len(s.adapter.zones))}}}
+		events := []policy.Event{policy.RemoteUsage{Uses: [][]float64{make([]float64, len(s.adapter.zones))}}}
 		for _, alarm := range s.alarms {
-			events = append(events, policy.Woken{Name: alarm.name})
+			events = append(events, policy.TimerFired{Name: alarm.name})
 		}
 		s.assigner.Step(at, events)
 	}
@@ -169,7 +169,7 @@
 		return nil
 	}
 	events = append(events, s.idleEvents()...)
-	events = append(events, policy.Elsewhere{Uses: [][]float64{s.loadElsewhere(due)}})
+	events = append(events, policy.RemoteUsage{Uses: [][]float64{s.loadElsewhere(due)}})
 	events = append(events, s.fenceEvents()...)
 	events = append(events, s.takeAlarms(at)...)
 	updates := s.applyOrders(due, s.assigner.Step(due, events))
@@ -201,7 +201,7 @@
 func (s *service) takeAlarms(at policy.Time) (events []policy.Event) {
 	for _, alarm := range s.alarms {
 		if alarm.isDue(at) {
-			events = append(events, policy.Woken{Name: alarm.name})
+			events = append(events, policy.TimerFired{Name: alarm.name})
 		}
 	}
 	s.alarms = slices.DeleteFunc(s.alarms, func(a alarm) bool { return a.isDue(at) })
@@ -212,7 +212,7 @@
 func (s *service) fenceEvents() (events []policy.Event) {
 	for i := range s.proxies {
 		if s.fence >= 0 && s.proxies[i].joined {
-			events = append(events, policy.Fenced{Proxy: i, Number: s.fence})
+			events = append(events, policy.MarkerAcked{Proxy: i, Number: s.fence})
 		}
 	}
 	s.fence = -1
@@ -230,7 +230,7 @@
 	// One that comes while there is traffic has just started, and begins with little. One that was there before this node
 	// knew of it does not.
 	if isNew && s.hasTraffic && s.adapter.now >= s.adapter.startedAt+startupDuration {
-		state.entry.Up = max(policyTime(s.adapter.now), 1)
+		state.entry.StartedAt = max(policyTime(s.adapter.now), 1)
 	}
 	state.entry.Zone = s.adapter.zoneIndex(e.Zone)
 	state.entry.Weight = float64(max(e.Capacity, 1))
@@ -277,7 +277,7 @@
 		}
 		delete(s.indexOf, id)
 		s.ids[index], s.endpoints[index] = "", endpointState{}
-		s.pendingEvents = append(s.pendingEvents, policy.Dropped{Backend: index})
+		s.pendingEvents = append(s.pendingEvents, policy.IndexReleased{Backend: index})
 	}
 }
 
@@ -293,7 +293,7 @@
 func (s *service) proxyLeft(p *proxy) {
 	state := s.proxyState(p)
 	if state.joined {
-		s.pendingEvents = append(s.pendingEvents, policy.Left{Proxy: p.index})
+		s.pendingEvents = append(s.pendingEvents, policy.ProxyDisconnected{Proxy: p.index})
 	}
 	*state = proxyState{idleTicks: maxIdleTicks}
 }
--- a/internal/controlplane/steering/spillover.go
+++ b/internal/controlplane/steering/spillover.go
@@ -100,10 +100,10 @@
 }
 
 func capacityInSlowStart(entry *policy.Entry, at policy.Time) float64 {
-	if entry.Up <= 0 {
+	if entry.StartedAt <= 0 {
 		return entry.Weight
 	}
-	steps := max(at-entry.Up, 0) / rampStep
+	steps := max(at-entry.StartedAt, 0) / rampStep
 	return entry.Weight * min(1, rampStart*math.Exp2(float64(min(steps, maxRampSteps))))
 }
 
--- a/internal/controlplane/steering/tables.go
+++ b/internal/controlplane/steering/tables.go
@@ -72,28 +72,28 @@
 
 func (s *service) applyOrder(at policy.Time, order policy.Order, markDirty func(id int) *tableState) {
 	switch o := order.(type) {
-	case policy.Clear:
+	case policy.ClearTable:
 		clear(markDirty(o.Table).weights) // it comes only before a Use, and the table is told whole then
-	case policy.Line:
+	case policy.SetWeight:
 		t := markDirty(o.Table)
 		t.weights = append(t.weights, make([]float64, max(len(s.ids)-len(t.weights), 0))...)
 		s.notePrevious(t, o.Backend)
 		t.weights[o.Backend] = o.Weight
-	case policy.Gate:
+	case policy.Admission:
 		t := markDirty(o.Table)
-		t.rateLimit = max(o.Level, minRateLimit)
-		if o.Level >= unlimitedRate {
+		t.rateLimit = max(o.RateLimit, minRateLimit)
+		if o.RateLimit >= unlimitedRate {
 			t.rateLimit = 0
 		}
-	case policy.Use: // each proxy has a table of its own
+	case policy.AssignTable: // each proxy has a table of its own
 		t := markDirty(o.Table)
 		t.proxy, t.full = o.Proxy, true
 	case policy.Withdraw:
 		s.withdraw(o, markDirty)
-	case policy.Fence:
+	case policy.Marker:
 		s.fence = o.Number
-	case policy.Wake:
-		s.alarms = append(s.alarms, alarm{at: at + max(o.After, 0), name: o.Name})
+	case policy.SetTimer:
+		s.alarms = append(s.alarms, alarm{at: at + max(o.Delay, 0), name: o.Name})
 	case policy.Log:
 		if s.adapter.Log != nil {
 			s.adapter.Log(s.name, o.Text)
@@ -108,7 +108,7 @@
 			s.notePrevious(markDirty(id), o.Backend)
 		}
 	}
-	s.endpoints[o.Backend].withdrawn = o.Out
+	s.endpoints[o.Backend].withdrawn = o.Withdrawn
 }
 
 func (s *service) notePrevious(t *tableState, endpoint int) {
--- a/internal/emulator/emu.go
+++ b/internal/emulator/emu.go
@@ -473,19 +473,19 @@
 	}
 	names := flatsettings.Names{Kinds: []string{"m"}}
 	dep := policy.Deployment{
-		Zones:        w.Zones,
-		Proxies:      len(w.Proxies),
-		GoneBinds:    true,
-		Cold:         w.Cold,
-		ColdCapacity: w.ColdLeast,
-		ColdMultiple: w.ColdMost,
-		ConnsLeast:   2000,
-		LinesPerS:    cmp.Or(w.LinesPerS, 3000),
-		LinesMost:    cmp.Or(w.LinesMost, 6000),
-		LinesHead:    headLines,
-		MessagesMost: 60,
-		MessagesOver: 10 * second,
-		FirstTick:    c.phase(second),
+		Zones:           w.Zones,
+		Proxies:         len(w.Proxies),
+		RemovalBinds:    true,
+		WarmupTime:      w.Cold,
+		WarmupCapacity:  w.ColdLeast,
+		WarmupOverload:  w.ColdMost,
+		MinConns:        2000,
+		LinesPerSecond:  cmp.Or(w.LinesPerS, 3000),
+		MaxQueuedLines:  cmp.Or(w.LinesMost, 6000),
+		MessageOverhead: headLines,
+		MaxMessages:     60,
+		MessageWindow:   10 * second,
+		FirstTick:       c.phase(second),
 	}
 	for z := range w.Zones {
 		names.Zones = append(names.Zones, w.zone(z))
--- a/internal/emulator/txns.go
+++ b/internal/emulator/txns.go
@@ -217,7 +217,7 @@
 		if p.fails[id] >= shunAfter {
 			p.shun[id], p.fails[id] = w.Now+shunFor, 0
 		}
-		if n == 0 && (w.Careless || !ran && p.tables[k].tries >= int(policy.TryUnrun)) {
+		if n == 0 && (w.Careless || !ran && p.tables[k].tries >= int(policy.RetryUnexecuted)) {
 			p.try(txn, k, work, 1, append(not, id), done)
 			return
 		}
--- a/internal/policy/allowed_test.go
+++ b/internal/policy/allowed_test.go
@@ -7,7 +7,7 @@
 func TestAllowed(t *testing.T) {
 	r := start(t, deployment())
 	r.second(reports(15, calm, 1000)...)
-	r.step(Allowed{Proxy: 0, Confined: true, Backends: []int{1, 2}})
+	r.step(ProxyConfined{Proxy: 0, Confined: true, Backends: []int{1, 2}})
 	r.second(reports(15, calm, 1000)...)
 	lines := func(proxy, product int) (all [4]bool) {
 		for b := range 4 {
@@ -23,31 +23,31 @@
 	if got := lines(1, 0); !got[2] || !got[3] {
 		t.Errorf("the free proxy: %v", got)
 	}
-	r.step(Left{Proxy: 0}, Joined{Proxy: 0, Zone: 0, Rate: 50, Brings: true})
+	r.step(ProxyDisconnected{Proxy: 0}, ProxyConnected{Proxy: 0, Zone: 0, Rate: 50, BringsTables: true})
 	if got := lines(0, 1); got[0] || !got[1] {
 		t.Errorf("joined again: %v", got)
 	}
-	r.second(append(reports(15, calm, 1000), Listed{Entries: []Entry{{Backend: 1, Status: Draining, Weight: 1}}})...)
+	r.second(append(reports(15, calm, 1000), ListUpdate{Entries: []Entry{{Backend: 1, Status: Draining, Weight: 1}}})...)
 	r.second(reports(15, calm, 1000)...)
 	if got := lines(0, 1); !got[0] || got[1] {
 		t.Errorf("with nothing open at home inside: %v", got)
 	}
-	r.second(append(reports(15, calm, 1000), Listed{Entries: []Entry{ready(1, 0)}})...)
+	r.second(append(reports(15, calm, 1000), ListUpdate{Entries: []Entry{ready(1, 0)}})...)
 	for range 3 {
 		r.second(reports(15, calm, 1000)...)
 	}
 	if got := lines(0, 1); got[0] || !got[1] {
 		t.Errorf("open again inside: %v", got)
 	}
-	r.step(Allowed{Proxy: 0})
+	r.step(ProxyConfined{Proxy: 0})
 	for range 3 {
 		r.second(reports(15, calm, 1000)...)
 	}
 	if got := lines(0, 1); !got[0] || !got[1] {
 		t.Errorf("free again: %v", got)
 	}
-	r.step(Allowed{Proxy: 0, Confined: true, Backends: []int{3}}, Listed{Entries: []Entry{{Backend: 3, Status: Gone}}}, Dropped{Backend: 3})
-	if r.a.px[0].may(3) {
+	r.step(ProxyConfined{Proxy: 0, Confined: true, Backends: []int{3}}, ListUpdate{Entries: []Entry{{Backend: 3, Status: Gone}}}, IndexReleased{Backend: 3})
+	if r.a.proxies[0].mayUse(3) {
 		t.Error("an index that is given back is still allowed")
 	}
 }
@@ -59,28 +59,28 @@
 	for range 3 {
 		r.second(reports(30, calm, 1000)...)
 	}
-	if r.gate(0, 0).Level < 30 || r.gate(0, 0).Tries != TryUnrun {
+	if r.gate(0, 0).RateLimit < 30 || r.gate(0, 0).Retries != RetryUnexecuted {
 		t.Fatalf("at first %+v", r.gate(0, 0))
 	}
-	r.step(Allowed{Proxy: 0, Confined: true, Backends: []int{0, 1, 2, 3}, Most: 45, Still: true})
+	r.step(ProxyConfined{Proxy: 0, Confined: true, Backends: []int{0, 1, 2, 3}, MaxRate: 45, NoRetries: true})
 	for range 3 {
 		r.second(reports(30, calm, 1000)...)
 	}
 	sum := 0.0
 	for k := range 3 {
-		sum += r.gate(0, k).Level
-		if r.gate(0, k).Tries != TryOnce {
+		sum += r.gate(0, k).RateLimit
+		if r.gate(0, k).Retries != NoRetry {
 			t.Errorf("product %d: %+v", k, r.gate(0, k))
 		}
 	}
-	if sum < 40 || sum > 50 || r.gate(1, 0).Level < 30 || r.gate(1, 0).Tries != TryUnrun {
+	if sum < 40 || sum > 50 || r.gate(1, 0).RateLimit < 30 || r.gate(1, 0).Retries != RetryUnexecuted {
 		t.Errorf("levels sum to %.1f; the other proxy has %+v", sum, r.gate(1, 0))
 	}
-	r.step(Allowed{Proxy: 0, Confined: true, Backends: []int{0, 1, 2, 3}})
+	r.step(ProxyConfined{Proxy: 0, Confined: true, Backends: []int{0, 1, 2, 3}})
 	for range 3 {
 		r.second(reports(30, calm, 1000)...)
 	}
-	if r.gate(0, 0).Level < 30 || r.gate(0, 0).Tries != TryUnrun {
+	if r.gate(0, 0).RateLimit < 30 || r.gate(0, 0).Retries != RetryUnexecuted {
 		t.Errorf("unbounded again %+v", r.gate(0, 0))
 	}
 }
@@ -88,18 +88,18 @@
 // Where the channel has room for one, a proxy that is bounded waits for the one that is not, however busy it is.
 func TestAllowedChannel(t *testing.T) {
 	d := deployment()
-	d.LinesMost, d.LinesPerS = 60, 30 // little room
+	d.MaxQueuedLines, d.LinesPerSecond = 60, 30 // little room
 	r := start(t, d)
 	for range 3 {
 		r.second(reports(15, calm, 1000)...)
 	}
-	r.step(Allowed{Proxy: 0, Confined: true, Backends: []int{0, 1, 2, 3}, Most: 1000})
+	r.step(ProxyConfined{Proxy: 0, Confined: true, Backends: []int{0, 1, 2, 3}, MaxRate: 1000})
 	first := -1
 	for range 40 {
 		r.a.urgent = true
-		for _, o := range r.second(append(reports(15, calm, 1000), Used{Proxy: 0, Txns: 500, Counting: Second},
-			Listed{Entries: []Entry{{Backend: 1, Zone: 0, Status: Ready, Weight: 3}, {Backend: 3, Zone: 1, Status: Ready, Weight: 3}}})...) {
-			if l, ok := o.(Line); ok && first < 0 {
+		for _, o := range r.second(append(reports(15, calm, 1000), UsageReport{Proxy: 0, Txns: 500, Period: Second},
+			ListUpdate{Entries: []Entry{{Backend: 1, Zone: 0, Status: Ready, Weight: 3}, {Backend: 3, Zone: 1, Status: Ready, Weight: 3}}})...) {
+			if l, ok := o.(SetWeight); ok && first < 0 {
 				first = l.Table / len(r.a.groups)
 			}
 		}
--- a/internal/policy/choice_test.go
+++ b/internal/policy/choice_test.go
@@ -24,7 +24,7 @@
 	} {
 		var in []*proxy
 		for i := range c.level {
-			in = append(in, &proxy{level: c.level[i : i+1], use: c.use[i : i+1], heard: !c.silent[i]})
+			in = append(in, &proxy{limit: c.level[i : i+1], use: c.use[i : i+1], hasReported: !c.silent[i]})
 		}
 		shareRate(in, 0, c.total)
 		for i, w := range c.want {
@@ -40,7 +40,7 @@
 	r := start(t, deployment())
 	heavy := ready(1, 0)
 	heavy.Weight = 3
-	r.step(Listed{Entries: []Entry{heavy, ready(4, 1), ready(5, 1)}})
+	r.step(ListUpdate{Entries: []Entry{heavy, ready(4, 1), ready(5, 1)}})
 	for range 6 {
 		r.second(reports(15, calm, 1000)...)
 	}
@@ -53,7 +53,7 @@
 func TestSpill(t *testing.T) {
 	r := start(t, deployment())
 	for range 4 {
-		r.second(append(reports(15, calm, 1000), Used{Proxy: 0, Txns: 90, Counting: Second})...)
+		r.second(append(reports(15, calm, 1000), UsageReport{Proxy: 0, Txns: 90, Period: Second})...)
 	}
 	if r.weight(0, 0, 2) <= 0 || r.weight(0, 1, 2) != 0 || r.weight(1, 0, 0) != 0 {
 		t.Error("want the free product of zone 0 alone to open lines to zone 1")
@@ -65,11 +65,11 @@
 func TestDropped(t *testing.T) {
 	r := start(t, deployment())
 	slow := reports(15, calm, 1000)
-	slow = append(slow, Heard{Backend: 0, Tries: 30, Voided: 30})
+	slow = append(slow, BackendReport{Backend: 0, Attempts: 30, Failed: 30})
 	cold := ready(0, 0)
-	cold.Up = r.now
-	r.second(append(slow, Listed{Entries: []Entry{cold}})...)
-	r.second(Listed{Entries: []Entry{{Backend: 0, Status: Gone}}})
+	cold.StartedAt = r.now
+	r.second(append(slow, ListUpdate{Entries: []Entry{cold}})...)
+	r.second(ListUpdate{Entries: []Entry{{Backend: 0, Status: Gone}}})
 	lines := func() (n int) {
 		for _, table := range r.tables {
 			if table[0] > 0 {
@@ -80,22 +80,22 @@
 	}
 	r.second()
 	kept := lines()
-	for r.now < 1000*Second+goneKeep+5*Second {
+	for r.now < 1000*Second+goneRetention+5*Second {
 		r.second(reports(15, calm, 1000)...)
 	}
 	if kept == 0 || lines() > 0 {
 		t.Errorf("%d lines of a backend that may come again, %d of one that is gone for good", kept, lines())
 	}
-	r.step(Dropped{Backend: 0}, Dropped{Backend: 99})
+	r.step(IndexReleased{Backend: 0}, IndexReleased{Backend: 99})
 	fresh := newRig(t, deployment())
-	fresh.a.grow(1)
-	used, unused := reflect.ValueOf(r.a.be), reflect.ValueOf(fresh.a.be)
+	fresh.a.ensureBackend(1)
+	used, unused := reflect.ValueOf(r.a.backends), reflect.ValueOf(fresh.a.backends)
 	for i := range used.NumField() {
 		if got, want := used.Field(i).Index(0), unused.Field(i).Index(0); !got.Equal(want) {
 			t.Errorf("%s is %v, of an index never used %v", used.Type().Field(i).Name, got, want)
 		}
 	}
-	if r.a.px[0].picked[0] {
+	if r.a.proxies[0].subset[0] {
 		t.Error("it is still picked")
 	}
 }
@@ -104,19 +104,19 @@
 // what comes by chance; it outlives a stream that breaks and comes again; without news it is no longer believed.
 func TestKnown(t *testing.T) {
 	r := newRig(t, deployment())
-	r.step(Listed{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0)}}, Joined{Proxy: 0, Rate: 1.5})
-	if l := r.gate(0, 0).Level; l < 3 || l > 4 {
+	r.step(ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0)}}, ProxyConnected{Proxy: 0, Rate: 1.5})
+	if l := r.gate(0, 0).RateLimit; l < 3 || l > 4 {
 		t.Errorf("level %v for one that is said to get 1.5 by chance", l)
 	}
-	p := &r.a.px[0]
-	r.second(Used{Proxy: 0, Product: 0, Txns: 9, Counting: Second})
-	if p.use[0] != 9 || p.use[1] != 0.5 || r.gate(0, 0).Level < noLevel {
-		t.Errorf("use %v, level %v after a report of one product", p.use, r.gate(0, 0).Level)
+	p := &r.a.proxies[0]
+	r.second(UsageReport{Proxy: 0, Product: 0, Txns: 9, Period: Second})
+	if p.use[0] != 9 || p.use[1] != 0.5 || r.gate(0, 0).RateLimit < unlimited {
+		t.Errorf("use %v, level %v after a report of one product", p.use, r.gate(0, 0).RateLimit)
 	}
-	r.second(Left{Proxy: 0})
-	r.second(Joined{Proxy: 0, Rate: 1.5})
-	if p.use[0] != 9 || r.gate(0, 0).Level < noLevel {
-		t.Errorf("use %v, level %v on a new stream", p.use, r.gate(0, 0).Level)
+	r.second(ProxyDisconnected{Proxy: 0})
+	r.second(ProxyConnected{Proxy: 0, Rate: 1.5})
+	if p.use[0] != 9 || r.gate(0, 0).RateLimit < unlimited {
+		t.Errorf("use %v, level %v on a new stream", p.use, r.gate(0, 0).RateLimit)
 	}
 	for range 20 {
 		r.second()
@@ -124,11 +124,11 @@
 	if p.use[0] > 0.1 {
 		t.Errorf("use %v after 20 s without news", p.use)
 	}
-	r.second(Left{Proxy: 0})
-	r.now += 2 * useStale
-	r.second(Joined{Proxy: 0, Rate: 1.5})
-	if p.use[0] != 0.5 || r.gate(0, 0).Level >= noLevel {
-		t.Errorf("use %v, level %v of one that was long away", p.use, r.gate(0, 0).Level)
+	r.second(ProxyDisconnected{Proxy: 0})
+	r.now += 2 * useTimeout
+	r.second(ProxyConnected{Proxy: 0, Rate: 1.5})
+	if p.use[0] != 0.5 || r.gate(0, 0).RateLimit >= unlimited {
+		t.Errorf("use %v, level %v of one that was long away", p.use, r.gate(0, 0).RateLimit)
 	}
 }
 
@@ -136,14 +136,14 @@
 func TestColdInTables(t *testing.T) {
 	r := start(t, deployment())
 	again := ready(0, 0)
-	again.Up = r.now
+	again.StartedAt = r.now
 	r.now += Second / 2
-	r.step(Listed{Entries: []Entry{again}}, Woken{})
+	r.step(ListUpdate{Entries: []Entry{again}}, TimerFired{})
 	at := r.weight(0, 1, 0)
 	for range 6 {
 		r.second(reports(15, calm, 1000)...)
 	}
-	if w := r.weight(0, 1, 0); at < rampStart || at > 0.25 || w < 0.4 || w > 0.6 {
+	if w := r.weight(0, 1, 0); at < slowStartBegin || at > 0.25 || w < 0.4 || w > 0.6 {
 		t.Errorf("weight %v of a cold backend that can do a fifth, %v after 6 s of 15", at, w)
 	}
 }
@@ -152,28 +152,28 @@
 // that starts into callers who ask again and again lets in no more than its proxies are said to get.
 func TestColdZone(t *testing.T) {
 	r := start(t, deployment())
-	if l := r.gate(0, 0).Level; l > 51 {
+	if l := r.gate(0, 0).RateLimit; l > 51 {
 		t.Errorf("level %v at the start of a proxy that is said to get 50", l)
 	}
 	r.second(reports(15, calm, 1000)...)
 	cold := []Entry{ready(0, 0), ready(1, 0)}
-	cold[0].Up, cold[1].Up = r.now, r.now
-	r.step(Listed{Entries: []Entry{{Backend: 0}, {Backend: 1}}})
+	cold[0].StartedAt, cold[1].StartedAt = r.now, r.now
+	r.step(ListUpdate{Entries: []Entry{{Backend: 0}, {Backend: 1}}})
 	r.second(reports(60, calm, 1000)...)
-	r.step(Listed{Entries: cold[:1]})
-	if l := r.gate(0, 1).Level; l > 30 || l <= 0 {
+	r.step(ListUpdate{Entries: cold[:1]})
+	if l := r.gate(0, 1).RateLimit; l > 30 || l <= 0 {
 		t.Errorf("level %v with one cold backend for all", l)
 	}
-	r.step(Listed{Entries: []Entry{ready(1, 0)}}) // long up: warm
+	r.step(ListUpdate{Entries: []Entry{ready(1, 0)}}) // long up: warm
 	r.second(reports(60, calm, 1000)...)
-	before := r.gate(0, 1).Level
-	if before >= noLevel {
+	before := r.gate(0, 1).RateLimit
+	if before >= unlimited {
 		t.Error("a level without bound beside a cold line: callers may ask far more than was heard of")
 	}
 	for range 2 { // proxies shun what voids: the cold backend would get its part too
 		r.second(reports(60, []float64{0, 1, 1, 1}, 1000)...)
 	}
-	if l := r.gate(0, 1).Level; l >= before || l <= 0 {
+	if l := r.gate(0, 1).RateLimit; l >= before || l <= 0 {
 		t.Errorf("level %v after %v where all warm backends void", l, before)
 	}
 }
@@ -184,14 +184,14 @@
 func TestDrains(t *testing.T) {
 	for _, binds := range []bool{true, false} {
 		d := deployment()
-		d.GoneBinds = binds
+		d.RemovalBinds = binds
 		r := start(t, d)
-		r.a.queue, r.count = 0.9*d.LinesMost, 0
-		r.step(Listed{Entries: []Entry{{Backend: 0, Status: Draining}, {Backend: 2, Status: Gone}}})
-		if r.weight(0, 1, 0) != 0 || (r.weight(1, 1, 2) == 0) != binds || r.a.queue > 0.92*d.LinesMost {
-			t.Errorf("gone binds %v: tables %v, %v lines wait", binds, r.tables, r.a.queue)
+		r.a.queuedLines, r.count = 0.9*d.MaxQueuedLines, 0
+		r.step(ListUpdate{Entries: []Entry{{Backend: 0, Status: Draining}, {Backend: 2, Status: Gone}}})
+		if r.weight(0, 1, 0) != 0 || (r.weight(1, 1, 2) == 0) != binds || r.a.queuedLines > 0.92*d.MaxQueuedLines {
+			t.Errorf("gone binds %v: tables %v, %v lines wait", binds, r.tables, r.a.queuedLines)
 		}
-		r.step(Listed{Entries: []Entry{{Status: Ready, Up: r.now, Weight: 1}}})
+		r.step(ListUpdate{Entries: []Entry{{Status: Ready, StartedAt: r.now, Weight: 1}}})
 		for range 2 { // a dropped one goes once tries there fail too
 			r.second(reports(15, []float64{0, 0, 1, 0}, 1000)...)
 		}
@@ -204,15 +204,15 @@
 // With many proxies each has a few lines, every backend gets its part, and the loss of one moves few lines.
 func TestPicks(t *testing.T) {
 	d := deployment()
-	d.Proxies, d.ConnsLeast, d.LinesMost, d.LinesPerS = 300, 400, 1e6, 1e6
+	d.Proxies, d.MinConns, d.MaxQueuedLines, d.LinesPerSecond = 300, 400, 1e6, 1e6
 	r := newRig(t, d)
-	l, lines := Listed{Kind: ListCached}, make([]int, 40)
+	l, lines := ListUpdate{Kind: ListCached}, make([]int, 40)
 	for b := range lines {
 		l.Entries = append(l.Entries, ready(b, b%2))
 	}
 	events := []Event{l}
 	for p := range d.Proxies {
-		events = append(events, Joined{Proxy: p, Zone: p % 2, Rate: 3})
+		events = append(events, ProxyConnected{Proxy: p, Zone: p % 2, Rate: 3})
 	}
 	r.step(events...)
 	for p := range d.Proxies {
@@ -225,7 +225,7 @@
 	if slices.Min(lines) < 25 || slices.Max(lines) > 35 { // 300 proxies of 4 lines over 40
 		t.Errorf("lines by backend: %v", lines)
 	}
-	r.step(Listed{Entries: []Entry{{Backend: 0, Status: Gone}}})
+	r.step(ListUpdate{Entries: []Entry{{Backend: 0, Status: Gone}}})
 	if r.second(); r.count > 400 {
 		t.Errorf("%d orders for the loss of one backend in 40", r.count)
 	}
@@ -234,18 +234,18 @@
 // A proxy that joins again is bound anew; one that crossed to a full channel waits, the busiest first.
 func TestJoins(t *testing.T) {
 	d := deployment()
-	d.LinesMost = 40
+	d.MaxQueuedLines = 40
 	r := start(t, d)
 	r.second()
-	r.step(Left{Proxy: 0})
+	r.step(ProxyDisconnected{Proxy: 0})
 	r.uses = map[[2]int]int{}
 	r.now += 10 * Second
-	r.step(Fenced{Proxy: 1, Number: r.a.batch}, Joined{Proxy: 0, Zone: 0, Rate: 5}, Joined{Proxy: 2, Zone: 0, Rate: 500})
+	r.step(MarkerAcked{Proxy: 1, Number: r.a.batch}, ProxyConnected{Proxy: 0, Zone: 0, Rate: 5}, ProxyConnected{Proxy: 2, Zone: 0, Rate: 500})
 	if _, ok := r.uses[[2]int{2, 0}]; !ok || len(r.uses) != len(d.Products) {
 		t.Errorf("bound: %v, want the busiest alone: the channel has room for no more", r.uses)
 	}
 	r.now += 10 * Second
-	r.step(Fenced{Proxy: 2, Number: r.a.batch}, Woken{})
+	r.step(MarkerAcked{Proxy: 2, Number: r.a.batch}, TimerFired{})
 	if _, ok := r.uses[[2]int{0, 0}]; !ok {
 		t.Error("the other proxy was not bound later")
 	}
@@ -256,14 +256,14 @@
 	charged := func(brings bool) (queue, lines float64) {
 		r := start(t, deployment())
 		r.second()
-		r.step(Fenced{Proxy: 0, Number: r.a.batch}, Fenced{Proxy: 1, Number: r.a.batch}, Left{Proxy: 0})
-		before := r.a.queue
-		for _, o := range r.step(Joined{Proxy: 0, Zone: 0, Rate: 50, Brings: brings}) {
-			if _, ok := o.(Line); ok {
+		r.step(MarkerAcked{Proxy: 0, Number: r.a.batch}, MarkerAcked{Proxy: 1, Number: r.a.batch}, ProxyDisconnected{Proxy: 0})
+		before := r.a.queuedLines
+		for _, o := range r.step(ProxyConnected{Proxy: 0, Zone: 0, Rate: 50, BringsTables: brings}) {
+			if _, ok := o.(SetWeight); ok {
 				lines++
 			}
 		}
-		return r.a.queue - before, lines
+		return r.a.queuedLines - before, lines
 	}
 	plain, lines := charged(false)
 	if more, _ := charged(true); lines == 0 || more-plain != lines {
@@ -274,17 +274,17 @@
 // However often the list changes, a proxy is written no more than the site allows, and the channel no fuller.
 func TestChannel(t *testing.T) {
 	d := deployment()
-	d.LinesMost = 120
+	d.MaxQueuedLines = 120
 	r := start(t, d)
 	messages, lines := 1, 0.0
 	for i := range 60 {
 		r.now += Second / 10
 		again := ready(i%4, i%4/2)
-		again.Up = r.now
-		r.step(Listed{Entries: []Entry{again}})
-		messages, lines = max(messages, len(r.a.px[0].sent)), max(lines, r.a.queue)
+		again.StartedAt = r.now
+		r.step(ListUpdate{Entries: []Entry{again}})
+		messages, lines = max(messages, len(r.a.proxies[0].sent)), max(lines, r.a.queuedLines)
 	}
-	if messages > d.MessagesMost || lines > d.LinesMost+6*slowChan*d.LinesPerS {
+	if messages > d.MaxMessages || lines > d.MaxQueuedLines+6*slowChannelPart*d.LinesPerSecond {
 		t.Errorf("%d messages to one proxy, %v lines without an answer", messages, lines)
 	}
 }
@@ -294,35 +294,35 @@
 func TestOverload(t *testing.T) {
 	r := start(t, deployment())
 	r.second(reports(50, calm, 1000)...)
-	if r.a.total != 0 {
+	if r.a.totalLimit != 0 {
 		t.Fatal("bounded without overload")
 	}
 	r.second(reports(50, []float64{.3, .3, .3, .3}, 6000)...)
-	first := r.a.total
-	if first <= 0 || r.gate(0, 0).Level >= 50 || r.gate(0, 1).Level != noLevel {
+	first := r.a.totalLimit
+	if first <= 0 || r.gate(0, 0).RateLimit >= 50 || r.gate(0, 1).RateLimit != unlimited {
 		t.Fatalf("total %v, levels %v and %v: want the least revenue held back alone", first, r.gate(0, 0), r.gate(0, 1))
 	}
 	for range 4 {
 		r.second(reports(50, []float64{.9, .9, .9, .9}, 6000)...)
 	}
-	if r.a.total < first {
-		t.Errorf("total cut from %v to %v by what was sent before", first, r.a.total)
+	if r.a.totalLimit < first {
+		t.Errorf("total cut from %v to %v by what was sent before", first, r.a.totalLimit)
 	}
 	r.second(reports(50, []float64{.1, .1, .1, .1}, 1000)...)
-	if r.a.total != r.a.knee || r.gate(0, 0).Tries != TryUnrun {
-		t.Errorf("total %v, knee %v: quick answers did not end the cut", r.a.total, r.a.knee)
+	if r.a.totalLimit != r.a.knee || r.gate(0, 0).Retries != RetryUnexecuted {
+		t.Errorf("total %v, knee %v: quick answers did not end the cut", r.a.totalLimit, r.a.knee)
 	}
-	knee := r.a.total
+	knee := r.a.totalLimit
 	for range 5 { // callers whose txns were declined ask again meanwhile
 		r.second(reports(80, calm, 1000)...)
 	}
-	if r.a.total < 1.4*knee {
-		t.Errorf("total rose from %v to %v in 5 s of answers that are far from late", knee, r.a.total)
+	if r.a.totalLimit < 1.4*knee {
+		t.Errorf("total rose from %v to %v in 5 s of answers that are far from late", knee, r.a.totalLimit)
 	}
 	for range 120 {
 		r.second(reports(20, calm, 1000)...)
 	}
-	if r.a.total != 0 || r.gate(0, 0).Level != noLevel || r.gate(1, 0).Level != noLevel {
+	if r.a.totalLimit != 0 || r.gate(0, 0).RateLimit != unlimited || r.gate(1, 0).RateLimit != unlimited {
 		t.Error("levels stayed after the overload")
 	}
 }
@@ -331,10 +331,10 @@
 func TestTotalFollowsProxies(t *testing.T) {
 	r := start(t, deployment())
 	r.second(reports(50, []float64{.3, .3, .3, .3}, 6000)...)
-	before := r.a.total
-	r.second(Joined{Proxy: 2, Zone: 0, Rate: 150}, Joined{Proxy: 3, Zone: 1, Rate: 150})
-	if before <= 0 || r.a.total < 1.9*before {
-		t.Errorf("total %v after %v though twice as many proxies are joined", r.a.total, before)
+	before := r.a.totalLimit
+	r.second(ProxyConnected{Proxy: 2, Zone: 0, Rate: 150}, ProxyConnected{Proxy: 3, Zone: 1, Rate: 150})
+	if before <= 0 || r.a.totalLimit < 1.9*before {
+		t.Errorf("total %v after %v though twice as many proxies are joined", r.a.totalLimit, before)
 	}
 }
 
@@ -343,27 +343,27 @@
 func TestWide(t *testing.T) {
 	const proxies, backends = 400, 30
 	d := deployment()
-	d.Proxies, d.ConnsLeast = proxies, 500
+	d.Proxies, d.MinConns = proxies, 500
 	r := newRig(t, d)
 	var list []Entry
 	for b := range backends {
 		list = append(list, ready(b, b%2))
 	}
-	r.step(Listed{Kind: ListCached, Entries: list})
+	r.step(ListUpdate{Kind: ListCached, Entries: list})
 	var joins []Event
 	for p := range proxies {
-		joins = append(joins, Joined{Proxy: p, Zone: p % 2, Rate: 1 + float64(p%40), Brings: true})
+		joins = append(joins, ProxyConnected{Proxy: p, Zone: p % 2, Rate: 1 + float64(p%40), BringsTables: true})
 	}
 	lines := func(orders []Order) (first, least, n float64) {
 		for _, o := range orders {
 			switch o := o.(type) {
-			case Use:
+			case AssignTable:
 				rate := 1 + float64(o.Proxy%40)
-				if n += d.LinesHead; least == 0 {
+				if n += d.MessageOverhead; least == 0 {
 					first = rate
 				}
 				least = rate
-			case Line, Gate, Clear, Fence:
+			case SetWeight, Admission, ClearTable, Marker:
 				n++
 			}
 		}
@@ -373,12 +373,12 @@
 	for bound := 0; bound < proxies; seconds++ {
 		first, least, n := lines(r.second(joins...))
 		joins = nil
-		if waits = max(waits-d.LinesPerS, 0) + n; waits > d.LinesMost || first < least {
+		if waits = max(waits-d.LinesPerSecond, 0) + n; waits > d.MaxQueuedLines || first < least {
 			t.Fatalf("second %d: %v lines wait, one of %v/s before one of %v/s", seconds, waits, first, least)
 		}
 		bound = 0
-		for p := range r.a.px {
-			if r.a.px[p].bound {
+		for p := range r.a.proxies {
+			if r.a.proxies[p].assigned {
 				bound++
 			}
 		}
@@ -386,7 +386,7 @@
 			t.Fatalf("%d of %d proxies have tables after %d s", bound, proxies, seconds)
 		}
 	}
-	if _, _, n := lines(r.second()); n > d.LinesPerS/2 {
+	if _, _, n := lines(r.second()); n > d.LinesPerSecond/2 {
 		t.Errorf("%v lines in a calm second", n)
 	}
 }
@@ -395,23 +395,23 @@
 // served, and the most for a unit of weight, follow them; a first cut is not made from a part of the fleet.
 func TestServedFollowsProxies(t *testing.T) {
 	r := newRig(t, deployment())
-	r.step(Listed{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}},
-		Joined{Proxy: 0, Rate: 24})
+	r.step(ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}},
+		ProxyConnected{Proxy: 0, Rate: 24})
 	for range 4 {
 		r.second()
 	}
-	r.second(Joined{Proxy: 1, Rate: 6}, Joined{Proxy: 2, Rate: 6}, Joined{Proxy: 3, Rate: 6})
+	r.second(ProxyConnected{Proxy: 1, Rate: 6}, ProxyConnected{Proxy: 2, Rate: 6}, ProxyConnected{Proxy: 3, Rate: 6})
 	for p := range 4 {
-		r.step(Used{Proxy: p, Product: 0, Txns: 4, Counting: Second})
+		r.step(UsageReport{Proxy: p, Product: 0, Txns: 4, Period: Second})
 	}
 	for range 20 {
 		r.second(reports(4, calm, 1000)...)
 	}
-	if pace := r.a.served / 4; r.a.pace > 2*pace {
-		t.Errorf("pace %v where %v is served for a unit of weight", r.a.pace, pace)
+	if pace := r.a.served / 4; r.a.throughput > 2*pace {
+		t.Errorf("pace %v where %v is served for a unit of weight", r.a.throughput, pace)
 	}
 	served := r.a.served
-	if r.second(append(reports(4, calm, 1000), Left{Proxy: 2}, Left{Proxy: 3})...); r.a.served > 0.7*served {
+	if r.second(append(reports(4, calm, 1000), ProxyDisconnected{Proxy: 2}, ProxyDisconnected{Proxy: 3})...); r.a.served > 0.7*served {
 		t.Errorf("%v of %v served after half of the proxies left", r.a.served, served)
 	}
 }
@@ -420,20 +420,20 @@
 func TestHot(t *testing.T) {
 	r := start(t, deployment())
 	r.second(reports(15, calm, 9000)...)
-	if r.a.be.relief[0] != 1 {
+	if r.a.backends.derating[0] != 1 {
 		t.Error("relieved though all are slow alike")
 	}
 	slow := reports(15, calm, 1000)
-	slow[0] = Heard{Backend: 0, Tries: 30, Took: 9000}
+	slow[0] = BackendReport{Backend: 0, Attempts: 30, Latency: 9000}
 	r.second(slow...)
 	r.second(slow...)
-	if got := r.a.be.relief[0]; got != easeBy {
-		t.Errorf("relief %v after two ticks of the same news, want one step to %v", got, easeBy)
+	if got := r.a.backends.derating[0]; got != deratingStep {
+		t.Errorf("relief %v after two ticks of the same news, want one step to %v", got, deratingStep)
 	}
 	for range 40 {
 		r.second(slow...)
 	}
-	if r.a.be.relief[0] != easeLeast || r.weight(0, 1, 0) <= 0 {
+	if r.a.backends.derating[0] != minDerating || r.weight(0, 1, 0) <= 0 {
 		t.Error("a slow backend must keep a small line, so that its return shows")
 	}
 	for range 60 {
@@ -448,16 +448,16 @@
 func TestHeld(t *testing.T) {
 	for _, held := range []float64{5, 20} {
 		d := deployment()
-		d.Probes, d.Gauges = true, []Gauge{GaugeOther, GaugeHeld}
+		d.Probes, d.Gauges = true, []Gauge{GaugeOther, GaugeInFlight}
 		r := start(t, d)
 		probed := slices.Contains(r.second(reports(15, calm, 1000)...), Order(Probe{Backend: 3}))
 		e := reports(15, calm, 1000)
 		for b := range 4 {
-			e = append(e, Probed{Backend: b, Load: []float64{0.9, held}})
+			e = append(e, ProbeResult{Backend: b, Load: []float64{0.9, held}})
 		}
 		r.second(e...)
-		if !probed || (r.a.total > 0) != (held > 10) {
-			t.Errorf("probed %v, %v held: total %v", probed, held, r.a.total)
+		if !probed || (r.a.totalLimit > 0) != (held > 10) {
+			t.Errorf("probed %v, %v held: total %v", probed, held, r.a.totalLimit)
 		}
 	}
 }
@@ -465,24 +465,24 @@
 // Levels as shares, no levels, slices, discovery that is asked: nothing is ordered that is an error there.
 func TestOtherDeployments(t *testing.T) {
 	d := deployment()
-	for kind, most := range map[LevelKind]float64{LevelShare: 0.99, LevelNone: noLevel} {
-		d.Levels, d.Asked = kind, true
+	for kind, most := range map[LimitKind]float64{LimitShare: 0.99, LimitNone: unlimited} {
+		d.Limits, d.PullsList = kind, true
 		r := start(t, d)
 		for range 4 {
 			r.second(reports(50, []float64{.4, .4, .4, .4}, 6000)...)
 		}
-		if l := r.gate(0, 0).Level; l <= 0 || l > most || kind == LevelNone && l < noLevel {
+		if l := r.gate(0, 0).RateLimit; l <= 0 || l > most || kind == LimitNone && l < unlimited {
 			t.Errorf("kind %v: level %v under overload", kind, l)
 		}
-		r.step(Listed{Kind: ListFailed})
-		if !slices.Contains(r.second(), Order(Follow{On: true})) {
+		r.step(ListUpdate{Kind: ListFailed})
+		if !slices.Contains(r.second(), Order(FollowList{On: true})) {
 			t.Error("the list was not asked for again")
 		}
 	}
-	d.Slices = 10
+	d.Shards = 10
 	r := start(t, d)
-	orders := r.step(Listed{Entries: []Entry{{Backend: 1, Status: Draining}}})
-	if len(r.uses) != 0 || len(orders) != 2 || orders[0] != (Order)(Withdraw{Backend: 1, Out: true}) {
+	orders := r.step(ListUpdate{Entries: []Entry{{Backend: 1, Status: Draining}}})
+	if len(r.uses) != 0 || len(orders) != 2 || orders[0] != (Order)(Withdraw{Backend: 1, Withdrawn: true}) {
 		t.Errorf("with slices: %v", orders)
 	}
 }
@@ -491,11 +491,11 @@
 // so that the limit holds, and what can wait is held back while it is still worth something.
 func TestSlowedChannel(t *testing.T) {
 	d := deployment()
-	d.Proxies, d.LinesPerS, d.LinesMost, d.MessagesMost = 60, 200, 2000, 0
+	d.Proxies, d.LinesPerSecond, d.MaxQueuedLines, d.MaxMessages = 60, 200, 2000, 0
 	r := newRig(t, d)
-	events := []Event{Listed{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}}}
+	events := []Event{ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}}}
 	for p := range d.Proxies {
-		events = append(events, Joined{Proxy: p, Zone: p % 2, Rate: 5})
+		events = append(events, ProxyConnected{Proxy: p, Zone: p % 2, Rate: 5})
 	}
 	type written struct {
 		batch int
@@ -504,25 +504,25 @@
 	var channel []written
 	waiting, most, counted := 0.0, 0.0, 0
 	for i := range 120 {
-		for left := 0.05 * d.LinesPerS; len(channel) > 0 && left > 0; { // a twentieth of its pace
+		for left := 0.05 * d.LinesPerSecond; len(channel) > 0 && left > 0; { // a twentieth of its pace
 			now := min(left, channel[0].lines)
 			channel[0].lines, left, waiting = channel[0].lines-now, left-now, waiting-now
 			if channel[0].lines == 0 {
-				events, channel = append(events, Fenced{Proxy: i % d.Proxies, Number: channel[0].batch}), channel[1:]
+				events, channel = append(events, MarkerAcked{Proxy: i % d.Proxies, Number: channel[0].batch}), channel[1:]
 			}
 		}
 		b := i % 4
-		events = append(events, Listed{Entries: []Entry{{Backend: b, Zone: b / 2, Status: Draining, Weight: 1}}},
-			Listed{Entries: []Entry{{Backend: b, Zone: b / 2, Status: Ready, Weight: 1 + float64(i%3), Up: r.now}}})
+		events = append(events, ListUpdate{Entries: []Entry{{Backend: b, Zone: b / 2, Status: Draining, Weight: 1}}},
+			ListUpdate{Entries: []Entry{{Backend: b, Zone: b / 2, Status: Ready, Weight: 1 + float64(i%3), StartedAt: r.now}}})
 		r.now += Second
-		r.step(append(events, Woken{})...)
+		r.step(append(events, TimerFired{})...)
 		events = nil
 		if r.a.batch == counted {
 			continue
 		}
 		counted = r.a.batch
 		lines := 0.0
-		for _, p := range r.a.in {
+		for _, p := range r.a.connected {
 			if n := len(p.sent); n > 0 && p.sent[n-1].batch == counted {
 				lines += p.sent[n-1].cost
 			}
@@ -530,8 +530,8 @@
 		channel, waiting = append(channel, written{counted, lines}), waiting+lines
 		most = max(most, waiting)
 	}
-	if most > d.LinesMost || most < d.LinesPerS {
-		t.Errorf("%v lines waited where %v may", most, d.LinesMost)
+	if most > d.MaxQueuedLines || most < d.LinesPerSecond {
+		t.Errorf("%v lines waited where %v may", most, d.MaxQueuedLines)
 	}
 }
 
@@ -539,44 +539,44 @@
 // of a small batch get ahead of those of a large one before it. The large one is not taken for gone then.
 func TestOvertaken(t *testing.T) {
 	d := deployment()
-	d.Proxies, d.LinesPerS, d.LinesMost, d.MessagesMost = 200, 1000, 4000, 0
+	d.Proxies, d.LinesPerSecond, d.MaxQueuedLines, d.MaxMessages = 200, 1000, 4000, 0
 	r := newRig(t, d)
-	events := []Event{Listed{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}}}
+	events := []Event{ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}}}
 	for p := range d.Proxies - 1 {
-		events = append(events, Joined{Proxy: p, Zone: p % 2, Rate: 5, Brings: true})
+		events = append(events, ProxyConnected{Proxy: p, Zone: p % 2, Rate: 5, BringsTables: true})
 	}
 	r.step(events...)
-	large := r.a.waits
+	large := r.a.unackedLines
 	r.now += Second / 20
-	r.step(Joined{Proxy: d.Proxies - 1, Zone: 0, Rate: 5000})
+	r.step(ProxyConnected{Proxy: d.Proxies - 1, Zone: 0, Rate: 5000})
 	r.now += Second / 2
-	r.step(Fenced{Proxy: d.Proxies - 1, Number: r.a.batch}, Listed{Entries: []Entry{{Backend: 0, Zone: 0, Status: Draining, Weight: 1}}})
-	if large < 500 || r.a.waits < large {
-		t.Errorf("%v lines may wait after a later batch was answered, %v of the first one do", r.a.waits, large)
+	r.step(MarkerAcked{Proxy: d.Proxies - 1, Number: r.a.batch}, ListUpdate{Entries: []Entry{{Backend: 0, Zone: 0, Status: Draining, Weight: 1}}})
+	if large < 500 || r.a.unackedLines < large {
+		t.Errorf("%v lines may wait after a later batch was answered, %v of the first one do", r.a.unackedLines, large)
 	}
-	for i := range r.a.px { // what each answers for itself has left
-		r.step(Fenced{Proxy: i, Number: r.a.batch})
+	for i := range r.a.proxies { // what each answers for itself has left
+		r.step(MarkerAcked{Proxy: i, Number: r.a.batch})
 	}
 	before := r.now
 	r.now += Second / 10
-	r.step(Woken{})
-	for _, p := range r.a.in {
+	r.step(TimerFired{})
+	for _, p := range r.a.connected {
 		for _, m := range p.sent {
-			if m.at <= before && r.a.inChannel(m) {
+			if m.sentAt <= before && r.a.inChannel(m) {
 				t.Fatalf("a message counts that its proxy has answered")
 			}
 		}
 	}
 	// What was written more than a second before what was answered has left, whoever is silent.
 	r.now += 3 * Second
-	r.step(Woken{})
+	r.step(TimerFired{})
 	batch := r.a.batch
 	r.now += 3 * Second
-	r.step(Fenced{Proxy: 0, Number: batch}, Woken{})
-	for _, p := range r.a.in {
+	r.step(MarkerAcked{Proxy: 0, Number: batch}, TimerFired{})
+	for _, p := range r.a.connected {
 		for _, m := range p.sent {
-			if r.a.inChannel(m) && m.at <= r.a.wroteAt[batch%len(r.a.wroteAt)]-overtakes {
-				t.Fatalf("a message of %v counts, batch %d of %v was answered", m.at, batch, r.a.wroteAt[batch%len(r.a.wroteAt)])
+			if r.a.inChannel(m) && m.sentAt <= r.a.writtenAt[batch%len(r.a.writtenAt)]-reorderWindow {
+				t.Fatalf("a message of %v counts, batch %d of %v was answered", m.sentAt, batch, r.a.writtenAt[batch%len(r.a.writtenAt)])
 			}
 		}
 	}
--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -10,9 +10,9 @@
 			{Revenue: 6, SLA: 5000, OwnZone: true},
 			{Revenue: 5, SLA: 8000, OnlyZones: []int{0}},
 		},
-		Zones: 2, Proxies: 4, GoneBinds: true, Cold: 15 * Second,
-		ColdCapacity: 0.2, ColdMultiple: 3, LinesPerS: 3000, LinesMost: 6000, LinesHead: 6, MessagesMost: 30,
-		MessagesOver: 10 * Second,
+		Zones: 2, Proxies: 4, RemovalBinds: true, WarmupTime: 15 * Second,
+		WarmupCapacity: 0.2, WarmupOverload: 3, LinesPerSecond: 3000, MaxQueuedLines: 6000, MessageOverhead: 6, MaxMessages: 30,
+		MessageWindow: 10 * Second,
 	}
 }
 
@@ -23,15 +23,15 @@
 	a      *Assigner
 	now    Time
 	tables map[int]map[int]float64
-	gates  map[[2]int]Gate // by table and product
-	uses   map[[2]int]int  // table by proxy and product
-	out    map[int]bool    // withdrawn backends
-	count  int             // orders to proxies in the last step
+	gates  map[[2]int]Admission // by table and product
+	uses   map[[2]int]int       // table by proxy and product
+	out    map[int]bool         // withdrawn backends
+	count  int                  // orders to proxies in the last step
 }
 
 func newRig(t *testing.T, d Deployment) *rig {
 	return &rig{t: t, d: d, a: New(d), now: 1000 * Second, tables: map[int]map[int]float64{},
-		gates: map[[2]int]Gate{}, uses: map[[2]int]int{}, out: map[int]bool{}}
+		gates: map[[2]int]Admission{}, uses: map[[2]int]int{}, out: map[int]bool{}}
 }
 
 // step carries out the orders that the events lead to; a fence is answered by the next step.
@@ -40,24 +40,24 @@
 	orders := r.a.Step(r.now, events)
 	for _, o := range orders {
 		switch o := o.(type) {
-		case Line:
+		case SetWeight:
 			if r.tables[o.Table] == nil {
 				r.tables[o.Table] = map[int]float64{}
 			}
 			r.tables[o.Table][o.Backend] = o.Weight
 			r.count++
-		case Clear:
+		case ClearTable:
 			delete(r.tables, o.Table)
 		case Withdraw:
-			r.out[o.Backend] = o.Out
-		case Gate:
+			r.out[o.Backend] = o.Withdrawn
+		case Admission:
 			for k := range r.d.Products {
 				if o.Products&(1<<k) != 0 {
 					r.gates[[2]int{o.Table, k}] = o
 				}
 			}
 			r.count++
-		case Use:
+		case AssignTable:
 			for k := range r.d.Products {
 				if o.Products&(1<<k) != 0 {
 					r.uses[[2]int{o.Proxy, k}] = o.Table
@@ -72,7 +72,7 @@
 // second lets a second pass, with reports that come before the tick.
 func (r *rig) second(reports ...Event) []Order {
 	r.now += Second
-	return r.step(append(reports, Fenced{Number: r.a.batch}, Woken{})...)
+	return r.step(append(reports, MarkerAcked{Number: r.a.batch}, TimerFired{})...)
 }
 
 // weight is the weight of a proxy's line for a product, none while the backend is withdrawn.
@@ -83,15 +83,15 @@
 	return r.tables[r.uses[[2]int{proxy, product}]][backend]
 }
 
-func (r *rig) gate(proxy, product int) Gate {
+func (r *rig) gate(proxy, product int) Admission {
 	return r.gates[[2]int{r.uses[[2]int{proxy, product}], product}]
 }
 
 // start lists four warm backends, two a zone, and joins a proxy in each zone.
 func start(t *testing.T, d Deployment) *rig {
 	r := newRig(t, d)
-	r.step(Listed{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}},
-		Joined{Proxy: 0, Zone: 0, Rate: 50}, Joined{Proxy: 1, Zone: 1, Rate: 50})
+	r.step(ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}},
+		ProxyConnected{Proxy: 0, Zone: 0, Rate: 50}, ProxyConnected{Proxy: 1, Zone: 1, Rate: 50})
 	return r
 }
 
@@ -101,11 +101,11 @@
 func reports(rate float64, voided []float64, took Time) []Event {
 	var e []Event
 	for b, v := range voided {
-		e = append(e, Heard{Backend: b, Tries: 30, Voided: 30 * v, Took: took})
+		e = append(e, BackendReport{Backend: b, Attempts: 30, Failed: 30 * v, Latency: took})
 	}
 	for p := range 2 {
 		for k := range 3 {
-			e = append(e, Used{Proxy: p, Product: k, Txns: rate, Counting: Second})
+			e = append(e, UsageReport{Proxy: p, Product: k, Txns: rate, Period: Second})
 		}
 	}
 	return e
--- a/internal/policy/many_test.go
+++ b/internal/policy/many_test.go
@@ -9,23 +9,23 @@
 // they arrive, levels never sum to more than the total, and three ticks after the last they are even again.
 func TestManyCase3Joins(t *testing.T) {
 	d := deployment()
-	d.Products, d.Proxies, d.LinesPerS, d.LinesMost, d.MessagesMost = d.Products[:1], 500, 1e6, 1e6, 0
+	d.Products, d.Proxies, d.LinesPerSecond, d.MaxQueuedLines, d.MaxMessages = d.Products[:1], 500, 1e6, 1e6, 0
 	r := newRig(t, d)
-	events := []Event{Listed{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}}}
+	events := []Event{ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}}}
 	joined := 0
 	join := func(n int) (e []Event) {
 		for range n {
-			e = append(e, Joined{Proxy: joined, Zone: joined % 2, Rate: 4, Brings: true})
+			e = append(e, ProxyConnected{Proxy: joined, Zone: joined % 2, Rate: 4, BringsTables: true})
 			joined++
 		}
 		return e
 	}
 	said := func(voided float64, took Time) (e []Event) {
 		for b := range 4 {
-			e = append(e, Heard{Backend: b, Tries: 100, Voided: 100 * voided, Took: took})
+			e = append(e, BackendReport{Backend: b, Attempts: 100, Failed: 100 * voided, Latency: took})
 		}
 		for p := range joined {
-			e = append(e, Used{Proxy: p, Txns: 4, Counting: Second})
+			e = append(e, UsageReport{Proxy: p, Txns: 4, Period: Second})
 		}
 		return e
 	}
@@ -34,29 +34,29 @@
 		r.second(said(0, 5000)...)
 	}
 	r.second(said(.3, 6000)...)
-	each := r.a.total / 100
+	each := r.a.totalLimit / 100
 	if each <= 0 {
 		t.Fatal("no overload")
 	}
 	for range 10 { // 400 within a second
 		r.now += Second / 10
 		r.step(join(40)...)
-		if r.a.total > 1.01*each*100 || r.a.total < 0.99*each*100 {
-			t.Fatalf("total %v for 100 proxies between ticks, %v at %d", each*100, r.a.total, joined)
+		if r.a.totalLimit > 1.01*each*100 || r.a.totalLimit < 0.99*each*100 {
+			t.Fatalf("total %v for 100 proxies between ticks, %v at %d", each*100, r.a.totalLimit, joined)
 		}
 	}
 	for i := range 6 {
 		r.second(said(0, 5000)...)
-		now := r.a.total / float64(joined)
+		now := r.a.totalLimit / float64(joined)
 		if now < 0.7*each || now > 1.5*each {
 			t.Errorf("%d ticks after the last: %v txns/s a proxy, %v before", i+1, now, each)
 		}
 		least, most, sum := math.Inf(1), 0.0, 0.0
-		for _, p := range r.a.in {
-			least, most, sum = min(least, p.level[0]), max(most, p.level[0]), sum+p.level[0]
+		for _, p := range r.a.connected {
+			least, most, sum = min(least, p.limit[0]), max(most, p.limit[0]), sum+p.limit[0]
 		}
-		if sum > 1.001*loosenAt*r.a.total || i >= 3 && most > 1.05*least {
-			t.Errorf("%d ticks after the last: levels %v to %v, sum %v of %v", i+1, least, most, sum, r.a.total)
+		if sum > 1.001*releaseRatio*r.a.totalLimit || i >= 3 && most > 1.05*least {
+			t.Errorf("%d ticks after the last: levels %v to %v, sum %v of %v", i+1, least, most, sum, r.a.totalLimit)
 		}
 	}
 }
@@ -71,19 +71,19 @@
 		for range 4 {
 			var e []Event
 			for b := range 4 {
-				e = append(e, Heard{Backend: b, Tries: 30, Took: 3400})
+				e = append(e, BackendReport{Backend: b, Attempts: 30, Latency: 3400})
 			}
 			for i := range 6 { // proxy 0 has the clients that repeat
-				e = append(e, Used{Proxy: i / 3, Product: i % 3, Txns: 50 * either(i < 3, times, 1), Counting: Second})
+				e = append(e, UsageReport{Proxy: i / 3, Product: i % 3, Txns: 50 * either(i < 3, times, 1), Period: Second})
 			}
 			r.second(e...)
 		}
-		for _, p := range r.a.in {
+		for _, p := range r.a.connected {
 			for k := range p.use {
 				in += r.a.admitted(p, k)
 			}
 		}
-		return r.a.total, in
+		return r.a.totalLimit, in
 	}
 	total, in := play(1)
 	again, more := play(3)
@@ -95,18 +95,18 @@
 // What a proxy that has nothing needs goes before the tables of those that brought some, however busy these are.
 func TestManyCase1NothingFirst(t *testing.T) {
 	d := deployment()
-	d.Proxies, d.LinesPerS, d.LinesMost = 40, 60, 10000
+	d.Proxies, d.LinesPerSecond, d.MaxQueuedLines = 40, 60, 10000
 	r := newRig(t, d)
-	events := []Event{Listed{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}}}
+	events := []Event{ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}}}
 	for p := range d.Proxies {
-		events = append(events, Joined{Proxy: p, Zone: p % 2, Rate: float64(10 + 90*(p%4)), Brings: p%4 != 0})
+		events = append(events, ProxyConnected{Proxy: p, Zone: p % 2, Rate: float64(10 + 90*(p%4)), BringsTables: p%4 != 0})
 	}
 	var order []int
 	ticks := 0
 	for ; len(order) < d.Proxies && ticks < 100; ticks++ {
 		r.now += Second
-		for _, o := range r.step(append(events, Fenced{Proxy: 0, Number: r.a.batch}, Fenced{Proxy: 1, Number: r.a.batch}, Woken{})...) {
-			if u, ok := o.(Use); ok && (len(order) == 0 || order[len(order)-1] != u.Proxy) {
+		for _, o := range r.step(append(events, MarkerAcked{Proxy: 0, Number: r.a.batch}, MarkerAcked{Proxy: 1, Number: r.a.batch}, TimerFired{})...) {
+			if u, ok := o.(AssignTable); ok && (len(order) == 0 || order[len(order)-1] != u.Proxy) {
 				order = append(order, u.Proxy)
 			}
 		}
@@ -125,27 +125,27 @@
 // Where the channel had no room for what is needed, the decisions do not wait for the tick: they ask to be woken.
 func TestWokenForRoom(t *testing.T) {
 	d := deployment()
-	d.Proxies, d.LinesPerS, d.LinesMost = 40, 60, 10000
+	d.Proxies, d.LinesPerSecond, d.MaxQueuedLines = 40, 60, 10000
 	r := newRig(t, d)
-	events := []Event{Listed{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(2, 1)}}}
+	events := []Event{ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(2, 1)}}}
 	for p := range d.Proxies {
-		events = append(events, Joined{Proxy: p, Zone: p % 2, Rate: 5})
+		events = append(events, ProxyConnected{Proxy: p, Zone: p % 2, Rate: 5})
 	}
 	wakes := 0
 	for range 3 {
 		for _, o := range r.step(events...) {
-			if w, ok := o.(Wake); ok && w.Name == wakeAgain {
+			if w, ok := o.(SetTimer); ok && w.Name == timerRetry {
 				wakes++
 			}
 		}
-		events = []Event{Used{Proxy: 0, Txns: 5, Counting: Second}}
+		events = []Event{UsageReport{Proxy: 0, Txns: 5, Period: Second}}
 	}
 	if wakes != 1 {
 		t.Fatalf("%d wakes asked for", wakes)
 	}
-	r.now += roomAgain
+	r.now += roomRetryInterval
 	r.uses = map[[2]int]int{}
-	r.step(Fenced{Number: r.a.batch}, Woken{Name: wakeAgain})
+	r.step(MarkerAcked{Number: r.a.batch}, TimerFired{Name: timerRetry})
 	if len(r.uses) == 0 {
 		t.Error("nobody was bound when the channel had room again")
 	}
@@ -157,22 +157,22 @@
 		d := deployment()
 		d.FirstTick = at
 		for _, o := range New(d).Step(1, nil) {
-			if w, ok := o.(Wake); ok {
-				after = w.After
+			if w, ok := o.(SetTimer); ok {
+				after = w.Delay
 			}
 		}
 		return after
 	}
-	if first(0) != tickEvery || first(1234) != 1234 {
+	if first(0) != tickInterval || first(1234) != 1234 {
 		t.Errorf("first ticks after %v and %v", first(0), first(1234))
 	}
 	d := deployment()
 	d.FirstTick = 1234
 	a := New(d)
 	a.Step(1, nil)
-	for _, o := range a.Step(1235, []Event{Woken{}}) {
-		if w, ok := o.(Wake); ok && w.After != tickEvery {
-			t.Errorf("the tick after it comes after %v", w.After)
+	for _, o := range a.Step(1235, []Event{TimerFired{}}) {
+		if w, ok := o.(SetTimer); ok && w.Delay != tickInterval {
+			t.Errorf("the tick after it comes after %v", w.Delay)
 		}
 	}
 }
@@ -182,12 +182,12 @@
 	var e []Event
 	for b := range 4 {
 		if b == second%8/2 && second%2 == 0 {
-			e = append(e, Heard{Backend: b, Tries: 200, Voided: 200 * voided, Took: took})
+			e = append(e, BackendReport{Backend: b, Attempts: 200, Failed: 200 * voided, Latency: took})
 		}
 	}
 	for i := range 6 {
 		if i == second%8 {
-			e = append(e, Used{Proxy: i / 3, Product: i % 3, Txns: 8 * 50, Counting: 8 * Second})
+			e = append(e, UsageReport{Proxy: i / 3, Product: i % 3, Txns: 8 * 50, Period: 8 * Second})
 		}
 	}
 	r.second(e...)
@@ -200,23 +200,23 @@
 	for s := range 24 {
 		sparsely(r, s, 0, 1000)
 	}
-	best := r.a.pace * r.a.able
+	best := r.a.throughput * r.a.capacity
 	cuts, bounded, least := 0, 0, math.Inf(1)
 	for s := 24; s < 36; s++ { // late answers are heard of for 12 s more
-		was := r.a.cutAt
+		was := r.a.reducedAt
 		sparsely(r, s, .1, 4500)
-		if r.a.cutAt != was {
+		if r.a.reducedAt != was {
 			cuts++
 		}
-		if r.a.total > 0 {
-			bounded, least = bounded+1, min(least, r.a.total)
+		if r.a.totalLimit > 0 {
+			bounded, least = bounded+1, min(least, r.a.totalLimit)
 		}
 	}
 	if cuts != 1 || bounded == 0 || least < 0.7*best {
 		t.Errorf("%d cuts in 12 s, bounded for %d of them, the least total %v of %v at best", cuts, bounded, least, best)
 	}
-	if r.a.total > 0 && r.a.total < r.a.knee {
-		t.Errorf("total %v is still under the knee %v", r.a.total, r.a.knee)
+	if r.a.totalLimit > 0 && r.a.totalLimit < r.a.knee {
+		t.Errorf("total %v is still under the knee %v", r.a.totalLimit, r.a.knee)
 	}
 }
 
@@ -228,15 +228,15 @@
 			var e []Event
 			for b := range 4 {
 				if s%every == 0 {
-					e = append(e, Heard{Backend: b, Tries: 40, Took: either(b == 0, took, 1000)})
+					e = append(e, BackendReport{Backend: b, Attempts: 40, Latency: either(b == 0, took, 1000)})
 				}
 			}
 			r.second(e...)
 		}
-		return r.a.be.relief[0]
+		return r.a.backends.derating[0]
 	}
 	often, seldom := relief(1, 6000), relief(9, 6000)
-	if often != easeLeast || seldom > 0.5 {
+	if often != minDerating || seldom > 0.5 {
 		t.Errorf("relief %v after 18 s of each second, %v of each ninth", often, seldom)
 	}
 }
@@ -251,7 +251,7 @@
 		r.second(reports(40, calm, 1000)...)
 	}
 	up := r.now
-	r.step(Listed{Entries: []Entry{{Backend: 0, Zone: 0, Status: Ready, Weight: 1, Up: up}, {Backend: 1, Zone: 0, Status: Ready, Weight: 1, Up: up}}})
+	r.step(ListUpdate{Entries: []Entry{{Backend: 0, Zone: 0, Status: Ready, Weight: 1, StartedAt: up}, {Backend: 1, Zone: 0, Status: Ready, Weight: 1, StartedAt: up}}})
 	for range 2 {
 		r.second(reports(40, calm, 1000)...)
 	}
@@ -259,7 +259,7 @@
 	if warm == 0 || cold == 0 {
 		t.Fatalf("weights %v cold, %v warm", cold, warm)
 	}
-	if l := r.gate(0, 0).Level; l < 0.95*40 {
+	if l := r.gate(0, 0).RateLimit; l < 0.95*40 {
 		t.Errorf("level %v of 40 asked for beside warm lines", l)
 	}
 	if part := cold / (cold + warm); part > 0.5 {
@@ -271,31 +271,31 @@
 func TestRecalledByAge(t *testing.T) {
 	begin := func(known ...Event) *rig {
 		r := newRig(t, deployment())
-		r.step(append([]Event{Listed{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}}}, known...)...)
-		r.step(Joined{Proxy: 0, Zone: 0, Rate: 90, Brings: true})
+		r.step(append([]Event{ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}}}, known...)...)
+		r.step(ProxyConnected{Proxy: 0, Zone: 0, Rate: 90, BringsTables: true})
 		return r
 	}
-	r := begin(Recalled{What: FigureUse, Proxy: 0, Product: 1, Value: 7, Age: Second, Part: 1}, Recalled{What: FigureUse, Proxy: 0, Product: 9, Value: 7})
-	if u := r.a.px[0].use; u[1] != 7 || u[0] != 0 {
+	r := begin(RestoredFigure{Figure: FigureUse, Proxy: 0, Product: 1, Value: 7, Age: Second, Confidence: 1}, RestoredFigure{Figure: FigureUse, Proxy: 0, Product: 9, Value: 7})
+	if u := r.a.proxies[0].use; u[1] != 7 || u[0] != 0 {
 		t.Errorf("use of a second ago: %v", u)
 	}
-	if u := begin(Recalled{What: FigureUse, Proxy: 0, Product: 1, Value: 7, Age: 2 * useStale, Part: 1}).a.px[0].use; u[1] != 30 {
+	if u := begin(RestoredFigure{Figure: FigureUse, Proxy: 0, Product: 1, Value: 7, Age: 2 * useTimeout, Confidence: 1}).a.proxies[0].use; u[1] != 30 {
 		t.Errorf("use of long ago holds against what the proxy is said to get: %v", u)
 	}
-	for part, want := range map[float64]float64{1: 0.4, sureHalf: 0.4, sureHalf / 2: 0.7, 0: 1} {
-		r := begin(Recalled{What: FigureRelief, Backend: 2, Value: 0.4, Part: part}, Recalled{What: FigureRelief, Backend: 77, Value: 0.4, Part: 1})
-		if got := r.a.be.relief[2]; math.Abs(got-want) > 1e-9 {
+	for part, want := range map[float64]float64{1: 0.4, fullConfidence: 0.4, fullConfidence / 2: 0.7, 0: 1} {
+		r := begin(RestoredFigure{Figure: FigureDerating, Backend: 2, Value: 0.4, Confidence: part}, RestoredFigure{Figure: FigureDerating, Backend: 77, Value: 0.4, Confidence: 1})
+		if got := r.a.backends.derating[2]; math.Abs(got-want) > 1e-9 {
 			t.Errorf("relief %v at part %v, want %v", got, part, want)
 		}
 	}
 	// A total holds from the first tick, for as many as have joined; an old one does not come back.
 	for age, bounded := range map[Time]bool{2 * Second: true, 30 * Second: false} {
-		r := begin(Recalled{What: FigureTotal, Value: 10, Age: age, Part: 1}, Recalled{What: FigurePace, Value: 12, Age: age, Part: 1})
+		r := begin(RestoredFigure{Figure: FigureTotalLimit, Value: 10, Age: age, Confidence: 1}, RestoredFigure{Figure: FigureThroughput, Value: 12, Age: age, Confidence: 1})
 		r.second()
-		each := r.a.total / r.a.able
-		r.second(Joined{Proxy: 1, Zone: 1, Rate: 90}, Joined{Proxy: 2, Zone: 0, Rate: 90}, Joined{Proxy: 3, Zone: 1, Rate: 90})
-		if (r.a.total > 0) != bounded || bounded && (math.Abs(each-10) > 1 || math.Abs(r.a.total/r.a.able-10) > 2) || r.a.pace != 12 {
-			t.Errorf("total of %v ago: %v for a unit of weight, then %v, pace %v", age, each, r.a.total/r.a.able, r.a.pace)
+		each := r.a.totalLimit / r.a.capacity
+		r.second(ProxyConnected{Proxy: 1, Zone: 1, Rate: 90}, ProxyConnected{Proxy: 2, Zone: 0, Rate: 90}, ProxyConnected{Proxy: 3, Zone: 1, Rate: 90})
+		if (r.a.totalLimit > 0) != bounded || bounded && (math.Abs(each-10) > 1 || math.Abs(r.a.totalLimit/r.a.capacity-10) > 2) || r.a.throughput != 12 {
+			t.Errorf("total of %v ago: %v for a unit of weight, then %v, pace %v", age, each, r.a.totalLimit/r.a.capacity, r.a.throughput)
 		}
 	}
 }
--- a/internal/policy/model_test.go
+++ b/internal/policy/model_test.go
@@ -39,7 +39,7 @@
 				if math.IsNaN(w) || math.IsInf(w, 0) || w < 0 || !m.may(k, zone, b) {
 					return "a weight that is none, or a line to a backend that drains, is gone or is not allowed"
 				}
-				if e := m.entries[b]; e.Up > 0 && m.cold(r.now, e) < 1 && m.heavy(r, table, b, m.cold(r.now, e)) {
+				if e := m.entries[b]; e.StartedAt > 0 && m.cold(r.now, e) < 1 && m.heavy(r, table, b, m.cold(r.now, e)) {
 					return "a cold backend has more than its part"
 				}
 			}
@@ -50,15 +50,15 @@
 				return "a proxy is left without a backend"
 			}
 			g := r.gates[[2]int{table, k}]
-			if g.Level < 0 || math.IsNaN(g.Level) || math.IsInf(g.Level, 0) {
+			if g.RateLimit < 0 || math.IsNaN(g.RateLimit) || math.IsInf(g.RateLimit, 0) {
 				return "a level that is no level"
 			}
-			if g.Tries > TryUnrun { // only after proof that the first try never ran
+			if g.Retries > RetryUnexecuted { // only after proof that the first try never ran
 				return "a txn may take effect twice"
 			}
 		}
 	}
-	if m.lines > m.d.LinesMost {
+	if m.lines > m.d.MaxQueuedLines {
 		return "too many lines wait"
 	}
 	return ""
@@ -66,21 +66,21 @@
 
 // cold is the part that a backend must be able to do for sure at an age.
 func (m *model) cold(now Time, e Entry) float64 {
-	return min(1, m.d.ColdCapacity+(1-m.d.ColdCapacity)*float64(now-e.Up)/float64(m.d.Cold))
+	return min(1, m.d.WarmupCapacity+(1-m.d.WarmupCapacity)*float64(now-e.StartedAt)/float64(m.d.WarmupTime))
 }
 
 // slack is what two lines may differ by before either is worth a change.
-const slack = (1 + leastChange) / (1 - leastChange)
+const slack = (1 + minChange) / (1 - minChange)
 
 // heavy says whether a cold backend's line outweighs its part of the heaviest warm line of its zone.
 func (m *model) heavy(r *rig, table, cold int, part float64) bool {
 	most := 0.0
 	for b, w := range r.tables[table] {
-		if e := m.entries[b]; !r.out[b] && e.Zone == m.entries[cold].Zone && e.Up == 0 && e.Weight > 0 {
+		if e := m.entries[b]; !r.out[b] && e.Zone == m.entries[cold].Zone && e.StartedAt == 0 && e.Weight > 0 {
 			most = max(most, w/e.Weight)
 		}
 	}
-	return most > 0 && r.tables[table][cold] > most*part*m.entries[cold].Weight/easeLeast*slack
+	return most > 0 && r.tables[table][cold] > most*part*m.entries[cold].Weight/minDerating*slack
 }
 
 // TestModel drives the module with generated days: lists, restarts, joins, breaks, late and odd reports.
@@ -88,12 +88,12 @@
 	day := func(seed int64, proxies, backends, ticks int) bool {
 		rnd := rand.New(rand.NewSource(seed))
 		d := deployment()
-		d.Proxies, d.LinesPerS, d.LinesMost = proxies, float64(750*proxies), float64(1500*proxies)
-		d.ConnsLeast = 200 // binds where there are many proxies
+		d.Proxies, d.LinesPerSecond, d.MaxQueuedLines = proxies, float64(750*proxies), float64(1500*proxies)
+		d.MinConns = 200 // binds where there are many proxies
 		r := newRig(t, d)
 		m := &model{d: d, entries: map[int]Entry{}, in: map[int]int{}}
-		list := func(kind ListKind, n int) Listed {
-			l := Listed{Kind: kind}
+		list := func(kind ListKind, n int) ListUpdate {
+			l := ListUpdate{Kind: kind}
 			named := map[int]bool{}
 			for range n {
 				b := rnd.Intn(backends)
@@ -110,10 +110,10 @@
 						e.Status = Ready
 					}
 				case 2:
-					e.Up = r.now - Time(rnd.Intn(int(2*Second)))
+					e.StartedAt = r.now - Time(rnd.Intn(int(2*Second)))
 				}
-				if e.Status == Ready && e.Up == 0 {
-					e.Up = m.entries[b].Up // a start stays known
+				if e.Status == Ready && e.StartedAt == 0 {
+					e.StartedAt = m.entries[b].StartedAt // a start stays known
 				}
 				l.Entries = append(l.Entries, e)
 				if rnd.Intn(9) == 0 {
@@ -136,18 +136,18 @@
 			for p := range proxies {
 				if _, joined := m.in[p]; !joined && rnd.Intn(4) == 0 {
 					m.in[p] = p % 2
-					events = append(events, Joined{Proxy: p, Zone: p % 2, Rate: rnd.Float64() * 100})
+					events = append(events, ProxyConnected{Proxy: p, Zone: p % 2, Rate: rnd.Float64() * 100})
 				} else if joined && rnd.Intn(30) == 0 {
 					delete(m.in, p)
 					for k := range d.Products {
 						delete(r.uses, [2]int{p, k})
 					}
-					events = append(events, Left{Proxy: p})
+					events = append(events, ProxyDisconnected{Proxy: p})
 				} else { // also late and negative sums, of backends that are unknown and of proxies that left
-					events = append(events, Used{Proxy: p, Product: rnd.Intn(3), Txns: float64(rnd.Intn(220) - 20),
-						Voided: float64(rnd.Intn(50)), Counting: Time(rnd.Intn(4)) * Second / 2}, Heard{
-						Backend: rnd.Intn(backends + 1), Tries: float64(rnd.Intn(110) - 10), Voided: float64(rnd.Intn(120)),
-						Took: Time(rnd.Intn(20000))})
+					events = append(events, UsageReport{Proxy: p, Product: rnd.Intn(3), Txns: float64(rnd.Intn(220) - 20),
+						Failed: float64(rnd.Intn(50)), Period: Time(rnd.Intn(4)) * Second / 2}, BackendReport{
+						Backend: rnd.Intn(backends + 1), Attempts: float64(rnd.Intn(110) - 10), Failed: float64(rnd.Intn(120)),
+						Latency: Time(rnd.Intn(20000))})
 				}
 			}
 			if rnd.Intn(5) == 0 {
@@ -156,19 +156,19 @@
 				events = append(events, list(ListFull, rnd.Intn(backends)))
 			}
 			r.now += Second
-			events = append(events, Fenced{Number: r.a.batch}, Woken{})
+			events = append(events, MarkerAcked{Number: r.a.batch}, TimerFired{})
 			m.lines = 0
 			perProxy := map[int]float64{}
 			for _, o := range r.step(events...) {
 				switch o := o.(type) {
-				case Line:
+				case SetWeight:
 					perProxy[o.Table/len(r.a.groups)]++
-				case Use:
+				case AssignTable:
 					perProxy[o.Proxy] += 1 + float64(len(r.tables[o.Table]))
 				}
 			}
 			for _, n := range perProxy {
-				m.lines += n + d.LinesHead + 1
+				m.lines += n + d.MessageOverhead + 1
 			}
 			if broken := m.check(r); broken != "" {
 				t.Logf("seed %d at %v: %s\n%v\n%v", seed, r.now, broken, r.tables, m.entries)
--- a/internal/policy/plain_test.go
+++ b/internal/policy/plain_test.go
@@ -15,133 +15,133 @@
 
 func (m *plain) Step(now Time, events []Event) []Order {
 	for _, e := range events {
-		if j, ok := e.(Joined); ok {
+		if j, ok := e.(ProxyConnected); ok {
 			delete(m.counted, j.Proxy)
 		}
 	}
-	tick := m.hear(now, events)
-	if m.refollow && (tick || !m.began) {
-		m.refollow = false
-		m.order(Follow{On: true})
+	tick := m.handleEvents(now, events)
+	if m.needsFollow && (tick || !m.started) {
+		m.needsFollow = false
+		m.order(FollowList{On: true})
 	}
-	if tick || !m.began {
-		m.order(Wake{After: tickEvery})
+	if tick || !m.started {
+		m.order(SetTimer{Delay: tickInterval})
 	}
-	if m.began = true; tick {
-		m.judge()
-		m.setTotal()
-		m.setLevels()
+	if m.started = true; tick {
+		m.evaluate()
+		m.setTotalLimit()
+		m.setLimits()
 	}
 	if tick || m.urgent {
-		m.setSpill()
-		before := m.drain()
-		m.withdraw()
+		m.setSpillover()
+		before := m.updateQueue()
+		m.withdrawDraining()
 		m.picks(tick)
-		var urgent, rest []diff
-		for i := range m.px {
-			if !m.px[i].joined || !tick && !m.bare(i) {
+		var urgent, rest []change
+		for i := range m.proxies {
+			if !m.proxies[i].connected || !tick && !m.bare(i) {
 				continue
 			}
-			if d := m.lacks(i); d.urgency == mustHave || tick && d.urgency == mustEase {
+			if d := m.lacks(i); d.urgency == urgencyNeeded || tick && d.urgency == urgencyDerate {
 				urgent = append(urgent, d)
-			} else if tick && d.urgency < nothing {
+			} else if tick && d.urgency < urgencyNone {
 				rest = append(rest, d)
 			}
 		}
-		all := m.emit(urgent, roomUrgent)
-		if !all && !m.again {
-			m.again = true
-			m.order(Wake{After: roomAgain, Name: wakeAgain})
+		all := m.send(urgent, roomUrgent)
+		if !all && !m.retryPending {
+			m.retryPending = true
+			m.order(SetTimer{Delay: roomRetryInterval, Name: timerRetry})
 		}
 		if all && tick {
 			var back []int
-			for b, s := range m.be.status {
-				if s == Ready && m.be.out[b] {
+			for b, s := range m.backends.status {
+				if s == Ready && m.backends.withdrawn[b] {
 					back = append(back, b)
 				}
 			}
-			m.shut(false, roomUrgent, back...)
+			m.setWithdrawn(false, roomUrgent, back...)
 		}
-		m.emit(rest, roomRest)
-		if m.queue > before {
+		m.send(rest, roomRest)
+		if m.queuedLines > before {
 			m.batch++
-			m.wroteAt[m.batch%len(m.wroteAt)] = now
-			m.order(Fence{Number: m.batch % fences})
+			m.writtenAt[m.batch%len(m.writtenAt)] = now
+			m.order(Marker{Number: m.batch % markerNumbers})
 		}
 	}
 	return m.orders
 }
 
 func (m *plain) bare(i int) bool {
-	p := &m.px[i]
-	for _, t := range p.held {
+	p := &m.proxies[i]
+	for _, t := range p.installed {
 		n := 0
 		for b, w := range t.weight {
-			n += either(w > 0 && !m.be.out[b], 1, 0)
+			n += either(w > 0 && !m.backends.withdrawn[b], 1, 0)
 		}
 		if n == 0 {
 			return true
 		}
 	}
-	return !p.bound
+	return !p.assigned
 }
 
 func (m *plain) picks(tick bool) {
-	be, size := &m.be, 0.0
+	be, size := &m.backends, 0.0
 	if m.raw = append(m.raw, make([]float64, len(be.zone)-len(m.raw))...); tick {
 		m.raw, m.counted = make([]float64, len(be.zone)), map[int]bool{}
 	}
 	var who []int
-	for i := range m.px {
-		if m.px[i].joined && (tick || m.bare(i)) {
+	for i := range m.proxies {
+		if m.proxies[i].connected && (tick || m.bare(i)) {
 			who = append(who, i)
 		}
 	}
 	for b := range be.zone {
 		if be.status[b] == Ready {
-			size += connPart * m.d.ConnsLeast / float64(m.d.Proxies)
+			size += connShare * m.conf.MinConns / float64(m.conf.Proxies)
 		}
 	}
-	if size = max(size, picksLeast); m.d.ConnsLeast == 0 {
+	if size = max(size, minSubset); m.conf.MinConns == 0 {
 		size = math.Inf(1)
 	}
-	for y := range m.d.Zones {
+	for y := range m.conf.Zones {
 		flow, need := map[int]float64{}, map[int]float64{}
 		for _, i := range who {
-			p := &m.px[i]
-			p.picked = append(p.picked, make([]bool, len(be.zone)-len(p.picked))...)
+			p := &m.proxies[i]
+			p.subset = append(p.subset, make([]bool, len(be.zone)-len(p.subset))...)
 			for g, group := range m.groups {
-				r := m.spill[g][p.zone][y]
+				r := m.spillover[g][p.zone][y]
 				for _, k := range group.products {
-					flow[i] += p.use[k] * min(r*1e9, r+(1-r)*m.risk)
+					flow[i] += p.use[k] * min(r*1e9, r+(1-r)*m.failureRisk)
 				}
 				if r > 0 {
 					need[i] = max(need[i], 1, size*r)
 				}
 			}
 			inUse, all := 0.0, 0.0
-			for b, on := range p.picked {
+			for b, on := range p.subset {
 				if on && be.zone[b] == y && be.status[b] == Ready {
-					if all += m.sureNow(b); !be.out[b] {
-						inUse += m.sureNow(b)
+					if all += m.expectedWeight(b); !be.withdrawn[b] {
+						inUse += m.expectedWeight(b)
 					}
 				}
 			}
-			for b, on := range p.picked {
+			for b, on := range p.subset {
 				if on && be.zone[b] == y && !m.counted[i] {
-					m.raw[b] += flow[i] / max(either(be.out[b], all, inUse), 1e-9)
+					m.raw[b] += flow[i] / max(either(be.withdrawn[b], all, inUse), 1e-9)
 				}
 			}
 		}
 		for _, i := range who {
-			for p, swap := &m.px[i], tick; need[i] > 0; {
+			for p, swap := &m.proxies[i], tick; need[i] > 0; {
 				most, least, has, strength := -1, -1, 0.0, 0.0
-				for b, on := range p.picked {
+				for b, on := range p.subset {
 					if be.zone[b] != y || be.status[b] != Ready {
 						continue
 					}
 					if on {
-						has, strength = has+m.rampNow(b), strength+m.sureNow(b)
+						has, strength = has+m.slowStartFactor(b), strength+m.expectedWeight(b)
 					}
 					if on && (most < 0 || m.raw[b] > m.raw[most]) {
 						most = b
@@ -150,11 +150,11 @@
 					}
 				}
 				if least >= 0 && has < need[i] {
-					p.picked[least] = true
-					m.raw[least] += flow[i] / max(strength, min(need[i], picksLeast)*m.sureNow(least))
-				} else if most >= 0 && (has-m.rampNow(most) >= need[i] ||
-					swap && least >= 0 && m.raw[most] > pickSwap*m.raw[least]+flow[i]/strength) {
-					p.picked[most], swap = false, false
+					p.subset[least] = true
+					m.raw[least] += flow[i] / max(strength, min(need[i], minSubset)*m.expectedWeight(least))
+				} else if most >= 0 && (has-m.slowStartFactor(most) >= need[i] ||
+					swap && least >= 0 && m.raw[most] > swapRatio*m.raw[least]+flow[i]/strength) {
+					p.subset[most], swap = false, false
 					m.raw[most] -= flow[i] / strength
 				} else {
 					break
@@ -167,21 +167,21 @@
 	}
 	for b := range be.zone {
 		home := 0.0
-		for _, p := range m.in {
-			home += either(p.zone == be.zone[b], float64(m.d.Zones)/float64(m.d.Proxies), 0)
+		for _, p := range m.connected {
+			home += either(p.zone == be.zone[b], float64(m.conf.Zones)/float64(m.conf.Proxies), 0)
 		}
-		m.load[b] = m.raw[b] / max(m.share(), min(home, 1), 1e-9)
+		m.load[b] = m.raw[b] / max(m.connectedShare(), min(home, 1), 1e-9)
 	}
 }
 
-func (m *plain) table(p *proxy, g int) tbl {
-	rule, be, row, can := m.groups[g].rule, &m.be, m.spill[g][p.zone], make([]float64, m.d.Zones)
-	open := func(b int) bool { return m.opens(rule, b) && (!rule.OwnZone || be.zone[b] == p.zone) }
-	t := tbl{weight: make([]float64, len(be.zone))}
-	home, some, part := 1.0, false, noLevel
+func (m *plain) table(p *proxy, g int) table {
+	rule, be, row, can := m.groups[g].class, &m.backends, m.spillover[g][p.zone], make([]float64, m.conf.Zones)
+	open := func(b int) bool { return m.isOpen(rule, b) && (!rule.OwnZone || be.zone[b] == p.zone) }
+	t := table{weight: make([]float64, len(be.zone))}
+	home, some, part := 1.0, false, unlimited
 	for b, y := range be.zone {
-		if p.picked[b] && row[y] > 0 && open(b) {
-			can[y], some = can[y]+m.strengthNow(b), true
+		if p.subset[b] && row[y] > 0 && open(b) {
+			can[y], some = can[y]+m.effectiveWeight(b), true
 		}
 	}
 	if can[p.zone] > 0 {
@@ -189,9 +189,9 @@
 	}
 	for b, y := range be.zone {
 		if open(b) && !some {
-			t.weight[b] = m.strengthNow(b)
-		} else if open(b) && p.picked[b] && row[y] > 0 {
-			t.weight[b] = m.strengthNow(b) / can[y] * row[y] * home
+			t.weight[b] = m.effectiveWeight(b)
+		} else if open(b) && p.subset[b] && row[y] > 0 {
+			t.weight[b] = m.effectiveWeight(b) / can[y] * row[y] * home
 		}
 	}
 	lets, warm, cold, in := map[int]float64{}, 0.0, 0.0, 0.0
@@ -199,75 +199,75 @@
 		if w == 0 {
 			continue
 		}
-		if m.load[b] == 0 || m.rampNow(b) == 1 || m.pace == 0 {
+		if m.load[b] == 0 || m.slowStartFactor(b) == 1 || m.throughput == 0 {
 			warm += w
 			continue
 		}
-		lets[b] = coldMost * m.d.ColdMultiple * m.pace / m.load[b]
+		lets[b] = maxWarmupLoad * m.conf.WarmupOverload * m.throughput / m.load[b]
 		part, cold, in = min(part, lets[b]), cold+w, in+w*min(lets[b], 1)
 	}
-	if more := min(cold+warm-in, warmMost*warm*(1-m.risk)); part < 1 && more > warm {
+	if more := min(cold+warm-in, maxWarmExtra*warm*(1-m.failureRisk)); part < 1 && more > warm {
 		for b, of := range lets {
 			t.weight[b] = t.weight[b] * min(of, 1) * warm / more
 		}
 		part = (in + more) / (cold + warm)
 	}
 	for _, k := range m.groups[g].products {
-		t.gates = append(t.gates, Gate{Level: m.levelOf(p, k, part), Tries: either(m.light, TryUnrun, TryOnce), Products: 1 << k})
+		t.admissions = append(t.admissions, Admission{RateLimit: m.rateLimitFor(p, k, part), Retries: either(m.fast, RetryUnexecuted, NoRetry), Products: 1 << k})
 	}
 	return t
 }
 
-func (m *plain) lacks(i int) diff {
-	p, d := &m.px[i], diff{proxy: i, urgency: nothing}
+func (m *plain) lacks(i int) change {
+	p, d := &m.proxies[i], change{proxy: i, urgency: urgencyNone}
 	need := func(o Order, urgency int) {
 		d.orders, d.urgency = append(d.orders, o), min(d.urgency, urgency)
 	}
 	for g, group := range m.groups {
-		next, held, id, usable, cold := m.table(p, g), p.held[g], i*len(m.groups)+g, false, false
+		next, held, id, usable, cold := m.table(p, g), p.installed[g], i*len(m.groups)+g, false, false
 		held.weight = append(held.weight, make([]float64, len(next.weight)-len(held.weight))...)
-		if !p.bound {
-			need(Clear{Table: id}, mustHave)
+		if !p.assigned {
+			need(ClearTable{Table: id}, urgencyNeeded)
 		}
 		for b, h := range held.weight {
-			usable = usable || h > 0 && !m.be.out[b]
+			usable = usable || h > 0 && !m.backends.withdrawn[b]
 		}
 		for b, w := range next.weight {
-			h, out := held.weight[b], m.be.out[b]
-			cold = cold || w > 0 && m.rampNow(b) < 1
-			gone := m.be.status[b] == Gone
-			if w == h || w > 0 && h > 0 && math.Abs(w-h) < leastChange*h && !out ||
-				out && m.be.status[b] != Ready && (!gone || m.now < m.be.goneAt[b]+goneKeep) {
+			h, out := held.weight[b], m.backends.withdrawn[b]
+			cold = cold || w > 0 && m.slowStartFactor(b) < 1
+			gone := m.backends.status[b] == Gone
+			if w == h || w > 0 && h > 0 && math.Abs(w-h) < minChange*h && !out ||
+				out && m.backends.status[b] != Ready && (!gone || m.now < m.backends.goneAt[b]+goneRetention) {
 				next.weight[b] = h
 				continue
 			}
-			urgency := mayWait
+			urgency := urgencyLow
 			if w == 0 && out {
-				d.settles++
-				urgency = either(gone, mayWait, mustEase)
+				d.extraLines++
+				urgency = either(gone, urgencyLow, urgencyDerate)
 			} else if w > 0 && !usable {
-				urgency = mustHave
-			} else if w < h && (out || m.rampNow(b) < 1) {
-				urgency = mustEase
+				urgency = urgencyNeeded
+			} else if w < h && (out || m.slowStartFactor(b) < 1) {
+				urgency = urgencyDerate
 			}
-			if need(Line{Table: id, Backend: b, Weight: w}, urgency); p.brings && h == 0 {
-				d.settles++
+			if need(SetWeight{Table: id, Backend: b, Weight: w}, urgency); p.bringsTables && h == 0 {
+				d.extraLines++
 			}
 		}
-		for j, w := range next.gates {
+		for j, w := range next.admissions {
 			w.Table = id
-			if held.gates == nil {
-				need(w, mayWait)
-			} else if h := held.gates[j]; h.Tries == w.Tries && math.Abs(h.Level-w.Level) <= leastChange*h.Level {
+			if held.admissions == nil {
+				need(w, urgencyLow)
+			} else if h := held.admissions[j]; h.Retries == w.Retries && math.Abs(h.RateLimit-w.RateLimit) <= minChange*h.RateLimit {
 				w = h
 			} else {
-				need(w, either(cold && w.Level < h.Level, mustEase, mayWait))
+				need(w, either(cold && w.RateLimit < h.RateLimit, urgencyDerate, urgencyLow))
 			}
-			next.gates[j] = w
+			next.admissions[j] = w
 		}
-		d.next = append(d.next, next)
-		if !p.bound {
-			need(Use{Proxy: i, Table: id, Products: group.mask}, mustHave)
+		d.tables = append(d.tables, next)
+		if !p.assigned {
+			need(AssignTable{Proxy: i, Table: id, Products: group.mask}, urgencyNeeded)
 		}
 	}
 	return d
@@ -290,11 +290,11 @@
 	r.second()
 	for i := range 200 {
 		r.now += 40
-		for _, o := range r.step(Joined{Proxy: 2 + i%2, Zone: i % 2, Rate: 5}) {
-			if u, ok := o.(Use); ok && u.Proxy < 2 {
+		for _, o := range r.step(ProxyConnected{Proxy: 2 + i%2, Zone: i % 2, Rate: 5}) {
+			if u, ok := o.(AssignTable); ok && u.Proxy < 2 {
 				t.Fatalf("proxy %d is put on a table as another one joins", u.Proxy)
 			}
-			if l, ok := o.(Line); ok && l.Table/len(r.a.groups) < 2 {
+			if l, ok := o.(SetWeight); ok && l.Table/len(r.a.groups) < 2 {
 				t.Fatalf("table %d changes as another proxy joins", l.Table)
 			}
 		}
--- a/internal/policy/spread_test.go
+++ b/internal/policy/spread_test.go
@@ -15,28 +15,28 @@
 	for b := range 12 {
 		list = append(list, ready(b, 0))
 	}
-	r.step(Listed{Kind: ListCached, Entries: list}, Joined{Proxy: 0, Rate: 4})
+	r.step(ListUpdate{Kind: ListCached, Entries: list}, ProxyConnected{Proxy: 0, Rate: 4})
 	for s := range 60 {
-		e := []Event{Used{Proxy: 0, Txns: 4, Counting: Second}}
+		e := []Event{UsageReport{Proxy: 0, Txns: 4, Period: Second}}
 		for b := s % 3; b < 12; b += 3 {
-			h := Heard{Backend: b, Tries: 1, Took: 400}
+			h := BackendReport{Backend: b, Attempts: 1, Latency: 400}
 			if b < 6 { // half of all: the median must not be taken from them
-				h.Took = 6000
+				h.Latency = 6000
 			}
 			e = append(e, h)
 		}
 		r.second(e...)
 	}
-	if slow, quick := r.weight(0, 0, 2), r.weight(0, 0, 8); slow > 0.5*quick || r.a.total > 0 {
-		t.Errorf("after a minute a slow backend has %.2f where a quick one has %.2f; total %v", slow, quick, r.a.total)
+	if slow, quick := r.weight(0, 0, 2), r.weight(0, 0, 8); slow > 0.5*quick || r.a.totalLimit > 0 {
+		t.Errorf("after a minute a slow backend has %.2f where a quick one has %.2f; total %v", slow, quick, r.a.totalLimit)
 	}
 	for b := range 12 { // chance: one of four
-		if r.a.fade(b, 10, 10); b == 11 {
-			r.second(Heard{Backend: b, Tries: 4, Voided: 1, Took: 400})
+		if r.a.decay(b, 10, 10); b == 11 {
+			r.second(BackendReport{Backend: b, Attempts: 4, Failed: 1, Latency: 400})
 		}
 	}
-	if r.a.be.relief[11] < 1 {
-		t.Errorf("one voided try of four: relief %v", r.a.be.relief[11])
+	if r.a.backends.derating[11] < 1 {
+		t.Errorf("one voided try of four: relief %v", r.a.backends.derating[11])
 	}
 }
 
@@ -49,20 +49,20 @@
 		d := deployment()
 		d.Products, d.Zones, d.Proxies, d.FirstTick = d.Products[:1], 1, many, Time(1+i*271)
 		all[i] = newRig(t, d)
-		all[i].step(Listed{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 0), ready(3, 0)}},
-			Joined{Proxy: i, Rate: 4})
+		all[i].step(ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 0), ready(3, 0)}},
+			ProxyConnected{Proxy: i, Rate: 4})
 	}
 	moved, most := 0, 0
 	for range 9 {
 		now := 0
 		for i, r := range all {
-			was := r.a.be.relief[0]
-			e := []Event{Used{Proxy: i, Txns: 4, Counting: Second}}
+			was := r.a.backends.derating[0]
+			e := []Event{UsageReport{Proxy: i, Txns: 4, Period: Second}}
 			for b := range 4 {
-				e = append(e, Told{Heard: Heard{Backend: b, Tries: 100, Took: either(b == 0, Time(6000), 400)}, Age: Second})
+				e = append(e, RemoteReport{BackendReport: BackendReport{Backend: b, Attempts: 100, Latency: either(b == 0, Time(6000), 400)}, Age: Second})
 			}
 			r.second(e...)
-			if r.a.be.relief[0] < was {
+			if r.a.backends.derating[0] < was {
 				now++
 			}
 		}
@@ -80,13 +80,13 @@
 	d.Products, d.Proxies = d.Products[:1], 4
 	play := func(there float64) (r *rig, away float64) {
 		r = newRig(t, d)
-		r.step(Listed{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}},
-			Joined{Proxy: 0, Rate: 100}, Joined{Proxy: 1, Rate: 100})
+		r.step(ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}},
+			ProxyConnected{Proxy: 0, Rate: 100}, ProxyConnected{Proxy: 1, Rate: 100})
 		for range 8 {
-			r.second(Used{Proxy: 0, Txns: 100, Counting: Second}, Used{Proxy: 1, Txns: 100, Counting: Second},
-				Elsewhere{Uses: [][]float64{{0, there}}})
+			r.second(UsageReport{Proxy: 0, Txns: 100, Period: Second}, UsageReport{Proxy: 1, Txns: 100, Period: Second},
+				RemoteUsage{Uses: [][]float64{{0, there}}})
 		}
-		return r, r.a.spill[0][0][1]
+		return r, r.a.spillover[0][0][1]
 	}
 	if _, away := play(200); away > 0.01 {
 		t.Errorf("%.2f leaves for a zone that is as full", away)
@@ -96,13 +96,13 @@
 		t.Errorf("%.2f leaves for a zone that is empty", away)
 	}
 	for range 30 {
-		was := r.a.partHere()
-		r.second(Used{Proxy: 0, Txns: 100, Counting: Second}, Used{Proxy: 1, Txns: 100, Counting: Second})
-		if now := r.a.partHere(); now > was+1e-9 || now < was-0.25 {
+		was := r.a.localShare()
+		r.second(UsageReport{Proxy: 0, Txns: 100, Period: Second}, UsageReport{Proxy: 1, Txns: 100, Period: Second})
+		if now := r.a.localShare(); now > was+1e-9 || now < was-0.25 {
 			t.Fatalf("part of the fleet jumps from %.2f to %.2f", was, now)
 		}
 	}
-	if part := r.a.partHere(); part != 0.5 {
+	if part := r.a.localShare(); part != 0.5 {
 		t.Errorf("part %.2f when nobody tells, not that of the proxies", part)
 	}
 }
@@ -115,21 +115,21 @@
 	for b := 4; b < 12; b++ {
 		more = append(more, ready(b, 1))
 	}
-	r.step(Listed{Kind: ListChange, Entries: more})
+	r.step(ListUpdate{Kind: ListChange, Entries: more})
 	for range 10 {
 		r.second() // news are rare
 		e := reports(10, nil, 0)
 		for b := range 12 {
-			h := Heard{Backend: b, Tries: 1, Took: 900}
+			h := BackendReport{Backend: b, Attempts: 1, Latency: 900}
 			if b < 2 {
-				h = Heard{Backend: b, Tries: 30, Voided: 20, Took: 7000}
+				h = BackendReport{Backend: b, Attempts: 30, Failed: 20, Latency: 7000}
 			}
 			e = append(e, h)
 		}
 		r.second(e...)
 	}
-	if r.a.total > 0 || r.a.over || r.a.bad > 0.1 {
-		t.Errorf("total %v, over %v, %.2f voided at the median", r.a.total, r.a.over, r.a.bad)
+	if r.a.totalLimit > 0 || r.a.overloaded || r.a.medianFailed > 0.1 {
+		t.Errorf("total %v, over %v, %.2f voided at the median", r.a.totalLimit, r.a.overloaded, r.a.medianFailed)
 	}
 }
 
@@ -140,14 +140,14 @@
 	d.Products, d.Zones = d.Products[:1], 1
 	r := newRig(t, d)
 	cold := ready(1, 0)
-	cold.Up = r.now - 10*Second
-	r.step(Listed{Kind: ListCached, Entries: []Entry{ready(0, 0), cold}}, Joined{Proxy: 0, Rate: 1}, Joined{Proxy: 1, Rate: 60})
+	cold.StartedAt = r.now - 10*Second
+	r.step(ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), cold}}, ProxyConnected{Proxy: 0, Rate: 1}, ProxyConnected{Proxy: 1, Rate: 60})
 	for range 10 { // of proxy 0 the report says that nothing came in a while
 		r.second()
-		r.second(Used{Proxy: 1, Txns: 60, Counting: Second}, Used{Proxy: 0, Txns: 0, Counting: 8 * Second},
-			Heard{Backend: 0, Tries: 30, Took: 400}, Heard{Backend: 1, Tries: 20, Took: 400})
+		r.second(UsageReport{Proxy: 1, Txns: 60, Period: Second}, UsageReport{Proxy: 0, Txns: 0, Period: 8 * Second},
+			BackendReport{Backend: 0, Attempts: 30, Latency: 400}, BackendReport{Backend: 1, Attempts: 20, Latency: 400})
 	}
-	level := r.gate(0, 0).Level
+	level := r.gate(0, 0).RateLimit
 	in, chance, use := 0.0, math.Exp(-0.25), 0.25
 	for n := 0.0; n < 10; n++ {
 		in, chance = in+chance*min(n, level), chance*use/(n+1)
--- a/internal/policy/steps_test.go
+++ b/internal/policy/steps_test.go
@@ -110,19 +110,19 @@
 		products = append(products, Product{Revenue: 1, SLA: 4000, OnlyKinds: []int{1}})
 	}
 	d.deployment = Deployment{
-		Products: products, Zones: zones, Proxies: d.proxies + d.rand.IntN(10), GoneBinds: d.chance(0.5),
-		Levels: []LevelKind{LevelRate, LevelRate, LevelShare, LevelNone}[d.rand.IntN(4)],
-		Cold:   Time(d.rand.IntN(20)) * Second, ColdCapacity: 0.1 + 0.3*d.rand.Float64(),
-		ColdMultiple: 1 + 3*d.rand.Float64(), LinesHead: 6, MessagesOver: 10 * Second,
-		Asked: d.chance(0.2), Probes: d.chance(0.3), Gauges: []Gauge{GaugeOther, GaugeHeld},
+		Products: products, Zones: zones, Proxies: d.proxies + d.rand.IntN(10), RemovalBinds: d.chance(0.5),
+		Limits:     []LimitKind{LimitRate, LimitRate, LimitShare, LimitNone}[d.rand.IntN(4)],
+		WarmupTime: Time(d.rand.IntN(20)) * Second, WarmupCapacity: 0.1 + 0.3*d.rand.Float64(),
+		WarmupOverload: 1 + 3*d.rand.Float64(), MessageOverhead: 6, MessageWindow: 10 * Second,
+		PullsList: d.chance(0.2), Probes: d.chance(0.3), Gauges: []Gauge{GaugeOther, GaugeInFlight},
 	}
 	if d.chance(0.7) {
-		d.deployment.ConnsLeast = 50 + 1000*d.rand.Float64()
+		d.deployment.MinConns = 50 + 1000*d.rand.Float64()
 	}
 	if d.chance(0.8) {
-		d.deployment.LinesPerS = 200 + 4000*d.rand.Float64()
-		d.deployment.LinesMost = d.deployment.LinesPerS * (0.5 + 2*d.rand.Float64())
-		d.deployment.MessagesMost = 10 + d.rand.IntN(40)
+		d.deployment.LinesPerSecond = 200 + 4000*d.rand.Float64()
+		d.deployment.MaxQueuedLines = d.deployment.LinesPerSecond * (0.5 + 2*d.rand.Float64())
+		d.deployment.MaxMessages = 10 + d.rand.IntN(40)
 	}
 	if d.chance(0.5) {
 		d.deployment.FirstTick = Time(1 + d.rand.IntN(int(Second)))
@@ -139,20 +139,20 @@
 func (d *dayDraw) begin() {
 	if d.chance(0.3) {
 		for p := range d.proxies {
-			d.add(Recalled{What: FigureUse, Proxy: p, Value: 20 * d.rand.Float64(), Age: Second, Part: d.rand.Float64()})
+			d.add(RestoredFigure{Figure: FigureUse, Proxy: p, Value: 20 * d.rand.Float64(), Age: Second, Confidence: d.rand.Float64()})
 		}
-		d.add(Recalled{What: FigureTotal, Value: 30 * d.rand.Float64(), Age: Second, Part: 1})
-		d.add(Recalled{What: FigureKnee, Value: 40 * d.rand.Float64(), Age: Second, Part: 1})
-		d.add(Recalled{What: FigurePace, Value: 40 * d.rand.Float64(), Age: Second, Part: 1})
+		d.add(RestoredFigure{Figure: FigureTotalLimit, Value: 30 * d.rand.Float64(), Age: Second, Confidence: 1})
+		d.add(RestoredFigure{Figure: FigureKnee, Value: 40 * d.rand.Float64(), Age: Second, Confidence: 1})
+		d.add(RestoredFigure{Figure: FigureThroughput, Value: 40 * d.rand.Float64(), Age: Second, Confidence: 1})
 	}
 	var all []Entry
 	for b := range d.backends {
 		all = append(all, d.entry(b, Ready))
 	}
-	d.add(Listed{Kind: ListCached, Entries: all})
+	d.add(ListUpdate{Kind: ListCached, Entries: all})
 	for b := range d.backends {
 		if d.chance(0.1) {
-			d.add(Recalled{What: FigureRelief, Backend: b, Value: d.rand.Float64(), Part: d.rand.Float64()})
+			d.add(RestoredFigure{Figure: FigureDerating, Backend: b, Value: d.rand.Float64(), Confidence: d.rand.Float64()})
 		}
 	}
 	for p := range d.proxies {
@@ -165,7 +165,7 @@
 func (d *dayDraw) add(e ...Event) { d.events = append(d.events, e...) }
 
 func (d *dayDraw) join(p int) {
-	d.add(Joined{Proxy: p, Zone: p % d.deployment.Zones, Rate: 30 * d.rand.Float64(), Brings: d.chance(0.5)})
+	d.add(ProxyConnected{Proxy: p, Zone: p % d.deployment.Zones, Rate: 30 * d.rand.Float64(), BringsTables: d.chance(0.5)})
 }
 
 // draw adds what happens until this step.
@@ -173,7 +173,7 @@
 	due := d.wakes[:0]
 	for _, w := range d.wakes {
 		if w.at <= d.now {
-			d.add(Woken{Name: w.name})
+			d.add(TimerFired{Name: w.name})
 			continue
 		}
 		due = append(due, w)
@@ -199,8 +199,8 @@
 		for k := range d.deployment.Products {
 			if d.chance(0.9) {
 				txns := float64(d.rand.IntN(30)) * d.rush
-				d.add(Used{Proxy: p, Product: k, Txns: txns, Voided: txns * 0.1 * d.rand.Float64(),
-					Counting: Time(1 + d.rand.IntN(int(2*Second)))})
+				d.add(UsageReport{Proxy: p, Product: k, Txns: txns, Failed: txns * 0.1 * d.rand.Float64(),
+					Period: Time(1 + d.rand.IntN(int(2*Second)))})
 			}
 		}
 	}
@@ -213,9 +213,9 @@
 		if b%7 == int(d.now/(40*Second))%7 {
 			slow *= 4
 		}
-		h := Heard{Backend: b, Tries: tries, Voided: float64(d.rand.IntN(3)), Took: Time(400 + 700*slow)}
+		h := BackendReport{Backend: b, Attempts: tries, Failed: float64(d.rand.IntN(3)), Latency: Time(400 + 700*slow)}
 		if d.tellsOthers && d.chance(0.5) {
-			d.add(Told{Heard: h, Age: Time(d.rand.IntN(int(5 * Second)))})
+			d.add(RemoteReport{BackendReport: h, Age: Time(d.rand.IntN(int(5 * Second)))})
 			continue
 		}
 		d.add(h)
@@ -227,11 +227,11 @@
 				uses[k] = append(uses[k], 200*d.rand.Float64())
 			}
 		}
-		d.add(Elsewhere{Uses: uses})
+		d.add(RemoteUsage{Uses: uses})
 	}
 	for b := range d.backends {
 		if d.deployment.Probes && d.chance(0.2) {
-			d.add(Probed{Backend: b, Load: []float64{1, float64(d.rand.IntN(20))}})
+			d.add(ProbeResult{Backend: b, Load: []float64{1, float64(d.rand.IntN(20))}})
 		}
 	}
 }
@@ -240,13 +240,13 @@
 	b, p := d.rand.IntN(d.backends), d.rand.IntN(d.proxies)
 	switch d.rand.IntN(12) {
 	case 0, 1:
-		d.add(Listed{Kind: ListChange, Entries: []Entry{d.entry(b, Draining)}})
+		d.add(ListUpdate{Kind: ListChange, Entries: []Entry{d.entry(b, Draining)}})
 	case 2, 3:
 		e := d.entry(b, Ready)
-		e.Up = d.now
-		d.add(Listed{Kind: ListChange, Entries: []Entry{e}})
+		e.StartedAt = d.now
+		d.add(ListUpdate{Kind: ListChange, Entries: []Entry{e}})
 	case 4:
-		d.add(Listed{Kind: ListChange, Entries: []Entry{{Backend: b, Status: Gone}}})
+		d.add(ListUpdate{Kind: ListChange, Entries: []Entry{{Backend: b, Status: Gone}}})
 	case 5:
 		var all []Entry
 		for i := range d.backends {
@@ -254,11 +254,11 @@
 				all = append(all, d.entry(i, Ready))
 			}
 		}
-		d.add(Listed{Kind: ListFull, Entries: all})
+		d.add(ListUpdate{Kind: ListFull, Entries: all})
 	case 6:
-		d.add(Listed{Kind: ListFailed})
+		d.add(ListUpdate{Kind: ListFailed})
 	case 7, 8:
-		d.add(Left{Proxy: p})
+		d.add(ProxyDisconnected{Proxy: p})
 		if d.chance(0.7) {
 			d.join(p)
 		}
@@ -269,14 +269,14 @@
 			d.confine(p)
 		}
 	case 11:
-		d.add(Listed{Kind: ListChange, Entries: []Entry{{Backend: b, Status: Gone}}}, Dropped{Backend: b})
+		d.add(ListUpdate{Kind: ListChange, Entries: []Entry{{Backend: b, Status: Gone}}}, IndexReleased{Backend: b})
 	}
 }
 
 func (d *dayDraw) confine(p int) {
-	e := Allowed{Proxy: p, Confined: d.chance(0.7), Still: d.chance(0.3)}
+	e := ProxyConfined{Proxy: p, Confined: d.chance(0.7), NoRetries: d.chance(0.3)}
 	if d.chance(0.5) {
-		e.Most = 40 * d.rand.Float64()
+		e.MaxRate = 40 * d.rand.Float64()
 	}
 	for b := range d.backends {
 		if d.chance(0.4) {
@@ -296,7 +296,7 @@
 		}
 		for p := range d.proxies {
 			if d.chance(0.9) {
-				d.add(Fenced{Proxy: p, Number: number})
+				d.add(MarkerAcked{Proxy: p, Number: number})
 			}
 		}
 	}
@@ -317,27 +317,27 @@
 func (d *dayDraw) note(o Order) {
 	write := func(kind int, figures ...any) { _, _ = fmt.Fprintln(d.sum, append([]any{d.now, kind}, figures...)...) }
 	switch o := o.(type) {
-	case Line:
+	case SetWeight:
 		write(1, o.Table, o.Backend, o.Weight)
-	case Clear:
+	case ClearTable:
 		write(2, o.Table)
-	case Use:
+	case AssignTable:
 		write(3, o.Proxy, o.Table, o.Products)
 	case Withdraw:
-		write(4, o.Backend, o.Out, o.Bound)
-	case Gate:
-		write(5, o.Table, o.Level, uint8(o.Tries), o.Products)
-	case Fence:
+		write(4, o.Backend, o.Withdrawn, o.Deferred)
+	case Admission:
+		write(5, o.Table, o.RateLimit, uint8(o.Retries), o.Products)
+	case Marker:
 		write(6, o.Number, o.All)
 		d.unanswered = append(d.unanswered, o.Number)
-	case Wake:
-		write(7, o.After, o.Name)
-		d.wakes = append(d.wakes, dueWake{d.now + o.After, o.Name})
+	case SetTimer:
+		write(7, o.Delay, o.Name)
+		d.wakes = append(d.wakes, dueWake{d.now + o.Delay, o.Name})
 	case Probe:
 		write(8, o.Backend)
-	case Follow:
+	case FollowList:
 		write(9, o.On)
-	case Reload:
+	case ReloadList:
 		write(10)
 	case Log:
 		write(11, o.Text)
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -234,14 +234,14 @@
 		if n > len(c.b)/entrySize {
 			return rec, errShort
 		}
-		list := policy.Listed{Kind: [...]policy.ListKind{policy.ListChange, policy.ListFailed, policy.ListFull,
+		list := policy.ListUpdate{Kind: [...]policy.ListKind{policy.ListChange, policy.ListFailed, policy.ListFull,
 			policy.ListCached}[how]}
 		for range n {
 			e := policy.Entry{Zone: int(c.u8())}
 			c.u16() // the cell: no decision needs it
 			status := c.u8()
 			e.Kind, e.Backend = int(c.u8()), dr.backend(c.addr(), true)
-			e.Up, e.Weight = policy.Time(c.u64()/100), c.real()
+			e.StartedAt, e.Weight = policy.Time(c.u64()/100), c.real()
 			if status > 2 {
 				return rec, fmt.Errorf("unknown status %d of a backend", status)
 			}
@@ -250,9 +250,9 @@
 		}
 		rec.Event = list
 	case inReminder:
-		rec.Event = policy.Woken{Name: c.u32()}
+		rec.Event = policy.TimerFired{Name: c.u32()}
 	case inProbeDone:
-		e := policy.Probed{Backend: dr.backend(c.addr(), false)}
+		e := policy.ProbeResult{Backend: dr.backend(c.addr(), false)}
 		c.u8()
 		c.micros()
 		e.Load = c.load()
@@ -267,15 +267,15 @@
 		rec.Event = Stop{}
 	case inUp:
 		c.u8()
-		e := policy.Joined{Zone: int(c.u8()), Rate: c.real()}
+		e := policy.ProxyConnected{Zone: int(c.u8()), Rate: c.real()}
 		e.Proxy = dr.proxy(c.u16(), true)
 		rec.Event = e
 	case inDown:
 		if p := dr.proxy(c.u16(), false); p >= 0 {
-			rec.Event = policy.Left{Proxy: p}
+			rec.Event = policy.ProxyDisconnected{Proxy: p}
 		}
 	case inTook:
-		e := policy.Fenced{Proxy: dr.proxy(c.u16(), false)}
+		e := policy.MarkerAcked{Proxy: dr.proxy(c.u16(), false)}
 		number := c.u64()
 		e.Number = int(number & 0xffff)
 		c.micros()
@@ -284,16 +284,16 @@
 		}
 	case inRoundup:
 		c.u8()
-		e := policy.Heard{Backend: dr.backend(c.addr(), false)}
-		e.Tries, e.Voided, e.Took = float64(c.u32()), float64(c.u32()), c.micros()
+		e := policy.BackendReport{Backend: dr.backend(c.addr(), false)}
+		e.Attempts, e.Failed, e.Latency = float64(c.u32()), float64(c.u32()), c.micros()
 		c.micros()
 		c.load()
 		if e.Backend >= 0 {
 			rec.Event = e
 		}
 	case inUsage:
-		e := policy.Used{Proxy: dr.proxy(c.u16(), false), Product: int(c.u8())}
-		e.Txns, e.Voided, e.Counting = float64(c.u32()), float64(c.u32()), c.micros()
+		e := policy.UsageReport{Proxy: dr.proxy(c.u16(), false), Product: int(c.u8())}
+		e.Txns, e.Failed, e.Period = float64(c.u32()), float64(c.u32()), c.micros()
 		if e.Proxy >= 0 && e.Product < dr.products {
 			rec.Event = e
 		}
@@ -373,15 +373,15 @@
 	d := r.d.doors[inst]
 	for _, o := range orders {
 		switch o := o.(type) {
-		case policy.Line:
+		case policy.SetWeight:
 			r.start(outUpsert, inst)
 			r.u16(o.Table)
 			r.addr(d.backends[o.Backend])
 			r.f32(o.Weight)
-		case policy.Clear:
+		case policy.ClearTable:
 			r.start(outDrop, inst)
 			r.u16(o.Table)
-		case policy.Use:
+		case policy.AssignTable:
 			r.start(outUse, inst)
 			r.u16(int(d.proxies[o.Proxy]))
 			r.u16(o.Table)
@@ -389,20 +389,20 @@
 		case policy.Withdraw:
 			r.start(outCordon, inst)
 			r.addr(d.backends[o.Backend])
-			r.u8(o.Out)
-		case policy.Gate:
+			r.u8(o.Withdrawn)
+		case policy.Admission:
 			r.start(outGate, inst)
 			r.u16(o.Table)
-			r.f32(o.Level)
-			r.body = append(r.body, byte(o.Tries))
+			r.f32(o.RateLimit)
+			r.body = append(r.body, byte(o.Retries))
 			r.u16(int(o.Products))
-		case policy.Fence:
+		case policy.Marker:
 			r.start(outFence, inst)
 			r.body = binary.BigEndian.AppendUint64(r.body, uint64(o.Number))
 			r.u8(o.All)
-		case policy.Wake:
+		case policy.SetTimer:
 			r.start(outNotifyMe, inst)
-			r.u32(uint32(min(max(o.After, 0), mostWait) * 100))
+			r.u32(uint32(min(max(o.Delay, 0), mostWait) * 100))
 			r.u32(o.Name)
 		case policy.Probe:
 			r.start(outProbe, inst)
@@ -415,10 +415,10 @@
 			}
 			r.u16(to)
 			r.text(o.Data)
-		case policy.Follow:
+		case policy.FollowList:
 			r.start(outListen, inst)
 			r.u8(o.On)
-		case policy.Reload:
+		case policy.ReloadList:
 			r.start(outReload, inst)
 		case policy.Log:
 			r.start(outRemark, inst)
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -70,20 +70,20 @@
 	}
 	d := launch.Deployment
 	p, q := d.Products[0], d.Products[1]
-	if p.SLA != 8000 || !q.OwnZone || len(q.OnlyZones) != 2 || d.Cold != 170001 || d.MessagesOver != 100001 ||
-		d.GoneBinds || !d.Asked || d.Levels != policy.LevelShare ||
+	if p.SLA != 8000 || !q.OwnZone || len(q.OnlyZones) != 2 || d.WarmupTime != 170001 || d.MessageWindow != 100001 ||
+		d.RemovalBinds || !d.PullsList || d.Limits != policy.LimitShare ||
 		d.Zones != 3 || len(d.Gauges) != 4 ||
-		d.Gauges[1] != policy.GaugeHeld {
+		d.Gauges[1] != policy.GaugeInFlight {
 		t.Errorf("settings read as %+v", d)
 	}
 	want := []any{
-		policy.Woken{Name: 77}, policy.Probed{Load: []float64{0.5}}, nil,
-		policy.Left{}, policy.Fenced{Number: 12},
-		policy.Heard{Tries: 14, Voided: 1, Took: 482},
-		policy.Used{Product: 1, Txns: 9, Voided: 2, Counting: 20000},
+		policy.TimerFired{Name: 77}, policy.ProbeResult{Load: []float64{0.5}}, nil,
+		policy.ProxyDisconnected{}, policy.MarkerAcked{Number: 12},
+		policy.BackendReport{Attempts: 14, Failed: 1, Latency: 482},
+		policy.UsageReport{Product: 1, Txns: 9, Failed: 2, Period: 20000},
 		nil, nil, nil, Stop{},
 	}
-	if j, ok := batch.Records[2].Event.(policy.Joined); !ok || j.Zone != 2 || j.Rate != 6.5 {
+	if j, ok := batch.Records[2].Event.(policy.ProxyConnected); !ok || j.Zone != 2 || j.Rate != 6.5 {
 		t.Errorf("joined read as %+v", j)
 	}
 	for i, w := range want {
@@ -91,8 +91,8 @@
 			t.Errorf("record %d read as %+v, want %+v", i+3, got, w)
 		}
 	}
-	list, _ := batch.Records[1].Event.(policy.Listed)
-	e := policy.Entry{Zone: 1, Status: policy.Ready, Up: 61000, Weight: 1.5}
+	list, _ := batch.Records[1].Event.(policy.ListUpdate)
+	e := policy.Entry{Zone: 1, Status: policy.Ready, StartedAt: 61000, Weight: 1.5}
 	if list.Kind != policy.ListCached || list.Entries[0] != e {
 		t.Errorf("list read as %+v", list)
 	}
@@ -147,10 +147,10 @@
 	_, _ = dec.Next()
 	r := NewReply(dec)
 	r.Add(3, []policy.Order{
-		policy.Line{Table: 117, Weight: 0.75}, policy.Clear{Table: 117}, policy.Use{Table: 117}, policy.Withdraw{Out: true},
-		policy.Gate{Table: 117, Level: 0.75, Tries: policy.TryUnrun, Products: 2}, policy.Fence{Number: 12},
-		policy.Wake{After: 5000, Name: 77}, policy.Probe{}, policy.Note{To: policy.ToAll, Data: []byte("hi 7")},
-		policy.Follow{On: true}, policy.Reload{}, policy.Log{Text: "two"},
+		policy.SetWeight{Table: 117, Weight: 0.75}, policy.ClearTable{Table: 117}, policy.AssignTable{Table: 117}, policy.Withdraw{Withdrawn: true},
+		policy.Admission{Table: 117, RateLimit: 0.75, Retries: policy.RetryUnexecuted, Products: 2}, policy.Marker{Number: 12},
+		policy.SetTimer{Delay: 5000, Name: 77}, policy.Probe{}, policy.Note{To: policy.ToAll, Data: []byte("hi 7")},
+		policy.FollowList{On: true}, policy.ReloadList{}, policy.Log{Text: "two"},
 	})
 	r.Bail(3, "index out of range")
 	var out bytes.Buffer
