--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -47,7 +47,7 @@
 			case simwire.Stop:
 				delete(hosted, rec.Inst)
 				events[rec.Inst] = nil
-			default:
+			case policy.Event:
 				events[rec.Inst] = append(events[rec.Inst], e)
 			}
 		}
--- a/internal/controller/eventloop/confine.go
+++ b/internal/controller/eventloop/confine.go
@@ -64,7 +64,7 @@
 			} else {
 				d.log.Info(o.Text)
 			}
-		default:
+		case policy.ProxyConfined:
 			d.events = append(d.events, o)
 		}
 	}
--- a/internal/policy/allowed_test.go
+++ b/internal/policy/allowed_test.go
@@ -46,7 +46,11 @@
 	if got := lines(0, 1); !got[0] || !got[1] {
 		t.Errorf("free again: %v", got)
 	}
-	r.step(ProxyConfined{Proxy: 0, Confined: true, Backends: []int{3}}, ListUpdate{Entries: []Entry{{Backend: 3, Status: Gone}}}, IndexReleased{Backend: 3})
+	r.step(
+		ProxyConfined{Proxy: 0, Confined: true, Backends: []int{3}},
+		ListUpdate{Entries: []Entry{{Backend: 3, Status: Gone}}},
+		IndexReleased{Backend: 3},
+	)
 	if r.a.proxies[0].mayUse(3) {
 		t.Error("an index that is given back is still allowed")
 	}
@@ -98,7 +102,10 @@
 	for range 40 {
 		r.a.urgent = true
 		for _, o := range r.second(append(reports(15, calm, 1000), UsageReport{Proxy: 0, Txns: 500, Period: Second},
-			ListUpdate{Entries: []Entry{{Backend: 1, Zone: 0, Status: Ready, Weight: 3}, {Backend: 3, Zone: 1, Status: Ready, Weight: 3}}})...) {
+			ListUpdate{Entries: []Entry{
+				{Backend: 1, Zone: 0, Status: Ready, Weight: 3},
+				{Backend: 3, Zone: 1, Status: Ready, Weight: 3},
+			}})...) {
 			if l, ok := o.(SetWeight); ok && first < 0 {
 				first = l.Table / len(r.a.groups)
 			}
--- /dev/null
+++ b/internal/policy/events.go
@@ -0,0 +1,92 @@
+package policy
+
+import (
+	"math"
+	"slices"
+)
+
+// handleEvents takes events into the state; it reports whether a tick is among them.
+func (a *Assigner) handleEvents(now Time, events []Event) (tick bool) {
+	a.now, a.orders = now, nil
+	for _, e := range events {
+		switch e := e.(type) {
+		case ListUpdate:
+			a.onList(e)
+		case IndexReleased:
+			a.releaseIndex(e.Backend)
+		case ProxyConnected:
+			a.onConnected(e)
+		case ProxyDisconnected:
+			a.onDisconnected(e)
+		case ProxyConfined:
+			a.onConfined(e)
+		case BackendReport:
+			a.onBackendReport(e)
+		case RemoteReport:
+			a.onBackendReport(e.BackendReport)
+			a.backends.age[e.Backend], a.backends.remoteAt[e.Backend] = e.Age, a.now
+		case RemoteUsage:
+			a.remoteUsage, a.remoteUsageAt = e.Uses, a.now
+		case ProbeResult:
+			a.onProbeResult(e)
+		case UsageReport:
+			a.onUsage(e)
+		case RestoredFigure:
+			a.onRestored(e)
+		case MarkerAcked:
+			a.onMarkerAck(a.proxyAt(e.Proxy), a.batch-(a.batch-e.Number)%markerNumbers)
+		case TimerFired:
+			tick = tick || e.Name == timerTick
+			a.urgent, a.retryPending = true, a.retryPending && e.Name != timerRetry
+		}
+	}
+	a.listConnected()
+	if tick || a.urgent { // otherwise nothing is decided in this step
+		a.updateWeights()
+	}
+	return tick
+}
+
+func (a *Assigner) onConnected(e ProxyConnected) {
+	p := a.proxyAt(e.Proxy)
+	p.connected, p.assigned, p.zone, p.sent = true, false, a.clampZone(e.Zone), nil
+	p.bringsTables, p.counted, p.stranded = e.BringsTables, false, true
+	p.installed = make([]table, len(a.groups))
+	// A stream that breaks and comes back soon brings the same traffic: what is known of it stays.
+	if a.now > p.disconnectedAt+useTimeout {
+		p.hasReported = false
+		for k := range p.use {
+			p.reported[k], p.use[k], p.failed[k], p.reportedAt[k] = false, e.Rate/float64(len(p.use)), 0, a.now
+		}
+	}
+	a.resetLimits, a.urgent = true, true
+}
+
+func (a *Assigner) onDisconnected(e ProxyDisconnected) {
+	if p := a.proxyAt(e.Proxy); p.connected {
+		p.connected, p.assigned, p.disconnectedAt, a.resetLimits = false, false, a.now, true
+	}
+}
+
+func (a *Assigner) onProbeResult(e ProbeResult) {
+	at := slices.Index(a.conf.Gauges, GaugeInFlight)
+	if at >= 0 && at < len(e.Load) && e.Backend < len(a.backends.inFlight) {
+		a.backends.inFlight[e.Backend] = e.Load[at]
+	}
+}
+
+// onUsage smooths the use of a proxy.
+func (a *Assigner) onUsage(e UsageReport) {
+	p, seconds, k := a.proxyAt(e.Proxy), float64(e.Period)/float64(Second), e.Product
+	if k >= len(p.use) || seconds <= 0 {
+		return
+	}
+	keep := math.Pow(useDecay, max(seconds, 0.2)*min(max(p.use[k]/largeUse, minDecayRate), 1))
+	if !p.reported[k] || p.use[k] == 0 {
+		keep = 0 // the rate that was assumed gives way to the reported one, by product
+	}
+	p.hasReported, p.reported[k], p.reportedAt[k] = true, true, a.now
+	a.spanSum, a.spanCount = a.spanSum+seconds, a.spanCount+1
+	p.use[k] = p.use[k]*keep + max(e.Txns, 0)/seconds*(1-keep)
+	p.failed[k] = p.failed[k]*keep + e.Failed/seconds*(1-keep)
+}
--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -10,9 +10,17 @@
 			{Revenue: 6, SLA: 5000, OwnZone: true},
 			{Revenue: 5, SLA: 8000, OnlyZones: []int{0}},
 		},
-		Zones: 2, Proxies: 4, RemovalBinds: true, WarmupTime: 15 * Second,
-		WarmupCapacity: 0.2, WarmupOverload: 3, LinesPerSecond: 3000, MaxQueuedLines: 6000, MessageOverhead: 6, MaxMessages: 30,
-		MessageWindow: 10 * Second,
+		Zones:           2,
+		Proxies:         4,
+		RemovalBinds:    true,
+		WarmupTime:      15 * Second,
+		WarmupCapacity:  0.2,
+		WarmupOverload:  3,
+		LinesPerSecond:  3000,
+		MaxQueuedLines:  6000,
+		MessageOverhead: 6,
+		MaxMessages:     30,
+		MessageWindow:   10 * Second,
 	}
 }
 
--- a/internal/policy/iface.go
+++ b/internal/policy/iface.go
@@ -6,59 +6,72 @@
 // Second is one second of Time.
 const Second Time = 10000
 
-// LimitKind says what a level is at this deployment.
+// LimitKind says what a rate limit is at this deployment.
 type LimitKind uint8
 
-// Kinds of level.
+// Kinds of rate limits.
 const (
-	LimitRate LimitKind = iota
-	LimitShare
-	LimitNone
+	LimitRate  LimitKind = iota // txns/s
+	LimitShare                  // part of the traffic that is admitted, 0 to 1
+	LimitNone                   // there are none
 )
 
 // Gauge is one value of a load report.
 type Gauge uint8
 
-// Gauges that a report may hold; GaugeOther is read past.
+// Gauges that a report may have; GaugeOther is ignored.
 const (
-	GaugeOther Gauge = iota
-	GaugeInFlight
+	GaugeOther    Gauge = iota
+	GaugeInFlight       // txns in flight
 )
 
 // Product is a class of txns.
 type Product struct {
-	Revenue   float64
-	SLA       Time
-	OnlyZones []int
-	OnlyKinds []int
-	OwnZone   bool
+	Revenue   float64 // of a txn: the highest is admitted first
+	SLA       Time    // within which a txn is to be answered
+	OnlyZones []int   // zones of the backends that may serve it; nil: all
+	OnlyKinds []int   // kinds of the backends that may serve it; nil: all
+	OwnZone   bool    // only backends in the proxy's zone may serve it
 }
 
-// Deployment holds the launch settings that the decisions read.
+// Deployment holds the launch settings that the decisions read. Zero values of limits stand for no limit.
 type Deployment struct {
 	Products        []Product
 	Zones           int
-	Proxies         int
-	PullsList       bool
-	Probes          bool
-	Gauges          []Gauge
-	Limits          LimitKind
-	Shards          int
-	RemovalBinds    bool
-	WarmupTime      Time
-	WarmupCapacity  float64
-	WarmupOverload  float64 // of its capacity, that pushes a cold backend over
-	MinConns        float64 // connections that the smallest backends take
-	LinesPerSecond  float64
-	MaxQueuedLines  float64
-	MessageOverhead float64
-	MaxMessages     int
+	Proxies         int       // of the whole deployment
+	PullsList       bool      // the list of backends comes only on FollowList and ReloadList
+	Probes          bool      // backends may be probed
+	Gauges          []Gauge   // values of a load report, in their order
+	Limits          LimitKind // what a rate limit is
+	Shards          int       // not 0: tables are those of shards, which belong to a store
+	RemovalBinds    bool      // a backend that the list drops must not be used
+	WarmupTime      Time      // how long a backend is in slow start
+	WarmupCapacity  float64   // part of its capacity that a backend has from its start
+	WarmupOverload  float64   // multiple of its capacity that brings a backend in slow start down
+	MinConns        float64   // connections that the smallest backends accept
+	LinesPerSecond  float64   // pace of the channel to the proxies
+	MaxQueuedLines  float64   // lines that may wait in the channel
+	MessageOverhead float64   // lines that a message counts for beside its own
+	MaxMessages     int       // messages that a proxy may be sent within MessageWindow
 	MessageWindow   Time
-	FirstTick       Time // from the start; 0 is a whole one. Controllers that start together do not act together then
+	FirstTick       Time // from the start; 0: a whole interval. Controllers that start together must not act together
 }
 
-// Event is one of the structs below, in the order in which they happened.
-type Event any
+// Event is something that happened, in the order in which it happened.
+type Event interface{ isEvent() }
+
+func (ListUpdate) isEvent()        {}
+func (IndexReleased) isEvent()     {}
+func (TimerFired) isEvent()        {}
+func (ProbeResult) isEvent()       {}
+func (ProxyConnected) isEvent()    {}
+func (ProxyConfined) isEvent()     {}
+func (ProxyDisconnected) isEvent() {}
+func (BackendReport) isEvent()     {}
+func (RemoteUsage) isEvent()       {}
+func (UsageReport) isEvent()       {}
+func (MarkerAcked) isEvent()       {}
+func (RestoredFigure) isEvent()    {}
 
 // Status of a backend on the list.
 type Status uint8
@@ -75,21 +88,21 @@
 
 // Kinds of list.
 const (
-	ListChange ListKind = iota
-	ListFull
-	ListCached
-	ListFailed
+	ListChange ListKind = iota // entries that changed
+	ListFull                   // all entries
+	ListCached                 // all entries that were known at the start
+	ListFailed                 // there is none: the source failed
 )
 
 // Entry is a backend as the list shows it.
 type Entry struct {
 	Backend, Zone, Kind int
 	Status              Status
-	StartedAt           Time
-	Weight              float64
+	StartedAt           Time    // 0: not known
+	Weight              float64 // relative; 0 stands for 1
 }
 
-// ListUpdate brings the list or changes of it.
+// ListUpdate brings the list, or changes of it.
 type ListUpdate struct {
 	Kind    ListKind
 	Entries []Entry
@@ -99,10 +112,10 @@
 // the next list on.
 type IndexReleased struct{ Backend int }
 
-// TimerFired is the answer to a Wake.
+// TimerFired answers a SetTimer.
 type TimerFired struct{ Name uint32 }
 
-// ProbeResult is the answer to a Probe.
+// ProbeResult answers a Probe, with a value for each of Deployment.Gauges.
 type ProbeResult struct {
 	Backend int
 	Load    []float64
@@ -111,52 +124,64 @@
 // ProxyConnected says that a proxy's stream is up.
 type ProxyConnected struct {
 	Proxy, Zone  int
-	Rate         float64
-	BringsTables bool // shut-outs of another controller, to be settled with the first line for each backend
+	Rate         float64 // txns/s that it is said to get, of all products
+	BringsTables bool    // and withdrawals of another controller, to be settled with the first line for each backend
 }
 
-// ProxyConfined confines a proxy to some backends, until the next one: what is open elsewhere it is given only where
-// none of these is. Most is what it may let in of all products together, txns/s, 0 for no bound of its own; Still
-// says that it may make no further tries. One that was never told is free.
+// ProxyConfined confines a proxy to some backends, until the next one: others it is given only where none of these
+// is open. A proxy that was never confined is free.
 type ProxyConfined struct {
 	Proxy     int
 	Confined  bool
 	Backends  []int
-	MaxRate   float64
+	MaxRate   float64 // txns/s that it may admit of all products; 0: no limit of its own
 	NoRetries bool
 }
 
 // ProxyDisconnected says that a proxy's stream broke.
 type ProxyDisconnected struct{ Proxy int }
 
-// BackendReport sums what proxies met at a backend.
+// BackendReport sums what proxies saw of a backend.
 type BackendReport struct {
 	Backend          int
 	Attempts, Failed float64
-	Latency          Time
+	Latency          Time // mean of those that did not fail
 }
 
-// RemoteReport sums what the proxies of other controllers met at a backend; Age is how old that is beside what is heard now.
+// RemoteReport sums what the proxies of other controllers saw of a backend.
 type RemoteReport struct {
 	BackendReport
-	Age Time
+	Age Time // how much older that is than what the own proxies report now
 }
 
-// RemoteUsage says what comes to the proxies of other controllers: txns/s by product and zone.
+// RemoteUsage is the use of the proxies of other controllers: txns/s by product and zone.
 type RemoteUsage struct{ Uses [][]float64 }
 
-// UsageReport sums the txns of a product that came to a proxy.
+// UsageReport sums the txns of a product that arrived at a proxy within Period.
 type UsageReport struct {
 	Proxy, Product int
 	Txns, Failed   float64
 	Period         Time
 }
 
-// MarkerAcked answers a Fence from one proxy.
+// MarkerAcked says that a proxy has received all up to a Marker.
 type MarkerAcked struct{ Proxy, Number int }
 
-// Order is one of the structs below; they are carried out in the order given.
-type Order any
+// Order is something to be done; orders are carried out in the order given.
+type Order interface{ isOrder() }
+
+func (SetWeight) isOrder()   {}
+func (ClearTable) isOrder()  {}
+func (AssignTable) isOrder() {}
+func (Withdraw) isOrder()    {}
+func (Admission) isOrder()   {}
+func (Marker) isOrder()      {}
+func (SetTimer) isOrder()    {}
+func (Probe) isOrder()       {}
+func (Note) isOrder()        {}
+func (FollowList) isOrder()  {}
+func (ReloadList) isOrder()  {}
+func (Log) isOrder()         {}
 
 // SetWeight sets a line of a table; weight 0 takes it out.
 type SetWeight struct {
@@ -167,54 +192,54 @@
 // ClearTable empties a table.
 type ClearTable struct{ Table int }
 
-// AssignTable puts a proxy on a table for the products of the mask.
+// AssignTable has a proxy use a table for the products of the mask.
 type AssignTable struct {
 	Proxy, Table int
 	Products     uint16
 }
 
-// Withdraw shuts a backend out of all tables, or lets it in again. Bound: proxies that still go by tables which they
-// brought along are told with their first table.
+// Withdraw takes a backend out of all tables, or lets it in again.
 type Withdraw struct {
-	Backend             int
-	Withdrawn, Deferred bool
+	Backend   int
+	Withdrawn bool
+	Deferred  bool // proxies on tables that they brought learn of it with their first table
 }
 
-// RetryMode says when a proxy tries another backend.
+// RetryMode says when a proxy may try another backend.
 type RetryMode uint8
 
-// Ways of trying again.
+// Modes of retries.
 const (
-	NoRetry RetryMode = iota
-	RetryUnexecuted
+	NoRetry         RetryMode = iota
+	RetryUnexecuted           // if the first attempt is known not to have been executed
 	RetryOnce
 	RetryTwice
 )
 
-// Admission sets the level and the further tries of the products of the mask.
+// Admission sets the rate limit and the retries of the products of the mask.
 type Admission struct {
 	Table     int
-	RateLimit float64
+	RateLimit float64 // as Deployment.Limits says
 	Retries   RetryMode
 	Products  uint16
 }
 
-// Marker asks every proxy reached by this reply for a Fenced.
+// Marker asks every proxy that gets any order of this step for a MarkerAcked.
 type Marker struct {
 	Number int
-	All    bool
+	All    bool // every proxy is asked
 }
 
-// SetTimer asks for a Woken.
+// SetTimer asks for a TimerFired.
 type SetTimer struct {
 	Delay Time
 	Name  uint32
 }
 
-// Probe checks a backend.
+// Probe asks a backend for its load.
 type Probe struct{ Backend int }
 
-// Note goes to another controller, or to all of them.
+// Note is a message to another controller, or to all of them.
 type Note struct {
 	To   int
 	Data []byte
@@ -223,34 +248,34 @@
 // ToAll is the Note.To that means every other controller.
 const ToAll = -1
 
-// FollowList asks for list changes from now on, or no longer.
+// FollowList asks for changes of the list from now on, or no longer.
 type FollowList struct{ On bool }
 
 // ReloadList asks for the whole list once.
 type ReloadList struct{}
 
-// RestoredFigure is a figure of an earlier life of this controller, or of another one: what it was, how long ago, and how
-// far it is to be believed, from 0 to 1. What has been heard of at first hand meanwhile holds against it.
+// RestoredFigure is a figure of an earlier start of this controller, or of another one. What has been reported at first
+// hand meanwhile goes before it.
 type RestoredFigure struct {
 	Figure         Figure
 	Backend        int
 	Proxy, Product int
 	Value          float64
 	Age            Time
-	Confidence     float64
+	Confidence     float64 // how far it is to be believed, 0 to 1
 }
 
-// Figure is what a Recalled is about.
+// Figure is what a RestoredFigure is about.
 type Figure uint8
 
 // Figures. The last three are txns/s for a unit of the listed weight that is ready, so that they hold for a
-// controller that is joined by other proxies.
+// controller that other proxies connect to.
 const (
-	FigureUse        Figure = iota // txns/s of a product that come to a proxy
+	FigureUse        Figure = iota // txns/s of a product that arrive at a proxy
 	FigureDerating                 // part of its weight that a backend keeps
 	FigureTotalLimit               // 0: unbounded
 	FigureKnee
-	FigureThroughput // the most served
+	FigureThroughput // the most that was served
 )
 
 // Log is a line for people.
--- a/internal/policy/many_test.go
+++ b/internal/policy/many_test.go
@@ -105,7 +105,8 @@
 	ticks := 0
 	for ; len(order) < d.Proxies && ticks < 100; ticks++ {
 		r.now += Second
-		for _, o := range r.step(append(events, MarkerAcked{Proxy: 0, Number: r.a.batch}, MarkerAcked{Proxy: 1, Number: r.a.batch}, TimerFired{})...) {
+		acked := []Event{MarkerAcked{Proxy: 0, Number: r.a.batch}, MarkerAcked{Proxy: 1, Number: r.a.batch}}
+		for _, o := range r.step(append(append(events, acked...), TimerFired{})...) {
 			if u, ok := o.(AssignTable); ok && (len(order) == 0 || order[len(order)-1] != u.Proxy) {
 				order = append(order, u.Proxy)
 			}
@@ -251,7 +252,14 @@
 		r.second(reports(40, calm, 1000)...)
 	}
 	up := r.now
-	r.step(ListUpdate{Entries: []Entry{{Backend: 0, Zone: 0, Status: Ready, Weight: 1, StartedAt: up}, {Backend: 1, Zone: 0, Status: Ready, Weight: 1, StartedAt: up}}})
+	r.step(
+		ListUpdate{
+			Entries: []Entry{
+				{Backend: 0, Zone: 0, Status: Ready, Weight: 1, StartedAt: up},
+				{Backend: 1, Zone: 0, Status: Ready, Weight: 1, StartedAt: up},
+			},
+		},
+	)
 	for range 2 {
 		r.second(reports(40, calm, 1000)...)
 	}
@@ -271,31 +279,56 @@
 func TestRecalledByAge(t *testing.T) {
 	begin := func(known ...Event) *rig {
 		r := newRig(t, deployment())
-		r.step(append([]Event{ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}}}, known...)...)
+		r.step(
+			append(
+				[]Event{ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}}},
+				known...)...)
 		r.step(ProxyConnected{Proxy: 0, Zone: 0, Rate: 90, BringsTables: true})
 		return r
 	}
-	r := begin(RestoredFigure{Figure: FigureUse, Proxy: 0, Product: 1, Value: 7, Age: Second, Confidence: 1}, RestoredFigure{Figure: FigureUse, Proxy: 0, Product: 9, Value: 7})
+	r := begin(
+		RestoredFigure{Figure: FigureUse, Proxy: 0, Product: 1, Value: 7, Age: Second, Confidence: 1},
+		RestoredFigure{Figure: FigureUse, Proxy: 0, Product: 9, Value: 7},
+	)
 	if u := r.a.proxies[0].use; u[1] != 7 || u[0] != 0 {
 		t.Errorf("use of a second ago: %v", u)
 	}
-	if u := begin(RestoredFigure{Figure: FigureUse, Proxy: 0, Product: 1, Value: 7, Age: 2 * useTimeout, Confidence: 1}).a.proxies[0].use; u[1] != 30 {
+	old := RestoredFigure{Figure: FigureUse, Proxy: 0, Product: 1, Value: 7, Age: 2 * useTimeout, Confidence: 1}
+	if u := begin(old).a.proxies[0].use; u[1] != 30 {
 		t.Errorf("use of long ago holds against what the proxy is said to get: %v", u)
 	}
 	for part, want := range map[float64]float64{1: 0.4, fullConfidence: 0.4, fullConfidence / 2: 0.7, 0: 1} {
-		r := begin(RestoredFigure{Figure: FigureDerating, Backend: 2, Value: 0.4, Confidence: part}, RestoredFigure{Figure: FigureDerating, Backend: 77, Value: 0.4, Confidence: 1})
+		r := begin(
+			RestoredFigure{Figure: FigureDerating, Backend: 2, Value: 0.4, Confidence: part},
+			RestoredFigure{Figure: FigureDerating, Backend: 77, Value: 0.4, Confidence: 1},
+		)
 		if got := r.a.backends.derating[2]; math.Abs(got-want) > 1e-9 {
 			t.Errorf("relief %v at part %v, want %v", got, part, want)
 		}
 	}
 	// A total holds from the first tick, for as many as have joined; an old one does not come back.
 	for age, bounded := range map[Time]bool{2 * Second: true, 30 * Second: false} {
-		r := begin(RestoredFigure{Figure: FigureTotalLimit, Value: 10, Age: age, Confidence: 1}, RestoredFigure{Figure: FigureThroughput, Value: 12, Age: age, Confidence: 1})
+		r := begin(
+			RestoredFigure{Figure: FigureTotalLimit, Value: 10, Age: age, Confidence: 1},
+			RestoredFigure{Figure: FigureThroughput, Value: 12, Age: age, Confidence: 1},
+		)
 		r.second()
 		each := r.a.totalLimit / r.a.capacity
-		r.second(ProxyConnected{Proxy: 1, Zone: 1, Rate: 90}, ProxyConnected{Proxy: 2, Zone: 0, Rate: 90}, ProxyConnected{Proxy: 3, Zone: 1, Rate: 90})
-		if (r.a.totalLimit > 0) != bounded || bounded && (math.Abs(each-10) > 1 || math.Abs(r.a.totalLimit/r.a.capacity-10) > 2) || r.a.throughput != 12 {
-			t.Errorf("total of %v ago: %v for a unit of weight, then %v, pace %v", age, each, r.a.totalLimit/r.a.capacity, r.a.throughput)
+		r.second(
+			ProxyConnected{Proxy: 1, Zone: 1, Rate: 90},
+			ProxyConnected{Proxy: 2, Zone: 0, Rate: 90},
+			ProxyConnected{Proxy: 3, Zone: 1, Rate: 90},
+		)
+		if (r.a.totalLimit > 0) != bounded ||
+			bounded && (math.Abs(each-10) > 1 || math.Abs(r.a.totalLimit/r.a.capacity-10) > 2) ||
+			r.a.throughput != 12 {
+			t.Errorf(
+				"total of %v ago: %v for a unit of weight, then %v, pace %v",
+				age,
+				each,
+				r.a.totalLimit/r.a.capacity,
+				r.a.throughput,
+			)
 		}
 	}
 }
--- a/internal/policy/model_test.go
+++ b/internal/policy/model_test.go
@@ -19,7 +19,8 @@
 func (m *model) may(product, zone, backend int) bool {
 	e, known := m.entries[backend]
 	p := m.d.Products[product]
-	return known && e.Status == Ready && (!p.OwnZone || e.Zone == zone) && (p.OnlyZones == nil || slices.Contains(p.OnlyZones, e.Zone))
+	return known && e.Status == Ready && (!p.OwnZone || e.Zone == zone) &&
+		(p.OnlyZones == nil || slices.Contains(p.OnlyZones, e.Zone))
 }
 
 // check says what the state that a rig reached breaks.
--- a/internal/policy/plain_test.go
+++ b/internal/policy/plain_test.go
@@ -213,7 +213,14 @@
 		part = (in + more) / (cold + warm)
 	}
 	for _, k := range m.groups[g].products {
-		t.admissions = append(t.admissions, Admission{RateLimit: m.rateLimitFor(p, k, part), Retries: either(m.fast, RetryUnexecuted, NoRetry), Products: 1 << k})
+		t.admissions = append(
+			t.admissions,
+			Admission{
+				RateLimit: m.rateLimitFor(p, k, part),
+				Retries:   either(m.fast, RetryUnexecuted, NoRetry),
+				Products:  1 << k,
+			},
+		)
 	}
 	return t
 }
@@ -258,7 +265,8 @@
 			w.Table = id
 			if held.admissions == nil {
 				need(w, urgencyLow)
-			} else if h := held.admissions[j]; h.Retries == w.Retries && math.Abs(h.RateLimit-w.RateLimit) <= minChange*h.RateLimit {
+			} else if h := held.admissions[j]; h.Retries == w.Retries &&
+				math.Abs(h.RateLimit-w.RateLimit) <= minChange*h.RateLimit {
 				w = h
 			} else {
 				need(w, either(cold && w.RateLimit < h.RateLimit, urgencyDerate, urgencyLow))
--- a/internal/policy/choice_test.go
+++ b/internal/policy/policy_test.go
@@ -44,7 +44,8 @@
 	for range 6 {
 		r.second(reports(15, calm, 1000)...)
 	}
-	if r.weight(0, 1, 0) != 1 || r.weight(0, 1, 1) != 3 || r.weight(0, 1, 2) != 0 || r.weight(1, 0, 0) != 0 || r.count != 0 {
+	if r.weight(0, 1, 0) != 1 || r.weight(0, 1, 1) != 3 || r.weight(0, 1, 2) != 0 || r.weight(1, 0, 0) != 0 ||
+		r.count != 0 {
 		t.Errorf("tables %v, %d orders on a quiet tick", r.tables, r.count)
 	}
 }
@@ -240,7 +241,11 @@
 	r.step(ProxyDisconnected{Proxy: 0})
 	r.uses = map[[2]int]int{}
 	r.now += 10 * Second
-	r.step(MarkerAcked{Proxy: 1, Number: r.a.batch}, ProxyConnected{Proxy: 0, Zone: 0, Rate: 5}, ProxyConnected{Proxy: 2, Zone: 0, Rate: 500})
+	r.step(
+		MarkerAcked{Proxy: 1, Number: r.a.batch},
+		ProxyConnected{Proxy: 0, Zone: 0, Rate: 5},
+		ProxyConnected{Proxy: 2, Zone: 0, Rate: 500},
+	)
 	if _, ok := r.uses[[2]int{2, 0}]; !ok || len(r.uses) != len(d.Products) {
 		t.Errorf("bound: %v, want the busiest alone: the channel has room for no more", r.uses)
 	}
@@ -256,7 +261,11 @@
 	charged := func(brings bool) (queue, lines float64) {
 		r := start(t, deployment())
 		r.second()
-		r.step(MarkerAcked{Proxy: 0, Number: r.a.batch}, MarkerAcked{Proxy: 1, Number: r.a.batch}, ProxyDisconnected{Proxy: 0})
+		r.step(
+			MarkerAcked{Proxy: 0, Number: r.a.batch},
+			MarkerAcked{Proxy: 1, Number: r.a.batch},
+			ProxyDisconnected{Proxy: 0},
+		)
 		before := r.a.queuedLines
 		for _, o := range r.step(ProxyConnected{Proxy: 0, Zone: 0, Rate: 50, BringsTables: brings}) {
 			if _, ok := o.(SetWeight); ok {
@@ -411,7 +420,12 @@
 		t.Errorf("pace %v where %v is served for a unit of weight", r.a.throughput, pace)
 	}
 	served := r.a.served
-	if r.second(append(reports(4, calm, 1000), ProxyDisconnected{Proxy: 2}, ProxyDisconnected{Proxy: 3})...); r.a.served > 0.7*served {
+	if r.second(
+		append(
+			reports(4, calm, 1000),
+			ProxyDisconnected{Proxy: 2},
+			ProxyDisconnected{Proxy: 3},
+		)...); r.a.served > 0.7*served {
 		t.Errorf("%v of %v served after half of the proxies left", r.a.served, served)
 	}
 }
@@ -550,7 +564,10 @@
 	r.now += Second / 20
 	r.step(ProxyConnected{Proxy: d.Proxies - 1, Zone: 0, Rate: 5000})
 	r.now += Second / 2
-	r.step(MarkerAcked{Proxy: d.Proxies - 1, Number: r.a.batch}, ListUpdate{Entries: []Entry{{Backend: 0, Zone: 0, Status: Draining, Weight: 1}}})
+	r.step(
+		MarkerAcked{Proxy: d.Proxies - 1, Number: r.a.batch},
+		ListUpdate{Entries: []Entry{{Backend: 0, Zone: 0, Status: Draining, Weight: 1}}},
+	)
 	if large < 500 || r.a.unackedLines < large {
 		t.Errorf("%v lines may wait after a later batch was answered, %v of the first one do", r.a.unackedLines, large)
 	}
@@ -576,7 +593,12 @@
 	for _, p := range r.a.connected {
 		for _, m := range p.sent {
 			if r.a.inChannel(m) && m.sentAt <= r.a.writtenAt[batch%len(r.a.writtenAt)]-reorderWindow {
-				t.Fatalf("a message of %v counts, batch %d of %v was answered", m.sentAt, batch, r.a.writtenAt[batch%len(r.a.writtenAt)])
+				t.Fatalf(
+					"a message of %v counts, batch %d of %v was answered",
+					m.sentAt,
+					batch,
+					r.a.writtenAt[batch%len(r.a.writtenAt)],
+				)
 			}
 		}
 	}
--- a/internal/policy/spread_test.go
+++ b/internal/policy/spread_test.go
@@ -59,7 +59,13 @@
 			was := r.a.backends.derating[0]
 			e := []Event{UsageReport{Proxy: i, Txns: 4, Period: Second}}
 			for b := range 4 {
-				e = append(e, RemoteReport{BackendReport: BackendReport{Backend: b, Attempts: 100, Latency: either(b == 0, Time(6000), 400)}, Age: Second})
+				e = append(
+					e,
+					RemoteReport{
+						BackendReport: BackendReport{Backend: b, Attempts: 100, Latency: either(b == 0, Time(6000), 400)},
+						Age:           Second,
+					},
+				)
 			}
 			r.second(e...)
 			if r.a.backends.derating[0] < was {
@@ -133,15 +139,19 @@
 	}
 }
 
-// A proxy of a quarter of a txn a second, of which little is heard, is not kept to what chance showed of it while a line
-// of it is cold and has room for all: its level lets nearly all in that comes by chance.
+// A proxy of a quarter of a txn a second, of which little is heard, is not kept to what chance showed of it while a
+// line of it is cold and has room for all: its level lets nearly all in that comes by chance.
 func TestColdLevelsLetChanceIn(t *testing.T) {
 	d := deployment()
 	d.Products, d.Zones = d.Products[:1], 1
 	r := newRig(t, d)
 	cold := ready(1, 0)
 	cold.StartedAt = r.now - 10*Second
-	r.step(ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), cold}}, ProxyConnected{Proxy: 0, Rate: 1}, ProxyConnected{Proxy: 1, Rate: 60})
+	r.step(
+		ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), cold}},
+		ProxyConnected{Proxy: 0, Rate: 1},
+		ProxyConnected{Proxy: 1, Rate: 60},
+	)
 	for range 10 { // of proxy 0 the report says that nothing came in a while
 		r.second()
 		r.second(UsageReport{Proxy: 1, Txns: 60, Period: Second}, UsageReport{Proxy: 0, Txns: 0, Period: 8 * Second},
--- a/internal/policy/steps_test.go
+++ b/internal/policy/steps_test.go
@@ -139,7 +139,15 @@
 func (d *dayDraw) begin() {
 	if d.chance(0.3) {
 		for p := range d.proxies {
-			d.add(RestoredFigure{Figure: FigureUse, Proxy: p, Value: 20 * d.rand.Float64(), Age: Second, Confidence: d.rand.Float64()})
+			d.add(
+				RestoredFigure{
+					Figure:     FigureUse,
+					Proxy:      p,
+					Value:      20 * d.rand.Float64(),
+					Age:        Second,
+					Confidence: d.rand.Float64(),
+				},
+			)
 		}
 		d.add(RestoredFigure{Figure: FigureTotalLimit, Value: 30 * d.rand.Float64(), Age: Second, Confidence: 1})
 		d.add(RestoredFigure{Figure: FigureKnee, Value: 40 * d.rand.Float64(), Age: Second, Confidence: 1})
