--- a/internal/bench/eventloop/kept.go
+++ b/internal/bench/eventloop/kept.go
@@ -56,7 +56,7 @@
 	}
 	// Both fleets take turns in one run, so that whatever else the machine does meets both.
 	without, with := newFleet(keptProxies, keptBackends), newFleet(keptProxies, keptBackends)
-	with.d.KeepWith(keep)
+	with.d.SetFactSink(keep)
 	var plain, kept []float64
 	for _, f := range []*fleetOf{without, with} {
 		f.join(0, keptProxies)
--- a/internal/bench/eventloop/moments.go
+++ b/internal/bench/eventloop/moments.go
@@ -87,7 +87,7 @@
 
 // fleetOf is a desk with its list and streams, nobody joined yet.
 type fleetOf struct {
-	d                 *eventloop.Desk
+	d                 *eventloop.Loop
 	proxies, backends int
 	streams           []*sink
 	members           []reconcile.Member
@@ -128,7 +128,7 @@
 	for i := range backends {
 		f.members = append(f.members, f.member(i, 0))
 	}
-	f.d.Known(reconcile.List{Revision: 1, Whole: true, Members: f.members})
+	f.d.SetKnownList(reconcile.List{Revision: 1, Whole: true, Members: f.members})
 	f.d.Step(f.now)
 	for i := range proxies {
 		f.streams = append(f.streams, &sink{since: uint64(i + 1)})
@@ -149,7 +149,7 @@
 
 func (f *fleetOf) join(from, to int) {
 	for i := from; i < to; i++ {
-		f.d.Hear(eventloop.News{From: f.streams[i], Said: textproto.Joined{Proxy: i, Zone: momentNames.Zones[i%4], Rate: 5}})
+		f.d.Handle(eventloop.Command{From: f.streams[i], Message: textproto.Subscribe{Proxy: i, Zone: momentNames.Zones[i%4], Rate: 5}})
 	}
 }
 
@@ -157,31 +157,31 @@
 func (f *fleetOf) reports() {
 	for i, s := range f.streams {
 		for k, name := range momentNames.Products {
-			f.d.Hear(
-				eventloop.News{
-					From: s,
-					Said: textproto.Used{Proxy: i, Product: name, Txns: float64(1 + (i+k)%4), Counting: policy.Second},
+			f.d.Handle(
+				eventloop.Command{
+					From:    s,
+					Message: textproto.UsageReport{Proxy: i, Product: name, Txns: float64(1 + (i+k)%4), Period: policy.Second},
 				},
 			)
 		}
 	}
 	for _, m := range f.members {
-		f.d.Hear(eventloop.News{From: f.streams[0], Said: textproto.Heard{Zone: "a", Backend: m.ID, Tries: 20, Took: 1500}})
+		f.d.Handle(eventloop.Command{From: f.streams[0], Message: textproto.BackendReport{Zone: "a", Backend: m.ID, Attempts: 20, Latency: 1500}})
 	}
 }
 
 // told is a total of the fleet's sums.
 func (f *fleetOf) told() {
-	t := eventloop.Told{Age: policy.Second / 2}
+	t := eventloop.RemoteSums{Age: policy.Second / 2}
 	for _, m := range f.members {
-		t.Heard = append(t.Heard, textproto.Heard{Backend: m.ID, Tries: 80, Took: 1500})
+		t.Reports = append(t.Reports, textproto.BackendReport{Backend: m.ID, Attempts: 80, Latency: 1500})
 	}
 	for _, name := range momentNames.Products {
 		for _, z := range momentNames.Zones {
-			t.Uses = append(t.Uses, eventloop.Use{Product: name, Zone: z, Txns: 500})
+			t.Uses = append(t.Uses, eventloop.ZoneUse{Product: name, Zone: z, Txns: 500})
 		}
 	}
-	f.d.Hear(eventloop.News{Said: t})
+	f.d.Handle(eventloop.Command{Message: t})
 }
 
 // measure steps once and tells what that cost.
@@ -221,7 +221,7 @@
 			change.Members = append(change.Members, gone, f.members[i])
 		}
 	}
-	f.d.Hear(eventloop.News{Said: change})
+	f.d.Handle(eventloop.Command{Message: change})
 }
 
 // playFleet goes through the moments of one size.
@@ -240,14 +240,14 @@
 	f.told()
 	all = append(all, f.measure("a tick with all reports and sums told on", tick))
 	all = append(all, f.measure("a tick without news", tick))
-	f.d.Hear(
-		eventloop.News{From: f.streams[0], Said: textproto.Used{Proxy: 0, Product: "look", Txns: 1, Counting: policy.Second}},
+	f.d.Handle(
+		eventloop.Command{From: f.streams[0], Message: textproto.UsageReport{Proxy: 0, Product: "look", Txns: 1, Period: policy.Second}},
 	)
 	all = append(all, f.measure("between ticks, one report", 40))
 	f.revision++
 	gone := f.members[0]
 	gone.Phase = reconcile.Draining
-	f.d.Hear(eventloop.News{Said: reconcile.List{Revision: f.revision, Members: []reconcile.Member{gone}}})
+	f.d.Handle(eventloop.Command{Message: reconcile.List{Revision: f.revision, Members: []reconcile.Member{gone}}})
 	all = append(all, f.measure("between ticks, one backend drains", 40))
 	f.replace()
 	all = append(all, f.measure("between ticks, six in ten backends change", 40), f.measure("... the tick after it", tick))
--- a/internal/bench/pubsub/channel.go
+++ b/internal/bench/pubsub/channel.go
@@ -68,14 +68,14 @@
 	streams, joined := make([]atomic.Pointer[eventloop.PartStream], chanProxies), atomic.Int64{}
 	var left atomic.Int64
 	// The desk's part is played here: it takes joinings, and orders as fast as it can.
-	hear := func(n eventloop.News) {
-		switch said := n.Said.(type) {
-		case textproto.Joined:
+	hear := func(n eventloop.Command) {
+		switch said := n.Message.(type) {
+		case textproto.Subscribe:
 			if s, ok := n.From.(eventloop.PartStream); ok {
 				streams[said.Proxy].Store(&s)
 				joined.Add(1)
 			}
-		case textproto.Ended:
+		case textproto.Closed:
 			left.Add(1)
 		}
 	}
@@ -136,7 +136,7 @@
 		s.mu.Lock()
 		s.order(id, weight)
 		s.mu.Unlock()
-		(*streams[i].Load()).SendParts([]textproto.Part{{Lines: []textproto.Line{{Backend: id, Weight: weight}}}})
+		(*streams[i].Load()).SendParts([]textproto.Part{{Weights: []textproto.BackendWeight{{Backend: id, Weight: weight}}}})
 		sent++
 		if n > 0 && n%(chanOrders/(chanCuts+1)) == 0 {
 			cuts.CutAll()
@@ -326,26 +326,26 @@
 
 // sizes are bytes of a first table and of a change, as text of the platform and on the channel.
 func sizes() (text, packed [2]int) {
-	var lines []textproto.Line
+	var lines []textproto.BackendWeight
 	var sets []session.Set
 	for i := range 12 {
 		id := fmt.Sprintf("s-%08x", i*7919)
-		lines = append(lines, textproto.Line{Backend: id, Weight: 0.5 + float64(i)/7})
+		lines = append(lines, textproto.BackendWeight{Backend: id, Weight: 0.5 + float64(i)/7})
 		sets = append(
 			sets,
 			session.Set{Key: pubsub.LineKey("fetch-result", id), Value: session.Value{Figure: 0.5 + float64(i)/7}},
 		)
 	}
 	gate := textproto.Part{
-		Products: []string{"fetch-result"},
-		Gate:     &textproto.Gate{Level: 12.5, Tries: policy.RetryUnexecuted},
-		Marked:   true,
-		Mark:     905,
+		Products:  []string{"fetch-result"},
+		Admission: &textproto.Admission{RateLimit: 12.5, Retries: policy.RetryUnexecuted},
+		HasMarker: true,
+		Marker:    905,
 	}
-	whole := textproto.Append(nil, []textproto.Part{{Products: []string{"fetch-result"}, Whole: true, Lines: lines}, gate})
+	whole := textproto.Append(nil, []textproto.Part{{Products: []string{"fetch-result"}, Full: true, Weights: lines}, gate})
 	change := textproto.Append(
 		nil,
-		[]textproto.Part{{Products: []string{"fetch-result"}, Lines: lines[:2], Marked: true, Mark: 906}},
+		[]textproto.Part{{Products: []string{"fetch-result"}, Weights: lines[:2], HasMarker: true, Marker: 906}},
 	)
 	sets = append(sets, session.Set{Key: pubsub.GateKey("fetch-result"), Value: session.Value{Figure: 12.5, Small: 1}})
 	text = [2]int{len(whole), len(change)}
--- a/internal/bench/pubsub/streams.go
+++ b/internal/bench/pubsub/streams.go
@@ -35,7 +35,7 @@
 	}
 	var joinings, again atomic.Int64
 	hear := func(from *server.Conn, said any) {
-		j, ok := said.(textproto.Joined)
+		j, ok := said.(textproto.Subscribe)
 		if !ok {
 			return
 		}
@@ -43,14 +43,14 @@
 		s := all[j.Proxy]
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		var lines []textproto.Line
+		var lines []textproto.BackendWeight
 		for id, weight := range s.want {
-			lines = append(lines, textproto.Line{Backend: id, Weight: weight})
+			lines = append(lines, textproto.BackendWeight{Backend: id, Weight: weight})
 			if s.holds[pubsub.LineKey("look", id)].Figure == weight {
 				again.Add(1)
 			}
 		}
-		from.Send(textproto.Append(nil, []textproto.Part{{Products: []string{"look"}, Whole: true, Lines: lines}}))
+		from.Send(textproto.Append(nil, []textproto.Part{{Products: []string{"look"}, Full: true, Weights: lines}}))
 		conns[j.Proxy].Store(from)
 	}
 	ln, err := server.Listen("127.0.0.1:0", 1<<30, 2*chanProxies+100, hear, report.Silent())
@@ -98,7 +98,7 @@
 		conns[i].Load().Send(
 			textproto.Append(
 				nil,
-				[]textproto.Part{{Products: []string{"look"}, Lines: []textproto.Line{{Backend: id, Weight: weight}}}},
+				[]textproto.Part{{Products: []string{"look"}, Weights: []textproto.BackendWeight{{Backend: id, Weight: weight}}}},
 			),
 		)
 		s.mu.Unlock()
@@ -165,12 +165,12 @@
 func costs() (text, values float64) {
 	const rounds = 200000
 	parts := []textproto.Part{
-		{Products: []string{"look"}, Lines: []textproto.Line{{Backend: "s-01", Weight: 1}, {Backend: "s-02", Weight: 2}}},
+		{Products: []string{"look"}, Weights: []textproto.BackendWeight{{Backend: "s-01", Weight: 1}, {Backend: "s-02", Weight: 2}}},
 	}
 	began := time.Now()
 	var buffer []byte
 	for i := range rounds {
-		parts[0].Lines[0].Weight = float64(i)
+		parts[0].Weights[0].Weight = float64(i)
 		buffer = textproto.Append(buffer[:0], parts)
 	}
 	text = float64(time.Since(began).Nanoseconds()) / rounds
@@ -178,7 +178,7 @@
 	all.Step(1, []session.Event{session.Opened{Conn: 1, Topic: "orders/1", Owner: true, Credit: 16}})
 	began = time.Now()
 	for i := range rounds {
-		parts[0].Lines[0].Weight = float64(i)
+		parts[0].Weights[0].Weight = float64(i)
 		sets, mark := orders.Sets(nil, parts)
 		for _, o := range all.Step(1, []session.Event{session.Changed{Topic: "orders/1", Sets: sets, Mark: mark}}) {
 			if m, ok := o.(session.Send); ok {
--- a/internal/bench/tenancy/step.go
+++ b/internal/bench/tenancy/step.go
@@ -69,7 +69,7 @@
 	}
 	plan.Products, plan.Zones, plan.Cold = d.Products, 2, d.WarmupTime
 	s := &stage{c: tenancy.New(stepProxies), a: policy.New(d), now: 1000 * policy.Second}
-	events := []tenancy.Event{tenancy.Listed{Backends: list}, tenancy.Planned{Plan: plan}}
+	events := []tenancy.Event{tenancy.ListUpdate{Backends: list}, tenancy.PlanUpdate{Plan: plan}}
 	var also []policy.Event
 	entries := make([]policy.Entry, 0, len(list))
 	for _, b := range list {
@@ -77,7 +77,7 @@
 	}
 	also = append(also, policy.ListUpdate{Kind: policy.ListFull, Entries: entries})
 	for i := range stepProxies {
-		events = append(events, tenancy.Joined{Proxy: i, Zone: i % 2})
+		events = append(events, tenancy.ProxyConnected{Proxy: i, Zone: i % 2})
 		also = append(also, policy.ProxyConnected{Proxy: i, Zone: i % 2, Rate: 5})
 	}
 	s.step(events, also)
@@ -133,7 +133,7 @@
 		}
 	}
 	inCells, inChoice, told := s.step(
-		[]tenancy.Event{tenancy.Listed{Backends: list}},
+		[]tenancy.Event{tenancy.ListUpdate{Backends: list}},
 		[]policy.Event{
 			policy.ListUpdate{Entries: []policy.Entry{{Backend: stepBackends - 1, Zone: 1, Status: policy.Ready, Weight: 1}}},
 		},
@@ -153,7 +153,7 @@
 		worst, all = max(worst, a), all+n
 	}
 	r.Row("... its other steps, the longest, all told", millis(worst), "", all, 17)
-	inCells, inChoice, told = s.step([]tenancy.Event{tenancy.Listed{Backends: list[:stepBackends-1]}},
+	inCells, inChoice, told = s.step([]tenancy.Event{tenancy.ListUpdate{Backends: list[:stepBackends-1]}},
 		[]policy.Event{policy.ListUpdate{Entries: []policy.Entry{{Backend: stepBackends - 1, Status: policy.Gone}}}})
 	r.Row("20 fixed cells, one backend goes", millis(inCells), millis(inChoice), told, 250)
 	r.Figure = fmt.Sprintf(
--- a/internal/controller/command/channel.go
+++ b/internal/controller/command/channel.go
@@ -28,7 +28,7 @@
 	o operatorfile.Channel,
 	proxies int,
 	names flatsettings.Names,
-	hear func(eventloop.News),
+	hear func(eventloop.Command),
 	log *logrus.Entry,
 ) (controller.Channel, error) {
 	return pubsub.Listen(
--- a/internal/controller/command/member.go
+++ b/internal/controller/command/member.go
@@ -39,7 +39,7 @@
 func OpenMember(
 	f operatorfile.File,
 	sheet config.Sheet,
-	hear func(eventloop.News),
+	hear func(eventloop.Command),
 	log *logrus.Entry,
 ) (controller.Member, error) {
 	o := f.Member
@@ -177,7 +177,7 @@
 const unheard = 5 * time.Second
 
 // handOn gives totals to the desk; it says when they begin and when they stay away.
-func handOn(totals <-chan aggregation.Sums, hear func(eventloop.News), log *logrus.Entry) {
+func handOn(totals <-chan aggregation.Sums, hear func(eventloop.Command), log *logrus.Entry) {
 	for heard := false; ; {
 		select {
 		case s := <-totals:
@@ -189,7 +189,7 @@
 				)
 			}
 			heard = true
-			hear(eventloop.News{Said: toldOf(s)})
+			hear(eventloop.Command{Message: toldOf(s)})
 		case <-time.After(unheard):
 			if heard {
 				log.WithField("after", unheard).Warn("no sums of the fleet are heard: what is seen here decides")
@@ -200,17 +200,17 @@
 }
 
 // toldOf is a total as the desk takes it.
-func toldOf(s aggregation.Sums) eventloop.Told {
-	said := eventloop.Told{Age: policy.Time(s.Age * time.Duration(policy.Second) / time.Second)}
+func toldOf(s aggregation.Sums) eventloop.RemoteSums {
+	said := eventloop.RemoteSums{Age: policy.Time(s.Age * time.Duration(policy.Second) / time.Second)}
 	for _, w := range s.Words {
-		h := textproto.Heard{Backend: w.Backend, Tries: w.Tries, Voided: w.Voided}
+		h := textproto.BackendReport{Backend: w.Backend, Attempts: w.Tries, Failed: w.Voided}
 		if good := w.Tries - w.Voided; good > 0 {
-			h.Took = policy.Time(w.Spent / good * float64(policy.Second) / 1000)
+			h.Latency = policy.Time(w.Spent / good * float64(policy.Second) / 1000)
 		}
-		said.Heard = append(said.Heard, h)
+		said.Reports = append(said.Reports, h)
 	}
 	for _, u := range s.Uses {
-		said.Uses = append(said.Uses, eventloop.Use(u))
+		said.Uses = append(said.Uses, eventloop.ZoneUse(u))
 	}
 	return said
 }
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -49,12 +49,12 @@
 // control answers operators at a socket of this machine until it is closed. It reaches the desk by the queue.
 type control struct {
 	listener net.Listener
-	queue    chan<- eventloop.News
+	queue    chan<- eventloop.Command
 	more     More // nil: none
 	log      *logrus.Entry
 }
 
-func openControl(path string, queue chan<- eventloop.News, more More, log *logrus.Entry) (*control, error) {
+func openControl(path string, queue chan<- eventloop.Command, more More, log *logrus.Entry) (*control, error) {
 	// A socket that nobody answers at was left by one that was killed.
 	if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
 		_ = c.Close()
@@ -148,7 +148,7 @@
 		if r.Do == DoUndo {
 			said = tenancy.Undo{Tenant: r.Tenant}
 		}
-		c.queue <- eventloop.News{Said: said}
+		c.queue <- eventloop.Command{Message: said}
 		// It counts from the next step on; what became of it is shown then.
 		time.Sleep(200 * time.Millisecond)
 		reply.Cells, err = ask(c.queue, func(to chan tenancy.View) any { return eventloop.ShowCells{To: to} })
@@ -159,9 +159,9 @@
 }
 
 // ask puts a question to the desk, which has room to answer and so does not wait.
-func ask[T any](queue chan<- eventloop.News, question func(to chan T) any) (answer T, err error) {
+func ask[T any](queue chan<- eventloop.Command, question func(to chan T) any) (answer T, err error) {
 	to := make(chan T, 1)
-	queue <- eventloop.News{Said: question(to)}
+	queue <- eventloop.Command{Message: question(to)}
 	select {
 	case answer = <-to:
 		return answer, nil
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -94,7 +94,7 @@
 	file    operatorfile.File
 	parts   Parts
 	lists   *sources
-	queue   chan eventloop.News
+	queue   chan eventloop.Command
 	control *control // nil: operators are not answered
 	more    More     // requests beside the cells'; nil: none
 	streams *server.Listener
@@ -111,7 +111,7 @@
 func (c *controller) open() error {
 	sheet, log := c.sheet, c.log
 	allow(sheet)
-	queue, lists := make(chan eventloop.News, queueLength), make(chan eventloop.News, listsLength)
+	queue, lists := make(chan eventloop.Command, queueLength), make(chan eventloop.Command, listsLength)
 	c.queue, c.lists = queue, &sources{queue: lists, log: log}
 	held := sheet.Known
 	var memory Memory
@@ -138,14 +138,14 @@
 		c.follow()
 	}
 	d := eventloop.New(sheet.Deployment, sheet.Names, c.lists, log)
-	d.Known(held)
+	d.SetKnownList(held)
 	if memory != nil {
 		for _, b := range memory.Figures() {
-			d.Hear(eventloop.News{Said: b})
+			d.Handle(eventloop.Command{Message: b})
 		}
 	}
 	if memory != nil || c.file.Channel != nil {
-		d.KeepWith(func(facts []warmstart.Fact) {
+		d.SetFactSink(func(facts []warmstart.Fact) {
 			if memory != nil {
 				memory.Learn(facts)
 			}
@@ -155,12 +155,12 @@
 		})
 	}
 	if c.file.Member != nil && c.parts.Member != nil {
-		m, err := c.parts.Member(c.file, sheet, func(n eventloop.News) { queue <- n }, log)
+		m, err := c.parts.Member(c.file, sheet, func(n eventloop.Command) { queue <- n }, log)
 		if err != nil {
 			return err
 		}
 		if c.file.Member.Sums {
-			d.OnlookWith(m)
+			d.SetObserver(m)
 		}
 		c.more = m.More
 		log.WithFields(logrus.Fields{"member": m.Addr(), "site": c.file.Member.Site}).Info("takes part in the fleet")
@@ -168,7 +168,7 @@
 	d.Step(clock())
 	go d.Run(queue, lists, sheet.Tick, clock)
 
-	hear := func(from *server.Conn, said any) { queue <- eventloop.News{From: from, Said: said} }
+	hear := func(from *server.Conn, said any) { queue <- eventloop.Command{From: from, Message: said} }
 	ln, err := server.Listen(sheet.Listen, sheet.MemoryMB<<20, sheet.Sockets, hear, log)
 	if err != nil {
 		return err
@@ -181,7 +181,7 @@
 		c.plan(f)
 	}
 	if f := c.file.Channel; f != nil && c.parts.Channel != nil {
-		served, err := c.parts.Channel(*f, sheet.Deployment.Proxies, sheet.Names, func(n eventloop.News) { queue <- n }, log)
+		served, err := c.parts.Channel(*f, sheet.Deployment.Proxies, sheet.Names, func(n eventloop.Command) { queue <- n }, log)
 		if err != nil {
 			return err
 		}
@@ -200,13 +200,13 @@
 // plan hands the cells of the operator file to the desk; none free everybody.
 func (c *controller) plan(f *operatorfile.Cells) {
 	if f == nil {
-		c.queue <- eventloop.News{Said: tenancy.Planned{}}
+		c.queue <- eventloop.Command{Message: tenancy.PlanUpdate{}}
 		return
 	}
 	if names := f.Beyond(c.sheet.Deployment.Proxies); len(names) > 0 {
 		c.log.WithField("tenants", names).Warn("proxies of these tenants are not among the settings'")
 	}
-	c.queue <- eventloop.News{Said: tenancy.Planned{Plan: f.For(c.sheet.Deployment)}}
+	c.queue <- eventloop.Command{Message: tenancy.PlanUpdate{Plan: f.For(c.sheet.Deployment)}}
 }
 
 // replan takes over another operator file's cells and control. A plan that cannot hold with the list in force is
--- a/internal/controller/eventloop/carry.go
+++ b/internal/controller/eventloop/carry.go
@@ -7,14 +7,14 @@
 	"elmfold/internal/policy"
 )
 
-// carry sends the orders of a step: one message for each proxy concerned, in the order in which they are
+// execute sends the orders of a step: one message for each proxy concerned, in the order in which they are
 // named.
-func (d *Desk) carry(orders []policy.Order) {
+func (d *Loop) execute(orders []policy.Order) {
 	mark, all := none, false
 	var to []int
 	touch := func(i int) {
-		if p := &d.proxies[i]; p.stream != nil && !p.touched {
-			p.touched, to = true, append(to, i)
+		if p := &d.proxies[i]; p.stream != nil && !p.concerned {
+			p.concerned, to = true, append(to, i)
 		}
 	}
 	touchUsers := func(table int) { // not every proxy: there are as many tables as proxies, or more
@@ -27,19 +27,19 @@
 		case policy.SetWeight:
 			t := d.table(o.Table)
 			t.weight = append(t.weight, make([]float64, max(o.Backend+1-len(t.weight), 0))...)
-			t.weight[o.Backend], t.lines = o.Weight, append(t.lines, o.Backend)
+			t.weight[o.Backend], t.changedWeights = o.Weight, append(t.changedWeights, o.Backend)
 			touchUsers(o.Table)
 		case policy.ClearTable:
 			t := d.table(o.Table)
 			clear(t.weight)
-			clear(t.gated)
-			t.cleared, t.lines, t.changed = true, nil, 0
+			clear(t.hasAdmission)
+			t.cleared, t.changedWeights, t.changedAdmissions = true, nil, 0
 			touchUsers(o.Table)
 		case policy.Admission:
 			t := d.table(o.Table)
 			for k := range d.products {
 				if o.Products == 0 || o.Products>>k&1 > 0 {
-					t.gates[k], t.gated[k], t.changed = o, true, t.changed|1<<k
+					t.admissions[k], t.hasAdmission[k], t.changedAdmissions = o, true, t.changedAdmissions|1<<k
 				}
 			}
 			touchUsers(o.Table)
@@ -49,30 +49,30 @@
 				continue
 			}
 			d.table(o.Table)
-			d.unuse(o.Proxy)
+			d.removeUser(o.Proxy)
 			for k := range p.tables {
 				if o.Products == 0 || o.Products>>k&1 > 0 {
-					p.tables[k], p.fresh = o.Table, p.fresh|1<<k
+					p.tables[k], p.newTables = o.Table, p.newTables|1<<k
 				}
 			}
-			d.use(o.Proxy)
+			d.addUser(o.Proxy)
 			touch(o.Proxy)
 		case policy.Withdraw:
-			d.out[o.Backend] = o.Withdrawn
+			d.withdrawn[o.Backend] = o.Withdrawn
 			if !o.Deferred {
-				d.told = append(d.told, o.Backend)
+				d.orderedBackends = append(d.orderedBackends, o.Backend)
 			}
 			for i := range d.proxies {
 				p := &d.proxies[i]
-				if p.stream != nil && (!o.Deferred || !slices.Contains(p.tables, none)) && p.toldOf(o.Backend) != shutFor(o.Withdrawn) &&
-					d.holds(p, o.Backend) {
+				if p.stream != nil && (!o.Deferred || !slices.Contains(p.tables, none)) && p.knownUsability(o.Backend) != usabilityOf(o.Withdrawn) &&
+					d.mayHaveLine(p, o.Backend) {
 					touch(i)
 				}
 			}
 		case policy.Marker:
 			mark, all = o.Number, o.All
 		case policy.SetTimer:
-			d.wakes = append(d.wakes, wake{at: d.now + max(o.Delay, 0), name: o.Name})
+			d.timers = append(d.timers, timer{at: d.now + max(o.Delay, 0), name: o.Name})
 		case policy.FollowList:
 			d.lists.Follow(o.On)
 		case policy.ReloadList:
@@ -80,8 +80,8 @@
 		case policy.Log:
 			d.log.Info(o.Text)
 		default: // a Probe or a Note: the module sends none where the settings allow none
-			if !d.deaf {
-				d.deaf = true
+			if !d.warnedUnsupported {
+				d.warnedUnsupported = true
 				d.log.Warnf("orders of the kind %T are not carried out", o)
 			}
 		}
@@ -93,7 +93,7 @@
 	}
 	for _, i := range to {
 		p := &d.proxies[i]
-		if parts := d.parts(p, mark); len(parts) == 0 {
+		if parts := d.messageParts(p, mark); len(parts) == 0 {
 			// it holds and was told all
 		} else if s, ok := p.stream.(PartStream); ok {
 			s.SendParts(parts)
@@ -101,29 +101,29 @@
 			d.text = textproto.Append(d.text[:0], parts)
 			p.stream.Send(d.text)
 		}
-		p.touched, p.fresh = false, 0
+		p.concerned, p.newTables = false, 0
 	}
-	for _, t := range d.laid {
+	for _, t := range d.dirtyTables {
 		t := &d.tables[t]
-		t.lines, t.changed, t.cleared, t.laid = t.lines[:0], 0, false, false
+		t.changedWeights, t.changedAdmissions, t.cleared, t.dirty = t.changedWeights[:0], 0, false, false
 	}
-	d.laid, d.told = d.laid[:0], d.told[:0]
+	d.dirtyTables, d.orderedBackends = d.dirtyTables[:0], d.orderedBackends[:0]
 }
 
 // table gives a table that an order of this step changes.
-func (d *Desk) table(id int) *table {
+func (d *Loop) table(id int) *table {
 	for len(d.tables) <= id {
-		d.tables = append(d.tables, table{gates: make([]policy.Admission, d.products), gated: make([]bool, d.products)})
+		d.tables = append(d.tables, table{admissions: make([]policy.Admission, d.products), hasAdmission: make([]bool, d.products)})
 	}
-	if t := &d.tables[id]; !t.laid {
-		t.laid, d.laid = true, append(d.laid, id)
+	if t := &d.tables[id]; !t.dirty {
+		t.dirty, d.dirtyTables = true, append(d.dirtyTables, id)
 	}
 	return &d.tables[id]
 }
 
-// use notes a proxy, once, with each table that it is on, and unuse takes it off them: both before and after its
+// addUser notes a proxy, once, with each table that it is on, and unuse takes it off them: both before and after its
 // tables change.
-func (d *Desk) use(proxy int) {
+func (d *Loop) addUser(proxy int) {
 	for k, id := range d.proxies[proxy].tables {
 		if id != none && !slices.Contains(d.proxies[proxy].tables[:k], id) {
 			users := &d.tables[id].users
@@ -133,7 +133,7 @@
 	}
 }
 
-func (d *Desk) unuse(proxy int) {
+func (d *Loop) removeUser(proxy int) {
 	for k, id := range d.proxies[proxy].tables {
 		if id != none && !slices.Contains(d.proxies[proxy].tables[:k], id) {
 			users := &d.tables[id].users
@@ -154,22 +154,22 @@
 	return mask
 }
 
-func shutFor(out bool) shut {
+func usabilityOf(out bool) usability {
 	if out {
-		return shutOut
+		return withdrawn
 	}
-	return shutIn
+	return usable
 }
 
-func (p *proxy) toldOf(b int) shut {
-	if b < len(p.told) && p.told[b] != shutUnknown {
-		return p.told[b]
+func (p *proxy) knownUsability(b int) usability {
+	if b < len(p.notified) && p.notified[b] != usabilityUnknown {
+		return p.notified[b]
 	}
-	return p.brought
+	return p.initial
 }
 
-// holds says whether a proxy has, or may have brought along, a line of a backend.
-func (d *Desk) holds(p *proxy, b int) bool {
+// mayHaveLine says whether a proxy has, or may have brought along, a line of a backend.
+func (d *Loop) mayHaveLine(p *proxy, b int) bool {
 	for _, id := range p.tables {
 		if id == none {
 			return true
@@ -181,21 +181,21 @@
 	return false
 }
 
-// changes says whether the line of a backend changes in this step.
-func (d *Desk) changes(p *proxy, b int) bool {
-	return slices.ContainsFunc(p.tables, func(id int) bool { return id != none && slices.Contains(d.tables[id].lines, b) })
+// isChanging says whether the line of a backend changes in this step.
+func (d *Loop) isChanging(p *proxy, b int) bool {
+	return slices.ContainsFunc(p.tables, func(id int) bool { return id != none && slices.Contains(d.tables[id].changedWeights, b) })
 }
 
-// parts is the message to a proxy: who is shut out and who is back first, then its tables, those that it is
+// messageParts is the message to a proxy: who is shut out and who is back first, then its tables, those that it is
 // put on now as a whole and later changes by product.
-func (d *Desk) parts(p *proxy, mark int) []textproto.Part {
+func (d *Loop) messageParts(p *proxy, mark int) []textproto.Part {
 	var parts []textproto.Part
-	if shuts := d.shuts(p); len(shuts.Out)+len(shuts.Back) > 0 {
+	if shuts := d.withdrawalPart(p); len(shuts.Withdrawn)+len(shuts.Restored) > 0 {
 		parts = append(parts, shuts)
 	}
 	for k, id := range p.tables {
 		if mask := p.products(id); id != none && mask&(1<<k-1) == 0 { // once, at its first product
-			parts = append(parts, d.tableParts(&d.tables[id], mask, p.fresh&mask > 0)...)
+			parts = append(parts, d.tableParts(&d.tables[id], mask, p.newTables&mask > 0)...)
 		}
 	}
 	if mark != none {
@@ -203,85 +203,85 @@
 			parts = append(parts, textproto.Part{})
 		}
 		last := &parts[len(parts)-1]
-		last.Marked, last.Mark = true, mark
-		if len(p.marks) >= mostMarks {
-			p.marks = p.marks[1:]
+		last.HasMarker, last.Marker = true, mark
+		if len(p.pendingMarkers) >= maxPendingMarkers {
+			p.pendingMarkers = p.pendingMarkers[1:]
 		}
-		p.marks = append(p.marks, mark)
+		p.pendingMarkers = append(p.pendingMarkers, mark)
 	}
 	return parts
 }
 
-// shuts tells a proxy what differs from what it was told. One that comes from another controller may bring
+// withdrawalPart tells a proxy what differs from what it was told. One that comes from another controller may bring
 // its shut-outs: each is settled with the first line for that backend, or the first order about it.
-func (d *Desk) shuts(p *proxy) (part textproto.Part) {
-	p.told = append(p.told, make([]shut, len(d.backends)-len(p.told))...)
+func (d *Loop) withdrawalPart(p *proxy) (part textproto.Part) {
+	p.notified = append(p.notified, make([]usability, len(d.backends)-len(p.notified))...)
 	unlaid := slices.Contains(p.tables, none) // it still goes by tables that it brought along
 	for b, name := range d.backends {
-		told, want := p.toldOf(b), shutFor(d.out[b])
-		if told == want && told == shutIn {
+		told, want := p.knownUsability(b), usabilityOf(d.withdrawn[b])
+		if told == want && told == usable {
 			continue // as most are
 		}
-		if told == shutOut && !d.holds(p, b) && d.changes(p, b) {
+		if told == withdrawn && !d.mayHaveLine(p, b) && d.isChanging(p, b) {
 			// Its last line goes with this message: what comes again finds nothing of it.
-			p.told[b], part.Back = shutIn, append(part.Back, name)
+			p.notified[b], part.Restored = usable, append(part.Restored, name)
 			continue
 		}
 		// One that still waits for its first table is told of what is ordered now, which is all that was charged for
 		// it; the rest is settled with that table.
-		if told == want || unlaid && !slices.Contains(d.told, b) || !d.holds(p, b) {
+		if told == want || unlaid && !slices.Contains(d.orderedBackends, b) || !d.mayHaveLine(p, b) {
 			continue
 		}
-		if p.told[b] = want; want == shutOut {
-			part.Out = append(part.Out, name)
+		if p.notified[b] = want; want == withdrawn {
+			part.Withdrawn = append(part.Withdrawn, name)
 		} else {
-			part.Back = append(part.Back, name)
+			part.Restored = append(part.Restored, name)
 		}
 	}
 	return part
 }
 
-func (d *Desk) tableParts(t *table, mask uint32, whole bool) (parts []textproto.Part) {
-	first := textproto.Part{Products: d.productNames(mask), Whole: whole || t.cleared}
-	gates := t.changed & mask
-	if first.Whole {
+func (d *Loop) tableParts(t *table, mask uint32, whole bool) (parts []textproto.Part) {
+	first := textproto.Part{Products: d.productNames(mask), Full: whole || t.cleared}
+	gates := t.changedAdmissions & mask
+	if first.Full {
 		for b, w := range t.weight {
 			if w > 0 {
-				first.Lines = append(first.Lines, textproto.Line{Backend: d.backends[b], Weight: w})
+				first.Weights = append(first.Weights, textproto.BackendWeight{Backend: d.backends[b], Weight: w})
 			}
 		}
 		gates = mask
 	} else {
 		seen := map[int]bool{}
-		for _, b := range t.lines {
+		for _, b := range t.changedWeights {
 			if !seen[b] {
 				seen[b] = true
-				first.Lines = append(first.Lines, textproto.Line{Backend: d.backends[b], Weight: t.weight[b]})
+				first.Weights = append(first.Weights, textproto.BackendWeight{Backend: d.backends[b], Weight: t.weight[b]})
 			}
 		}
 	}
-	if first.Whole || len(first.Lines) > 0 {
+	if first.Full || len(first.Weights) > 0 {
 		parts = append(parts, first)
 	}
 	for k := range d.products {
-		if gates>>k&1 > 0 && t.gated[k] {
+		if gates>>k&1 > 0 && t.hasAdmission[k] {
 			parts = append(parts, textproto.Part{Products: d.productNames(1 << k),
-				Gate: &textproto.Gate{Level: t.gates[k].RateLimit, Tries: t.gates[k].Retries}})
+				Admission: &textproto.Admission{RateLimit: t.admissions[k].RateLimit, Retries: t.admissions[k].Retries}})
 		}
 	}
 	return parts
 }
 
 // productNames are those of a mask; it is asked for a few masks again and again.
-func (d *Desk) productNames(mask uint32) []string {
-	names, ok := d.masks[mask]
+func (d *Loop) productNames(mask uint32) []string {
+	names, ok := d.namesOfMask[mask]
 	if !ok {
 		for k, name := range d.names.Products {
 			if mask>>k&1 > 0 {
 				names = append(names, name)
 			}
 		}
-		d.masks[mask] = names
+		d.namesOfMask[mask] = names
 	}
 	return names
 }
--- a/internal/controller/eventloop/confine.go
+++ b/internal/controller/eventloop/confine.go
@@ -11,19 +11,19 @@
 // ShowFleet asks for the list as cells see it; To must have room.
 type ShowFleet struct{ To chan<- []tenancy.Backend }
 
-func (d *Desk) show() tenancy.View {
-	if d.cells == nil {
+func (d *Loop) show() tenancy.View {
+	if d.tenancy == nil {
 		return tenancy.View{}
 	}
-	return d.cells.Show()
+	return d.tenancy.Show()
 }
 
 // fleet is the list as it is now. Where gone alone does not bind, who was dropped while serving counts on: a list
 // that was emptied by mistake ends no confinement.
-func (d *Desk) fleet() (all []tenancy.Backend) {
+func (d *Loop) fleet() (all []tenancy.Backend) {
 	for at, on := range d.listed {
 		e := d.entries[at]
-		if on || !d.goneBinds && d.backends[at] != "" && e.Status == policy.Ready {
+		if on || !d.removalBinds && d.backends[at] != "" && e.Status == policy.Ready {
 			all = append(all, tenancy.Backend{At: at, ID: d.backends[at], Zone: e.Zone, Kind: e.Kind, Status: e.Status,
 				Weight: e.Weight, Up: e.StartedAt})
 		}
@@ -31,32 +31,32 @@
 	return all
 }
 
-// confine lets cells settle what this moment changes, before the decisions: they hear of both at once.
-func (d *Desk) confine() {
-	events := d.asked
-	d.asked = nil
+// stepTenancy lets cells settle what this moment changes, before the decisions: they hear of both at once.
+func (d *Loop) stepTenancy() {
+	events := d.tenancyEvents
+	d.tenancyEvents = nil
 	listed := false
 	for _, e := range d.events {
 		switch e := e.(type) {
 		case policy.ListUpdate:
 			listed = listed || e.Kind != policy.ListFailed
 		case policy.ProxyConnected:
-			events = append(events, tenancy.Joined{Proxy: e.Proxy, Zone: e.Zone})
+			events = append(events, tenancy.ProxyConnected{Proxy: e.Proxy, Zone: e.Zone})
 		case policy.ProxyDisconnected:
-			events = append(events, tenancy.Left{Proxy: e.Proxy})
+			events = append(events, tenancy.ProxyDisconnected{Proxy: e.Proxy})
 		case policy.UsageReport:
 			events = append(
 				events,
-				tenancy.Used{Proxy: e.Proxy, Product: e.Product, Txns: e.Txns, Voided: e.Failed, Counting: e.Period},
+				tenancy.UsageReport{Proxy: e.Proxy, Product: e.Product, Txns: e.Txns, Failed: e.Failed, Period: e.Period},
 			)
 		case policy.BackendReport:
-			events = append(events, tenancy.Heard{Backend: e.Backend, Tries: e.Attempts, Voided: e.Failed, Took: e.Latency})
+			events = append(events, tenancy.BackendReport{Backend: e.Backend, Attempts: e.Attempts, Failed: e.Failed, Latency: e.Latency})
 		}
 	}
 	if listed {
-		events = append(events, tenancy.Listed{Backends: d.fleet()})
+		events = append(events, tenancy.ListUpdate{Backends: d.fleet()})
 	}
-	for _, o := range d.cells.Step(d.now, events) {
+	for _, o := range d.tenancy.Step(d.now, events) {
 		switch o := o.(type) {
 		case tenancy.Note:
 			if o.Warn {
--- a/internal/controller/eventloop/desk_test.go
+++ b/internal/controller/eventloop/desk_test.go
@@ -58,7 +58,7 @@
 		MessageOverhead: 6, MessageWindow: 10 * policy.Second}
 }
 
-func newDesk(proxies int) *Desk {
+func newDesk(proxies int) *Loop {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return New(deploymentOf(proxies), names, &asked{}, logrus.NewEntry(log))
@@ -72,7 +72,7 @@
 	return reconcile.Member{ID: id, Zone: "a", Kind: "s", Phase: reconcile.Serving, Size: 1}
 }
 
-func (d *Desk) heard() []policy.Event {
+func (d *Loop) heard() []policy.Event {
 	e := d.events
 	d.events = nil
 	return e
@@ -82,8 +82,8 @@
 // that was opened later holds, in whatever order their first lines are read.
 func TestStreams(t *testing.T) {
 	d := newDesk(4)
-	join := textproto.Joined{Proxy: 2, Zone: "b", Rate: 7}
-	used := textproto.Used{Proxy: 2, Product: "order", Txns: 3, Counting: 10000}
+	join := textproto.Subscribe{Proxy: 2, Zone: "b", Rate: 7}
+	used := textproto.UsageReport{Proxy: 2, Product: "order", Txns: 3, Period: 10000}
 	older, first, second := &line{since: 1}, &line{since: 2}, &line{since: 3}
 	for i, c := range []struct {
 		from *line
@@ -94,70 +94,70 @@
 		{first, join, []policy.Event{policy.ProxyConnected{Proxy: 2, Zone: 1, Rate: 7, BringsTables: true}}},
 		{first, join, nil},
 		{first, used, []policy.Event{policy.UsageReport{Proxy: 2, Product: 1, Txns: 3, Period: 10000}}},
-		{first, textproto.Used{Proxy: 1, Product: "order"}, nil},
+		{first, textproto.UsageReport{Proxy: 1, Product: "order"}, nil},
 		{older, join, nil},
 		{older, used, nil},
 		{second, join, []policy.Event{policy.ProxyDisconnected{Proxy: 2}, policy.ProxyConnected{Proxy: 2, Zone: 1, Rate: 7, BringsTables: true}}},
 		{first, used, nil},
-		{first, textproto.Ended{}, nil},
-		{older, textproto.Ended{}, nil},
+		{first, textproto.Closed{}, nil},
+		{older, textproto.Closed{}, nil},
 		{second, used, []policy.Event{policy.UsageReport{Proxy: 2, Product: 1, Txns: 3, Period: 10000}}},
-		{second, textproto.Ended{}, []policy.Event{policy.ProxyDisconnected{Proxy: 2}}},
-		{second, textproto.Ended{}, nil},
+		{second, textproto.Closed{}, []policy.Event{policy.ProxyDisconnected{Proxy: 2}}},
+		{second, textproto.Closed{}, nil},
 	} {
-		d.Hear(News{c.from, c.said})
+		d.Handle(Command{c.from, c.said})
 		if got := d.heard(); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%d: %+v, want %+v", i, got, c.want)
 		}
 	}
-	if !older.over || !first.over || second.over || len(d.owners) > 0 {
-		t.Errorf("replaced %v %v %v, %d streams kept", older.over, first.over, second.over, len(d.owners))
+	if !older.over || !first.over || second.over || len(d.proxyOf) > 0 {
+		t.Errorf("replaced %v %v %v, %d streams kept", older.over, first.over, second.over, len(d.proxyOf))
 	}
 }
 
 // What names somebody nobody knows, or comes from a stranger, costs that message and no more.
 func TestUnknown(t *testing.T) {
 	d := newDesk(4)
-	d.Known(list(true, serving("s-1")))
+	d.SetKnownList(list(true, serving("s-1")))
 	stranger, source, stream := &line{}, &line{}, &line{}
-	d.Hear(News{source, textproto.Source{Zone: "a"}})
-	d.Hear(News{stream, textproto.Joined{Proxy: 1, Zone: "a"}})
+	d.Handle(Command{source, textproto.Source{Zone: "a"}})
+	d.Handle(Command{stream, textproto.Subscribe{Proxy: 1, Zone: "a"}})
 	d.heard()
-	heard := textproto.Heard{Zone: "a", Backend: "s-1", Tries: 2}
+	heard := textproto.BackendReport{Zone: "a", Backend: "s-1", Attempts: 2}
 	for i, c := range []struct {
 		from *line
 		said any
 		want error
 	}{
-		{stranger, textproto.Source{Zone: "x"}, errZone}, {stranger, textproto.Joined{Proxy: 4, Zone: "a"}, errProxy},
-		{stranger, textproto.Joined{Proxy: 3, Zone: "x"}, errZone}, {stranger, heard, errStranger},
+		{stranger, textproto.Source{Zone: "x"}, errZone}, {stranger, textproto.Subscribe{Proxy: 4, Zone: "a"}, errProxy},
+		{stranger, textproto.Subscribe{Proxy: 3, Zone: "x"}, errZone}, {stranger, heard, errUnknownSender},
 		{
 			stranger,
-			textproto.Used{Proxy: 1, Product: "look"},
-			errStranger,
-		}, {stranger, textproto.Fenced{Proxy: 1}, errStranger},
+			textproto.UsageReport{Proxy: 1, Product: "look"},
+			errUnknownSender,
+		}, {stranger, textproto.Ack{Proxy: 1}, errUnknownSender},
 		{
 			source,
-			textproto.Heard{Zone: "x", Backend: "s-1"},
+			textproto.BackendReport{Zone: "x", Backend: "s-1"},
 			errZone,
-		}, {source, textproto.Heard{Zone: "a", Backend: "s-2"}, errBackend},
+		}, {source, textproto.BackendReport{Zone: "a", Backend: "s-2"}, errBackend},
 		{
 			source,
-			textproto.Used{Proxy: 1, Product: "x"},
+			textproto.UsageReport{Proxy: 1, Product: "x"},
 			errProduct,
-		}, {source, textproto.Used{Proxy: 9, Product: "look"}, errProxy},
-		{source, textproto.Used{Proxy: 3, Product: "look"}, nil}, {stream, textproto.Fenced{Proxy: 1, Number: 77}, nil},
+		}, {source, textproto.UsageReport{Proxy: 9, Product: "look"}, errProxy},
+		{source, textproto.UsageReport{Proxy: 3, Product: "look"}, nil}, {stream, textproto.Ack{Proxy: 1, Number: 77}, nil},
 	} {
 		c.from.faults = nil
-		d.Hear(News{c.from, c.said})
+		d.Handle(Command{c.from, c.said})
 		if got := errors.Join(
 			c.from.faults...); len(d.heard()) > 0 || !errors.Is(got, c.want) ||
 			(got == nil) != (c.want == nil) {
 			t.Errorf("%d: fault %v, want %v", i, got, c.want)
 		}
 	}
-	d.Hear(News{source, textproto.Used{Proxy: 1, Product: "look", Txns: 1}})
-	d.Hear(News{source, heard})
+	d.Handle(Command{source, textproto.UsageReport{Proxy: 1, Product: "look", Txns: 1}})
+	d.Handle(Command{source, heard})
 	want := []policy.Event{policy.UsageReport{Proxy: 1, Txns: 1}, policy.BackendReport{Attempts: 2}}
 	if got := d.heard(); !reflect.DeepEqual(got, want) {
 		t.Errorf("from a collector: %+v", got)
@@ -178,10 +178,10 @@
 	lost.Zone = "x"
 	gone := reconcile.Member{ID: "s-1", Phase: reconcile.Deleted}
 	warm := reconcile.Member{ID: "s-2", Zone: "b", Kind: "new", Phase: reconcile.Draining, Size: 2, UpSince: 1234.56}
-	d.Known(list(true, serving("s-1")))
-	d.Hear(News{Said: list(false, odd, lost, gone, warm, reconcile.Member{ID: "s-5", Phase: reconcile.Deleted})})
-	d.Hear(News{Said: list(true, serving("s-2"))})
-	d.Hear(News{Said: reconcile.Failed{}})
+	d.SetKnownList(list(true, serving("s-1")))
+	d.Handle(Command{Message: list(false, odd, lost, gone, warm, reconcile.Member{ID: "s-5", Phase: reconcile.Deleted})})
+	d.Handle(Command{Message: list(true, serving("s-2"))})
+	d.Handle(Command{Message: reconcile.Failed{}})
 	want := []policy.Event{
 		policy.ListUpdate{Kind: policy.ListCached, Entries: []policy.Entry{{Status: policy.Ready, Weight: 1}}},
 		policy.ListUpdate{Kind: policy.ListChange, Entries: []policy.Entry{{Zone: -1, Kind: -1, Status: policy.Gone},
@@ -197,9 +197,9 @@
 // The text of orders: whole tables, levels by product, later changes, shut-outs that a proxy brings, marks.
 func TestOrders(t *testing.T) {
 	d, brings, fresh := newDesk(4), &line{}, &line{}
-	d.Known(list(true, serving("s-0"), serving("s-1"), serving("s-2")))
-	d.Hear(News{brings, textproto.Joined{Proxy: 0, Zone: "a"}})
-	d.Hear(News{fresh, textproto.Joined{Proxy: 1, Zone: "a", Fresh: true}})
+	d.SetKnownList(list(true, serving("s-0"), serving("s-1"), serving("s-2")))
+	d.Handle(Command{brings, textproto.Subscribe{Proxy: 0, Zone: "a"}})
+	d.Handle(Command{fresh, textproto.Subscribe{Proxy: 1, Zone: "a", Fresh: true}})
 	bind := func(p int) []policy.Order {
 		return []policy.Order{
 			policy.ClearTable{Table: p},
@@ -242,7 +242,7 @@
 		{[]policy.Order{policy.Marker{Number: 0, All: true}}, "CONFIG ticket=0\r\n", "CONFIG ticket=0\r\n"},
 		{[]policy.Order{policy.AssignTable{Proxy: 3, Table: 1}, policy.Marker{Number: 12}, policy.Note{}, policy.Probe{}}, "", ""},
 	} {
-		d.carry(c.orders)
+		d.execute(c.orders)
 		if got := strings.Join(brings.take(), "|"); got != c.brings {
 			t.Errorf("%d: one that brings tables got\n%s, want\n%s", i, got, c.brings)
 		}
@@ -250,13 +250,13 @@
 			t.Errorf("%d: a fresh one got\n%s, want\n%s", i, got, c.cold)
 		}
 	}
-	d.carry([]policy.Order{policy.FollowList{On: true}, policy.ReloadList{}})
+	d.execute([]policy.Order{policy.FollowList{On: true}, policy.ReloadList{}})
 	if got, ok := d.lists.(*asked); !ok || *got != (asked{1, 1}) {
 		t.Errorf("lists were asked for %+v", got)
 	}
 	d.heard()
 	for _, number := range []int{9, 9, 12} { // each mark is answered once
-		d.Hear(News{brings, textproto.Fenced{Proxy: 0, Number: number}})
+		d.Handle(Command{brings, textproto.Ack{Proxy: 0, Number: number}})
 	}
 	if got := d.heard(); len(got) != 1 {
 		t.Errorf("answers to marks: %+v", got)
@@ -273,10 +273,10 @@
 
 // What waits on the queue is one moment: one step, and one message for each proxy, with the same mark.
 func TestMoment(t *testing.T) {
-	d, queue, messages := newDesk(4), make(chan News, 100), make(chan string, 100)
-	d.Known(list(true, serving("s-0"), serving("s-1")))
+	d, queue, messages := newDesk(4), make(chan Command, 100), make(chan string, 100)
+	d.SetKnownList(list(true, serving("s-0"), serving("s-1")))
 	for i := range 4 {
-		queue <- News{&told{line{since: uint64(i)}, messages}, textproto.Joined{Proxy: i, Zone: "a", Rate: 1, Fresh: true}}
+		queue <- Command{&told{line{since: uint64(i)}, messages}, textproto.Subscribe{Proxy: i, Zone: "a", Rate: 1, Fresh: true}}
 	}
 	now := 1000 * policy.Second
 	go d.Run(queue, nil, time.Nanosecond, func() policy.Time { return now })
@@ -369,8 +369,8 @@
 		m.Zone = names.Zones[at%2]
 		return m
 	}
-	d.Known(list(true, zone(serving("s-0"), 0), zone(serving("s-1"), 1)))
-	d.Hear(News{source, textproto.Source{Zone: "a"}})
+	d.SetKnownList(list(true, zone(serving("s-0"), 0), zone(serving("s-1"), 1)))
+	d.Handle(Command{source, textproto.Source{Zone: "a"}})
 	proxies := make([]*line, 3)
 	most, early := 0, uint64(0)
 	for i := range 4000 {
@@ -380,29 +380,29 @@
 		at, id := i%3, fmt.Sprint("s-", i)
 		if i%10 < 3 {
 			if proxies[at] != nil {
-				d.Hear(News{proxies[at], textproto.Ended{}})
+				d.Handle(Command{proxies[at], textproto.Closed{}})
 			}
 			proxies[at] = &line{since: uint64(i)}
-			d.Hear(News{proxies[at], textproto.Joined{Proxy: at, Zone: "a", Rate: 5, Fresh: i%20 < 10}})
+			d.Handle(Command{proxies[at], textproto.Subscribe{Proxy: at, Zone: "a", Rate: 5, Fresh: i%20 < 10}})
 		}
-		d.Hear(News{Said: list(false, zone(serving(fmt.Sprint("s-", i+2)), i))})
+		d.Handle(Command{Message: list(false, zone(serving(fmt.Sprint("s-", i+2)), i))})
 		gone := reconcile.Member{ID: id, Zone: names.Zones[i%2], Kind: "s", Phase: reconcile.Draining, Size: 1}
 		if i%2 == 0 {
 			gone.Phase = reconcile.Deleted
 		}
-		d.Hear(News{Said: list(false, gone)})
+		d.Handle(Command{Message: list(false, gone)})
 		for range 4 {
 			now += policy.Second / 2
 			d.Step(now)
 			for p, l := range proxies {
 				if l != nil && len(l.sent) > 0 {
-					d.Hear(News{l, textproto.Fenced{Proxy: p, Number: mark(l)}})
+					d.Handle(Command{l, textproto.Ack{Proxy: p, Number: mark(l)}})
 				}
 			}
 		}
 		gone.Phase = reconcile.Deleted
-		d.Hear(News{Said: list(false, gone)})
-		d.Hear(News{source, textproto.Heard{Zone: "a", Backend: fmt.Sprint("s-", i-60), Tries: 9, Took: 500}})
+		d.Handle(Command{Message: list(false, gone)})
+		d.Handle(Command{source, textproto.BackendReport{Zone: "a", Backend: fmt.Sprint("s-", i-60), Attempts: 9, Latency: 500}})
 		for _, e := range d.events {
 			if heard, ok := e.(policy.BackendReport); ok && i > 60 {
 				t.Fatalf("%d: heard of place %d, which is %s now", i, heard.Backend, d.backends[heard.Backend])
@@ -411,9 +411,9 @@
 		if most = max(
 			most,
 			len(d.backends),
-		); most > 40 || len(d.index) > 40 || len(d.owners) > 3 ||
-			len(d.proxies[at].told) > 40 {
-			t.Fatalf("%d: %d places, %d names, %d streams", i, most, len(d.index), len(d.owners))
+		); most > 40 || len(d.index) > 40 || len(d.proxyOf) > 3 ||
+			len(d.proxies[at].notified) > 40 {
+			t.Fatalf("%d: %d places, %d names, %d streams", i, most, len(d.index), len(d.proxyOf))
 		}
 	}
 	late := live()
@@ -439,7 +439,7 @@
 		for b := range fleetSize {
 			members = append(members, serving(fmt.Sprint("s-", b)))
 		}
-		d.Known(list(true, members...))
+		d.SetKnownList(list(true, members...))
 		proxies, uses := make([]*reader, proxyCount), make([][]int, proxyCount)
 		tables, out := make([]map[string]held, tableCount), map[string]bool{} // by product
 		clearTable := func(id int) {
@@ -460,7 +460,7 @@
 						p.shut[fmt.Sprint("s-", rnd.Intn(fleetSize))] = true
 						p.tables["look"] = held{lines: map[string]float64{"s-0": 1}, level: 3}
 					}
-					d.Hear(News{p, textproto.Joined{Proxy: i, Zone: "a", Fresh: len(p.shut) == 0}})
+					d.Handle(Command{p, textproto.Subscribe{Proxy: i, Zone: "a", Fresh: len(p.shut) == 0}})
 					proxies[i], uses[i] = p, nil
 				}
 			}
@@ -506,10 +506,10 @@
 					uses[i] = []int{id, id, other}
 				}
 			}
-			d.carry(orders)
+			d.execute(orders)
 			for i, p := range proxies {
 				p.apply(t)
-				if p.parts > textproto.Most {
+				if p.parts > textproto.MaxParts {
 					t.Errorf("%d parts", p.parts)
 				}
 				for k, name := range names.Products {
@@ -551,33 +551,33 @@
 			m.Zone, m.Size = names.Zones[b%2], 1+rnd.Float64()
 			members = append(members, m)
 		}
-		d.Known(list(true, members...))
+		d.SetKnownList(list(true, members...))
 		dep := deploymentOf(proxyCount)
 		proxies, owner := make([]*reader, proxyCount), map[int]int{}
 		queue, mosts := 0.0, 0.0
 		type answer struct{ step, proxy, number int }
 		var answers []answer
 		source := &line{}
-		d.Hear(News{source, textproto.Source{Zone: "a"}})
+		d.Handle(Command{source, textproto.Source{Zone: "a"}})
 		for step := range 400 {
 			now := policy.Time(step+1) * policy.Second / 10
 			for i, p := range proxies {
 				if rnd.Intn(150) == 0 || step == i/4 {
 					p = &reader{line: line{since: uint64(step)}, tables: map[string]held{}, shut: map[string]bool{}}
 					proxies[i] = p
-					d.Hear(News{p, textproto.Joined{Proxy: i, Zone: names.Zones[i%2], Rate: 5, Fresh: rnd.Intn(2) == 0}})
+					d.Handle(Command{p, textproto.Subscribe{Proxy: i, Zone: names.Zones[i%2], Rate: 5, Fresh: rnd.Intn(2) == 0}})
 				}
 				if p != nil && step%10 == 0 {
 					for _, k := range names.Products {
-						d.Hear(News{p, textproto.Used{Proxy: i, Product: k, Txns: float64(rnd.Intn(12)), Voided: float64(rnd.Intn(2)),
-							Counting: policy.Second}})
+						d.Handle(Command{p, textproto.UsageReport{Proxy: i, Product: k, Txns: float64(rnd.Intn(12)), Failed: float64(rnd.Intn(2)),
+							Period: policy.Second}})
 					}
 				}
 			}
 			if step%10 == 5 {
 				for _, m := range members {
-					d.Hear(News{source, textproto.Heard{Zone: "a", Backend: m.ID, Tries: 9, Voided: float64(rnd.Intn(3)),
-						Took: policy.Time(500 + rnd.Intn(9000))}})
+					d.Handle(Command{source, textproto.BackendReport{Zone: "a", Backend: m.ID, Attempts: 9, Failed: float64(rnd.Intn(3)),
+						Latency: policy.Time(500 + rnd.Intn(9000))}})
 				}
 			}
 			if rnd.Intn(25) == 0 {
@@ -586,20 +586,20 @@
 				if m.Phase == reconcile.Serving {
 					m.UpSince = float64(now) / 10
 				}
-				d.Hear(News{Said: list(false, *m)})
+				d.Handle(Command{Message: list(false, *m)})
 			}
 			answers = slices.DeleteFunc(answers, func(a answer) bool {
 				if a.step <= step {
-					d.Hear(News{proxies[a.proxy], textproto.Fenced{Proxy: a.proxy, Number: a.number}})
+					d.Handle(Command{proxies[a.proxy], textproto.Ack{Proxy: a.proxy, Number: a.number}})
 				}
 				return a.step <= step
 			})
 			// As Step does, with a look at the orders before they are written.
-			due := func(w wake) bool { return w.at <= now }
-			if slices.ContainsFunc(d.wakes, due) {
+			due := func(w timer) bool { return w.at <= now }
+			if slices.ContainsFunc(d.timers, due) {
 				d.events = append(d.events, policy.TimerFired{})
 			}
-			d.wakes, d.now = slices.DeleteFunc(d.wakes, due), now
+			d.timers, d.now = slices.DeleteFunc(d.timers, due), now
 			orders := d.assigner.Step(now, d.heard())
 			charge, ticket, cleared := make([]float64, proxyCount), 0, map[int]bool{}
 			for _, o := range orders {
@@ -612,10 +612,10 @@
 				case policy.SetWeight:
 					charge[owner[o.Table]]++
 					held := !cleared[o.Table] && o.Backend < len(d.tables[o.Table].weight) && d.tables[o.Table].weight[o.Backend] > 0
-					if !held && d.proxies[owner[o.Table]].brought == shutUnknown {
+					if !held && d.proxies[owner[o.Table]].initial == usabilityUnknown {
 						charge[owner[o.Table]]++ // which settles a shut-out that it may have brought
 					}
-					if o.Weight == 0 && d.out[o.Backend] {
+					if o.Weight == 0 && d.withdrawn[o.Backend] {
 						charge[owner[o.Table]]++ // which lets back what is gone
 					}
 				case policy.ClearTable:
@@ -627,7 +627,7 @@
 					charge[o.Proxy]++
 				case policy.Withdraw:
 					for i := range d.proxies {
-						if d.proxies[i].stream != nil && d.holds(&d.proxies[i], o.Backend) {
+						if d.proxies[i].stream != nil && d.mayHaveLine(&d.proxies[i], o.Backend) {
 							charge[i]++
 						}
 					}
@@ -635,7 +635,7 @@
 					ticket = o.Number
 				}
 			}
-			d.carry(orders)
+			d.execute(orders)
 			queue = max(queue-dep.LinesPerSecond/10, 0)
 			for i, p := range proxies {
 				if p == nil || len(p.sent) == 0 {
--- a/internal/controller/eventloop/many_test.go
+++ b/internal/controller/eventloop/many_test.go
@@ -18,10 +18,10 @@
 // Reports come faster than a step takes them: what is taken in a moment is bounded, the rest waits at its senders, and
 // a drain that is there before the moment ends is in its step, behind however many reports.
 func TestManyCase6Reports(t *testing.T) {
-	d, queue, lists, over := newDesk(4), make(chan News, 8), make(chan News, 4), make(chan time.Time, 1)
-	d.Known(list(true, serving("s-0"), serving("s-1")))
+	d, queue, lists, over := newDesk(4), make(chan Command, 8), make(chan Command, 4), make(chan time.Time, 1)
+	d.SetKnownList(list(true, serving("s-0"), serving("s-1")))
 	stream := &line{since: 1}
-	d.Hear(News{stream, textproto.Joined{Proxy: 0, Zone: "a", Rate: 1, Fresh: true}})
+	d.Handle(Command{stream, textproto.Subscribe{Proxy: 0, Zone: "a", Rate: 1, Fresh: true}})
 	d.Step(1000 * policy.Second)
 	const reports = 5000
 	sent, stop := make(chan int, 1), make(chan bool)
@@ -29,7 +29,7 @@
 		n := 0
 		for ; n < reports; n++ {
 			select {
-			case queue <- News{stream, textproto.Used{Proxy: 0, Product: "look", Txns: 1, Counting: policy.Second}}:
+			case queue <- Command{stream, textproto.UsageReport{Proxy: 0, Product: "look", Txns: 1, Period: policy.Second}}:
 			case <-stop:
 				sent <- n
 				return
@@ -42,9 +42,9 @@
 	}
 	drain := serving("s-0")
 	drain.Phase = reconcile.Draining
-	lists <- News{Said: list(false, drain)}
+	lists <- Command{Message: list(false, drain)}
 	over <- time.Time{}
-	d.gather(queue, lists, over)
+	d.collect(queue, lists, over)
 	close(stop)
 	taken := len(d.events)
 	stream.take()
@@ -60,7 +60,7 @@
 
 // bigFleet is a desk at full size, its streams and what each second brings.
 type bigFleet struct {
-	d       *Desk
+	d       *Loop
 	streams []*line
 	now     policy.Time
 	made    int // backends so far
@@ -72,7 +72,7 @@
 	for range backends {
 		f.here = append(f.here, f.backend())
 	}
-	f.d.Known(list(true, f.here...))
+	f.d.SetKnownList(list(true, f.here...))
 	return f
 }
 
@@ -86,10 +86,10 @@
 func (f *bigFleet) join(from, to int, since uint64) {
 	for i := from; i < to; i++ {
 		if f.streams[i] != nil {
-			f.d.Hear(News{f.streams[i], textproto.Ended{}})
+			f.d.Handle(Command{f.streams[i], textproto.Closed{}})
 		}
 		f.streams[i] = &line{since: since}
-		f.d.Hear(News{f.streams[i], textproto.Joined{Proxy: i, Zone: names.Zones[i%2], Rate: 5}})
+		f.d.Handle(Command{f.streams[i], textproto.Subscribe{Proxy: i, Zone: names.Zones[i%2], Rate: 5}})
 	}
 }
 
@@ -100,10 +100,10 @@
 			continue
 		}
 		for _, k := range names.Products {
-			f.d.Hear(News{s, textproto.Used{Proxy: i, Product: k, Txns: float64(i % 7), Counting: policy.Second}})
+			f.d.Handle(Command{s, textproto.UsageReport{Proxy: i, Product: k, Txns: float64(i % 7), Period: policy.Second}})
 		}
-		for _, m := range f.d.proxies[i].marks {
-			f.d.Hear(News{s, textproto.Fenced{Proxy: i, Number: m}})
+		for _, m := range f.d.proxies[i].pendingMarkers {
+			f.d.Handle(Command{s, textproto.Ack{Proxy: i, Number: m}})
 		}
 		s.sent = nil
 	}
@@ -124,7 +124,7 @@
 	for range 3 {
 		f.second()
 	}
-	if n := len(f.d.owners); n != proxies {
+	if n := len(f.d.proxyOf); n != proxies {
 		t.Fatalf("%d joined", n)
 	}
 	// A connection costs about 20 kB beside this: its goroutines, buffers and descriptors.
@@ -151,7 +151,7 @@
 				gone := f.here[i]
 				gone.Phase = reconcile.Deleted
 				f.here[i] = f.backend()
-				f.d.Hear(News{Said: list(false, gone, f.here[i])})
+				f.d.Handle(Command{Message: list(false, gone, f.here[i])})
 				f.second()
 			}
 		}
@@ -159,16 +159,16 @@
 			f.second()
 		}
 		heap = append(heap, live())
-		kept = append(kept, len(f.d.backends)+len(f.d.index)+len(f.d.owners)+len(f.d.tables)+len(f.d.wakes))
+		kept = append(kept, len(f.d.backends)+len(f.d.index)+len(f.d.proxyOf)+len(f.d.tables)+len(f.d.timers))
 		t.Logf(
 			"day %d: %d kB live; %d places, %d names, %d streams, %d tables, %d wakes",
 			day+1,
 			heap[day]>>10,
 			len(f.d.backends),
 			len(f.d.index),
-			len(f.d.owners),
+			len(f.d.proxyOf),
 			len(f.d.tables),
-			len(f.d.wakes),
+			len(f.d.timers),
 		)
 	}
 	runtime.KeepAlive(f)
@@ -197,12 +197,12 @@
 	for i := range 12 {
 		whole.Members = append(whole.Members, serving(fmt.Sprint("s-", i)))
 	}
-	d.Known(whole)
+	d.SetKnownList(whole)
 	streams := make([]*line, dep.Proxies)
 	join := func(from, to int) {
 		for i := from; i < to; i++ {
 			streams[i] = &line{since: uint64(i + 1)}
-			d.Hear(News{streams[i], textproto.Joined{Proxy: i, Zone: "a", Rate: 5, Fresh: i%2 == 0}})
+			d.Handle(Command{streams[i], textproto.Subscribe{Proxy: i, Zone: "a", Rate: 5, Fresh: i%2 == 0}})
 		}
 	}
 	join(0, 20)
@@ -215,7 +215,7 @@
 		}
 		drain := serving(fmt.Sprint("s-", i))
 		drain.Phase = reconcile.Draining
-		d.Hear(News{Said: list(false, drain)})
+		d.Handle(Command{Message: list(false, drain)})
 		now += policy.Second / 10
 		d.Step(now)
 		for p, s := range streams {
@@ -241,11 +241,11 @@
 // good ones around it count whole.
 func TestTrialCase5Spoilt(t *testing.T) {
 	d, s := newDesk(4), &line{since: 1}
-	d.Known(list(true, serving("s-0")))
+	d.SetKnownList(list(true, serving("s-0")))
 	hear := func(text string) {
 		said, err := textproto.Parse([]byte(text))
 		if said != nil {
-			d.Hear(News{s, said})
+			d.Handle(Command{s, said})
 		} else {
 			s.Fault(err)
 		}
--- a/internal/controller/eventloop/memory.go
+++ b/internal/controller/eventloop/memory.go
@@ -10,25 +10,25 @@
 	"elmfold/internal/policy"
 )
 
-// turns is how many seconds it takes to tell all that is worth keeping, so that a second costs little at any size.
-const turns = 8
+// snapshotTurns is how many seconds it takes to tell all that is worth keeping, so that a second costs little at any size.
+const snapshotTurns = 8
 
-// Keep is given what the decisions know, a part of it each second. It must not wait.
-type Keep func(facts []warmstart.Fact)
+// FactSink is given what the decisions know, a part of it each second. It must not wait.
+type FactSink func(facts []warmstart.Fact)
 
-// KeepWith hands on what is worth keeping from now on.
-func (d *Desk) KeepWith(keep Keep) { d.keep = keep }
+// SetFactSink hands on what is worth keeping from now on.
+func (d *Loop) SetFactSink(keep FactSink) { d.factSink = keep }
 
 var figures = map[policy.Figure]warmstart.Kind{policy.FigureUse: warmstart.Use, policy.FigureDerating: warmstart.Relief,
 	policy.FigureTotalLimit: warmstart.Total, policy.FigureKnee: warmstart.Knee, policy.FigureThroughput: warmstart.Pace}
 
-// recollect tells the keeper what has its turn, under names that hold at every controller.
-func (d *Desk) recollect() {
-	if d.keep == nil || d.now < d.keptAt+policy.Second {
+// snapshot tells the keeper what has its turn, under names that hold at every controller.
+func (d *Loop) snapshot() {
+	if d.factSink == nil || d.now < d.snapshotAt+policy.Second {
 		return
 	}
-	d.keptAt, d.turn = d.now, (d.turn+1)%turns
-	all := d.assigner.Snapshot(d.turn, turns)
+	d.snapshotAt, d.turn = d.now, (d.turn+1)%snapshotTurns
+	all := d.assigner.Snapshot(d.turn, snapshotTurns)
 	facts := make([]warmstart.Fact, 0, len(all))
 	for _, r := range all {
 		f := warmstart.Fact{
@@ -41,9 +41,9 @@
 			f.Key = strconv.Itoa(r.Proxy) + "/" + d.names.Products[r.Product]
 		case policy.FigureDerating:
 			// A whole one is told only after one that was not, so that it ends that.
-			d.eased = append(d.eased, make([]bool, max(r.Backend+1-len(d.eased), 0))...)
-			eased := d.eased[r.Backend]
-			d.eased[r.Backend] = r.Value < 1
+			d.derated = append(d.derated, make([]bool, max(r.Backend+1-len(d.derated), 0))...)
+			eased := d.derated[r.Backend]
+			d.derated[r.Backend] = r.Value < 1
 			if f.Key = d.backends[r.Backend]; f.Key == "" || r.Value == 1 && !eased {
 				continue
 			}
@@ -51,11 +51,11 @@
 		}
 		facts = append(facts, f)
 	}
-	d.keep(facts)
+	d.factSink(facts)
 }
 
-// recalled puts what is believed of earlier knowledge before the decisions, as a figure with its age.
-func (d *Desk) recalled(b warmstart.Believe) error {
+// onRestored puts what is believed of earlier knowledge before the decisions, as a figure with its age.
+func (d *Loop) onRestored(b warmstart.Believe) error {
 	r := policy.RestoredFigure{
 		Value:      b.Value,
 		Age:        policy.Time(b.Age * time.Duration(policy.Second) / time.Second),
--- a/internal/controller/eventloop/memory_test.go
+++ b/internal/controller/eventloop/memory_test.go
@@ -20,31 +20,31 @@
 		}
 	}
 	members := []string{"s-0", "s-1", "s-2", "s-3", "s-4", "s-5"}
-	begin := func() (*Desk, *line) {
+	begin := func() (*Loop, *line) {
 		d, l := newDesk(2), &line{since: 1}
 		whole := list(true)
 		for _, id := range members {
 			whole.Members = append(whole.Members, serving(id))
 		}
-		d.Known(whole)
+		d.SetKnownList(whole)
 		return d, l
 	}
-	weight := func(d *Desk, at int) float64 { return d.tables[d.proxies[0].tables[0]].weight[at] }
+	weight := func(d *Loop, at int) float64 { return d.tables[d.proxies[0].tables[0]].weight[at] }
 	d, l := begin()
-	d.KeepWith(keep)
+	d.SetFactSink(keep)
 	now := 1000 * policy.Second
-	d.Hear(News{l, textproto.Joined{Proxy: 0, Zone: "a", Rate: 30, Fresh: true}})
+	d.Handle(Command{l, textproto.Subscribe{Proxy: 0, Zone: "a", Rate: 30, Fresh: true}})
 	for range 20 {
 		for i, id := range members {
 			took := policy.Time(1000)
 			if i == 2 {
 				took = 7000
 			}
-			d.Hear(News{l, textproto.Heard{Zone: "a", Backend: id, Tries: 20, Took: took}})
+			d.Handle(Command{l, textproto.BackendReport{Zone: "a", Backend: id, Attempts: 20, Latency: took}})
 		}
-		d.Hear(News{l, textproto.Used{Proxy: 0, Product: "look", Txns: 33, Counting: policy.Second}})
-		for _, m := range d.proxies[0].marks {
-			d.Hear(News{l, textproto.Fenced{Proxy: 0, Number: m}})
+		d.Handle(Command{l, textproto.UsageReport{Proxy: 0, Product: "look", Txns: 33, Period: policy.Second}})
+		for _, m := range d.proxies[0].pendingMarkers {
+			d.Handle(Command{l, textproto.Ack{Proxy: 0, Number: m}})
 		}
 		now += policy.Second
 		d.Step(now)
@@ -62,7 +62,7 @@
 	next, l := begin()
 	for _, f := range kept {
 		f.Origin = "n1"
-		next.Hear(News{nil, warmstart.Believe{Fact: f, Part: 0.8}})
+		next.Handle(Command{nil, warmstart.Believe{Fact: f, Part: 0.8}})
 	}
 	for _, odd := range []warmstart.Believe{{
 		Fact: warmstart.Fact{Kind: warmstart.Relief, Key: "s-9"},
@@ -71,20 +71,20 @@
 			Fact: warmstart.Fact{Kind: warmstart.Use, Key: "0/none"},
 		}, {Fact: warmstart.Fact{Kind: warmstart.Use, Key: "x"}}, {Fact: warmstart.Fact{Kind: warmstart.Shut, Key: "s-0"}}} {
 		before := len(next.events)
-		if _ = next.recalled(odd); len(next.events) != before {
+		if _ = next.onRestored(odd); len(next.events) != before {
 			t.Errorf("%v counts", odd)
 		}
 	}
-	next.Hear(News{l, textproto.Joined{Proxy: 0, Zone: "a", Rate: 30, Fresh: true}})
+	next.Handle(Command{l, textproto.Subscribe{Proxy: 0, Zone: "a", Rate: 30, Fresh: true}})
 	next.Step(now + policy.Second)
 	// as near as is worth a line
 	if got := weight(next, 2); got < 0.88*want || got > want/0.88 || weight(next, 1) != weight(d, 1) {
 		t.Errorf("weight %v after the restart, %v before", got, want)
 	}
 	// What is heard at first hand holds against what is recalled.
-	next.Hear(News{l, textproto.Heard{Zone: "a", Backend: "s-1", Tries: 20, Took: 900}})
+	next.Handle(Command{l, textproto.BackendReport{Zone: "a", Backend: "s-1", Attempts: 20, Latency: 900}})
 	next.Step(now + 2*policy.Second)
-	next.Hear(News{nil, warmstart.Believe{Fact: warmstart.Fact{Kind: warmstart.Relief, Key: "s-1", Value: 0.3}, Part: 1}})
+	next.Handle(Command{nil, warmstart.Believe{Fact: warmstart.Fact{Kind: warmstart.Relief, Key: "s-1", Value: 0.3}, Part: 1}})
 	next.Step(now + 3*policy.Second)
 	if weight(next, 1) != weight(d, 1) {
 		t.Errorf("weight %v of one that was heard of meanwhile", weight(next, 1))
@@ -97,17 +97,17 @@
 	f := newBigFleet(proxies, 20)
 	var sizes []int
 	seen := map[string]bool{}
-	f.d.KeepWith(func(facts []warmstart.Fact) {
+	f.d.SetFactSink(func(facts []warmstart.Fact) {
 		sizes = append(sizes, len(facts))
 		for _, x := range facts {
 			seen[x.Key] = true
 		}
 	})
 	f.join(0, proxies, 1)
-	for range turns + 1 {
+	for range snapshotTurns + 1 {
 		f.second()
 	}
-	if len(seen) < proxies*len(names.Products) || slices.Max(sizes) > 2*proxies*len(names.Products)/turns {
+	if len(seen) < proxies*len(names.Products) || slices.Max(sizes) > 2*proxies*len(names.Products)/snapshotTurns {
 		t.Errorf("%d facts in all, at once %v", len(seen), sizes)
 	}
 }
--- a/internal/controller/pubsub/channel_test.go
+++ b/internal/controller/pubsub/channel_test.go
@@ -39,8 +39,8 @@
 type house struct {
 	t     *testing.T
 	hub   *pubsub.Hub
-	lists chan eventloop.News
-	queue chan eventloop.News
+	lists chan eventloop.Command
+	queue chan eventloop.Command
 	mu    sync.Mutex
 	told  map[string]int
 }
@@ -53,7 +53,7 @@
 
 func open(t *testing.T, plan pubsub.Plan, backends ...string) *house {
 	t.Helper()
-	h := &house{t: t, lists: make(chan eventloop.News, 10), queue: make(chan eventloop.News, 1000), told: map[string]int{}}
+	h := &house{t: t, lists: make(chan eventloop.Command, 10), queue: make(chan eventloop.Command, 1000), told: map[string]int{}}
 	d := eventloop.New(
 		policy.Deployment{
 			Products:        []policy.Product{{Revenue: 1, SLA: 8000}, {Revenue: 3, SLA: 8000, OnlyZones: []int{0}}},
@@ -77,14 +77,14 @@
 	for _, id := range backends {
 		l.Members = append(l.Members, member(id))
 	}
-	d.Known(l)
+	d.SetKnownList(l)
 	began := time.Now()
 	go d.Run(h.queue, h.lists, time.Millisecond, func() policy.Time {
 		return 1000*policy.Second + policy.Time(time.Since(began)*time.Duration(policy.Second)/time.Second)
 	})
-	hear := func(n eventloop.News) {
+	hear := func(n eventloop.Command) {
 		h.mu.Lock()
-		h.told[fmt.Sprintf("%T", n.Said)]++
+		h.told[fmt.Sprintf("%T", n.Message)]++
 		h.mu.Unlock()
 		h.queue <- n
 	}
@@ -115,7 +115,7 @@
 func (h *house) drain(id string) {
 	m := member(id)
 	m.Phase = reconcile.Draining
-	h.lists <- eventloop.News{Said: reconcile.List{Revision: 2, Members: []reconcile.Member{m}}}
+	h.lists <- eventloop.Command{Message: reconcile.List{Revision: 2, Members: []reconcile.Member{m}}}
 }
 
 // follower is a client whose copy can be waited on.
@@ -210,13 +210,13 @@
 	}
 	h.drain("s-1")
 	f.until("a drain", func(out map[string]bool, _ map[string]*pubsub.Table) bool { return out["s-1"] })
-	for deadline := time.Now().Add(time.Minute); h.times(textproto.Fenced{}) == 0 ||
-		h.times(textproto.Used{}) == 0; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(time.Minute); h.times(textproto.Ack{}) == 0 ||
+		h.times(textproto.UsageReport{}) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("the desk was told %v", h.told)
 		}
 	}
-	if n := h.times(textproto.Joined{}); n != 1 {
+	if n := h.times(textproto.Subscribe{}); n != 1 {
 		t.Errorf("joined %d times", n)
 	}
 	f.once()
@@ -242,7 +242,7 @@
 	h.drain("s-3")
 	f.until("a drain", func(out map[string]bool, _ map[string]*pubsub.Table) bool { return out["s-3"] })
 	f.once()
-	if n := h.times(textproto.Joined{}); n != 1 || l.Taken() < 20 || h.times(textproto.Ended{}) != 0 {
+	if n := h.times(textproto.Subscribe{}); n != 1 || l.Taken() < 20 || h.times(textproto.Closed{}) != 0 {
 		t.Errorf("joined %d times over %d connections", n, l.Taken())
 	}
 }
@@ -272,12 +272,12 @@
 	f.until("a drain", func(out map[string]bool, _ map[string]*pubsub.Table) bool { return out["s-2"] })
 	f.once()
 	after, _ := keep.Load()
-	if after.Epoch != before.Epoch || after.Effect-before.Effect > 3 || two.times(textproto.Joined{}) != 1 {
+	if after.Epoch != before.Epoch || after.Effect-before.Effect > 3 || two.times(textproto.Subscribe{}) != 1 {
 		t.Errorf(
 			"it went on from %d to %d effects, joined %d times",
 			before.Effect,
 			after.Effect,
-			two.times(textproto.Joined{}),
+			two.times(textproto.Subscribe{}),
 		)
 	}
 }
@@ -303,11 +303,11 @@
 	if err := <-f.downs; !strings.Contains(err.Error(), string(session.Replaced)) {
 		t.Errorf("the older one ended with %v", err)
 	}
-	h.queue <- eventloop.News{From: line{sockets.Next()}, Said: textproto.Joined{Proxy: 3, Zone: "a", Rate: 5}}
+	h.queue <- eventloop.Command{From: line{sockets.Next()}, Message: textproto.Subscribe{Proxy: 3, Zone: "a", Rate: 5}}
 	if err := <-g.downs; !strings.Contains(err.Error(), string(session.Replaced)) {
 		t.Errorf("the newer one ended with %v", err)
 	}
-	if n := h.times(textproto.Joined{}); n != 1 {
+	if n := h.times(textproto.Subscribe{}); n != 1 {
 		t.Errorf("joined %d times by the channel", n)
 	}
 }
@@ -435,7 +435,7 @@
 	if err := (<-zone.ups).Heard(pubsub.Heard{Backend: "s-0", Tries: 9, Took: 120, Millis: 1000}); err != nil {
 		t.Fatal(err)
 	}
-	for deadline := time.Now().Add(time.Minute); h.times(textproto.Heard{}) == 0; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(time.Minute); h.times(textproto.BackendReport{}) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("the desk was told %v", h.told)
 		}
--- a/internal/controller/pubsub/hub.go
+++ b/internal/controller/pubsub/hub.go
@@ -44,7 +44,7 @@
 	plan    Plan
 	names   flatsettings.Names
 	proxies int
-	hear    func(eventloop.News)
+	hear    func(eventloop.Command)
 	log     *logrus.Entry
 	net     net.Listener
 	server  *http.Server
@@ -76,7 +76,7 @@
 	plan Plan,
 	proxies int,
 	names flatsettings.Names,
-	hear func(eventloop.News),
+	hear func(eventloop.Command),
 	log *logrus.Entry,
 ) (*Hub, error) {
 	ln, err := net.Listen("tcp4", plan.Listen)
@@ -180,7 +180,7 @@
 		}
 		for _, e := range events { // after the joining that may have come with it
 			if p, ok := e.(publish); ok && h.streams[p.topic] != nil {
-				h.hear(eventloop.News{From: h.streams[p.topic], Said: p.said})
+				h.hear(eventloop.Command{From: h.streams[p.topic], Message: p.said})
 			}
 		}
 		next := time.Hour
@@ -210,18 +210,18 @@
 		s := &stream{hub: h, topic: o.Topic, since: sockets.Next()}
 		h.streams[o.Topic] = s
 		h.hear(
-			eventloop.News{From: s, Said: textproto.Joined{Proxy: at, Zone: c.hello.Zone, Rate: c.hello.Rate, Fresh: true}},
+			eventloop.Command{From: s, Message: textproto.Subscribe{Proxy: at, Zone: c.hello.Zone, Rate: c.hello.Rate, Fresh: true}},
 		)
 	case session.Left:
 		if s := h.streams[o.Topic]; s != nil {
 			delete(h.streams, o.Topic)
 			h.log.WithFields(logrus.Fields{"reason": "away", "of": o.Topic}).Info("a subscriber has left")
-			h.hear(eventloop.News{From: s, Said: textproto.Ended{}})
+			h.hear(eventloop.Command{From: s, Message: textproto.Closed{}})
 		}
 	case session.Answered:
 		if s := h.streams[o.Topic]; s != nil {
 			at, _ := proxyOf(o.Topic)
-			h.hear(eventloop.News{From: s, Said: textproto.Fenced{Proxy: at, Number: o.Mark}})
+			h.hear(eventloop.Command{From: s, Message: textproto.Ack{Proxy: at, Number: o.Mark}})
 		}
 	}
 }
@@ -264,7 +264,7 @@
 	delete(h.conns, id)
 	h.mu.Unlock()
 	if c.from != nil {
-		h.hear(eventloop.News{From: c.from, Said: textproto.Ended{}})
+		h.hear(eventloop.Command{From: c.from, Message: textproto.Closed{}})
 	} else if c.hello.Topic != "" {
 		h.tell(session.Closed{Conn: id})
 	}
@@ -392,7 +392,7 @@
 		return nil
 	case reports && slices.Contains(h.names.Zones, zone):
 		c.from = &source{since: sockets.Next(), c: c}
-		h.hear(eventloop.News{From: c.from, Said: textproto.Source{Zone: zone}})
+		h.hear(eventloop.Command{From: c.from, Message: textproto.Source{Zone: zone}})
 		return nil
 	}
 	return fmt.Errorf("%w: %.60q", errTopic, hello.Topic)
@@ -411,12 +411,12 @@
 		if !c.hello.Own {
 			return errNotOwn
 		}
-		u := textproto.Used{
-			Proxy:    at,
-			Product:  said.Product,
-			Txns:     said.Txns,
-			Voided:   said.Voided,
-			Counting: textproto.Millis(said.Millis),
+		u := textproto.UsageReport{
+			Proxy:   at,
+			Product: said.Product,
+			Txns:    said.Txns,
+			Failed:  said.Voided,
+			Period:  textproto.Millis(said.Millis),
 		}
 		if err := u.Check(); err != nil {
 			return err
@@ -427,17 +427,17 @@
 		if !ok {
 			return errNotOwn
 		}
-		e := textproto.Heard{
-			Zone:    zone,
-			Backend: said.Backend,
-			Tries:   said.Tries,
-			Voided:  said.Voided,
-			Took:    textproto.Millis(said.Took),
+		e := textproto.BackendReport{
+			Zone:     zone,
+			Backend:  said.Backend,
+			Attempts: said.Tries,
+			Failed:   said.Voided,
+			Latency:  textproto.Millis(said.Took),
 		}
 		if err := e.Check(textproto.Millis(said.Millis)); err != nil {
 			return err
 		}
-		h.hear(eventloop.News{From: c.from, Said: e})
+		h.hear(eventloop.Command{From: c.from, Message: e})
 	default:
 		return fmt.Errorf("%w: %T", errMessage, said)
 	}
--- a/internal/controller/pubsub/stream.go
+++ b/internal/controller/pubsub/stream.go
@@ -78,10 +78,10 @@
 		sets = append(sets, x)
 	}
 	for _, p := range parts {
-		for _, id := range p.Out {
+		for _, id := range p.Withdrawn {
 			put(session.Set{Key: OutKey(id)})
 		}
-		for _, id := range p.Back {
+		for _, id := range p.Restored {
 			put(session.Set{Key: OutKey(id), Gone: true})
 		}
 		named := p.Products
@@ -92,25 +92,25 @@
 			if o.lines[k] == nil {
 				o.lines[k] = map[string]bool{}
 			}
-			if p.Whole {
+			if p.Full {
 				for id := range o.lines[k] {
 					put(session.Set{Key: LineKey(k, id), Gone: true})
 				}
 				clear(o.lines[k])
 				put(session.Set{Key: GateKey(k), Gone: true})
 			}
-			for _, l := range p.Lines {
+			for _, l := range p.Weights {
 				put(session.Set{Key: LineKey(k, l.Backend), Gone: l.Weight <= 0, Value: session.Value{Figure: l.Weight}})
 				if o.lines[k][l.Backend] = true; l.Weight <= 0 {
 					delete(o.lines[k], l.Backend)
 				}
 			}
-			if p.Gate != nil {
-				put(session.Set{Key: GateKey(k), Value: session.Value{Figure: p.Gate.Level, Small: int(p.Gate.Tries)}})
+			if p.Admission != nil {
+				put(session.Set{Key: GateKey(k), Value: session.Value{Figure: p.Admission.RateLimit, Small: int(p.Admission.Retries)}})
 			}
 		}
-		if p.Marked {
-			mark = p.Mark
+		if p.HasMarker {
+			mark = p.Marker
 		}
 	}
 	return sets, mark
--- a/internal/controller/reconcile/rules_test.go
+++ b/internal/controller/reconcile/rules_test.go
@@ -75,7 +75,7 @@
 type house struct {
 	*testing.T
 	r   *reconcile.Roster
-	d   *eventloop.Desk
+	d   *eventloop.Loop
 	p   *proxy
 	now time.Duration
 	try int
@@ -116,7 +116,7 @@
 		nobody{},
 		logrus.NewEntry(log),
 	)
-	h.d.Hear(eventloop.News{From: h.p, Said: textproto.Joined{Proxy: 0, Zone: "a", Rate: 10, Fresh: true}})
+	h.d.Handle(eventloop.Command{From: h.p, Message: textproto.Subscribe{Proxy: 0, Zone: "a", Rate: 10, Fresh: true}})
 	return h
 }
 
@@ -126,7 +126,7 @@
 	for _, o := range h.out {
 		switch o := o.(type) {
 		case reconcile.Tell:
-			h.d.Hear(eventloop.News{Said: o.List})
+			h.d.Handle(eventloop.Command{Message: o.List})
 		case reconcile.Read:
 			h.try = o.Try
 		case reconcile.Watch:
--- a/internal/controller/server/stream.go
+++ b/internal/controller/server/stream.go
@@ -59,8 +59,8 @@
 	listenTries = 100
 )
 
-// Hear takes what a connection says, and at last that it ended.
-type Hear func(from *Conn, said any)
+// Handler takes what a connection says, and at last that it ended.
+type Handler func(from *Conn, said any)
 
 var taken atomic.Uint64
 
@@ -70,7 +70,7 @@
 // Listener takes connections.
 type Listener struct {
 	net  net.Listener
-	hear Hear
+	hear Handler
 	log  *endings
 	limits
 	most, held, unread atomic.Int64 // connections; bytes of all long lines; bytes that a proxy may leave unread
@@ -83,7 +83,7 @@
 }
 
 // Listen opens the address for up to so many bytes and descriptors.
-func Listen(addr string, memory, sockets int, hear Hear, log *logrus.Entry) (*Listener, error) {
+func Listen(addr string, memory, sockets int, hear Handler, log *logrus.Entry) (*Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	for tries := 0; errors.Is(err, syscall.EADDRINUSE) && tries < listenTries; tries++ {
 		time.Sleep(acceptPause) // the one that was here before is still on its way out
@@ -317,7 +317,7 @@
 	delete(c.l.conns, c)
 	c.l.mu.Unlock()
 	if c.opened.Load() {
-		c.l.hear(c, textproto.Ended{})
+		c.l.hear(c, textproto.Closed{})
 	}
 	c.l.log.add(c)
 }
@@ -346,7 +346,7 @@
 			}
 		}
 		// What cannot be the begin of a message is not waited on for its end.
-		if !textproto.Begins(rest) {
+		if !textproto.MayBecomeMessage(rest) {
 			return ending(Garbage)
 		}
 		held = copy(buf, rest)
@@ -400,7 +400,7 @@
 	case textproto.Ping:
 		c.Send([]byte(textproto.Pong))
 		return nil
-	case textproto.Joined, textproto.Source:
+	case textproto.Subscribe, textproto.Source:
 		if !opened {
 			c.opened.Store(true)
 			_ = c.net.SetReadDeadline(time.Time{})
--- a/internal/controller/server/stream_test.go
+++ b/internal/controller/server/stream_test.go
@@ -96,8 +96,8 @@
 	}
 	_, _ = io.WriteString(c, strings.Repeat("ACK node=1 nonce=5 latency=1\r\n", 3)+"PING\r\n")
 	pinged(t, c)
-	want := []any{textproto.Source{Zone: "a"}, textproto.Used{Proxy: 1, Product: "r", Txns: 2, Voided: 3, Counting: 10000},
-		textproto.Fenced{Proxy: 1, Number: 5}, textproto.Fenced{Proxy: 1, Number: 5}, textproto.Fenced{Proxy: 1, Number: 5}}
+	want := []any{textproto.Source{Zone: "a"}, textproto.UsageReport{Proxy: 1, Product: "r", Txns: 2, Failed: 3, Period: 10000},
+		textproto.Ack{Proxy: 1, Number: 5}, textproto.Ack{Proxy: 1, Number: 5}, textproto.Ack{Proxy: 1, Number: 5}}
 	for _, w := range want {
 		if got := (<-h.heard).said; !reflect.DeepEqual(got, w) {
 			t.Errorf("heard %+v, want %+v", got, w)
@@ -190,7 +190,7 @@
 			l.most.Store(most)
 		})
 		h.dial(t, "SUBSCRIBE node=1 locality=a w=1 cold=0\r\n")
-		if _, ok := (<-h.heard).said.(textproto.Joined); !ok {
+		if _, ok := (<-h.heard).said.(textproto.Subscribe); !ok {
 			t.Error("no joining was heard")
 		}
 	}
@@ -287,7 +287,7 @@
 	var proxies []net.Conn
 	join := func(i int) {
 		proxies = append(proxies, h.dial(t, fmt.Sprintf("SUBSCRIBE node=%d locality=a w=1 cold=0\r\n", i)))
-		if j, ok := (<-h.heard).said.(textproto.Joined); !ok || j.Proxy != i {
+		if j, ok := (<-h.heard).said.(textproto.Subscribe); !ok || j.Proxy != i {
 			t.Fatalf("proxy %d did not join: %+v", i, j)
 		}
 	}
--- a/internal/controller/sources.go
+++ b/internal/controller/sources.go
@@ -45,7 +45,7 @@
 
 // Member is this instance's part in a fleet. None of its methods waits.
 type Member interface {
-	eventloop.Onlook
+	eventloop.Observer
 	Addr() string
 	More(r Request) (body json.RawMessage, ok bool, err error)
 }
@@ -54,7 +54,7 @@
 type OpenMember func(
 	o operatorfile.File,
 	sheet config.Sheet,
-	hear func(eventloop.News),
+	hear func(eventloop.Command),
 	log *logrus.Entry,
 ) (Member, error)
 
@@ -70,7 +70,7 @@
 	o operatorfile.Channel,
 	proxies int,
 	names flatsettings.Names,
-	hear func(eventloop.News),
+	hear func(eventloop.Command),
 	log *logrus.Entry,
 ) (Channel, error)
 
@@ -80,7 +80,7 @@
 // sources is the one way from Sources to the desk. Of two the new one takes the old one's place with its first
 // whole list: until then the old one is followed, so nothing is undone by one that cannot be reached.
 type sources struct {
-	queue  chan<- eventloop.News
+	queue  chan<- eventloop.Command
 	memory Memory                  // nil: nothing is kept
 	onlook atomic.Pointer[Channel] // nil: nobody looks on
 	log    *logrus.Entry
@@ -125,7 +125,7 @@
 				(*c).Tell(l)
 			}
 		}
-		s.queue <- eventloop.News{Said: said}
+		s.queue <- eventloop.Command{Message: said}
 	}
 }
 
--- a/internal/controller/tenancy/cells.go
+++ b/internal/controller/tenancy/cells.go
@@ -11,31 +11,31 @@
 // Event is one of the structs below, in the order in which they happened.
 type Event any
 
-// Listed is the whole list as it is now.
-type Listed struct{ Backends []Backend }
+// ListUpdate is the whole list as it is now.
+type ListUpdate struct{ Backends []Backend }
 
-// Joined says that a proxy of a zone is connected.
-type Joined struct{ Proxy, Zone int }
+// ProxyConnected says that a proxy of a zone is connected.
+type ProxyConnected struct{ Proxy, Zone int }
 
-// Left says that a proxy is no longer connected.
-type Left struct{ Proxy int }
+// ProxyDisconnected says that a proxy is no longer connected.
+type ProxyDisconnected struct{ Proxy int }
 
-// Used sums the txns of a product that came to a proxy in a span.
-type Used struct {
+// UsageReport sums the txns of a product that came to a proxy in a span.
+type UsageReport struct {
 	Proxy, Product int
-	Txns, Voided   float64
-	Counting       Time
+	Txns, Failed   float64
+	Period         Time
 }
 
-// Heard sums what proxies met at a backend.
-type Heard struct {
-	Backend       int
-	Tries, Voided float64
-	Took          Time
+// BackendReport sums what proxies met at a backend.
+type BackendReport struct {
+	Backend          int
+	Attempts, Failed float64
+	Latency          Time
 }
 
-// Planned brings another plan. A tenant whose cell differs moves there; the first plan holds at once.
-type Planned struct{ Plan Plan }
+// PlanUpdate brings another plan. A tenant whose cell differs moves there; the first plan holds at once.
+type PlanUpdate struct{ Plan Plan }
 
 // Move moves a tenant to a fixed cell.
 type Move struct{ Tenant, Cell string }
@@ -210,37 +210,37 @@
 
 func (c *Cells) hear(e Event) {
 	switch e := e.(type) {
-	case Listed:
+	case ListUpdate:
 		c.relist(e.Backends)
-	case Joined:
+	case ProxyConnected:
 		if p := c.at(e.Proxy); p != nil {
 			// What an earlier stream was told is no more: the decisions lay its tables anew.
 			p.joined, p.zone, p.ever, c.dirty = true, e.Zone, p.ever && p.told.Confined, true
 		}
-	case Left:
+	case ProxyDisconnected:
 		if p := c.at(e.Proxy); p != nil {
 			p.joined, p.txns, p.voided, c.dirty = false, nil, nil, true
 		}
-	case Used:
-		if p := c.at(e.Proxy); p != nil && e.Counting > 0 {
-			s := float64(e.Counting) / float64(policy.Second)
+	case UsageReport:
+		if p := c.at(e.Proxy); p != nil && e.Period > 0 {
+			s := float64(e.Period) / float64(policy.Second)
 			for len(p.txns) <= e.Product {
 				p.txns, p.voided = append(p.txns, 0), append(p.voided, 0)
 			}
 			p.txns[e.Product] = p.txns[e.Product]*newsKeep + max(e.Txns, 0)/s*(1-newsKeep)
-			p.voided[e.Product] = p.voided[e.Product]*newsKeep + max(e.Voided, 0)/s*(1-newsKeep)
+			p.voided[e.Product] = p.voided[e.Product]*newsKeep + max(e.Failed, 0)/s*(1-newsKeep)
 		}
-	case Heard:
+	case BackendReport:
 		n := c.heard[e.Backend]
 		if n == nil {
 			n = &news{}
 			c.heard[e.Backend] = n
 		}
-		tries := max(e.Tries, 0)
-		voided := min(max(e.Voided, 0), tries)
+		tries := max(e.Attempts, 0)
+		voided := min(max(e.Failed, 0), tries)
 		n.tries, n.voided, n.good = n.tries+tries, n.voided+voided, n.good+tries-voided
-		n.spent += (tries - voided) * float64(e.Took)
-	case Planned:
+		n.spent += (tries - voided) * float64(e.Latency)
+	case PlanUpdate:
 		c.replan(e.Plan)
 	case Move:
 		c.begin(e.Tenant, e.Cell)
--- a/internal/controller/tenancy/cells_test.go
+++ b/internal/controller/tenancy/cells_test.go
@@ -67,9 +67,9 @@
 
 func newDay(t *testing.T, p Plan, list []Backend, proxies int) *day {
 	d := &day{T: t, c: New(proxies), now: 1000 * second, list: list, may: map[int]policy.ProxyConfined{}}
-	events := []Event{Listed{list}, Planned{p}}
+	events := []Event{ListUpdate{list}, PlanUpdate{p}}
 	for i := range proxies {
-		events = append(events, Joined{Proxy: i, Zone: i % p.Zones})
+		events = append(events, ProxyConnected{Proxy: i, Zone: i % p.Zones})
 	}
 	d.step(events...)
 	return d
@@ -105,7 +105,7 @@
 			f(&d.list[i])
 		}
 	}
-	d.step(Listed{d.list})
+	d.step(ListUpdate{d.list})
 }
 
 func (d *day) die(ats ...int) {
@@ -357,7 +357,7 @@
 	red, blue := p.Own(p.Tenants[0], list), p.Own(there.Tenants[0], list)
 	for at := range 20 {
 		d := newDay(t, p, list, 4)
-		d.step(Planned{there})
+		d.step(PlanUpdate{there})
 		d.pass(at)
 		for file, want := range map[*Plan][]int{&p: red, &there: blue} {
 			next := newDay(t, *file, list, 4)
@@ -369,7 +369,7 @@
 		}
 	}
 	d := newDay(t, p, list, 4)
-	d.step(Planned{there}) // on SIGHUP it is a move, not a jump
+	d.step(PlanUpdate{there}) // on SIGHUP it is a move, not a jump
 	if got := d.may[3].Backends; !slices.Equal(got, red) {
 		t.Errorf("a new file put proxy 3 on %v at once", got)
 	}
@@ -400,7 +400,7 @@
 					d.change(func(b *Backend) { b.Status = status }, at)
 				}
 				i := chance.IntN(12)
-				d.step(Left{i}, Joined{Proxy: i, Zone: i % 2})
+				d.step(ProxyDisconnected{i}, ProxyConnected{Proxy: i, Zone: i % 2})
 				d.pass(chance.IntN(3))
 				ready := map[int]bool{}
 				for _, x := range d.list {
@@ -426,7 +426,7 @@
 	list := fleet(500)
 	d := newDay(t, p, list[:499], 5000)
 	d.list = list
-	d.step(Listed{list})
+	d.step(ListUpdate{list})
 	enter := 0
 	for _, tt := range p.Tenants {
 		if slices.Contains(p.Own(tt, list), 499) {
@@ -458,16 +458,16 @@
 	}
 	q := p
 	q.Tenants = p.Tenants[:1]
-	d.step(Planned{q})
+	d.step(PlanUpdate{q})
 	if d.may[2].Confined || !d.may[1].Confined || d.sent != 2 {
 		t.Errorf("without its tenant proxy 2 has %+v; %d told", d.may[2], d.sent)
 	}
 	q.Tenants = nil
-	d.step(Planned{q})
+	d.step(PlanUpdate{q})
 	if d.may[0].Confined {
 		t.Errorf("without tenants proxy 0 has %+v", d.may[0])
 	}
-	d.step(Planned{p})
+	d.step(PlanUpdate{p})
 	if !d.may[3].Confined {
 		t.Errorf("confined anew proxy 3 has %+v", d.may[3])
 	}
@@ -481,14 +481,14 @@
 	sick := d.may[0].Backends
 	news := func(voids float64) (all []Event) {
 		for at := range 40 {
-			h := Heard{Backend: at, Tries: 20, Took: 400}
+			h := BackendReport{Backend: at, Attempts: 20, Latency: 400}
 			if slices.Contains(sick, at) {
-				h.Voided = 20 * voids
+				h.Failed = 20 * voids
 			}
 			all = append(all, h)
 		}
 		for i := range 10 {
-			all = append(all, Used{Proxy: i, Txns: []float64{40, 5}[i%2], Counting: second})
+			all = append(all, UsageReport{Proxy: i, Txns: []float64{40, 5}[i%2], Period: second})
 		}
 		return all
 	}
@@ -534,15 +534,15 @@
 	p := shuffled(2, 5000, 1)
 	list := fleet(500)
 	c := New(5000)
-	events := []Event{Listed{list[:499]}, Planned{p}}
+	events := []Event{ListUpdate{list[:499]}, PlanUpdate{p}}
 	for i := range 5000 {
-		events = append(events, Joined{Proxy: i, Zone: i % 2})
+		events = append(events, ProxyConnected{Proxy: i, Zone: i % 2})
 	}
 	c.Step(second, events)
 	at := 0
 	for b.Loop() {
 		at++
-		c.Step(second, []Event{Listed{list[:499+at%2]}})
+		c.Step(second, []Event{ListUpdate{list[:499+at%2]}})
 	}
 }
 
@@ -558,9 +558,9 @@
 	d := newDay(t, p, fleet(20), 3)
 	news := func(voided float64) []Event {
 		return []Event{
-			Used{Proxy: 0, Txns: 100, Voided: voided, Counting: second},
-			Used{Proxy: 1, Txns: 100, Counting: second},
-			Used{Proxy: 2, Txns: 100, Counting: second},
+			UsageReport{Proxy: 0, Txns: 100, Failed: voided, Period: second},
+			UsageReport{Proxy: 1, Txns: 100, Period: second},
+			UsageReport{Proxy: 2, Txns: 100, Period: second},
 		}
 	}
 	for _, c := range []struct {
--- a/internal/controller/tenancy/moves_model_test.go
+++ b/internal/controller/tenancy/moves_model_test.go
@@ -124,7 +124,7 @@
 					continue
 				}
 				turn()
-				d.step(Listed{d.list})
+				d.step(ListUpdate{d.list})
 			default:
 				d.now += second
 				turn()
@@ -171,7 +171,7 @@
 	d.pass(2)
 	q := p
 	q.Tenants = []Tenant{{Name: "a", Proxies: []int{0, 1}, Cell: "green"}}
-	d.step(Planned{q})
+	d.step(PlanUpdate{q})
 	blue, green := p.Own(Tenant{Cell: "blue"}, d.list), p.Own(Tenant{Cell: "green"}, d.list)
 	if got := d.may[0].Backends; !slices.Equal(got, union(p.Own(Tenant{Cell: "red"}, d.list), blue)) {
 		t.Errorf("the move in hand is disturbed: %v", got)
--- a/internal/controller/textproto/edge.go
+++ b/internal/controller/textproto/edge.go
@@ -22,41 +22,41 @@
 // Source names the zone that a collector forwards reports of.
 type Source struct{ Zone string }
 
-// Joined opens a proxy's stream.
-type Joined struct {
+// Subscribe opens a proxy's stream.
+type Subscribe struct {
 	Proxy int
 	Zone  string
 	Rate  float64
 	Fresh bool
 }
 
-// Fenced answers a mark.
-type Fenced struct{ Proxy, Number int }
+// Ack answers a mark.
+type Ack struct{ Proxy, Number int }
 
-// Used sums the txns of a product that came to a proxy.
-type Used struct {
+// UsageReport sums the txns of a product that came to a proxy.
+type UsageReport struct {
 	Proxy        int
 	Product      string
-	Txns, Voided float64
-	Counting     policy.Time
+	Txns, Failed float64
+	Period       policy.Time
 }
 
-// Heard sums what the proxies of a zone met at a backend.
-type Heard struct {
-	Zone, Backend string
-	Tries, Voided float64
-	Took          policy.Time
+// BackendReport sums what the proxies of a zone met at a backend.
+type BackendReport struct {
+	Zone, Backend    string
+	Attempts, Failed float64
+	Latency          policy.Time
 }
 
-// Ended says that a connection is over; nothing comes from it any more.
-type Ended struct{}
+// Closed says that a connection is over; nothing comes from it any more.
+type Closed struct{}
 
 // What lies beyond these is no figure that a fleet could mean.
 const (
-	mostPerS  = 1e6 // txns of a second
-	mostSpan  = 600 * policy.Second
-	mostIndex = math.MaxInt32
-	longKind  = 16
+	maxPerSecond  = 1e6 // txns of a second
+	maxSpan       = 600 * policy.Second
+	maxIndex      = math.MaxInt32
+	maxKindLength = 16
 )
 
 // ErrGarbage says that a line is no message; its sender is of no further use.
@@ -74,7 +74,7 @@
 	err  error
 }
 
-func (f *fields) word(name string) []byte {
+func (f *fields) value(name string) []byte {
 	for rest := f.line; len(rest) > 0; {
 		var word []byte
 		word, rest, _ = bytes.Cut(rest, []byte(" "))
@@ -92,7 +92,7 @@
 }
 
 func (f *fields) name(name string) string {
-	w := f.word(name)
+	w := f.value(name)
 	if len(w) == 0 {
 		f.fail(name, errMissing)
 	}
@@ -101,7 +101,7 @@
 
 // figure guards the decisions against what is negative, not a number or endless.
 func (f *fields) figure(name string, most float64) float64 {
-	w := f.word(name)
+	w := f.value(name)
 	if len(w) == 0 {
 		f.fail(name, errMissing)
 		return 0
@@ -123,54 +123,54 @@
 	return int(v)
 }
 
-func (f *fields) span(name string) policy.Time {
+func (f *fields) duration(name string) policy.Time {
 	const unit = 1000 / float64(policy.Second)
-	return policy.Time(math.Round(f.figure(name, float64(mostSpan)*unit) / unit))
+	return policy.Time(math.Round(f.figure(name, float64(maxSpan)*unit) / unit))
 }
 
 // sums takes how many there were and how many of them failed in the time that they were counted. A report
 // that stood for more than a fleet can do would drown all that others say for many ticks.
 func (f *fields) sums() (all, failed float64, counting policy.Time) {
-	if counting = f.span("interval"); counting == 0 {
+	if counting = f.duration("interval"); counting == 0 {
 		f.fail("interval", errFigure)
 	}
-	most := mostPerS * float64(counting) / float64(policy.Second)
+	most := maxPerSecond * float64(counting) / float64(policy.Second)
 	return f.figure("total", most), f.figure("errors", most), counting
 }
 
 // Millis is a span that is given in ms; one that cannot be is below 0.
 func Millis(ms float64) policy.Time {
 	t := math.Round(ms * float64(policy.Second) / 1000)
-	if math.IsNaN(t) || t < 0 || t > float64(mostSpan) {
+	if math.IsNaN(t) || t < 0 || t > float64(maxSpan) {
 		return -1
 	}
 	return policy.Time(t)
 }
 
-// sound says whether sums of a span are figures that a fleet could mean.
-func sound(all, voided float64, counting policy.Time) bool {
-	most := mostPerS * float64(counting) / float64(policy.Second)
+// isPlausible says whether sums of a span are figures that a fleet could mean.
+func isPlausible(all, voided float64, counting policy.Time) bool {
+	most := maxPerSecond * float64(counting) / float64(policy.Second)
 	return counting > 0 && all >= 0 && all <= most && voided >= 0 && voided <= most
 }
 
 // Check holds sums that did not come as text to the same bounds.
-func (u Used) Check() error {
-	if u.Product == "" || !sound(u.Txns, u.Voided, u.Counting) {
+func (u UsageReport) Check() error {
+	if u.Product == "" || !isPlausible(u.Txns, u.Failed, u.Period) {
 		return fmt.Errorf("use of %.40q %w", u.Product, errFigure)
 	}
 	return nil
 }
 
 // Check holds sums that did not come as text to the same bounds.
-func (h Heard) Check(counting policy.Time) error {
-	if h.Backend == "" || !sound(h.Tries, h.Voided, counting) || h.Voided > h.Tries || h.Took < 0 {
+func (h BackendReport) Check(counting policy.Time) error {
+	if h.Backend == "" || !isPlausible(h.Attempts, h.Failed, counting) || h.Failed > h.Attempts || h.Latency < 0 {
 		return fmt.Errorf("tries at %.40q %w", h.Backend, errFigure)
 	}
 	return nil
 }
 
-// known are the kinds that proxies and collectors speak.
-var known = [][]byte{
+// knownKinds are the kinds that proxies and collectors speak.
+var knownKinds = [][]byte{
 	[]byte("PING"),
 	[]byte("SOURCE"),
 	[]byte("SUBSCRIBE"),
@@ -179,22 +179,22 @@
 	[]byte("LOAD"),
 }
 
-// Begins says whether a line that has not ended may become a message: a kind in capitals, then text.
-func Begins(line []byte) bool {
+// MayBecomeMessage says whether a line that has not ended may become a message: a kind in capitals, then text.
+func MayBecomeMessage(line []byte) bool {
 	kind, _, _ := bytes.Cut(line, []byte(" "))
 	for i, b := range bytes.TrimSuffix(kind, []byte("\r")) {
-		if i >= longKind || b < 'A' || b > 'Z' {
+		if i >= maxKindLength || b < 'A' || b > 'Z' {
 			return false
 		}
 	}
 	return true
 }
 
-// legible says whether a line has the form of a message: a kind, then words with names. Of a kind that is
+// isMessage says whether a line has the form of a message: a kind, then words with names. Of a kind that is
 // known it may hold anything: then only its fields are at fault.
-func legible(line []byte) bool {
+func isMessage(line []byte) bool {
 	kind, rest, _ := bytes.Cut(line, []byte(" "))
-	if slices.ContainsFunc(known, func(k []byte) bool { return bytes.Equal(k, kind) }) {
+	if slices.ContainsFunc(knownKinds, func(k []byte) bool { return bytes.Equal(k, kind) }) {
 		return true
 	}
 	for _, word := range bytes.Fields(rest) {
@@ -203,13 +203,13 @@
 		}
 	}
 	other := func(r rune) bool { return r < ' ' || r > '~' }
-	return Begins(kind) && bytes.IndexFunc(rest, other) < 0
+	return MayBecomeMessage(kind) && bytes.IndexFunc(rest, other) < 0
 }
 
 // Parse reads a line without its end. Each field of a kind that is known must be there and be one that it can
 // be: of a message with one at fault nothing counts.
 func Parse(line []byte) (any, error) {
-	if !legible(line) {
+	if !isMessage(line) {
 		return nil, fmt.Errorf("%w: %.40q", ErrGarbage, line)
 	}
 	kind, rest, _ := bytes.Cut(line, []byte(" "))
@@ -221,23 +221,23 @@
 	case "SOURCE":
 		said = Source{Zone: f.name("locality")}
 	case "SUBSCRIBE":
-		said = Joined{Proxy: f.number("node", mostIndex), Zone: f.name("locality"), Rate: f.figure("w", mostPerS),
+		said = Subscribe{Proxy: f.number("node", maxIndex), Zone: f.name("locality"), Rate: f.figure("w", maxPerSecond),
 			Fresh: f.number("cold", 1) == 1}
 	case "ACK":
-		f.span("latency")
-		said = Fenced{Proxy: f.number("node", mostIndex), Number: f.number("nonce", mostIndex)}
+		f.duration("latency")
+		said = Ack{Proxy: f.number("node", maxIndex), Number: f.number("nonce", maxIndex)}
 	case "RATE":
 		// What fails may have come in an earlier span: there can be more of it.
 		all, failed, counting := f.sums()
-		said = Used{Proxy: f.number("node", mostIndex), Product: f.name("route"), Txns: all, Voided: failed,
-			Counting: counting}
+		said = UsageReport{Proxy: f.number("node", maxIndex), Product: f.name("route"), Txns: all, Failed: failed,
+			Period: counting}
 	case "LOAD":
 		all, failed, _ := f.sums()
-		heard := Heard{Zone: f.name("locality"), Backend: f.name("endpoint"), Tries: all, Voided: failed}
+		heard := BackendReport{Zone: f.name("locality"), Backend: f.name("endpoint"), Attempts: all, Failed: failed}
 		if failed > all {
 			f.fail("errors", errFigure)
 		} else if failed < all {
-			heard.Took = f.span("rtt")
+			heard.Latency = f.duration("rtt")
 		}
 		said = heard
 	default:
@@ -249,36 +249,36 @@
 	return said, nil
 }
 
-// Line is a backend with its weight; weight 0 takes it out.
-type Line struct {
+// BackendWeight is a backend with its weight; weight 0 takes it out.
+type BackendWeight struct {
 	Backend string
 	Weight  float64
 }
 
-// Gate is a level with the way of trying again.
-type Gate struct {
-	Level float64
-	Tries policy.RetryMode
+// Admission is a level with the way of trying again.
+type Admission struct {
+	RateLimit float64
+	Retries   policy.RetryMode
 }
 
 // Part is one line of a message to a proxy.
 type Part struct {
-	Products  []string // none: all
-	Whole     bool
-	Lines     []Line
-	Gate      *Gate
-	Out, Back []string
-	Marked    bool
-	Mark      int // that is to be answered
+	Products            []string // none: all
+	Full                bool
+	Weights             []BackendWeight
+	Admission           *Admission
+	Withdrawn, Restored []string
+	HasMarker           bool
+	Marker              int // that is to be answered
 }
 
-// Most parts of one message.
-const Most = 64
+// MaxParts parts of one message.
+const MaxParts = 64
 
 // Cost is what the part counts for in the channel.
 func (p Part) Cost() int {
-	n := len(p.Lines) + len(p.Out) + len(p.Back)
-	for _, has := range []bool{p.Whole, p.Gate != nil, p.Marked} {
+	n := len(p.Weights) + len(p.Withdrawn) + len(p.Restored)
+	for _, has := range []bool{p.Full, p.Admission != nil, p.HasMarker} {
 		if has {
 			n++
 		}
@@ -286,12 +286,12 @@
 	return n
 }
 
-// figure writes without an exponent; float32 keeps the text short and is what the decisions are worth.
-func figure(b []byte, v float64) []byte {
+// appendNumber writes without an exponent; float32 keeps the text short and is what the decisions are worth.
+func appendNumber(b []byte, v float64) []byte {
 	return strconv.AppendFloat(b, min(max(v, 0), math.MaxFloat32), 'f', -1, 32)
 }
 
-func list(b []byte, field string, items []string, between byte) []byte {
+func appendList(b []byte, field string, items []string, between byte) []byte {
 	for i, s := range items {
 		if i == 0 {
 			b = append(append(b, ' '), field...)
@@ -306,25 +306,25 @@
 // Append writes the parts as one message.
 func Append(b []byte, parts []Part) []byte {
 	for i, p := range parts {
-		b = list(append(b, "CONFIG"...), "classes=", p.Products, '+')
-		if p.Whole {
+		b = appendList(append(b, "CONFIG"...), "classes=", p.Products, '+')
+		if p.Full {
 			b = append(b, " whole=1"...)
 		}
-		for j, l := range p.Lines {
+		for j, l := range p.Weights {
 			if j == 0 {
 				b = append(b, " lines="...)
 			} else {
 				b = append(b, ',')
 			}
-			b = figure(append(append(b, l.Backend...), ':'), l.Weight)
+			b = appendNumber(append(append(b, l.Backend...), ':'), l.Weight)
 		}
-		if p.Gate != nil {
-			b = figure(append(b, " level="...), p.Gate.Level)
-			b = strconv.AppendInt(append(b, " retry="...), int64(p.Gate.Tries), 10)
+		if p.Admission != nil {
+			b = appendNumber(append(b, " level="...), p.Admission.RateLimit)
+			b = strconv.AppendInt(append(b, " retry="...), int64(p.Admission.Retries), 10)
 		}
-		b = list(list(b, "out=", p.Out, ','), "back=", p.Back, ',')
-		if p.Marked {
-			b = strconv.AppendInt(append(b, " ticket="...), int64(p.Mark), 10)
+		b = appendList(appendList(b, "out=", p.Withdrawn, ','), "back=", p.Restored, ',')
+		if p.HasMarker {
+			b = strconv.AppendInt(append(b, " ticket="...), int64(p.Marker), 10)
 		}
 		if i < len(parts)-1 {
 			b = append(b, " more=1"...)
--- a/internal/emulator/emu.go
+++ b/internal/emulator/emu.go
@@ -172,7 +172,7 @@
 
 type controller struct {
 	w       *World
-	desk    *eventloop.Desk
+	desk    *eventloop.Loop
 	sources []*stream
 	down    bool
 	epoch   int
@@ -216,11 +216,11 @@
 	}
 	for _, o := range warmstart.New(warmstart.Usual()).Step(0, events) {
 		if b, ok := o.(warmstart.Believe); ok {
-			c.desk.Hear(eventloop.News{Said: b})
+			c.desk.Handle(eventloop.Command{Message: b})
 		}
 	}
 	name := strconv.Itoa(slices.Index(c.w.control, c))
-	c.desk.KeepWith(func(facts []warmstart.Fact) {
+	c.desk.SetFactSink(func(facts []warmstart.Fact) {
 		for _, f := range facts {
 			f.Origin = name
 			c.kept[f.Kind.String()+" "+f.Key] = kept{f, c.w.Now - Time(f.Age*time.Duration(second)/time.Second)}
@@ -495,14 +495,14 @@
 		dep.Products = append(dep.Products, policy.Product{Revenue: 1, SLA: p.SLA, OwnZone: p.OwnZone})
 	}
 	c.desk = eventloop.New(dep, names, nobody{}, logrus.NewEntry(log))
-	c.desk.Known(w.list())
+	c.desk.SetKnownList(w.list())
 	if w.Recall != 0 {
 		c.remember()
 	}
 	if plan != nil {
 		p := *plan
 		p.Products, p.Zones, p.Cold = dep.Products, w.Zones, w.Cold
-		c.desk.Hear(eventloop.News{Said: tenancy.Planned{Plan: p}})
+		c.desk.Handle(eventloop.Command{Message: tenancy.PlanUpdate{Plan: p}})
 	}
 	c.topics = nil
 	if w.Channel {
@@ -514,7 +514,7 @@
 	c.sources = nil
 	for z := range w.Zones {
 		s := &stream{c: c, proxy: -1}
-		c.desk.Hear(eventloop.News{From: s, Said: textproto.Source{Zone: w.zone(z)}})
+		c.desk.Handle(eventloop.Command{From: s, Message: textproto.Source{Zone: w.zone(z)}})
 		c.sources = append(c.sources, s)
 	}
 	epoch := c.epoch
@@ -565,7 +565,7 @@
 		epoch := c.epoch
 		w.after(w.ListLate, func() {
 			if c.epoch == epoch && !c.down {
-				c.desk.Hear(eventloop.News{Said: l})
+				c.desk.Handle(eventloop.Command{Message: l})
 			}
 		})
 	}
@@ -578,7 +578,7 @@
 func (w *World) Say(said any) {
 	for _, c := range w.control {
 		if !c.down {
-			c.desk.Hear(eventloop.News{Said: said})
+			c.desk.Handle(eventloop.Command{Message: said})
 		}
 	}
 }
@@ -702,10 +702,10 @@
 		return
 	}
 	p.stream = &stream{c: c, since: uint64(w.seq), proxy: p.i}
-	c.desk.Hear(
-		eventloop.News{
-			From: p.stream,
-			Said: textproto.Joined{Proxy: p.i, Zone: w.zone(p.zone), Rate: p.rate, Fresh: !p.ever},
+	c.desk.Handle(
+		eventloop.Command{
+			From:    p.stream,
+			Message: textproto.Subscribe{Proxy: p.i, Zone: w.zone(p.zone), Rate: p.rate, Fresh: !p.ever},
 		},
 	)
 }
@@ -726,7 +726,7 @@
 	if p.conn != 0 {
 		p.unsubscribe()
 	} else if !s.c.down {
-		s.c.desk.Hear(eventloop.News{From: s, Said: textproto.Ended{}})
+		s.c.desk.Handle(eventloop.Command{From: s, Message: textproto.Closed{}})
 	}
 	p.next()
 	p.w.after(p.w.Dial+Time(p.i%16)*p.w.Dial/32, p.join)
@@ -769,7 +769,7 @@
 			s := p.stream
 			p.w.after(3*ms, func() {
 				if p.stream == s && s != nil {
-					s.c.desk.Hear(eventloop.News{From: s, Said: textproto.Fenced{Proxy: p.i, Number: n}})
+					s.c.desk.Handle(eventloop.Command{From: s, Message: textproto.Ack{Proxy: p.i, Number: n}})
 				}
 			})
 		}
--- a/internal/emulator/told.go
+++ b/internal/emulator/told.go
@@ -148,18 +148,18 @@
 	if total == nil {
 		return
 	}
-	said := eventloop.Told{Age: Time(total.Age * time.Duration(second) / time.Second)}
+	said := eventloop.RemoteSums{Age: Time(total.Age * time.Duration(second) / time.Second)}
 	for _, u := range total.Uses {
-		said.Uses = append(said.Uses, eventloop.Use(u))
+		said.Uses = append(said.Uses, eventloop.ZoneUse(u))
 	}
 	for _, x := range total.Words {
-		h := textproto.Heard{Backend: x.Backend, Tries: x.Tries, Voided: x.Voided}
+		h := textproto.BackendReport{Backend: x.Backend, Attempts: x.Tries, Failed: x.Voided}
 		if good := x.Tries - x.Voided; good > 0 {
-			h.Took = Time(x.Spent / good * float64(ms))
+			h.Latency = Time(x.Spent / good * float64(ms))
 		}
-		said.Heard = append(said.Heard, h)
+		said.Reports = append(said.Reports, h)
 	}
-	c.desk.Hear(eventloop.News{Said: said})
+	c.desk.Handle(eventloop.Command{Message: said})
 	for _, name := range c.node.Children() {
 		d := on[name]
 		c.w.pass(c, name, d, func(to *controller) {
@@ -168,14 +168,14 @@
 	}
 }
 
-func (c *controller) met(h textproto.Heard) {
+func (c *controller) met(h textproto.BackendReport) {
 	if c.node != nil {
 		c.node.Met(
 			aggregation.Word{
 				Backend: h.Backend,
-				Tries:   h.Tries,
-				Voided:  h.Voided,
-				Spent:   float64(h.Took) / float64(ms) * (h.Tries - h.Voided),
+				Tries:   h.Attempts,
+				Voided:  h.Failed,
+				Spent:   float64(h.Latency) / float64(ms) * (h.Attempts - h.Failed),
 			},
 			clock(c.w.Now),
 		)
@@ -183,10 +183,10 @@
 }
 
 // took keeps what a proxy reported last of a product.
-func (c *controller) took(u textproto.Used) {
+func (c *controller) took(u textproto.UsageReport) {
 	if c.node != nil {
 		at := [2]int{u.Proxy, c.w.product(u.Product)}
-		c.used[at] += (u.Txns*float64(second)/float64(u.Counting) - c.used[at]) / useSpan
+		c.used[at] += (u.Txns*float64(second)/float64(u.Period) - c.used[at]) / useSpan
 	}
 }
 
--- a/internal/emulator/topics.go
+++ b/internal/emulator/topics.go
@@ -72,17 +72,17 @@
 			t := &topic{stream: stream{c: c, since: uint64(w.seq), proxy: p.i}, name: o.Topic}
 			t.as = t
 			c.owners[o.Topic] = t
-			c.desk.Hear(
-				eventloop.News{From: t, Said: textproto.Joined{Proxy: p.i, Zone: w.zone(p.zone), Rate: p.rate, Fresh: true}},
+			c.desk.Handle(
+				eventloop.Command{From: t, Message: textproto.Subscribe{Proxy: p.i, Zone: w.zone(p.zone), Rate: p.rate, Fresh: true}},
 			)
 		case session.Left:
 			if t := c.owners[o.Topic]; t != nil {
 				delete(c.owners, o.Topic)
-				c.desk.Hear(eventloop.News{From: t, Said: textproto.Ended{}})
+				c.desk.Handle(eventloop.Command{From: t, Message: textproto.Closed{}})
 			}
 		case session.Answered:
 			if t := c.owners[o.Topic]; t != nil {
-				c.desk.Hear(eventloop.News{From: t, Said: textproto.Fenced{Proxy: t.proxy, Number: o.Mark}})
+				c.desk.Handle(eventloop.Command{From: t, Message: textproto.Ack{Proxy: t.proxy, Number: o.Mark}})
 			}
 		case session.Send:
 			w.after(3*ms+c.delay(float64(headLines+len(o.Sets))), func() { w.deliver(c, o) })
--- a/internal/emulator/txns.go
+++ b/internal/emulator/txns.go
@@ -311,31 +311,31 @@
 		clear(p.since)
 		return
 	}
-	var said []textproto.Heard
+	var said []textproto.BackendReport
 	for _, id := range slices.Sorted(maps.Keys(p.since)) {
 		m := p.since[id]
-		h := textproto.Heard{
-			Zone:    w.zone(p.zone),
-			Backend: id,
-			Tries:   float64(m.tries),
-			Voided:  float64(min(m.voided, m.tries)),
+		h := textproto.BackendReport{
+			Zone:     w.zone(p.zone),
+			Backend:  id,
+			Attempts: float64(m.tries),
+			Failed:   float64(min(m.voided, m.tries)),
 		}
 		if good := m.tries - m.voided; good > 0 {
-			h.Took = m.took / Time(good)
+			h.Latency = m.took / Time(good)
 		}
 		said = append(said, h)
 	}
 	p.since = map[string]*met{}
-	var used []textproto.Used
+	var used []textproto.UsageReport
 	for k, u := range p.used {
 		used = append(
 			used,
-			textproto.Used{
-				Proxy:    p.i,
-				Product:  w.Products[k].Name,
-				Txns:     float64(u.txns),
-				Voided:   float64(u.voided),
-				Counting: second,
+			textproto.UsageReport{
+				Proxy:   p.i,
+				Product: w.Products[k].Name,
+				Txns:    float64(u.txns),
+				Failed:  float64(u.voided),
+				Period:  second,
 			},
 		)
 	}
@@ -346,11 +346,11 @@
 			return
 		}
 		for _, h := range said {
-			s.c.desk.Hear(eventloop.News{From: s.c.sources[p.zone], Said: h})
+			s.c.desk.Handle(eventloop.Command{From: s.c.sources[p.zone], Message: h})
 			s.c.met(h)
 		}
 		for _, u := range used {
-			s.c.desk.Hear(eventloop.News{From: s.from(), Said: u})
+			s.c.desk.Handle(eventloop.Command{From: s.from(), Message: u})
 			s.c.took(u)
 		}
 	})
