--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -109,100 +109,139 @@
 
 // open starts the parts. The desk has the list known at the start before anyone can connect.
 func (c *controller) open() error {
-	sheet, log := c.sheet, c.log
+	sheet := c.sheet
 	allow(sheet)
 	queue, lists := make(chan eventloop.Command, queueLength), make(chan eventloop.Command, listsLength)
-	c.queue, c.lists = queue, &sources{queue: lists, log: log}
-	held := sheet.Known
-	var memory Memory
-	if c.file.Store != nil || c.file.Peers != nil {
-		var err error
-		if memory, err = c.parts.Memory(c.file, sheet.Name, log); err != nil {
-			memory = nil
-			log.WithField("reason", "store").Errorf("nothing is kept over crashes: %v", err)
-		} else if l, ok := memory.Known(); ok && (c.file.Registry != nil || l.Revision >= held.Revision) {
-			held = l
-			log.WithFields(
-				logrus.Fields{"revision": l.Revision, "backends": len(l.Members)},
-			).Info(
-				"the list to begin with is from the store or from peers",
-			)
-		}
-		if err == nil {
-			c.lists.memory = memory
-		}
-	}
+	c.queue, c.lists = queue, &sources{queue: lists, log: c.log}
+	memory, list := c.openMemory()
 	if c.file.Registry == nil {
-		c.discover(held)
+		c.discover(list)
 	} else {
 		c.follow()
 	}
-	d := eventloop.New(sheet.Deployment, sheet.Names, c.lists, log)
-	d.SetKnownList(held)
+	loop := eventloop.New(sheet.Deployment, sheet.Names, c.lists, c.log)
+	loop.SetKnownList(list)
 	if memory != nil {
-		for _, b := range memory.Figures() {
-			d.Handle(eventloop.Command{Message: b})
+		for _, figure := range memory.Figures() {
+			loop.Handle(eventloop.Command{Message: figure})
 		}
 	}
-	if memory != nil || c.file.Channel != nil {
-		d.SetFactSink(func(facts []warmstart.Fact) {
-			if memory != nil {
-				memory.Learn(facts)
-			}
-			if served := c.lists.onlook.Load(); served != nil {
-				(*served).Look(facts)
-			}
-		})
+	c.setFactSink(loop, memory)
+	if err := c.joinFleet(loop); err != nil {
+		return err
+	}
+	loop.Step(clock())
+	go loop.Run(queue, lists, sheet.Tick, clock)
+	if err := c.listen(list); err != nil {
+		return err
+	}
+	if f := c.file.Cells; f != nil {
+		c.plan(f)
+	}
+	if err := c.openChannel(list); err != nil {
+		return err
 	}
-	if c.file.Member != nil && c.parts.Member != nil {
-		m, err := c.parts.Member(c.file, sheet, func(n eventloop.Command) { queue <- n }, log)
-		if err != nil {
-			return err
+	c.openControl()
+	return nil
+}
+
+// openMemory opens what is kept over crashes, if anything is; list is the one to begin with.
+func (c *controller) openMemory() (memory Memory, list reconcile.List) {
+	list = c.sheet.Known
+	if c.file.Store == nil && c.file.Peers == nil {
+		return nil, list
+	}
+	memory, err := c.parts.Memory(c.file, c.sheet.Name, c.log)
+	if err != nil {
+		c.log.WithField("reason", "store").Errorf("nothing is kept over crashes: %v", err)
+		return nil, list
+	}
+	if known, ok := memory.Known(); ok && (c.file.Registry != nil || known.Revision >= list.Revision) {
+		list = known
+		fields := logrus.Fields{"revision": known.Revision, "backends": len(known.Members)}
+		c.log.WithFields(fields).Info("the list to begin with is from the store or from peers")
+	}
+	c.lists.memory = memory
+	return memory, list
+}
+
+// setFactSink has what the decisions learn kept and shown on the channel.
+func (c *controller) setFactSink(loop *eventloop.Loop, memory Memory) {
+	if memory == nil && c.file.Channel == nil {
+		return
+	}
+	loop.SetFactSink(func(facts []warmstart.Fact) {
+		if memory != nil {
+			memory.Learn(facts)
 		}
-		if c.file.Member.Sums {
-			d.SetObserver(m)
+		if served := c.lists.onlook.Load(); served != nil {
+			(*served).Look(facts)
 		}
-		c.more = m.More
-		log.WithFields(logrus.Fields{"member": m.Addr(), "site": c.file.Member.Site}).Info("takes part in the fleet")
+	})
+}
+
+// joinFleet joins the other members of the fleet, where the operator file names them.
+func (c *controller) joinFleet(loop *eventloop.Loop) error {
+	if c.file.Member == nil || c.parts.Member == nil {
+		return nil
+	}
+	m, err := c.parts.Member(c.file, c.sheet, func(n eventloop.Command) { c.queue <- n }, c.log)
+	if err != nil {
+		return err
+	}
+	if c.file.Member.Sums {
+		loop.SetObserver(m)
 	}
-	d.Step(clock())
-	go d.Run(queue, lists, sheet.Tick, clock)
+	c.more = m.More
+	fields := logrus.Fields{"member": m.Addr(), "site": c.file.Member.Site}
+	c.log.WithFields(fields).Info("takes part in the fleet")
+	return nil
+}
 
-	hear := func(from *server.Conn, said any) { queue <- eventloop.Command{From: from, Message: said} }
-	ln, err := server.Listen(sheet.Listen, sheet.MemoryMB<<20, sheet.Sockets, hear, log)
+// listen takes connections of proxies and collectors from now on.
+func (c *controller) listen(list reconcile.List) error {
+	sheet := c.sheet
+	handle := func(from *server.Conn, said any) { c.queue <- eventloop.Command{From: from, Message: said} }
+	ln, err := server.Listen(sheet.Listen, sheet.MemoryMB<<20, sheet.Sockets, handle, c.log)
 	if err != nil {
 		return err
 	}
-	log.WithFields(logrus.Fields{"listen": ln.Addr().String(), "discovery": sheet.Discovery,
-		"backends": len(held.Members), "proxies": sheet.Deployment.Proxies,
-		"revision": held.Revision}).Info("ready")
+	c.log.WithFields(logrus.Fields{"listen": ln.Addr().String(), "discovery": sheet.Discovery,
+		"backends": len(list.Members), "proxies": sheet.Deployment.Proxies,
+		"revision": list.Revision}).Info("ready")
 	c.streams = ln
-	if f := c.file.Cells; f != nil {
-		c.plan(f)
-	}
-	if f := c.file.Channel; f != nil && c.parts.Channel != nil {
-		served, err := c.parts.Channel(
-			*f,
-			sheet.Deployment.Proxies,
-			sheet.Names,
-			func(n eventloop.Command) { queue <- n },
-			log,
-		)
-		if err != nil {
-			return err
-		}
-		served.Tell(held)
-		c.lists.onlook.Store(&served)
-		log.WithField("channel", served.Addr()).Info("the channel is served")
+	return nil
+}
+
+// openChannel serves the pub-sub channel, where the operator file has one.
+func (c *controller) openChannel(list reconcile.List) error {
+	f := c.file.Channel
+	if f == nil || c.parts.Channel == nil {
+		return nil
 	}
-	if f := c.file.Control; f != nil {
-		if c.control, err = openControl(f.Path, queue, c.more, log); err != nil {
-			log.WithField("reason", "control").Errorf("operators are not answered: %v", err)
-		}
+	handle := func(n eventloop.Command) { c.queue <- n }
+	served, err := c.parts.Channel(*f, c.sheet.Deployment.Proxies, c.sheet.Names, handle, c.log)
+	if err != nil {
+		return err
 	}
+	served.Tell(list)
+	c.lists.onlook.Store(&served)
+	c.log.WithField("channel", served.Addr()).Info("the channel is served")
 	return nil
 }
 
+// openControl answers operators, where the operator file names a socket.
+func (c *controller) openControl() {
+	f := c.file.Control
+	if f == nil {
+		return
+	}
+	var err error
+	if c.control, err = openControl(f.Path, c.queue, c.more, c.log); err != nil {
+		c.log.WithField("reason", "control").Errorf("operators are not answered: %v", err)
+	}
+}
+
 // plan hands the cells of the operator file to the desk; none free everybody.
 func (c *controller) plan(f *operatorfile.Cells) {
 	if f == nil {
--- a/internal/controller/discovery/etcd/etcd.go
+++ b/internal/controller/discovery/etcd/etcd.go
@@ -336,47 +336,52 @@
 		err = stream.Send(&pb.WatchRequest{RequestUnion: &pb.WatchRequest_CreateRequest{
 			CreateRequest: &pb.WatchCreateRequest{Key: []byte(s.from), RangeEnd: []byte(s.to),
 				StartRevision: o.After + 1, Fragment: true}}})
-		if err != nil {
-			return err
-		}
-		for {
-			resp, err := stream.Recv()
-			if err != nil {
+		for err == nil {
+			var resp *pb.WatchResponse
+			if resp, err = stream.Recv(); err != nil {
 				return err
 			}
-			if resp.Header == nil {
-				return errHeader
-			}
-			at := resp.Header
-			switch {
-			case resp.CompactRevision > 0:
+			if resp.Header != nil && resp.CompactRevision > 0 {
 				say(reconcile.Compacted{Try: o.Try, Least: resp.CompactRevision})
 				return nil
-			case resp.Canceled:
-				return cancelled(resp.CancelReason)
-			case resp.Created:
-				s.mu.Lock()
-				s.watch, s.ofTry = stream, o.Try
-				s.mu.Unlock()
-				say(reconcile.Opened{Try: o.Try, History: at.ClusterId, Revision: at.Revision})
-			case len(resp.Events) == 0 && !resp.Fragment:
-				say(reconcile.Progress{Try: o.Try, History: at.ClusterId, Revision: at.Revision})
-			default:
-				c := reconcile.Changes{Try: o.Try, History: at.ClusterId, Part: resp.Fragment}
-				for _, e := range resp.Events {
-					if e.Kv == nil {
-						return errors.New("a change without a key")
-					}
-					change := raw(e.Kv)
-					change.Gone = e.Type == mvccpb.DELETE
-					c.Changes = append(c.Changes, change)
-				}
-				say(c)
 			}
+			err = s.onWatchResponse(stream, resp, o.Try, say)
 		}
+		return err
 	})
 }
 
+// onWatchResponse hands on one response of a watch. Its error ends the watch.
+func (s *Source) onWatchResponse(stream pb.Watch_WatchClient, resp *pb.WatchResponse, try int,
+	say func(reconcile.Event)) error {
+	header := resp.Header
+	switch {
+	case header == nil:
+		return errHeader
+	case resp.Canceled:
+		return cancelled(resp.CancelReason)
+	case resp.Created:
+		s.mu.Lock()
+		s.watch, s.ofTry = stream, try
+		s.mu.Unlock()
+		say(reconcile.Opened{Try: try, History: header.ClusterId, Revision: header.Revision})
+	case len(resp.Events) == 0 && !resp.Fragment:
+		say(reconcile.Progress{Try: try, History: header.ClusterId, Revision: header.Revision})
+	default:
+		c := reconcile.Changes{Try: try, History: header.ClusterId, Part: resp.Fragment}
+		for _, e := range resp.Events {
+			if e.Kv == nil {
+				return errors.New("a change without a key")
+			}
+			change := raw(e.Kv)
+			change.Gone = e.Type == mvccpb.DELETE
+			c.Changes = append(c.Changes, change)
+		}
+		say(c)
+	}
+	return nil
+}
+
 // cancelled names the refusals that a watch is told in words only.
 func cancelled(reason string) error {
 	err := fmt.Errorf("the watch was cancelled: %s", reason)
--- a/internal/controller/jobs/jobs.go
+++ b/internal/controller/jobs/jobs.go
@@ -272,34 +272,46 @@
 // Settle reads the one answer out of a set of edits of one job.
 func Settle(id ID, edits []*Edit) View {
 	v := View{ID: id, State: IsUnknown}
-	none := func(a, b *Edit) int { return 0 }
-	// Of two words of a source the job is one's: the first by name, as both are true of it.
-	if e := v.winner(standing(edits, Announce, Arrive), none); e != nil {
-		if e.Job != nil {
-			v.Job = *e.Job
-		}
-		v.Lost = nil // both say that it is there
-		v.State = IsAnnounced
-		if slices.ContainsFunc(edits, func(o *Edit) bool { return o.Kind == Arrive }) {
-			v.State = IsArrived
-		}
-	}
+	v.announce(edits)
 	v.place(standing(edits, Place))
 	v.Expires = v.Job.Expires
-	if e := v.winner(
-		standing(edits, Expire),
-		func(a, b *Edit) int { return cmp.Compare(expiry(a.Expires), expiry(b.Expires)) },
-	); e != nil {
+	byExpiry := func(a, b *Edit) int { return cmp.Compare(expiry(a.Expires), expiry(b.Expires)) }
+	if e := v.winner(standing(edits, Expire), byExpiry); e != nil {
 		v.Expires = e.Expires
 	}
-	if e := v.winner(
-		standing(edits, Prioritise),
-		func(a, b *Edit) int { return cmp.Compare(a.Priority, b.Priority) },
-	); e != nil {
+	byPriority := func(a, b *Edit) int { return cmp.Compare(a.Priority, b.Priority) }
+	if e := v.winner(standing(edits, Prioritise), byPriority); e != nil {
 		v.Priority = e.Priority
 	}
-	late := slices.ContainsFunc(edits, func(o *Edit) bool { return o.Kind == Late })
 	wishes := standing(edits, Hold, Release, Withdraw)
+	v.applyWish(edits, wishes)
+	v.effect(edits, wishes)
+	v.dropForgotten(edits)
+	v.dropSeen(edits)
+	return v
+}
+
+// announce takes the job from its source. Of two announcements the job is one's: the first by name, as both are true
+// of it.
+func (v *View) announce(edits []*Edit) {
+	none := func(a, b *Edit) int { return 0 }
+	e := v.winner(standing(edits, Announce, Arrive), none)
+	if e == nil {
+		return
+	}
+	if e.Job != nil {
+		v.Job = *e.Job
+	}
+	v.Lost = nil // both say that it is there
+	v.State = IsAnnounced
+	if slices.ContainsFunc(edits, func(o *Edit) bool { return o.Kind == Arrive }) {
+		v.State = IsArrived
+	}
+}
+
+// applyWish applies the most cautious of those who hold, release or withdraw the job.
+func (v *View) applyWish(edits, wishes []*Edit) {
+	late := slices.ContainsFunc(edits, func(o *Edit) bool { return o.Kind == Late })
 	wish := v.winner(wishes, func(a, b *Edit) int { return cmp.Compare(caution[a.Kind], caution[b.Kind]) })
 	switch {
 	case wish != nil && wish.Kind == Withdraw:
@@ -311,14 +323,23 @@
 	case v.Why != "" && v.State != IsUnknown:
 		v.State = IsHeld
 	}
-	v.effect(edits, wishes)
-	if v.Job.Product == "" && !slices.ContainsFunc(edits, func(e *Edit) bool { return slices.Contains(effects, e.Kind) }) {
-		// Made where an old copy had the job open still; all others have seen it end, and forgot it.
-		v.State, v.Why, v.Lost = IsUnknown, "", nil
-		for _, e := range standing(edits, Hold, Release, Withdraw, Place, Expire, Prioritise) {
-			v.lose(e, RuleEffect)
-		}
+}
+
+// dropForgotten drops edits that were made where an old copy had the job open still; all others have seen it end, and
+// forgot it.
+func (v *View) dropForgotten(edits []*Edit) {
+	hasEffect := func(e *Edit) bool { return slices.Contains(effects, e.Kind) }
+	if v.Job.Product != "" || slices.ContainsFunc(edits, hasEffect) {
+		return
+	}
+	v.State, v.Why, v.Lost = IsUnknown, "", nil
+	for _, e := range standing(edits, Hold, Release, Withdraw, Place, Expire, Prioritise) {
+		v.lose(e, RuleEffect)
 	}
+}
+
+// dropSeen drops lost edits that somebody has seen, and sorts the others.
+func (v *View) dropSeen(edits []*Edit) {
 	seen := map[Dot]bool{}
 	for _, e := range edits {
 		for _, d := range e.Dots {
@@ -333,7 +354,6 @@
 			cmp.Compare(a.Rule, b.Rule),
 		)
 	})
-	return v
 }
 
 // expiry is none for never, so that the earlier is the lesser.
--- a/internal/controller/jobs/keep.go
+++ b/internal/controller/jobs/keep.go
@@ -49,52 +49,24 @@
 
 func openKeep(path string) (k *Keep, held Kept, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a torn page can send the library beyond its map
-	var db *bbolt.DB
 	defer func() {
 		if broken := recover(); broken != nil {
 			err = fmt.Errorf("%s: %v", path, broken)
 		}
 	}()
-	db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: 2 * time.Second})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: 2 * time.Second})
 	if err != nil {
 		return nil, held, err
 	}
 	held.Knows = Versions{}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		for _, name := range [][]byte{bucketEdits, bucketKnows, bucketAbout} {
-			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
-				return err
-			}
-		}
-		about := tx.Bucket(bucketAbout)
-		if v := about.Get([]byte("version")); v != nil && string(v) != keepVersion {
-			return fmt.Errorf("%s is of version %s, this program keeps %s", path, v, keepVersion)
-		}
-		if err := about.Put([]byte("version"), []byte(keepVersion)); err != nil {
+		if err := prepareKeep(tx, path); err != nil {
 			return err
 		}
 		for e := range tx.Check() {
 			return e
 		}
-		if raw := about.Get([]byte("peers")); raw != nil {
-			if err := cbor.Unmarshal(raw, &held.Peers); err != nil {
-				return fmt.Errorf("%s: who was there cannot be read: %w", path, err)
-			}
-		}
-		if err := tx.Bucket(bucketKnows).ForEach(func(origin, n []byte) error {
-			if len(n) != 8 {
-				return fmt.Errorf("%s: what is known of %q cannot be read", path, origin)
-			}
-			held.Knows[string(origin)] = binary.BigEndian.Uint64(n)
-			return nil
-		}); err != nil {
-			return err
-		}
-		return tx.Bucket(bucketEdits).ForEach(func(_, raw []byte) error {
-			e, err := Decode(append([]byte(nil), raw...))
-			held.Edits = append(held.Edits, e)
-			return err
-		})
+		return held.read(tx, path)
 	})
 	if err != nil {
 		_ = db.Close()
@@ -103,6 +75,44 @@
 	return &Keep{db}, held, nil
 }
 
+// prepareKeep creates what a new file lacks, and refuses one of another version.
+func prepareKeep(tx *bbolt.Tx, path string) error {
+	for _, name := range [][]byte{bucketEdits, bucketKnows, bucketAbout} {
+		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
+			return err
+		}
+	}
+	about := tx.Bucket(bucketAbout)
+	if v := about.Get([]byte("version")); v != nil && string(v) != keepVersion {
+		return fmt.Errorf("%s is of version %s, this program keeps %s", path, v, keepVersion)
+	}
+	return about.Put([]byte("version"), []byte(keepVersion))
+}
+
+// read reads all that a file has.
+func (held *Kept) read(tx *bbolt.Tx, path string) error {
+	if raw := tx.Bucket(bucketAbout).Get([]byte("peers")); raw != nil {
+		if err := cbor.Unmarshal(raw, &held.Peers); err != nil {
+			return fmt.Errorf("%s: who was there cannot be read: %w", path, err)
+		}
+	}
+	err := tx.Bucket(bucketKnows).ForEach(func(origin, n []byte) error {
+		if len(n) != 8 {
+			return fmt.Errorf("%s: what is known of %q cannot be read", path, origin)
+		}
+		held.Knows[string(origin)] = binary.BigEndian.Uint64(n)
+		return nil
+	})
+	if err != nil {
+		return err
+	}
+	return tx.Bucket(bucketEdits).ForEach(func(_, raw []byte) error {
+		e, err := Decode(append([]byte(nil), raw...))
+		held.Edits = append(held.Edits, e)
+		return err
+	})
+}
+
 func keyOf(d Dot) []byte {
 	return binary.BigEndian.AppendUint64(append([]byte(d.Origin), 0), d.Number)
 }
--- a/internal/controller/jobs/node.go
+++ b/internal/controller/jobs/node.go
@@ -220,26 +220,7 @@
 				more = false
 			}
 		}
-		n.mu.Lock()
-		var made []Edit
-		answers := make([]answer, len(all))
-		for i, a := range all {
-			v, _ := n.r.View(a.edit.ID)
-			e, err := a.edit, n.judge(a.edit, v)
-			if err == nil {
-				e, err = n.r.Make(e)
-			}
-			if answers[i] = (answer{e, err}); err == nil {
-				made = append(made, e)
-				n.r.Merge([]Edit{e}, nil) // so that those after it know of it; told on below, once it is stored
-			}
-		}
-		knows := n.r.Knows().clone()
-		err := n.keep.Put(made, knows, nil)
-		if err == nil && len(made) > 0 {
-			n.news()
-		}
-		n.mu.Unlock()
+		answers, err := n.storeAll(all)
 		for i, a := range all {
 			if err != nil && answers[i].err == nil {
 				answers[i].err = err
@@ -252,6 +233,30 @@
 	}
 }
 
+// storeAll makes edits and stores them in one write.
+func (n *Node) storeAll(all []asked) ([]answer, error) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	var made []Edit
+	answers := make([]answer, len(all))
+	for i, a := range all {
+		v, _ := n.r.View(a.edit.ID)
+		e, err := a.edit, n.judge(a.edit, v)
+		if err == nil {
+			e, err = n.r.Make(e)
+		}
+		if answers[i] = (answer{e, err}); err == nil {
+			made = append(made, e)
+			n.r.Merge([]Edit{e}, nil) // so that those after it know of it; peers hear of it once it is stored
+		}
+	}
+	err := n.keep.Put(made, n.r.Knows().clone(), nil)
+	if err == nil && len(made) > 0 {
+		n.news()
+	}
+	return answers, err
+}
+
 // take stores what another one gave, and then counts it.
 func (n *Node) take(from string, g given) error {
 	edits := make([]Edit, 0, len(g.Edits))
@@ -406,35 +411,40 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	for {
-		var all []membership.Peer
 		select {
 		case <-ctx.Done():
 			for _, stop := range hearing {
 				stop()
 			}
 			return
-		case all = <-changes:
+		case all := <-changes:
+			n.updatePeers(ctx, all, ever, hearing, &running)
 		}
-		for _, p := range all {
-			if ever[p.Name] = p; p.Streams == "" {
-				delete(ever, p.Name)
-			}
+	}
+}
+
+// updatePeers hears those of all peers that ever were there whom this node is to hear, and stops hearing the others.
+func (n *Node) updatePeers(ctx context.Context, changed []membership.Peer, ever map[string]membership.Peer,
+	hearing map[string]context.CancelFunc, running *sync.WaitGroup) {
+	for _, p := range changed {
+		if ever[p.Name] = p; p.Streams == "" {
+			delete(ever, p.Name)
 		}
-		all = slices.SortedFunc(maps.Values(ever), func(a, b membership.Peer) int { return cmp.Compare(a.Name, b.Name) })
-		names := whom(n.fleet.Self(), all)
-		n.counts(slices.Collect(maps.Keys(ever)))
-		for name, stop := range hearing {
-			if !slices.Contains(names, name) {
-				stop()
-				delete(hearing, name)
-			}
+	}
+	byName := func(a, b membership.Peer) int { return cmp.Compare(a.Name, b.Name) }
+	names := whom(n.fleet.Self(), slices.SortedFunc(maps.Values(ever), byName))
+	n.counts(slices.Collect(maps.Keys(ever)))
+	for name, stop := range hearing {
+		if !slices.Contains(names, name) {
+			stop()
+			delete(hearing, name)
 		}
-		for _, name := range names {
-			if hearing[name] == nil {
-				one, stop := context.WithCancel(ctx)
-				hearing[name] = stop
-				running.Go(func() { n.hear(one, name) })
-			}
+	}
+	for _, name := range names {
+		if hearing[name] == nil {
+			one, stop := context.WithCancel(ctx)
+			hearing[name] = stop
+			running.Go(func() { n.hear(one, name) })
 		}
 	}
 }
--- a/internal/controller/operatorfile/text.go
+++ b/internal/controller/operatorfile/text.go
@@ -96,39 +96,53 @@
 	if len(line) > longestLine {
 		return nil, "split it into several lines", fmt.Sprintf("the line has over %d bytes", longestLine)
 	}
-	if at := strings.IndexFunc(
-		line,
-		func(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f || c == '\ufffd' },
-	); at >= 0 {
+	isNoText := func(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f || c == '\ufffd' }
+	if at := strings.IndexFunc(line, isNoText); at >= 0 {
 		return nil, "write it in plain UTF-8 text", fmt.Sprintf("byte %d is no text", at+1)
 	}
 	for rest := strings.TrimLeft(line, " \t"); rest != "" && rest[0] != '#'; rest = strings.TrimLeft(rest, " \t") {
-		if rest[0] != '"' {
-			end := strings.IndexAny(rest, " \t#\"")
-			if end < 0 {
-				end = len(rest)
-			} else if rest[end] == '"' {
-				return nil, "put the whole word into quotes", fmt.Sprintf("a quote within the word %q", rest[:end])
-			}
-			words, rest = append(words, rest[:end]), rest[end:]
-			continue
-		}
-		var word strings.Builder
-		at := 1
-		for ; at < len(rest) && rest[at] != '"'; at++ {
-			if rest[at] == '\\' && at+1 < len(rest) {
-				at++
-			}
-			word.WriteByte(rest[at])
+		var word string
+		if rest[0] == '"' {
+			word, rest, mend, what = splitQuoted(rest)
+		} else {
+			word, rest, mend, what = splitPlain(rest)
 		}
-		if at == len(rest) {
-			return nil, `end it with "`, "a quote is not ended"
+		if what != "" {
+			return nil, mend, what
 		}
-		words, rest = append(words, word.String()), rest[at+1:]
+		words = append(words, word)
 	}
 	return words, "", ""
 }
 
+// splitPlain takes a word without quotes off a line.
+func splitPlain(line string) (word, rest, mend, what string) {
+	end := strings.IndexAny(line, " \t#\"")
+	if end < 0 {
+		return line, "", "", ""
+	}
+	if line[end] == '"' {
+		return "", "", "put the whole word into quotes", fmt.Sprintf("a quote within the word %q", line[:end])
+	}
+	return line[:end], line[end:], "", ""
+}
+
+// splitQuoted takes a word in quotes off a line; a backslash stands before a quote or a backslash within.
+func splitQuoted(line string) (word, rest, mend, what string) {
+	var b strings.Builder
+	at := 1
+	for ; at < len(line) && line[at] != '"'; at++ {
+		if line[at] == '\\' && at+1 < len(line) {
+			at++
+		}
+		b.WriteByte(line[at])
+	}
+	if at == len(line) {
+		return "", "", `end it with "`, "a quote is not ended"
+	}
+	return b.String(), line[at+1:], "", ""
+}
+
 // nearest is the known name that a wrong one was meant to be, or all of them.
 func nearest(name string, known []string) string {
 	best := slices.MinFunc(known, func(a, b string) int { return cmp.Compare(distance(name, a), distance(name, b)) })
--- a/internal/controller/pluginguard/hook.go
+++ b/internal/controller/pluginguard/hook.go
@@ -415,40 +415,50 @@
 // room says whether a tenant can be left with these backends: each of its products has somewhere to go from each of its
 // zones, it is left with a part of what is its fair share of the strength, and not mostly with cold ones.
 func (h *Hook) room(t Tenant, ids []string) Reason {
-	open := func(p policy.Product, zone int, b tenancy.Backend) bool {
-		return b.Status == policy.Ready && (!p.OwnZone || b.Zone == zone) &&
-			(p.OnlyZones == nil || slices.Contains(p.OnlyZones, b.Zone)) &&
-			(p.OnlyKinds == nil || slices.Contains(p.OnlyKinds, b.Kind))
-	}
 	for _, p := range h.products {
 		for _, zone := range t.Zones {
-			left, all, cold, might := 0.0, 0.0, 0.0, false
-			for _, id := range h.ids {
-				if !open(p, zone, h.list[id]) {
-					continue
-				}
-				might = true
-				all += h.strength(id)
-				if slices.Contains(ids, id) {
-					left += h.strength(id)
-					if r, there := h.ramp[id]; there && r < 1 {
-						cold += h.strength(id)
-					}
-				}
+			if reason := h.roomFor(p, zone, t, ids); reason != "" {
+				return reason
 			}
-			switch {
-			case might && left == 0:
-				return Bare
-			case cold > h.plan.ColdMost*left:
-				return Cold
-			case left < h.plan.Least*all*float64(t.Proxies)/float64(max(h.proxies, 1)):
-				return Narrow
+		}
+	}
+	return ""
+}
+
+// roomFor is why backends are not enough for a product in a zone; empty: they are.
+func (h *Hook) roomFor(p policy.Product, zone int, t Tenant, ids []string) Reason {
+	left, all, cold, might := 0.0, 0.0, 0.0, false
+	for _, id := range h.ids {
+		if !isOpen(p, zone, h.list[id]) {
+			continue
+		}
+		might = true
+		all += h.strength(id)
+		if slices.Contains(ids, id) {
+			left += h.strength(id)
+			if r, there := h.ramp[id]; there && r < 1 {
+				cold += h.strength(id)
 			}
 		}
 	}
+	switch {
+	case might && left == 0:
+		return Bare
+	case cold > h.plan.ColdMost*left:
+		return Cold
+	case left < h.plan.Least*all*float64(t.Proxies)/float64(max(h.proxies, 1)):
+		return Narrow
+	}
 	return ""
 }
 
+// isOpen reports whether a product may go from a zone to a backend.
+func isOpen(p policy.Product, zone int, b tenancy.Backend) bool {
+	return b.Status == policy.Ready && (!p.OwnZone || b.Zone == zone) &&
+		(p.OnlyZones == nil || slices.Contains(p.OnlyZones, b.Zone)) &&
+		(p.OnlyKinds == nil || slices.Contains(p.OnlyKinds, b.Kind))
+}
+
 // join is what holds for a tenant: of allowed sets what all have in common, where that is enough, else that of the
 // higher precedence; of caps the least.
 func (h *Hook) join(tenant string) Limit {
@@ -466,31 +476,36 @@
 				delete(p.holds, thing{tenant, kind})
 				continue
 			}
-			most := x.Figure
-			switch kind {
-			case Allow:
-				ids := slices.Sorted(slices.Values(x.Backends))
-				if l.Backends != nil {
-					ids = slices.DeleteFunc(ids, func(id string) bool { return !slices.Contains(l.Backends, id) })
-				}
-				if h.room(h.tenants[tenant], ids) == "" {
-					l.Backends = slices.Compact(ids)
-				}
-				continue
-			case Shed:
-				if most *= h.asked[tenant]; most == 0 {
-					continue
-				}
-			case Cap, Retry: // are a figure as they stand
-			}
-			if l.Most == 0 || most < l.Most {
-				l.Most = most
-			}
+			h.applyTo(&l, kind, x.Proposal)
 		}
 	}
 	return l
 }
 
+// applyTo tightens a limit by a proposal.
+func (h *Hook) applyTo(l *Limit, kind Kind, x Proposal) {
+	most := x.Figure
+	switch kind {
+	case Allow:
+		ids := slices.Sorted(slices.Values(x.Backends))
+		if l.Backends != nil {
+			ids = slices.DeleteFunc(ids, func(id string) bool { return !slices.Contains(l.Backends, id) })
+		}
+		if h.room(h.tenants[l.Tenant], ids) == "" {
+			l.Backends = slices.Compact(ids)
+		}
+		return
+	case Shed:
+		if most *= h.asked[l.Tenant]; most == 0 {
+			return
+		}
+	case Cap, Retry: // are a figure as they stand
+	}
+	if l.Most == 0 || most < l.Most {
+		l.Most = most
+	}
+}
+
 // tell says what has changed. What ends with a plug-in is taken back a few at a time: all at once would be a table for
 // each proxy, and all txns back on the same backends.
 func (h *Hook) tell() {
--- a/internal/controller/pubsub/client/client.go
+++ b/internal/controller/pubsub/client/client.go
@@ -131,24 +131,11 @@
 func once(ctx context.Context, o Options, c *session.Copy, address string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ws, _, err := websocket.Dial(
-		ctx,
-		"ws://"+address+"/",
-		&websocket.DialOptions{Subprotocols: []string{pubsub.Protocol}, CompressionMode: websocket.CompressionDisabled},
-	)
+	ws, err := connect(ctx, o, c, address)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = ws.CloseNow() }()
-	ws.SetReadLimit(16 << 20)
-	hello := o.Hello
-	hello.Version, hello.Epoch, hello.Seq = pubsub.Version, c.Epoch, c.Seq
-	if hello.Credit = o.Credit; hello.Credit == 0 {
-		hello.Credit = 8
-	}
-	if err := ws.Write(ctx, websocket.MessageBinary, pubsub.Encode(pubsub.KindHello, hello)); err != nil {
-		return err
-	}
 	if o.Up != nil {
 		o.Up(&Publisher{ctx: ctx, ws: ws})
 	}
@@ -157,36 +144,61 @@
 		if err != nil {
 			return err
 		}
-		said, err := pubsub.Decode(text)
+		message, err := pubsub.Decode(text)
 		if err != nil {
 			return err
 		}
-		switch said := said.(type) {
+		switch message := message.(type) {
 		case pubsub.Error:
-			return fmt.Errorf("the controller says %s: %s", said.Code, said.Text)
+			return fmt.Errorf("the controller says %s: %s", message.Code, message.Text)
 		case session.Send:
-			keys, fresh, err := c.Apply(said)
-			if err != nil {
-				return err
-			}
-			if fresh && o.Keep != nil {
-				if err := o.Keep.Save(*c); err != nil {
-					return err
-				}
-			}
-			if fresh && o.Changed != nil {
-				o.Changed(c, keys)
-			}
-			if o.Acked != nil && !o.Acked(said.Seq) {
-				continue
-			}
-			if err := ws.Write(
-				ctx,
-				websocket.MessageBinary,
-				pubsub.Encode(pubsub.KindAck, pubsub.Ack{Epoch: said.Epoch, Seq: said.Seq, More: 1}),
-			); err != nil {
+			if err := apply(ctx, ws, o, c, message); err != nil {
 				return err
 			}
 		}
 	}
 }
+
+// connect dials and says hello: what is known here, and how much may be sent.
+func connect(ctx context.Context, o Options, c *session.Copy, address string) (*websocket.Conn, error) {
+	ws, _, err := websocket.Dial(
+		ctx,
+		"ws://"+address+"/",
+		&websocket.DialOptions{Subprotocols: []string{pubsub.Protocol}, CompressionMode: websocket.CompressionDisabled},
+	)
+	if err != nil {
+		return nil, err
+	}
+	ws.SetReadLimit(16 << 20)
+	hello := o.Hello
+	hello.Version, hello.Epoch, hello.Seq = pubsub.Version, c.Epoch, c.Seq
+	if hello.Credit = o.Credit; hello.Credit == 0 {
+		hello.Credit = 8
+	}
+	if err := ws.Write(ctx, websocket.MessageBinary, pubsub.Encode(pubsub.KindHello, hello)); err != nil {
+		_ = ws.CloseNow()
+		return nil, err
+	}
+	return ws, nil
+}
+
+// apply applies a change to the copy, keeps it, and acknowledges it.
+func apply(ctx context.Context, ws *websocket.Conn, o Options, c *session.Copy, m session.Send) error {
+	keys, fresh, err := c.Apply(m)
+	if err != nil {
+		return err
+	}
+	if fresh && o.Keep != nil {
+		if err := o.Keep.Save(*c); err != nil {
+			return err
+		}
+	}
+	if fresh && o.Changed != nil {
+		o.Changed(c, keys)
+	}
+	if o.Acked != nil && !o.Acked(m.Seq) {
+		return nil
+	}
+	ack := pubsub.Encode(pubsub.KindAck, pubsub.Ack{Epoch: m.Epoch, Seq: m.Seq, More: 1})
+	return ws.Write(ctx, websocket.MessageBinary, ack)
+}
--- a/internal/controller/pubsub/hub.go
+++ b/internal/controller/pubsub/hub.go
@@ -308,74 +308,84 @@
 
 // serve holds a connection to its end; it says why it ended.
 func (h *Hub) serve(ctx context.Context, c *conn) (code string, err error) {
-	first, cancel := context.WithTimeout(ctx, helloWithin)
-	_, text, err := c.ws.Read(first)
-	cancel()
-	if err != nil {
-		return CodeSilent, err
-	}
-	fault := func(code string, err error) (string, error) {
-		text := ""
-		if err != nil {
-			text = err.Error()
-		}
-		c.say(ctx, Error{Code: code, Text: text})
+	if code, err := h.greet(ctx, c); err != nil {
 		return code, err
 	}
-	said, err := Decode(text)
-	hello, ok := said.(Hello)
-	if err != nil || !ok {
-		return fault(CodeMessage, errors.Join(errMessage, err))
-	}
-	if hello.Version != Version {
-		return fault(CodeVersion, fmt.Errorf("version %d, we speak %d", hello.Version, Version))
-	}
-	if err := h.open(c, hello); err != nil {
-		return fault(CodeTopic, err)
-	}
-	c.hello = hello
 	failed := make(chan error, 1)
 	go func() { failed <- c.write(ctx) }()
 	if c.from == nil {
 		h.tell(
 			session.Opened{
 				Conn:   c.id,
-				Topic:  hello.Topic,
-				Owner:  hello.Own,
-				Epoch:  hello.Epoch,
-				Seq:    hello.Seq,
-				Credit: hello.Credit,
+				Topic:  c.hello.Topic,
+				Owner:  c.hello.Own,
+				Epoch:  c.hello.Epoch,
+				Seq:    c.hello.Seq,
+				Credit: c.hello.Credit,
 			},
 		)
 	}
 	for {
 		_, text, err := c.ws.Read(ctx)
 		if err != nil {
-			select {
-			case err := <-failed:
-				if err != nil {
-					return CodeUnread, err
-				}
-			default:
-			}
-			if status := websocket.CloseStatus(
-				err,
-			); status == websocket.StatusNormalClosure ||
-				status == websocket.StatusGoingAway {
-				return "closed", nil
-			}
-			return "reset", err
+			return codeOfEnd(err, failed)
 		}
-		said, err := Decode(text)
+		message, err := Decode(text)
 		if err == nil {
-			err = h.take(c, said)
+			err = h.take(c, message)
 		}
 		if err != nil {
-			return fault(either(errors.Is(err, errNotOwn), CodeNotOwn, CodeMessage), err)
+			return c.refuse(ctx, either(errors.Is(err, errNotOwn), CodeNotOwn, CodeMessage), err)
 		}
 	}
 }
 
+// greet takes the hello of a connection. Its error has a code, which the other side was told unless it was silent.
+func (h *Hub) greet(ctx context.Context, c *conn) (code string, err error) {
+	first, cancel := context.WithTimeout(ctx, helloWithin)
+	_, text, err := c.ws.Read(first)
+	cancel()
+	if err != nil {
+		return CodeSilent, err
+	}
+	message, err := Decode(text)
+	hello, ok := message.(Hello)
+	if err != nil || !ok {
+		return c.refuse(ctx, CodeMessage, errors.Join(errMessage, err))
+	}
+	if hello.Version != Version {
+		return c.refuse(ctx, CodeVersion, fmt.Errorf("version %d, we speak %d", hello.Version, Version))
+	}
+	if err := h.open(c, hello); err != nil {
+		return c.refuse(ctx, CodeTopic, err)
+	}
+	c.hello = hello
+	return "", nil
+}
+
+// refuse tells the other side why its connection ends.
+func (c *conn) refuse(ctx context.Context, code string, err error) (string, error) {
+	c.say(ctx, Error{Code: code, Text: err.Error()})
+	return code, err
+}
+
+// codeOfEnd is the code of a connection that ended by itself; failed has the error of its writer, if that ended it.
+func codeOfEnd(err error, failed <-chan error) (string, error) {
+	select {
+	case err := <-failed:
+		if err != nil {
+			return CodeUnread, err
+		}
+	default:
+	}
+	switch websocket.CloseStatus(err) {
+	case websocket.StatusNormalClosure, websocket.StatusGoingAway:
+		return "closed", nil
+	default:
+		return "reset", err
+	}
+}
+
 var (
 	errTopic  = errors.New("no such topic")
 	errNotOwn = errors.New("only its own may publish that")
--- a/internal/controller/pubsub/session/session.go
+++ b/internal/controller/pubsub/session/session.go
@@ -343,48 +343,59 @@
 // flush sends what a subscriber may be sent now. An owner is sent nothing before there is something to hold.
 func (s *Sessions) flush(x *subscriber) {
 	for x.conn != 0 && x.credit > 0 {
-		m := Send{Conn: x.conn, Epoch: s.plan.Epoch, Prev: x.prev, Snapshot: x.whole}
-		var keys []string
-		switch {
-		case x.whole && len(x.topic.state) == 0:
+		keys, ok := s.nextKeys(x)
+		if !ok {
 			return
-		case x.whole:
-			keys = slices.Sorted(maps.Keys(x.topic.state))
-			clear(x.dirty)
-		case len(x.dirty) > 0:
-			if keys = slices.Sorted(maps.Keys(x.dirty)); len(keys) > s.plan.PerMessage {
-				keys = keys[:s.plan.PerMessage]
-			}
-			for _, k := range keys {
-				delete(x.dirty, k)
-			}
-		case len(x.marks) == 0:
-			return
-		}
-		for _, k := range keys {
-			v, there := x.topic.state[k]
-			m.Sets = append(m.Sets, Set{Key: k, Gone: !there, Value: v})
 		}
-		if x.seq++; x.seq == 0 { // numbers are used up: the next one stands for all
-			x.seq, x.whole, x.flight = 1, true, nil
-			m.Prev, m.Snapshot = 0, true
-			m.Sets = nil
-			for _, k := range slices.Sorted(maps.Keys(x.topic.state)) {
-				m.Sets = append(m.Sets, Set{Key: k, Value: x.topic.state[k]})
-			}
+		s.sendKeys(x, keys)
+	}
+}
+
+// nextKeys are the keys of the next message; it reports whether there is one to send.
+func (s *Sessions) nextKeys(x *subscriber) (keys []string, ok bool) {
+	switch {
+	case x.whole && len(x.topic.state) == 0:
+		return nil, false
+	case x.whole:
+		clear(x.dirty)
+		return slices.Sorted(maps.Keys(x.topic.state)), true
+	case len(x.dirty) > 0:
+		if keys = slices.Sorted(maps.Keys(x.dirty)); len(keys) > s.plan.PerMessage {
+			keys = keys[:s.plan.PerMessage]
 		}
-		m.Seq, x.prev = x.seq, x.seq
-		f := sent{seq: x.seq, snapshot: m.Snapshot, keys: keys}
-		if len(x.dirty) == 0 { // a mark is answered once all before it took effect
-			f.marks, x.marks = x.marks, nil
+		for _, k := range keys {
+			delete(x.dirty, k)
 		}
-		if m.Snapshot {
-			f.keys = nil
+		return keys, true
+	}
+	return nil, len(x.marks) > 0
+}
+
+func (s *Sessions) sendKeys(x *subscriber, keys []string) {
+	m := Send{Conn: x.conn, Epoch: s.plan.Epoch, Prev: x.prev, Snapshot: x.whole}
+	for _, k := range keys {
+		v, there := x.topic.state[k]
+		m.Sets = append(m.Sets, Set{Key: k, Gone: !there, Value: v})
+	}
+	if x.seq++; x.seq == 0 { // numbers are used up: the next one stands for all
+		x.seq, x.whole, x.flight = 1, true, nil
+		m.Prev, m.Snapshot = 0, true
+		m.Sets = nil
+		for _, k := range slices.Sorted(maps.Keys(x.topic.state)) {
+			m.Sets = append(m.Sets, Set{Key: k, Value: x.topic.state[k]})
 		}
-		x.flight = append(x.flight, f)
-		x.whole, x.credit = false, x.credit-1
-		s.out = append(s.out, m)
 	}
+	m.Seq, x.prev = x.seq, x.seq
+	f := sent{seq: x.seq, snapshot: m.Snapshot, keys: keys}
+	if len(x.dirty) == 0 { // a mark is answered once all before it took effect
+		f.marks, x.marks = x.marks, nil
+	}
+	if m.Snapshot {
+		f.keys = nil
+	}
+	x.flight = append(x.flight, f)
+	x.whole, x.credit = false, x.credit-1
+	s.out = append(s.out, m)
 }
 
 // Waits are the sets that a topic's owner has still to be sent, and the messages on the way to it.
--- a/internal/controller/pubsub/stream.go
+++ b/internal/controller/pubsub/stream.go
@@ -68,52 +68,64 @@
 	if o.lines == nil {
 		o.lines = map[string]map[string]bool{}
 	}
-	at := map[string]int{}
-	put := func(x session.Set) {
-		if i, ok := at[x.Key]; ok {
-			sets[i] = x
-			return
-		}
-		at[x.Key] = len(sets)
-		sets = append(sets, x)
-	}
+	c := changeSet{at: map[string]int{}}
 	for _, p := range parts {
 		for _, id := range p.Withdrawn {
-			put(session.Set{Key: OutKey(id)})
+			c.put(session.Set{Key: OutKey(id)})
 		}
 		for _, id := range p.Restored {
-			put(session.Set{Key: OutKey(id), Gone: true})
+			c.put(session.Set{Key: OutKey(id), Gone: true})
 		}
 		named := p.Products
 		if named == nil {
 			named = products
 		}
-		for _, k := range named {
-			if o.lines[k] == nil {
-				o.lines[k] = map[string]bool{}
-			}
-			if p.Full {
-				for id := range o.lines[k] {
-					put(session.Set{Key: LineKey(k, id), Gone: true})
-				}
-				clear(o.lines[k])
-				put(session.Set{Key: GateKey(k), Gone: true})
-			}
-			for _, l := range p.Weights {
-				put(session.Set{Key: LineKey(k, l.Backend), Gone: l.Weight <= 0, Value: session.Value{Figure: l.Weight}})
-				if o.lines[k][l.Backend] = true; l.Weight <= 0 {
-					delete(o.lines[k], l.Backend)
-				}
-			}
-			if p.Admission != nil {
-				put(
-					session.Set{Key: GateKey(k), Value: session.Value{Figure: p.Admission.RateLimit, Small: int(p.Admission.Retries)}},
-				)
-			}
+		for _, product := range named {
+			o.setProduct(&c, product, p)
 		}
 		if p.HasMarker {
 			mark = p.Marker
 		}
 	}
-	return sets, mark
+	return c.sets, mark
+}
+
+// changeSet has the newest Set of each key, in the order in which the keys came first.
+type changeSet struct {
+	sets []session.Set
+	at   map[string]int
+}
+
+func (c *changeSet) put(x session.Set) {
+	if i, ok := c.at[x.Key]; ok {
+		c.sets[i] = x
+		return
+	}
+	c.at[x.Key] = len(c.sets)
+	c.sets = append(c.sets, x)
+}
+
+func (o *Orders) setProduct(c *changeSet, product string, p textproto.Part) {
+	if o.lines[product] == nil {
+		o.lines[product] = map[string]bool{}
+	}
+	lines := o.lines[product]
+	if p.Full {
+		for id := range lines {
+			c.put(session.Set{Key: LineKey(product, id), Gone: true})
+		}
+		clear(lines)
+		c.put(session.Set{Key: GateKey(product), Gone: true})
+	}
+	for _, l := range p.Weights {
+		value := session.Value{Figure: l.Weight}
+		c.put(session.Set{Key: LineKey(product, l.Backend), Gone: l.Weight <= 0, Value: value})
+		if lines[l.Backend] = true; l.Weight <= 0 {
+			delete(lines, l.Backend)
+		}
+	}
+	if a := p.Admission; a != nil {
+		value := session.Value{Figure: a.RateLimit, Small: int(a.Retries)}
+		c.put(session.Set{Key: GateKey(product), Value: value})
+	}
 }
--- a/internal/controller/reconcile/settle.go
+++ b/internal/controller/reconcile/settle.go
@@ -274,33 +274,16 @@
 			r.hearPage(e)
 		}
 	case TooLarge:
-		if e.Try != r.try || r.phase != reading {
-			return
-		}
-		if r.limit == 1 {
-			r.broken(Odd, fmt.Errorf("one entry does not fit into an answer"))
-			return
+		if e.Try == r.try && r.phase == reading {
+			r.hearTooLarge()
 		}
-		r.limit = max(r.limit/2, 1)
-		r.need(0)
 	case Checked:
 		if e.Try == r.try && (r.phase == checking || r.phase == watching && r.auditing) {
 			r.hearChecked(e)
 		}
-	case Opened:
-		if e.Try == r.try && r.phase == watching {
-			// A lower revision is a member's that lags: what we hold was checked with the registry just now.
-			if r.word(); e.History != r.history {
-				r.doubt("the watch is another registry's; its whole list is read", e.Revision)
-			}
-		}
-	case Progress:
-		if e.Try == r.try && r.phase == watching {
-			r.hearProgress(e)
-		}
-	case Changes:
-		if e.Try == r.try && r.phase == watching {
-			r.hearChanges(e)
+	case Opened, Progress, Changes:
+		if r.phase == watching {
+			r.hearWatch(e)
 		}
 	case Compacted:
 		r.hearCompacted(e)
@@ -315,6 +298,38 @@
 	}
 }
 
+// hearTooLarge reads on by smaller pages.
+func (r *Roster) hearTooLarge() {
+	if r.limit == 1 {
+		r.broken(Odd, fmt.Errorf("one entry does not fit into an answer"))
+		return
+	}
+	r.limit = max(r.limit/2, 1)
+	r.need(0)
+}
+
+// hearWatch takes what the current watch says.
+func (r *Roster) hearWatch(e Event) {
+	switch e := e.(type) {
+	case Opened:
+		if e.Try != r.try {
+			return
+		}
+		// A lower revision is a member's that lags: what we hold was checked with the registry just now.
+		if r.word(); e.History != r.history {
+			r.doubt("the watch is another registry's; its whole list is read", e.Revision)
+		}
+	case Progress:
+		if e.Try == r.try {
+			r.hearProgress(e)
+		}
+	case Changes:
+		if e.Try == r.try {
+			r.hearChanges(e)
+		}
+	}
+}
+
 // word notes a sign of life.
 func (r *Roster) word() {
 	r.heard, r.asked = r.now, false
@@ -550,20 +565,7 @@
 // settle puts the whole list that was read in the place of the one held and tells the differences: the changed
 // ones in the order of their revisions, then who left.
 func (r *Roster) settle() {
-	pages := map[string]bool{}
-	same := !r.other && r.pagesOf == r.history
-	if r.pagesAt < r.revision {
-		// Consul's index goes back when it forgets deletions; the list is the one held then, to the last entry.
-		same = same && !r.plan.Changes && len(r.pages) == r.keys()
-	}
-	for _, c := range r.pages {
-		pages[c.Key] = true
-		if c.Mod <= r.revision {
-			// In one history, what was not changed since the revision held is what is held.
-			e, ok := r.entries[c.Key]
-			same = same && ok && e.present && e.mod == c.Mod && e.sum == sum(c.Value)
-		}
-	}
+	same, pages := r.isSameHistory()
 	before, first := r.live, !r.have
 	if !first && !same {
 		r.note(Note{Warn: true, Text: "the list is of another history; drains and ends known stand for a while",
@@ -573,22 +575,7 @@
 		return cmp.Or(cmp.Compare(a.Mod, b.Mod), cmp.Compare(a.Key, b.Key))
 	})
 	for _, c := range r.pages {
-		if !strings.HasPrefix(c.Key, r.plan.Prefix+"/") {
-			r.change(c)
-			continue
-		}
-		e := r.key(c.Key)
-		was := e.mod
-		if same && e.present && was == c.Mod {
-			continue
-		}
-		r.take(e, c)
-		if same || first {
-			e.until = 0
-		} else {
-			r.hold(e)
-		}
-		r.show(e)
+		r.settleEntry(c, same, first)
 	}
 	for _, key := range slices.Sorted(maps.Keys(r.entries)) {
 		if e := r.entries[key]; !pages[key] && e.present {
@@ -603,6 +590,43 @@
 	r.shrunk(before)
 }
 
+// isSameHistory reports whether the list that was read continues the one held; pages are the keys in it.
+func (r *Roster) isSameHistory() (same bool, pages map[string]bool) {
+	pages = map[string]bool{}
+	same = !r.other && r.pagesOf == r.history
+	if r.pagesAt < r.revision {
+		// Consul's index goes back when it forgets deletions; the list is the one held then, to the last entry.
+		same = same && !r.plan.Changes && len(r.pages) == r.keys()
+	}
+	for _, c := range r.pages {
+		pages[c.Key] = true
+		if c.Mod <= r.revision {
+			// In one history, what was not changed since the revision held is what is held.
+			e, ok := r.entries[c.Key]
+			same = same && ok && e.present && e.mod == c.Mod && e.sum == sum(c.Value)
+		}
+	}
+	return same, pages
+}
+
+func (r *Roster) settleEntry(c Raw, same, first bool) {
+	if !strings.HasPrefix(c.Key, r.plan.Prefix+"/") {
+		r.change(c)
+		return
+	}
+	e := r.key(c.Key)
+	if same && e.present && e.mod == c.Mod {
+		return
+	}
+	r.take(e, c)
+	if same || first {
+		e.until = 0
+	} else {
+		r.hold(e)
+	}
+	r.show(e)
+}
+
 // keys counts those that the registry has.
 func (r *Roster) keys() (n int) {
 	for _, e := range r.entries {
--- a/internal/controller/server/stream.go
+++ b/internal/controller/server/stream.go
@@ -326,42 +326,16 @@
 // it was given when it was taken, whatever it says meanwhile. What of its words lay unread when that was over
 // is looked at once more: a joining that had arrived counts, also where this process had no turn.
 func (c *Conn) readLines() error {
-	first := make([]byte, c.l.opener)
-	buf, held, looked := first, 0, false // buf[:held] is the begin of a line
-	grown := 0
-	grow := func(to int) bool {
-		c.l.heldNow.Add(int64(to - grown))
-		grown = to
-		return c.l.heldNow.Load() <= c.l.held.Load()
-	}
-	defer grow(0)
+	buf := &lineBuffer{conn: c, bytes: make([]byte, c.l.opener)}
+	defer buf.account(0)
+	looked := false
 	for {
-		n, err := c.net.Read(buf[held:])
-		rest, from := buf[:held+n], held
-		for at := bytes.IndexByte(rest[from:], '\n'); at >= 0; at = bytes.IndexByte(rest, '\n') {
-			line := rest[:from+at]
-			rest, from = rest[from+at+1:], 0
-			if err := c.take(line); err != nil {
-				return err
-			}
-		}
-		// What cannot be the begin of a message is not waited on for its end.
-		if !textproto.MayBecomeMessage(rest) {
-			return ending(Garbage)
+		n, err := c.net.Read(buf.bytes[buf.held:])
+		if err := buf.takeLines(n); err != nil {
+			return err
 		}
-		held = copy(buf, rest)
-		switch opened := c.opened.Load(); {
-		case opened && held == 0 && len(buf) != bufferBytes:
-			buf = make([]byte, bufferBytes)
-			grow(0)
-		case held < len(buf):
-		case !opened || held >= c.l.line:
-			return ending(TooLong)
-		default:
-			buf = append(make([]byte, 0, 2*held), buf...)[:2*held]
-			if !grow(len(buf)) {
-				return ending(Memory)
-			}
+		if err := buf.makeRoom(); err != nil {
+			return err
 		}
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() && (c.opened.Load() || !looked) {
@@ -376,6 +350,59 @@
 	}
 }
 
+// lineBuffer has the begin of a line, whose end is still to come.
+type lineBuffer struct {
+	conn      *Conn
+	bytes     []byte // bytes[:held] are the begin
+	held      int
+	accounted int // of the memory for long lines
+}
+
+// account accounts for memory; it reports whether all connections together stay within what is allowed.
+func (b *lineBuffer) account(bytes int) bool {
+	l := b.conn.l
+	l.heldNow.Add(int64(bytes - b.accounted))
+	b.accounted = bytes
+	return l.heldNow.Load() <= l.held.Load()
+}
+
+// takeLines hands on the lines that are complete with n more bytes. What cannot be the begin of a message is not waited
+// on for its end.
+func (b *lineBuffer) takeLines(n int) error {
+	rest, from := b.bytes[:b.held+n], b.held
+	for at := bytes.IndexByte(rest[from:], '\n'); at >= 0; at = bytes.IndexByte(rest, '\n') {
+		line := rest[:from+at]
+		rest, from = rest[from+at+1:], 0
+		if err := b.conn.take(line); err != nil {
+			return err
+		}
+	}
+	if !textproto.MayBecomeMessage(rest) {
+		return ending(Garbage)
+	}
+	b.held = copy(b.bytes, rest)
+	return nil
+}
+
+// makeRoom grows a buffer that is full, and shrinks a large one that is empty.
+func (b *lineBuffer) makeRoom() error {
+	opened := b.conn.opened.Load()
+	switch {
+	case opened && b.held == 0 && len(b.bytes) != bufferBytes:
+		b.bytes = make([]byte, bufferBytes)
+		b.account(0)
+	case b.held < len(b.bytes):
+	case !opened || b.held >= b.conn.l.line:
+		return ending(TooLong)
+	default:
+		b.bytes = append(make([]byte, 0, 2*b.held), b.bytes...)[:2*b.held]
+		if !b.account(len(b.bytes)) {
+			return ending(Memory)
+		}
+	}
+	return nil
+}
+
 // take hands a line on. One faulty message of a proxy or a collector is read past; what is no message ends
 // any connection, and a stranger's ends with all but a joining.
 func (c *Conn) take(line []byte) error {
--- a/internal/controller/statestore/store.go
+++ b/internal/controller/statestore/store.go
@@ -110,28 +110,11 @@
 			s, records, err = nil, nil, fmt.Errorf("%w: %v", ErrBroken, p)
 		}
 		if err != nil && db != nil {
-			func() {
-				defer func() { _ = recover() }()
-				_ = db.Close()
-			}()
+			closeBroken(db)
 		}
 	}()
-	switch info, e := os.Stat(path); {
-	case e != nil:
-	case info.Size() == 0:
-		return nil, nil, fmt.Errorf("%w: empty", ErrBroken)
-	case !ours(path):
-		return nil, nil, fmt.Errorf("%w: not a store", ErrForeign)
-	}
-	if db, err = bbolt.Open(
-		path,
-		0o600,
-		&bbolt.Options{Timeout: openWithin, FreelistType: bbolt.FreelistMapType},
-	); err != nil {
-		if errors.Is(err, os.ErrPermission) || errors.Is(err, bbolterrors.ErrTimeout) {
-			return nil, nil, err
-		}
-		return nil, nil, fmt.Errorf("%w: %w", ErrBroken, err)
+	if db, err = openFile(path); err != nil {
+		return nil, nil, err
 	}
 	var loop bool
 	err = db.Update(func(tx *bbolt.Tx) error {
@@ -143,33 +126,14 @@
 		if err != nil {
 			return err
 		}
-		if v := meta.Get(versionKey); v == nil {
-			err = errors.Join(meta.Put(versionKey, binary.AppendUvarint(nil, Version)), meta.Put(nameKey, []byte(name)))
-		} else if n, _ := binary.Uvarint(v); n > Version {
-			return fmt.Errorf("%w: %d, we know %d", ErrNewer, n, Version)
-		}
-		if err != nil {
-			return err
-		}
-		if was := string(meta.Get(nameKey)); was != name {
-			return fmt.Errorf("%w: %q", ErrForeign, was)
-		}
-		starts, _ := binary.Uvarint(meta.Get(startsKey))
-		if loop = starts >= mostStarts; loop {
-			return nil
-		}
-		if err := meta.Put(startsKey, binary.AppendUvarint(nil, starts+1)); err != nil {
+		if loop, err = countStart(meta, name); loop || err != nil {
 			return err
 		}
 		for problem := range tx.Check() {
 			return fmt.Errorf("%w: %w", ErrBroken, problem)
 		}
-		return facts.ForEach(func(_, v []byte) error {
-			if r, err := Decode(v); err == nil { // one that is not whole costs itself
-				records = append(records, r)
-			}
-			return nil
-		})
+		records, err = readFacts(facts)
+		return err
 	})
 	if err == nil && loop {
 		err = ErrLoop
@@ -180,6 +144,68 @@
 	return &Store{db: db}, records, nil
 }
 
+func openFile(path string) (*bbolt.DB, error) {
+	if err := checkFile(path); err != nil {
+		return nil, err
+	}
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openWithin, FreelistType: bbolt.FreelistMapType})
+	if err == nil || errors.Is(err, os.ErrPermission) || errors.Is(err, bbolterrors.ErrTimeout) {
+		return db, err
+	}
+	return nil, fmt.Errorf("%w: %w", ErrBroken, err)
+}
+
+// checkFile refuses a file that cannot be a store; one that is missing is made.
+func checkFile(path string) error {
+	info, err := os.Stat(path)
+	switch {
+	case err != nil: // opening tells
+		return nil
+	case info.Size() == 0:
+		return fmt.Errorf("%w: empty", ErrBroken)
+	case !ours(path):
+		return fmt.Errorf("%w: not a store", ErrForeign)
+	}
+	return nil
+}
+
+// readFacts reads all records; one that is not whole costs itself only.
+func readFacts(facts *bbolt.Bucket) (records []Record, err error) {
+	err = facts.ForEach(func(_, v []byte) error {
+		if r, err := Decode(v); err == nil {
+			records = append(records, r)
+		}
+		return nil
+	})
+	return records, err
+}
+
+// closeBroken closes a file that may be broken: the library may panic.
+func closeBroken(db *bbolt.DB) {
+	defer func() { _ = recover() }()
+	_ = db.Close()
+}
+
+// countStart counts a start by a controller of that name; loop: there were so many that the file itself may end them.
+func countStart(meta *bbolt.Bucket, name string) (loop bool, err error) {
+	if v := meta.Get(versionKey); v == nil {
+		err = errors.Join(meta.Put(versionKey, binary.AppendUvarint(nil, Version)), meta.Put(nameKey, []byte(name)))
+	} else if n, _ := binary.Uvarint(v); n > Version {
+		return false, fmt.Errorf("%w: %d, we know %d", ErrNewer, n, Version)
+	}
+	if err != nil {
+		return false, err
+	}
+	if was := string(meta.Get(nameKey)); was != name {
+		return false, fmt.Errorf("%w: %q", ErrForeign, was)
+	}
+	starts, _ := binary.Uvarint(meta.Get(startsKey))
+	if starts >= mostStarts {
+		return true, nil
+	}
+	return false, meta.Put(startsKey, binary.AppendUvarint(nil, starts+1))
+}
+
 // Look reads a store without changing it; it waits for nobody, so not while a controller holds it.
 func Look(path string) (name string, records []Record, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
--- a/internal/controller/tenancy/cells.go
+++ b/internal/controller/tenancy/cells.go
@@ -260,54 +260,63 @@
 		c.byAt = append(c.byAt, make([]Backend, max(b.At+1-len(c.byAt), 0))...)
 		c.byAt[b.At] = b
 	}
-	var left, came, failed []Backend
-	for at := range max(len(before), len(c.byAt)) {
-		var was, is Backend
-		if at < len(before) {
-			was = before[at]
+	moved, failed := c.compareLists(before)
+	c.resplit()
+	for _, b := range failed {
+		c.noteFailed(b)
+	}
+	for _, t := range c.tenants {
+		concerns := func(b Backend) bool { return c.plan.moves(t, b, b.Status == policy.Ready) }
+		if t.phase != steady || slices.ContainsFunc(moved, concerns) {
+			c.settle(t)
 		}
-		if at < len(c.byAt) {
-			is = c.byAt[at]
+	}
+}
+
+// compareLists is which backends left, came or changed, and which failed: gone without a drain, or started anew while
+// they served.
+func (c *Cells) compareLists(before []Backend) (moved, failed []Backend) {
+	at := func(list []Backend, i int) (b Backend) {
+		if i < len(list) {
+			b = list[i]
 		}
+		return b
+	}
+	for i := range max(len(before), len(c.byAt)) {
+		was, is := at(before, i), at(c.byAt, i)
 		if was == is {
 			continue
 		}
 		if c.dirty = true; was.ID != is.ID {
-			delete(c.heard, at)
+			delete(c.heard, i)
 		}
-		// Gone without a drain, or started anew while it served.
 		if was.Status == policy.Ready && (is.ID != was.ID || is.Status == policy.Gone || is.Up > was.Up) {
 			failed = append(failed, was)
 		}
-		// Heat and strength change no set.
-		if same := was.ID == is.ID && was.Zone == is.Zone && was.Kind == is.Kind && was.Status == is.Status; same {
+		// Start time and weight change no set.
+		if was.ID == is.ID && was.Zone == is.Zone && was.Kind == is.Kind && was.Status == is.Status {
 			continue
 		}
-		if was.ID != "" {
-			left = append(left, was)
-		}
-		if is.ID != "" {
-			came = append(came, is)
-		}
-	}
-	c.resplit()
-	for _, b := range failed {
-		c.failed = append(c.failed, c.now)
-		for _, t := range c.tenants {
-			lent := slices.ContainsFunc(t.loans, func(l loan) bool { return l.id == b.ID })
-			if !lent && !has(t.own, b.At) && !has(t.former, b.At) {
-				continue
-			}
-			// That its own fail can have any cause, also all at once; that those fail which it got for them is a sign.
-			if t.failAt = c.now; lent || !t.base[b.ID] {
-				t.lost = append(t.lost, c.now)
+		for _, b := range []Backend{was, is} {
+			if b.ID != "" {
+				moved = append(moved, b)
 			}
 		}
 	}
+	return moved, failed
+}
+
+// noteFailed notes a failure at the tenants that use the backend. That their own fail can have any cause, also all at
+// once; that those fail which a tenant got for them is a sign.
+func (c *Cells) noteFailed(b Backend) {
+	c.failed = append(c.failed, c.now)
 	for _, t := range c.tenants {
-		concerns := func(b Backend) bool { return c.plan.moves(t, b, b.Status == policy.Ready) }
-		if t.phase != steady || slices.ContainsFunc(left, concerns) || slices.ContainsFunc(came, concerns) {
-			c.settle(t)
+		lent := slices.ContainsFunc(t.loans, func(l loan) bool { return l.id == b.ID })
+		if !lent && !has(t.own, b.At) && !has(t.former, b.At) {
+			continue
+		}
+		if t.failAt = c.now; lent || !t.base[b.ID] {
+			t.lost = append(t.lost, c.now)
 		}
 	}
 }
@@ -394,28 +403,33 @@
 	for i := range c.proxies {
 		c.proxies[i].tenant = -1
 	}
-	for i, said := range p.Tenants {
-		t, known := before[said.Name]
-		if !known {
-			t = &tenant{Tenant: said}
-		}
-		cell := t.Cell
-		if t.Tenant = said; known && cell != said.Cell {
-			t.Cell = cell
-		}
-		c.tenants = append(c.tenants, t)
-		for _, at := range said.Proxies {
-			if q := c.at(at); q != nil {
-				q.tenant = i
-			}
-		}
-		t.usual = map[place]float64{}
-		t.wanted = said.Cell
-		c.settle(t)
-		if t.phase == steady && cell != said.Cell {
-			c.begin(said.Name, said.Cell)
+	for i, planned := range p.Tenants {
+		c.replanTenant(i, planned, before[planned.Name])
+	}
+}
+
+// replanTenant adds a tenant; one that was there before, if it was, goes on in its cell until it has moved.
+func (c *Cells) replanTenant(i int, planned Tenant, t *tenant) {
+	known := t != nil
+	if !known {
+		t = &tenant{Tenant: planned}
+	}
+	cell := t.Cell
+	if t.Tenant = planned; known && cell != planned.Cell {
+		t.Cell = cell
+	}
+	c.tenants = append(c.tenants, t)
+	for _, at := range planned.Proxies {
+		if q := c.at(at); q != nil {
+			q.tenant = i
 		}
 	}
+	t.usual = map[place]float64{}
+	t.wanted = planned.Cell
+	c.settle(t)
+	if t.phase == steady && cell != planned.Cell {
+		c.begin(planned.Name, planned.Cell)
+	}
 }
 
 // begin orders a move. One that is under way is turned round or ended first by its own steps.
@@ -527,51 +541,64 @@
 	})
 	c.judge(t)
 	own, lent := union(t.own, t.former), c.lent(t)
-	most := c.plan.Loan
 	short := false
 	for i, need := range c.needs {
 		for _, zone := range c.zonesOf(t, need) {
-			at, keep := place{i, zone}, 1.0
-			if c.now == c.tickAt-tick {
-				keep = usualKeep
-			}
-			ready, warm := c.warm(own, need, zone)
-			usual := t.usual[at] * keep
-			if t.phase == steady { // two cells' strength is not usual
-				usual = max(ready, usual)
-			}
-			t.usual[at] = usual
+			warm, usual := c.usualStrength(t, own, place{i, zone})
 			short = short || warm < backOver*usual || warm == 0
-			want := lendUnder * usual
-			enough := func() bool {
-				_, more := c.warm(lent, need, zone)
-				return warm+more > 0 && (warm+more >= want || t.shutIn || len(t.loans) >= most)
-			}
-			if enough() {
-				continue
-			}
-			for _, b := range ranked(t.Name, c.list) {
-				if enough() {
-					break
-				}
-				if !has(own, b.At) && !has(lent, b.At) && b.Status == policy.Ready && c.isWarm(b) && fits(need, b) &&
-					(zone < 0 || b.Zone == zone) {
-					t.loans = append(t.loans, loan{b.ID, b.Up, c.now + c.plan.LoanFor})
-					lent = c.lent(t)
-					c.note(true, "tenant %s is lent %s: %.1f of its usual %.1f are ready and warm", t.Name, b.ID, warm, usual)
-				}
-			}
+			lent = c.lendFor(t, own, lent, place{i, zone}, warm, usual)
 		}
 	}
-	if !short {
-		t.loans = slices.DeleteFunc(t.loans, func(l loan) bool {
-			if over := c.now >= l.until; over {
-				c.note(false, "tenant %s gives %s back", t.Name, l.id)
-				return true
-			}
-			return false
-		})
+	if short {
+		return
 	}
+	t.loans = slices.DeleteFunc(t.loans, func(l loan) bool {
+		if over := c.now >= l.until; over {
+			c.note(false, "tenant %s gives %s back", t.Name, l.id)
+			return true
+		}
+		return false
+	})
+}
+
+// usualStrength is the strength of a tenant's own warm backends, and what is usual at a place. At each tick the
+// usual one fades a little.
+func (c *Cells) usualStrength(t *tenant, own []int, at place) (warm, usual float64) {
+	keep := 1.0
+	if c.now == c.tickAt-tick {
+		keep = usualKeep
+	}
+	ready, warm := c.warm(own, c.needs[at.need], at.zone)
+	usual = t.usual[at] * keep
+	if t.phase == steady { // two cells' strength is not usual
+		usual = max(ready, usual)
+	}
+	t.usual[at] = usual
+	return warm, usual
+}
+
+// lendFor lends a tenant backends for a place until it has enough; it returns all that are lent.
+func (c *Cells) lendFor(t *tenant, own, lent []int, at place, warm, usual float64) []int {
+	need, want := c.needs[at.need], lendUnder*usual
+	isEnough := func() bool {
+		_, more := c.warm(lent, need, at.zone)
+		return warm+more > 0 && (warm+more >= want || t.shutIn || len(t.loans) >= c.plan.Loan)
+	}
+	if isEnough() {
+		return lent
+	}
+	for _, b := range ranked(t.Name, c.list) {
+		if isEnough() {
+			break
+		}
+		if !has(own, b.At) && !has(lent, b.At) && b.Status == policy.Ready && c.isWarm(b) && fits(need, b) &&
+			(at.zone < 0 || b.Zone == at.zone) {
+			t.loans = append(t.loans, loan{b.ID, b.Up, c.now + c.plan.LoanFor})
+			lent = c.lent(t)
+			c.note(true, "tenant %s is lent %s: %.1f of its usual %.1f are ready and warm", t.Name, b.ID, warm, usual)
+		}
+	}
+	return lent
 }
 
 // judge shuts a tenant in when too many of the backends that it was given have failed of late, and a far larger
@@ -621,17 +648,7 @@
 
 // limit judges each cell against the others, once a tick, and bounds what the tenants of one in trouble let in.
 func (c *Cells) limit() {
-	// By index; below 0 where too little was heard.
-	fails, took := slices.Repeat([]float64{-1}, len(c.byAt)), slices.Repeat([]float64{-1}, len(c.byAt))
-	for at, n := range c.heard {
-		if at < len(c.byAt) && n.tries >= fewTries {
-			fails[at] = n.voided / n.tries
-			if n.good > 0 {
-				took[at] = n.spent / n.good
-			}
-		}
-		n.tries, n.voided, n.good, n.spent = n.tries*newsKeep, n.voided*newsKeep, n.good*newsKeep, n.spent*newsKeep
-	}
+	fails, took := c.reported()
 	badAll, allFails := middle(fails, nil)
 	slowAll, allTook := middle(took, nil)
 	for _, t := range c.tenants {
@@ -643,14 +660,11 @@
 			badOut, others = middle(fails, t.own)
 			slowOut, othersToo = middle(took, t.own)
 		}
-		t.use, t.served = 0, 0
-		for _, at := range t.Proxies {
-			if p := c.at(at); p != nil && p.joined {
-				t.use, t.served = t.use+sum(p.txns), t.served+max(sum(p.txns)-sum(p.voided), 0)
-			}
-		}
-		if t.sick = n > 0 && others > 0 && badIn > badOut+badOver ||
-			m > 0 && othersToo > 0 && slowIn > slowOver*slowOut && slowIn > lateFrom*c.aim; !t.sick {
+		c.sumUse(t)
+		isFailing := n > 0 && others > 0 && badIn > badOut+badOver
+		isSlow := m > 0 && othersToo > 0 && slowIn > slowOver*slowOut && slowIn > lateFrom*c.aim
+		t.sick = isFailing || isSlow
+		if !t.sick {
 			t.bad = 0
 			if t.asks == 0 || t.bound == 0 {
 				t.asks = either(t.asks == 0, t.use, t.asks*usualUse+t.use*(1-usualUse))
@@ -670,8 +684,40 @@
 			)
 		}
 	}
+	c.limitPools()
+}
+
+// reported is what part failed at each backend, and how long responses took, by index; below 0 where too little was
+// reported. Older reports fade.
+func (c *Cells) reported() (fails, took []float64) {
+	fails, took = slices.Repeat([]float64{-1}, len(c.byAt)), slices.Repeat([]float64{-1}, len(c.byAt))
+	for at, n := range c.heard {
+		if at < len(c.byAt) && n.tries >= fewTries {
+			fails[at] = n.voided / n.tries
+			if n.good > 0 {
+				took[at] = n.spent / n.good
+			}
+		}
+		n.tries, n.voided, n.good, n.spent = n.tries*newsKeep, n.voided*newsKeep, n.good*newsKeep, n.spent*newsKeep
+	}
+	return fails, took
+}
+
+// sumUse sums up a tenant's use, and what of it is served.
+func (c *Cells) sumUse(t *tenant) {
+	t.use, t.served = 0, 0
+	for _, at := range t.Proxies {
+		if p := c.at(at); p != nil && p.joined {
+			t.use, t.served = t.use+sum(p.txns), t.served+max(sum(p.txns)-sum(p.voided), 0)
+		}
+	}
+}
+
+// limitPools binds the tenants, and withdraws retries from those in a pool where too much fails. The tenants of a fixed
+// cell are a pool; a shuffled one is a pool of its own.
+func (c *Cells) limitPools() {
 	type sums struct{ use, served float64 }
-	pools := map[string]sums{} // of the tenants in a fixed cell; a shuffled one is a pool of its own
+	pools := map[string]sums{}
 	pool := func(t *tenant) string { return either(c.plan.Shuffle, "tenant "+t.Name, "cell "+t.Cell) }
 	for _, t := range c.tenants {
 		c.bind(t)
--- a/internal/controller/tenancy/plan.go
+++ b/internal/controller/tenancy/plan.go
@@ -312,11 +312,11 @@
 // Lacks says which tenants have no backend where a product of theirs needs one although the list has, and which
 // fixed cells have too little strength for the proxies in them.
 func (p *Plan) Lacks(list []Backend) (all []Lack) {
-	strength, proxies, total, totalProxies := map[string]float64{}, map[string]int{}, 0.0, 0
+	weight, proxies, total, totalProxies := map[string]float64{}, map[string]int{}, 0.0, 0
 	split := p.split(list)
 	for _, b := range list {
 		if b.Status == policy.Ready {
-			strength[split[b.At]] += b.Weight
+			weight[split[b.At]] += b.Weight
 			total += b.Weight
 		}
 	}
@@ -325,34 +325,10 @@
 		totalProxies += len(t.Proxies)
 	}
 	for i, t := range p.Tenants {
-		own := p.own(t, list, split)
-		why := ""
-		for _, need := range p.needs() {
-			there, mine := make([]bool, p.Zones), make([]bool, p.Zones)
-			for _, b := range list {
-				if b.Status == policy.Ready && fits(need, b) {
-					there[b.Zone], mine[b.Zone] = true, mine[b.Zone] || has(own, b.At)
-				}
-			}
-			for z := range there {
-				if need.OwnZone && there[z] && !mine[z] {
-					why = fmt.Sprintf("none of its backends is in zone %d, where a product must stay at home", z)
-				}
-			}
-			if !need.OwnZone && slices.Contains(there, true) && !slices.Contains(mine, true) {
-				why = "none of its backends may do one of the products"
-			}
-		}
-		if part, even := strength[t.Cell]/max(
-			total,
-			1e-9,
-		), float64(
-			proxies[t.Cell],
-		)/float64(
-			max(totalProxies, 1),
-		); why == "" && !p.Shuffle &&
-			total > 0 &&
-			part < leastShare*even {
+		why := p.lacksOwn(p.own(t, list, split), list)
+		part := weight[t.Cell] / max(total, 1e-9)
+		even := float64(proxies[t.Cell]) / float64(max(totalProxies, 1))
+		if why == "" && !p.Shuffle && total > 0 && part < leastShare*even {
 			why = fmt.Sprintf("its cell has %.0f%% of the strength for %.0f%% of the proxies", 100*part, 100*even)
 		}
 		if why != "" {
@@ -361,3 +337,24 @@
 	}
 	return all
 }
+
+// lacksOwn is what products lack in a tenant's own backends; empty: nothing.
+func (p *Plan) lacksOwn(own []int, list []Backend) (why string) {
+	for _, need := range p.needs() {
+		there, mine := make([]bool, p.Zones), make([]bool, p.Zones)
+		for _, b := range list {
+			if b.Status == policy.Ready && fits(need, b) {
+				there[b.Zone], mine[b.Zone] = true, mine[b.Zone] || has(own, b.At)
+			}
+		}
+		for z := range there {
+			if need.OwnZone && there[z] && !mine[z] {
+				why = fmt.Sprintf("none of its backends is in zone %d, where a product must stay at home", z)
+			}
+		}
+		if !need.OwnZone && slices.Contains(there, true) && !slices.Contains(mine, true) {
+			why = "none of its backends may do one of the products"
+		}
+	}
+	return why
+}
