--- a/internal/bench/balancing/carry.go
+++ b/internal/bench/balancing/carry.go
@@ -50,7 +50,7 @@
 			all.Go(func() {
 				room <- true
 				sums[d][i] = proxies.Play(proxies.Shape{Seed: w.Seed, Kinds: proxies.Kinds(), Zones: zones,
-					Carriers: carriers, Day: day}, way)
+					Proxies: carriers, Day: day}, way)
 				<-room
 			})
 		}
@@ -70,16 +70,16 @@
 		for i, way := range ways {
 			s := sums[d][i]
 			part := func(lost float64) string { return fmt.Sprintf("%.4f", lost/max(s.All.Owed, 1e-9)) }
-			row := []any{fmt.Sprintf("%.4f", s.All.Worth()), report.Three(s.Worst)}
+			row := []any{fmt.Sprintf("%.4f", s.All.Earnings()), report.Three(s.Worst)}
 			for _, k := range s.Kinds {
-				row = append(row, report.Three(k.Worth()))
+				row = append(row, report.Three(k.Earnings()))
 			}
 			rules := strings.Join(s.Rules, ", ")
 			if rules == "" {
 				rules = "-"
 			}
 			r.Row(day.Name+", "+way, append(row, part(s.All.LostLate), part(s.All.LostRefused),
-				part(s.All.LostFailed), part(s.All.LostHeld), s.All.Requests, s.Connections, s.Further, s.InVain, rules)...)
+				part(s.All.LostFailed), part(s.All.LostUnfinished), s.All.Requests, s.Connections, s.Further, s.InVain, rules)...)
 			for _, m := range s.Missed {
 				r.Missed = append(r.Missed, fmt.Sprintf("%s, %s: %s", day.Name, way, m))
 			}
@@ -92,7 +92,7 @@
 				r.Missed = append(r.Missed, fmt.Sprintf("%s, %s: %s", day.Name, way, rules))
 			}
 		}
-		distance += (bound.Worth() - sums[d][0].All.Worth()) / float64(len(days))
+		distance += (bound.Earnings() - sums[d][0].All.Earnings()) / float64(len(days))
 	}
 	r.Figure = fmt.Sprintf("the settler's worth is %.4f under the central picture's, mean over %d days", distance,
 		len(days))
@@ -118,7 +118,7 @@
 	for i, way := range proxies.Ways {
 		var values plotter.Values
 		for d := range days {
-			values = append(values, sums[d][i].All.Worth())
+			values = append(values, sums[d][i].All.Earnings())
 		}
 		bars, err := plotter.NewBarChart(values, width)
 		if err != nil {
--- a/internal/bench/controlplane/calls.go
+++ b/internal/bench/controlplane/calls.go
@@ -13,22 +13,22 @@
 	"time"
 )
 
-// fate of a call, as a caller of the pages takes an answer.
-type fate int
+// orderOutcome of a call, as a caller of the pages takes an answer.
+type orderOutcome int
 
 const (
-	unknown fate = iota // silence, a failure, 5xx, 408, 429: it is sent again, elsewhere
-	taken               // 2xx
-	refused             // a 4xx that ends the call
-	odd                 // another 4xx: it ends the call at the third
+	unknown   orderOutcome = iota // silence, a failure, 5xx, 408, 429: it is sent again, elsewhere
+	committed                     // 2xx
+	refused                       // a 4xx that ends the call
+	odd                           // another 4xx: it ends the call at the third
 )
 
-func fateOf(status int, err error) fate {
+func orderOutcomeOf(status int, err error) orderOutcome {
 	switch {
 	case err != nil || status >= 500 || status == http.StatusRequestTimeout || status == http.StatusTooManyRequests:
 		return unknown
 	case status/100 == 2:
-		return taken
+		return committed
 	}
 	switch status {
 	case http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge,
@@ -46,7 +46,7 @@
 	took   time.Duration
 }
 
-func (a answer) fate() fate { return fateOf(a.status, a.err) }
+func (a answer) orderOutcome() orderOutcome { return orderOutcomeOf(a.status, a.err) }
 
 func (a answer) String() string {
 	switch {
@@ -55,7 +55,7 @@
 	case a.err != nil:
 		text := a.err.Error()
 		return text[strings.LastIndex(text, ": ")+1:]
-	case a.fate() == taken:
+	case a.orderOutcome() == committed:
 		return fmt.Sprint(a.status)
 	}
 	return fmt.Sprintf("%d %s", a.status, bytes.TrimSpace(a.body[:min(len(a.body), 120)]))
@@ -91,7 +91,7 @@
 		return a
 	}()
 	a.took = time.Since(began)
-	if call != "config.read" || a.fate() != unknown {
+	if call != "config.read" || a.orderOutcome() != unknown {
 		what := call
 		if v, err := versionOf(body); err == nil {
 			what = fmt.Sprintf("%s %d", call, v)
@@ -105,7 +105,7 @@
 
 // drop is a call whose caller hangs up once it has sent all of it.
 func (s *system) drop(m *machine, call, of string, body []byte) {
-	conn, err := net.DialTimeout("tcp4", m.control(), callFor)
+	conn, err := net.DialTimeout("tcp4", m.control(), callTimeout)
 	if err == nil {
 		_, err = fmt.Fprintf(
 			conn,
@@ -125,7 +125,7 @@
 func (s *system) put(ctx context.Context, m *machine, version uint32, body []byte, patience time.Duration) answer {
 	s.ledger.send(version, body)
 	a := s.call(ctx, m, "config.replace", "", body, patience)
-	if a.fate() == taken {
+	if a.orderOutcome() == committed {
 		s.ledger.confirm(version, body)
 	}
 	return a
@@ -135,7 +135,7 @@
 func (s *system) read(ctx context.Context, m *machine, patience time.Duration) answer {
 	least := s.ledger.least()
 	a := s.call(ctx, m, "config.read", "", nil, patience)
-	if a.fate() == taken {
+	if a.orderOutcome() == committed {
 		s.ledger.read(least, a.body)
 	}
 	return a
@@ -149,7 +149,7 @@
 	odds  int
 }
 
-const pauseMost = 500 * time.Millisecond
+const maxPause = 500 * time.Millisecond
 
 func (s *system) caller() *caller {
 	return &caller{s: s, pause: 50 * time.Millisecond, at: s.draw(64)}
@@ -161,8 +161,8 @@
 		all := c.s.list()
 		m := all[c.at%len(all)]
 		a = once(m)
-		switch a.fate() {
-		case taken, refused:
+		switch a.orderOutcome() {
+		case committed, refused:
 			return a
 		case odd:
 			if c.odds++; c.odds == 3 {
@@ -179,7 +179,7 @@
 			return answer{err: ctx.Err()}
 		case <-time.After(c.pause):
 		}
-		c.pause = min(c.pause*3/2, pauseMost)
+		c.pause = min(c.pause*3/2, maxPause)
 	}
 }
 
@@ -191,26 +191,26 @@
 	return v, configuration(v, "x")
 }
 
-// late is how much longer than it should take an order is tried, to tell a late one from one that is never taken.
-const late = 8 * time.Second
+// lateAfter is how much longer than it should take an order is tried, to tell a late one from one that is never taken.
+const lateAfter = 8 * time.Second
 
 // orders sends the next configuration until it is taken, and notes how long after a trouble that was.
 func (s *system) orders(after string, since time.Time, within time.Duration) error {
 	version, body := s.next()
 	a := s.caller().until(
 		s.r.ctx,
-		since.Add(within+late),
-		func(m *machine) answer { return s.put(s.r.ctx, m, version, body, callFor) },
+		since.Add(within+lateAfter),
+		func(m *machine) answer { return s.put(s.r.ctx, m, version, body, callTimeout) },
 	)
 	took := time.Since(since)
 	switch {
 	case s.r.ctx.Err() != nil:
 		return s.r.ctx.Err()
-	case a.fate() == refused || a.fate() == odd:
+	case a.orderOutcome() == refused || a.orderOutcome() == odd:
 		return fmt.Errorf("after %s a valid order was refused: %v", after, a)
-	case a.fate() != taken:
+	case a.orderOutcome() != committed:
 		s.r.measure(after, -1)
-		return fmt.Errorf("after %s no order is taken within %v: %v", after, (within + late).Round(time.Second), a)
+		return fmt.Errorf("after %s no order is taken within %v: %v", after, (within + lateAfter).Round(time.Second), a)
 	case took > within:
 		s.r.short("after %s an order is taken only after %.1f s, not within %v", after, took.Seconds(), within)
 	}
@@ -232,8 +232,8 @@
 func (s *system) readAt(what string, m *machine, version uint32, body []byte, within time.Duration) error {
 	var a answer
 	for end := time.Now().Add(within); ; {
-		a = s.read(s.r.ctx, m, callFor)
-		if a.fate() == taken {
+		a = s.read(s.r.ctx, m, callTimeout)
+		if a.orderOutcome() == committed {
 			if v, err := versionOf(a.body); err != nil || v < version || v == version && !bytes.Equal(a.body, body) {
 				return fmt.Errorf("%s: %s gives version %d where %d was confirmed", what, m.name, v, version)
 			}
@@ -251,9 +251,9 @@
 // zone sends an order on a zone until it is taken, at most for the span in which such orders are repeated.
 func (s *system) zone(call, zone string) error {
 	a := s.caller().until(s.r.ctx, time.Now().Add(ack), func(m *machine) answer {
-		return s.call(s.r.ctx, m, call, zone, nil, callFor)
+		return s.call(s.r.ctx, m, call, zone, nil, callTimeout)
 	})
-	if a.fate() != taken {
+	if a.orderOutcome() != committed {
 		return fmt.Errorf("%s of zone %s is not taken: %v", call, zone, a)
 	}
 	return nil
--- a/internal/bench/controlplane/carrier.go
+++ b/internal/bench/controlplane/carrier.go
@@ -15,9 +15,9 @@
 
 const zoneRegister = "zone/"
 
-type told map[string]rpc.Register // by zone, the newest that is safe
+type notifiedZones map[string]rpc.Register // by zone, the newest that is safe
 
-func (t told) take(m *rpc.Message) {
+func (t notifiedZones) take(m *rpc.Message) {
 	for _, r := range m.CommittedValues {
 		zone, is := strings.CutPrefix(r.Name, zoneRegister)
 		if safe, there := m.CommittedVersions[r.Name]; is && there && !safe.Less(r.Version) {
@@ -44,7 +44,7 @@
 // claims to know all.
 func (s *system) look(zone string) (evacuated, heard bool) {
 	var mu sync.Mutex
-	all := told{}
+	all := notifiedZones{}
 	each(s.serving(), func(_ int, m *machine) {
 		line, err := say(m, "looks")
 		if err != nil {
@@ -69,8 +69,8 @@
 	return known && consensus.IsEvacuated(r.Value), heard
 }
 
-// whole says whether a controller's first word to a new carrier claims to be all that there is.
-func whole(m *machine) bool {
+// isCaughtUp says whether a controller's first word to a new carrier claims to be all that there is.
+func isCaughtUp(m *machine) bool {
 	line, err := say(m, "looks")
 	if err != nil {
 		return false
@@ -90,13 +90,13 @@
 
 // rider is a carrier that keeps a line to each machine for as long as the story lasts.
 type rider struct {
-	s    *system
-	mu   sync.Mutex
-	told told
+	s        *system
+	mu       sync.Mutex
+	notified notifiedZones
 }
 
 func (s *system) ride() *rider {
-	c := &rider{s: s, told: told{}}
+	c := &rider{s: s, notified: notifiedZones{}}
 	s.done.Go(func() {
 		on := map[*machine]bool{}
 		for {
@@ -142,7 +142,7 @@
 				break
 			}
 			c.mu.Lock()
-			c.told.take(w)
+			c.notified.take(w)
 			c.mu.Unlock()
 		}
 		line.Close()
@@ -152,7 +152,7 @@
 func (c *rider) evacuated(zone string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r, known := c.told[zone]
+	r, known := c.notified[zone]
 	return known && consensus.IsEvacuated(r.Value)
 }
 
@@ -161,13 +161,13 @@
 func (s *system) evacuatedIs(c *rider, zone string, want bool, when string) error {
 	word := map[bool]string{true: "is evacuated", false: "is not evacuated"}
 	is := func() (bool, error) {
-		for end := time.Now().Add(takenWithin); ; {
+		for end := time.Now().Add(commitTimeout); ; {
 			looked, heard := s.look(zone)
 			if heard {
 				return looked == want && c.evacuated(zone) == want, nil
 			}
 			if time.Now().After(end) {
-				return false, fmt.Errorf("for %v no controller tells a new carrier all that there is", takenWithin)
+				return false, fmt.Errorf("for %v no controller tells a new carrier all that there is", commitTimeout)
 			}
 			if err := s.r.wait(100 * time.Millisecond); err != nil {
 				return false, err
--- a/internal/bench/controlplane/core.go
+++ b/internal/bench/controlplane/core.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	parallelMost = 8
-	playMost     = 2 * time.Minute // of one play
-	netsMost     = 240
+	maxParallel = 8
+	maxPlay     = 2 * time.Minute // of one play
+	maxNetworks = 240
 )
 
 // play is one variant of a story.
@@ -113,8 +113,8 @@
 	seen  = "seen"
 )
 
-// verdict of a play, and its cause in one line.
-func verdict(beyond bool, causes, notes []string) (word, cause string) {
+// summarize of a play, and its cause in one line.
+func summarize(beyond bool, causes, notes []string) (word, cause string) {
 	switch all := slices.Compact(slices.Clone(causes)); {
 	case len(all) == 0:
 		return ok, strings.Join(notes, "; ")
@@ -134,7 +134,7 @@
 func (r *run) finish() (o outcome) {
 	if err := r.run(r); err != nil {
 		if r.ctx.Err() != nil {
-			err = fmt.Errorf("it did not end within %v: %w", playMost, err)
+			err = fmt.Errorf("it did not end within %v: %w", maxPlay, err)
 		}
 		r.short("%v", err)
 	}
@@ -147,7 +147,7 @@
 		}
 	}
 	o.play, o.took = r.play, time.Since(r.began)
-	o.word, o.cause = verdict(r.seen, r.causes, r.notes)
+	o.word, o.cause = summarize(r.seen, r.causes, r.notes)
 	o.seconds = strings.Join(r.measures, ", ")
 	return o
 }
@@ -163,7 +163,7 @@
 	name, only, program string
 	parallel            int
 	orders, size        int
-	keep                string
+	logs                string
 }
 
 // Commands of the lab.
@@ -194,7 +194,7 @@
 	c.Flags().StringVar(&o.only, "only", "", "stories or STORY/VARIANT, by parts of their names, with commas")
 	c.Flags().StringVar(&o.program, "program", "target/elmfold-controlplane", "the program")
 	c.Flags().IntVar(&o.parallel, "parallel", 4, "plays at once")
-	c.Flags().StringVar(&o.keep, "logs", "", "folder in which the journals and logs of plays that fall short stay")
+	c.Flags().StringVar(&o.logs, "logs", "", "folder in which the journals and logs of plays that fall short stay")
 	c.Flags().IntVar(&o.orders, "orders", 0, "only time so many orders")
 	c.Flags().IntVar(&o.size, "size", 3, "controllers for --orders")
 	return []*cobra.Command{c}
@@ -203,7 +203,7 @@
 // nets gives each system addresses of its own; two labs on one machine differ by their process numbers.
 func nets() func() string {
 	var n atomic.Int32
-	return func() string { return fmt.Sprintf("127.%d.%d", 10+os.Getpid()%240, 10+n.Add(1)%netsMost) }
+	return func() string { return fmt.Sprintf("127.%d.%d", 10+os.Getpid()%240, 10+n.Add(1)%maxNetworks) }
 }
 
 // chosen are the plays that some part of only names; all without it.
@@ -225,8 +225,8 @@
 	if len(all) == 0 {
 		return fmt.Errorf("--only %q: there is no such story", o.only)
 	}
-	if o.parallel < 1 || o.parallel > parallelMost {
-		return fmt.Errorf("--parallel %d: 1 to %d", o.parallel, parallelMost)
+	if o.parallel < 1 || o.parallel > maxParallel {
+		return fmt.Errorf("--parallel %d: 1 to %d", o.parallel, maxParallel)
 	}
 	base, err := os.MkdirTemp("", "core")
 	if err != nil {
@@ -256,7 +256,7 @@
 }
 
 func playOne(ctx context.Context, o options, p play, base string, net func() string) outcome {
-	ctx, cancel := context.WithTimeout(ctx, playMost)
+	ctx, cancel := context.WithTimeout(ctx, maxPlay)
 	defer cancel()
 	dir := filepath.Join(base, strings.NewReplacer("/", "-", " ", "-").Replace(p.name()))
 	r := &run{play: p, ctx: ctx, program: o.program, dir: dir, nextNet: net, began: time.Now(),
@@ -274,8 +274,8 @@
 	r.log("%s: %s (%s)", out.word, out.cause, out.seconds)
 	_ = file.Close()
 	fmt.Fprintf(os.Stderr, "%-5s %s, %.1f s: %s\n", out.word, p.name(), out.took.Seconds(), out.cause)
-	if o.keep != "" && out.word != ok {
-		to := filepath.Join(o.keep, fmt.Sprintf("seed%d-%s", o.Seed, filepath.Base(dir)))
+	if o.logs != "" && out.word != ok {
+		to := filepath.Join(o.logs, fmt.Sprintf("seed%d-%s", o.Seed, filepath.Base(dir)))
 		_ = os.RemoveAll(to)
 		if err := keepLogs(dir, to); err != nil {
 			fmt.Fprintf(os.Stderr, "elmfold-bench controlplane: %v\n", err)
--- a/internal/bench/controlplane/core_test.go
+++ b/internal/bench/controlplane/core_test.go
@@ -75,13 +75,14 @@
 
 // Answers are taken as the pages say that callers take them.
 func TestFate(t *testing.T) {
-	for status, want := range map[int]fate{200: taken, 204: taken, 400: refused, 409: refused, 412: refused, 413: refused,
+	for status, want := range map[int]orderOutcome{200: committed, 204: committed,
+		400: refused, 409: refused, 412: refused, 413: refused,
 		422: refused, 404: odd, 403: odd, 408: unknown, 429: unknown, 500: unknown, 503: unknown} {
-		if got := fateOf(status, nil); got != want {
+		if got := orderOutcomeOf(status, nil); got != want {
 			t.Errorf("%d: %d, not %d", status, got, want)
 		}
 	}
-	if fateOf(200, errors.New("cut off")) != unknown {
+	if orderOutcomeOf(200, errors.New("cut off")) != unknown {
 		t.Error("an answer that breaks off is clear")
 	}
 }
@@ -98,7 +99,7 @@
 		{true, []string{"b"}, nil, seen, "b"},
 		{true, nil, nil, ok, ""},
 	} {
-		if word, cause := verdict(c.beyond, c.causes, c.notes); word != c.word || cause != c.cause {
+		if word, cause := summarize(c.beyond, c.causes, c.notes); word != c.word || cause != c.cause {
 			t.Errorf("%+v: %s, %q", c, word, cause)
 		}
 	}
@@ -133,7 +134,7 @@
 			},
 		}
 	}
-	all := told{}
+	all := notifiedZones{}
 	for _, m := range []*rpc.Message{word(5, "1b", 5), word(4, "0f", 4), word(9, "0f", 5)} {
 		all.take(m)
 	}
--- a/internal/bench/controlplane/drawn.go
+++ b/internal/bench/controlplane/drawn.go
@@ -11,16 +11,16 @@
 // drawn is a play of troubles as they come, each within what may be lost at once, while orders go on. A machine counts
 // as lost until catchUpS after it is back, or after its successor's start.
 type drawn struct {
-	s      *system
-	chance *rand.Rand
-	mu     sync.Mutex
-	free   map[*machine]time.Time // from when a machine counts as whole; the zero time: it is away
-	failed error
-	done   sync.WaitGroup
-	told   map[string]int
+	s        *system
+	chance   *rand.Rand
+	mu       sync.Mutex
+	free     map[*machine]time.Time // from when a machine counts as whole; the zero time: it is away
+	failed   error
+	done     sync.WaitGroup
+	notified map[string]int
 }
 
-const drawnFor = 32 * time.Second
+const drawnDuration = 32 * time.Second
 
 func (d *drawn) fail(err error) {
 	d.mu.Lock()
@@ -45,9 +45,9 @@
 	return d.failed
 }
 
-// whole are the machines that count, back those that run but have not had their time yet; lost counts these and all
+// caughtUp are the machines that count, back those that run but have not had their time yet; lost counts these and all
 // that are away.
-func (d *drawn) whole() (whole, back []*machine, lost int) {
+func (d *drawn) caughtUp() (whole, back []*machine, lost int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, m := range d.s.machines() { // in their order, so that what is drawn is the same each time
@@ -69,8 +69,8 @@
 	return least + time.Duration(d.chance.Int64N(int64(most-least)))
 }
 
-// troubles by name; each takes a machine that is whole. The spans are drawn before it begins.
-func (d *drawn) troubles() []struct {
+// faults by name; each takes a machine that is whole. The spans are drawn before it begins.
+func (d *drawn) faults() []struct {
 	name string
 	make func(m *machine) func() error
 } {
@@ -140,7 +140,7 @@
 		}},
 		{"silent and replaced", func(m *machine) func() error {
 			after := d.some(0, 3*time.Second)
-			return func() error { m.silent(); return successor(m, after) }
+			return func() error { m.cutPower(); return successor(m, after) }
 		}},
 		{"frozen", func(m *machine) func() error {
 			span := d.some(300*time.Millisecond, 7*time.Second)
@@ -182,10 +182,10 @@
 	}
 	c := s.ride()
 	d := &drawn{
-		s:      s,
-		chance: rand.New(rand.NewPCG(r.chance.Uint64(), 3)),
-		free:   map[*machine]time.Time{},
-		told:   map[string]int{},
+		s:        s,
+		chance:   rand.New(rand.NewPCG(r.chance.Uint64(), 3)),
+		free:     map[*machine]time.Time{},
+		notified: map[string]int{},
 	}
 	for _, m := range s.machines() {
 		d.free[m] = time.Now()
@@ -193,12 +193,12 @@
 	orders, zoning := s.stream(), make(chan error, 1)
 	began := time.Now()
 	s.done.Go(func() { zoning <- d.zoneOrders(c, began) })
-	all := d.troubles()
-	for time.Since(began) < drawnFor && d.err() == nil {
+	all := d.faults()
+	for time.Since(began) < drawnDuration && d.err() == nil {
 		if err := r.wait(d.some(50*time.Millisecond, 900*time.Millisecond)); err != nil {
 			return err
 		}
-		whole, back, lost := d.whole()
+		whole, back, lost := d.caughtUp()
 		// All processes may be killed at one moment, whatever else is under way: also while one that came back or is
 		// new is taken in.
 		if d.chance.IntN(40) == 0 {
@@ -207,9 +207,9 @@
 				d.set(m, time.Time{})
 			}
 			r.log("drawn: all %d that run are killed", len(hit))
-			d.told["all killed"]++
+			d.notified["all killed"]++
 			each(hit, func(_ int, m *machine) { m.kill() })
-			if err := r.wait(restartAfter); err != nil {
+			if err := r.wait(restartDelay); err != nil {
 				return err
 			}
 			for _, m := range hit {
@@ -226,7 +226,7 @@
 		m, x := whole[d.chance.IntN(len(whole))], all[d.chance.IntN(len(all))]
 		d.set(m, time.Time{})
 		r.log("drawn: %s is %s", m.name, x.name)
-		d.told[x.name]++
+		d.notified[x.name]++
 		act := x.make(m)
 		d.done.Go(func() {
 			if err := act(); err != nil && r.ctx.Err() == nil {
@@ -241,8 +241,8 @@
 	if err := d.err(); err != nil {
 		return err
 	}
-	r.note("%v; %d orders", d.told, orders.sent)
-	if err := orders.end(r, "a drawn day", takenWithin); err != nil {
+	r.note("%v; %d orders", d.notified, orders.sent)
+	if err := orders.end(r, "a drawn day", commitTimeout); err != nil {
 		return err
 	}
 	if err := r.wait(catchUp * 11 / 10); err != nil {
@@ -255,7 +255,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.orders("restart of all in the end", hit, takenWithin); err != nil {
+	if err := s.orders("restart of all in the end", hit, commitTimeout); err != nil {
 		return err
 	}
 	return s.readBack("after a restart of all in the end")
@@ -263,7 +263,7 @@
 
 // zoneOrders is another operator, who empties a zone and ends that, again and again, and sees to it that it is so.
 func (d *drawn) zoneOrders(c *rider, began time.Time) error {
-	for i := 0; time.Since(began) < drawnFor; i++ {
+	for i := 0; time.Since(began) < drawnDuration; i++ {
 		zone := zones[i/2%len(zones)]
 		call, want := "evacuation.begin", true
 		if i%2 == 1 {
@@ -288,8 +288,8 @@
 	}
 	old := s.machines()
 	for i, m := range old {
-		m.silent()
-		if err := s.orders(fmt.Sprintf("loss %d", i+1), time.Now(), takenWithin); err != nil {
+		m.cutPower()
+		if err := s.orders(fmt.Sprintf("loss %d", i+1), time.Now(), commitTimeout); err != nil {
 			return err
 		}
 		started := time.Now()
@@ -325,11 +325,11 @@
 				m,
 				version,
 				body,
-				callFor,
-			), "a read": s.read(r.ctx, m, callFor),
-				"an evacuation": s.call(r.ctx, m, "evacuation.begin", "a", nil, callFor)} {
+				callTimeout,
+			), "a read": s.read(r.ctx, m, callTimeout),
+				"an evacuation": s.call(r.ctx, m, "evacuation.begin", "a", nil, callTimeout)} {
 				mu.Lock()
-				if gave[fmt.Sprint(a.status)]++; a.fate() != unknown {
+				if gave[fmt.Sprint(a.status)]++; a.orderOutcome() != unknown {
 					r.short("the replaced wake alone, and %s at %s meets %v", what, m.name, a)
 				}
 				mu.Unlock()
--- a/internal/bench/controlplane/founding.go
+++ b/internal/bench/controlplane/founding.go
@@ -57,7 +57,7 @@
 		victim.gone()
 		returned <- nil
 	case "silent":
-		victim.silent()
+		victim.cutPower()
 		returned <- nil
 	case "frozen":
 		back = 10 * time.Second
@@ -78,7 +78,7 @@
 			returned <- victim.again()
 		})
 	}
-	if err := s.orders("its death", trouble, takenWithin); err != nil {
+	if err := s.orders("its death", trouble, commitTimeout); err != nil {
 		return err
 	}
 	if err := <-returned; err != nil {
@@ -100,7 +100,7 @@
 	// From now on another may be lost, and what was founded must hold.
 	second := s.machines()[(seed+1+s.draw(2))%3]
 	second.gone()
-	if err := s.orders("loss of another", time.Now(), takenWithin); err != nil {
+	if err := s.orders("loss of another", time.Now(), commitTimeout); err != nil {
 		return err
 	}
 	return s.readBack("after the loss of another")
@@ -133,7 +133,7 @@
 			m.wipe()
 		}
 	}
-	if err := r.wait(restartAfter); err != nil {
+	if err := r.wait(restartDelay); err != nil {
 		return err
 	}
 	s.chance.Shuffle(len(struck), func(i, j int) { struck[i], struck[j] = struck[j], struck[i] })
@@ -142,7 +142,7 @@
 			return err
 		}
 	}
-	if err := s.orders("all were killed", began.Add(at), takenWithin); err != nil {
+	if err := s.orders("all were killed", began.Add(at), commitTimeout); err != nil {
 		return err
 	}
 	if err := r.wait(catchUp * 11 / 10); err != nil {
@@ -152,7 +152,7 @@
 		return err
 	}
 	all[s.draw(3)].gone()
-	if err := s.orders("loss of one", time.Now(), takenWithin); err != nil {
+	if err := s.orders("loss of one", time.Now(), commitTimeout); err != nil {
 		return err
 	}
 	return s.readBack("after the loss of one")
@@ -186,7 +186,7 @@
 		}
 	}
 	if how == "kept" {
-		if err := r.wait(restartAfter); err != nil {
+		if err := r.wait(restartDelay); err != nil {
 			return err
 		}
 		for _, m := range victims {
@@ -195,7 +195,7 @@
 			}
 		}
 	}
-	if err := s.orders("two died", trouble, takenWithin); err != nil {
+	if err := s.orders("two died", trouble, commitTimeout); err != nil {
 		return err
 	}
 	if how != "kept" {
@@ -210,7 +210,7 @@
 	for i := range 2 {
 		all[(first+2+i)%5].gone()
 	}
-	if err := s.orders("loss of two others", time.Now(), takenWithin); err != nil {
+	if err := s.orders("loss of two others", time.Now(), commitTimeout); err != nil {
 		return err
 	}
 	return s.readBack("after the loss of two others")
--- a/internal/bench/controlplane/freezes.go
+++ b/internal/bench/controlplane/freezes.go
@@ -38,14 +38,14 @@
 			do   func() answer
 		}
 		calls := []asked{
-			{"an order", func() answer { return s.put(r.ctx, m, version, next, contact+callFor) }},
-			{reads, func() answer { return s.read(r.ctx, m, contact+callFor) }},
+			{"an order", func() answer { return s.put(r.ctx, m, version, next, contact+callTimeout) }},
+			{reads, func() answer { return s.read(r.ctx, m, contact+callTimeout) }},
 			{otherBytes, func() answer {
-				return s.put(r.ctx, m, held, configuration(held, fmt.Sprint("other-", i)), contact+callFor)
+				return s.put(r.ctx, m, held, configuration(held, fmt.Sprint("other-", i)), contact+callTimeout)
 			}},
-			{heldAgain, func() answer { return s.put(r.ctx, m, held, body, contact+callFor) }},
-			{lower, func() answer { return s.put(r.ctx, m, held-1, configuration(held-1, "low"), contact+callFor) }},
-			{"an evacuation", func() answer { return s.call(r.ctx, m, "evacuation.begin", "a", nil, contact+callFor) }},
+			{heldAgain, func() answer { return s.put(r.ctx, m, held, body, contact+callTimeout) }},
+			{lower, func() answer { return s.put(r.ctx, m, held-1, configuration(held-1, "low"), contact+callTimeout) }},
+			{"an evacuation", func() answer { return s.call(r.ctx, m, "evacuation.begin", "a", nil, contact+callTimeout) }},
 			{"a beat that says draining", func() answer {
 				return s.call(
 					r.ctx,
@@ -59,7 +59,7 @@
 							i+1,
 						),
 					),
-					contact+callFor,
+					contact+callTimeout,
 				)
 			}},
 		}
@@ -70,10 +70,10 @@
 			defer mu.Unlock()
 			switch {
 			// Until the silence of the others can be known for what it is: what is true for good may still be said.
-			case at < contact && (a.fate() == taken && (c.what == reads || c.what == heldAgain || c.what == lower) ||
-				a.fate() == refused && c.what == otherBytes):
+			case at < contact && (a.orderOutcome() == committed && (c.what == reads || c.what == heldAgain || c.what == lower) ||
+				a.orderOutcome() == refused && c.what == otherBytes):
 				before++
-			case a.fate() != unknown:
+			case a.orderOutcome() != unknown:
 				r.short("with %d of %d frozen for %.1f s, %s: %v", len(frozen), size, at.Seconds(), c.what, a)
 			case a.status != 503 && (at >= contact || a.status != 504): // 504: nothing is known of it
 				r.short("with %d of %d frozen for %.1f s, %s: %v, not 503", len(frozen), size, at.Seconds(), c.what, a)
@@ -84,7 +84,7 @@
 				after = append(after, a.took)
 			}
 		})
-		if at > contact && whole(m) {
+		if at > contact && isCaughtUp(m) {
 			r.short(
 				"with %d of %d frozen for %.1f s, %s hands out what it has as all there is",
 				len(frozen),
@@ -112,7 +112,7 @@
 	if before > 0 {
 		r.note("%d reads and repetitions answered in the first %v", before, contact)
 	}
-	if most := ms(after, 1); most >= callFor.Milliseconds() {
+	if most := ms(after, 1); most >= callTimeout.Milliseconds() {
 		r.short("once out of touch it takes %d ms to say so: a caller hears silence", most)
 	}
 	for _, m := range frozen {
@@ -142,10 +142,10 @@
 		at := 0
 		for end := time.Now().Add(2*contact + span); ; at++ {
 			a := once(awake[at%2])
-			if a.fate() == taken {
+			if a.orderOutcome() == committed {
 				return nil
 			}
-			if a.fate() == refused || time.Now().After(end) {
+			if a.orderOutcome() == refused || time.Now().After(end) {
 				return fmt.Errorf("%s while one is frozen: %v", what, a)
 			}
 			if err := r.wait(100 * time.Millisecond); err != nil {
@@ -171,7 +171,7 @@
 	late := map[string]answer{}
 	var hung sync.WaitGroup
 	for _, q := range questions {
-		hung.Go(func() { q.do(callFor) })
+		hung.Go(func() { q.do(callTimeout) })
 		hung.Go(func() {
 			a := q.do(span + 5*time.Second)
 			mu.Lock()
@@ -184,13 +184,13 @@
 	}
 	if err := elsewhere(
 		"begin",
-		func(m *machine) answer { return s.call(r.ctx, m, "evacuation.begin", "a", nil, callFor) },
+		func(m *machine) answer { return s.call(r.ctx, m, "evacuation.begin", "a", nil, callTimeout) },
 	); err != nil {
 		return err
 	}
 	if err := elsewhere(
 		"begin of b",
-		func(m *machine) answer { return s.call(r.ctx, m, "evacuation.begin", "b", nil, callFor) },
+		func(m *machine) answer { return s.call(r.ctx, m, "evacuation.begin", "b", nil, callTimeout) },
 	); err != nil {
 		return err
 	}
@@ -198,14 +198,14 @@
 		version, body := s.next()
 		if err := elsewhere(
 			"an order",
-			func(m *machine) answer { return s.put(r.ctx, m, version, body, callFor) },
+			func(m *machine) answer { return s.put(r.ctx, m, version, body, callTimeout) },
 		); err != nil {
 			return err
 		}
 	}
 	if err := elsewhere(
 		"finish",
-		func(m *machine) answer { return s.call(r.ctx, m, "evacuation.finish", "a", nil, callFor) },
+		func(m *machine) answer { return s.call(r.ctx, m, "evacuation.finish", "a", nil, callTimeout) },
 	); err != nil {
 		return err
 	}
@@ -218,7 +218,7 @@
 	// At once, and for a while: nothing old is read there, whoever asks (the ledger checks each).
 	serves := false
 	for time.Since(thawed) < 3*time.Second {
-		if a := s.read(r.ctx, sleeper, callFor); a.fate() == taken && !serves {
+		if a := s.read(r.ctx, sleeper, callTimeout); a.orderOutcome() == committed && !serves {
 			serves = true
 			r.note("it reads again %.2f s after it woke", time.Since(thawed).Seconds())
 		}
@@ -230,12 +230,12 @@
 	for _, q := range questions {
 		r.log("the old %s was answered in the end: %v", q.what, late[q.what])
 	}
-	if a := late["read"]; a.fate() == taken {
+	if a := late["read"]; a.orderOutcome() == committed {
 		if v, err := versionOf(a.body); err != nil || v < held {
 			r.short("an old read was answered with version %d while %d was confirmed", v, held)
 		}
 	}
-	if a := late["order"]; a.fate() == refused || a.fate() == odd {
+	if a := late["order"]; a.orderOutcome() == refused || a.orderOutcome() == odd {
 		r.short("an old order was refused: %v", a)
 	}
 	if err := s.readBack("after it woke"); err != nil {
--- a/internal/bench/controlplane/growth.go
+++ b/internal/bench/controlplane/growth.go
@@ -30,11 +30,11 @@
 			began := time.Now()
 			a := s.caller().until(
 				r.ctx,
-				began.Add(takenWithin),
-				func(m *machine) answer { return s.put(r.ctx, m, version, body, callFor) },
+				began.Add(commitTimeout),
+				func(m *machine) answer { return s.put(r.ctx, m, version, body, callTimeout) },
 			)
-			if a.fate() != taken {
-				return fmt.Errorf("version %d is not taken within %v: %v", version, takenWithin, a)
+			if a.orderOutcome() != committed {
+				return fmt.Errorf("version %d is not taken within %v: %v", version, commitTimeout, a)
 			}
 			slowest = max(slowest, time.Since(began))
 			if i%25 == 24 {
@@ -52,7 +52,7 @@
 		if wipe {
 			m.wipe()
 		}
-		if err := r.wait(restartAfter); err != nil {
+		if err := r.wait(restartDelay); err != nil {
 			return err
 		}
 		return m.again()
@@ -60,7 +60,7 @@
 	newest := func(m *machine, what string) error {
 		version, body := s.ledger.newest()
 		began := time.Now()
-		if err := s.readAt(what, m, version, body, takenWithin); err != nil {
+		if err := s.readAt(what, m, version, body, commitTimeout); err != nil {
 			return err
 		}
 		r.log("%s: it gives back the newest %.2f s after its start", what, time.Since(began).Seconds())
@@ -82,7 +82,7 @@
 	if err := restart(other, false); err != nil { // with one down: neither orders nor reads until it is back
 		return err
 	}
-	if err := s.orders("restart with one down", time.Now(), takenWithin); err != nil {
+	if err := s.orders("restart with one down", time.Now(), commitTimeout); err != nil {
 		return err
 	}
 	if err := newest(other, "a restart with one down"); err != nil {
@@ -103,7 +103,7 @@
 	if err := restart(third, true); err != nil {
 		return err
 	}
-	if err := s.orders("wipe", time.Now(), takenWithin); err != nil {
+	if err := s.orders("wipe", time.Now(), commitTimeout); err != nil {
 		return err
 	}
 	if err := newest(third, "a wiped disk"); err != nil {
@@ -172,12 +172,12 @@
 	}
 	for _, m := range all {
 		version, body := s.ledger.newest()
-		if err := s.readAt("after a restart of all", m, version, body, takenWithin); err != nil {
+		if err := s.readAt("after a restart of all", m, version, body, commitTimeout); err != nil {
 			return err
 		}
 	}
 	r.log("all give back what was confirmed %.2f s after the kill", time.Since(began).Seconds())
-	if err := s.orders("restart of all", began, takenWithin); err != nil {
+	if err := s.orders("restart of all", began, commitTimeout); err != nil {
 		return err
 	}
 	if lost == 0 {
@@ -192,7 +192,7 @@
 			m.gone()
 		}
 	})
-	if err := s.orders(fmt.Sprintf("loss of %d at once", lost), time.Now(), takenWithin); err != nil {
+	if err := s.orders(fmt.Sprintf("loss of %d at once", lost), time.Now(), commitTimeout); err != nil {
 		return err
 	}
 	return s.readBack(fmt.Sprintf("after the loss of %d at once", lost))
@@ -210,7 +210,7 @@
 		if killed {
 			m := s.machines()[s.draw(3)]
 			s.done.Go(func() {
-				if m.kill(); r.wait(restartAfter) == nil {
+				if m.kill(); r.wait(restartDelay) == nil {
 					_ = m.again()
 				}
 			})
@@ -227,19 +227,19 @@
 					a = s.caller().until(
 						r.ctx,
 						at.Add(ack),
-						func(m *machine) answer { return s.call(r.ctx, m, call, "b", nil, callFor) },
+						func(m *machine) answer { return s.call(r.ctx, m, call, "b", nil, callTimeout) },
 					)
 				} else {
 					version, body := s.next()
 					a = s.caller().until(
 						r.ctx,
 						at.Add(ack),
-						func(m *machine) answer { return s.put(r.ctx, m, version, body, callFor) },
+						func(m *machine) answer { return s.put(r.ctx, m, version, body, callTimeout) },
 					)
 				}
 				mu.Lock()
 				took = append(took, time.Since(at))
-				if a.fate() != taken && failed == nil {
+				if a.orderOutcome() != committed && failed == nil {
 					failed = fmt.Errorf("with %d orders under way at once, one is not taken within %v: %v", operators, ack, a)
 				}
 				stop := failed != nil
@@ -287,9 +287,9 @@
 		a := s.caller().until(
 			r.ctx,
 			began.Add(within),
-			func(m *machine) answer { return s.put(r.ctx, m, version, body, 2*callFor) },
+			func(m *machine) answer { return s.put(r.ctx, m, version, body, 2*callTimeout) },
 		)
-		if a.fate() != taken {
+		if a.orderOutcome() != committed {
 			return fmt.Errorf(
 				"a configuration of %d routes (%d KB) is not taken within %v: %v",
 				routes,
--- a/internal/bench/controlplane/leaving.go
+++ b/internal/bench/controlplane/leaving.go
@@ -24,14 +24,14 @@
 	began := time.Now()
 	var a answer
 	for { // at this one alone, until it has confirmed
-		if a = s.put(r.ctx, leaver, version, body, callFor); a.fate() == taken {
+		if a = s.put(r.ctx, leaver, version, body, callTimeout); a.orderOutcome() == committed {
 			break
 		}
-		if time.Since(began) > takenWithin {
+		if time.Since(began) > commitTimeout {
 			return fmt.Errorf("no order is taken at %s: %v", leaver.name, a)
 		}
 	}
-	if a := s.call(r.ctx, leaver, "evacuation.begin", "a", nil, callFor); a.fate() != taken && !slept {
+	if a := s.call(r.ctx, leaver, "evacuation.begin", "a", nil, callTimeout); a.orderOutcome() != committed && !slept {
 		return fmt.Errorf("begin at %s: %v", leaver.name, a)
 	}
 	if slept {
@@ -48,7 +48,7 @@
 	left := time.Now()
 	r.note("it ended %.2f s after SIGTERM", took.Seconds())
 	leaver.gone()
-	if err := s.orders("it left", left, takenWithin); err != nil {
+	if err := s.orders("it left", left, commitTimeout); err != nil {
 		return err
 	}
 	if err := s.readBack("after it left"); err != nil {
@@ -62,7 +62,7 @@
 		return err
 	}
 	other.gone()
-	if err := s.orders("loss of another", time.Now(), takenWithin); err != nil {
+	if err := s.orders("loss of another", time.Now(), commitTimeout); err != nil {
 		return err
 	}
 	if err := s.readBack("after the loss of another"); err != nil {
@@ -93,14 +93,14 @@
 			version, body := s.next()
 			a := s.caller().until(
 				ctx,
-				time.Now().Add(2*takenWithin),
-				func(m *machine) answer { return s.put(ctx, m, version, body, callFor) },
+				time.Now().Add(2*commitTimeout),
+				func(m *machine) answer { return s.put(ctx, m, version, body, callTimeout) },
 			)
 			switch {
 			case ctx.Err() != nil:
 				return
-			case a.fate() != taken:
-				x.err = fmt.Errorf("version %d is not taken within %v: %v", version, 2*takenWithin, a)
+			case a.orderOutcome() != committed:
+				x.err = fmt.Errorf("version %d is not taken within %v: %v", version, 2*commitTimeout, a)
 				return
 			}
 			x.gap, last = max(x.gap, time.Since(last)), time.Now()
@@ -147,7 +147,7 @@
 			return err
 		}
 		slowest = max(slowest, took)
-		if err := r.wait(restartAfter); err != nil {
+		if err := r.wait(restartDelay); err != nil {
 			return err
 		}
 		if err := m.again(); err != nil {
@@ -168,7 +168,7 @@
 		return err
 	}
 	s.machines()[s.draw(3)].gone()
-	if err := s.orders("then a loss", time.Now(), takenWithin); err != nil {
+	if err := s.orders("then a loss", time.Now(), commitTimeout); err != nil {
 		return err
 	}
 	if err := s.readBack("after a loss that came after three restarts"); err != nil {
@@ -197,7 +197,7 @@
 		}
 	}
 	r.note("all ended %.2f s after SIGTERM", time.Since(began).Seconds())
-	if err := r.wait(restartAfter); err != nil {
+	if err := r.wait(restartDelay); err != nil {
 		return err
 	}
 	back := time.Now()
@@ -208,11 +208,11 @@
 	}
 	for _, m := range all {
 		version, body := s.ledger.newest()
-		if err := s.readAt("after all had left", m, version, body, takenWithin); err != nil {
+		if err := s.readAt("after all had left", m, version, body, commitTimeout); err != nil {
 			return err
 		}
 	}
-	if err := s.orders("all came back", back, takenWithin); err != nil {
+	if err := s.orders("all came back", back, commitTimeout); err != nil {
 		return err
 	}
 	if err := s.evacuatedIs(c, "a", true, "begun before all left,"); err != nil {
@@ -225,7 +225,7 @@
 		return err
 	}
 	all[s.draw(size)].gone()
-	if err := s.orders("then a loss", time.Now(), takenWithin); err != nil {
+	if err := s.orders("then a loss", time.Now(), commitTimeout); err != nil {
 		return err
 	}
 	return s.readBack("after a loss that came after all had left")
@@ -246,7 +246,7 @@
 		return err
 	}
 	m.gone()
-	if err := s.orders("one of two left", left, takenWithin); err != nil {
+	if err := s.orders("one of two left", left, commitTimeout); err != nil {
 		return err
 	}
 	return s.readBack("after one of two left")
@@ -297,7 +297,7 @@
 	}
 	now := s.serving()
 	now[s.draw(len(now))].gone()
-	if err := s.orders("then a loss", time.Now(), takenWithin); err != nil {
+	if err := s.orders("then a loss", time.Now(), commitTimeout); err != nil {
 		return err
 	}
 	return s.readBack("after a loss that came after three replacements")
--- a/internal/bench/controlplane/losses.go
+++ b/internal/bench/controlplane/losses.go
@@ -20,12 +20,12 @@
 	}
 	lose := (*machine).gone
 	if silent {
-		lose = (*machine).silent
+		lose = (*machine).cutPower
 	}
 	all := s.machines()
 	first := s.draw(3)
 	lose(all[first])
-	if err := s.orders("first loss", time.Now(), takenWithin); err != nil {
+	if err := s.orders("first loss", time.Now(), commitTimeout); err != nil {
 		return err
 	}
 	if err := r.wait(time.Duration(300+s.draw(1500)) * time.Millisecond); err != nil {
@@ -45,7 +45,7 @@
 	second := all[(first+1+s.draw(2))%3]
 	held, body := s.ledger.newest()
 	lose(second)
-	if err := s.orders("second loss", time.Now(), takenWithin); err != nil {
+	if err := s.orders("second loss", time.Now(), commitTimeout); err != nil {
 		return err
 	}
 	if err := s.readBack("after the second loss"); err != nil {
@@ -74,11 +74,11 @@
 	for i := range 6 {
 		old := s.machines()[i]
 		if silent {
-			old.silent()
+			old.cutPower()
 		} else {
 			old.gone()
 		}
-		if err := s.orders(fmt.Sprintf("loss %d", i+1), time.Now(), takenWithin); err != nil {
+		if err := s.orders(fmt.Sprintf("loss %d", i+1), time.Now(), commitTimeout); err != nil {
 			return err
 		}
 		started := time.Now()
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.orders("restart of all", began, takenWithin); err != nil {
+	if err := s.orders("restart of all", began, commitTimeout); err != nil {
 		return err
 	}
 	if err := s.readBack("after a restart of all"); err != nil {
@@ -141,7 +141,7 @@
 		m := all[i]
 		m.kill()
 		m.wipe()
-		if err := s.orders(fmt.Sprintf("loss %d", n+1), time.Now(), takenWithin); err != nil {
+		if err := s.orders(fmt.Sprintf("loss %d", n+1), time.Now(), commitTimeout); err != nil {
 			return err
 		}
 		if err := m.again(); err != nil {
@@ -164,7 +164,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.orders("restart of all", began, takenWithin); err != nil {
+	if err := s.orders("restart of all", began, commitTimeout); err != nil {
 		return err
 	}
 	return s.readBack("after a restart of all")
@@ -184,10 +184,10 @@
 			version, body := s.next()
 			a := s.caller().until(
 				r.ctx,
-				time.Now().Add(takenWithin),
-				func(m *machine) answer { return s.put(r.ctx, m, version, body, callFor) },
+				time.Now().Add(commitTimeout),
+				func(m *machine) answer { return s.put(r.ctx, m, version, body, callTimeout) },
 			)
-			if a.fate() != taken {
+			if a.orderOutcome() != committed {
 				return fmt.Errorf("version %d is not taken: %v", version, a)
 			}
 		}
@@ -224,7 +224,7 @@
 	}
 	began := time.Now()
 	for time.Since(began) < 3*time.Second {
-		each(all, func(_ int, m *machine) { s.read(r.ctx, m, callFor) })
+		each(all, func(_ int, m *machine) { s.read(r.ctx, m, callTimeout) })
 		if err := r.wait(30 * time.Millisecond); err != nil {
 			return err
 		}
@@ -248,7 +248,7 @@
 			break
 		}
 	}
-	if err := s.orders("then another loss", time.Now(), takenWithin); err != nil {
+	if err := s.orders("then another loss", time.Now(), commitTimeout); err != nil {
 		r.note("with another lost after that: %v", err)
 		return nil
 	}
@@ -272,12 +272,12 @@
 	var mu sync.Mutex
 	for time.Since(woke) < 3*time.Second {
 		each(dead, func(i int, m *machine) {
-			s.read(s.r.ctx, m, callFor)
+			s.read(s.r.ctx, m, callTimeout)
 			version, body := s.next()
-			a := s.put(s.r.ctx, m, version, body, callFor)
+			a := s.put(s.r.ctx, m, version, body, callTimeout)
 			mu.Lock()
 			defer mu.Unlock()
-			if gave[fmt.Sprint(a.status)]++; a.fate() == refused || a.fate() == odd {
+			if gave[fmt.Sprint(a.status)]++; a.orderOutcome() == refused || a.orderOutcome() == odd {
 				s.r.short("%s, which was replaced and wakes, refuses an order: %v", m.name, a)
 			}
 		})
@@ -310,14 +310,14 @@
 		for _, m := range dead {
 			m.gone()
 		}
-		if err := s.orders("those that woke go again", time.Now(), takenWithin); err != nil {
+		if err := s.orders("those that woke go again", time.Now(), commitTimeout); err != nil {
 			return err
 		}
 		return s.readBack("after those that woke went again")
 	}
 	now := s.serving()
 	now[s.draw(len(now))].gone()
-	if err := s.orders("loss of one after the dead woke", time.Now(), takenWithin); err != nil {
+	if err := s.orders("loss of one after the dead woke", time.Now(), commitTimeout); err != nil {
 		return err
 	}
 	return s.readBack("after the loss of one, the dead awake")
@@ -337,8 +337,8 @@
 		}
 		version, body := s.next()
 		var a answer
-		for end, i := time.Now().Add(takenWithin), s.draw(size); ; i++ {
-			if a = s.put(r.ctx, s.machines()[i%size], version, body, callFor); a.fate() == taken {
+		for end, i := time.Now().Add(commitTimeout), s.draw(size); ; i++ {
+			if a = s.put(r.ctx, s.machines()[i%size], version, body, callTimeout); a.orderOutcome() == committed {
 				break
 			}
 			if time.Now().After(end) {
@@ -356,18 +356,18 @@
 			return err
 		}
 		for _, m := range all {
-			if err := s.readAt(fmt.Sprintf("after closing fault %d", n+1), m, version, body, takenWithin); err != nil {
+			if err := s.readAt(fmt.Sprintf("after closing fault %d", n+1), m, version, body, commitTimeout); err != nil {
 				return err
 			}
 		}
 		r.log("all give back what was confirmed %.2f s after closing fault %d", time.Since(began).Seconds(), n+1)
-		if err := s.orders(fmt.Sprintf("closing fault %d", n+1), began, takenWithin); err != nil {
+		if err := s.orders(fmt.Sprintf("closing fault %d", n+1), began, commitTimeout); err != nil {
 			return err
 		}
 		if err := s.evacuatedIs(c, zone, true, "begun before a closing fault,"); err != nil {
 			return err
 		}
-		if err := r.until(began, restartAfter+catchUp*11/10); err != nil {
+		if err := r.until(began, restartDelay+catchUp*11/10); err != nil {
 			return err
 		}
 	}
@@ -388,7 +388,7 @@
 	s.chance.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	for n, lost := range [][]*machine{all[:2], all[2:4]} {
 		each(lost, func(_ int, m *machine) { m.gone() })
-		if err := s.orders(fmt.Sprintf("loss of two, %d", n+1), time.Now(), takenWithin); err != nil {
+		if err := s.orders(fmt.Sprintf("loss of two, %d", n+1), time.Now(), commitTimeout); err != nil {
 			return err
 		}
 		started := time.Now()
@@ -406,7 +406,7 @@
 		s.seeds = alive(s.machines()) // for those that come later
 	}
 	all[4].gone()
-	if err := s.orders("loss of the last of the first five", time.Now(), takenWithin); err != nil {
+	if err := s.orders("loss of the last of the first five", time.Now(), commitTimeout); err != nil {
 		return err
 	}
 	if err := s.readBack("without any of the first five"); err != nil {
@@ -425,7 +425,7 @@
 	all := s.machines()
 	first := s.draw(3)
 	all[first].gone()
-	if err := s.orders("loss", time.Now(), takenWithin); err != nil {
+	if err := s.orders("loss", time.Now(), commitTimeout); err != nil {
 		return err
 	}
 	sleeper, other := all[(first+1)%3], all[(first+2)%3]
@@ -451,7 +451,7 @@
 		return err
 	}
 	other.gone()
-	if err := s.orders("loss of another", time.Now(), takenWithin); err != nil {
+	if err := s.orders("loss of another", time.Now(), commitTimeout); err != nil {
 		return err
 	}
 	return s.readBack("after the loss of another")
@@ -492,7 +492,7 @@
 	}
 	began := time.Now()
 	for time.Since(began) < catchUp*11/10 {
-		each(all, func(_ int, m *machine) { s.read(r.ctx, m, callFor) })
+		each(all, func(_ int, m *machine) { s.read(r.ctx, m, callTimeout) })
 		if err := r.wait(50 * time.Millisecond); err != nil {
 			return err
 		}
@@ -501,7 +501,7 @@
 		return err
 	}
 	all[(i+1+s.draw(2))%3].gone()
-	if err := s.orders("then another loss", time.Now(), takenWithin); err != nil {
+	if err := s.orders("then another loss", time.Now(), commitTimeout); err != nil {
 		return err
 	}
 	return s.readBack("after another loss")
--- a/internal/bench/controlplane/machine.go
+++ b/internal/bench/controlplane/machine.go
@@ -23,7 +23,7 @@
 	catchUp                          = 4 * time.Second
 	contact                          = 3 * time.Second
 	seedLag                          = 3 * time.Second // by which the operator's list lags
-	restartAfter                     = 300 * time.Millisecond
+	restartDelay                     = 300 * time.Millisecond
 )
 
 // machine is one of the core. What it runs are lives of one program after the other, on the disk it has.
@@ -32,13 +32,13 @@
 	name, zone, ip string
 	disk           string // dataDir
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	ended  chan struct{} // of the life that runs
-	meant  bool          // its end was brought about from here
-	frozen bool
-	lost   time.Time // when it went for good
-	life   int
+	mu          sync.Mutex
+	cmd         *exec.Cmd
+	ended       chan struct{} // of the life that runs
+	meant       bool          // its end was brought about from here
+	frozen      bool
+	lost        time.Time // when it went for good
+	incarnation int
 }
 
 func (m *machine) control() string { return fmt.Sprintf("%s:%d", m.ip, controlPort) }
@@ -113,8 +113,8 @@
 	defer func() { _ = log.Close() }()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.life++
-	fmt.Fprintf(log, "--- life %d, bootstrap %v\n", m.life, bootstrap)
+	m.incarnation++
+	fmt.Fprintf(log, "--- life %d, bootstrap %v\n", m.incarnation, bootstrap)
 	cmd := exec.Command(m.s.r.program, "-v")
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.Env = []string{"PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), "LANG=C", "ELMFOLD_CONFIG=" + settings}
@@ -122,7 +122,7 @@
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("%s: %w", m.s.r.program, err)
 	}
-	m.s.r.log("%s: life %d starts, bootstrap %v, seeds %v", m.name, m.life, bootstrap, seeds)
+	m.s.r.log("%s: life %d starts, bootstrap %v, seeds %v", m.name, m.incarnation, bootstrap, seeds)
 	ended := make(chan struct{})
 	m.cmd, m.ended, m.meant, m.frozen = cmd, ended, false, false
 	go func() {
@@ -242,8 +242,8 @@
 	m.mu.Unlock()
 }
 
-// silent takes it away for good without a word to those who hold connections to it, as a loss of power does.
-func (m *machine) silent() {
+// cutPower takes it away for good without a word to those who hold connections to it, as a loss of power does.
+func (m *machine) cutPower() {
 	m.freeze()
 	m.mu.Lock()
 	m.lost = time.Now()
--- a/internal/bench/controlplane/numbers.go
+++ b/internal/bench/controlplane/numbers.go
@@ -20,15 +20,20 @@
 	version, _ := s.next()
 	x, y := configuration(version, "x"), configuration(version, "y")
 	all := s.machines()
-	if err := expect("the first body", all[0], s.put(r.ctx, all[s.draw(3)], version, x, callFor), taken); err != nil {
+	if err := expect(
+		"the first body",
+		all[0],
+		s.put(r.ctx, all[s.draw(3)], version, x, callTimeout),
+		committed,
+	); err != nil {
 		return err
 	}
 	told := map[string]bool{}
 	other := func(when string) {
 		var at []string
 		for _, m := range all {
-			a := s.put(r.ctx, m, version, y, callFor+contact)
-			if a.fate() == taken {
+			a := s.put(r.ctx, m, version, y, callTimeout+contact)
+			if a.orderOutcome() == committed {
 				at = append(at, m.name)
 			}
 			told[fmt.Sprint(a.status)] = true
@@ -36,14 +41,14 @@
 		if len(at) > 0 {
 			r.short("%s the second body is confirmed at %s", when, strings.Join(at, ", "))
 		}
-		first := s.read(r.ctx, all[s.draw(3)], callFor)
-		if first.fate() == taken && bytes.Equal(first.body, y) {
+		first := s.read(r.ctx, all[s.draw(3)], callTimeout)
+		if first.orderOutcome() == committed && bytes.Equal(first.body, y) {
 			r.short("%s the second body came into force", when)
 		}
 	}
 	repeat := func(when string) {
 		for _, m := range all {
-			if a := s.put(r.ctx, m, version, x, callFor); a.fate() != taken {
+			if a := s.put(r.ctx, m, version, x, callTimeout); a.orderOutcome() != committed {
 				r.short("%s the first body, sent again to %s: %v", when, m.name, a)
 			}
 		}
@@ -60,10 +65,10 @@
 	// Its repetition is the first order that the new lives see, so that none of a later one settles it.
 	a := s.caller().until(
 		r.ctx,
-		began.Add(takenWithin),
-		func(m *machine) answer { return s.put(r.ctx, m, version, x, callFor) },
+		began.Add(commitTimeout),
+		func(m *machine) answer { return s.put(r.ctx, m, version, x, callTimeout) },
 	)
-	if a.fate() != taken {
+	if a.orderOutcome() != committed {
 		return fmt.Errorf("after a restart of all the first body is not confirmed again: %v", a)
 	}
 	r.measure("restart of all", time.Since(began).Seconds())
@@ -80,15 +85,15 @@
 	held, body := s.ledger.newest()
 	for i, m := range all {
 		low := version - 1 - uint32(i)%version
-		if a := s.put(r.ctx, m, low, configuration(low, "never sent before"), callFor); a.fate() != taken {
+		if a := s.put(r.ctx, m, low, configuration(low, "never sent before"), callTimeout); a.orderOutcome() != committed {
 			r.short("a lower version is not confirmed as held at %s: %v", m.name, a)
 		}
 	}
 	for _, m := range all { // under the old number, below what is held: whatever it is told, nothing may come of it
-		r.log("the second body, after a higher version: %v", s.put(r.ctx, m, version, y, callFor))
+		r.log("the second body, after a higher version: %v", s.put(r.ctx, m, version, y, callTimeout))
 	}
 	for _, m := range all {
-		if a := s.read(r.ctx, m, callFor); a.fate() != taken || !bytes.Equal(a.body, body) {
+		if a := s.read(r.ctx, m, callTimeout); a.orderOutcome() != committed || !bytes.Equal(a.body, body) {
 			r.short("after lower versions %s does not give back %d: %v", m.name, held, a)
 		}
 	}
@@ -123,7 +128,7 @@
 				}
 				for i := range kill {
 					m := s.machines()[(first+i)%size]
-					if m.kill(); r.wait(restartAfter/time.Duration(kill)) == nil {
+					if m.kill(); r.wait(restartDelay/time.Duration(kill)) == nil {
 						_ = m.again()
 					}
 				}
@@ -133,12 +138,12 @@
 			a := s.caller().until(
 				r.ctx,
 				began.Add(ack),
-				func(m *machine) answer { return s.put(r.ctx, m, version, body, callFor) },
+				func(m *machine) answer { return s.put(r.ctx, m, version, body, callTimeout) },
 			)
 			mu.Lock()
 			defer mu.Unlock()
-			switch a.fate() {
-			case taken:
+			switch a.orderOutcome() {
+			case committed:
 				confirmed[i]++
 			case refused, odd:
 				refusals++
@@ -163,7 +168,7 @@
 		)
 		r.measure(fmt.Sprintf("race %d", round+1), time.Since(began).Seconds())
 		if kill > 0 { // they are back by then
-			if err := r.until(began, restartAfter+contact); err != nil {
+			if err := r.until(began, restartDelay+contact); err != nil {
 				return err
 			}
 		}
@@ -175,7 +180,12 @@
 			return err
 		}
 		for _, m := range s.serving() {
-			if err := expect("the confirmed body, sent again", m, s.put(r.ctx, m, version, won, callFor), taken); err != nil {
+			if err := expect(
+				"the confirmed body, sent again",
+				m,
+				s.put(r.ctx, m, version, won, callTimeout),
+				committed,
+			); err != nil {
 				return err
 			}
 		}
@@ -183,7 +193,7 @@
 			if bytes.Equal(body, won) {
 				return
 			}
-			if m := s.list()[i%size]; s.put(r.ctx, m, version, body, callFor+contact).fate() == taken {
+			if m := s.list()[i%size]; s.put(r.ctx, m, version, body, callTimeout+contact).orderOutcome() == committed {
 				r.short("round %d: a body that lost is confirmed when it is sent again", round+1)
 			}
 		})
@@ -218,7 +228,7 @@
 		if how == hungUp {
 			s.drop(first, call, of, body)
 		} else {
-			s.call(r.ctx, first, call, of, body, callFor)
+			s.call(r.ctx, first, call, of, body, callTimeout)
 		}
 	}
 	version, body := s.next()
@@ -229,7 +239,7 @@
 	send("config.replace", "", body)
 	if how == firstKilled {
 		first.kill()
-		if err := r.wait(restartAfter); err != nil {
+		if err := r.wait(restartDelay); err != nil {
 			return err
 		}
 		if err := first.again(); err != nil {
@@ -242,10 +252,10 @@
 	for _, again := range []struct {
 		what string
 		a    answer
-	}{{"begin, sent again", s.call(r.ctx, second, "evacuation.begin", "a", nil, callFor)},
-		{"begin of another zone, sent again", s.call(r.ctx, second, "evacuation.begin", "c", nil, callFor)},
-		{"the configuration, sent again", s.put(r.ctx, second, version, body, callFor)}} {
-		if err := expect(again.what, second, again.a, taken); err != nil {
+	}{{"begin, sent again", s.call(r.ctx, second, "evacuation.begin", "a", nil, callTimeout)},
+		{"begin of another zone, sent again", s.call(r.ctx, second, "evacuation.begin", "c", nil, callTimeout)},
+		{"the configuration, sent again", s.put(r.ctx, second, version, body, callTimeout)}} {
+		if err := expect(again.what, second, again.a, committed); err != nil {
 			return err
 		}
 	}
@@ -275,8 +285,8 @@
 	if err := expect(
 		"finish, sent again",
 		second,
-		s.call(r.ctx, second, "evacuation.finish", "c", nil, callFor),
-		taken,
+		s.call(r.ctx, second, "evacuation.finish", "c", nil, callTimeout),
+		committed,
 	); err != nil {
 		return err
 	}
--- a/internal/bench/controlplane/orders.go
+++ b/internal/bench/controlplane/orders.go
@@ -11,7 +11,7 @@
 	"elmfold/internal/bench/report"
 )
 
-const ordersMost = 20_000
+const maxOrders = 20_000
 
 func residentOf(pid int) int64 { return int64(report.ResidentOf(pid)) }
 
@@ -20,8 +20,8 @@
 	if o.size != 3 && o.size != 5 {
 		return fmt.Errorf("--size %d: 3 or 5", o.size)
 	}
-	if o.orders > ordersMost {
-		return fmt.Errorf("--orders %d: at most %d", o.orders, ordersMost)
+	if o.orders > maxOrders {
+		return fmt.Errorf("--orders %d: at most %d", o.orders, maxOrders)
 	}
 	dir, err := os.MkdirTemp("", "core")
 	if err != nil {
@@ -65,7 +65,7 @@
 		}
 		a := s.put(ctx, m, version, body, ack)
 		switch {
-		case a.fate() != taken:
+		case a.orderOutcome() != committed:
 			failed++
 			r.log("not taken: %v", a)
 		case i < o.orders:
--- a/internal/bench/controlplane/stories.go
+++ b/internal/bench/controlplane/stories.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-const takenWithin = 8 * time.Second // after a trouble that the faults to be borne cover
+const commitTimeout = 8 * time.Second // after a trouble that the faults to be borne cover
 
 // stories are all plays, in the order of the table.
 func stories() (all []play) {
@@ -79,7 +79,7 @@
 		})
 	}
 	add("all-killed-first", "at 0.10 s, starts spread over 0.3 s", 14, func(r *run) error {
-		return allKilled(r, 100*time.Millisecond, startWithin, false)
+		return allKilled(r, 100*time.Millisecond, startSpread, false)
 	})
 	add(
 		"all-killed-first",
@@ -162,7 +162,7 @@
 			m.wipe()
 		}
 	}
-	if err := s.r.wait(restartAfter); err != nil {
+	if err := s.r.wait(restartDelay); err != nil {
 		return began, err
 	}
 	for _, m := range all {
@@ -174,8 +174,8 @@
 }
 
 // expect is for single calls: the fate that it must have.
-func expect(what string, m *machine, a answer, want ...fate) error {
-	if slices.Contains(want, a.fate()) {
+func expect(what string, m *machine, a answer, want ...orderOutcome) error {
+	if slices.Contains(want, a.orderOutcome()) {
 		return nil
 	}
 	return fmt.Errorf("%s at %s: %v", what, m.name, a)
--- a/internal/bench/controlplane/system.go
+++ b/internal/bench/controlplane/system.go
@@ -32,10 +32,10 @@
 }
 
 const (
-	machinesMost = 16
-	startWithin  = 300 * time.Millisecond // in which all start, in any order
-	watchEvery   = 120 * time.Millisecond
-	callFor      = time.Second // a caller's patience
+	maxMachines = 16
+	startSpread = 300 * time.Millisecond // in which all start, in any order
+	watchEvery  = 120 * time.Millisecond
+	callTimeout = time.Second // a caller's patience
 )
 
 var zones = []string{"a", "b", "c"}
@@ -65,8 +65,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := len(s.all)
-	if n == machinesMost {
-		return nil, fmt.Errorf("more than %d machines", machinesMost)
+	if n == maxMachines {
+		return nil, fmt.Errorf("more than %d machines", maxMachines)
 	}
 	m := &machine{s: s, name: fmt.Sprintf("core-%d", n+1), zone: zones[n%len(zones)], ip: fmt.Sprintf("%s.%d", s.net, n+1)}
 	m.disk = filepath.Join(s.dir, m.name)
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := s.start(startWithin); err != nil {
+	if err := s.start(startSpread); err != nil {
 		return nil, err
 	}
 	return s, s.orders("the start", time.Now(), 8*time.Second)
@@ -132,7 +132,7 @@
 func (s *system) list() (out []*machine) {
 	for _, m := range s.machines() {
 		m.mu.Lock()
-		if m.life > 0 && (m.lost.IsZero() || time.Since(m.lost) < seedLag) {
+		if m.incarnation > 0 && (m.lost.IsZero() || time.Since(m.lost) < seedLag) {
 			out = append(out, m)
 		}
 		m.mu.Unlock()
@@ -156,10 +156,10 @@
 
 // evidence adds to the journal how the core saw itself when its story fell short.
 func (s *system) evidence() {
-	ctx, cancel := context.WithTimeout(context.Background(), 2*callFor) // the play's own may be over
+	ctx, cancel := context.WithTimeout(context.Background(), 2*callTimeout) // the play's own may be over
 	defer cancel()
 	each(s.serving(), func(_ int, m *machine) {
-		if a := s.call(ctx, m, "core.status", "", nil, callFor); a.fate() == taken {
+		if a := s.call(ctx, m, "core.status", "", nil, callTimeout); a.orderOutcome() == committed {
 			s.r.log("%s: core.status: %s", m.name, a.body)
 		}
 	})
@@ -186,7 +186,7 @@
 		case <-time.After(watchEvery):
 		}
 		if all := s.list(); len(all) > 0 {
-			s.done.Go(func() { s.read(ctx, all[i%len(all)], callFor) })
+			s.done.Go(func() { s.read(ctx, all[i%len(all)], callTimeout) })
 		}
 	}
 }
--- a/internal/bench/discovery/registry.go
+++ b/internal/bench/discovery/registry.go
@@ -257,7 +257,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	plan := reconcile.Usual()
-	plan.Prefix, plan.Endpoints, plan.Hold = prefix, 1, hold
+	plan.Prefix, plan.Endpoints, plan.HistoryHold = prefix, 1, hold
 	plan.Changes, plan.Checks = kind == operatorfile.Etcd, kind == operatorfile.Etcd
 	o := operatorfile.Registry{Kind: kind, Endpoints: []string{ours.Addr()}, Plan: plan}
 	if kind == operatorfile.Consul {
--- a/internal/bench/gateway/beside.go
+++ b/internal/bench/gateway/beside.go
@@ -21,7 +21,7 @@
 	besideBackends = 6
 	besideSlots    = 64
 	besideRate     = 200 // requests/s
-	besideFor      = 8 * time.Second
+	playDuration   = 8 * time.Second
 	besideMany     = 20_000 // requests as fast as besideHands go
 	besideHands    = 8
 	besideIdle     = 6 * time.Second
@@ -124,7 +124,7 @@
 	var backends []*gateway.Backend
 	for i := range besideBackends {
 		b, err := gateway.StartBackend(fmt.Sprintf("i-%08x", i+1), gateway.ServiceName(0), besideZones[i%len(besideZones)],
-			fmt.Sprintf("%s.2.%d:8080", d.Net, i+1), besideSlots, 0, scaleBeat, d.Controls())
+			fmt.Sprintf("%s.2.%d:8080", d.Net, i+1), besideSlots, 0, heartbeatSeconds, d.Controls())
 		if err != nil {
 			return err
 		}
@@ -170,7 +170,7 @@
 	// At a rate: pairs in turn, so that both meet the same machine.
 	var added, one, other []float64
 	start, pause := time.Now(), time.Second/besideRate
-	for i := 0; time.Since(start) < besideFor; i++ {
+	for i := 0; time.Since(start) < playDuration; i++ {
 		time.Sleep(time.Until(start.Add(time.Duration(i) * pause)))
 		a := through.call(carrier.Front(), id())
 		b := direct.call(own[i%len(own)].Address, id())
@@ -342,7 +342,7 @@
 			net.JoinHostPort(fmt.Sprintf("%s.2.%d", d.Net, i+1), "8080"),
 			8,
 			20*time.Millisecond,
-			scaleBeat,
+			heartbeatSeconds,
 			d.Controls(),
 		)
 		if err != nil {
--- a/internal/bench/gateway/scale.go
+++ b/internal/bench/gateway/scale.go
@@ -21,13 +21,13 @@
 )
 
 // size of a scale run.
-type size struct{ controllers, carriers, backends, services, routes int }
+type size struct{ controllers, proxies, backends, services, routes int }
 
 func (s size) String() string {
 	return fmt.Sprintf(
 		"%d controllers, %d carriers, %d backends, %d services, %d routes",
 		s.controllers,
-		s.carriers,
+		s.proxies,
 		s.backends,
 		s.services,
 		s.routes,
@@ -37,27 +37,27 @@
 var (
 	small = size{5, 50, 500, 20, 380}
 	// The size that is asked for: 680 processes, five of them controllers.
-	whole = size{5, 675, 7100, 200, 3800}
+	fullSize = size{5, 675, 7100, 200, 3800}
 )
 
 // sizes vary one thing at a time from the small one, then all together.
 func sizes() []size {
 	return []size{small, {3, 50, 500, 20, 380}, {5, 200, 500, 20, 380}, {5, 400, 500, 20, 380}, {5, 680, 500, 20, 380},
 		{5, 50, 2000, 20, 380}, {5, 50, 7100, 20, 380}, {5, 50, 500, 100, 380}, {5, 50, 500, 200, 380},
-		{5, 50, 500, 20, 3800}, {5, 200, 2000, 60, 1100}, whole}
+		{5, 50, 500, 20, 3800}, {5, 200, 2000, 60, 1100}, fullSize}
 }
 
 const (
-	realCarriers = 2
-	scaleZones   = 10
-	scaleBeat    = 1.5
-	settleFor    = 9 * time.Second // after the start: joins, first tables
-	steadyFor    = 10 * time.Second
-	startMost    = 25 * time.Second
-	knownMost    = 12 * time.Second
-	memoryMost   = 10 << 30 // of all processes together
-	gently       = 40       // carriers a second
-	requestsAll  = 100_000  // a second that reports tell of at the whole size, spread over its carriers
+	realProxies      = 2
+	scaleZones       = 10
+	heartbeatSeconds = 1.5
+	settleTime       = 9 * time.Second // after the start: joins, first tables
+	steadyTime       = 10 * time.Second
+	startTimeout     = 25 * time.Second
+	notifyTimeout    = 12 * time.Second
+	maxMemory        = 10 << 30 // of all processes together
+	gently           = 40       // carriers a second
+	requestsAll      = 100_000  // a second that reports tell of at the whole size, spread over its carriers
 )
 
 func scaleCommand() *cobra.Command {
@@ -76,7 +76,7 @@
 					one,
 					"%d,%d,%d,%d,%d",
 					&s.controllers,
-					&s.carriers,
+					&s.proxies,
 					&s.backends,
 					&s.services,
 					&s.routes,
@@ -94,7 +94,7 @@
 	c.Flags().IntVar(
 		&requests,
 		"requests",
-		requestsAll/whole.carriers,
+		requestsAll/fullSize.proxies,
 		"a second that each hollow carrier's reports tell of",
 	)
 	c.Flags().IntVar(&joins, "joins", 0, "carriers a second that join after the backends; 0: all at once with them")
@@ -114,13 +114,13 @@
 type scaled struct {
 	size
 	cores, read, wrote, calls, resident, peak float64 // cores, bytes/s, calls/s, bytes
-	carrierIn, carrierOut                     float64 // bytes/s of a hollow carrier, all its lines
-	carrierCores, carrierResident             float64 // of a real one
+	proxyIn, proxyOut                         float64 // bytes/s of a hollow carrier, all its lines
+	proxyCores, proxyResident                 float64 // of a real one
 	framesIn, framesOut, tables               float64 // frames/s of all hollow carriers
-	beats                                     float64 // bytes/s of all beats, both ways
+	heartbeats                                float64 // bytes/s of all beats, both ways
 	start, configured, acked, drained         time.Duration
 	configCores, configBytes                  float64 // seconds of a core and bytes of one change, the busiest controller
-	charter                                   int     // bytes
+	configurationBytes                        int     // bytes
 	lost                                      int     // lines that broke during the steady state
 	broke                                     string
 }
@@ -140,18 +140,18 @@
 	}
 	spread := time.Duration(0)
 	if joins > 0 {
-		spread = time.Duration(s.carriers) * time.Second / time.Duration(joins)
+		spread = time.Duration(s.proxies) * time.Second / time.Duration(joins)
 	}
 	began := time.Now()
 	d, err := gateway.Start(
-		gateway.Plan{Programs: programs, Dir: dir, Controllers: s.controllers, Carrier: realCarriers, Zones: zones,
-			Faults: (s.controllers - 1) / 2, Beat: scaleBeat, Verbose: keep != ""},
+		gateway.Plan{Programs: programs, Dir: dir, Controllers: s.controllers, Carrier: realProxies, Zones: zones,
+			Faults: (s.controllers - 1) / 2, Beat: heartbeatSeconds, Verbose: keep != ""},
 	)
 	if err != nil {
 		return x, err
 	}
 	defer d.Stop()
-	ctx, cancel := context.WithTimeout(context.Background(), startMost+spread)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout+spread)
 	defer cancel()
 	operator, shape := &gateway.Operator{
 		Controls: d.Controls(),
@@ -161,23 +161,23 @@
 		Safe:     true,
 	}
 	text := gateway.Configuration(1, shape, 0)
-	x.charter = len(text)
+	x.configurationBytes = len(text)
 	if err := operator.Replace(ctx, text); err != nil {
 		return x, err
 	}
 	h := gateway.StartHollow(
 		d,
-		gateway.HollowPlan{Carriers: s.carriers, Backends: s.backends, Services: s.services, Zones: zones,
-			Beat: scaleBeat, Requests: requests, Seed: seed, Joins: joins},
+		gateway.HollowPlan{Carriers: s.proxies, Backends: s.backends, Services: s.services, Zones: zones,
+			Beat: heartbeatSeconds, Requests: requests, Seed: seed, Joins: joins},
 	)
 	defer h.Stop()
-	want := s.carriers * s.controllers
+	want := s.proxies * s.controllers
 	for lines, settled := 0, 0; lines < want || settled < want; lines, settled = h.Up() {
 		if ctx.Err() != nil {
-			x.broke = fmt.Sprintf("after %v only %d of %d lines stand, %d settled", startMost+spread, lines, want, settled)
+			x.broke = fmt.Sprintf("after %v only %d of %d lines stand, %d settled", startTimeout+spread, lines, want, settled)
 			break
 		}
-		if total := memory(d); total > memoryMost {
+		if total := memory(d); total > maxMemory {
 			x.broke = fmt.Sprintf("the processes hold %d MB", total>>20)
 			return x, nil
 		}
@@ -196,7 +196,7 @@
 		return x, nil
 	}
 	x.start = time.Since(began)
-	time.Sleep(settleFor)
+	time.Sleep(settleTime)
 	var before []gateway.Usage
 	for _, p := range append(append([]*gateway.Process(nil), d.Controllers...), d.Carriers...) {
 		u, err := p.Usage()
@@ -206,7 +206,7 @@
 		before = append(before, u)
 	}
 	said, at := h.Said(), time.Now()
-	time.Sleep(steadyFor)
+	time.Sleep(steadyTime)
 	now, span := h.Said(), time.Since(at).Seconds()
 	for i, p := range append(append([]*gateway.Process(nil), d.Controllers...), d.Carriers...) {
 		u, err := p.Usage()
@@ -215,7 +215,7 @@
 		}
 		r := u.Since(before[i])
 		if i >= len(d.Controllers) {
-			x.carrierCores, x.carrierResident = max(x.carrierCores, r.Cores), max(x.carrierResident, float64(u.Resident))
+			x.proxyCores, x.proxyResident = max(x.proxyCores, r.Cores), max(x.proxyResident, float64(u.Resident))
 			continue
 		}
 		x.cores, x.read, x.wrote, x.calls = max(
@@ -234,16 +234,16 @@
 		x.resident, x.peak = max(x.resident, float64(u.Resident)), max(x.peak, float64(u.Peak))
 	}
 	per := func(a, b int64) float64 { return float64(b-a) / span }
-	x.carrierIn, x.carrierOut = per(
+	x.proxyIn, x.proxyOut = per(
 		said.LinesIn,
 		now.LinesIn,
 	)/float64(
-		s.carriers,
+		s.proxies,
 	), per(
 		said.LinesOut,
 		now.LinesOut,
 	)/float64(
-		s.carriers,
+		s.proxies,
 	)
 	x.framesIn, x.framesOut, x.tables = per(
 		said.FramesIn,
@@ -255,15 +255,15 @@
 		said.Tables,
 		now.Tables,
 	)
-	x.beats = per(said.BeatsIn+said.BeatsOut, now.BeatsIn+now.BeatsOut)
+	x.heartbeats = per(said.BeatsIn+said.BeatsOut, now.BeatsIn+now.BeatsOut)
 	lines, _ := h.Up()
 	x.lost = want - lines
 	if before, err = usages(d.Controllers); err != nil {
 		return x, err
 	}
 	text = gateway.Configuration(2, shape, 1)
-	x.acked, x.configured, err = h.Configured(2, knownMost, func() error {
-		ctx, cancel := context.WithTimeout(context.Background(), knownMost)
+	x.acked, x.configured, err = h.Configured(2, notifyTimeout, func() error {
+		ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 		defer cancel()
 		return operator.Replace(ctx, text)
 	})
@@ -281,7 +281,7 @@
 		x.configBytes = max(x.configBytes, float64(after[i].Wrote-before[i].Wrote)-idle*x.wrote)
 	}
 	for i := range 5 {
-		if _, known := h.Drain(i*s.backends/5, knownMost); known == 0 {
+		if _, known := h.Drain(i*s.backends/5, notifyTimeout); known == 0 {
 			x.drained = 0
 			break
 		} else {
@@ -325,11 +325,11 @@
 			"controllers and %d carriers as processes, hollow carriers and backends in another (columns of a carrier: "+
 				"bytes of a hollow one, core and MB of the real ones, without traffic); %d zones, beats each %.1f s, reports "+
 				"of %d requests/s a carrier, %v of steady state; the busiest controller; other work ran on the machine",
-			realCarriers,
+			realProxies,
 			scaleZones,
-			scaleBeat,
+			heartbeatSeconds,
 			requests,
-			steadyFor,
+			steadyTime,
 		),
 		"core %",
 		"MB now",
@@ -398,12 +398,12 @@
 			f(x.wrote/1e3),
 			f(x.calls),
 			f(
-				x.carrierIn/1e3,
+				x.proxyIn/1e3,
 			),
-			f(x.carrierOut/1e3),
-			f(x.carrierCores*100),
-			f(x.carrierResident/1e6),
-			f(x.beats/1e3),
+			f(x.proxyOut/1e3),
+			f(x.proxyCores*100),
+			f(x.proxyResident/1e6),
+			f(x.heartbeats/1e3),
 			f(x.tables),
 			seconds(x.start),
 			seconds(x.configured),
@@ -418,7 +418,7 @@
 	last := out[len(out)-1]
 	if len(all) > 1 {
 		r.Row("slopes: core % a thousand; KB each; B/s each in and out")
-		slope(r, out, "carriers", func(s size) int { return s.carriers })
+		slope(r, out, "carriers", func(s size) int { return s.proxies })
 		slope(r, out, "backends", func(s size) int { return s.backends })
 		slope(r, out, "services", func(s size) int { return s.services })
 		slope(r, out, "routes", func(s size) int { return s.routes })
@@ -437,7 +437,7 @@
 			heard++
 		}
 	}
-	r.Expect(fmt.Sprintf("changes and drains that all carriers heard of within %v", knownMost), heard, wanted)
+	r.Expect(fmt.Sprintf("changes and drains that all carriers heard of within %v", notifyTimeout), heard, wanted)
 	if w.Out != "" {
 		if err := drawScale(w, name, out); err != nil {
 			return err
@@ -467,7 +467,7 @@
 		alone := small
 		switch name {
 		case "carriers":
-			alone.carriers = x.carriers
+			alone.proxies = x.proxies
 		case "backends":
 			alone.backends = x.backends
 		case "services":
@@ -516,10 +516,10 @@
 		of   func(size) int
 		top  int
 	}{
-		{"carriers alone", func(s size) int { return s.carriers }, whole.carriers},
-		{"backends alone", func(s size) int { return s.backends }, whole.backends},
-		{"services alone", func(s size) int { return s.services }, whole.services},
-		{"routes alone", func(s size) int { return s.routes }, whole.routes},
+		{"carriers alone", func(s size) int { return s.proxies }, fullSize.proxies},
+		{"backends alone", func(s size) int { return s.backends }, fullSize.backends},
+		{"services alone", func(s size) int { return s.services }, fullSize.services},
+		{"routes alone", func(s size) int { return s.routes }, fullSize.routes},
 		{"all together", nil, 1},
 	}
 	for i, c := range curves {
@@ -530,7 +530,7 @@
 			}
 			differ := 0
 			for _, d := range []bool{
-				x.carriers != small.carriers,
+				x.proxies != small.proxies,
 				x.backends != small.backends,
 				x.services != small.services,
 				x.routes != small.routes,
@@ -541,7 +541,7 @@
 			}
 			switch {
 			case c.of == nil && (differ == 4 || differ == 0):
-				points = append(points, plotter.XY{X: float64(x.backends) / float64(whole.backends), Y: x.cores * 100})
+				points = append(points, plotter.XY{X: float64(x.backends) / float64(fullSize.backends), Y: x.cores * 100})
 			case c.of != nil && (differ == 0 || differ == 1 && c.of(x.size) != c.of(small)):
 				points = append(points, plotter.XY{X: float64(c.of(x.size)) / float64(c.top), Y: x.cores * 100})
 			}
--- a/internal/controller/command/memory.go
+++ b/internal/controller/command/memory.go
@@ -42,7 +42,7 @@
 	figures []warmstart.Believe // what else is believed
 
 	mu       sync.Mutex
-	recall   *warmstart.Recall
+	recall   *warmstart.Session
 	listed   map[string]reconcile.Member
 	revision int64
 	holds    bool             // the source answers
--- a/internal/controller/discovery/consul/consul.go
+++ b/internal/controller/discovery/consul/consul.go
@@ -1,5 +1,5 @@
 // Package consul asks Consul's key-value store by its published HTTP API, with reads that block. What it hears
-// it hands to a reconcile.Roster, which decides. The API tells no deletions and no changes, only an index: a small
+// it hands to a reconcile.Reconciler, which decides. The API tells no deletions and no changes, only an index: a small
 // read blocks on that, and the Roster asks for the whole list when it has moved.
 package consul
 
@@ -106,7 +106,7 @@
 		return f.why
 	case errors.Is(err, fasthttp.ErrTimeout), errors.Is(err, fasthttp.ErrTLSHandshakeTimeout),
 		errors.As(err, &late) && late.Timeout():
-		return reconcile.Silent
+		return reconcile.TimedOut
 	case discovery.Refuses(err):
 		return reconcile.Certificate
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
--- a/internal/controller/discovery/etcd/etcd.go
+++ b/internal/controller/discovery/etcd/etcd.go
@@ -1,6 +1,6 @@
 // Package etcd asks an etcd v3 cluster by its published API over gRPC. It uses the API's messages and not the
 // client library, which resumes watches by itself and so hides which registry answers after a break; see
-// docs/notes/registry.md. What it hears it hands to a reconcile.Roster, which decides.
+// docs/notes/registry.md. What it hears it hands to a reconcile.Reconciler, which decides.
 package etcd
 
 import (
@@ -149,7 +149,7 @@
 		}
 		return reconcile.Lost
 	case codes.DeadlineExceeded:
-		return reconcile.Silent
+		return reconcile.TimedOut
 	case codes.Unauthenticated:
 		return reconcile.Token
 	case codes.PermissionDenied:
@@ -242,7 +242,7 @@
 		try, err = o.Try, s.check(ctx, o, say)
 	case reconcile.Watch:
 		try, err = o.Try, s.follow(ctx, o, say)
-	case reconcile.Ask:
+	case reconcile.RequestProgress:
 		s.ask(o.Try)
 	}
 	if err == nil || ctx.Err() != nil {
--- a/internal/controller/discovery/watch/cases_test.go
+++ b/internal/controller/discovery/watch/cases_test.go
@@ -63,7 +63,7 @@
 type server interface {
 	Addr() string
 	Stop()
-	Silent(bool)
+	SetUnresponsive(bool)
 	Expire()
 }
 
@@ -226,7 +226,7 @@
 				s := link.Calm
 				s.Split = 1 + int(at+int64(n))%40
 				if n%2 == 0 && n < 6 {
-					s.Down = link.Fate{After: at, Kind: link.Cut}
+					s.Down = link.Disturbance{After: at, Kind: link.Break}
 				}
 				return s
 			})
@@ -259,7 +259,7 @@
 		for seed := range uint64(12) {
 			r := newRig(t, kind, nil)
 			r.link.Become(func(n int) link.Script {
-				s := link.Drawn(seed, n, 1200, link.Cut)
+				s := link.Drawn(seed, n, 1200, link.Break)
 				if s.Delay = 100 * time.Microsecond; n%4 == 3 {
 					s.Down.After = -1
 				}
@@ -292,25 +292,25 @@
 			r.link.Become(func(n int) link.Script {
 				s := link.Calm
 				if n < 2 {
-					s.Down = link.Fate{After: at, Kind: link.Silence}
+					s.Down = link.Disturbance{After: at, Kind: link.Stall}
 				}
 				return s
 			})
 			r.put("a", reconcile.Serving)
 			p := r.plan()
-			p.Ask, p.Answer = 50*time.Millisecond, 300*time.Millisecond
+			p.ProgressInterval, p.Answer = 50*time.Millisecond, 300*time.Millisecond
 			if kind == "etcd" {
-				p.Silence = 200 * time.Millisecond
+				p.WatchTimeout = 200 * time.Millisecond
 			}
 			r.begin(p, discovery.Access{})
 			r.until(map[string]string{"a": "SERVING"})
 			r.put("a", reconcile.Draining)
 			r.put("b", reconcile.Serving)
 			r.until(map[string]string{"a": "DRAINING", "b": "SERVING"})
-			r.server.Silent(true)
+			r.server.SetUnresponsive(true)
 			r.note("silent")
 			r.store.Delete(prefix + "/b")
-			r.server.Silent(false)
+			r.server.SetUnresponsive(false)
 			r.until(map[string]string{"a": "DRAINING"})
 			r.f.Stop()
 		}
@@ -361,14 +361,14 @@
 	r.put("a", reconcile.Serving)
 	r.begin(r.plan(), discovery.Access{})
 	r.until(map[string]string{"a": "SERVING"})
-	r.server.Silent(true)
+	r.server.SetUnresponsive(true)
 	for range 5 {
 		r.put("a", reconcile.Draining)
 		r.put("a", reconcile.Serving)
 	}
 	r.put("a", reconcile.Draining)
 	r.store.Compact(0)
-	r.server.Silent(false)
+	r.server.SetUnresponsive(false)
 	r.note("compacted away")
 	r.until(map[string]string{"a": "DRAINING"})
 }
@@ -384,7 +384,7 @@
 			r.put("c", reconcile.Serving)
 			old := r.store.Save()
 			p := r.plan()
-			p.Hold = 400 * time.Millisecond
+			p.HistoryHold = 400 * time.Millisecond
 			r.begin(p, discovery.Access{})
 			r.until(map[string]string{"a": "SERVING", "b": "SERVING", "c": "SERVING"})
 			r.put("a", reconcile.Draining)
@@ -475,13 +475,13 @@
 			faults[r.note("read past").Key] = true
 		}
 		if kind == "etcd" {
-			r.server.Silent(true)
+			r.server.SetUnresponsive(true)
 		}
 		r.put("good", reconcile.Draining)
 		r.put("good", reconcile.Serving)
 		r.put("good", reconcile.Draining)
 		if kind == "etcd" {
-			r.server.Silent(false)
+			r.server.SetUnresponsive(false)
 		}
 		r.until(map[string]string{"good": "DRAINING"})
 		if kind == "etcd" {
--- a/internal/controller/discovery/watch/follow.go
+++ b/internal/controller/discovery/watch/follow.go
@@ -1,4 +1,4 @@
-// Package watch puts a reconcile.Roster between a key-value registry and the desk: one goroutine owns the Roster,
+// Package watch puts a reconcile.Reconciler between a key-value registry and the desk: one goroutine owns the Roster,
 // carries out what it orders at a Source, and tells the desk what it tells. It decides nothing.
 package watch
 
@@ -23,7 +23,7 @@
 
 // Follower follows one registry.
 type Follower struct {
-	roster *reconcile.Roster
+	roster *reconcile.Reconciler
 	source Source
 	names  []string // of the endpoints, for the log
 	tell   func(any)
@@ -115,7 +115,7 @@
 				f.do(begin(o.Try), o)
 			case reconcile.Watch:
 				f.do(begin(o.Try), o)
-			case reconcile.Ask:
+			case reconcile.RequestProgress:
 				f.do(begin(o.Try), o)
 			}
 		}
--- a/internal/controller/operatorfile/operator.go
+++ b/internal/controller/operatorfile/operator.go
@@ -423,13 +423,13 @@
 		"value-limit":   r.size(&p.MostValue, 64, 1<<20),
 		"keys-limit":    r.count(&p.MostKeys, 1, 1_000_000),
 		"answer":        r.span(&p.Answer, 100*time.Millisecond, time.Minute),
-		"silence":       r.span(&p.Silence, quietest, 10*time.Second),
+		"silence":       r.span(&p.WatchTimeout, quietest, 10*time.Second),
 		"pause":         r.span(&p.Pause, time.Millisecond, 10*time.Second),
 		"pause-limit":   r.span(&p.Pauses, time.Millisecond, time.Minute),
 		"refusal-limit": r.span(&p.Refusals, time.Millisecond, time.Hour),
 		"spread":        r.span(&p.Spread, 0, time.Minute),
 		"read-gap":      r.span(&p.ReadGap, 0, time.Minute),
-		"hold":          r.span(&p.Hold, 0, time.Hour),
+		"hold":          r.span(&p.HistoryHold, 0, time.Hour),
 		"keep-ends":     r.span(&p.KeepEnds, time.Second, 240*time.Hour),
 		"ends-limit":    r.count(&p.MostEnds, 0, 1_000_000),
 		"shrink":        r.part(&p.Shrink),
@@ -438,7 +438,7 @@
 		rules["user"] = r.word(&a.User, "elmfold")
 		rules["password-file"] = r.word(&a.PasswordFile, "/etc/elmfold/password")
 		rules["page"] = r.count(&p.Page, 1, 10000)
-		rules["ask"] = r.span(&p.Ask, 50*time.Millisecond, 10*time.Second)
+		rules["ask"] = r.span(&p.ProgressInterval, 50*time.Millisecond, 10*time.Second)
 		rules["audit"] = r.span(&p.Audit, 0, 24*time.Hour)
 	} else {
 		rules["login"] = rule{
@@ -476,12 +476,12 @@
 		r.fault(last("token-file", "user", "login"), "keep one of them", "a token and another way to be let in")
 	case (files.Cert == "") != (files.Key == ""):
 		r.fault(last("tls-cert", "tls-key"), "write tls-cert and tls-key, both", "half of a certificate and its key")
-	case g.Kind == Etcd && p.Ask >= p.Silence:
+	case g.Kind == Etcd && p.ProgressInterval >= p.WatchTimeout:
 		r.fault(
 			last("ask", "silence"),
-			fmt.Sprintf("write ask under silence, which is %v", p.Silence),
+			fmt.Sprintf("write ask under silence, which is %v", p.WatchTimeout),
 			"ask %v leaves no time to answer",
-			p.Ask,
+			p.ProgressInterval,
 		)
 	case p.Pause > p.Pauses:
 		r.fault(
--- a/internal/controller/operatorfile/operator_test.go
+++ b/internal/controller/operatorfile/operator_test.go
@@ -25,7 +25,7 @@
 	}
 	want := reconcile.Usual()
 	want.Endpoints, want.Prefix, want.Changes, want.Checks = 3, "/elmfold/back ends", true, true
-	want.Page, want.MostValue, want.Hold, want.Shrink, want.Audit = 1000, 4<<10, 45*time.Second, 0.3, 0
+	want.Page, want.MostValue, want.HistoryHold, want.Shrink, want.Audit = 1000, 4<<10, 45*time.Second, 0.3, 0
 	if g := f.Registry; g.Kind != Etcd || g.Plan != want ||
 		!reflect.DeepEqual(g.Endpoints, []string{"10.3.0.1:2379", "10.3.0.2:2379", "[fd00::3]:2379"}) ||
 		!reflect.DeepEqual(
--- a/internal/controller/peersync/peer_test.go
+++ b/internal/controller/peersync/peer_test.go
@@ -57,7 +57,7 @@
 		l, err := link.New(s.Addr(), func(n int) link.Script {
 			script := link.Calm
 			if n == 0 {
-				script.Down = link.Fate{After: at, Kind: link.Cut}
+				script.Down = link.Disturbance{After: at, Kind: link.Break}
 			}
 			return script
 		})
@@ -83,7 +83,7 @@
 	_ = ln.Close()
 	silent, err := link.New(good.Addr(), func(int) link.Script {
 		s := link.Calm
-		s.Down = link.Fate{After: 100, Kind: link.Silence}
+		s.Down = link.Disturbance{After: 100, Kind: link.Stall}
 		return s
 	})
 	if err != nil {
--- a/internal/controller/pubsub/channel_test.go
+++ b/internal/controller/pubsub/channel_test.go
@@ -234,7 +234,7 @@
 	h := open(t, pubsub.Plan{}, "s-0", "s-1", "s-2", "s-3")
 	l, err := link.New(h.hub.Addr(), func(n int) link.Script {
 		s := link.Calm
-		s.Down = link.Fate{After: int64(n) * 7, Kind: link.Cut}
+		s.Down = link.Disturbance{After: int64(n) * 7, Kind: link.Break}
 		s.Split = 11
 		return s
 	})
--- a/internal/controller/reconcile/cases_test.go
+++ b/internal/controller/reconcile/cases_test.go
@@ -13,7 +13,7 @@
 // bench drives a Roster by hand in virtual time.
 type bench struct {
 	*testing.T
-	r   *Roster
+	r   *Reconciler
 	s   store
 	now Time
 	out []Order // of the last step
@@ -106,7 +106,7 @@
 	b.s.put("p/a", value(Draining, 1), false)
 	spoke := b.now
 	b.due()
-	if one[Ask](b).Try != w.Try || b.now > spoke+time.Second {
+	if one[RequestProgress](b).Try != w.Try || b.now > spoke+time.Second {
 		t.Errorf("progress is asked for after %v", b.now-spoke)
 	}
 	b.step(Progress{Try: w.Try, History: 7, Revision: 2})
--- a/internal/controller/reconcile/model_test.go
+++ b/internal/controller/reconcile/model_test.go
@@ -127,7 +127,7 @@
 // world is a roster with a registry, and what the desk was told.
 type world struct {
 	*rapid.T
-	r       *Roster
+	r       *Reconciler
 	s       store
 	now     Time
 	told    map[string]Member
@@ -162,7 +162,7 @@
 			if !w.mute {
 				w.waiting = append(w.waiting, w.s.answer(o))
 			}
-		case Ask:
+		case RequestProgress:
 			if !w.mute && w.watch != nil {
 				w.flow(1 << 30)
 				w.waiting = append(w.waiting, Progress{Try: o.Try, History: w.s.id, Revision: w.s.revision})
@@ -207,7 +207,7 @@
 // check compares what was told with what the registry held at the revision that the roster says it knows.
 func (w *world) check() {
 	if w.blind && w.r.phase == watching && (w.r.plan.Changes || w.fresh) {
-		w.blind, w.till = false, w.now+w.r.plan.Hold
+		w.blind, w.till = false, w.now+w.r.plan.HistoryHold
 		for _, f := range w.firm {
 			if f.till == 0 {
 				f.till = w.till
@@ -217,7 +217,7 @@
 	if !w.r.have || w.blind {
 		return
 	}
-	if len(w.r.told) > 0 {
+	if len(w.r.reported) > 0 {
 		w.Fatal("changes are not told")
 	}
 	want := w.s.readable(w.r.revision)
@@ -288,7 +288,7 @@
 func newWorld(t *rapid.T, changes bool) *world {
 	plan := Usual()
 	plan.Seed, plan.Prefix, plan.Page, plan.Changes, plan.Checks, plan.Endpoints = "m", "p", 3, changes, changes, 3
-	plan.MostValue, plan.Hold = 1000, 5*time.Second
+	plan.MostValue, plan.HistoryHold = 1000, 5*time.Second
 	return &world{T: t, r: New(plan), s: store{id: 7}, told: map[string]Member{}, ends: map[string]bool{},
 		firm: map[string]*stand{}}
 }
--- a/internal/controller/reconcile/roster.go
+++ b/internal/controller/reconcile/roster.go
@@ -27,30 +27,43 @@
 	MostValue int // bytes of a value
 	MostKeys  int // of a whole list; beyond that it is refused
 
-	Ask      Time // without a word, after which progress is asked for
-	Silence  Time // without a word, after which a watch is given up
-	Answer   Time // that any other answer may take
-	Audit    Time // between two checks of what is held
-	Pause    Time // after a first failure
-	Pauses   Time // at most, while the registry is out of reach
-	Refusals Time // at most, while it refuses us
-	Spread   Time // over which controllers that all need the whole list ask for it
-	ReadGap  Time // between the beginnings of two whole reads
-
-	Hold     Time    // that a drain or an end stands against a list of another history
-	KeepEnds Time    // that an end is remembered
-	MostEnds int     // ... of so many backends at most, the latest
-	Shrink   float64 // part of the list that is told to people when it ends at once
+	ProgressInterval Time // without a word, after which progress is asked for
+	WatchTimeout     Time // without a word, after which a watch is given up
+	Answer           Time // that any other answer may take
+	Audit            Time // between two checks of what is held
+	Pause            Time // after a first failure
+	Pauses           Time // at most, while the registry is out of reach
+	Refusals         Time // at most, while it refuses us
+	Spread           Time // over which controllers that all need the whole list ask for it
+	ReadGap          Time // between the beginnings of two whole reads
+
+	HistoryHold Time    // that a drain or an end stands against a list of another history
+	KeepEnds    Time    // that an end is remembered
+	MostEnds    int     // ... of so many backends at most, the latest
+	Shrink      float64 // part of the list that is told to people when it ends at once
 }
 
 // Usual is the Plan with every figure that an operator may leave out.
 func Usual() Plan {
 	return Plan{
-		Endpoints: 1, Page: 500, MostPage: 16000, MostValue: 64 << 10, MostKeys: 200000,
-		Ask: 700 * time.Millisecond, Silence: 1900 * time.Millisecond, Answer: 2 * time.Second, Audit: time.Minute,
-		Pause: 50 * time.Millisecond, Pauses: 800 * time.Millisecond, Refusals: 30 * time.Second,
-		Spread: 700 * time.Millisecond, ReadGap: 250 * time.Millisecond,
-		Hold: 30 * time.Second, KeepEnds: time.Hour, MostEnds: 20000, Shrink: 0.5,
+		Endpoints:        1,
+		Page:             500,
+		MostPage:         16000,
+		MostValue:        64 << 10,
+		MostKeys:         200000,
+		ProgressInterval: 700 * time.Millisecond,
+		WatchTimeout:     1900 * time.Millisecond,
+		Answer:           2 * time.Second,
+		Audit:            time.Minute,
+		Pause:            50 * time.Millisecond,
+		Pauses:           800 * time.Millisecond,
+		Refusals:         30 * time.Second,
+		Spread:           700 * time.Millisecond,
+		ReadGap:          250 * time.Millisecond,
+		HistoryHold:      30 * time.Second,
+		KeepEnds:         time.Hour,
+		MostEnds:         20000,
+		Shrink:           0.5,
 	}
 }
 
@@ -135,7 +148,7 @@
 // Reasons. From Password on the registry was reached and refuses us.
 const (
 	Lost        Why = iota // the connection was refused or broke
-	Silent                 // no answer in time
+	TimedOut               // no answer in time
 	Odd                    // an answer that makes no sense
 	Password               // wrong user or password
 	Token                  // a token that is expired or unknown
@@ -175,8 +188,8 @@
 	AtOnce        bool
 }
 
-// Ask asks a watch for progress.
-type Ask struct{ Try int }
+// RequestProgress asks a watch for progress.
+type RequestProgress struct{ Try int }
 
 // Leave ends what is under way for a try, with its connection.
 type Leave struct{ Try int }
--- a/internal/controller/reconcile/rules_test.go
+++ b/internal/controller/reconcile/rules_test.go
@@ -74,7 +74,7 @@
 // house is a Roster before a desk with the real module and one proxy, in virtual time.
 type house struct {
 	*testing.T
-	r   *reconcile.Roster
+	r   *reconcile.Reconciler
 	d   *eventloop.Loop
 	p   *proxy
 	now time.Duration
--- a/internal/controller/reconcile/settle.go
+++ b/internal/controller/reconcile/settle.go
@@ -19,14 +19,14 @@
 
 // entry is a key: what the registry says now, and what the desk was told. A member without an id is none.
 type entry struct {
-	now, told Member
-	mod       int64  // revision that it was last changed at
-	sum       uint64 // of its value
-	bad       int64  // ... at which its value could not be read
-	present   bool   // the registry has the key
-	until     Time   // till then what was told stands against now; 0: it does not
-	endedAt   Time   // when its end was told; of use while told is none
-	ended     bool
+	now, reported Member
+	mod           int64  // revision that it was last changed at
+	sum           uint64 // of its value
+	bad           int64  // ... at which its value could not be read
+	present       bool   // the registry has the key
+	holdUntil     Time   // till then what was told stands against now; 0: it does not
+	endedAt       Time   // when its end was told; of use while told is none
+	ended         bool
 }
 
 // print is what a Checked must say.
@@ -36,8 +36,8 @@
 	mod      int64
 }
 
-// Roster holds the list. Use it from one goroutine.
-type Roster struct {
+// Reconciler holds the list. Use it from one goroutine.
+type Reconciler struct {
 	plan    Plan
 	now     Time
 	entries map[string]*entry
@@ -49,20 +49,20 @@
 	ends     int  // ended since the last look at those that are remembered, and those
 	due      Time // of the first hold or remembered end that is over; 0: none
 
-	phase    phase
-	try      int
-	heard    Time // the last word of this try
-	asked    bool
-	until    Time // resting till then
-	needed   bool // the whole list, before a watch
-	sure     bool // since the last break it was checked, as far as can be, that the registry remembers our list
-	other    bool // it does not: the next whole list is of another history
-	lastRead Time
-	read     bool // lastRead is set
-	limit    int
-	expect   print
-	auditing bool
-	auditAt  Time
+	phase             phase
+	try               int
+	lastMessage       Time // the last word of this try
+	progressRequested bool
+	restUntil         Time // resting till then
+	needed            bool // the whole list, before a watch
+	sure              bool // since the last break it was checked, as far as can be, that the registry remembers our list
+	other             bool // it does not: the next whole list is of another history
+	lastRead          Time
+	read              bool // lastRead is set
+	limit             int
+	expect            print
+	auditing          bool
+	auditAt           Time
 
 	pages   []Raw // of the whole list that is being read
 	pagesAt int64
@@ -79,40 +79,40 @@
 	why     Why
 	noted   int
 
-	out  []Order
-	told []Member
+	out      []Order
+	reported []Member
 }
 
 // New makes a Roster that holds nothing. A Plan without an endpoint is a fault of the caller's.
-func New(plan Plan) *Roster {
+func New(plan Plan) *Reconciler {
 	if plan.Endpoints < 1 || plan.Page < 1 {
 		panic("roster: a plan without endpoints or pages")
 	}
-	r := &Roster{plan: plan, entries: map[string]*entry{}, limit: plan.Page}
+	r := &Reconciler{plan: plan, entries: map[string]*entry{}, limit: plan.Page}
 	r.shuffle()
 	return r
 }
 
-// Held is how many backends were told and are not ended, and the revision up to which all is known.
-func (r *Roster) Held() (backends int, revision int64) { return r.live, r.revision }
+// Current is how many backends were told and are not ended, and the revision up to which all is known.
+func (r *Reconciler) Current() (backends int, revision int64) { return r.live, r.revision }
 
 // Step takes what was heard in a moment, in order.
-func (r *Roster) Step(now Time, events []Event) []Order {
+func (r *Reconciler) Step(now Time, events []Event) []Order {
 	r.now, r.out, r.noted = max(now, r.now), nil, 0
 	for _, e := range events {
-		r.hear(e)
+		r.handle(e)
 	}
 	r.expire()
 	switch {
-	case r.phase == resting && r.now >= r.until:
+	case r.phase == resting && r.now >= r.restUntil:
 		r.begin()
-	case (r.phase == reading || r.phase == checking) && r.now >= r.heard+r.plan.Answer:
-		r.broken(Silent, fmt.Errorf("no answer in %v", r.plan.Answer))
-	case r.phase == watching && r.now >= r.heard+r.plan.Silence:
-		r.broken(Silent, fmt.Errorf("nothing came in %v, progress was asked for", r.plan.Silence))
-	case r.phase == watching && !r.asked && r.now >= r.heard+r.plan.Ask:
-		r.asked = true
-		r.order(Ask{r.try})
+	case (r.phase == reading || r.phase == checking) && r.now >= r.lastMessage+r.plan.Answer:
+		r.broken(TimedOut, fmt.Errorf("no answer in %v", r.plan.Answer))
+	case r.phase == watching && r.now >= r.lastMessage+r.plan.WatchTimeout:
+		r.broken(TimedOut, fmt.Errorf("nothing came in %v, progress was asked for", r.plan.WatchTimeout))
+	case r.phase == watching && !r.progressRequested && r.now >= r.lastMessage+r.plan.ProgressInterval:
+		r.progressRequested = true
+		r.order(RequestProgress{r.try})
 	}
 	if r.phase == watching && r.plan.Checks && r.plan.Audit > 0 && !r.auditing && r.now >= r.auditAt {
 		r.auditing = true
@@ -127,21 +127,21 @@
 const mostNotes = 20 // about entries, in one step
 
 // Next is the moment at which Step is due without any event.
-func (r *Roster) Next() Time {
+func (r *Reconciler) Next() Time {
 	var at Time
 	switch r.phase {
 	case resting:
-		at = r.until
+		at = r.restUntil
 	case watching:
-		at = r.heard + r.plan.Silence
-		if !r.asked {
-			at = r.heard + r.plan.Ask
+		at = r.lastMessage + r.plan.WatchTimeout
+		if !r.progressRequested {
+			at = r.lastMessage + r.plan.ProgressInterval
 		}
 		if r.plan.Checks && r.plan.Audit > 0 && !r.auditing {
 			at = min(at, r.auditAt)
 		}
 	default:
-		at = r.heard + r.plan.Answer
+		at = r.lastMessage + r.plan.Answer
 	}
 	if r.due > 0 {
 		at = min(at, r.due)
@@ -149,17 +149,17 @@
 	return at
 }
 
-func (r *Roster) order(o Order) { r.out = append(r.out, o) }
+func (r *Reconciler) order(o Order) { r.out = append(r.out, o) }
 
-func (r *Roster) note(n Note) { r.order(n) }
+func (r *Reconciler) note(n Note) { r.order(n) }
 
-func (r *Roster) chance() float64 {
+func (r *Reconciler) chance() float64 {
 	r.draws++
 	return chance(r.plan.Seed, r.draws)
 }
 
 // shuffle draws the order of a round of endpoints: two controllers seldom have the same.
-func (r *Roster) shuffle() {
+func (r *Reconciler) shuffle() {
 	r.turn, r.at = r.turn[:0], 0
 	keys := make([]float64, r.plan.Endpoints)
 	for i := range keys {
@@ -169,20 +169,20 @@
 	r.rounds++
 }
 
-func (r *Roster) endpoint() int { return r.turn[r.at] }
+func (r *Reconciler) endpoint() int { return r.turn[r.at] }
 
 // rest waits, and for a whole read as long as the last one asks for.
-func (r *Roster) rest(span Time) {
-	r.phase, r.until = resting, r.now+span
+func (r *Reconciler) rest(span Time) {
+	r.phase, r.restUntil = resting, r.now+span
 	if r.read && (r.needed || !r.have) {
-		r.until = max(r.until, r.lastRead+r.plan.ReadGap)
+		r.restUntil = max(r.restUntil, r.lastRead+r.plan.ReadGap)
 	}
 }
 
 // begin starts the next try: the whole list where it is needed, else on from the revision held.
-func (r *Roster) begin() {
+func (r *Reconciler) begin() {
 	r.try++
-	r.heard, r.asked, r.auditing, r.part = r.now, false, false, nil
+	r.lastMessage, r.progressRequested, r.auditing, r.part = r.now, false, false, nil
 	if r.have && r.plan.Checks && !r.sure {
 		r.phase = checking
 		r.check()
@@ -191,17 +191,17 @@
 	}
 }
 
-func (r *Roster) goOn() {
+func (r *Reconciler) goOn() {
 	if r.have && !r.needed {
 		r.watch()
 		return
 	}
-	r.phase, r.pages, r.heard, r.lastRead, r.read = reading, nil, r.now, r.now, true
+	r.phase, r.pages, r.lastMessage, r.lastRead, r.read = reading, nil, r.now, r.now, true
 	r.order(Read{Try: r.try, Endpoint: r.endpoint(), Limit: r.limit})
 }
 
-func (r *Roster) watch() {
-	r.phase, r.heard, r.asked, r.auditing = watching, r.now, false, false
+func (r *Reconciler) watch() {
+	r.phase, r.lastMessage, r.progressRequested, r.auditing = watching, r.now, false, false
 	r.auditAt = r.now + r.plan.Audit
 	// After a break an index may have gone back: one that is waited for would not come.
 	r.order(Watch{Try: r.try, Endpoint: r.endpoint(), After: r.revision, AtOnce: !r.plan.Changes && !r.sure})
@@ -209,7 +209,7 @@
 
 // check asks whether the registry remembers the list as we do. A registry that was restored and has since
 // passed the revision held shows it by nothing else.
-func (r *Roster) check() {
+func (r *Reconciler) check() {
 	r.expect = print{revision: r.revision}
 	for _, e := range r.entries {
 		if e.present {
@@ -220,18 +220,18 @@
 }
 
 // need leaves what is under way for a whole read within a span.
-func (r *Roster) need(span Time) {
+func (r *Reconciler) need(span Time) {
 	r.needed = true
 	r.rest(Time(float64(span) * r.chance()))
 }
 
-func (r *Roster) doubt(text string, revision int64) {
+func (r *Reconciler) readAgain(text string, revision int64) {
 	r.note(Note{Warn: true, Text: text, Endpoint: r.endpoint(), Revision: revision, Count: r.live})
 	r.need(r.plan.Spread)
 }
 
 // broken ends a try. Another endpoint is next at once; when all were tried, after a pause that grows.
-func (r *Roster) broken(why Why, err error) {
+func (r *Reconciler) broken(why Why, err error) {
 	if r.phase == resting {
 		return
 	}
@@ -260,33 +260,33 @@
 	r.rest(Time(float64(min(pause, most)) * (0.5 + 0.5*r.chance())))
 }
 
-func (r *Roster) answered() {
+func (r *Reconciler) answered() {
 	if r.down {
 		r.note(Note{Text: "registry answers again", Endpoint: r.endpoint(), Revision: r.revision, Count: r.live})
 	}
 	r.down, r.fails, r.refused = false, 0, 0
 }
 
-func (r *Roster) hear(e Event) {
+func (r *Reconciler) handle(e Event) {
 	switch e := e.(type) {
 	case Page:
 		if e.Try == r.try && r.phase == reading {
-			r.hearPage(e)
+			r.onPage(e)
 		}
 	case TooLarge:
 		if e.Try == r.try && r.phase == reading {
-			r.hearTooLarge()
+			r.onTooLarge()
 		}
 	case Checked:
 		if e.Try == r.try && (r.phase == checking || r.phase == watching && r.auditing) {
-			r.hearChecked(e)
+			r.onChecked(e)
 		}
 	case Opened, Progress, Changes:
 		if r.phase == watching {
-			r.hearWatch(e)
+			r.onWatch(e)
 		}
 	case Compacted:
-		r.hearCompacted(e)
+		r.onCompacted(e)
 	case Broken:
 		if e.Try == r.try {
 			r.broken(e.Why, e.Err)
@@ -298,8 +298,8 @@
 	}
 }
 
-// hearTooLarge reads on by smaller pages.
-func (r *Roster) hearTooLarge() {
+// onTooLarge reads on by smaller pages.
+func (r *Reconciler) onTooLarge() {
 	if r.limit == 1 {
 		r.broken(Odd, fmt.Errorf("one entry does not fit into an answer"))
 		return
@@ -308,36 +308,36 @@
 	r.need(0)
 }
 
-// hearWatch takes what the current watch says.
-func (r *Roster) hearWatch(e Event) {
+// onWatch takes what the current watch says.
+func (r *Reconciler) onWatch(e Event) {
 	switch e := e.(type) {
 	case Opened:
 		if e.Try != r.try {
 			return
 		}
 		// A lower revision is a member's that lags: what we hold was checked with the registry just now.
-		if r.word(); e.History != r.history {
-			r.doubt("the watch is another registry's; its whole list is read", e.Revision)
+		if r.noteMessage(); e.History != r.history {
+			r.readAgain("the watch is another registry's; its whole list is read", e.Revision)
 		}
 	case Progress:
 		if e.Try == r.try {
-			r.hearProgress(e)
+			r.onProgress(e)
 		}
 	case Changes:
 		if e.Try == r.try {
-			r.hearChanges(e)
+			r.onChanges(e)
 		}
 	}
 }
 
-// word notes a sign of life.
-func (r *Roster) word() {
-	r.heard, r.asked = r.now, false
+// noteMessage notes a sign of life.
+func (r *Reconciler) noteMessage() {
+	r.lastMessage, r.progressRequested = r.now, false
 	r.answered()
 }
 
-func (r *Roster) hearPage(e Page) {
-	r.heard = r.now
+func (r *Reconciler) onPage(e Page) {
+	r.lastMessage = r.now
 	first := len(r.pages) == 0
 	if first {
 		r.pagesAt, r.pagesOf = e.Revision, e.History
@@ -356,15 +356,15 @@
 	default:
 		r.pages = append(r.pages, e.Entries...)
 		r.answered()
-		r.settle()
+		r.reconcile()
 		r.pages, r.limit, r.needed = nil, min(r.limit, r.plan.Page), false
 		// The watch goes on from here within the same try: the connection is there already.
 		r.watch()
 	}
 }
 
-func (r *Roster) hearChecked(e Checked) {
-	r.heard = r.now
+func (r *Reconciler) onChecked(e Checked) {
+	r.lastMessage = r.now
 	audit := r.auditing
 	r.auditing, r.auditAt, r.sure = false, r.now+r.plan.Audit, true
 	last, ok := r.entries[e.Last.Key]
@@ -374,37 +374,37 @@
 	r.other = r.other || !same
 	switch {
 	case e.History != r.history || e.Now < r.expect.revision:
-		r.doubt("the registry is another one, or was restored; its whole list is read", e.Now)
+		r.readAgain("the registry is another one, or was restored; its whole list is read", e.Now)
 	case !same:
-		r.doubt("the registry remembers another list at the revision held; its whole list is read", e.Now)
+		r.readAgain("the registry remembers another list at the revision held; its whole list is read", e.Now)
 	case !audit:
 		r.answered()
 		r.goOn()
 	}
 }
 
-func (r *Roster) hearProgress(e Progress) {
-	r.word()
+func (r *Reconciler) onProgress(e Progress) {
+	r.noteMessage()
 	r.sure = true
 	switch {
 	case e.History != r.history:
-		r.doubt("progress is another registry's; its whole list is read", e.Revision)
+		r.readAgain("progress is another registry's; its whole list is read", e.Revision)
 	case r.plan.Changes:
 		// A lower revision is that of a member that lags.
 		if len(r.part) == 0 {
 			r.revision = max(r.revision, e.Revision)
 		}
 	case e.Revision < r.revision:
-		r.doubt("the registry's index went back; its whole list is read", e.Revision)
+		r.readAgain("the registry's index went back; its whole list is read", e.Revision)
 	case e.Revision > r.revision:
 		r.need(r.plan.ReadGap)
 	}
 }
 
-func (r *Roster) hearChanges(e Changes) {
-	r.word()
+func (r *Reconciler) onChanges(e Changes) {
+	r.noteMessage()
 	if e.History != r.history {
-		r.doubt("changes are another registry's; its whole list is read", 0)
+		r.readAgain("changes are another registry's; its whole list is read", 0)
 		return
 	}
 	for _, c := range e.Changes {
@@ -433,13 +433,13 @@
 	r.shrunk(before)
 }
 
-func (r *Roster) hearCompacted(e Compacted) {
+func (r *Reconciler) onCompacted(e Compacted) {
 	if e.Try != r.try || r.phase == resting {
 		return
 	}
 	if e.Check && r.phase == watching {
 		// What changed since is on its way by the watch; an older list cannot be compared any more.
-		r.heard, r.auditing, r.auditAt = r.now, false, r.now+r.plan.Audit
+		r.lastMessage, r.auditing, r.auditAt = r.now, false, r.now+r.plan.Audit
 		return
 	}
 	if r.phase == reading {
@@ -456,7 +456,7 @@
 }
 
 // key gives the entry of a key, a new one if there is none.
-func (r *Roster) key(key string) *entry {
+func (r *Reconciler) key(key string) *entry {
 	e, ok := r.entries[key]
 	if !ok {
 		e = &entry{}
@@ -467,7 +467,7 @@
 
 // take puts what the registry holds into an entry. A value that cannot be read leaves the backend as it was
 // told: a slip of the pen is no end.
-func (r *Roster) take(e *entry, c Raw) {
+func (r *Reconciler) take(e *entry, c Raw) {
 	e.mod, e.present, e.sum = c.Mod, !c.Gone, sum(c.Value)
 	if c.Gone {
 		e.now = Member{}
@@ -475,7 +475,7 @@
 	}
 	m, err := ParseValue(r.plan.Prefix, c.Key, c.Value, r.plan.MostValue)
 	if err != nil {
-		if e.now = e.told; e.bad != c.Mod {
+		if e.now = e.reported; e.bad != c.Mod {
 			e.bad = c.Mod
 			r.readPast(c, err)
 		}
@@ -486,7 +486,7 @@
 	}
 }
 
-func (r *Roster) readPast(c Raw, err error) {
+func (r *Reconciler) readPast(c Raw, err error) {
 	if r.noted++; r.noted <= mostNotes {
 		r.note(Note{Warn: true, Text: "an entry is read past", Key: c.Key, Reason: err.Error(), Endpoint: -1,
 			Revision: c.Mod})
@@ -494,7 +494,7 @@
 }
 
 // change takes a change of this history; with it no hold stands any longer.
-func (r *Roster) change(c Raw) {
+func (r *Reconciler) change(c Raw) {
 	if !strings.HasPrefix(c.Key, r.plan.Prefix+"/") {
 		if !c.Gone {
 			_, err := ParseValue(r.plan.Prefix, c.Key, nil, 0)
@@ -504,26 +504,26 @@
 	}
 	e := r.key(c.Key)
 	r.take(e, c)
-	e.until = 0
+	e.holdUntil = 0
 	r.show(e)
 	r.drop(c.Key, e)
 }
 
 // drop forgets a key that is gone and never was a backend.
-func (r *Roster) drop(key string, e *entry) {
-	if !e.present && e.told.ID == "" && !e.ended {
+func (r *Reconciler) drop(key string, e *entry) {
+	if !e.present && e.reported.ID == "" && !e.ended {
 		delete(r.entries, key)
 	}
 }
 
 // show makes what is told of an entry what the registry says now, unless something stands against it.
-func (r *Roster) show(e *entry) {
-	if e.until > 0 || e.now == e.told {
+func (r *Reconciler) show(e *entry) {
+	if e.holdUntil > 0 || e.now == e.reported {
 		return
 	}
 	m := e.now
 	if m.ID == "" {
-		m = e.told
+		m = e.reported
 		m.Phase = Deleted
 		e.ended, e.endedAt = true, r.now
 		r.live--
@@ -531,22 +531,22 @@
 		if r.ends++; r.ends > r.plan.MostEnds {
 			r.dueAt(r.now)
 		}
-	} else if e.told.ID == "" {
+	} else if e.reported.ID == "" {
 		r.live++
 		e.ended = false
 	}
-	e.told = e.now
-	r.told = append(r.told, m)
+	e.reported = e.now
+	r.reported = append(r.reported, m)
 }
 
-func (r *Roster) tell(whole bool) {
-	if len(r.told) > 0 || whole {
-		r.order(Tell{List{Revision: r.revision, Whole: whole, Members: r.told}})
+func (r *Reconciler) tell(whole bool) {
+	if len(r.reported) > 0 || whole {
+		r.order(Tell{List{Revision: r.revision, Whole: whole, Members: r.reported}})
 	}
-	r.told = nil
+	r.reported = nil
 }
 
-func (r *Roster) dueAt(at Time) {
+func (r *Reconciler) dueAt(at Time) {
 	if r.due == 0 || at < r.due {
 		r.due = at
 	}
@@ -555,32 +555,32 @@
 // shrunk says that much of the list ended at once: a registry that was emptied by mistake looks like a fleet
 // that died. Who is told to be gone without a drain stays in the tables while it answers, where the settings
 // say that gone alone does not bind.
-func (r *Roster) shrunk(before int) {
+func (r *Reconciler) shrunk(before int) {
 	if r.plan.Shrink > 0 && float64(before-r.live) > r.plan.Shrink*float64(before) {
 		r.note(Note{Warn: true, Text: "the list shrank at once", Endpoint: r.endpoint(), Revision: r.revision,
 			Count: before - r.live, Reason: fmt.Sprintf("%d of %d backends ended", before-r.live, before)})
 	}
 }
 
-// settle puts the whole list that was read in the place of the one held and tells the differences: the changed
+// reconcile puts the whole list that was read in the place of the one held and tells the differences: the changed
 // ones in the order of their revisions, then who left.
-func (r *Roster) settle() {
+func (r *Reconciler) reconcile() {
 	same, pages := r.isSameHistory()
 	before, first := r.live, !r.have
 	if !first && !same {
 		r.note(Note{Warn: true, Text: "the list is of another history; drains and ends known stand for a while",
-			Endpoint: r.endpoint(), Revision: r.pagesAt, Count: r.live, Reason: r.plan.Hold.String()})
+			Endpoint: r.endpoint(), Revision: r.pagesAt, Count: r.live, Reason: r.plan.HistoryHold.String()})
 	}
 	slices.SortStableFunc(r.pages, func(a, b Raw) int {
 		return cmp.Or(cmp.Compare(a.Mod, b.Mod), cmp.Compare(a.Key, b.Key))
 	})
 	for _, c := range r.pages {
-		r.settleEntry(c, same, first)
+		r.reconcileEntry(c, same, first)
 	}
 	for _, key := range slices.Sorted(maps.Keys(r.entries)) {
 		if e := r.entries[key]; !pages[key] && e.present {
 			r.take(e, Raw{Key: key, Mod: e.mod, Gone: true})
-			e.until = 0
+			e.holdUntil = 0
 			r.show(e)
 			r.drop(key, e)
 		}
@@ -591,7 +591,7 @@
 }
 
 // isSameHistory reports whether the list that was read continues the one held; pages are the keys in it.
-func (r *Roster) isSameHistory() (same bool, pages map[string]bool) {
+func (r *Reconciler) isSameHistory() (same bool, pages map[string]bool) {
 	pages = map[string]bool{}
 	same = !r.other && r.pagesOf == r.history
 	if r.pagesAt < r.revision {
@@ -609,7 +609,7 @@
 	return same, pages
 }
 
-func (r *Roster) settleEntry(c Raw, same, first bool) {
+func (r *Reconciler) reconcileEntry(c Raw, same, first bool) {
 	if !strings.HasPrefix(c.Key, r.plan.Prefix+"/") {
 		r.change(c)
 		return
@@ -620,7 +620,7 @@
 	}
 	r.take(e, c)
 	if same || first {
-		e.until = 0
+		e.holdUntil = 0
 	} else {
 		r.hold(e)
 	}
@@ -628,7 +628,7 @@
 }
 
 // keys counts those that the registry has.
-func (r *Roster) keys() (n int) {
+func (r *Reconciler) keys() (n int) {
 	for _, e := range r.entries {
 		if e.present {
 			n++
@@ -638,20 +638,20 @@
 }
 
 // hold lets a drain or an end that was known stand against what a list of another history says.
-func (r *Roster) hold(e *entry) {
-	drained := e.told.Phase == Draining && e.now.Phase == Serving
-	ended := e.told.ID == "" && e.ended && e.now.ID != ""
+func (r *Reconciler) hold(e *entry) {
+	drained := e.reported.Phase == Draining && e.now.Phase == Serving
+	ended := e.reported.ID == "" && e.ended && e.now.ID != ""
 	switch {
-	case !drained && !ended || r.plan.Hold == 0:
-		e.until = 0
-	case e.until == 0:
-		e.until = r.now + r.plan.Hold
-		r.dueAt(e.until)
+	case !drained && !ended || r.plan.HistoryHold == 0:
+		e.holdUntil = 0
+	case e.holdUntil == 0:
+		e.holdUntil = r.now + r.plan.HistoryHold
+		r.dueAt(e.holdUntil)
 	}
 }
 
 // expire ends holds, and forgets ends that are long past or too many.
-func (r *Roster) expire() {
+func (r *Reconciler) expire() {
 	if r.due == 0 || r.now < r.due {
 		return
 	}
@@ -664,15 +664,15 @@
 	over := 0
 	for _, key := range slices.Sorted(maps.Keys(r.entries)) {
 		e := r.entries[key]
-		if e.until > 0 && r.now >= e.until {
-			e.until = 0
+		if e.holdUntil > 0 && r.now >= e.holdUntil {
+			e.holdUntil = 0
 			over++
 			r.show(e)
 		}
-		if e.until > 0 {
-			r.dueAt(e.until)
+		if e.holdUntil > 0 {
+			r.dueAt(e.holdUntil)
 		}
-		if !e.present && e.told.ID == "" && e.now.ID == "" {
+		if !e.present && e.reported.ID == "" && e.now.ID == "" {
 			if r.now >= e.endedAt+r.plan.KeepEnds {
 				delete(r.entries, key)
 			} else {
--- a/internal/controller/server/endings.go
+++ b/internal/controller/server/endings.go
@@ -13,10 +13,10 @@
 	log *logrus.Entry
 	now func() int64 // seconds
 
-	mu     sync.Mutex
-	second int64
-	lines  int
-	more   map[Reason]int
+	mu      sync.Mutex
+	second  int64
+	written int
+	more    map[Reason]int
 }
 
 const mostEndings = 50 // lines a second
@@ -28,7 +28,7 @@
 func (e *endings) add(c *Conn) {
 	c.mu.Lock()
 	entry := e.log.WithFields(logrus.Fields{"reason": c.reason, "peer": c.net.RemoteAddr().String(),
-		"lasted": time.Since(c.began).Round(time.Millisecond).String(), "lines": c.lines})
+		"lasted": time.Since(c.began).Round(time.Millisecond).String(), "lines": c.messages})
 	if c.subject != "" {
 		entry = entry.WithField("of", c.subject)
 	}
@@ -41,13 +41,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if now := e.now(); now != e.second {
-		e.second, e.lines = now, 0
+		e.second, e.written = now, 0
 		for why, n := range e.more {
 			e.log.WithFields(logrus.Fields{"reason": why, "count": n}).Info("more connections ended")
 		}
 		clear(e.more)
 	}
-	if e.lines++; e.lines > mostEndings {
+	if e.written++; e.written > mostEndings {
 		e.more[why]++
 		return
 	}
--- a/internal/controller/server/stream.go
+++ b/internal/controller/server/stream.go
@@ -25,30 +25,30 @@
 
 // Reasons.
 const (
-	Closed   Reason = "closed"   // by the other side
-	Reset    Reason = "reset"    // by the other side or the network
-	Replaced Reason = "replaced" // by a newer stream of the same proxy
-	Silent   Reason = "silent"   // a stranger that did not say in time whose it is
-	Crowded  Reason = "crowded"  // a stranger that made room, or found none
-	TooLong  Reason = "too-long" // a line beyond what a message may hold
-	Memory   Reason = "memory"   // unfinished lines of all connections together hold too much
-	Unread   Reason = "unread"   // the other side does not read what is written to it
-	Garbage  Reason = "garbage"  // what came is no message
-	Unjoined Reason = "unjoined" // a stranger's message that was no joining
-	Refused  Reason = "refused"  // a joining of a proxy or a collector that is not known
-	Broken   Reason = "broken"   // any other failure of the socket
-	Stopped  Reason = "stopped"  // with the listener
+	Closed      Reason = "closed"   // by the other side
+	Reset       Reason = "reset"    // by the other side or the network
+	Replaced    Reason = "replaced" // by a newer stream of the same proxy
+	JoinTimeout Reason = "silent"   // a stranger that did not say in time whose it is
+	Crowded     Reason = "crowded"  // a stranger that made room, or found none
+	TooLong     Reason = "too-long" // a line beyond what a message may hold
+	Memory      Reason = "memory"   // unfinished lines of all connections together hold too much
+	Unread      Reason = "unread"   // the other side does not read what is written to it
+	Garbage     Reason = "garbage"  // what came is no message
+	Unjoined    Reason = "unjoined" // a stranger's message that was no joining
+	Refused     Reason = "refused"  // a joining of a proxy or a collector that is not known
+	Broken      Reason = "broken"   // any other failure of the socket
+	Stopped     Reason = "stopped"  // with the listener
 )
 
 // limits bound what a connection may cost, whatever is configured.
 type limits struct {
-	line, opener int           // bytes of a line; of a stranger's
-	first        int           // that a stranger may leave unread
-	stranger     time.Duration // from being taken to the end of the joining
-	lastLook     time.Duration // for what had arrived by then and was not read yet
+	maxLine, maxFirstLine int           // bytes of a line; of a stranger's
+	first                 int           // that a stranger may leave unread
+	joinTimeout           time.Duration // from being taken to the end of the joining
+	lastLook              time.Duration // for what had arrived by then and was not read yet
 }
 
-var usual = limits{line: 1 << 20, opener: 1 << 10, first: 4 << 10, stranger: 1500 * time.Millisecond,
+var usual = limits{maxLine: 1 << 20, maxFirstLine: 1 << 10, first: 4 << 10, joinTimeout: 1500 * time.Millisecond,
 	lastLook: 20 * time.Millisecond}
 
 const (
@@ -62,20 +62,22 @@
 // Handler takes what a connection says, and at last that it ended.
 type Handler func(from *Conn, said any)
 
-var taken atomic.Uint64
+var accepted atomic.Uint64
 
 // Next numbers whatever may be a stream of a proxy in the order in which it was taken, on sockets and channels alike.
-func Next() uint64 { return taken.Add(1) }
+func Next() uint64 { return accepted.Add(1) }
 
 // Listener takes connections.
 type Listener struct {
-	net  net.Listener
-	hear Handler
-	log  *endings
+	net     net.Listener
+	handler Handler
+	log     *endings
 	limits
-	most, held, unread atomic.Int64 // connections; bytes of all long lines; bytes that a proxy may leave unread
-	heldNow            atomic.Int64
-	running            sync.WaitGroup
+	maxConns      atomic.Int64
+	maxLineMemory atomic.Int64 // bytes of all long lines
+	maxUnread     atomic.Int64 // bytes that a proxy may leave unread
+	lineMemory    atomic.Int64
+	running       sync.WaitGroup
 
 	mu     sync.Mutex
 	conns  map[*Conn]struct{}
@@ -92,7 +94,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Listener{net: ln, hear: hear, log: newEndings(log), limits: usual, conns: map[*Conn]struct{}{}}
+	l := &Listener{net: ln, handler: hear, log: newEndings(log), limits: usual, conns: map[*Conn]struct{}{}}
 	l.Allow(memory, sockets)
 	return l, nil
 }
@@ -100,9 +102,9 @@
 // Allow shares out so many bytes and descriptors, now and after a change: what waits to be read and to be
 // written stays well within the memory, however many connections there are.
 func (l *Listener) Allow(memory, sockets int) {
-	l.most.Store(int64(max(sockets-spareFDs, fewest)))
-	l.held.Store(int64(memory / 8))
-	l.unread.Store(int64(min(max(memory/4/max(sockets, 1), 32<<10), 1<<20)))
+	l.maxConns.Store(int64(max(sockets-spareFDs, fewest)))
+	l.maxLineMemory.Store(int64(memory / 8))
+	l.maxUnread.Store(int64(min(max(memory/4/max(sockets, 1), 32<<10), 1<<20)))
 }
 
 // Addr is where it listens.
@@ -142,10 +144,10 @@
 
 func (l *Listener) take(nc net.Conn) {
 	l.mu.Lock()
-	c := &Conn{net: nc, l: l, since: Next(), began: time.Now(), wake: make(chan struct{}, 1)}
-	full := len(l.conns) >= int(l.most.Load())
+	c := &Conn{net: nc, l: l, openedAt: Next(), began: time.Now(), wake: make(chan struct{}, 1)}
+	full := len(l.conns) >= int(l.maxConns.Load())
 	l.mu.Unlock()
-	_ = nc.SetReadDeadline(c.began.Add(l.stranger))
+	_ = nc.SetReadDeadline(c.began.Add(l.joinTimeout))
 	if full && !l.shed() {
 		c.end(Crowded)
 		l.log.add(c)
@@ -171,7 +173,7 @@
 			strangers = append(strangers, c)
 		}
 	}
-	slices.SortFunc(strangers, func(c, d *Conn) int { return cmp.Compare(c.since, d.since) })
+	slices.SortFunc(strangers, func(c, d *Conn) int { return cmp.Compare(c.openedAt, d.openedAt) })
 	var goes *Conn
 	if at := slices.IndexFunc(strangers, func(c *Conn) bool { return !c.hasUnread() }); len(strangers) > 0 {
 		goes = strangers[max(at, 0)]
@@ -186,14 +188,14 @@
 
 // Conn is one connection.
 type Conn struct {
-	net   net.Conn
-	l     *Listener
-	since uint64
-	began time.Time
+	net      net.Conn
+	l        *Listener
+	openedAt uint64
+	began    time.Time
 
-	opened atomic.Bool // it said whose it is, and what it says is handed on
-	lines  int
-	wake   chan struct{}
+	opened   atomic.Bool // it said whose it is, and what it says is handed on
+	messages int
+	wake     chan struct{}
 
 	mu      sync.Mutex
 	writes  bool // its writer runs
@@ -205,7 +207,7 @@
 }
 
 // Since tells connections apart by the order in which they were taken.
-func (c *Conn) Since() uint64 { return c.since }
+func (c *Conn) Since() uint64 { return c.openedAt }
 
 // Known says whose it is.
 func (c *Conn) Known(subject string) {
@@ -234,7 +236,7 @@
 	c.mu.Lock()
 	most := c.l.first
 	if c.opened.Load() {
-		most = int(c.l.unread.Load())
+		most = int(c.l.maxUnread.Load())
 	}
 	over := len(c.out)+len(message) > most
 	if c.reason == "" && !over {
@@ -295,7 +297,7 @@
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
 		return Reset
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return Silent
+		return JoinTimeout
 	}
 	return Broken
 }
@@ -317,7 +319,7 @@
 	delete(c.l.conns, c)
 	c.l.mu.Unlock()
 	if c.opened.Load() {
-		c.l.hear(c, textproto.Closed{})
+		c.l.handler(c, textproto.Closed{})
 	}
 	c.l.log.add(c)
 }
@@ -326,11 +328,11 @@
 // it was given when it was taken, whatever it says meanwhile. What of its words lay unread when that was over
 // is looked at once more: a joining that had arrived counts, also where this process had no turn.
 func (c *Conn) readLines() error {
-	buf := &lineBuffer{conn: c, bytes: make([]byte, c.l.opener)}
+	buf := &lineBuffer{conn: c, bytes: make([]byte, c.l.maxFirstLine)}
 	defer buf.account(0)
 	looked := false
 	for {
-		n, err := c.net.Read(buf.bytes[buf.held:])
+		n, err := c.net.Read(buf.bytes[buf.length:])
 		if err := buf.takeLines(n); err != nil {
 			return err
 		}
@@ -354,22 +356,22 @@
 type lineBuffer struct {
 	conn      *Conn
 	bytes     []byte // bytes[:held] are the begin
-	held      int
+	length    int
 	accounted int // of the memory for long lines
 }
 
 // account accounts for memory; it reports whether all connections together stay within what is allowed.
 func (b *lineBuffer) account(bytes int) bool {
 	l := b.conn.l
-	l.heldNow.Add(int64(bytes - b.accounted))
+	l.lineMemory.Add(int64(bytes - b.accounted))
 	b.accounted = bytes
-	return l.heldNow.Load() <= l.held.Load()
+	return l.lineMemory.Load() <= l.maxLineMemory.Load()
 }
 
 // takeLines hands on the lines that are complete with n more bytes. What cannot be the begin of a message is not waited
 // on for its end.
 func (b *lineBuffer) takeLines(n int) error {
-	rest, from := b.bytes[:b.held+n], b.held
+	rest, from := b.bytes[:b.length+n], b.length
 	for at := bytes.IndexByte(rest[from:], '\n'); at >= 0; at = bytes.IndexByte(rest, '\n') {
 		line := rest[:from+at]
 		rest, from = rest[from+at+1:], 0
@@ -380,7 +382,7 @@
 	if !textproto.MayBecomeMessage(rest) {
 		return ending(Garbage)
 	}
-	b.held = copy(b.bytes, rest)
+	b.length = copy(b.bytes, rest)
 	return nil
 }
 
@@ -388,14 +390,14 @@
 func (b *lineBuffer) makeRoom() error {
 	opened := b.conn.opened.Load()
 	switch {
-	case opened && b.held == 0 && len(b.bytes) != bufferBytes:
+	case opened && b.length == 0 && len(b.bytes) != bufferBytes:
 		b.bytes = make([]byte, bufferBytes)
 		b.account(0)
-	case b.held < len(b.bytes):
-	case !opened || b.held >= b.conn.l.line:
+	case b.length < len(b.bytes):
+	case !opened || b.length >= b.conn.l.maxLine:
 		return ending(TooLong)
 	default:
-		b.bytes = append(make([]byte, 0, 2*b.held), b.bytes...)[:2*b.held]
+		b.bytes = append(make([]byte, 0, 2*b.length), b.bytes...)[:2*b.length]
 		if !b.account(len(b.bytes)) {
 			return ending(Memory)
 		}
@@ -409,7 +411,7 @@
 	if n := len(line); n > 0 && line[n-1] == '\r' {
 		line = line[:n-1]
 	}
-	c.lines++
+	c.messages++
 	said, err := textproto.Parse(line)
 	if err != nil {
 		c.Fault(err)
@@ -437,7 +439,7 @@
 			return ending(Unjoined)
 		}
 	}
-	c.l.hear(c, said)
+	c.l.handler(c, said)
 	return nil
 }
 
--- a/internal/controller/server/stream_test.go
+++ b/internal/controller/server/stream_test.go
@@ -126,7 +126,7 @@
 		reason Reason
 		play   func(h *hall)
 	}{
-		{Silent, says("")}, {Silent, says("SUBSCRIBE no")}, {Silent, says("PING\r\n")},
+		{JoinTimeout, says("")}, {JoinTimeout, says("SUBSCRIBE no")}, {JoinTimeout, says("PING\r\n")},
 		{Garbage, says("GET / HTTP/1.1\r\n")}, {Garbage, says("\xff\x00")}, {Garbage, says("$999999\r\n")},
 		{Unjoined, says("\r\n")}, {Garbage, says("Host: x")}, {Garbage, says("THISKINDISFARTOOLONG")},
 		{Garbage, says(joins + "\x80\x81")}, {Garbage, says(collects + "PING\r\nX \x80\r\n")},
@@ -167,11 +167,11 @@
 		}},
 	} {
 		h := open(t, func(l *Listener) {
-			l.stranger, l.lastLook, l.line = time.Hour, time.Millisecond, 64<<10
-			l.held.Store(150 << 10)
-			l.unread.Store(1 << 10)
-			if c.reason == Silent {
-				l.stranger = 50 * time.Millisecond
+			l.joinTimeout, l.lastLook, l.maxLine = time.Hour, time.Millisecond, 64<<10
+			l.maxLineMemory.Store(150 << 10)
+			l.maxUnread.Store(1 << 10)
+			if c.reason == JoinTimeout {
+				l.joinTimeout = 50 * time.Millisecond
 			}
 		})
 		c.play(h)
@@ -180,8 +180,8 @@
 			t.Errorf("%d, %s: log %q", i, c.reason, s)
 		}
 		h.Close()
-		if h.heldNow.Load() != 0 {
-			t.Errorf("%d, %s: %d bytes counted as held after the end", i, c.reason, h.heldNow.Load())
+		if h.lineMemory.Load() != 0 {
+			t.Errorf("%d, %s: %d bytes counted as held after the end", i, c.reason, h.lineMemory.Load())
 		}
 	}
 }
@@ -191,8 +191,8 @@
 func TestLateTurn(t *testing.T) {
 	for _, most := range []int64{50, 1} {
 		h := open(t, func(l *Listener) {
-			l.stranger, l.lastLook = -time.Hour, time.Minute
-			l.most.Store(most)
+			l.joinTimeout, l.lastLook = -time.Hour, time.Minute
+			l.maxConns.Store(most)
 		})
 		h.dial(t, "SUBSCRIBE node=1 locality=a w=1 cold=0\r\n")
 		if _, ok := (<-h.heard).said.(textproto.Subscribe); !ok {
@@ -203,7 +203,7 @@
 
 // A proxy that does not read holds up nobody: what is sent to it waits, up to the limit, and Send returns.
 func TestSlowReader(t *testing.T) {
-	h := open(t, func(l *Listener) { l.unread.Store(8 << 20) })
+	h := open(t, func(l *Listener) { l.maxUnread.Store(8 << 20) })
 	c := h.dial(t, "SUBSCRIBE node=1 locality=a w=1 cold=0\r\n")
 	from := (<-h.heard).from
 	const messages, size = 1000, 8 << 10
@@ -224,7 +224,7 @@
 // Hundreds of strangers that say nothing or half a line make room for a proxy, and a proxy never does.
 func TestCrowd(t *testing.T) {
 	const most = 50
-	h := open(t, func(l *Listener) { l.most.Store(most) })
+	h := open(t, func(l *Listener) { l.maxConns.Store(most) })
 	first := h.dial(t, "SUBSCRIBE node=1 locality=a w=1 cold=0\r\n")
 	<-h.heard
 	for i := range 6 * most {
@@ -243,7 +243,7 @@
 func TestFlood(t *testing.T) {
 	h, second := open(t, nil), int64(1)
 	h.log.now = func() int64 { return second }
-	c := &Conn{net: h.dial(t, ""), reason: Silent}
+	c := &Conn{net: h.dial(t, ""), reason: JoinTimeout}
 	for range 3 * mostEndings {
 		h.log.add(c)
 	}
@@ -288,7 +288,7 @@
 // that joined before is ended.
 func TestManyCase2Descriptors(t *testing.T) {
 	const most, before, come = 60, 30, 25
-	h := open(t, func(l *Listener) { l.most.Store(most) })
+	h := open(t, func(l *Listener) { l.maxConns.Store(most) })
 	var proxies []net.Conn
 	join := func(i int) {
 		proxies = append(proxies, h.dial(t, fmt.Sprintf("SUBSCRIBE node=%d locality=a w=1 cold=0\r\n", i)))
--- a/internal/controller/tenancy/cells.go
+++ b/internal/controller/tenancy/cells.go
@@ -53,26 +53,26 @@
 }
 
 const (
-	tick      = policy.Second
-	lendUnder = 0.5  // part of its usual strength under which a cell is lent to
-	backOver  = 0.6  // ... over which loans go back
-	usualKeep = 0.99 // a tick, of the usual strength while there is less
-	newsKeep  = 0.5  // a tick, of what was heard of a backend and a proxy
-	fewTries  = 4.0
-	badOver   = 0.2  // voided over the others' median from which a cell is in trouble
-	slowOver  = 2.5  // time of answers over the others' median
-	lateFrom  = 0.4  // ... and over the SLA time
-	usualUse  = 0.95 // a tick, of what a tenant usually asks for
-	risen     = 2.0  // use over that, from which a tenant is the first to be bounded
-	cutRisen  = 0.4
-	triesPart = 0.1 // of a cell's txns that may be voided while further tries are made there
-	troubled  = 2   // ticks in a row
-	cutBy     = 0.8
-	cutEvery  = 3 * policy.Second
-	riseBy    = 1.2
-	lostOver  = 1.5  // part of its backends that failed over that of the fleet, from which a tenant is at fault
-	freeOver  = 1.5  // bound over use from which there is none
-	leastTell = 0.12 // relative change of a bound that is worth telling
+	tick         = policy.Second
+	lendUnder    = 0.5  // part of its usual strength under which a cell is lent to
+	backOver     = 0.6  // ... over which loans go back
+	usualDecay   = 0.99 // a tick, of the usual strength while there is less
+	reportDecay  = 0.5  // a tick, of what was heard of a backend and a proxy
+	fewTries     = 4.0
+	badOver      = 0.2  // voided over the others' median from which a cell is in trouble
+	slowOver     = 2.5  // time of answers over the others' median
+	lateFrom     = 0.4  // ... and over the SLA time
+	usualUse     = 0.95 // a tick, of what a tenant usually asks for
+	risen        = 2.0  // use over that, from which a tenant is the first to be bounded
+	cutRisen     = 0.4
+	triesPart    = 0.1 // of a cell's txns that may be voided while further tries are made there
+	troubled     = 2   // ticks in a row
+	reduceFactor = 0.8
+	cutEvery     = 3 * policy.Second
+	raiseFactor  = 1.2
+	lostOver     = 1.5  // part of its backends that failed over that of the fleet, from which a tenant is at fault
+	freeOver     = 1.5  // bound over use from which there is none
+	leastTell    = 0.12 // relative change of a bound that is worth telling
 )
 
 type phase uint8
@@ -85,14 +85,14 @@
 
 func (p phase) String() string { return [...]string{"settled", "prepared", "moving"}[p] }
 
-// place is where a product needs backends: the index of the need, and the zone or -1 for any.
-type place struct{ need, zone int }
+// demandPoint is where a product needs backends: the index of the need, and the zone or -1 for any.
+type demandPoint struct{ need, zone int }
 
 // loan is a backend lent to a tenant.
 type loan struct {
-	id    string
-	up    Time
-	until Time
+	id     string
+	up     Time
+	endsAt Time
 }
 
 type tenant struct {
@@ -106,23 +106,24 @@
 	at         Time // of the last step of the move
 	calm       Time // no further tries up to then
 
-	own    []int             // backends when nothing is lent and nothing moves, sorted; of Cell
-	least  [][]float64       // ... the lowest score among them by need and zone; below 0 where more would be taken
-	former []int             // those of the cell that it leaves
-	usual  map[place]float64 // strength
-	loans  []loan
-	base   map[string]bool // its own before the failures of late
-	failAt Time            // the last of them
-	lost   []Time          // ends of backends given to it in the place of others, of late
+	own []int // backends when nothing is lent and nothing moves, sorted; of Cell
+	// lowestScores is the lowest score among them by need and zone; below 0 where more would be taken.
+	lowestScores [][]float64
+	former       []int                   // those of the cell that it leaves
+	usual        map[demandPoint]float64 // strength
+	loans        []loan
+	base         map[string]bool // its own before the failures of late
+	failAt       Time            // the last of them
+	lost         []Time          // ends of backends given to it in the place of others, of late
 	// guards a poisoned tenant that kills one backend after the other: a trickle of txns, and nobody new
-	shutIn bool
+	contained bool
 
-	bad         int     // ticks in trouble
-	sick, spent bool    // in trouble; its cell's budget of further tries is used up
-	use, served float64 // txns/s
-	asks        float64 // usually
-	bound       float64
-	cutAt       Time
+	bad              int     // ticks in trouble
+	unhealthy, spent bool    // in trouble; its cell's budget of further tries is used up
+	use, served      float64 // txns/s
+	usualUse         float64 // usually
+	bound            float64
+	cutAt            Time
 }
 
 type proxy struct {
@@ -130,7 +131,7 @@
 	zone         int
 	tenant       int       // -1: none
 	txns, voided []float64 // a second, by product
-	told         policy.ProxyConfined
+	confinement  policy.ProxyConfined
 	ever         bool // it was told something
 }
 
@@ -141,7 +142,7 @@
 	return s
 }
 
-type news struct{ tries, voided, good, spent float64 }
+type backendStats struct{ attempts, failed, good, spent float64 }
 
 // Cells settles for one controller. Use New.
 type Cells struct {
@@ -152,10 +153,10 @@
 	split   map[int]string // the fixed cell of each
 	byAt    []Backend      // without an id where there is none
 	needs   []policy.Product
-	aim     float64 // the least SLA time
+	minSLA  float64 // the least SLA time
 	tenants []*tenant
 	proxies []proxy
-	heard   map[int]*news
+	reports map[int]*backendStats
 	failed  []Time // ends of backends without a drain, of late
 	tickAt  Time
 	dirty   bool
@@ -164,7 +165,7 @@
 
 // New makes Cells that confine nobody until a plan is there.
 func New(proxies int) *Cells {
-	c := &Cells{proxies: make([]proxy, proxies), heard: map[int]*news{}}
+	c := &Cells{proxies: make([]proxy, proxies), reports: map[int]*backendStats{}}
 	for i := range c.proxies {
 		c.proxies[i].tenant = -1
 	}
@@ -183,7 +184,7 @@
 func (c *Cells) Step(now Time, events []Event) []Order {
 	c.now, c.out = max(now, c.now), nil
 	for _, e := range events {
-		c.hear(e)
+		c.handle(e)
 	}
 	if !c.on && !c.dirty {
 		return c.out
@@ -208,14 +209,14 @@
 	c.out = append(c.out, Note{warn, fmt.Sprintf(format, v...)})
 }
 
-func (c *Cells) hear(e Event) {
+func (c *Cells) handle(e Event) {
 	switch e := e.(type) {
 	case ListUpdate:
 		c.relist(e.Backends)
 	case ProxyConnected:
 		if p := c.at(e.Proxy); p != nil {
 			// What an earlier stream was told is no more: the decisions lay its tables anew.
-			p.joined, p.zone, p.ever, c.dirty = true, e.Zone, p.ever && p.told.Confined, true
+			p.joined, p.zone, p.ever, c.dirty = true, e.Zone, p.ever && p.confinement.Confined, true
 		}
 	case ProxyDisconnected:
 		if p := c.at(e.Proxy); p != nil {
@@ -227,18 +228,18 @@
 			for len(p.txns) <= e.Product {
 				p.txns, p.voided = append(p.txns, 0), append(p.voided, 0)
 			}
-			p.txns[e.Product] = p.txns[e.Product]*newsKeep + max(e.Txns, 0)/s*(1-newsKeep)
-			p.voided[e.Product] = p.voided[e.Product]*newsKeep + max(e.Failed, 0)/s*(1-newsKeep)
+			p.txns[e.Product] = p.txns[e.Product]*reportDecay + max(e.Txns, 0)/s*(1-reportDecay)
+			p.voided[e.Product] = p.voided[e.Product]*reportDecay + max(e.Failed, 0)/s*(1-reportDecay)
 		}
 	case BackendReport:
-		n := c.heard[e.Backend]
+		n := c.reports[e.Backend]
 		if n == nil {
-			n = &news{}
-			c.heard[e.Backend] = n
+			n = &backendStats{}
+			c.reports[e.Backend] = n
 		}
 		tries := max(e.Attempts, 0)
 		voided := min(max(e.Failed, 0), tries)
-		n.tries, n.voided, n.good = n.tries+tries, n.voided+voided, n.good+tries-voided
+		n.attempts, n.failed, n.good = n.attempts+tries, n.failed+voided, n.good+tries-voided
 		n.spent += (tries - voided) * float64(e.Latency)
 	case PlanUpdate:
 		c.replan(e.Plan)
@@ -268,7 +269,7 @@
 	for _, t := range c.tenants {
 		concerns := func(b Backend) bool { return c.plan.moves(t, b, b.Status == policy.Ready) }
 		if t.phase != steady || slices.ContainsFunc(moved, concerns) {
-			c.settle(t)
+			c.assign(t)
 		}
 	}
 }
@@ -288,7 +289,7 @@
 			continue
 		}
 		if c.dirty = true; was.ID != is.ID {
-			delete(c.heard, i)
+			delete(c.reports, i)
 		}
 		if was.Status == policy.Ready && (is.ID != was.ID || is.Status == policy.Gone || is.Up > was.Up) {
 			failed = append(failed, was)
@@ -327,10 +328,10 @@
 	}
 }
 
-// settle works out a tenant's own set.
-func (c *Cells) settle(t *tenant) {
+// assign works out a tenant's own set.
+func (c *Cells) assign(t *tenant) {
 	own := c.plan.own(t.Tenant, c.list, c.split)
-	if t.shutIn { // it gets nobody new
+	if t.contained { // it gets nobody new
 		own = slices.DeleteFunc(own, func(at int) bool { return !has(t.own, at) })
 	}
 	t.own, t.former, c.dirty = own, nil, true
@@ -349,7 +350,7 @@
 		return
 	}
 	size, seed := cmp.Or(t.Size, c.plan.Size), tenantSeed(t.Name)
-	t.least = nil
+	t.lowestScores = nil
 	for _, need := range c.needs {
 		scores := make([][]float64, c.plan.Zones)
 		for _, at := range t.own {
@@ -363,7 +364,7 @@
 				least[z] = all[len(all)-size]
 			}
 		}
-		t.least = append(t.least, least)
+		t.lowestScores = append(t.lowestScores, least)
 	}
 }
 
@@ -393,11 +394,11 @@
 	if c.plan, c.on, c.dirty = p, len(p.Tenants) > 0, true; first {
 		c.tickAt = c.now + tick
 	}
-	c.tenants, c.needs, c.aim = nil, p.needs(), 0
+	c.tenants, c.needs, c.minSLA = nil, p.needs(), 0
 	c.resplit()
 	for _, r := range p.Products {
-		if c.aim == 0 || float64(r.SLA) < c.aim {
-			c.aim = float64(r.SLA)
+		if c.minSLA == 0 || float64(r.SLA) < c.minSLA {
+			c.minSLA = float64(r.SLA)
 		}
 	}
 	for i := range c.proxies {
@@ -424,9 +425,9 @@
 			q.tenant = i
 		}
 	}
-	t.usual = map[place]float64{}
+	t.usual = map[demandPoint]float64{}
 	t.wanted = planned.Cell
-	c.settle(t)
+	c.assign(t)
 	if t.phase == steady && cell != planned.Cell {
 		c.begin(planned.Name, planned.Cell)
 	}
@@ -448,17 +449,17 @@
 		t.phase, t.from, t.Cell, t.done, t.both, t.at, c.dirty = prepared, t.Cell, cell, 0, 0, c.now, true
 		t.wanted = cell
 		c.note(false, "tenant %s is to move from %s to %s", name, t.from, cell)
-		c.settle(t)
+		c.assign(t)
 	}
 }
 
 func (c *Cells) undo(t *tenant, why string) {
 	c.note(true, "tenant %s stays in %s: the move to %s is undone at %d of %d proxies, %s", t.Name, t.from, t.Cell, t.both,
 		len(t.Proxies), why)
-	t.phase, t.Cell, t.from, t.done, t.both, t.usual = steady, t.from, "", 0, 0, map[place]float64{}
+	t.phase, t.Cell, t.from, t.done, t.both, t.usual = steady, t.from, "", 0, 0, map[demandPoint]float64{}
 	t.wanted = ""
 	t.calm = c.now + c.plan.Settle
-	c.settle(t)
+	c.assign(t)
 }
 
 // warm is the strength of a set for a product that is ready and no longer cold, in a zone or in all (-1).
@@ -509,7 +510,7 @@
 		if t.done == len(t.Proxies) {
 			c.note(false, "tenant %s has moved from %s to %s, %d proxies", t.Name, t.from, t.Cell, t.done)
 			t.phase, t.from, t.calm, t.former = steady, "", c.now+c.plan.Settle, nil
-			t.usual = map[place]float64{}
+			t.usual = map[demandPoint]float64{}
 		}
 	default: // of no proxies
 		t.phase, t.from, t.former = steady, "", nil
@@ -539,21 +540,21 @@
 		b := c.found(l.id)
 		return b.Status != policy.Ready || b.Up > l.up
 	})
-	c.judge(t)
+	c.checkContainment(t)
 	own, lent := union(t.own, t.former), c.lent(t)
 	short := false
 	for i, need := range c.needs {
 		for _, zone := range c.zonesOf(t, need) {
-			warm, usual := c.usualStrength(t, own, place{i, zone})
+			warm, usual := c.usualStrength(t, own, demandPoint{i, zone})
 			short = short || warm < backOver*usual || warm == 0
-			lent = c.lendFor(t, own, lent, place{i, zone}, warm, usual)
+			lent = c.lendFor(t, own, lent, demandPoint{i, zone}, warm, usual)
 		}
 	}
 	if short {
 		return
 	}
 	t.loans = slices.DeleteFunc(t.loans, func(l loan) bool {
-		if over := c.now >= l.until; over {
+		if over := c.now >= l.endsAt; over {
 			c.note(false, "tenant %s gives %s back", t.Name, l.id)
 			return true
 		}
@@ -563,10 +564,10 @@
 
 // usualStrength is the strength of a tenant's own warm backends, and what is usual at a place. At each tick the
 // usual one fades a little.
-func (c *Cells) usualStrength(t *tenant, own []int, at place) (warm, usual float64) {
+func (c *Cells) usualStrength(t *tenant, own []int, at demandPoint) (warm, usual float64) {
 	keep := 1.0
 	if c.now == c.tickAt-tick {
-		keep = usualKeep
+		keep = usualDecay
 	}
 	ready, warm := c.warm(own, c.needs[at.need], at.zone)
 	usual = t.usual[at] * keep
@@ -578,11 +579,11 @@
 }
 
 // lendFor lends a tenant backends for a place until it has enough; it returns all that are lent.
-func (c *Cells) lendFor(t *tenant, own, lent []int, at place, warm, usual float64) []int {
+func (c *Cells) lendFor(t *tenant, own, lent []int, at demandPoint, warm, usual float64) []int {
 	need, want := c.needs[at.need], lendUnder*usual
 	isEnough := func() bool {
 		_, more := c.warm(lent, need, at.zone)
-		return warm+more > 0 && (warm+more >= want || t.shutIn || len(t.loans) >= c.plan.Loan)
+		return warm+more > 0 && (warm+more >= want || t.contained || len(t.loans) >= c.plan.Loan)
 	}
 	if isEnough() {
 		return lent
@@ -601,18 +602,18 @@
 	return lent
 }
 
-// judge shuts a tenant in when too many of the backends that it was given have failed of late, and a far larger
+// checkContainment contains a tenant when too many of the backends that it was given failed of late, and a far larger
 // part of them than of the fleet: a bad release fails everywhere and is no tenant's fault.
-func (c *Cells) judge(t *tenant) {
+func (c *Cells) checkContainment(t *tenant) {
 	old := func(at Time) bool { return c.now > at+c.plan.LostOver }
 	t.lost, c.failed = slices.DeleteFunc(t.lost, old), slices.DeleteFunc(c.failed, old)
 	n, all := float64(len(t.lost)), float64(len(c.failed))
 	part, fleet := n/max(n+float64(len(t.own)), 1), all/max(all+float64(len(c.list)), 1)
-	shut := c.plan.Lost > 0 && len(t.lost) >= c.plan.Lost && (t.shutIn || part > lostOver*fleet)
-	if shut == t.shutIn {
+	shut := c.plan.Lost > 0 && len(t.lost) >= c.plan.Lost && (t.contained || part > lostOver*fleet)
+	if shut == t.contained {
 		return
 	}
-	if t.shutIn = shut; shut {
+	if t.contained = shut; shut {
 		c.note(
 			true,
 			"tenant %s is shut in: %d of the backends given to it have failed, %d in all; %.1f txns/s a proxy",
@@ -624,7 +625,7 @@
 	} else {
 		c.note(false, "tenant %s is no longer shut in", t.Name)
 	}
-	c.settle(t)
+	c.assign(t)
 }
 
 // lent are the backends lent to a tenant.
@@ -662,12 +663,12 @@
 		}
 		c.sumUse(t)
 		isFailing := n > 0 && others > 0 && badIn > badOut+badOver
-		isSlow := m > 0 && othersToo > 0 && slowIn > slowOver*slowOut && slowIn > lateFrom*c.aim
-		t.sick = isFailing || isSlow
-		if !t.sick {
+		isSlow := m > 0 && othersToo > 0 && slowIn > slowOver*slowOut && slowIn > lateFrom*c.minSLA
+		t.unhealthy = isFailing || isSlow
+		if !t.unhealthy {
 			t.bad = 0
-			if t.asks == 0 || t.bound == 0 {
-				t.asks = either(t.asks == 0, t.use, t.asks*usualUse+t.use*(1-usualUse))
+			if t.usualUse == 0 || t.bound == 0 {
+				t.usualUse = either(t.usualUse == 0, t.use, t.usualUse*usualUse+t.use*(1-usualUse))
 			}
 		} else if t.bad++; t.bad == troubled {
 			c.note(
@@ -680,7 +681,7 @@
 				slowIn/10,
 				slowOut/10,
 				t.use,
-				t.asks,
+				t.usualUse,
 			)
 		}
 	}
@@ -691,14 +692,15 @@
 // reported. Older reports fade.
 func (c *Cells) reported() (fails, took []float64) {
 	fails, took = slices.Repeat([]float64{-1}, len(c.byAt)), slices.Repeat([]float64{-1}, len(c.byAt))
-	for at, n := range c.heard {
-		if at < len(c.byAt) && n.tries >= fewTries {
-			fails[at] = n.voided / n.tries
+	for at, n := range c.reports {
+		if at < len(c.byAt) && n.attempts >= fewTries {
+			fails[at] = n.failed / n.attempts
 			if n.good > 0 {
 				took[at] = n.spent / n.good
 			}
 		}
-		n.tries, n.voided, n.good, n.spent = n.tries*newsKeep, n.voided*newsKeep, n.good*newsKeep, n.spent*newsKeep
+		n.attempts, n.failed = n.attempts*reportDecay, n.failed*reportDecay
+		n.good, n.spent = n.good*reportDecay, n.spent*reportDecay
 	}
 	return fails, took
 }
@@ -734,7 +736,7 @@
 // than they usually do; the others are bounded when that has not helped.
 func (c *Cells) bind(t *tenant) {
 	least := func(u *tenant) float64 { return c.plan.Trickle * float64(len(u.Proxies)) }
-	rises := func(u *tenant) bool { return u.use > risen*u.asks }
+	rises := func(u *tenant) bool { return u.use > risen*u.usualUse }
 	blamed := func(u *tenant) bool {
 		return u != t && u.bad >= troubled && rises(u) && slices.Equal(u.own, t.own) && (u.bound == 0 || u.bound > 2*least(u))
 	}
@@ -742,14 +744,14 @@
 	case t.bad >= troubled && !rises(t) && slices.ContainsFunc(c.tenants, blamed):
 	case t.bad >= troubled && (t.bound == 0 || c.now >= t.cutAt+cutEvery):
 		if t.bound == 0 {
-			t.bound = max(min(t.served, t.asks), least(t))
+			t.bound = max(min(t.served, t.usualUse), least(t))
 			c.note(true, "tenant %s is bounded to %.1f/s", t.Name, t.bound)
 		}
-		t.bound, t.cutAt = max(t.bound*either(rises(t), cutRisen, cutBy), least(t)), c.now
+		t.bound, t.cutAt = max(t.bound*either(rises(t), cutRisen, reduceFactor), least(t)), c.now
 	case t.bad == 0 && t.bound > 0:
 		// While it asks for far more than usual, what made its cell sick is likely to be there still.
 		if !rises(t) {
-			t.bound *= riseBy
+			t.bound *= raiseFactor
 		}
 		if t.bound > freeOver*t.use {
 			c.note(false, "tenant %s is no longer bounded: %.0f txns/s", t.Name, t.bound)
@@ -813,11 +815,11 @@
 				may = union(settled, leaving)
 			}
 			c.send(p, policy.ProxyConfined{Proxy: at, Confined: true, Backends: may, MaxRate: shares[i],
-				NoRetries: c.now < t.calm || t.sick || t.spent || t.phase == moving && i < t.both})
+				NoRetries: c.now < t.calm || t.unhealthy || t.spent || t.phase == moving && i < t.both})
 		}
 	}
 	for i := range c.proxies {
-		if p := &c.proxies[i]; p.tenant < 0 && p.joined && p.ever && p.told.Confined {
+		if p := &c.proxies[i]; p.tenant < 0 && p.joined && p.ever && p.confinement.Confined {
 			c.send(p, policy.ProxyConfined{Proxy: i})
 		}
 	}
@@ -827,7 +829,7 @@
 func (c *Cells) shares(t *tenant) []float64 {
 	shares := make([]float64, len(t.Proxies))
 	total := t.bound
-	if t.shutIn {
+	if t.contained {
 		for i := range shares {
 			shares[i] = c.plan.Trickle
 		}
@@ -857,14 +859,14 @@
 }
 
 func (c *Cells) send(p *proxy, o policy.ProxyConfined) {
-	was := p.told
+	was := p.confinement
 	near := was.MaxRate > 0 && o.MaxRate > 0 && o.MaxRate < was.MaxRate*(1+leastTell) &&
 		o.MaxRate > was.MaxRate*(1-leastTell)
 	if p.ever && was.Confined == o.Confined && was.NoRetries == o.NoRetries && slices.Equal(was.Backends, o.Backends) &&
 		(near || was.MaxRate == o.MaxRate) {
 		return
 	}
-	p.told, p.ever = o, true
+	p.confinement, p.ever = o, true
 	c.out = append(c.out, o)
 }
 
@@ -904,7 +906,7 @@
 			From:    t.from,
 			Moved:   t.done,
 			Proxies: len(t.Proxies),
-			ShutIn:  t.shutIn,
+			ShutIn:  t.contained,
 			Bound:   t.bound,
 			Radius:  radii[i],
 		}
--- a/internal/controller/tenancy/plan.go
+++ b/internal/controller/tenancy/plan.go
@@ -220,7 +220,7 @@
 	}
 	at := score(tenantSeed(t.Name), b.ID)
 	for i, need := range p.needs() {
-		if fits(need, b) && at >= t.least[i][b.Zone] {
+		if fits(need, b) && at >= t.lowestScores[i][b.Zone] {
 			return true
 		}
 	}
--- a/internal/controller/warmstart/recall.go
+++ b/internal/controller/warmstart/recall.go
@@ -113,19 +113,19 @@
 	Holds, Other string
 }
 
-type held struct {
+type heldFact struct {
 	facts []Fact // by origin the youngest; Age as it was at
 	at    []Time
 }
 
-// Recall joins what was offered.
-type Recall struct {
-	plan  Plan
-	now   Time
-	facts map[id]*held
-	known map[id]bool
-	count int
-	told  map[id]Believe
+// Session joins what was offered.
+type Session struct {
+	plan     Plan
+	now      Time
+	facts    map[id]*heldFact
+	knownIDs map[id]bool
+	count    int
+	believed map[id]Believe
 }
 
 type id struct {
@@ -134,12 +134,12 @@
 }
 
 // New makes a Recall that knows nothing.
-func New(plan Plan) *Recall {
-	return &Recall{plan: plan, facts: map[id]*held{}, known: map[id]bool{}, told: map[id]Believe{}}
+func New(plan Plan) *Session {
+	return &Session{plan: plan, facts: map[id]*heldFact{}, knownIDs: map[id]bool{}, believed: map[id]Believe{}}
 }
 
 // Step takes what was offered in a moment, and tells what changes in what is believed.
-func (r *Recall) Step(now Time, events []Event) (out []Order) {
+func (r *Session) Step(now Time, events []Event) (out []Order) {
 	r.now = max(now, r.now)
 	for _, e := range events {
 		switch e := e.(type) {
@@ -151,15 +151,15 @@
 				r.count -= len(h.facts)
 				delete(r.facts, at)
 			}
-			delete(r.told, at)
-			r.known[at] = true
+			delete(r.believed, at)
+			r.knownIDs[at] = true
 		}
 	}
 	return append(out, r.tell()...)
 }
 
 // fault says why a fact is not taken; nothing where it is.
-func (r *Recall) fault(f Fact) string {
+func (r *Session) fault(f Fact) string {
 	switch {
 	case f.Kind < Backend || f.Kind >= ends:
 		return "of a kind that is not known"
@@ -175,7 +175,7 @@
 		return "of one that is warming up itself"
 	case f.Kind <= Shut && safety[f.State] == 0:
 		return "in a state that is not known"
-	case r.known[id{f.Kind, f.Key}]:
+	case r.knownIDs[id{f.Kind, f.Key}]:
 		return "known at first hand"
 	}
 	return ""
@@ -183,7 +183,7 @@
 
 // offered keeps of each origin the youngest word: what one has from another adds nothing to what that one said.
 // Two that start together so cannot make each other sure.
-func (r *Recall) offered(e Offered) (out []Order) {
+func (r *Session) offered(e Offered) (out []Order) {
 	refused := map[string]int{}
 	for _, f := range e.Facts {
 		why := r.fault(f)
@@ -197,7 +197,7 @@
 		at := id{f.Kind, f.Key}
 		h := r.facts[at]
 		if h == nil {
-			h = &held{}
+			h = &heldFact{}
 			r.facts[at] = h
 		}
 		i := slices.IndexFunc(h.facts, func(g Fact) bool { return g.Origin == f.Origin })
@@ -215,10 +215,10 @@
 	return out
 }
 
-func (r *Recall) age(h *held, i int) Time { return h.facts[i].Age + r.now - h.at[i] }
+func (r *Session) age(h *heldFact, i int) Time { return h.facts[i].Age + r.now - h.at[i] }
 
 // part is how far a fact counts at its age.
-func (r *Recall) part(age Time, doubt float64) float64 {
+func (r *Session) part(age Time, doubt float64) float64 {
 	if age > r.plan.Grace {
 		return 0
 	}
@@ -226,7 +226,7 @@
 }
 
 // tell joins the facts of each thing and says what has changed. What has become too old is forgotten.
-func (r *Recall) tell() (out []Order) {
+func (r *Session) tell() (out []Order) {
 	for _, at := range slices.SortedFunc(maps.Keys(r.facts), func(a, b id) int {
 		return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.key, b.key))
 	}) {
@@ -239,16 +239,16 @@
 		}
 		if len(h.facts) == 0 {
 			delete(r.facts, at)
-			delete(r.told, at)
+			delete(r.believed, at)
 			continue
 		}
 		b, other := r.join(h)
-		was, told := r.told[at]
+		was, told := r.believed[at]
 		if told && was.State == b.State && was.Note == b.Note && was.Revision == b.Revision && was.Sources == b.Sources &&
 			math.Abs(was.Value-b.Value) <= 0.01*was.Value {
 			continue // only older
 		}
-		r.told[at] = b
+		r.believed[at] = b
 		if other != "" {
 			out = append(out, Differ{at.kind, at.key, b.State, other})
 		}
@@ -259,7 +259,7 @@
 
 // join makes one of the facts of a thing. Of states the one of the newest list holds, but none that is less safe
 // than another of the grace; of figures the mean by age and doubt.
-func (r *Recall) join(h *held) (b Believe, other string) {
+func (r *Session) join(h *heldFact) (b Believe, other string) {
 	b.Sources = len(h.facts)
 	order := make([]int, len(h.facts))
 	for i := range order {
@@ -301,7 +301,7 @@
 
 // Facts are what may be told to others: what each origin said, at its present age, so that a fact grows old
 // wherever it goes.
-func (r *Recall) Facts() (all []Fact) {
+func (r *Session) Facts() (all []Fact) {
 	for _, h := range r.facts {
 		for i, f := range h.facts {
 			if f.Age = r.age(h, i); f.Age <= r.plan.Grace {
--- a/internal/controller/warmstart/recall_test.go
+++ b/internal/controller/warmstart/recall_test.go
@@ -161,7 +161,7 @@
 		t.Errorf("after 31 s %+v", f)
 	}
 	r.Step(61*s, nil)
-	if len(r.Facts()) > 0 || len(r.facts) > 0 || len(r.told) > 0 || r.count != 0 {
+	if len(r.Facts()) > 0 || len(r.facts) > 0 || len(r.believed) > 0 || r.count != 0 {
 		t.Errorf("after 61 s %d are kept", len(r.facts))
 	}
 }
--- a/internal/emulator/emu.go
+++ b/internal/emulator/emu.go
@@ -32,7 +32,7 @@
 // Time is a virtual moment.
 type Time = policy.Time
 
-const headLines = 6 // that a message counts for beside its own
+const messageOverhead = 6 // that a message counts for beside its own
 
 const (
 	ms     = policy.Second / 1000
@@ -172,30 +172,30 @@
 
 type controller struct {
 	w       *World
-	desk    *eventloop.Loop
+	loop    *eventloop.Loop
 	sources []*stream
 	down    bool
 	epoch   int
 	freeAt  Time // when all that was written has left its channel
 	topics  *session.Sessions
 	owners  map[string]*topic // of topics
-	kept    map[string]kept
+	copies  map[string]topicCopy
 	node    *aggregation.Node  // nil: nothing is told on
 	used    map[[2]int]float64 // txns/s that its proxies reported, smoothed, by proxy and product
 	turns   int
 	waits   bool // for those below it
 }
 
-// kept is a fact, with the moment at which it was true.
-type kept struct {
+// topicCopy is a fact, with the moment at which it was true.
+type topicCopy struct {
 	warmstart.Fact
 	at Time
 }
 
 // facts are those that are kept, as they are told now.
 func (c *controller) facts() (all []warmstart.Fact) {
-	for _, key := range slices.Sorted(maps.Keys(c.kept)) {
-		k := c.kept[key]
+	for _, key := range slices.Sorted(maps.Keys(c.copies)) {
+		k := c.copies[key]
 		k.Age = time.Duration(c.w.Now-k.at) * time.Second / time.Duration(second)
 		all = append(all, k.Fact)
 	}
@@ -209,32 +209,32 @@
 		events = append(events, warmstart.Offered{Source: "store", Facts: c.facts()})
 	}
 	for i, other := range c.w.control {
-		if c.w.Recall&FromPeer != 0 && other != c && !other.down && len(other.kept) > 0 {
+		if c.w.Recall&FromPeer != 0 && other != c && !other.down && len(other.copies) > 0 {
 			events = append(events, warmstart.Offered{Source: strconv.Itoa(i), Facts: other.facts()})
 			break
 		}
 	}
 	for _, o := range warmstart.New(warmstart.Usual()).Step(0, events) {
 		if b, ok := o.(warmstart.Believe); ok {
-			c.desk.Handle(eventloop.Command{Message: b})
+			c.loop.Handle(eventloop.Command{Message: b})
 		}
 	}
 	name := strconv.Itoa(slices.Index(c.w.control, c))
-	c.desk.SetFactSink(func(facts []warmstart.Fact) {
+	c.loop.SetFactSink(func(facts []warmstart.Fact) {
 		for _, f := range facts {
 			f.Origin = name
-			c.kept[f.Kind.String()+" "+f.Key] = kept{f, c.w.Now - Time(f.Age*time.Duration(second)/time.Second)}
+			c.copies[f.Kind.String()+" "+f.Key] = topicCopy{f, c.w.Now - Time(f.Age*time.Duration(second)/time.Second)}
 		}
 	})
 }
 
 // stream is a connection to a controller; proxy is -1 for a collector.
 type stream struct {
-	c     *controller
-	since uint64
-	proxy int
-	over  bool
-	as    eventloop.Stream // what the desk knows it as; nil: itself
+	c        *controller
+	openedAt uint64
+	proxy    int
+	over     bool
+	as       eventloop.Stream // what the desk knows it as; nil: itself
 }
 
 // from is the stream that the desk knows.
@@ -245,7 +245,7 @@
 	return s
 }
 
-func (s *stream) Since() uint64 { return s.since }
+func (s *stream) Since() uint64 { return s.openedAt }
 func (s *stream) Known(string)  {}
 func (s *stream) Fault(error)   {}
 func (s *stream) Replaced()     { s.over = true }
@@ -271,7 +271,7 @@
 		return 0
 	}
 	lines := float64(
-		headLines + strings.Count(
+		messageOverhead + strings.Count(
 			text,
 			":",
 		) + strings.Count(
@@ -309,35 +309,35 @@
 	weight map[string]float64
 	level  float64
 	tries  int
-	room   float64 // txns that the level lets in now
+	credit float64 // txns that the level lets in now
 	at     Time
 }
 
 type proxy struct {
-	w      *World
-	i      int
-	zone   int
-	tenant string
-	rate   float64
-	stream *stream
-	home   int // controller
-	tables []table
-	out    map[string]bool
-	busy   map[string]int // its own tries under way
-	fails  map[string]int // in a row
-	shun   map[string]Time
-	since  map[string]*met // since the last report
-	used   []struct{ txns, voided int }
-	ever   bool
-	copy   session.Copy // of a channel's topic
-	conn   int          // to a channel; 0: none
-	joined Time
-	away   Time // until when it reaches no controller
-}
-
-type met struct {
-	tries, voided int
-	took          Time
+	w           *World
+	i           int
+	zone        int
+	tenant      string
+	rate        float64
+	stream      *stream
+	home        int // controller
+	tables      []table
+	out         map[string]bool
+	busy        map[string]int // its own tries under way
+	fails       map[string]int // in a row
+	shun        map[string]Time
+	sinceReport map[string]*contact // since the last report
+	used        []struct{ txns, voided int }
+	ever        bool
+	copy        session.Copy // of a channel's topic
+	conn        int          // to a channel; 0: none
+	joined      Time
+	away        Time // until when it reaches no controller
+}
+
+type contact struct {
+	attempts, failed int
+	took             Time
 }
 
 type job struct {
@@ -347,21 +347,21 @@
 }
 
 type backend struct {
-	w       *World
-	spec    Backend
-	dead    bool
-	listed  string
-	leaves  Time // when controllers are told that it drains or is gone
-	up      Time
-	queue   []job
-	running int
-	epoch   int
-	tried   int
-	seen    int     // ... as told last
-	seems   float64 // load for its size, as told last
-	asked   []Time  // of the last second: work that came, for tipping
-	overAt  Time
-	marks   map[int]Time
+	w           *World
+	spec        Backend
+	dead        bool
+	listed      string
+	announcedAt Time // when controllers are told that it drains or is gone
+	up          Time
+	queue       []job
+	running     int
+	epoch       int
+	tried       int
+	seen        int     // ... as told last
+	seems       float64 // load for its size, as told last
+	arrivals    []Time  // of the last second: work that came, for tipping
+	overAt      Time
+	marks       map[int]Time
 }
 
 // New sets a day up; Run plays it.
@@ -383,7 +383,7 @@
 		w.backends, w.byID[b.ID] = append(w.backends, x), x
 	}
 	for range max(d.Controllers, 1) {
-		c := &controller{w: w, kept: map[string]kept{}, used: map[[2]int]float64{}}
+		c := &controller{w: w, copies: map[string]topicCopy{}, used: map[[2]int]float64{}}
 		w.control = append(w.control, c)
 		c.start(d.Plan)
 	}
@@ -398,19 +398,19 @@
 	}
 	for i, p := range d.Proxies {
 		x := &proxy{
-			w:      w,
-			i:      i,
-			zone:   p.Zone,
-			tenant: p.Tenant,
-			rate:   p.Rate,
-			home:   i % len(w.control),
-			out:    map[string]bool{},
-			busy:   map[string]int{},
-			fails:  map[string]int{},
-			shun:   map[string]Time{},
-			since:  map[string]*met{},
-			tables: make([]table, len(d.Products)),
-			used:   make([]struct{ txns, voided int }, len(d.Products)),
+			w:           w,
+			i:           i,
+			zone:        p.Zone,
+			tenant:      p.Tenant,
+			rate:        p.Rate,
+			home:        i % len(w.control),
+			out:         map[string]bool{},
+			busy:        map[string]int{},
+			fails:       map[string]int{},
+			shun:        map[string]Time{},
+			sinceReport: map[string]*contact{},
+			tables:      make([]table, len(d.Products)),
+			used:        make([]struct{ txns, voided int }, len(d.Products)),
 		}
 		for k := range x.tables {
 			x.tables[k] = table{weight: map[string]float64{}, level: math.Inf(1)}
@@ -482,7 +482,7 @@
 		MinConns:        2000,
 		LinesPerSecond:  cmp.Or(w.LinesPerS, 3000),
 		MaxQueuedLines:  cmp.Or(w.LinesMost, 6000),
-		MessageOverhead: headLines,
+		MessageOverhead: messageOverhead,
 		MaxMessages:     60,
 		MessageWindow:   10 * second,
 		FirstTick:       c.phase(second),
@@ -494,15 +494,15 @@
 		names.Products = append(names.Products, p.Name)
 		dep.Products = append(dep.Products, policy.Product{Revenue: 1, SLA: p.SLA, OwnZone: p.OwnZone})
 	}
-	c.desk = eventloop.New(dep, names, nobody{}, logrus.NewEntry(log))
-	c.desk.SetKnownList(w.list())
+	c.loop = eventloop.New(dep, names, nobody{}, logrus.NewEntry(log))
+	c.loop.SetKnownList(w.list())
 	if w.Recall != 0 {
 		c.remember()
 	}
 	if plan != nil {
 		p := *plan
 		p.Products, p.Zones, p.Cold = dep.Products, w.Zones, w.Cold
-		c.desk.Handle(eventloop.Command{Message: tenancy.PlanUpdate{Plan: p}})
+		c.loop.Handle(eventloop.Command{Message: tenancy.PlanUpdate{Plan: p}})
 	}
 	c.topics = nil
 	if w.Channel {
@@ -514,14 +514,14 @@
 	c.sources = nil
 	for z := range w.Zones {
 		s := &stream{c: c, proxy: -1}
-		c.desk.Handle(eventloop.Command{From: s, Message: textproto.Source{Zone: w.zone(z)}})
+		c.loop.Handle(eventloop.Command{From: s, Message: textproto.Source{Zone: w.zone(z)}})
 		c.sources = append(c.sources, s)
 	}
 	epoch := c.epoch
 	var turn func()
 	turn = func() {
 		if c.epoch == epoch && !c.down {
-			c.desk.Step(w.Now)
+			c.loop.Step(w.Now)
 			w.after(20*ms, turn)
 		}
 	}
@@ -557,28 +557,28 @@
 // tell hands a change of the list to each controller, late.
 func (w *World) tell(b *backend) {
 	w.revision++
-	if b.leaves = w.Now + w.ListLate; b.listed == reconcile.Serving {
-		b.leaves = 0
+	if b.announcedAt = w.Now + w.ListLate; b.listed == reconcile.Serving {
+		b.announcedAt = 0
 	}
 	l := reconcile.List{Revision: w.revision, Members: []reconcile.Member{b.member()}}
 	for _, c := range w.control {
 		epoch := c.epoch
 		w.after(w.ListLate, func() {
 			if c.epoch == epoch && !c.down {
-				c.desk.Handle(eventloop.Command{Message: l})
+				c.loop.Handle(eventloop.Command{Message: l})
 			}
 		})
 	}
 }
 
-// TellWhole hands each controller the whole list, as another discovery does that it has moved to.
-func (w *World) TellWhole() { w.Say(w.list()) }
+// AnnounceList hands each controller the whole list, as another discovery does that it has moved to.
+func (w *World) AnnounceList() { w.Say(w.list()) }
 
 // Say hands something to each controller, as an operator does.
 func (w *World) Say(said any) {
 	for _, c := range w.control {
 		if !c.down {
-			c.desk.Handle(eventloop.Command{Message: said})
+			c.loop.Handle(eventloop.Command{Message: said})
 		}
 	}
 }
@@ -701,8 +701,8 @@
 		p.subscribe(c)
 		return
 	}
-	p.stream = &stream{c: c, since: uint64(w.seq), proxy: p.i}
-	c.desk.Handle(
+	p.stream = &stream{c: c, openedAt: uint64(w.seq), proxy: p.i}
+	c.loop.Handle(
 		eventloop.Command{
 			From:    p.stream,
 			Message: textproto.Subscribe{Proxy: p.i, Zone: w.zone(p.zone), Rate: p.rate, Fresh: !p.ever},
@@ -726,7 +726,7 @@
 	if p.conn != 0 {
 		p.unsubscribe()
 	} else if !s.c.down {
-		s.c.desk.Handle(eventloop.Command{From: s, Message: textproto.Closed{}})
+		s.c.loop.Handle(eventloop.Command{From: s, Message: textproto.Closed{}})
 	}
 	p.next()
 	p.w.after(p.w.Dial+Time(p.i%16)*p.w.Dial/32, p.join)
@@ -769,7 +769,7 @@
 			s := p.stream
 			p.w.after(3*ms, func() {
 				if p.stream == s && s != nil {
-					s.c.desk.Handle(eventloop.Command{From: s, Message: textproto.Ack{Proxy: p.i, Number: n}})
+					s.c.loop.Handle(eventloop.Command{From: s, Message: textproto.Ack{Proxy: p.i, Number: n}})
 				}
 			})
 		}
--- a/internal/emulator/emu_test.go
+++ b/internal/emulator/emu_test.go
@@ -174,7 +174,7 @@
 		for n := 0; n < 20; n += 3 { // all tenants of red
 			w.At(
 				12*second+Time(3*i)*second,
-				func() { c.desk.Handle(eventloop.Command{Message: tenancy.Move{Tenant: Tenant(n), Cell: "blue"}}) },
+				func() { c.loop.Handle(eventloop.Command{Message: tenancy.Move{Tenant: Tenant(n), Cell: "blue"}}) },
 			)
 		}
 	}
@@ -226,7 +226,7 @@
 	d := Campus(3)
 	d.Plan = d.Confine(0, "red", "blue", "green")
 	w := New(d)
-	w.control[1].desk.Handle(eventloop.Command{Message: tenancy.PlanUpdate{Plan: planFor(d, d.Confine(2))}})
+	w.control[1].loop.Handle(eventloop.Command{Message: tenancy.PlanUpdate{Plan: planFor(d, d.Confine(2))}})
 	for i := range 60 {
 		w.At(5*second+Time(i)*700*ms, func() { w.CutProxy(i) })
 		if i%6 == 0 {
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -96,7 +96,7 @@
 		w.release(8*second, 7*second, 2, func(i int) bool { return i%5 < 3 })
 		for i := range 6 {
 			w.At(Time(8500+i*1300)*ms, func() {
-				w.TellWhole()
+				w.AnnounceList()
 				b := w.byID["s-01"]
 				w.Say(reconcile.List{Revision: w.revision, Members: []reconcile.Member{b.member()}}) // once more
 				w.Say(reconcile.Failed{})
@@ -177,7 +177,7 @@
 	for i := range 5 {
 		w.At(Time(9+3*i)*second, func() { w.Kill(i, 700*ms, nil) })
 	}
-	w.At(15*second, w.TellWhole)
+	w.At(15*second, w.AnnounceList)
 	w.Run(36 * second)
 	w.kept(t)
 	if s := w.all(8, 36).Service(); s < 0.9 {
--- a/internal/emulator/proxies/backend.go
+++ b/internal/emulator/proxies/backend.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	unackedFor = 800 * ms    // what is written to a dark machine breaks after so long
-	probeEvery = time.Second // and a request that is at work there at the second probe
-	beat       = 1500 * ms
-	told       = 20 * ms // until a beat's word is at all carriers
+	unackedTimeout    = 800 * ms    // what is written to a dark machine breaks after so long
+	probeEvery        = time.Second // and a request that is at work there at the second probe
+	heartbeatInterval = 1500 * ms
+	notificationDelay = 20 * ms // until a beat's word is at all carriers
 )
 
 type backend struct {
-	w           *world
-	index       int
-	id, address string
-	kind, zone  int
-	slots       int
-	speed, slow float64
-	tires       bool
-	dark, gone  bool
-	epoch       int // of its connections
-	coldUntil   time.Duration
-	running     []*job
-	waiting     []*job
-	coming      []*job
-	coldCame    []time.Duration // arrivals while cold
-	lastCold    time.Duration   // the central picture's
-	busy        time.Duration   // slots' time of work, for the model's own sanity
+	w                 *world
+	index             int
+	id, address       string
+	kind, zone        int
+	slots             int
+	speed, slow       float64
+	tires             bool
+	dark, gone        bool
+	epoch             int // of its connections
+	warmupEnd         time.Duration
+	running           []*job
+	waiting           []*job
+	coming            []*job
+	warmupArrivals    []time.Duration // arrivals while cold
+	lastWarmupArrival time.Duration   // the central picture's
+	busy              time.Duration   // slots' time of work, for the model's own sanity
 }
 
 // job is a try at a backend. done is called at the carrier, once.
 type job struct {
-	t      *try
+	t      *attempt
 	b      *backend
 	ran    bool
 	over   bool // the carrier knows its end
@@ -47,16 +47,16 @@
 	done   func(m balancer.Result)
 }
 
-func (b *backend) cold() bool { return b.w.now < b.coldUntil }
+func (b *backend) inSlowStart() bool { return b.w.now < b.warmupEnd }
 
 // takes is how long a work takes if it begins with so many others running.
 func (b *backend) takes(work time.Duration, others int) time.Duration {
 	d := float64(work) / b.speed * b.slow
-	if b.cold() {
-		d *= coldSlower
+	if b.inSlowStart() {
+		d *= slowStartFactor
 	}
 	if b.tires && others >= b.slots-1 {
-		d *= tiredBy
+		d *= tiredFactor
 	}
 	return time.Duration(d)
 }
@@ -75,14 +75,14 @@
 	return balancer.Result{Kind: kind, Running: len(b.running), Queued: len(b.waiting), HasLoad: true}
 }
 
-func (b *backend) oneWay(c *carrier) time.Duration { return delay(b.zone, c.zone) }
+func (b *backend) oneWay(c *proxy) time.Duration { return delay(b.zone, c.zone) }
 
 // arrive is a request's first byte here.
 func (b *backend) arrive(j *job, epoch int) {
 	w := b.w
 	b.coming = slices.DeleteFunc(b.coming, func(o *job) bool { return o == j })
 	if b.dark {
-		j.say(unackedFor, balancer.Result{Kind: apierror.ConnectionBroken, Unresponsive: true})
+		j.say(unackedTimeout, balancer.Result{Kind: apierror.ConnectionBroken, Unresponsive: true})
 		return
 	}
 	if b.gone || epoch != b.epoch {
@@ -112,7 +112,7 @@
 	b.running = append(b.running, j)
 	w.at(j.ends, func() {
 		if b.leave(j) {
-			w.s.RanWhole++
+			w.s.RanComplete++
 			j.say(b.oneWay(j.t.c), b.met(apierror.None))
 		}
 	})
@@ -166,22 +166,25 @@
 		j.say(after, balancer.Result{Kind: apierror.ConnectionBroken, Unresponsive: dark})
 	}
 	if !dark {
-		w.after(7*beat/2, func() { w.way.word(b, false) }) // nobody hears its beats
+		w.after(7*heartbeatInterval/2, func() { w.way.word(b, false) }) // nobody hears its beats
 	}
 }
 
 // back is that its machine is there again; its beats say later that it is cold.
 func (b *backend) back() {
 	w := b.w
-	b.dark, b.coldUntil = false, w.now+w.Kinds[b.kind].Cold
-	w.after(time.Duration(balancer.RendezvousHash(b.id, "beat")%uint64(beat))+told, func() { w.way.word(b, true) })
+	b.dark, b.warmupEnd = false, w.now+w.Kinds[b.kind].SlowStart
+	w.after(
+		time.Duration(balancer.RendezvousHash(b.id, "beat")%uint64(heartbeatInterval))+notificationDelay,
+		func() { w.way.word(b, true) },
+	)
 }
 
 // reborn adds the new life of one that crashed.
 func (b *backend) reborn() {
 	w := b.w
 	n := &backend{w: w, index: len(w.backends), id: b.id + "+", address: fmt.Sprint(b.address, "+"), kind: b.kind,
-		zone: b.zone, slots: b.slots, speed: b.speed, slow: 1, tires: b.tires, coldUntil: w.now + w.Kinds[b.kind].Cold}
+		zone: b.zone, slots: b.slots, speed: b.speed, slow: 1, tires: b.tires, warmupEnd: w.now + w.Kinds[b.kind].SlowStart}
 	w.backends = append(w.backends, n)
-	w.after(told, func() { w.way.word(n, true) })
+	w.after(notificationDelay, func() { w.way.word(n, true) })
 }
--- a/internal/emulator/proxies/carrier.go
+++ b/internal/emulator/proxies/carrier.go
@@ -10,17 +10,17 @@
 
 // As transit and attempt have them.
 const (
-	dialFor    = 250 * ms
-	dialsMost  = 4
-	maxTries   = 2
-	keepFor    = 7500 * ms // an idle connection
-	idleMost   = 8
-	proveAfter = 100 * ms
-	proveMost  = 700 * ms
-	unsureFor  = 300 * ms
+	dialTimeout         = 250 * ms
+	maxDials            = 4
+	maxTries            = 2
+	idleTimeout         = 7500 * ms // an idle connection
+	maxIdle             = 8
+	minHealthCheckPause = 100 * ms
+	maxHealthCheckPause = 700 * ms
+	uncertainty         = 300 * ms
 )
 
-type carrier struct {
+type proxy struct {
 	w     *world
 	index int
 	zone  int
@@ -34,16 +34,16 @@
 }
 
 type idle struct {
-	until time.Duration
-	epoch int
+	expiresAt time.Duration
+	epoch     int
 }
 
-// try is one of a client's, at a carrier.
-type try struct {
-	c         *carrier
+// attempt is one of a client's, at a carrier.
+type attempt struct {
+	c         *proxy
 	r         *request
 	sent      time.Duration // by the client
-	came      time.Duration // here
+	arrivedAt time.Duration // here
 	deadline  time.Duration
 	tried     []*backend
 	picked    balancer.Selection // as the settler knows it
@@ -56,14 +56,14 @@
 	answer    func(kind apierror.Kind, after time.Duration)
 }
 
-func (c *carrier) to(b *backend) *conns {
+func (c *proxy) to(b *backend) *conns {
 	k := c.conns[b]
 	if k == nil {
 		k = &conns{}
 		c.conns[b] = k
 	}
 	k.idle = slices.DeleteFunc(k.idle, func(i idle) bool {
-		over := c.w.now >= i.until || b.gone
+		over := c.w.now >= i.expiresAt || b.gone
 		if over {
 			k.open--
 		}
@@ -73,7 +73,7 @@
 }
 
 // carry takes a try from the client, as transit does.
-func (c *carrier) carry(t *try) {
+func (c *proxy) carry(t *attempt) {
 	w := c.w
 	kind, after := w.way.admit(c, t)
 	if kind != apierror.None {
@@ -83,7 +83,7 @@
 	c.next(t)
 }
 
-func (c *carrier) next(t *try) {
+func (c *proxy) next(t *attempt) {
 	w := c.w
 	if w.now >= t.deadline {
 		if t.last = apierror.DeadlineExceeded; t.mayHave {
@@ -110,7 +110,7 @@
 		}
 		t.tried = append(t.tried, b)
 		if m.Kind == apierror.ConnectFailed {
-			if t.unreached++; t.unreached >= dialsMost {
+			if t.unreached++; t.unreached >= maxDials {
 				c.finish(t)
 				return
 			}
@@ -127,14 +127,14 @@
 }
 
 // do sends a try to a backend on an idle connection or a new one.
-func (c *carrier) do(t *try, b *backend, done func(balancer.Result), share int) {
+func (c *proxy) do(t *attempt, b *backend, done func(balancer.Result), share int) {
 	w, k, lag := c.w, c.to(b), b.oneWay(c)
 	j := &job{t: t, b: b}
 	b.coming = append(b.coming, j)
 	j.done = func(m balancer.Result) {
 		b.coming = slices.DeleteFunc(b.coming, func(o *job) bool { return o == j })
-		if m.HasLoad && m.Kind != apierror.ResponseTimeout && k.open <= share && len(k.idle) < idleMost {
-			k.idle = append(k.idle, idle{w.now + keepFor, b.epoch})
+		if m.HasLoad && m.Kind != apierror.ResponseTimeout && k.open <= share && len(k.idle) < maxIdle {
+			k.idle = append(k.idle, idle{w.now + idleTimeout, b.epoch})
 		} else {
 			k.open--
 		}
@@ -173,11 +173,11 @@
 }
 
 // connect brings up a connection.
-func (c *carrier) connect(b *backend, deadline time.Duration, then func(kind apierror.Kind, silent bool)) {
+func (c *proxy) connect(b *backend, deadline time.Duration, then func(kind apierror.Kind, silent bool)) {
 	w, lag := c.w, b.oneWay(c)
 	switch {
 	case b.dark:
-		if end := w.now + dialFor; end < deadline {
+		if end := w.now + dialTimeout; end < deadline {
 			w.at(end, func() { then(apierror.ConnectFailed, true) })
 		} // else the try's own deadline ends it
 	case b.gone:
@@ -189,7 +189,7 @@
 }
 
 // finish answers the client by what was met last, as transit does.
-func (c *carrier) finish(t *try) {
+func (c *proxy) finish(t *attempt) {
 	switch rule := t.last.Policy(); {
 	case t.last == apierror.None:
 		t.answer(apierror.None, 0)
@@ -202,7 +202,7 @@
 	}
 }
 
-func (t *try) refuse(kind apierror.Kind, after time.Duration) {
+func (t *attempt) refuse(kind apierror.Kind, after time.Duration) {
 	if after <= 0 {
 		after = kind.Policy().RetryAfter
 	}
--- a/internal/emulator/proxies/carry.go
+++ b/internal/emulator/proxies/carry.go
@@ -23,74 +23,89 @@
 	// Lead is how long all runs before the first request comes.
 	Lead = 8 * time.Second
 
-	inZone     = 100 * time.Microsecond // one way
-	acrossZone = ms
-	toClient   = 3 * ms
-	handshake  = ms // of a backend, a new connection
-	coldSlower = 2.0
-	tiredBy    = 1.2 // slower on the last slot, those that tire
-	workMost   = 6   // times the mean
-	tailPart   = 0.01
-	tailTimes  = 3
-	waveSwing  = 0.15
-	wavePeriod = 11 * time.Second
-	latePart   = 0.3 // of the worth, for an answer after the aim
+	inZone          = 100 * time.Microsecond // one way
+	acrossZone      = ms
+	toClient        = 3 * ms
+	handshake       = ms // of a backend, a new connection
+	slowStartFactor = 2.0
+	tiredFactor     = 1.2 // slower on the last slot, those that tire
+	maxWork         = 6   // times the mean
+	tailPart        = 0.01
+	tailTimes       = 3
+	waveSwing       = 0.15
+	wavePeriod      = 11 * time.Second
+	latePart        = 0.3 // of the worth, for an answer after the aim
 )
 
 // Kind is a kind of request; each has a service of its own.
 type Kind struct {
-	Name           string
-	Work           time.Duration // mean, at speed 1
-	Spread         float64       // of the work, relative
-	Aim, Deadline  time.Duration
-	Safe           bool
-	Worth          float64
-	Priority       int
-	Fresh          bool // clients open a connection for each
-	Slots, Queue   int  // of each of the service's backends
-	Backends       int  // the mean number
-	ColdRate       float64
-	Cold           time.Duration
-	MaxConns       int
-	ClientTries    int // beside the first
-	SpeedLow, High float64
-	Tire           bool // a third of the backends slow down when full
+	Name                    string
+	Work                    time.Duration // mean, at speed 1
+	Spread                  float64       // of the work, relative
+	LatencyTarget, Deadline time.Duration
+	Safe                    bool
+	Value                   float64
+	Priority                int
+	Fresh                   bool // clients open a connection for each
+	Slots, Queue            int  // of each of the service's backends
+	Backends                int  // the mean number
+	SlowStartRate           float64
+	SlowStart               time.Duration
+	MaxConns                int
+	ClientTries             int // beside the first
+	SpeedLow, High          float64
+	Tire                    bool // a third of the backends slow down when full
 }
 
 // Kinds are the three that are played.
 func Kinds() []Kind {
-	base := Kind{Slots: 6, Queue: 24, ColdRate: 5.9, Cold: 3 * time.Second, MaxConns: 120, ClientTries: 1, SpeedLow: 0.7,
-		High: 1.5, Tire: true, Worth: 1, Safe: true, Priority: 2, Fresh: true, Spread: 0.3}
+	base := Kind{
+		Slots:         6,
+		Queue:         24,
+		SlowStartRate: 5.9,
+		SlowStart:     3 * time.Second,
+		MaxConns:      120,
+		ClientTries:   1,
+		SpeedLow:      0.7,
+		High:          1.5,
+		Tire:          true,
+		Value:         1,
+		Safe:          true,
+		Priority:      2,
+		Fresh:         true,
+		Spread:        0.3,
+	}
 	a, b, c := base, base, base
-	a.Name, a.Work, a.Aim, a.Deadline, a.Backends = "fetch", 220*ms, 800*ms, 3*time.Second, 13
-	b.Name, b.Work, b.Aim, b.Deadline, b.Backends = "book", 290*ms, time.Second, 4*time.Second, 6
-	b.Safe, b.Worth, b.Priority, b.Fresh = false, 2, 1, false
-	c.Name, c.Work, c.Aim, c.Deadline, c.Backends, c.Spread = "preview", 550*ms, 2*time.Second, 8*time.Second, 11, 0.5
+	a.Name, a.Work, a.LatencyTarget, a.Deadline, a.Backends = "fetch", 220*ms, 800*ms, 3*time.Second, 13
+	b.Name, b.Work, b.LatencyTarget, b.Deadline, b.Backends = "book", 290*ms, time.Second, 4*time.Second, 6
+	b.Safe, b.Value, b.Priority, b.Fresh = false, 2, 1, false
+	c.Name, c.Work, c.LatencyTarget, c.Deadline = "preview", 550*ms, 2*time.Second, 8*time.Second
+	c.Backends, c.Spread = 11, 0.5
 	return []Kind{a, b, c}
 }
 
 // Shape is what a day is drawn from.
 type Shape struct {
-	Seed     uint64
-	Kinds    []Kind
-	Zones    int
-	Carriers int
-	Day      Day
+	Seed    uint64
+	Kinds   []Kind
+	Zones   int
+	Proxies int
+	Day     Day
 }
 
 // Day is a load and what goes wrong.
 type Day struct {
-	Name   string
-	Use    float64 // of the capacity of all, at the mean of the wave
-	Length time.Duration
-	From   time.Duration // the trouble, from the first request on
-	For    time.Duration
-	Dark   int     // zones
-	Crash  float64 // part of the first service's backends that is killed, and comes back as new ones
-	Slow   float64 // part of all backends that is slower
-	SlowBy float64
-	Abuse  float64 // part of the clients that come again at once, and more often
-	AbuseX int     // times as often
+	Name          string
+	Use           float64 // of the capacity of all, at the mean of the wave
+	Length        time.Duration
+	From          time.Duration // the trouble, from the first request on
+	FaultDuration time.Duration
+	Dark          int     // zones
+	Crash         float64 // part of the first service's backends that is killed, and comes back as new ones
+	Slow          float64 // part of all backends that is slower
+	SlowFactor    float64
+	Abuse         float64 // part of the clients that come again at once, and more often
+	AbuseX        int     // times as often
 }
 
 // Days are the ones that the lab plays.
@@ -100,11 +115,11 @@
 		{Name: "calm", Use: 0.5, Length: length},
 		{Name: "busy", Use: 0.85, Length: length},
 		{Name: "overload", Use: 1.25, Length: length},
-		{Name: "zone dark", Use: 0.55, Length: length, From: from, For: duration, Dark: 1},
-		{Name: "two dark", Use: 0.55, Length: length, From: from, For: duration, Dark: 2},
-		{Name: "crash", Use: 0.55, Length: length, From: from, For: duration, Crash: 0.5},
-		{Name: "slow third", Use: 0.6, Length: length, From: from, For: duration, Slow: 1.0 / 3, SlowBy: 3},
-		{Name: "storm", Use: 1.0, Length: length, From: from, For: duration, Abuse: 0.3, AbuseX: 3},
+		{Name: "zone dark", Use: 0.55, Length: length, From: from, FaultDuration: duration, Dark: 1},
+		{Name: "two dark", Use: 0.55, Length: length, From: from, FaultDuration: duration, Dark: 2},
+		{Name: "crash", Use: 0.55, Length: length, From: from, FaultDuration: duration, Crash: 0.5},
+		{Name: "slow third", Use: 0.6, Length: length, From: from, FaultDuration: duration, Slow: 1.0 / 3, SlowFactor: 3},
+		{Name: "storm", Use: 1.0, Length: length, From: from, FaultDuration: duration, Abuse: 0.3, AbuseX: 3},
 	}
 }
 
@@ -114,14 +129,14 @@
 	at       time.Duration
 	kind     int
 	zone     int
-	carrier  int
+	proxy    int
 	work     time.Duration
 	abuse    bool
 	chance   *rand.Rand // its own, so that the ways to choose do not disturb each other's draws
 	tries    int
 	refusedE bool // the first refusal came inside a quarter of the aim
 	refused  bool
-	held     bool
+	inFlight bool
 	done     bool
 }
 
@@ -155,7 +170,7 @@
 	queue    events
 	way      way
 	backends []*backend // those of a new life are added
-	carriers []*carrier
+	proxies  []*proxy
 	home     [][]int // carriers by zone
 	abusing  bool
 	end      time.Duration // of what repeats
@@ -190,7 +205,7 @@
 		sum += parts[z]
 	}
 	w.home = make([][]int, w.Zones)
-	for i := range w.Carriers {
+	for i := range w.Proxies {
 		w.home[i%w.Zones] = append(w.home[i%w.Zones], i)
 	}
 	clients := make([][]int, w.Zones) // the carrier of each, by a hash: uneven
@@ -231,8 +246,8 @@
 			if chance.Float64() < tailPart {
 				work *= tailTimes
 			}
-			all = append(all, &request{at: Lead + t, kind: k, zone: z, carrier: clients[z][chance.IntN(len(clients[z]))],
-				work: time.Duration(min(work, workMost*float64(kind.Work))), abuse: chance.Float64() < w.Day.Abuse})
+			all = append(all, &request{at: Lead + t, kind: k, zone: z, proxy: clients[z][chance.IntN(len(clients[z]))],
+				work: time.Duration(min(work, maxWork*float64(kind.Work))), abuse: chance.Float64() < w.Day.Abuse})
 		}
 	}
 	slices.SortStableFunc(all, func(a, b *request) int { return cmp.Compare(a.at, b.at) })
@@ -254,11 +269,11 @@
 	w.s.Windows = make([]Tally, int(s.Day.Length/Window))
 	requests := w.draw()
 	w.way = newWay(name, w)
-	for i := range w.Carriers {
-		w.carriers = append(w.carriers, &carrier{w: w, index: i, zone: i % w.Zones, conns: map[*backend]*conns{}})
+	for i := range w.Proxies {
+		w.proxies = append(w.proxies, &proxy{w: w, index: i, zone: i % w.Zones, conns: map[*backend]*conns{}})
 	}
 	w.way.begin()
-	w.trouble()
+	w.injectFaults()
 	for _, r := range requests {
 		w.at(r.at, func() { w.send(r) })
 	}
@@ -271,11 +286,11 @@
 	return w.s
 }
 
-// trouble lets the day's happen.
-func (w *world) trouble() {
+// injectFaults lets the day's happen.
+func (w *world) injectFaults() {
 	d, chance := w.Day, rand.New(rand.NewPCG(w.Seed, 2))
 	from := Lead + d.From
-	to := from + d.For
+	to := from + d.FaultDuration
 	first := chance.IntN(w.Zones)
 	for _, b := range slices.Clone(w.backends) {
 		if (b.zone-first+w.Zones)%w.Zones < d.Dark {
@@ -296,7 +311,7 @@
 		}
 	}
 	for _, i := range chance.Perm(len(w.backends))[:int(d.Slow*float64(len(w.backends)))] {
-		w.at(from, func() { w.backends[i].slow = d.SlowBy })
+		w.at(from, func() { w.backends[i].slow = d.SlowFactor })
 		w.at(to, func() { w.backends[i].slow = 1 })
 	}
 	if d.Abuse > 0 {
--- a/internal/emulator/proxies/carry_test.go
+++ b/internal/emulator/proxies/carry_test.go
@@ -15,8 +15,8 @@
 func short(name string) Shape {
 	for _, d := range Days() {
 		if d.Name == name {
-			d.Length, d.From, d.For = 8*time.Second, 2*time.Second, 3*time.Second
-			return Shape{Seed: 1, Kinds: Kinds(), Zones: 3, Carriers: 6, Day: d}
+			d.Length, d.From, d.FaultDuration = 8*time.Second, 2*time.Second, 3*time.Second
+			return Shape{Seed: 1, Kinds: Kinds(), Zones: 3, Proxies: 6, Day: d}
 		}
 	}
 	panic(name)
@@ -27,17 +27,17 @@
 func TestQueues(t *testing.T) {
 	k := Kinds()[0]
 	k.SpeedLow, k.High, k.Tire, k.Backends, k.Slots, k.Queue = 1, 1, false, 1, 12, 1000
-	k.Aim, k.Deadline = time.Hour, time.Hour
+	k.LatencyTarget, k.Deadline = time.Hour, time.Hour
 	day := Day{Use: 0.7, Length: 300 * time.Second}
-	s := Play(Shape{Seed: 3, Kinds: []Kind{k}, Zones: 1, Carriers: 1, Day: day}, "least loaded")
+	s := Play(Shape{Seed: 3, Kinds: []Kind{k}, Zones: 1, Proxies: 1, Day: day}, "least loaded")
 	if s.All.Inside != s.All.Requests || len(s.Missed) > 0 {
 		t.Errorf("%+v", s)
 	}
 	if busy := s.Busy[0]; math.Abs(busy-0.7) > 0.02 {
 		t.Errorf("slots are busy for %.3f of the time", busy)
 	}
-	k.Aim = 5 * k.Work / 2 // hardly a work lasts longer, those of the tail aside
-	s = Play(Shape{Seed: 3, Kinds: []Kind{k}, Zones: 1, Carriers: 1, Day: day}, "least loaded")
+	k.LatencyTarget = 5 * k.Work / 2 // hardly a work lasts longer, those of the tail aside
+	s = Play(Shape{Seed: 3, Kinds: []Kind{k}, Zones: 1, Proxies: 1, Day: day}, "least loaded")
 	if in := float64(s.All.Inside) / float64(s.All.Requests); in < 0.98 || in > 0.998 {
 		t.Errorf("%.4f inside", in)
 	}
@@ -80,9 +80,9 @@
 		for _, way := range []string{"round robin", "two choices", "central"} {
 			s := Play(short(day), way)
 			a := s.All
-			fmt.Fprintf(&said, "%s, %s: worth %.3f, worst %.3f; %d requests, %d inside, %d after, ", day, way, a.Worth(),
-				s.Worst, a.Requests, a.Inside, a.After)
-			fmt.Fprintf(&said, "%d returned, %d refused, %d failed, %d held; ", a.Returned, a.Refused, a.Failed, a.Held)
+			fmt.Fprintf(&said, "%s, %s: worth %.3f, worst %.3f; %d requests, %d inside, %d after, ", day, way, a.Earnings(),
+				s.Worst, a.Requests, a.Inside, a.Late)
+			fmt.Fprintf(&said, "%d returned, %d refused, %d failed, %d held; ", a.Returned, a.Refused, a.Failed, a.Unfinished)
 			fmt.Fprintf(&said, "%d connections, %d further, %d in vain; %v\n", s.Connections, s.Further, s.InVain, s.Rules)
 		}
 	}
--- a/internal/emulator/proxies/client.go
+++ b/internal/emulator/proxies/client.go
@@ -14,59 +14,59 @@
 	Window = 2 * time.Second
 
 	abusePause = 5 * ms
-	pauseLeast = 50 * ms // where nothing was told
+	minPause   = 50 * ms // where nothing was told
 	pauseMore  = 100 * ms
 
-	retryRatio  = 0.2
-	retrySlack  = 60.0
-	retryWindow = 10 * time.Second
-	coldExcess  = 1.5
-	coldSlack   = 5.0
+	retryRatio      = 0.2
+	retrySlack      = 60.0
+	retryWindow     = 10 * time.Second
+	slowStartExcess = 1.5
+	slowStartSlack  = 5.0
 )
 
 // Tally is of requests by their end, and of worth.
 type Tally struct {
-	Owed, Earned                                   float64
-	Requests                                       int
-	Inside, After, Returned, Refused, Failed, Held int // ends; each request has one
-	LostLate, LostRefused, LostFailed, LostHeld    float64
+	Owed, Earned                                        float64
+	Requests                                            int
+	Inside, Late, Returned, Refused, Failed, Unfinished int // ends; each request has one
+	LostLate, LostRefused, LostFailed, LostUnfinished   float64
 }
 
-// Worth is the part that was earned.
-func (t Tally) Worth() float64 { return t.Earned / max(t.Owed, 1e-9) }
+// Earnings is the part that was earned.
+func (t Tally) Earnings() float64 { return t.Earned / max(t.Owed, 1e-9) }
 
 func (t *Tally) add(o Tally) {
 	t.Owed, t.Earned, t.Requests = t.Owed+o.Owed, t.Earned+o.Earned, t.Requests+o.Requests
-	t.Inside, t.After, t.Returned = t.Inside+o.Inside, t.After+o.After, t.Returned+o.Returned
-	t.Refused, t.Failed, t.Held = t.Refused+o.Refused, t.Failed+o.Failed, t.Held+o.Held
+	t.Inside, t.Late, t.Returned = t.Inside+o.Inside, t.Late+o.Late, t.Returned+o.Returned
+	t.Refused, t.Failed, t.Unfinished = t.Refused+o.Refused, t.Failed+o.Failed, t.Unfinished+o.Unfinished
 	t.LostLate, t.LostRefused = t.LostLate+o.LostLate, t.LostRefused+o.LostRefused
-	t.LostFailed, t.LostHeld = t.LostFailed+o.LostFailed, t.LostHeld+o.LostHeld
+	t.LostFailed, t.LostUnfinished = t.LostFailed+o.LostFailed, t.LostUnfinished+o.LostUnfinished
 }
 
 // Sum is what a day came to.
 type Sum struct {
-	Way, Day              string
-	All                   Tally
-	Kinds                 []Tally
-	Windows               []Tally        // by the first try
-	Worst                 float64        // worth of the two worst windows
-	Connections           int            // new ones to backends
-	Further               int            // arrivals past the first of each try
-	InVain                int            // came back after a refusal and ended refused
-	Reasons               map[string]int // tries that a carrier did not serve, by the kind of their end
-	Ran, RanWhole, Broken int            // at backends
-	Rules                 []string
-	Missed                []string // totals that are not what they must be
-	Busy                  []float64
+	Way, Day                 string
+	All                      Tally
+	Kinds                    []Tally
+	Windows                  []Tally        // by the first try
+	Worst                    float64        // worth of the two worst windows
+	Connections              int            // new ones to backends
+	Further                  int            // arrivals past the first of each try
+	InVain                   int            // came back after a refusal and ended refused
+	Reasons                  map[string]int // tries that a carrier did not serve, by the kind of their end
+	Ran, RanComplete, Broken int            // at backends
+	Rules                    []string
+	Missed                   []string // totals that are not what they must be
+	Busy                     []float64
 }
 
 // send is a client's next try of a request.
 func (w *world) send(r *request) {
 	kind := w.Kinds[r.kind]
-	c := w.carriers[r.carrier]
+	c := w.proxies[r.proxy]
 	if r.tries > 0 { // further ones reach others
 		home := w.home[r.zone]
-		c = w.carriers[home[r.chance.IntN(len(home))]]
+		c = w.proxies[home[r.chance.IntN(len(home))]]
 	}
 	way := toClient
 	if kind.Fresh || r.tries > 0 { // on a new connection
@@ -75,38 +75,38 @@
 	r.tries++
 	sent, over := w.now, r.at+kind.Deadline
 	w.ledger.tried(r.kind, sent)
-	t := &try{c: c, r: r, sent: sent, came: sent + way, deadline: over + way}
+	t := &attempt{c: c, r: r, sent: sent, arrivedAt: sent + way, deadline: over + way}
 	t.answer = func(ended apierror.Kind, after time.Duration) {
 		w.ledger.answered(w, t, ended)
 		if ended != apierror.None {
 			w.s.Reasons[ended.String()]++
 		}
-		hold, offered := w.now-t.came, t.arrived > 0
+		hold, offered := w.now-t.arrivedAt, t.arrived > 0
 		w.after(toClient, func() { w.answered(r, sent, ended, after, hold, offered) })
 	}
-	w.at(t.came, func() { c.carry(t) })
+	w.at(t.arrivedAt, func() { c.carry(t) })
 }
 
 // answered is a client that hears of its try's end.
 func (w *world) answered(r *request, sent time.Duration, ended apierror.Kind, after, hold time.Duration, offered bool) {
 	kind := w.Kinds[r.kind]
 	took, over := w.now-r.at, r.at+kind.Deadline
-	tally := Tally{Owed: kind.Worth, Requests: 1}
-	late, mean := kind.Worth*latePart, kind.Worth*(1+latePart)/2
+	tally := Tally{Owed: kind.Value, Requests: 1}
+	late, mean := kind.Value*latePart, kind.Value*(1+latePart)/2
 	refusal := promises(ended)
 	switch {
-	case ended == apierror.None && took <= kind.Aim:
-		tally.Earned, tally.Inside = kind.Worth, 1
-	case ended == apierror.None && r.refusedE && w.now-sent <= kind.Aim && w.now <= over:
-		tally.Earned, tally.Returned, tally.LostRefused = mean, 1, kind.Worth-mean
+	case ended == apierror.None && took <= kind.LatencyTarget:
+		tally.Earned, tally.Inside = kind.Value, 1
+	case ended == apierror.None && r.refusedE && w.now-sent <= kind.LatencyTarget && w.now <= over:
+		tally.Earned, tally.Returned, tally.LostRefused = mean, 1, kind.Value-mean
 	case ended == apierror.None && w.now <= over:
-		tally.Earned, tally.After, tally.LostLate = late, 1, kind.Worth-late
+		tally.Earned, tally.Late, tally.LostLate = late, 1, kind.Value-late
 	default:
 		if refusal && !r.refused {
-			r.refused, r.refusedE = true, took <= kind.Aim/4
+			r.refused, r.refusedE = true, took <= kind.LatencyTarget/4
 		}
-		r.held = r.held || !offered && hold > kind.Aim/4
-		most, pause := kind.ClientTries, pauseLeast+time.Duration(r.chance.Float64()*float64(pauseMore))
+		r.inFlight = r.inFlight || !offered && hold > kind.LatencyTarget/4
+		most, pause := kind.ClientTries, minPause+time.Duration(r.chance.Float64()*float64(pauseMore))
 		if after > 0 {
 			pause = min(after, max(over-w.now, 0)/3)
 		}
@@ -121,12 +121,12 @@
 			w.s.InVain++
 		}
 		switch {
-		case r.held:
-			tally.Held, tally.LostHeld = 1, kind.Worth
+		case r.inFlight:
+			tally.Unfinished, tally.LostUnfinished = 1, kind.Value
 		case refusal:
-			tally.Refused, tally.LostRefused = 1, kind.Worth
+			tally.Refused, tally.LostRefused = 1, kind.Value
 		default:
-			tally.Failed, tally.LostFailed = 1, kind.Worth
+			tally.Failed, tally.LostFailed = 1, kind.Value
 		}
 	}
 	if r.done {
@@ -171,13 +171,13 @@
 		w.s.Further++
 		l.further[j.t.r.kind] = append(l.further[j.t.r.kind], w.now)
 	}
-	if j.b.cold() {
-		j.b.coldCame = append(j.b.coldCame, w.now)
+	if j.b.inSlowStart() {
+		j.b.warmupArrivals = append(j.b.warmupArrivals, w.now)
 	}
 }
 
 // answered checks that a promise holds.
-func (l *ledger) answered(w *world, t *try, ended apierror.Kind) {
+func (l *ledger) answered(w *world, t *attempt, ended apierror.Kind) {
 	if promises(ended) && t.ran > 0 && !w.Kinds[t.r.kind].Safe {
 		l.note("REFUSED")
 	}
@@ -208,10 +208,10 @@
 		}
 	}
 	missed(open > 0, "%d requests without an end", open)
-	ends := a.Inside + a.After + a.Returned + a.Refused + a.Failed + a.Held
+	ends := a.Inside + a.Late + a.Returned + a.Refused + a.Failed + a.Unfinished
 	missed(a.Requests != len(requests) || ends != a.Requests,
 		"%d requests, %d accounted for, %d ends", len(requests), a.Requests, ends)
-	missed(math.Abs(a.Owed-a.Earned-a.LostLate-a.LostRefused-a.LostFailed-a.LostHeld) > 1e-6,
+	missed(math.Abs(a.Owed-a.Earned-a.LostLate-a.LostRefused-a.LostFailed-a.LostUnfinished) > 1e-6,
 		"what was lost by cause is not what is missing")
 	var kinds, windows Tally
 	for _, t := range s.Kinds {
@@ -222,10 +222,10 @@
 	}
 	missed(kinds.Requests != a.Requests || windows.Requests != a.Requests || windows.Inside != a.Inside,
 		"kinds or windows do not add up")
-	missed(s.Ran != s.RanWhole+s.Broken, "%d ran, %d to their end, %d broken off", s.Ran, s.RanWhole, s.Broken)
+	missed(s.Ran != s.RanComplete+s.Broken, "%d ran, %d to their end, %d broken off", s.Ran, s.RanComplete, s.Broken)
 	var worth []float64
 	for _, t := range s.Windows {
-		worth = append(worth, t.Worth())
+		worth = append(worth, t.Earnings())
 	}
 	slices.Sort(worth)
 	if len(worth) > 1 {
@@ -243,8 +243,8 @@
 		}
 	}
 	for _, b := range w.backends {
-		for _, at := range b.coldCame {
-			if float64(in(b.coldCame, at-time.Second, at)) > w.Kinds[b.kind].ColdRate*coldExcess+coldSlack {
+		for _, at := range b.warmupArrivals {
+			if float64(in(b.warmupArrivals, at-time.Second, at)) > w.Kinds[b.kind].SlowStartRate*slowStartExcess+slowStartSlack {
 				w.ledger.note("FAILBACK")
 			}
 		}
