--- a/internal/emulator/proxies/ways.go
+++ b/internal/emulator/proxies/ways.go
@@ -21,33 +21,33 @@
 	begin()
 	word(b *backend, there bool) // what a beat said, or that none came
 	sees() bool                  // it knows the true state at once
-	admit(c *carrier, t *try) (apierror.Kind, time.Duration)
-	pick(c *carrier, t *try) (b *backend, share int, kind apierror.Kind)
-	end(c *carrier, t *try, b *backend, m balancer.Result)
-	again(c *carrier, t *try, kind apierror.Kind) bool
-	later(c *carrier, t *try) time.Duration
+	admit(c *proxy, t *attempt) (apierror.Kind, time.Duration)
+	pick(c *proxy, t *attempt) (b *backend, share int, kind apierror.Kind)
+	end(c *proxy, t *attempt, b *backend, m balancer.Result)
+	again(c *proxy, t *attempt, kind apierror.Kind) bool
+	later(c *proxy, t *attempt) time.Duration
 }
 
 func newWay(name string, w *world) way {
 	switch name {
 	case "settler":
-		return &settled{w: w}
+		return &inService{w: w}
 	case "central", "central, blind":
 		return &central{w: w, blind: name != "central"}
 	}
 	return &plain{w: w, name: name}
 }
 
-// settled is the way in service: a settler a carrier, a bearing a zone.
-type settled struct {
-	w        *world
-	settlers []*balancer.Balancer
-	bearings []*steering.Adapter
-	byID     map[string]*backend
-	listed   []steering.Endpoint
+// inService is the way in service: a settler a carrier, a bearing a zone.
+type inService struct {
+	w         *world
+	balancers []*balancer.Balancer
+	adapters  []*steering.Adapter
+	byID      map[string]*backend
+	listed    []steering.Endpoint
 }
 
-func (s *settled) begin() {
+func (s *inService) begin() {
 	w := s.w
 	s.byID = map[string]*backend{}
 	var members []balancer.ProxyInfo
@@ -57,10 +57,10 @@
 		zones = append(zones, zoneName(z))
 	}
 	for _, k := range w.Kinds {
-		services[k.Name] = steering.Service{LatencyTarget: k.Aim}
+		services[k.Name] = steering.Service{LatencyTarget: k.LatencyTarget}
 	}
 	name := func(i int) string { return fmt.Sprintf("c%d", i) }
-	for i, c := range w.carriers {
+	for i, c := range w.proxies {
 		members = append(members, balancer.ProxyInfo{Name: name(i), Zone: zoneName(c.zone)})
 		leases = append(leases, rpc.ProxyInfo{Name: name(i), Zone: zoneName(c.zone)})
 	}
@@ -68,23 +68,23 @@
 		b := steering.New(zones, time.Duration(balancer.RendezvousHash(zones[z], "tick")%uint64(time.Second)))
 		b.Configure(services)
 		b.SetProxies(leases)
-		s.bearings = append(s.bearings, b)
+		s.adapters = append(s.adapters, b)
 	}
-	for i, c := range w.carriers {
+	for i, c := range w.proxies {
 		v := balancer.New(name(i), zoneName(c.zone), balancer.Bounds{RetryRatio: retryRatio, RetrySlack: retrySlack,
-			RetryWindow: retryWindow, SlowStartExcess: coldExcess, SlowStartSlack: coldSlack}, 0)
+			RetryWindow: retryWindow, SlowStartExcess: slowStartExcess, SlowStartSlack: slowStartSlack}, 0)
 		for _, k := range w.Kinds {
-			v.Configure(k.Name, k.MaxConns, k.ColdRate, k.Cold)
+			v.Configure(k.Name, k.MaxConns, k.SlowStartRate, k.SlowStart)
 		}
 		v.SetProxies(members)
 		v.ExtendLease(time.Hour)
-		s.settlers = append(s.settlers, v)
+		s.balancers = append(s.balancers, v)
 	}
 	for _, b := range w.backends {
 		s.word(b, true)
 	}
-	for i, c := range w.carriers {
-		s.bearings[c.zone].Join(name(i), zoneName(c.zone))
+	for i, c := range w.proxies {
+		s.adapters[c.zone].Join(name(i), zoneName(c.zone))
 		s.renew(i, name(i), time.Duration(balancer.RendezvousHash(name(i), "renew")%uint64(time.Second)))
 	}
 	for z := range zones {
@@ -93,10 +93,10 @@
 }
 
 // renew reports to the zone's controller each second.
-func (s *settled) renew(i int, name string, after time.Duration) {
+func (s *inService) renew(i int, name string, after time.Duration) {
 	w := s.w
 	w.after(after, func() {
-		r := s.settlers[i].Report()
+		r := s.balancers[i].Report()
 		var uses []rpc.ServiceLoad
 		var met []rpc.EndpointReport
 		for _, u := range r.Services {
@@ -106,7 +106,7 @@
 			met = append(met, rpc.EndpointReport{ID: t.ID, Attempts: t.Attempts, Failed: t.Failed,
 				Latency: int64(t.Latency / (100 * time.Microsecond)), Queued: t.Queued})
 		}
-		s.bearings[w.carriers[i].zone].Report(name, uses, met, 1)
+		s.adapters[w.proxies[i].zone].Report(name, uses, met, 1)
 		if w.now < w.end {
 			s.renew(i, name, time.Second)
 		}
@@ -114,17 +114,17 @@
 }
 
 // step lets a zone's controller decide, five times a second.
-func (s *settled) step(z int) {
+func (s *inService) step(z int) {
 	w := s.w
-	tables := s.bearings[z].Step(w.now)
+	tables := s.adapters[z].Step(w.now)
 	w.after(acrossZone, func() {
-		for i := range s.settlers {
+		for i := range s.balancers {
 			for _, t := range tables[fmt.Sprintf("c%d", i)] {
 				if t.Full || t.Weights != nil {
-					s.settlers[i].SetWeights(t.Service, t.Full, t.Weights)
+					s.balancers[i].SetWeights(t.Service, t.Full, t.Weights)
 				}
 				if t.Limited {
-					s.settlers[i].SetRateLimit(t.Service, t.RateLimit, w.now)
+					s.balancers[i].SetRateLimit(t.Service, t.RateLimit, w.now)
 				}
 			}
 		}
@@ -134,14 +134,14 @@
 	}
 }
 
-func (s *settled) word(b *backend, there bool) {
+func (s *inService) word(b *backend, there bool) {
 	w := s.w
 	if s.byID[b.id] == nil {
 		s.listed = append(s.listed, steering.Endpoint{ID: b.id, Service: w.Kinds[b.kind].Name, Zone: zoneName(b.zone),
 			Capacity: b.slots, Ready: true})
 	}
 	s.byID[b.id] = b
-	for _, v := range s.settlers {
+	for _, v := range s.balancers {
 		v.SetEndpoint(w.now, balancer.Endpoint{
 			ID:        b.id,
 			Service:   w.Kinds[b.kind].Name,
@@ -149,30 +149,30 @@
 			Zone:      zoneName(b.zone),
 			Capacity:  b.slots,
 			Usable:    there,
-			WarmupEnd: b.coldUntil,
+			WarmupEnd: b.warmupEnd,
 		})
 	}
-	for _, v := range s.bearings {
+	for _, v := range s.adapters {
 		v.SetEndpoints(w.now, s.listed)
 	}
 }
 
-func (s *settled) sees() bool { return false }
+func (s *inService) sees() bool { return false }
 
-func (s *settled) admit(c *carrier, t *try) (apierror.Kind, time.Duration) {
-	return s.settlers[c.index].Admit(s.w.now, s.w.Kinds[t.r.kind].Name)
+func (s *inService) admit(c *proxy, t *attempt) (apierror.Kind, time.Duration) {
+	return s.balancers[c.index].Admit(s.w.now, s.w.Kinds[t.r.kind].Name)
 }
 
-func (s *settled) pick(c *carrier, t *try) (*backend, int, apierror.Kind) {
+func (s *inService) pick(c *proxy, t *attempt) (*backend, int, apierror.Kind) {
 	k := s.w.Kinds[t.r.kind]
 	var tried []string
 	for _, b := range t.tried {
 		tried = append(tried, b.id)
 	}
-	b, kind := s.settlers[c.index].Pick(s.w.now, balancer.Request{
+	b, kind := s.balancers[c.index].Pick(s.w.now, balancer.Request{
 		Service:      k.Name,
 		Tried:        tried,
-		TimeToTarget: k.Aim - (s.w.now - t.came),
+		TimeToTarget: k.LatencyTarget - (s.w.now - t.arrivedAt),
 		Priority:     k.Priority,
 		Draws:        [2]float64{t.r.chance.Float64(), t.r.chance.Float64()},
 	})
@@ -183,8 +183,8 @@
 	return s.byID[b.ID], b.MaxConns, apierror.None
 }
 
-func (s *settled) end(c *carrier, t *try, _ *backend, m balancer.Result) {
-	v := s.settlers[c.index]
+func (s *inService) end(c *proxy, t *attempt, _ *backend, m balancer.Result) {
+	v := s.balancers[c.index]
 	v.End(s.w.now, t.picked, m)
 	if m.Kind != apierror.None {
 		for _, d := range v.TakeSuspects() {
@@ -195,8 +195,8 @@
 }
 
 // prove brings up a connection beside the requests until one does.
-func (s *settled) prove(c *carrier, d balancer.Suspect, b *backend, tries int) {
-	w, v, k := s.w, s.settlers[c.index], c.to(b)
+func (s *inService) prove(c *proxy, d balancer.Suspect, b *backend, tries int) {
+	w, v, k := s.w, s.balancers[c.index], c.to(b)
 	if tries == 1 {
 		k.open -= len(k.idle)
 		k.idle = nil
@@ -206,24 +206,24 @@
 			return
 		}
 		if kind == apierror.None {
-			v.HealthCheckPassed(w.now, d, beat+unsureFor)
+			v.HealthCheckPassed(w.now, d, heartbeatInterval+uncertainty)
 			k.open++
-			k.idle = append(k.idle, idle{w.now + keepFor, b.epoch})
+			k.idle = append(k.idle, idle{w.now + idleTimeout, b.epoch})
 			return
 		}
 		if w.now < w.end {
-			w.after(min(proveAfter*time.Duration(tries), proveMost), func() { s.prove(c, d, b, tries+1) })
+			w.after(min(minHealthCheckPause*time.Duration(tries), maxHealthCheckPause), func() { s.prove(c, d, b, tries+1) })
 		}
 	})
 }
 
-func (s *settled) again(c *carrier, t *try, kind apierror.Kind) bool {
+func (s *inService) again(c *proxy, t *attempt, kind apierror.Kind) bool {
 	k := s.w.Kinds[t.r.kind]
-	return s.settlers[c.index].AllowRetry(s.w.now, k.Name, kind, k.Safe, t.offered, maxTries)
+	return s.balancers[c.index].AllowRetry(s.w.now, k.Name, kind, k.Safe, t.offered, maxTries)
 }
 
-func (s *settled) later(_ *carrier, t *try) time.Duration {
-	return balancer.RetryDelay(s.w.Kinds[t.r.kind].Aim, t.r.chance.Float64())
+func (s *inService) later(_ *proxy, t *attempt) time.Duration {
+	return balancer.RetryDelay(s.w.Kinds[t.r.kind].LatencyTarget, t.r.chance.Float64())
 }
 
 // plain are the naive ways. All of them leave a backend alone for a second after a connection that did not come up or
@@ -236,12 +236,12 @@
 }
 
 type seen struct {
-	busy int
-	till time.Duration
+	busy   int
+	endsAt time.Duration
 }
 
 func (p *plain) begin() {
-	for range p.w.carriers {
+	for range p.w.proxies {
 		p.own = append(p.own, map[*backend]*seen{})
 		p.turn = append(p.turn, 0)
 	}
@@ -250,9 +250,9 @@
 func (p *plain) word(*backend, bool) {}
 func (p *plain) sees() bool          { return false }
 
-func (p *plain) admit(*carrier, *try) (apierror.Kind, time.Duration) { return apierror.None, 0 }
+func (p *plain) admit(*proxy, *attempt) (apierror.Kind, time.Duration) { return apierror.None, 0 }
 
-func (p *plain) see(c *carrier, b *backend) *seen {
+func (p *plain) see(c *proxy, b *backend) *seen {
 	v := p.own[c.index][b]
 	if v == nil {
 		v = &seen{}
@@ -261,10 +261,10 @@
 	return v
 }
 
-func (p *plain) pick(c *carrier, t *try) (*backend, int, apierror.Kind) {
+func (p *plain) pick(c *proxy, t *attempt) (*backend, int, apierror.Kind) {
 	var all []*backend
 	for _, b := range p.w.backends {
-		if b.kind == t.r.kind && p.w.now >= p.see(c, b).till && !slices.Contains(t.tried, b) {
+		if b.kind == t.r.kind && p.w.now >= p.see(c, b).endsAt && !slices.Contains(t.tried, b) {
 			all = append(all, b)
 		}
 	}
@@ -289,24 +289,24 @@
 		}
 	}
 	p.see(c, best).busy++
-	return best, idleMost, apierror.None
+	return best, maxIdle, apierror.None
 }
 
-func (p *plain) end(c *carrier, _ *try, b *backend, m balancer.Result) {
+func (p *plain) end(c *proxy, _ *attempt, b *backend, m balancer.Result) {
 	v := p.see(c, b)
 	v.busy--
 	if m.Kind == apierror.ConnectFailed || m.Kind == apierror.ConnectionBroken {
-		v.till = p.w.now + time.Second
+		v.endsAt = p.w.now + time.Second
 	}
 }
 
-func (p *plain) again(_ *carrier, t *try, kind apierror.Kind) bool {
+func (p *plain) again(_ *proxy, t *attempt, kind apierror.Kind) bool {
 	rule := kind.Policy()
 	return rule.Retryable && (!rule.MayHaveExecuted || p.w.Kinds[t.r.kind].Safe) && t.offered < maxTries
 }
 
-func (p *plain) later(_ *carrier, t *try) time.Duration {
-	return balancer.RetryDelay(p.w.Kinds[t.r.kind].Aim, t.r.chance.Float64())
+func (p *plain) later(_ *proxy, t *attempt) time.Duration {
+	return balancer.RetryDelay(p.w.Kinds[t.r.kind].LatencyTarget, t.r.chance.Float64())
 }
 
 // central is one picture with the true state: it knows what runs and waits where and for how long, each work before it
@@ -317,14 +317,14 @@
 	blind bool // it takes the mean for each work that has not begun
 }
 
-func (z *central) begin()                                              {}
-func (z *central) word(*backend, bool)                                 {}
-func (z *central) sees() bool                                          { return true }
-func (z *central) admit(*carrier, *try) (apierror.Kind, time.Duration) { return apierror.None, 0 }
-func (z *central) end(*carrier, *try, *backend, balancer.Result)       {}
+func (z *central) begin()                                                {}
+func (z *central) word(*backend, bool)                                   {}
+func (z *central) sees() bool                                            { return true }
+func (z *central) admit(*proxy, *attempt) (apierror.Kind, time.Duration) { return apierror.None, 0 }
+func (z *central) end(*proxy, *attempt, *backend, balancer.Result)       {}
 
 // soonest is when the client would have its answer, and how long it would wait for a slot.
-func (z *central) soonest(b *backend, c *carrier, t *try) (answered, waits time.Duration) {
+func (z *central) soonest(b *backend, c *proxy, t *attempt) (answered, waits time.Duration) {
 	work := func(r *request) time.Duration {
 		if z.blind {
 			return z.w.meanWork(r.kind)
@@ -370,11 +370,12 @@
 	return end + lag + toClient, begin - from
 }
 
-func (z *central) best(c *carrier, t *try) (best *backend, answered, waits time.Duration) {
+func (z *central) best(c *proxy, t *attempt) (best *backend, answered, waits time.Duration) {
 	for _, b := range z.w.backends {
 		if b.kind != t.r.kind || b.dark || b.gone || slices.Contains(t.tried, b) ||
 			len(b.waiting)+len(b.coming) >= z.w.Kinds[b.kind].Queue ||
-			b.cold() && z.w.now < b.lastCold+time.Duration(float64(time.Second)/z.w.Kinds[b.kind].ColdRate) {
+			b.inSlowStart() &&
+				z.w.now < b.lastWarmupArrival+time.Duration(float64(time.Second)/z.w.Kinds[b.kind].SlowStartRate) {
 			continue
 		}
 		if a, v := z.soonest(b, c, t); best == nil || a < answered {
@@ -384,30 +385,30 @@
 	return best, answered, waits
 }
 
-func (z *central) pick(c *carrier, t *try) (*backend, int, apierror.Kind) {
+func (z *central) pick(c *proxy, t *attempt) (*backend, int, apierror.Kind) {
 	b, answered, waits := z.best(c, t)
 	kind := z.w.Kinds[t.r.kind]
 	if b != nil && z.blind { // nineteen of twenty must not take longer
 		sigma := math.Sqrt(math.Log(1 + kind.Spread*kind.Spread))
 		answered += time.Duration(float64(b.takes(kind.Work, 0)) * (math.Exp(1.645*sigma-sigma*sigma/2) - 1))
 	}
-	if b == nil || answered > t.sent+kind.Aim && waits > 0 {
+	if b == nil || answered > t.sent+kind.LatencyTarget && waits > 0 {
 		return nil, 0, apierror.EndpointsSaturated
 	}
-	if b.cold() {
-		b.lastCold = z.w.now
+	if b.inSlowStart() {
+		b.lastWarmupArrival = z.w.now
 	}
-	return b, idleMost, apierror.None
+	return b, maxIdle, apierror.None
 }
 
-func (z *central) again(_ *carrier, t *try, kind apierror.Kind) bool {
+func (z *central) again(_ *proxy, t *attempt, kind apierror.Kind) bool {
 	rule := kind.Policy()
 	return rule.Retryable && (!rule.MayHaveExecuted || z.w.Kinds[t.r.kind].Safe) && t.offered < maxTries
 }
 
 // later is when there is room for one that finds none, by what is there now.
-func (z *central) later(c *carrier, t *try) time.Duration {
-	aim := z.w.Kinds[t.r.kind].Aim
+func (z *central) later(c *proxy, t *attempt) time.Duration {
+	aim := z.w.Kinds[t.r.kind].LatencyTarget
 	_, answered, _ := z.best(c, t)
 	return max(answered-t.sent-aim, 0) + balancer.RetryDelay(aim, t.r.chance.Float64())
 }
--- a/internal/emulator/told.go
+++ b/internal/emulator/told.go
@@ -96,7 +96,7 @@
 			}
 		})
 	}
-	c.heardOf(total, on)
+	c.onTotals(total, on)
 }
 
 // reached is who is there as a controller sees it.
@@ -143,8 +143,8 @@
 	})
 }
 
-// heardOf hands a total to the desk and to the children.
-func (c *controller) heardOf(total *aggregation.Sums, on map[string]aggregation.Down) {
+// onTotals hands a total to the desk and to the children.
+func (c *controller) onTotals(total *aggregation.Sums, on map[string]aggregation.Down) {
 	if total == nil {
 		return
 	}
@@ -159,11 +159,11 @@
 		}
 		said.Reports = append(said.Reports, h)
 	}
-	c.desk.Handle(eventloop.Command{Message: said})
+	c.loop.Handle(eventloop.Command{Message: said})
 	for _, name := range c.node.Children() {
 		d := on[name]
 		c.w.pass(c, name, d, func(to *controller) {
-			to.heardOf(to.node.Take(c.name(), d, clock(c.w.Now)))
+			to.onTotals(to.node.Take(c.name(), d, clock(c.w.Now)))
 		})
 	}
 }
--- a/internal/emulator/topics.go
+++ b/internal/emulator/topics.go
@@ -30,7 +30,7 @@
 	c, epoch := t.c, t.c.epoch
 	w.after(0, func() {
 		if c.epoch == epoch {
-			c.settle(e)
+			c.stepSessions(e)
 		}
 	})
 }
@@ -54,25 +54,25 @@
 	var turn func()
 	turn = func() {
 		if c.epoch == epoch {
-			c.settle()
+			c.stepSessions()
 			w.after(second/2, turn)
 		}
 	}
 	w.after(second/2, turn)
 }
 
-// settle lets the sessions take events and carries their orders out.
-func (c *controller) settle(events ...session.Event) {
+// stepSessions lets the sessions take events and carries their orders out.
+func (c *controller) stepSessions(events ...session.Event) {
 	w := c.w
 	for _, o := range c.topics.Step(session.Time(w.Now/ms), events) {
 		switch o := o.(type) {
 		case session.Joined:
 			p := w.proxies[c.proxyOf(o.Topic)]
 			w.seq++
-			t := &topic{stream: stream{c: c, since: uint64(w.seq), proxy: p.i}, name: o.Topic}
+			t := &topic{stream: stream{c: c, openedAt: uint64(w.seq), proxy: p.i}, name: o.Topic}
 			t.as = t
 			c.owners[o.Topic] = t
-			c.desk.Handle(
+			c.loop.Handle(
 				eventloop.Command{
 					From:    t,
 					Message: textproto.Subscribe{Proxy: p.i, Zone: w.zone(p.zone), Rate: p.rate, Fresh: true},
@@ -81,14 +81,14 @@
 		case session.Left:
 			if t := c.owners[o.Topic]; t != nil {
 				delete(c.owners, o.Topic)
-				c.desk.Handle(eventloop.Command{From: t, Message: textproto.Closed{}})
+				c.loop.Handle(eventloop.Command{From: t, Message: textproto.Closed{}})
 			}
 		case session.Answered:
 			if t := c.owners[o.Topic]; t != nil {
-				c.desk.Handle(eventloop.Command{From: t, Message: textproto.Ack{Proxy: t.proxy, Number: o.Mark}})
+				c.loop.Handle(eventloop.Command{From: t, Message: textproto.Ack{Proxy: t.proxy, Number: o.Mark}})
 			}
 		case session.Send:
-			w.after(3*ms+c.delay(float64(headLines+len(o.Sets))), func() { w.deliver(c, o) })
+			w.after(3*ms+c.delay(float64(messageOverhead+len(o.Sets))), func() { w.deliver(c, o) })
 		}
 	}
 }
@@ -127,7 +127,7 @@
 	epoch := c.epoch
 	w.after(3*ms, func() {
 		if c.epoch == epoch && !c.down {
-			c.settle(session.Acked{Conn: m.Conn, Epoch: m.Epoch, Seq: m.Seq, More: 1})
+			c.stepSessions(session.Acked{Conn: m.Conn, Epoch: m.Epoch, Seq: m.Seq, More: 1})
 		}
 	})
 }
@@ -136,7 +136,7 @@
 func (p *proxy) subscribe(c *controller) {
 	p.conn = p.w.seq
 	p.home = slices.Index(p.w.control, c)
-	c.settle(
+	c.stepSessions(
 		session.Opened{
 			Conn:   p.conn,
 			Topic:  fmt.Sprint(pubsub.OrdersTopic, p.i),
@@ -158,6 +158,6 @@
 	conn := p.conn
 	p.conn = 0
 	if !c.down && c.topics != nil {
-		c.settle(session.Closed{Conn: conn})
+		c.stepSessions(session.Closed{Conn: conn})
 	}
 }
--- a/internal/emulator/txns.go
+++ b/internal/emulator/txns.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	here, across = 3, 20      // tenths of a ms to a backend of the same zone, of another
-	cutOff       = 0.6        // of the deadline that a try may take
-	shunAfter    = 3          // voided tries in a row
-	shunFor      = 4 * second //
-	pauseAgain   = 200 * ms   // before a poisoned client repeats
-	longestQueue = 400        // txns
+	here, across     = 3, 20      // tenths of a ms to a backend of the same zone, of another
+	cutOff           = 0.6        // of the deadline that a try may take
+	ejectionFailures = 3          // voided tries in a row
+	ejectionDuration = 4 * second //
+	retryPause       = 200 * ms   // before a poisoned client repeats
+	longestQueue     = 400        // txns
 )
 
 // sum is the tally of the tenant's present second.
@@ -53,7 +53,7 @@
 	p.used[k].txns++
 	again := func() {
 		if w.Poison[p.tenant] > 1 && repeated < w.Again {
-			w.after(pauseAgain, func() { p.ask(k, repeated+1) })
+			w.after(retryPause, func() { p.ask(k, repeated+1) })
 		}
 	}
 	if t := &p.tables[k]; !t.lets(w.Now) {
@@ -84,11 +84,11 @@
 	if math.IsInf(t.level, 1) || t.level > 1e5 {
 		return true
 	}
-	t.room = math.Min(t.room+t.level*float64(now-t.at)/float64(second), math.Max(t.level, 1))
-	if t.at = now; t.room < 1 {
+	t.credit = math.Min(t.credit+t.level*float64(now-t.at)/float64(second), math.Max(t.level, 1))
+	if t.at = now; t.credit < 1 {
 		return false
 	}
-	t.room--
+	t.credit--
 	return true
 }
 
@@ -187,7 +187,7 @@
 	}
 	b, began, over := w.byID[id], w.Now, false
 	b.tried++
-	if b.leaves > 0 && p.stream != nil && p.ever && w.Now > max(b.leaves, p.joined)+w.Grace {
+	if b.announcedAt > 0 && p.stream != nil && p.ever && w.Now > max(b.announcedAt, p.joined)+w.Grace {
 		w.Late++
 	}
 	p.busy[id]++
@@ -201,21 +201,21 @@
 		}
 		over = true
 		p.busy[id]--
-		m := p.since[id] // a try counts in the second in which it ends
+		m := p.sinceReport[id] // a try counts in the second in which it ends
 		if m == nil {
-			m = &met{}
-			p.since[id] = m
+			m = &contact{}
+			p.sinceReport[id] = m
 		}
-		m.tries++
+		m.attempts++
 		if p.fails[id]++; ok {
 			p.fails[id] = 0
 			m.took += w.Now - began
 			done(true)
 			return
 		}
-		m.voided++
-		if p.fails[id] >= shunAfter {
-			p.shun[id], p.fails[id] = w.Now+shunFor, 0
+		m.failed++
+		if p.fails[id] >= ejectionFailures {
+			p.shun[id], p.fails[id] = w.Now+ejectionDuration, 0
 		}
 		if n == 0 && (w.Careless || !ran && p.tables[k].tries >= int(policy.RetryUnexecuted)) {
 			p.try(txn, k, work, 1, append(not, id), done)
@@ -264,9 +264,9 @@
 		j.done(false)
 		return
 	}
-	b.asked = append(slices.DeleteFunc(b.asked, func(at Time) bool { return at < w.Now-second }), w.Now)
+	b.arrivals = append(slices.DeleteFunc(b.arrivals, func(at Time) bool { return at < w.Now-second }), w.Now)
 	can := float64(b.spec.Cores) * b.spec.Speed * b.ramp() / j.work
-	if b.ramp() < 1 && float64(len(b.asked)) > w.ColdMost*math.Max(can, 1) {
+	if b.ramp() < 1 && float64(len(b.arrivals)) > w.ColdMost*math.Max(can, 1) {
 		if b.overAt == 0 {
 			b.overAt = w.Now
 		}
@@ -308,24 +308,24 @@
 func (p *proxy) report() {
 	w, s := p.w, p.stream
 	if s == nil {
-		clear(p.since)
+		clear(p.sinceReport)
 		return
 	}
 	var said []textproto.BackendReport
-	for _, id := range slices.Sorted(maps.Keys(p.since)) {
-		m := p.since[id]
+	for _, id := range slices.Sorted(maps.Keys(p.sinceReport)) {
+		m := p.sinceReport[id]
 		h := textproto.BackendReport{
 			Zone:     w.zone(p.zone),
 			Backend:  id,
-			Attempts: float64(m.tries),
-			Failed:   float64(min(m.voided, m.tries)),
+			Attempts: float64(m.attempts),
+			Failed:   float64(min(m.failed, m.attempts)),
 		}
-		if good := m.tries - m.voided; good > 0 {
+		if good := m.attempts - m.failed; good > 0 {
 			h.Latency = m.took / Time(good)
 		}
 		said = append(said, h)
 	}
-	p.since = map[string]*met{}
+	p.sinceReport = map[string]*contact{}
 	var used []textproto.UsageReport
 	for k, u := range p.used {
 		used = append(
@@ -346,11 +346,11 @@
 			return
 		}
 		for _, h := range said {
-			s.c.desk.Handle(eventloop.Command{From: s.c.sources[p.zone], Message: h})
+			s.c.loop.Handle(eventloop.Command{From: s.c.sources[p.zone], Message: h})
 			s.c.met(h)
 		}
 		for _, u := range used {
-			s.c.desk.Handle(eventloop.Command{From: s.from(), Message: u})
+			s.c.loop.Handle(eventloop.Command{From: s.from(), Message: u})
 			s.c.took(u)
 		}
 	})
--- a/internal/fakes/consul/consul.go
+++ b/internal/fakes/consul/consul.go
@@ -25,19 +25,19 @@
 	listener net.Listener
 	http     *fasthttp.Server
 
-	mu        sync.Mutex
-	tokens    map[string]bool
-	acl       bool
-	bearer    string
-	issued    int
-	silent    bool
-	unsilence chan struct{}
-	leaderles bool
-	forgotten bool // deletions: the index goes back to the newest key's
-	wholes    int
-	blocked   int
-	bytes     int64
-	stop      chan struct{}
+	mu           sync.Mutex
+	tokens       map[string]bool
+	acl          bool
+	bearer       string
+	issued       int
+	unresponsive bool
+	unsilence    chan struct{}
+	leaderles    bool
+	forgotten    bool // deletions: the index goes back to the newest key's
+	wholes       int
+	blocked      int
+	bytes        int64
+	stop         chan struct{}
 }
 
 // Start serves a store; conf may be nil for plain TCP. The index begins above 0 as Consul's does.
@@ -105,10 +105,10 @@
 // Forget lets the index go back as it does when old deletions are cleaned up.
 func (s *Server) Forget(on bool) { s.set(func() { s.forgotten = on }) }
 
-// Silent answers nothing more, with all connections open, until it is called again with false.
-func (s *Server) Silent(on bool) {
+// SetUnresponsive answers nothing more, with all connections open, until it is called again with false.
+func (s *Server) SetUnresponsive(on bool) {
 	s.set(func() {
-		if s.silent = on; !on {
+		if s.unresponsive = on; !on {
 			close(s.unsilence)
 			s.unsilence = make(chan struct{})
 		}
@@ -152,7 +152,7 @@
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	for {
 		s.mu.Lock()
-		silent, on := s.silent, s.unsilence
+		silent, on := s.unresponsive, s.unsilence
 		s.mu.Unlock()
 		if !silent {
 			break
--- a/internal/fakes/etcd/etcd.go
+++ b/internal/fakes/etcd/etcd.go
@@ -35,21 +35,21 @@
 	server   *grpc.Server
 	listener net.Listener
 
-	mu        sync.Mutex
-	users     map[string]string // by name; empty: everybody may
-	tokens    map[string]bool
-	issued    int
-	fragment  int // events in a part of an answer; 0: all
-	twice     bool
-	silent    bool
-	outside   bool // a change of another prefix comes along
-	largest   int  // entries in a page; more is refused as too large
-	pages     func(n int)
-	ranges    int
-	watches   int
-	requests  int
-	unsilence chan struct{}
-	leases    map[int64][]string
+	mu           sync.Mutex
+	users        map[string]string // by name; empty: everybody may
+	tokens       map[string]bool
+	issued       int
+	fragment     int // events in a part of an answer; 0: all
+	twice        bool
+	unresponsive bool
+	outside      bool // a change of another prefix comes along
+	largest      int  // entries in a page; more is refused as too large
+	pages        func(n int)
+	ranges       int
+	watches      int
+	requests     int
+	unsilence    chan struct{}
+	leases       map[int64][]string
 }
 
 // Start serves a store; conf may be nil for plain TCP.
@@ -111,10 +111,10 @@
 // Pages calls f after the nth range was answered, from 1.
 func (m *Member) Pages(f func(n int)) { m.set(func() { m.pages = f }) }
 
-// Silent answers nothing more, with all connections open, until it is called again with false.
-func (m *Member) Silent(on bool) {
+// SetUnresponsive answers nothing more, with all connections open, until it is called again with false.
+func (m *Member) SetUnresponsive(on bool) {
 	m.set(func() {
-		if m.silent = on; !on {
+		if m.unresponsive = on; !on {
 			close(m.unsilence)
 			m.unsilence = make(chan struct{})
 		}
@@ -146,7 +146,7 @@
 func (m *Member) wait(ctx context.Context) error {
 	for {
 		m.mu.Lock()
-		silent, on := m.silent, m.unsilence
+		silent, on := m.unresponsive, m.unsilence
 		m.mu.Unlock()
 		if !silent {
 			return nil
--- a/internal/fakes/fleet/fleet.go
+++ b/internal/fakes/fleet/fleet.go
@@ -36,11 +36,11 @@
 	extra string // of the operator file
 	cmd   *exec.Cmd
 
-	mu    sync.Mutex
-	lines []string
-	more  chan struct{} // closed at each line
-	life  int           // in lines: where its present life began
-	ended chan struct{}
+	mu            sync.Mutex
+	output        []string
+	more          chan struct{} // closed at each line
+	incarnationAt int           // in lines: where its present life began
+	ended         chan struct{}
 }
 
 // Rig holds the processes.
@@ -281,13 +281,13 @@
 		return err
 	}
 	p.mu.Lock()
-	p.cmd, p.life, p.ended = c, len(p.lines), make(chan struct{})
+	p.cmd, p.incarnationAt, p.ended = c, len(p.output), make(chan struct{})
 	ended := p.ended
 	p.mu.Unlock()
 	go func() {
 		for in := bufio.NewScanner(out); in.Scan(); {
 			p.mu.Lock()
-			p.lines = append(p.lines, in.Text())
+			p.output = append(p.output, in.Text())
 			close(p.more)
 			p.more = make(chan struct{})
 			p.mu.Unlock()
@@ -315,7 +315,7 @@
 	over := time.After(Patience)
 	for {
 		p.mu.Lock()
-		for _, line := range p.lines[p.life:] {
+		for _, line := range p.output[p.incarnationAt:] {
 			if !slices.ContainsFunc(words, func(w string) bool { return !strings.Contains(line, w) }) {
 				p.mu.Unlock()
 				return line, nil
@@ -327,7 +327,7 @@
 		case <-more:
 		case <-ended:
 			p.mu.Lock()
-			last := strings.Join(p.lines[max(p.life, len(p.lines)-5):], "\n")
+			last := strings.Join(p.output[max(p.incarnationAt, len(p.output)-5):], "\n")
 			p.mu.Unlock()
 			return "", fmt.Errorf("%s ended before it said %q; it said last:\n%s", p.Name, words, last)
 		case <-over:
@@ -340,14 +340,14 @@
 func (p *Process) Forget() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.life = len(p.lines)
+	p.incarnationAt = len(p.output)
 }
 
 // Log is all that it ever said.
 func (p *Process) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return strings.Join(p.lines, "\n")
+	return strings.Join(p.output, "\n")
 }
 
 // Addr is where it takes proxies.
--- a/internal/fakes/fleet/proxy.go
+++ b/internal/fakes/fleet/proxy.go
@@ -36,14 +36,14 @@
 	}
 	fmt.Fprintf(p.source, "SOURCE locality=%s\r\n", zone)
 	fmt.Fprintf(p.stream, "SUBSCRIBE node=%d locality=%s w=40 cold=1\r\n", node, zone)
-	go p.hear()
+	go p.readOrders()
 	return p, nil
 }
 
 // Close leaves.
 func (p *Proxy) Close() { _, _ = p.source.Close(), p.stream.Close() }
 
-func (p *Proxy) hear() {
+func (p *Proxy) readOrders() {
 	for in := bufio.NewScanner(p.stream); in.Scan(); {
 		p.mu.Lock()
 		for _, word := range strings.Fields(in.Text()) {
--- a/internal/fakes/gateway/backend.go
+++ b/internal/fakes/gateway/backend.go
@@ -19,11 +19,11 @@
 	Work        time.Duration
 	slots       int
 
-	beats   *beater
-	server  *http.Server
-	running atomic.Int32
-	mu      sync.Mutex
-	runs    map[string]int // by attempt
+	heartbeats *heartbeatSender
+	server     *http.Server
+	running    atomic.Int32
+	mu         sync.Mutex
+	runs       map[string]int // by attempt
 }
 
 // StartBackend serves at an address and beats at the controllers, until Stop.
@@ -41,8 +41,8 @@
 	b := &Backend{ID: id, Address: l.Addr().String(), Work: work, slots: slots, runs: map[string]int{}}
 	b.server = &http.Server{Handler: b}
 	go func() { _ = b.server.Serve(l) }()
-	b.beats = startBeats(
-		Life{ID: id, Service: service, Zone: zone, Address: b.Address, Capacity: slots},
+	b.heartbeats = startHeartbeats(
+		Incarnation{ID: id, Service: service, Zone: zone, Address: b.Address, Capacity: slots},
 		beat,
 		0,
 		controls,
@@ -53,8 +53,8 @@
 
 // Stop ends it without a word.
 func (b *Backend) Stop() {
-	close(b.beats.done)
-	<-b.beats.ended
+	close(b.heartbeats.done)
+	<-b.heartbeats.ended
 	_ = b.server.Close()
 }
 
@@ -119,37 +119,50 @@
 	_, _ = io.WriteString(w, text)
 }
 
-// Life is what a backend says of itself.
-type Life struct {
+// Incarnation is what a backend says of itself.
+type Incarnation struct {
 	ID, Service, Zone, Address string
 	Capacity                   int
 }
 
-// beater sends the beats of one life over a connection of its own, at the address that the last answer gave, else at
-// the next controller.
-type beater struct {
-	life     Life
-	every    time.Duration
-	controls []string
-	counts   *Counts
-	seq      uint64
-	at       int
-	target   string
-	conn     net.Conn
-	in       *bufio.Reader
-	draining chan chan time.Time
-	done     chan struct{}
-	ended    chan struct{}
+// heartbeatSender sends the beats of one life over a connection of its own, at the address that the last answer
+// gave, else at the next controller.
+type heartbeatSender struct {
+	incarnation Incarnation
+	every       time.Duration
+	controls    []string
+	counts      *Counts
+	seq         uint64
+	at          int
+	target      string
+	conn        net.Conn
+	in          *bufio.Reader
+	draining    chan chan time.Time
+	done        chan struct{}
+	ended       chan struct{}
 }
 
-func startBeats(l Life, beat float64, phase time.Duration, controls []string, counts *Counts) *beater {
-	b := &beater{life: l, every: time.Duration(beat * float64(time.Second)), controls: controls, counts: counts,
-		draining: make(chan chan time.Time), done: make(chan struct{}), ended: make(chan struct{})}
+func startHeartbeats(
+	l Incarnation,
+	beat float64,
+	phase time.Duration,
+	controls []string,
+	counts *Counts,
+) *heartbeatSender {
+	b := &heartbeatSender{
+		incarnation: l,
+		every:       time.Duration(beat * float64(time.Second)),
+		controls:    controls,
+		counts:      counts,
+		draining:    make(chan chan time.Time),
+		done:        make(chan struct{}),
+		ended:       make(chan struct{}),
+	}
 	go b.run(phase)
 	return b
 }
 
-func (b *beater) run(phase time.Duration) {
+func (b *heartbeatSender) run(phase time.Duration) {
 	defer close(b.ended)
 	next := time.NewTimer(phase)
 	defer next.Stop()
@@ -170,7 +183,7 @@
 		}
 		pause := b.every
 		for range 4 {
-			if b.beat(state) {
+			if b.send(state) {
 				pause = b.every
 				break
 			}
@@ -193,8 +206,8 @@
 	}
 }
 
-// beat says whether it was acknowledged.
-func (b *beater) beat(state string) bool {
+// send says whether it was acknowledged.
+func (b *heartbeatSender) send(state string) bool {
 	to := b.target
 	if to == "" {
 		to = b.controls[b.at%len(b.controls)]
@@ -213,10 +226,10 @@
 	body := fmt.Sprintf(
 		`{"address":%q,"descriptor":{"service":%q,"generation":"v1","zone":%q,"capacity":%d},`+
 			`"observed":{"state":%q,"callSeq":%d,"coldLeftS":0}}`,
-		b.life.Address,
-		b.life.Service,
-		b.life.Zone,
-		b.life.Capacity,
+		b.incarnation.Address,
+		b.incarnation.Service,
+		b.incarnation.Zone,
+		b.incarnation.Capacity,
 		state,
 		b.seq,
 	)
@@ -225,7 +238,7 @@
 		b.conn,
 		"POST /v1/rpc?call=instances.heartbeat&of=%s HTTP/1.1\r\nHost: %s\r\nContent-Type: "+
 			"application/json\r\nContent-Length: %d\r\n\r\n%s",
-		b.life.ID,
+		b.incarnation.ID,
 		to,
 		len(body),
 		body,
@@ -240,7 +253,7 @@
 	if err != nil || resp.StatusCode/100 != 2 {
 		return false
 	}
-	if target := beatTarget(answer); target != "" && target != to {
+	if target := heartbeatTarget(answer); target != "" && target != to {
 		b.target = target
 		_ = b.conn.Close()
 		b.conn = nil
--- a/internal/fakes/gateway/deployment.go
+++ b/internal/fakes/gateway/deployment.go
@@ -24,8 +24,8 @@
 const (
 	frontPort, readyPort, controlPort, backendPort = 8548, 8542, 8544, 8080
 	firstPort, lastPort                            = 7540, 7555
-	processesMost                                  = 24
-	endsWithin                                     = 8 * time.Second
+	maxProcesses                                   = 24
+	stopTimeout                                    = 8 * time.Second
 
 	roleControlPlane, roleProxy = "controlplane", "proxy" // as in deploy/system.toml
 )
@@ -79,12 +79,12 @@
 
 // Start writes the settings and starts all processes: controllers first. The error names the program that is missing.
 func Start(plan Plan) (*Deployment, error) {
-	if n := plan.Controllers + plan.Carrier; n > processesMost || plan.Controllers < 1 {
+	if n := plan.Controllers + plan.Carrier; n > maxProcesses || plan.Controllers < 1 {
 		return nil, fmt.Errorf(
 			"%d processes, of which %d are controllers: 1 to %d are run",
 			n,
 			plan.Controllers,
-			processesMost,
+			maxProcesses,
 		)
 	}
 	if len(plan.Zones) == 0 {
@@ -197,7 +197,7 @@
 
 // Stop ends all in order, those that do not end in time by force.
 func (d *Deployment) Stop() {
-	late := time.After(endsWithin)
+	late := time.After(stopTimeout)
 	for _, p := range d.all() {
 		if p.cmd != nil && p.cmd.Process != nil && p.ended != nil {
 			_ = p.cmd.Process.Signal(syscall.SIGTERM)
--- a/internal/fakes/gateway/gateway_test.go
+++ b/internal/fakes/gateway/gateway_test.go
@@ -61,8 +61,8 @@
 			Hello:          &rpc.Hello{Incarnation: 1},
 			EndpointUpdate: rpc.EndpointUpdate{EndpointsSynced: true, Endpoints: []rpc.Endpoint{{ID: "i-1"}}},
 			RegisterUpdate: rpc.RegisterUpdate{
-				CommittedVersions: map[string]rpc.Version{charterName: {Number: 3}},
-				CommittedValues:   []rpc.Register{{Name: charterName, Version: rpc.Version{Number: 3}, Value: []byte("x")}},
+				CommittedVersions: map[string]rpc.Version{configRegister: {Number: 3}},
+				CommittedValues:   []rpc.Register{{Name: configRegister, Version: rpc.Version{Number: 3}, Value: []byte("x")}},
 			},
 			RoutingTables: []rpc.RoutingTable{{Service: "s"}},
 		},
@@ -74,7 +74,7 @@
 	if err := cbor.Unmarshal(text, &f); err != nil {
 		t.Fatal(err)
 	}
-	if f.Hello == nil || !f.Settled || f.Safe[charterName].Number != 3 || f.Offers[0].Version.Number != 3 ||
+	if f.Hello == nil || !f.EndpointsSynced || f.Safe[configRegister].Number != 3 || f.Offers[0].Version.Number != 3 ||
 		len(f.Backends) == 0 ||
 		len(f.Tables) == 0 {
 		t.Errorf("%+v", f)
--- a/internal/fakes/gateway/hollow.go
+++ b/internal/fakes/gateway/hollow.go
@@ -19,7 +19,7 @@
 	"elmfold/internal/proxy/balancer"
 )
 
-func beatTarget(answer []byte) string {
+func heartbeatTarget(answer []byte) string {
 	if len(answer) < 4 { // {}
 		return ""
 	}
@@ -67,53 +67,53 @@
 // report to the controller that steers, the wish for a configuration; beats over HTTP. What they are told is only
 // looked at as far as the questions of Wait go.
 type Hollow struct {
-	plan    HollowPlan
-	d       *Deployment
-	lines   Counts // of all lines
-	beats   Counts
-	byLife  []*beater
-	all     []*hollowCarrier
-	watch   atomic.Pointer[watch]
-	done    chan struct{}
-	ended   sync.WaitGroup
-	tables  atomic.Int64 // messages with tables
-	backend [][]string   // ids by zone
+	plan          HollowPlan
+	d             *Deployment
+	connections   Counts // of all lines
+	heartbeats    Counts
+	byIncarnation []*heartbeatSender
+	all           []*hollowProxy
+	watch         atomic.Pointer[watch]
+	done          chan struct{}
+	ended         sync.WaitGroup
+	tables        atomic.Int64 // messages with tables
+	backend       [][]string   // ids by zone
 }
 
 // watch is a word that is looked for.
 type watch struct {
-	id    []byte // of a backend; or
-	hi    uint64 // the version of a configuration
-	left  atomic.Int64
-	there chan struct{}
+	id      []byte // of a backend; or
+	hi      uint64 // the version of a configuration
+	pending atomic.Int64
+	there   chan struct{}
 }
 
-type hollowCarrier struct {
-	h       *Hollow
-	name    string
-	zone    int
-	steerer int // controller
-	mu      sync.Mutex
-	lines   []*rpc.Conn
-	version uint64
-	wanted  uint64
-	askedAt time.Time
-	asked   []int    // by controller, for what is wanted
-	safe    []uint64 // by controller: the newest configuration that it said to be in force
-	seen    *watch
-	settled []bool
-	renewal uint64
-	chance  *rand.Rand
+type hollowProxy struct {
+	h           *Hollow
+	name        string
+	zone        int
+	steerer     int // controller
+	mu          sync.Mutex
+	connections []*rpc.Conn
+	version     uint64
+	wanted      uint64
+	askedAt     time.Time
+	fetches     []int    // by controller, for what is wanted
+	safe        []uint64 // by controller: the newest configuration that it said to be in force
+	seen        *watch
+	synced      []bool
+	renewal     uint64
+	chance      *rand.Rand
 }
 
 // frame is what is looked at of a message.
 type frame struct {
-	Hello    cbor.RawMessage        `cbor:"3,keyasint,omitempty"`
-	Offers   []offer                `cbor:"4,keyasint,omitempty"`
-	Safe     map[string]rpc.Version `cbor:"6,keyasint,omitempty"`
-	Backends cbor.RawMessage        `cbor:"13,keyasint,omitempty"`
-	Settled  bool                   `cbor:"14,keyasint,omitempty"`
-	Tables   cbor.RawMessage        `cbor:"22,keyasint,omitempty"`
+	Hello           cbor.RawMessage        `cbor:"3,keyasint,omitempty"`
+	Offers          []offer                `cbor:"4,keyasint,omitempty"`
+	Safe            map[string]rpc.Version `cbor:"6,keyasint,omitempty"`
+	Backends        cbor.RawMessage        `cbor:"13,keyasint,omitempty"`
+	EndpointsSynced bool                   `cbor:"14,keyasint,omitempty"`
+	Tables          cbor.RawMessage        `cbor:"22,keyasint,omitempty"`
 }
 
 type offer struct {
@@ -123,8 +123,8 @@
 }
 
 const (
-	charterName = "charter"
-	wantAgain   = 400 * time.Millisecond
+	configRegister     = "charter"
+	fetchRetryInterval = 400 * time.Millisecond
 )
 
 // StartHollow starts them; they dial at once and again after each loss, until Stop.
@@ -133,7 +133,7 @@
 	every := time.Duration(plan.Beat * float64(time.Second))
 	for i := range plan.Backends {
 		zone := i / plan.Services % len(plan.Zones)
-		l := Life{ID: fmt.Sprintf("i-%08x", i), Service: ServiceName(i % plan.Services), Zone: plan.Zones[zone],
+		l := Incarnation{ID: fmt.Sprintf("i-%08x", i), Service: ServiceName(i % plan.Services), Zone: plan.Zones[zone],
 			Address: fmt.Sprintf("10.%d.%d.%d:8080", zone, i/250, i%250+1), Capacity: 4}
 		h.backend[zone] = append(h.backend[zone], l.ID)
 		phase := every * time.Duration(i) / time.Duration(plan.Backends)
@@ -141,21 +141,21 @@
 		controls := append(
 			append([]string(nil), d.Controls()[i%len(d.Controllers):]...),
 			d.Controls()[:i%len(d.Controllers)]...)
-		h.byLife = append(h.byLife, startBeats(l, plan.Beat, phase, controls, &h.beats))
+		h.byIncarnation = append(h.byIncarnation, startHeartbeats(l, plan.Beat, phase, controls, &h.heartbeats))
 	}
 	for i := range plan.Carriers {
-		c := &hollowCarrier{
-			h:     h,
-			name:  fmt.Sprintf("hollow-%03d", i),
-			zone:  i % len(plan.Zones),
-			lines: make([]*rpc.Conn, len(d.Controllers)),
-			settled: make(
+		c := &hollowProxy{
+			h:           h,
+			name:        fmt.Sprintf("hollow-%03d", i),
+			zone:        i % len(plan.Zones),
+			connections: make([]*rpc.Conn, len(d.Controllers)),
+			synced: make(
 				[]bool,
 				len(d.Controllers),
 			),
-			asked:  make([]int, len(d.Controllers)),
-			safe:   make([]uint64, len(d.Controllers)),
-			chance: rand.New(rand.NewPCG(plan.Seed, uint64(i))),
+			fetches: make([]int, len(d.Controllers)),
+			safe:    make([]uint64, len(d.Controllers)),
+			chance:  rand.New(rand.NewPCG(plan.Seed, uint64(i))),
 		}
 		c.steerer = h.steererOf(plan.Zones[c.zone])
 		h.all = append(h.all, c)
@@ -214,17 +214,17 @@
 	close(h.done)
 	for _, c := range h.all {
 		c.mu.Lock()
-		for _, l := range c.lines {
+		for _, l := range c.connections {
 			if l != nil {
 				l.Close()
 			}
 		}
 		c.mu.Unlock()
 	}
-	for _, b := range h.byLife {
+	for _, b := range h.byIncarnation {
 		close(b.done)
 	}
-	for _, b := range h.byLife {
+	for _, b := range h.byIncarnation {
 		<-b.ended
 	}
 	h.ended.Wait()
@@ -248,11 +248,11 @@
 	}
 }
 
-func (c *hollowCarrier) renew() {
+func (c *hollowProxy) renew() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.renewal++
-	for k, l := range c.lines {
+	for k, l := range c.connections {
 		if l == nil {
 			continue
 		}
@@ -261,13 +261,13 @@
 			c.report(m)
 		}
 		l.Send(m)
-		c.h.lines.Out.Add(1)
+		c.h.connections.Out.Add(1)
 	}
 	c.want()
 }
 
 // report tells of requests that went to backends of the own zone.
-func (c *hollowCarrier) report(m *rpc.Message) {
+func (c *hollowProxy) report(m *rpc.Message) {
 	m.WantTables, m.ReportSeconds = true, 1
 	own := c.h.backend[c.zone]
 	if len(own) == 0 {
@@ -289,11 +289,11 @@
 }
 
 // keep is a goroutine for each line: it dials, says hello, reads frames until the line breaks, and begins again.
-func (c *hollowCarrier) keep(k int) {
+func (c *hollowProxy) keep(k int) {
 	defer c.h.ended.Done()
 	for {
 		if conn, err := net.DialTimeout("tcp4", c.h.d.Controllers[k].Peer(), time.Second); err == nil {
-			c.read(k, counted{conn, &c.h.lines})
+			c.read(k, counted{conn, &c.h.connections})
 			_ = conn.Close()
 		}
 		if !c.h.wait(250 * time.Millisecond) {
@@ -302,14 +302,14 @@
 	}
 }
 
-func (c *hollowCarrier) read(k int, conn net.Conn) {
+func (c *hollowProxy) read(k int, conn net.Conn) {
 	line := rpc.NewConn(conn) // its writer alone is used
 	defer line.Close()
 	line.Send(&rpc.Message{Hello: &rpc.Hello{Node: rpc.Node{Name: c.name, Zone: c.h.plan.Zones[c.zone],
 		Address: "10.9.9.9:7540"}, Incarnation: uint64(c.zone) + 1, IsProxy: true}})
 	defer func() {
 		c.mu.Lock()
-		c.lines[k], c.settled[k], c.safe[k] = nil, false, 0
+		c.connections[k], c.synced[k], c.safe[k] = nil, false, 0
 		c.mu.Unlock()
 	}()
 	in := bufio.NewReaderSize(conn, 4096)
@@ -327,38 +327,38 @@
 		if _, err := io.ReadFull(in, body); err != nil {
 			return
 		}
-		c.h.lines.In.Add(1)
+		c.h.connections.In.Add(1)
 		var f frame
 		if err := cbor.Unmarshal(body, &f); err != nil {
 			panic(fmt.Sprintf("a controller sent what is no message: %v", err))
 		}
-		c.heard(k, line, &f)
+		c.onFrame(k, line, &f)
 		if cap(body) > 64<<10 {
 			body = nil
 		}
 	}
 }
 
-func (c *hollowCarrier) heard(k int, line *rpc.Conn, f *frame) {
+func (c *hollowProxy) onFrame(k int, line *rpc.Conn, f *frame) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if f.Hello != nil {
-		c.lines[k] = line
+		c.connections[k] = line
 		line.Send(&rpc.Message{Lease: rpc.Lease{RenewLease: 1}})
-		c.h.lines.Out.Add(1)
+		c.h.connections.Out.Add(1)
 	}
-	c.settled[k] = c.settled[k] || f.Settled
+	c.synced[k] = c.synced[k] || f.EndpointsSynced
 	if len(f.Tables) > 0 {
 		c.h.tables.Add(1)
 	}
-	if s, ok := f.Safe[charterName]; ok && s.Number > c.safe[k] {
+	if s, ok := f.Safe[configRegister]; ok && s.Number > c.safe[k] {
 		if c.safe[k] = s.Number; s.Number > c.wanted {
 			c.wanted, c.askedAt = s.Number, time.Time{}
-			clear(c.asked)
+			clear(c.fetches)
 		}
 	}
 	for _, o := range f.Offers {
-		if o.Name == charterName {
+		if o.Name == configRegister {
 			c.version = max(c.version, o.Version.Number)
 		}
 	}
@@ -368,7 +368,7 @@
 		return
 	}
 	if w.id != nil && bytes.Contains(f.Backends, w.id) || w.id == nil && c.version >= w.hi {
-		if c.seen = w; w.left.Add(-1) == 0 {
+		if c.seen = w; w.pending.Add(-1) == 0 {
 			close(w.there)
 		}
 	}
@@ -376,32 +376,32 @@
 
 // want asks for the newest configuration as a carrier does: of those that said it is in force the nearest, and another
 // each time that it did not come.
-func (c *hollowCarrier) want() {
-	if c.version >= c.wanted || time.Since(c.askedAt) < wantAgain {
+func (c *hollowProxy) want() {
+	if c.version >= c.wanted || time.Since(c.askedAt) < fetchRetryInterval {
 		return
 	}
 	best := -1
-	for k, l := range c.lines {
+	for k, l := range c.connections {
 		if l == nil || c.safe[k] < c.wanted {
 			continue
 		}
-		if best < 0 || c.asked[k] < c.asked[best] || c.asked[k] == c.asked[best] && c.own(k) && !c.own(best) {
+		if best < 0 || c.fetches[k] < c.fetches[best] || c.fetches[k] == c.fetches[best] && c.own(k) && !c.own(best) {
 			best = k
 		}
 	}
 	if best >= 0 {
 		c.askedAt = time.Now()
-		c.asked[best]++
-		c.lines[best].Send(&rpc.Message{RegisterUpdate: rpc.RegisterUpdate{FetchRegisters: []string{charterName}}})
-		c.h.lines.Out.Add(1)
+		c.fetches[best]++
+		c.connections[best].Send(&rpc.Message{RegisterUpdate: rpc.RegisterUpdate{FetchRegisters: []string{configRegister}}})
+		c.h.connections.Out.Add(1)
 	}
 }
 
-func (c *hollowCarrier) own(k int) bool { return c.h.d.Controllers[k].Zone == c.h.plan.Zones[c.zone] }
+func (c *hollowProxy) own(k int) bool { return c.h.d.Controllers[k].Zone == c.h.plan.Zones[c.zone] }
 
 func (h *Hollow) look(w *watch) *watch {
 	w.there = make(chan struct{})
-	w.left.Store(int64(len(h.all)))
+	w.pending.Store(int64(len(h.all)))
 	h.watch.Store(w)
 	if len(h.all) == 0 {
 		close(w.there)
@@ -412,10 +412,10 @@
 // Drain has a backend say that it leaves; it returns the times until that was acknowledged and until all carriers were
 // told, 0 where that took longer than most.
 func (h *Hollow) Drain(i int, most time.Duration) (acknowledged, known time.Duration) {
-	w := h.look(&watch{id: []byte(h.byLife[i].life.ID)})
+	w := h.look(&watch{id: []byte(h.byIncarnation[i].incarnation.ID)})
 	defer h.watch.Store(nil)
 	over, began, tell := time.After(most), time.Now(), make(chan time.Time, 1)
-	h.byLife[i].draining <- tell
+	h.byIncarnation[i].draining <- tell
 	for acknowledged == 0 || known == 0 {
 		select {
 		case t := <-tell:
@@ -456,11 +456,11 @@
 func (h *Hollow) Up() (lines, settled int) {
 	for _, c := range h.all {
 		c.mu.Lock()
-		for k, l := range c.lines {
+		for k, l := range c.connections {
 			if l != nil {
 				lines++
 			}
-			if c.settled[k] {
+			if c.synced[k] {
 				settled++
 			}
 		}
@@ -477,12 +477,12 @@
 // Said reads the counts.
 func (h *Hollow) Said() Said {
 	return Said{
-		LinesIn:   h.lines.Read.Load(),
-		LinesOut:  h.lines.Wrote.Load(),
-		FramesIn:  h.lines.In.Load(),
-		FramesOut: h.lines.Out.Load(),
-		BeatsIn:   h.beats.Read.Load(),
-		BeatsOut:  h.beats.Wrote.Load(),
+		LinesIn:   h.connections.Read.Load(),
+		LinesOut:  h.connections.Wrote.Load(),
+		FramesIn:  h.connections.In.Load(),
+		FramesOut: h.connections.Out.Load(),
+		BeatsIn:   h.heartbeats.Read.Load(),
+		BeatsOut:  h.heartbeats.Wrote.Load(),
 		Tables:    h.tables.Load(),
 	}
 }
--- a/internal/fakes/link/link.go
+++ b/internal/fakes/link/link.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Fate is what a direction of a connection meets once so many bytes have passed it.
-type Fate struct {
+// Disturbance is what a direction of a connection meets once so many bytes have passed it.
+type Disturbance struct {
 	After int64 // bytes; -1: never
 	Kind  Kind
 }
@@ -23,26 +23,26 @@
 
 // Kinds. Silence keeps both sides open and swallows the rest.
 const (
-	Cut Kind = iota
-	Silence
+	Break Kind = iota
+	Stall
 )
 
 // Script says what a connection, counted from 0, meets in the direction of the client.
 type Script struct {
-	Down  Fate // what the server sends
-	Up    Fate // what the client sends
-	Split int  // bytes a write at most; 0: as they come
+	Down  Disturbance // what the server sends
+	Up    Disturbance // what the client sends
+	Split int         // bytes a write at most; 0: as they come
 	Delay time.Duration
 }
 
 // Calm passes everything.
-var Calm = Script{Down: Fate{After: -1}, Up: Fate{After: -1}}
+var Calm = Script{Down: Disturbance{After: -1}, Up: Disturbance{After: -1}}
 
 // Drawn cuts, or silences, connection n of a seed within so many bytes of what the server sends.
 func Drawn(seed uint64, n int, within int64, kind Kind) Script {
 	chance := rand.New(rand.NewPCG(seed, uint64(n)))
 	s := Calm
-	s.Down = Fate{After: chance.Int64N(within), Kind: kind}
+	s.Down = Disturbance{After: chance.Int64N(within), Kind: kind}
 	s.Split = 1 + chance.IntN(64)
 	return s
 }
@@ -52,13 +52,13 @@
 	listener net.Listener
 	server   string
 
-	mu      sync.Mutex
-	script  func(n int) Script
-	taken   int
-	conns   map[net.Conn]bool
-	passed  int64 // bytes to clients
-	refused bool
-	closed  bool
+	mu       sync.Mutex
+	script   func(n int) Script
+	accepted int
+	conns    map[net.Conn]bool
+	passed   int64 // bytes to clients
+	refused  bool
+	closed   bool
 }
 
 // New makes a Link to a server's address; script may be nil for a calm one.
@@ -82,7 +82,7 @@
 func (l *Link) Taken() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.taken
+	return l.accepted
 }
 
 // Passed is how many bytes went to clients.
@@ -145,8 +145,8 @@
 			return
 		}
 		l.mu.Lock()
-		script, server, refused := l.script(l.taken), l.server, l.refused || l.closed
-		l.taken++
+		script, server, refused := l.script(l.accepted), l.server, l.refused || l.closed
+		l.accepted++
 		l.mu.Unlock()
 		if refused {
 			reset(c)
@@ -176,7 +176,7 @@
 
 // pass copies one direction. An end is passed on as an end, unless the direction is silent; whatever else stops
 // it resets both sides.
-func (l *Link) pass(from, to net.Conn, fate Fate, script Script, down bool) {
+func (l *Link) pass(from, to net.Conn, fate Disturbance, script Script, down bool) {
 	buf := make([]byte, 32<<10)
 	var passed int64
 	silent := false
@@ -186,8 +186,8 @@
 		cut := false
 		if left := fate.After - passed; fate.After >= 0 && !silent && int64(n) > left {
 			part = part[:left]
-			cut = fate.Kind == Cut
-			silent = fate.Kind == Silence
+			cut = fate.Kind == Break
+			silent = fate.Kind == Stall
 		} else if silent {
 			part = nil
 		}
--- a/internal/simulation/aimed.go
+++ b/internal/simulation/aimed.go
@@ -11,7 +11,7 @@
 
 // aims are troubles that each meet one guard at the moment at which it is needed; a day plays some of them beside what
 // is drawn freely, which alone meets such a moment once in hundreds of days.
-var aims = []aim{
+var aims = []aimedCase{
 	{"written alone", (*draw).alone, false, 3},
 	{"harm at the acknowledgement", (*draw).afterAck, false, 3},
 	{"core in halves", (*draw).halves, false, 3},
@@ -22,7 +22,7 @@
 	{"a storm of broken answers", (*draw).storm, false, 1},
 	{"owners of a cold one cut off", (*draw).owners, false, 1},
 	{"evacuations that overlap", (*draw).overlap, true, 1},
-	{"an old word of a zone", (*draw).oldWord, true, 3},
+	{"an old word of a zone", (*draw).outdatedMessage, true, 3},
 	{"an old copy of a disk", (*draw).oldCopy, false, 3},
 	{"a long cut", (*draw).longCut, true, 2},
 	{"one number, two bodies", (*draw).oneNumber, false, 1},
@@ -38,15 +38,15 @@
 	{"power in a change of voters", (*draw).powerInChange, false, 3},
 	{"a bad disk beside a change of voters", (*draw).badDisk, false, 3},
 	{"a new one, another frozen", (*draw).frozen, false, 3},
-	{"seeds cut from each other", (*draw).seedsApart, false, 2},
+	{"seeds cut from each other", (*draw).partitionSeeds, false, 2},
 }
 
-// aim is one of them.
-type aim struct {
-	name  string
-	play  func(d *draw, r *rand.Rand)
-	zone  bool // it evacuates
-	least int  // machines in the core
+// aimedCase is one of them.
+type aimedCase struct {
+	name      string
+	play      func(d *draw, r *rand.Rand)
+	zone      bool // it evacuates
+	minVoters int  // machines in the core
 }
 
 // aimed plays n aims one after the other; they take their turns by the day's number, so that few days meet them all.
@@ -58,7 +58,7 @@
 	d.w.Go(func() {
 		defer close(done)
 		for k := first; k < first+n; k++ {
-			if a := aims[k%len(aims)]; len(d.w.Cores()) >= a.least {
+			if a := aims[k%len(aims)]; len(d.w.Cores()) >= a.minVoters {
 				d.log("aimed: %s", a.name)
 				a.play(d, d.w.Rand("aim", uint64(k)))
 			}
@@ -364,7 +364,7 @@
 func (d *draw) terms(r *rand.Rand) {
 	w := d.w
 	ends := []func(){d.some(r, "orders", 4, Slow), d.some(r, "views", 6, Slow)}
-	m := pick(r, w.Carriers)
+	m := pick(r, w.Proxies)
 	time.Sleep(time.Second)
 	d.log("term %s with long work", m.Name)
 	w.Term(m)
@@ -391,7 +391,7 @@
 		Deadline: time.Second, Timeout: 4 * time.Second, Probe: true, Tries: 1}
 	w.Go(func() { w.Load(13*time.Second, f) })
 	time.Sleep(2 * time.Second)
-	left := slices.Clone(w.Carriers)
+	left := slices.Clone(w.Proxies)
 	var joins []func()
 	for range 2 {
 		var best *Machine
@@ -435,14 +435,14 @@
 	})
 	for _, b := range d.w.Backends() {
 		if b.Zone == zone && empty {
-			d.w.Cold(b, 4*time.Second)
+			d.w.StartSlow(b, 4*time.Second)
 		}
 	}
 }
 
-// apart is longer than an order may come again: nearer, nobody can tell two operators' orders from one's that is
+// partition is longer than an order may come again: nearer, nobody can tell two operators' orders from one's that is
 // repeated.
-func (d *draw) apart(r *rand.Rand) {
+func (d *draw) partition(r *rand.Rand) {
 	least := d.w.Ledger.Bounds.Ack.Duration() + 1500*time.Millisecond
 	time.Sleep(between(r, least, least+2*time.Second))
 }
@@ -453,19 +453,19 @@
 	zone := pick(r, w.shape.Zones)
 	d.log("evacuate %s, twice", zone)
 	w.Evacuate(zone, true, pick(r, w.Cores()))
-	d.apart(r)
+	d.partition(r)
 	w.Evacuate(zone, true, pick(r, w.Cores()))
 	time.Sleep(between(r, 3*time.Second, 4*time.Second))
 	d.log("one of two gives %s back", zone)
 	w.Evacuate(zone, false, pick(r, w.Cores()))
-	d.apart(r)
+	d.partition(r)
 	d.log("take back %s", zone)
 	d.refill(zone, pick(r, w.Cores()))
 }
 
-// oldWord: a controller that is cut off from the others has an older word of a zone, and tells it to carriers that
-// connect anew.
-func (d *draw) oldWord(r *rand.Rand) {
+// outdatedMessage: a controller that is cut off from the others has an older word of a zone, and tells it to
+// carriers that connect anew.
+func (d *draw) outdatedMessage(r *rand.Rand) {
 	w := d.w
 	d.reserve(13 * time.Second)
 	zone, all := pick(r, w.shape.Zones), d.shuffled(r)
@@ -478,12 +478,12 @@
 	o := w.Evacuate(zone, true, all[1])
 	d.log("%s evacuated %t while %s is cut off", zone, o.Acked > 0, all[0].Name)
 	time.Sleep(time.Second)
-	for _, m := range w.Carriers { // its word comes last
+	for _, m := range w.Proxies { // its word comes last
 		w.Net.Cut(m.IP, all[0].IP)
 		w.Reset(m)
 	}
 	time.Sleep(500 * time.Millisecond)
-	for _, m := range w.Carriers {
+	for _, m := range w.Proxies {
 		w.Net.Join(m.IP, all[0].IP)
 	}
 	time.Sleep(7 * time.Second)
--- a/internal/simulation/backend.go
+++ b/internal/simulation/backend.go
@@ -44,7 +44,7 @@
 	Script        func(id string) Act   // nil: Proper always
 	Meanwhile     func(r *http.Request) // called while it works
 	state         string
-	coldTill      time.Duration
+	warmupEnd     time.Duration
 	mu            sync.Mutex
 	running       int
 	waiting       []chan struct{}
@@ -57,15 +57,15 @@
 // Backend starts one. Cold: it is slow for the service's coldS, and must not be sent much.
 func (w *World) Backend(service, zone, ip string, slots int, work time.Duration, cold bool) *Backend {
 	w.mu.Lock()
-	w.lives++
-	n := w.lives
+	w.incarnations++
+	n := w.incarnations
 	w.mu.Unlock()
 	b := &Backend{w: w, host: w.Net.Host(ip), ID: fmt.Sprintf("i-%s-%d", ip, n), Service: service, Zone: zone,
 		Address: ip + ":8080", Slots: slots, Queue: 2 * slots, Work: work, Size: 600, state: "ready",
 		rand: w.Rand("backend", uint64(n)), begun: w.Now()}
 	if cold {
-		span, _ := coldOf(service)
-		w.Cold(b, span)
+		span, _ := slowStartOf(service)
+		w.StartSlow(b, span)
 	}
 	l, err := b.host.Listen(b.Address)
 	if err != nil {
@@ -74,20 +74,20 @@
 	w.mu.Lock()
 	w.backends[b.ID] = b
 	w.mu.Unlock()
-	w.Ledger.do(func() { w.Ledger.Lives = append(w.Ledger.Lives, Life{b.ID, zone, w.Now(), 0}) })
+	w.Ledger.do(func() { w.Ledger.Incarnations = append(w.Ledger.Incarnations, Incarnation{b.ID, zone, w.Now(), 0}) })
 	go b.accept(l)
-	go b.beat()
+	go b.heartbeat()
 	return b
 }
 
-// Cold makes it cold for a span.
-func (w *World) Cold(b *Backend, span time.Duration) {
+// StartSlow makes it cold for a span.
+func (w *World) StartSlow(b *Backend, span time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.coldTill = w.Now() + span
-	_, rate := coldOf(b.Service)
+	b.warmupEnd = w.Now() + span
+	_, rate := slowStartOf(b.Service)
 	w.Ledger.do(func() {
-		w.Ledger.Colds = append(w.Ledger.Colds, Cold{Backend: b.ID, From: w.Now(), To: b.coldTill, Rate: rate})
+		w.Ledger.Colds = append(w.Ledger.Colds, SlowStart{Backend: b.ID, From: w.Now(), To: b.warmupEnd, Rate: rate})
 	})
 }
 
@@ -113,13 +113,13 @@
 	}
 }
 
-const idleFor = 12 * time.Second // of connections to backends
+const idleTimeout = 12 * time.Second // of connections to backends
 
 func (b *Backend) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
 	for {
-		_ = c.SetReadDeadline(time.Now().Add(idleFor))
+		_ = c.SetReadDeadline(time.Now().Add(idleTimeout))
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return
@@ -183,10 +183,10 @@
 	return fmt.Sprintf("%d,%d,%d", b.running, len(b.waiting), b.Slots)
 }
 
-func (b *Backend) cold() time.Duration {
+func (b *Backend) warmupLeft() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return max(b.coldTill-b.w.Now(), 0)
+	return max(b.warmupEnd-b.w.Now(), 0)
 }
 
 // answer serves one request; false: the connection ends.
@@ -200,14 +200,14 @@
 		}
 		b.mu.Unlock()
 		return say(c, status, "", map[string]string{"X-Elmfold-Instance-Id": b.ID, "X-Elmfold-Server-Load": b.load(),
-			"X-Elmfold-Cold-Ms": strconv.FormatInt(b.cold().Milliseconds(), 10)}, nil)
+			"X-Elmfold-Cold-Ms": strconv.FormatInt(b.warmupLeft().Milliseconds(), 10)}, nil)
 	}
 	from, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 	a := Arrival{ID: id, At: b.w.Now(), Backend: b.ID, Service: b.Service, Zone: b.Zone, From: from, Method: r.Method,
 		Target: r.RequestURI, Body: sum(body)}
 	note := func(o Outcome) { a.Outcome = o; b.w.Ledger.Arrive(a) }
 	fields := map[string]string{"X-Elmfold-Attempt-Id": id, "X-Elmfold-Server-Load": b.load(),
-		"Keep-Alive": fmt.Sprintf("timeout=%d", int(idleFor.Seconds()))}
+		"Keep-Alive": fmt.Sprintf("timeout=%d", int(idleTimeout.Seconds()))}
 	if t := r.Header.Get("X-Elmfold-Target-Instance"); t != "" && t != b.ID {
 		note(Misdirected)
 		return say(c, http.StatusMisdirectedRequest, "", fields, nil)
@@ -244,7 +244,7 @@
 		b.Meanwhile(r)
 	}
 	work := b.Work
-	if b.cold() > 0 {
+	if b.warmupLeft() > 0 {
 		work *= 2
 	}
 	if act == Slow {
@@ -268,10 +268,10 @@
 	}
 	page := []byte(strings.Repeat(id+" ", size/(len(id)+1)+1))
 	seal := fmt.Sprintf("%s.%d.%x", b.ID, len(page), sum([]byte(id+b.ID)))
-	reply := Reply{Backend: b.ID, Status: status, Seal: seal, Sum: sum(page), Whole: act <= Afterword || act == Slow}
+	reply := Reply{Backend: b.ID, Status: status, Seal: seal, Sum: sum(page), Complete: act <= Afterword || act == Slow}
 	b.w.Ledger.Reply(id, reply)
 	fields["X-Elmfold-Server-Load"] = b.load()
-	if cold := b.cold(); cold > 0 {
+	if cold := b.warmupLeft(); cold > 0 {
 		fields["X-Elmfold-Cold-Ms"] = strconv.FormatInt(cold.Milliseconds(), 10)
 	}
 	switch act {
@@ -337,9 +337,9 @@
 	}
 }
 
-// beat tells the controllers that it is there.
-func (b *Backend) beat() {
-	every := b.w.Beat
+// heartbeat tells the controllers that it is there.
+func (b *Backend) heartbeat() {
+	every := b.w.HeartbeatInterval
 	pause := time.Duration(b.rand.Int64N(int64(every / 5)))
 	for b.sleep(pause) {
 		b.say(b.rand, "ready")
@@ -371,7 +371,7 @@
 	word := map[string]any{"address": b.Address,
 		"descriptor": map[string]any{"service": b.Service, "generation": "v1", "zone": b.Zone, "capacity": b.Slots},
 		"observed": map[string]any{"state": state, "callSeq": b.seq,
-			"coldLeftS": max(b.coldTill-b.w.Now(), 0).Seconds()}}
+			"coldLeftS": max(b.warmupEnd-b.w.Now(), 0).Seconds()}}
 	first := b.target
 	b.mu.Unlock()
 	text, _ := json.Marshal(word)
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -44,9 +44,9 @@
 // link is a client's connection.
 type link struct {
 	*end
-	in    *bufio.Reader
-	life  int
-	until time.Time
+	in          *bufio.Reader
+	incarnation int
+	idleUntil   time.Time
 }
 
 // Clients makes the clients of a zone.
@@ -88,7 +88,7 @@
 }
 
 // Ask sends one request of a flow from a zone and returns its last try.
-func (w *World) Ask(zone string, f Flow, n uint64) *Try {
+func (w *World) Ask(zone string, f Flow, n uint64) *Attempt {
 	z := 0
 	for i := range w.shape.Zones {
 		if w.shape.Zones[i] == zone {
@@ -99,7 +99,7 @@
 }
 
 // request is one of a client, with its further tries.
-func (c *clients) request(f Flow, r *rand.Rand) (last *Try) {
+func (c *clients) request(f Flow, r *rand.Rand) (last *Attempt) {
 	w := c.w
 	began := time.Now()
 	deadline := began.Add(f.Deadline)
@@ -126,7 +126,7 @@
 		if left < 20*time.Millisecond {
 			return last
 		}
-		carriers := w.carriersFor(c.zone, hash)
+		carriers := w.proxiesFor(c.zone, hash)
 		if len(carriers) == 0 {
 			time.Sleep(min(left, 200*time.Millisecond))
 			continue
@@ -138,7 +138,7 @@
 			continue
 		}
 		switch {
-		case t.Whole && t.Status/100 == 2:
+		case t.Complete && t.Status/100 == 2:
 			served = true
 			return t
 		case t.Status == 400, t.Status == 401, t.Status == 404, t.Status == 413, t.Status == 431:
@@ -170,7 +170,7 @@
 		if stray || k.in.Buffered() > 0 {
 			c.w.Ledger.do(func() { c.w.Ledger.Strays = append(c.w.Ledger.Strays, Stray{c.w.Now(), m.Name}) })
 		}
-		if !over && !stray && time.Now().Before(k.until) {
+		if !over && !stray && time.Now().Before(k.idleUntil) {
 			return k
 		}
 		_ = k.Close()
@@ -182,9 +182,9 @@
 		return nil
 	}
 	c.w.mu.Lock()
-	life := m.life
+	life := m.incarnation
 	c.w.mu.Unlock()
-	return &link{end: endOf(conn), in: bufio.NewReader(conn), life: life}
+	return &link{end: endOf(conn), in: bufio.NewReader(conn), incarnation: life}
 }
 
 // id is a try's own.
@@ -202,16 +202,27 @@
 
 // try sends one request; nil: no connection came up. Refused: it has not been run for all that the client may know.
 func (c *clients) try(f Flow, m *Machine, target string, body []byte, deadline time.Time, keep bool, r *rand.Rand) (
-	t *Try, after time.Duration, refused bool) {
+	t *Attempt, after time.Duration, refused bool) {
 	k := c.connect(m, keep)
 	if k == nil {
 		return nil, 0, true
 	}
 	w := c.w
-	t = w.Ledger.Add(&Try{ID: w.id(r), Method: f.Method, Host: f.Host, Target: target, Body: sum(body), Safe: f.Safe,
-		Service: f.Service, At: w.Now(), Carrier: m.Name, Life: k.life, Timeout: min(f.Timeout, time.Until(deadline))})
+	t = w.Ledger.Add(&Attempt{
+		ID:          w.id(r),
+		Method:      f.Method,
+		Host:        f.Host,
+		Target:      target,
+		Body:        sum(body),
+		Safe:        f.Safe,
+		Service:     f.Service,
+		At:          w.Now(),
+		Proxy:       m.Name,
+		Incarnation: k.incarnation,
+		Timeout:     min(f.Timeout, time.Until(deadline)),
+	})
 	k.n.mu.Lock()
-	before := k.peer.taken
+	before := k.peer.readBytes
 	k.n.mu.Unlock()
 	_ = k.SetDeadline(deadline)
 	_, err := k.Write(append(f.head(t.ID, target, len(body), time.Until(deadline)), body...))
@@ -222,7 +233,7 @@
 	}
 	stay := false
 	if err == nil {
-		stay = k.hear(w, t, resp)
+		stay = k.onResponse(w, t, resp)
 		if s, bad := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); bad == nil {
 			after = time.Duration(s * float64(time.Second))
 		}
@@ -232,11 +243,11 @@
 		t.GaveUp = errors.Is(err, os.ErrDeadlineExceeded)
 	})
 	if stay {
-		k.until = time.Now().Add(10 * time.Second)
+		k.idleUntil = time.Now().Add(10 * time.Second)
 		for _, part := range strings.Split(resp.Header.Get("Keep-Alive"), ",") {
 			if s, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
 				if n, bad := strconv.Atoi(s); bad == nil {
-					k.until = time.Now().Add(time.Duration(n)*time.Second - 300*time.Millisecond)
+					k.idleUntil = time.Now().Add(time.Duration(n)*time.Second - 300*time.Millisecond)
 				}
 			}
 		}
@@ -250,14 +261,14 @@
 	case 429, 503, 408, 421:
 		return t, after, true
 	}
-	return t, after, t.Status == 0 && !t.GaveUp && k.heldBack(before)
+	return t, after, t.Status == 0 && !t.GaveUp && k.isHeldBack(before)
 }
 
-// hear takes the answer down; it says whether the connection stays.
-func (k *link) hear(w *World, t *Try, resp *http.Response) bool {
+// onResponse takes the answer down; it says whether the connection stays.
+func (k *link) onResponse(w *World, t *Attempt, resp *http.Response) bool {
 	page, err := io.ReadAll(resp.Body)
 	w.Ledger.do(func() {
-		t.Status, t.Whole = resp.StatusCode, err == nil
+		t.Status, t.Complete = resp.StatusCode, err == nil
 		t.Seal, t.AnswerID = resp.Header.Get("X-Elmfold-Server-Seal"), resp.Header.Get("X-Elmfold-Attempt-Id")
 		t.Sum = sum(page)
 	})
--- a/internal/simulation/core.go
+++ b/internal/simulation/core.go
@@ -114,7 +114,7 @@
 	if all != nil {
 		return all
 	}
-	r := w.Rand("seeds "+m.Name, uint64(m.life))
+	r := w.Rand("seeds "+m.Name, uint64(m.incarnation))
 	r.Shuffle(len(run), func(i, j int) { run[i], run[j] = run[j], run[i] })
 	if len(run) > 1 {
 		rest = append(rest, run[1:]...)
@@ -216,7 +216,7 @@
 
 // BadDisk lets a machine's disk hang or refuse writes until the function is called.
 func (w *World) BadDisk(m *Machine, full bool, atMost time.Duration) (heal func()) {
-	end := w.Ledger.Trouble(w.Now(), m.Name, "disk", false)
+	end := w.Ledger.BeginFault(w.Now(), m.Name, "disk", false)
 	if full {
 		m.Disk.Full(true)
 	} else {
@@ -239,7 +239,7 @@
 
 // Step sets a machine's time of day off by a span.
 func (w *World) Step(m *Machine, off time.Duration) {
-	w.Ledger.Trouble(w.Now(), m.Name, "clock", false)(w.Now())
+	w.Ledger.BeginFault(w.Now(), m.Name, "clock", false)(w.Now())
 	m.clock.Store(int64(off))
 	w.coreEvent()
 }
--- a/internal/simulation/day_test.go
+++ b/internal/simulation/day_test.go
@@ -98,7 +98,7 @@
 					served.Add(int64(ok))
 					tries.Add(int64(len(l.Tries)))
 					orders.Add(int64(len(l.Orders)))
-					faults.Add(int64(len(l.Troubles)))
+					faults.Add(int64(len(l.FaultSpans)))
 				}()
 			})
 		}
--- a/internal/simulation/days.go
+++ b/internal/simulation/days.go
@@ -13,7 +13,7 @@
 var Zones = []string{"north", "west", "south"}
 
 // Plain is three controllers, one of which may be lost, and four carriers.
-var Plain = Shape{Zones: Zones, Cores: 3, Carriers: 4, Faults: 1}
+var Plain = Shape{Zones: Zones, Cores: 3, Proxies: 4, Faults: 1}
 
 // Flows are two kinds that may be repeated and one that may not.
 var Flows = []Flow{
@@ -25,8 +25,8 @@
 		Deadline: 5 * time.Second, Timeout: 6 * time.Second},
 }
 
-// Charter is a configuration that lets the flows through.
-func Charter(version uint32) *Config {
+// NewConfig is a configuration that lets the flows through.
+func NewConfig(version uint32) *Config {
 	c := &Config{Version: version, Services: []string{"pages", "orders", "views", "fresh"}}
 	for _, f := range Flows {
 		c.Routes = append(c.Routes, Route{Host: f.Host, Prefix: f.Prefix, Safe: f.Safe, Services: []string{f.Service},
@@ -43,7 +43,7 @@
 	w.Start()
 	w.Populate()
 	time.Sleep(4 * time.Second)
-	w.Replace(Charter(1), true, nil, 5*time.Second)
+	w.Replace(NewConfig(1), true, nil, 5*time.Second)
 	time.Sleep(3 * time.Second)
 	return w
 }
@@ -122,7 +122,7 @@
 		m.clock.Store(int64(time.Duration(seed>>i%3-1) * time.Duration(seed%3600) * time.Second))
 	}
 	time.Sleep(2 * time.Second)
-	w.Replace(Charter(1), true, nil, 40*time.Second)
+	w.Replace(NewConfig(1), true, nil, 40*time.Second)
 	time.Sleep(7 * time.Second)
 	return w, log
 }
@@ -192,7 +192,7 @@
 	w, r := d.w, d.r
 	span := d.span(0.2, 5)
 	b := pick(r, w.Backends())
-	m := pick(r, w.Carriers)
+	m := pick(r, w.Proxies)
 	switch kind {
 	case 0:
 		d.log("kill %s", m.Name)
@@ -340,7 +340,7 @@
 func (d *draw) zone(zone string, span time.Duration) {
 	w := d.w
 	var all []*Machine
-	for _, m := range slices.Concat(w.Cores(), w.Carriers) {
+	for _, m := range slices.Concat(w.Cores(), w.Proxies) {
 		if m.Zone == zone && w.runs(m) {
 			w.Power(m)
 			all = append(all, m)
@@ -381,7 +381,7 @@
 	defer d.mu.Unlock()
 	d.version += uint32(1 + r.IntN(3))
 	d.sent = append(d.sent, d.version)
-	c := Charter(d.version)
+	c := NewConfig(d.version)
 	for _, v := range d.sent { // what such a request meets tells whether a version is in force that is at least that
 		c.Routes = append(c.Routes, Route{Host: "a.example", Prefix: mark(v), Safe: true, Services: []string{"pages"},
 			TimeoutS: 4, MaxTries: 2})
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -199,7 +199,7 @@
 	read := func(at, end float64, c *Config) *Call {
 		return &Call{Kind: "config.read", At: sec(at), End: sec(end), Status: 200, Got: sum(c.JSON())}
 	}
-	x, y := Charter, moved
+	x, y := NewConfig, moved
 	for _, c := range []struct {
 		name string
 		fate string // "": none
--- a/internal/simulation/ledger.go
+++ b/internal/simulation/ledger.go
@@ -15,27 +15,27 @@
 // Ledger is all that clients, backends and the operator saw, and what was done to the machines. Times are since the
 // world began.
 type Ledger struct {
-	mu       sync.Mutex
-	Bounds   bootconfig.Bounds
-	Revert   time.Duration // revertSlackS
-	Tries    []*Try
-	byID     map[string]*Try
-	Unknown  []Arrival // of ids that no client sent
-	Strays   []Stray
-	Colds    []Cold
-	Leaves   []Leave
-	Orders   []*Order
-	Reads    []Read
-	Early    []Read // answers before the day's end
-	Calls    []*Call
-	Lives    []Life
-	Troubles []Trouble
-	Core     []CoreState
-	Losses   []Loss
-	Faults   int // machineFaults
-	Terms    []Term
-	Requests []Request // of clients, with their further tries
-	Closing  time.Duration
+	mu           sync.Mutex
+	Bounds       bootconfig.Bounds
+	Revert       time.Duration // revertSlackS
+	Tries        []*Attempt
+	byID         map[string]*Attempt
+	Unknown      []Arrival // of ids that no client sent
+	Strays       []Stray
+	Colds        []SlowStart
+	Shutdowns    []Leave
+	Orders       []*Order
+	Reads        []Read
+	EarlyReads   []Read // answers before the day's end
+	Calls        []*Call
+	Incarnations []Incarnation
+	FaultSpans   []FaultSpan
+	Core         []CoreState
+	Losses       []Loss
+	Faults       int // machineFaults
+	Terms        []Term
+	Requests     []Request // of clients, with their further tries
+	Closing      time.Duration
 }
 
 // Request is what a client wanted, whatever tries it took.
@@ -59,21 +59,21 @@
 	return asked, served
 }
 
-// Try is one request on the wire.
-type Try struct {
+// Attempt is one request on the wire.
+type Attempt struct {
 	ID, Method, Host, Target string
 	Body                     uint64 // sum of it
 	Safe                     bool
 	Service                  string // where the operator sends such requests first; for the budget
 	At, Written              time.Duration
-	Carrier                  string // the machine that took it
-	Life                     int    // ... and which of its processes
+	Proxy                    string // the machine that took it
+	Incarnation              int    // ... and which of its processes
 	Arrivals                 []Arrival
 	Replies                  []Reply
 
 	End      time.Duration
 	Status   int  // of the answer; 0: none came
-	Whole    bool // the answer came to its end
+	Complete bool // the answer came to its end
 	Seal     string
 	AnswerID string
 	Sum      uint64 // of the answer's body
@@ -105,21 +105,21 @@
 
 // Reply is what a backend said to a request it ran.
 type Reply struct {
-	Backend string
-	Status  int
-	Seal    string
-	Sum     uint64
-	Whole   bool // as the backend sent it
+	Backend  string
+	Status   int
+	Seal     string
+	Sum      uint64
+	Complete bool // as the backend sent it
 }
 
 // Stray is bytes that a client got while no request of its waited on the connection.
 type Stray struct {
-	At      time.Duration
-	Carrier string
+	At    time.Duration
+	Proxy string
 }
 
-// Cold is a span in which a backend was cold.
-type Cold struct {
+// SlowStart is a span in which a backend was cold.
+type SlowStart struct {
 	Backend  string
 	From, To time.Duration // To 0: until the end
 	Rate     float64
@@ -166,15 +166,15 @@
 	By      string // the controller's machine
 }
 
-// Trouble is what was done to a machine.
-type Trouble struct {
+// FaultSpan is what was done to a machine.
+type FaultSpan struct {
 	Machine  string
 	What     string
 	From, To time.Duration // To -1: it has not ended
 }
 
-// Life is one of a backend. It ends as it begins to leave.
-type Life struct {
+// Incarnation is one of a backend. It ends as it begins to leave.
+type Incarnation struct {
 	Backend, Zone string
 	From, To      time.Duration // To 0: it goes on
 }
@@ -187,11 +187,11 @@
 
 // NewLedger makes an empty one.
 func NewLedger(b bootconfig.Bounds) *Ledger {
-	return &Ledger{Bounds: b, Revert: 250 * time.Millisecond, byID: map[string]*Try{}, Closing: -1}
+	return &Ledger{Bounds: b, Revert: 250 * time.Millisecond, byID: map[string]*Attempt{}, Closing: -1}
 }
 
 // Add begins a try.
-func (l *Ledger) Add(t *Try) *Try {
+func (l *Ledger) Add(t *Attempt) *Attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.Tries = append(l.Tries, t)
@@ -226,30 +226,30 @@
 	f()
 }
 
-// Trouble notes a moment or the beginning of a span; the function ends it. Core: it unsettles the core as it begins.
-func (l *Ledger) Trouble(at time.Duration, machine, what string, core bool) (end func(at time.Duration)) {
+// BeginFault notes a moment or the beginning of a span; the function ends it. Core: it unsettles the core as it begins.
+func (l *Ledger) BeginFault(at time.Duration, machine, what string, core bool) (end func(at time.Duration)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := len(l.Troubles)
-	l.Troubles = append(l.Troubles, Trouble{Machine: machine, What: what, From: at, To: -1})
+	k := len(l.FaultSpans)
+	l.FaultSpans = append(l.FaultSpans, FaultSpan{Machine: machine, What: what, From: at, To: -1})
 	if core {
 		l.Core = append(l.Core, CoreState{At: at, Size: 1, Joined: 1})
 	}
-	return func(at time.Duration) { l.do(func() { l.Troubles[k].To = at }) }
+	return func(at time.Duration) { l.do(func() { l.FaultSpans[k].To = at }) }
 }
 
-func (t Trouble) meets(from, to time.Duration) bool {
+func (t FaultSpan) meets(from, to time.Duration) bool {
 	return t.From <= to && (t.To < 0 || t.To >= from)
 }
 
-// InTouch says whether a machine was so at every moment of a span.
-func (l *Ledger) InTouch(machine string, from, to time.Duration) bool {
-	return l.settled(from, to) && l.untroubled(machine, from-l.Bounds.Contact.Duration(), to)
+// HasQuorum says whether a machine was so at every moment of a span.
+func (l *Ledger) HasQuorum(machine string, from, to time.Duration) bool {
+	return l.isCalm(from, to) && l.untroubled(machine, from-l.Bounds.Contact.Duration(), to)
 }
 
-// settled says whether the core was so at every moment of a span: more than half of it runs, each reaching the others,
+// isCalm says whether the core was so at every moment of a span: more than half of it runs, each reaching the others,
 // and nothing was done to it in the contactS before.
-func (l *Ledger) settled(from, to time.Duration) bool {
+func (l *Ledger) isCalm(from, to time.Duration) bool {
 	k := l.before(from - l.Bounds.Contact.Duration())
 	return (k == len(l.Core) || l.Core[k].At > to) && (k == 0 || 2*l.Core[k-1].Joined > l.Core[k-1].Size)
 }
@@ -357,7 +357,7 @@
 
 // calm says that nothing unplanned befell a machine in a span.
 func (l *Ledger) calm(machine string, from, to time.Duration) bool {
-	return !slices.ContainsFunc(l.Troubles, func(t Trouble) bool {
+	return !slices.ContainsFunc(l.FaultSpans, func(t FaultSpan) bool {
 		return t.Machine == machine && t.What != "term" && t.meets(from, to)
 	})
 }
--- a/internal/simulation/net.go
+++ b/internal/simulation/net.go
@@ -24,19 +24,19 @@
 // Net joins the machines of a world. Bytes arrive after a delay, in order, once; what a cut holds up arrives after it.
 // It lives inside one synctest bubble: waiting is on channels and timers only, and the one lock is never held over it.
 type Net struct {
-	mu    sync.Mutex
-	delay func(from, to string) time.Duration // one way, by the machines' ip
-	ports map[string]*listener                // by "ip:port"
-	ends  map[*end]bool
-	cuts  map[[2]string]int // from, to: how many hold it
-	dark  map[string]bool   // without power
-	still map[string]int    // frozen, by so many
-	port  int
+	mu         sync.Mutex
+	delay      func(from, to string) time.Duration // one way, by the machines' ip
+	ports      map[string]*listener                // by "ip:port"
+	ends       map[*end]bool
+	partitions map[[2]string]int // from, to: how many hold it
+	dark       map[string]bool   // without power
+	still      map[string]int    // frozen, by so many
+	port       int
 }
 
 // NewNet makes a Net without machines.
 func NewNet(delay func(from, to string) time.Duration) *Net {
-	return &Net{delay: delay, ports: map[string]*listener{}, ends: map[*end]bool{}, cuts: map[[2]string]int{},
+	return &Net{delay: delay, ports: map[string]*listener{}, ends: map[*end]bool{}, partitions: map[[2]string]int{},
 		dark: map[string]bool{}, still: map[string]int{}, port: 20000}
 }
 
@@ -52,15 +52,15 @@
 func (n *Net) Host(ip string) *Host { return &Host{n: n, IP: ip, gone: make(chan struct{})} }
 
 // Cut stops all that goes from one machine to another, until Join was called as often as Cut: faults overlap.
-func (n *Net) Cut(from, to string) { n.change(func() { n.cuts[[2]string{from, to}]++ }) }
+func (n *Net) Cut(from, to string) { n.change(func() { n.partitions[[2]string{from, to}]++ }) }
 
 // Join ends a Cut.
 func (n *Net) Join(from, to string) {
 	n.change(func() {
-		if way := [2]string{from, to}; n.cuts[way] > 1 {
-			n.cuts[way]--
+		if way := [2]string{from, to}; n.partitions[way] > 1 {
+			n.partitions[way]--
 		} else {
-			delete(n.cuts, way)
+			delete(n.partitions, way)
 		}
 	})
 }
@@ -118,7 +118,7 @@
 }
 
 func (n *Net) open(from, to string) bool {
-	return !n.dark[from] && !n.dark[to] && n.still[from] == 0 && n.still[to] == 0 && n.cuts[[2]string{from, to}] == 0
+	return !n.dark[from] && !n.dark[to] && n.still[from] == 0 && n.still[to] == 0 && n.partitions[[2]string{from, to}] == 0
 }
 
 // Reset breaks all connections of a machine.
@@ -158,7 +158,7 @@
 			continue
 		}
 		if silent {
-			e.silent = true
+			e.powerless = true
 			if e.peer.in != nil && !h.n.open(h.IP, e.peer.host.IP) { // bytes held up by a cut are lost with the sender
 				kept := e.peer.in[:0]
 				for _, s := range e.peer.in {
@@ -190,21 +190,21 @@
 
 // end is one side of a connection.
 type end struct {
-	n        *Net
-	host     *Host
-	at, from *net.TCPAddr // this side, the other
-	peer     *end
-	in       []segment // on their way to this side, or arrived and unread
-	inBytes  int
-	taken    int64 // bytes read here by the process
-	closed   bool
-	silent   bool // ... with its machine's power: nothing was said
-	err      error
-	readBy   time.Time
-	writeBy  time.Time
-	wake     chan struct{} // closed at the next change; nil: nobody waits for one
-	patience time.Duration // bytes that stay unacknowledged for so long end the connection; 0: for ever
-	watched  bool
+	n             *Net
+	host          *Host
+	at, from      *net.TCPAddr // this side, the other
+	peer          *end
+	in            []segment // on their way to this side, or arrived and unread
+	inBytes       int
+	readBytes     int64 // bytes read here by the process
+	closed        bool
+	powerless     bool // ... with its machine's power: nothing was said
+	err           error
+	readDeadline  time.Time
+	writeDeadline time.Time
+	wake          chan struct{} // closed at the next change; nil: nobody waits for one
+	patience      time.Duration // bytes that stay unacknowledged for so long end the connection; 0: for ever
+	watched       bool
 }
 
 func (e *end) stir() {
@@ -274,7 +274,7 @@
 		switch {
 		case e.closed:
 			err = net.ErrClosed
-		case !e.readBy.IsZero() && !now.Before(e.readBy):
+		case !e.readDeadline.IsZero() && !now.Before(e.readDeadline):
 			err = os.ErrDeadlineExceeded
 		case len(e.in) > 0 && !e.in[0].at.After(now):
 			s := &e.in[0]
@@ -290,7 +290,7 @@
 					e.in = e.in[1:]
 				}
 				e.inBytes -= k
-				e.taken += int64(k)
+				e.readBytes += int64(k)
 				if e.inBytes+k >= window {
 					e.peer.stir()
 				}
@@ -307,7 +307,7 @@
 			}
 			return 0, e.fail("read", err)
 		}
-		until := e.readBy
+		until := e.readDeadline
 		if len(e.in) > 0 && e.in[0].at != never && (until.IsZero() || e.in[0].at.Before(until)) {
 			until = e.in[0].at
 		}
@@ -342,7 +342,7 @@
 			err = e.err
 		case e.broken(now):
 			err = syscall.EPIPE
-		case !e.writeBy.IsZero() && !now.Before(e.writeBy):
+		case !e.writeDeadline.IsZero() && !now.Before(e.writeDeadline):
 			err = os.ErrDeadlineExceeded
 		}
 		if err != nil {
@@ -358,7 +358,7 @@
 			e.n.mu.Unlock()
 			return total, nil
 		}
-		wake, until := e.woken(), e.writeBy
+		wake, until := e.woken(), e.writeDeadline
 		e.n.mu.Unlock()
 		wait(wake, until)
 	}
@@ -404,7 +404,7 @@
 	}
 	e.closed = true
 	now := time.Now()
-	if !e.silent {
+	if !e.powerless {
 		unread, coming := false, time.Time{}
 		for _, s := range e.in {
 			if s.kind != data {
@@ -433,12 +433,12 @@
 	}
 }
 
-// heldBack says that nothing of what was sent from here since the process at the other side had read `before` bytes
+// isHeldBack says that nothing of what was sent from here since the process at the other side had read `before` bytes
 // has been read by it.
-func (e *end) heldBack(before int64) bool {
+func (e *end) isHeldBack(before int64) bool {
 	e.n.mu.Lock()
 	defer e.n.mu.Unlock()
-	return e.peer.taken <= before
+	return e.peer.readBytes <= before
 }
 
 // ended says that the other side has closed or broken the connection, as far as that has come here; stray, that bytes
@@ -471,10 +471,10 @@
 		return e.fail("set", net.ErrClosed)
 	}
 	if read != nil {
-		e.readBy = *read
+		e.readDeadline = *read
 	}
 	if write != nil {
-		e.writeBy = *write
+		e.writeDeadline = *write
 	}
 	e.stir()
 	return nil
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -40,7 +40,7 @@
 			"targetS": 1, "priority": 1, "predicate": m{"pathPrefix": r.Prefix}, "effect": effect}}})
 	}
 	for _, s := range c.Services {
-		span, rate := coldOf(s)
+		span, rate := slowStartOf(s)
 		pools = append(pools, m{"name": s, "healthPath": "/health", "maxConns": 120, "protocol": "h1", "tlsMode": false,
 			"coldS": span.Seconds(), "coldRateS": rate})
 	}
@@ -168,7 +168,7 @@
 			status, body, err := w.read(m)
 			if err == nil && status == 200 {
 				read.At, read.OK, read.Body = w.Now(), true, string(body)
-				w.Ledger.do(func() { w.Ledger.Early = append(w.Ledger.Early, read) })
+				w.Ledger.do(func() { w.Ledger.EarlyReads = append(w.Ledger.EarlyReads, read) })
 			}
 		})
 	}
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -56,9 +56,9 @@
 	})
 }
 
-// stretchMost is by how much an unsettled core stretches the bounds of configurations and evacuations, as long as
+// maxStretch is by how much an unsettled core stretches the bounds of configurations and evacuations, as long as
 // most of it runs and is connected.
-const stretchMost = 8 * time.Second
+const maxStretch = 8 * time.Second
 
 // outer says that a machine owes such a bound all the same: nothing befell it itself, and most of the core went on.
 func (l *Ledger) outer(machine string, from, to time.Duration) bool {
@@ -66,7 +66,7 @@
 }
 
 // runs are the arrivals of a try that a backend worked on.
-func (t *Try) runs() (n int, last time.Duration) {
+func (t *Attempt) runs() (n int, last time.Duration) {
 	for _, a := range t.Arrivals {
 		if a.Outcome == Ran {
 			n, last = n+1, a.At
@@ -77,7 +77,7 @@
 
 // untroubled says that nothing at all befell a machine itself in a span.
 func (l *Ledger) untroubled(machine string, from, to time.Duration) bool {
-	return !slices.ContainsFunc(l.Troubles, func(t Trouble) bool { return t.Machine == machine && t.meets(from, to) })
+	return !slices.ContainsFunc(l.FaultSpans, func(t FaultSpan) bool { return t.Machine == machine && t.meets(from, to) })
 }
 
 // requests: TWICE, REFUSED, UNASKED.
@@ -111,7 +111,7 @@
 // answers: MIXED.
 func (l *Ledger) answers(out *breaches) {
 	for _, s := range l.Strays {
-		out.add("MIXED", s.At, "bytes from %s where no request waited", s.Carrier)
+		out.add("MIXED", s.At, "bytes from %s where no request waited", s.Proxy)
 	}
 	for _, t := range l.Tries {
 		switch {
@@ -120,7 +120,7 @@
 		case t.AnswerID != "" && t.AnswerID != t.ID:
 			out.add("MIXED", t.End, "%s got the answer to %s", t.ID, t.AnswerID)
 			continue
-		case t.Status/100 != 2 || !t.Whole:
+		case t.Status/100 != 2 || !t.Complete:
 			continue
 		case t.Seal == "":
 			out.add("MIXED", t.End, "%s: success without a seal", t.ID)
@@ -132,24 +132,25 @@
 			out.add("MIXED", t.End, "%s: no backend gave it the seal %s", t.ID, t.Seal)
 		case t.Replies[i].Status/100 != 2:
 			out.add("MIXED", t.End, "%s: success where %s had answered %d", t.ID, t.Replies[i].Backend, t.Replies[i].Status)
-		case !t.Replies[i].Whole || t.Replies[i].Sum != t.Sum:
+		case !t.Replies[i].Complete || t.Replies[i].Sum != t.Sum:
 			out.add("MIXED", t.End, "%s: its body is not the whole body of %s", t.ID, t.Replies[i].Backend)
 		}
 	}
 }
 
 // machine is the name of the carrier that sent an arrival on.
-func (t *Try) touches(l *Ledger, to time.Duration) bool { return l.InTouch(t.Carrier, t.At, to) }
+func (t *Attempt) touches(l *Ledger, to time.Duration) bool { return l.HasQuorum(t.Proxy, t.At, to) }
 
-// known is the time inside which each carrier that nothing befell has a word of leaving, whatever befalls the core:
-// ours, as the operators' rule lets a drain pass that is known late only where its acknowledger is gone.
-const known = 500 * time.Millisecond
+// notificationTime is the time inside which each carrier that nothing befell has a word of leaving, whatever
+// befalls the core: ours, as the operators' rule lets a drain pass that is known late only where its acknowledger
+// is gone.
+const notificationTime = 500 * time.Millisecond
 
 // leaving: DRAIN.
 func (l *Ledger) leaving(out *breaches) {
 	first := map[string]time.Duration{}
-	for _, d := range l.Leaves {
-		if at, there := first[d.Backend]; l.InTouch(d.By, d.At, d.At) && (!there || d.At < at) {
+	for _, d := range l.Shutdowns {
+		if at, there := first[d.Backend]; l.HasQuorum(d.By, d.At, d.At) && (!there || d.At < at) {
 			first[d.Backend] = d.At
 		}
 	}
@@ -160,9 +161,9 @@
 				continue
 			}
 			if late := a.At > at+l.Bounds.Drain.Duration() && t.touches(l, a.At); late ||
-				t.At > at+known && l.untroubled(t.Carrier, at-l.Bounds.Contact.Duration(), a.At) {
+				t.At > at+notificationTime && l.untroubled(t.Proxy, at-l.Bounds.Contact.Duration(), a.At) {
 				out.add("DRAIN", a.At, "%s reached %s by %s %.3f s after its leaving was acknowledged", t.ID, a.Backend,
-					t.Carrier, (a.At - at).Seconds())
+					t.Proxy, (a.At - at).Seconds())
 			}
 		}
 	}
@@ -181,9 +182,9 @@
 					(t.touches(
 						l,
 						a.At,
-					) || a.At > o.Acked+l.Bounds.Evacuate.Duration()+stretchMost && l.outer(t.Carrier, o.Acked, a.At)) {
+					) || a.At > o.Acked+l.Bounds.Evacuate.Duration()+maxStretch && l.outer(t.Proxy, o.Acked, a.At)) {
 					out.add("EVAC", a.At, "%s reached %s in %s by %s %.3f s after the evacuation was acknowledged", t.ID,
-						a.Backend, a.Zone, t.Carrier, (a.At - o.Acked).Seconds())
+						a.Backend, a.Zone, t.Proxy, (a.At - o.Acked).Seconds())
 				}
 			}
 		}
@@ -218,7 +219,7 @@
 }
 
 // services are those that a request may be for, by the configurations that may be in force when it is sent.
-func (l *Ledger) services(t *Try) []string {
+func (l *Ledger) services(t *Attempt) []string {
 	var all []string
 	least := uint32(0)
 	for _, o := range l.Orders {
@@ -315,7 +316,7 @@
 
 // seen is how a carrier handled a request: to which service it went, or "" for a 404.
 type seen struct {
-	t       *Try
+	t       *Attempt
 	at      time.Duration
 	service string
 }
@@ -335,7 +336,7 @@
 	lives := map[string][]seen{}
 	denied, proper := 0, 0
 	for _, t := range l.Tries {
-		life := fmt.Sprint(t.Carrier, " ", t.Life)
+		life := fmt.Sprint(t.Proxy, " ", t.Incarnation)
 		proper++
 		for _, a := range t.Arrivals {
 			if a.Outcome == Ran {
@@ -359,8 +360,8 @@
 			for _, o := range all {
 				if o.Valid && o.Acked > 0 && s.t.At > o.Acked+l.Bounds.ConfigApply.Duration() {
 					acked = max(acked, o.Config.Version)
-					if s.t.At > o.Acked+l.Bounds.ConfigApply.Duration()+stretchMost && o.Config.Version > stretched &&
-						l.outer(s.t.Carrier, o.Acked, s.at) {
+					if s.t.At > o.Acked+l.Bounds.ConfigApply.Duration()+maxStretch && o.Config.Version > stretched &&
+						l.outer(s.t.Proxy, o.Acked, s.at) {
 						stretched = o.Config.Version
 					}
 				}
@@ -406,17 +407,17 @@
 						"core was there",
 					s.t.ID,
 					what,
-					s.t.Carrier,
+					s.t.Proxy,
 					newest,
 					stretched,
-					stretchMost,
+					maxStretch,
 				)
 			case fits && newest < acked && inTouch:
 				out.add("CONFIG", s.at, "%s was %s by %s, as up to version %08x; %08x is acknowledged", s.t.ID, what,
-					s.t.Carrier, newest, acked)
+					s.t.Proxy, newest, acked)
 			case fits && newest < shown && inTouch:
 				out.add("CONFIG", s.at, "%s was %s by %s, as up to version %08x; it has shown %08x: it goes back", s.t.ID,
-					what, s.t.Carrier, newest, shown)
+					what, s.t.Proxy, newest, shown)
 			}
 			if fits && s.service != "" && (len(effects) == 0 || effects[len(effects)-1].version < oldest) {
 				effects = append(effects, effect{s.at, oldest})
@@ -479,12 +480,12 @@
 // effect of, and what was read, before its question, or newer. The operators' rules ask that of the end alone; it
 // is here as what has shown and is gone by the next question may be overwritten by the end.
 func (l *Ledger) early(out *breaches, known []effect, of map[string]uint32) {
-	for _, r := range l.Early {
+	for _, r := range l.EarlyReads {
 		if v, there := of[r.Body]; there {
 			known = append(known, effect{r.At, v})
 		}
 	}
-	for _, r := range l.Early {
+	for _, r := range l.EarlyReads {
 		v, there := of[r.Body]
 		for _, k := range known {
 			if r.OK && there && k.at < r.From && v < k.version {
@@ -500,16 +501,17 @@
 	for _, term := range l.Terms {
 		till := term.At + l.Bounds.Grace.Duration() + time.Second
 		for _, t := range l.Tries {
-			if t.Carrier != term.Machine || t.End < term.At || t.End > till || t.Written == 0 || t.GaveUp {
+			if t.Proxy != term.Machine || t.End < term.At || t.End > till || t.Written == 0 || t.GaveUp {
 				continue
 			}
-			broke := slices.ContainsFunc(t.Replies, func(r Reply) bool { return !r.Whole })
+			broke := slices.ContainsFunc(t.Replies, func(r Reply) bool { return !r.Complete })
 			ran, _ := t.runs()
-			cut := !t.Whole && (len(t.Arrivals) > 0 || t.End > t.Written+l.Bounds.LossSlack.Duration())
-			inPlace := t.Whole && t.Seal == "" && t.Status/100 == 5 && ran > 0 && len(t.Replies) == 0 && t.End < t.At+t.Timeout
+			cut := !t.Complete && (len(t.Arrivals) > 0 || t.End > t.Written+l.Bounds.LossSlack.Duration())
+			inPlace := t.Complete && t.Seal == "" && t.Status/100 == 5 && ran > 0 && len(t.Replies) == 0 &&
+				t.End < t.At+t.Timeout
 			late := t.End > term.At+l.Bounds.Grace.Duration()/2 && ran > 0 // its backend was still at work
 			if (cut || inPlace) && !broke && !late && l.calm(term.Machine, t.At-l.Bounds.Contact.Duration(), t.End) {
-				out.add("LOST", t.End, "%s was broken off by %s after its SIGTERM", t.ID, t.Carrier)
+				out.add("LOST", t.End, "%s was broken off by %s after its SIGTERM", t.ID, t.Proxy)
 			}
 		}
 	}
@@ -577,7 +579,7 @@
 	}
 	for _, s := range l.owed(l.ends()) {
 		from := max(s.From+quiet, first+quiet)
-		for _, t := range l.Troubles {
+		for _, t := range l.FaultSpans {
 			if t.From < s.To && (t.To < 0 || t.To+quiet > from) && t.From < from {
 				if from = t.To + quiet; t.To < 0 {
 					from = forever
@@ -585,7 +587,7 @@
 			}
 		}
 		to := s.To
-		for _, t := range l.Troubles {
+		for _, t := range l.FaultSpans {
 			if t.From >= from {
 				to = min(to, t.From)
 			}
@@ -628,7 +630,7 @@
 		if !clear || open != 0 || k < 0 {
 			continue
 		}
-		there := slices.ContainsFunc(l.Lives, func(b Life) bool {
+		there := slices.ContainsFunc(l.Incarnations, func(b Incarnation) bool {
 			return b.Zone == zone && b.From < last && (b.To == 0 || b.To > from+5*time.Second)
 		})
 		n, all := 0, 0
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -16,17 +16,19 @@
 
 func blank() sheet {
 	l := NewLedger(bootconfig.Default().Bounds)
-	l.Orders = []*Order{{Config: Charter(1), Valid: true, At: sec(0.5), Acked: sec(1), By: "core-0", Status: 200}}
+	l.Orders = []*Order{{Config: NewConfig(1), Valid: true, At: sec(0.5), Acked: sec(1), By: "core-0", Status: 200}}
 	return sheet{l}
 }
 
-func (s sheet) try(at float64, safe bool) *Try {
+func (s sheet) try(at float64, safe bool) *Attempt {
 	id := fmt.Sprint("t", len(s.Tries))
-	t := s.Add(&Try{ID: id, Method: "GET", Host: "a.example", Target: "/page/1", Safe: safe, Service: "pages", At: sec(at),
-		Written: sec(at), Carrier: "edge-0", Life: 1, Timeout: sec(4)})
+	t := s.Add(
+		&Attempt{ID: id, Method: "GET", Host: "a.example", Target: "/page/1", Safe: safe, Service: "pages", At: sec(at),
+			Written: sec(at), Proxy: "edge-0", Incarnation: 1, Timeout: sec(4)},
+	)
 	s.ran(t, at+0.01, "b1")
-	t.Replies = []Reply{{Backend: "b1", Status: 200, Seal: "s" + id, Sum: 7, Whole: true}}
-	t.Status, t.Whole, t.Seal, t.AnswerID, t.Sum, t.End = 200, true, "s"+id, id, 7, sec(at+0.1)
+	t.Replies = []Reply{{Backend: "b1", Status: 200, Seal: "s" + id, Sum: 7, Complete: true}}
+	t.Status, t.Complete, t.Seal, t.AnswerID, t.Sum, t.End = 200, true, "s"+id, id, 7, sec(at+0.1)
 	return t
 }
 
@@ -35,7 +37,7 @@
 	return Read{From: sec(at), At: sec(at + 0.01), OK: true, Body: string(c.JSON())}
 }
 
-func (s sheet) ran(t *Try, at float64, backend string) {
+func (s sheet) ran(t *Attempt, at float64, backend string) {
 	t.Arrivals = append(t.Arrivals, Arrival{ID: t.ID, At: sec(at), Backend: backend, Service: "pages", Zone: "north",
 		Method: t.Method, Target: t.Target, Body: t.Body})
 }
@@ -43,7 +45,7 @@
 // Each rule's breach is planted once, beside the nearest thing that is none.
 func TestRulesCatchWhatIsPlanted(t *testing.T) {
 	moved := func(version uint32, at, acked float64, service string) *Order {
-		c := Charter(version)
+		c := NewConfig(version)
 		c.Routes[0].Services = []string{service}
 		return &Order{Config: c, Valid: true, At: sec(at), Acked: sec(acked), By: "core-0"}
 	}
@@ -58,20 +60,21 @@
 		{"UNASKED", func(s sheet) { s.Unknown = []Arrival{{ID: "x", Outcome: Misdirected}} },
 			func(s sheet) { s.Unknown = []Arrival{{ID: "x", Outcome: Ran}} }},
 		{"UNASKED", func(s sheet) { s.try(5, true) }, func(s sheet) { s.try(5, true).Arrivals[0].Target = "/page/./1" }},
-		{"MIXED", func(s sheet) { x := s.try(5, true); x.Sum, x.Whole = 6, false }, func(s sheet) { s.try(5, true).Sum = 6 }},
+		{"MIXED", func(s sheet) { x := s.try(5, true); x.Sum, x.Complete = 6, false },
+			func(s sheet) { s.try(5, true).Sum = 6 }},
 		{"MIXED", func(s sheet) { s.try(5, true) }, func(s sheet) { s.try(5, true).Seal = "st0" }},
 		{"MIXED", func(s sheet) { s.try(5, true) }, func(s sheet) { s.try(5, true).Replies[0].Status = 500 }},
-		{"MIXED", func(s sheet) {}, func(s sheet) { s.Strays = []Stray{{Carrier: "edge-0"}} }},
+		{"MIXED", func(s sheet) {}, func(s sheet) { s.Strays = []Stray{{Proxy: "edge-0"}} }},
 		{"ROUTE", func(s sheet) { x := s.try(5, true); x.Arrivals[0].Outcome, x.Status = Misdirected, 503 },
 			func(s sheet) { s.try(5, true).Arrivals[0].Service = "orders" }},
 		{"DRAIN", func(s sheet) {
-			s.Leaves = []Leave{{"b1", sec(4), "core-0"}}
+			s.Shutdowns = []Leave{{"b1", sec(4), "core-0"}}
 			s.try(4.4, true).Arrivals[0].At = sec(5.9)
 		},
 			func(s sheet) { s.try(4.4, true).Arrivals[0].At = sec(6.1) }},
 		{"DRAIN", func(s sheet) { // its acknowledger is gone
-			s.Leaves = []Leave{{"b1", sec(4), "core-0"}}
-			s.Trouble(sec(4.01), "core-0", "power", true)
+			s.Shutdowns = []Leave{{"b1", sec(4), "core-0"}}
+			s.BeginFault(sec(4.01), "core-0", "power", true)
 			s.try(4.4, true)
 		}, func(s sheet) { s.try(4.6, true) }},
 		{"EVAC", func(s sheet) {
@@ -98,7 +101,7 @@
 			}
 		}, func(s sheet) { s.ran(s.Tries[150], 6.6, "b2") }},
 		{"FAILBACK", func(s sheet) {
-			s.Colds = []Cold{{Backend: "b1", From: sec(4), To: sec(7), Rate: 4}}
+			s.Colds = []SlowStart{{Backend: "b1", From: sec(4), To: sec(7), Rate: 4}}
 			for i := range 11 {
 				s.try(5+float64(i)/20, true)
 			}
@@ -114,7 +117,7 @@
 			s.try(6, true).Arrivals[0].Service = "views"
 			s.try(6.2, true)
 			x := s.try(7, true) // another life may
-			x.Life = 2
+			x.Incarnation = 2
 		}, func(s sheet) { s.try(6.4, true) }},
 		{"CONFIG", func(s sheet) { // what was refused is in force
 			o := moved(2, 5, 0, "views")
@@ -122,28 +125,28 @@
 			s.Orders = append(s.Orders, o)
 			s.try(9, true)
 		}, func(s sheet) { s.try(9, true).Arrivals[0].Service = "views" }},
-		{"CONFIG", func(s sheet) { s.Orders = append(s.Orders, &Order{Config: Charter(2), At: sec(5), Status: 400}) },
-			func(s sheet) { s.Orders = append(s.Orders, &Order{Config: Charter(3), At: sec(5), Acked: sec(5.1)}) }},
-		{"CONFIG", func(s sheet) { s.Reads = []Read{back(20, Charter(1))} },
-			func(s sheet) { s.Reads = []Read{back(20, Charter(2))} }},
+		{"CONFIG", func(s sheet) { s.Orders = append(s.Orders, &Order{Config: NewConfig(2), At: sec(5), Status: 400}) },
+			func(s sheet) { s.Orders = append(s.Orders, &Order{Config: NewConfig(3), At: sec(5), Acked: sec(5.1)}) }},
+		{"CONFIG", func(s sheet) { s.Reads = []Read{back(20, NewConfig(1))} },
+			func(s sheet) { s.Reads = []Read{back(20, NewConfig(2))} }},
 		{"CONFIG", func(s sheet) { // read back before the end
 			s.Orders = append(s.Orders, moved(2, 3, 5, "views"))
-			s.Early = []Read{back(4.9, Charter(1)), back(5.1, moved(2, 0, 0, "views").Config)}
-		}, func(s sheet) { s.Early = append(s.Early, back(5.1, Charter(1))) }},
+			s.EarlyReads = []Read{back(4.9, NewConfig(1)), back(5.1, moved(2, 0, 0, "views").Config)}
+		}, func(s sheet) { s.EarlyReads = append(s.EarlyReads, back(5.1, NewConfig(1))) }},
 		{"CONFIG", func(s sheet) { // shown, and gone again
 			s.Orders = append(s.Orders, moved(2, 3, 0, "views"))
 			s.try(4, true).Arrivals[0].Service = "views"
-			s.Early = []Read{back(4, Charter(1))}
-		}, func(s sheet) { s.Early = append(s.Early, back(4.1, Charter(1))) }},
-		{"LOST", func(s sheet) { s.Closing = sec(15); s.Reads = []Read{back(20, Charter(1))} },
-			func(s sheet) { s.Orders = append(s.Orders, &Order{Config: Charter(2), Valid: true, At: 2, Acked: 3}) }},
+			s.EarlyReads = []Read{back(4, NewConfig(1))}
+		}, func(s sheet) { s.EarlyReads = append(s.EarlyReads, back(4.1, NewConfig(1))) }},
+		{"LOST", func(s sheet) { s.Closing = sec(15); s.Reads = []Read{back(20, NewConfig(1))} },
+			func(s sheet) { s.Orders = append(s.Orders, &Order{Config: NewConfig(2), Valid: true, At: 2, Acked: 3}) }},
 		{"LOST", func(s sheet) {
 			s.Terms = []Term{{"edge-0", sec(10)}}
 			x := s.try(9, true)
-			x.Status, x.Whole, x.End = 0, false, sec(9.9)
+			x.Status, x.Complete, x.End = 0, false, sec(9.9)
 		}, func(s sheet) {
 			x := s.try(10.5, true)
-			x.Status, x.Whole, x.End = 0, false, sec(10.9)
+			x.Status, x.Complete, x.End = 0, false, sec(10.9)
 		}},
 		{"CONFIG", func(s sheet) { // the core is unsettled, and most of it goes on: the bound is stretched
 			s.Core = []CoreState{
@@ -178,14 +181,14 @@
 			func(s sheet) { s.Orders[1].Status = 409 }},
 		{"DARK", func(s sheet) {
 			s.Core = []CoreState{{At: 0, Size: 1, Joined: 1}}
-			s.Trouble(sec(9), "edge-0", "reset", false)(sec(9))
+			s.BeginFault(sec(9), "edge-0", "reset", false)(sec(9))
 			for i := range 40 {
 				s.Requests = append(s.Requests, Request{At: sec(12 + float64(i)/5), End: sec(12.1 + float64(i)/5)})
 			}
-		}, func(s sheet) { s.Troubles = nil }},
+		}, func(s sheet) { s.FaultSpans = nil }},
 		{"BACK", func(s sheet) {
 			s.Core = []CoreState{{At: 0, Size: 1, Joined: 1}}
-			s.Lives = []Life{{"b1", "north", 0, 0}}
+			s.Incarnations = []Incarnation{{"b1", "north", 0, 0}}
 			s.Orders = append(s.Orders, &Order{Zone: "north", Begin: true, Valid: true, At: sec(3), Acked: sec(3.1)},
 				&Order{Zone: "north", Valid: true, At: sec(12), Acked: sec(12.1)}, &Order{At: sec(40)})
 			for i := range 70 {
@@ -196,14 +199,14 @@
 			}
 		}, func(s sheet) { s.Tries[0].Arrivals[0].Zone = "south" }},
 		{"LOST", func(s sheet) { // but not where more disks were lost than are to be borne
-			s.Closing, s.Reads, s.Faults = sec(15), []Read{back(20, Charter(1))}, 1
-			s.Orders = append(s.Orders, &Order{Config: Charter(2), Valid: true, At: 2, Acked: 3})
+			s.Closing, s.Reads, s.Faults = sec(15), []Read{back(20, NewConfig(1))}, 1
+			s.Orders = append(s.Orders, &Order{Config: NewConfig(2), Valid: true, At: 2, Acked: 3})
 			s.Losses = []Loss{{Machine: "core-0", Disk: true, From: sec(15), To: sec(16)},
 				{Machine: "core-1", Disk: true, From: sec(19.9), To: sec(20)}}
 		}, func(s sheet) { s.Losses[1].From = sec(20.1) }},
 		{"LOST", func(s sheet) { // ... one of them while nobody could make the other good
-			s.Closing, s.Reads, s.Faults = sec(20.5), []Read{back(25, Charter(1))}, 1
-			s.Orders = append(s.Orders, &Order{Config: Charter(2), Valid: true, At: 2, Acked: 3})
+			s.Closing, s.Reads, s.Faults = sec(20.5), []Read{back(25, NewConfig(1))}, 1
+			s.Orders = append(s.Orders, &Order{Config: NewConfig(2), Valid: true, At: 2, Acked: 3})
 			s.Losses = []Loss{{
 				Machine: "core-0",
 				Disk:    true,
--- a/internal/simulation/stories_test.go
+++ b/internal/simulation/stories_test.go
@@ -54,7 +54,7 @@
 
 // moved sends pages elsewhere: a version whose effect shows.
 func moved(version uint32) *Config {
-	c := Charter(version)
+	c := NewConfig(version)
 	c.Routes[0].Services = []string{"views"}
 	return c
 }
@@ -84,7 +84,7 @@
 			for n := 0; acknowledger == "" && n < 40000; n++ {
 				time.Sleep(100 * time.Microsecond)
 				w.Ledger.do(func() {
-					if l := w.Ledger.Leaves; len(l) > 0 {
+					if l := w.Ledger.Shutdowns; len(l) > 0 {
 						acknowledger = l[0].By
 					}
 				})
@@ -213,7 +213,7 @@
 			for v := uint32(2); v < 10; v += 2 {
 				done := make(chan *Order, 2)
 				go func() { done <- w.Replace(moved(v), true, w.Cores()[0], 4*time.Second) }()
-				go func() { done <- w.Replace(Charter(v+1), true, w.Cores()[1], 4*time.Second) }()
+				go func() { done <- w.Replace(NewConfig(v+1), true, w.Cores()[1], 4*time.Second) }()
 				acked(t, <-done, true)
 				acked(t, <-done, true)
 			}
@@ -224,8 +224,8 @@
 		}},
 		{"an older one again after a newer", func(t *testing.T, w *World) {
 			acked(t, w.Replace(moved(3), true, w.Cores()[0], time.Second), true)
-			acked(t, w.Replace(Charter(2), true, w.Cores()[1], time.Second), true)
-			acked(t, w.Replace(Charter(1), true, w.Cores()[2], time.Second), true)
+			acked(t, w.Replace(NewConfig(2), true, w.Cores()[1], time.Second), true)
+			acked(t, w.Replace(NewConfig(1), true, w.Cores()[2], time.Second), true)
 			time.Sleep(3 * time.Second)
 			if got := fmt.Sprint(read(w)); got != "[3 3 3]" {
 				t.Error("read back: ", got)
@@ -237,7 +237,7 @@
 			acked(t, w.Replace(moved(2), true, w.Cores()[0], 4*time.Second), false)
 			w.Kill(w.Cores()[0])
 			each(heal)
-			acked(t, w.Replace(Charter(3), true, w.Cores()[1], 5*time.Second), true)
+			acked(t, w.Replace(NewConfig(3), true, w.Cores()[1], 5*time.Second), true)
 			w.Run(w.Cores()[0])
 			time.Sleep(4 * time.Second)
 			if got := fmt.Sprint(read(w)); got != "[3 3 3]" {
@@ -316,7 +316,7 @@
 					m := w.Cores()[1]
 					acked(t, w.Replace(moved(2), true, m, 5*time.Second), true)
 					heal := harm(w, m)
-					o := w.Replace(Charter(3), true, w.Cores()[0], 5*time.Second)
+					o := w.Replace(NewConfig(3), true, w.Cores()[0], 5*time.Second)
 					if acked(t, o, true); o.Acked-o.At > 300*time.Millisecond {
 						t.Errorf("the others waited %v for one disk", o.Acked-o.At)
 					}
@@ -335,7 +335,7 @@
 func TestCarrierCutOffGoesOn(t *testing.T) {
 	story(t, 9, func(t *testing.T, w *World) {
 		during(w, func() {
-			m := w.Carriers[0]
+			m := w.Proxies[0]
 			for _, c := range w.Cores() {
 				w.Cut(m, c, true)
 			}
@@ -346,7 +346,7 @@
 			served, n := 0, 0
 			w.Ledger.do(func() {
 				for _, y := range w.Ledger.Tries {
-					if y.Carrier != m.Name || y.At < from || y.End == 0 {
+					if y.Proxy != m.Name || y.At < from || y.End == 0 {
 						continue
 					}
 					if n++; y.Status == 200 {
@@ -418,8 +418,8 @@
 		return 0
 	}
 	y := w.Ledger.Add(
-		&Try{ID: id, Method: "POST", Host: "a.example", Target: "/order/slow", Safe: false, Service: "orders",
-			At: w.Now(), Carrier: m.Name, Life: m.life, Timeout: 5 * time.Second},
+		&Attempt{ID: id, Method: "POST", Host: "a.example", Target: "/order/slow", Safe: false, Service: "orders",
+			At: w.Now(), Proxy: m.Name, Incarnation: m.incarnation, Timeout: 5 * time.Second},
 	)
 	_, whole, _ := strings.Cut(strings.Join(pieces, ""), "\r\n\r\n")
 	y.Body = sum([]byte(whole))
@@ -435,7 +435,7 @@
 	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	k := &link{end: endOf(c), in: bufio.NewReader(c)}
 	if resp, err := http.ReadResponse(k.in, nil); err == nil {
-		k.hear(w, y, resp)
+		k.onResponse(w, y, resp)
 	}
 	w.Ledger.do(func() { y.End = w.Now() })
 	return y.Status
@@ -449,14 +449,14 @@
 // A connection keeps the limits under which its header began; the next one has the new ones.
 func TestLimitsChangeMidHeader(t *testing.T) {
 	story(t, 11, func(t *testing.T, w *World) {
-		m := w.Carriers[0]
+		m := w.Proxies[0]
 		got := make(chan int, 1)
 		go func() {
 			status := raw(w, m, "mid-header", 900*time.Millisecond, slow("mid-header")...)
 			got <- status
 		}()
 		time.Sleep(300 * time.Millisecond)
-		c := Charter(2)
+		c := NewConfig(2)
 		c.Header = 0.5
 		acked(t, w.Replace(c, true, nil, time.Second), true)
 		if status := <-got; status != 200 {
@@ -475,7 +475,7 @@
 func TestTermWithWork(t *testing.T) {
 	story(t, 12, func(t *testing.T, w *World) {
 		during(w, func() {
-			m := w.Carriers[0]
+			m := w.Proxies[0]
 			got := make(chan int, 1)
 			go func() {
 				status := raw(w, m, "slow-body", 1100*time.Millisecond, slow("slow-body")...)
@@ -525,7 +525,7 @@
 			for _, b := range w.Backends() {
 				switch {
 				case b.Zone == "north":
-					w.Cold(b, 4*time.Second)
+					w.StartSlow(b, 4*time.Second)
 				case b.Service == "views":
 					b.Crash()
 					w.Backend(b.Service, b.Zone, strings.TrimSuffix(b.Address, ":8080"), 4, b.Work, true)
@@ -570,7 +570,7 @@
 func TestCarrierWakes(t *testing.T) {
 	story(t, 11, func(t *testing.T, w *World) {
 		during(w, func() {
-			m := w.Carriers[0]
+			m := w.Proxies[0]
 			thawed := make(chan time.Duration, 1)
 			w.Go(func() {
 				w.Freeze(m, 5*time.Second)
@@ -583,7 +583,7 @@
 			served, n := 0, 0
 			w.Ledger.do(func() {
 				for _, y := range w.Ledger.Tries {
-					if y.Carrier == m.Name && y.At >= from && y.End > 0 {
+					if y.Proxy == m.Name && y.At >= from && y.End > 0 {
 						if n++; y.Status == 200 {
 							served++
 						}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -35,8 +35,8 @@
 	ports = 7540
 )
 
-// coldOf is how long a service's backends are cold, and what they may be sent then, requests/s.
-func coldOf(service string) (span time.Duration, rate float64) {
+// slowStartOf is how long a service's backends are cold, and what they may be sent then, requests/s.
+func slowStartOf(service string) (span time.Duration, rate float64) {
 	if service == "fresh" {
 		return 14 * time.Second, 8
 	}
@@ -47,7 +47,7 @@
 type Shape struct {
 	Zones    []string
 	Cores    int // spread over the zones in turn
-	Carriers int
+	Proxies  int
 	Spare    int // carriers that start later
 	Backends int // of each service in each zone; 0: two
 	Faults   int // machineFaults
@@ -58,19 +58,19 @@
 type Machine struct {
 	Name, IP, Zone string
 	Disk           *Disk // nil: it carries
-	life           int
+	incarnation    int
 	host           *Host // nil: no process runs
-	carrier        *proxy.Proxy
+	proxy          *proxy.Proxy
 	controller     *controlplane.Server
 	stop           func() // of what the process leaves behind in this one
 	started        bool   // once before
-	leaving        bool
+	shuttingDown   bool
 	ending         bool                   // SIGTERM has come to this process
 	later          bool                   // it came after the first start of the whole system: bootstrap is false
 	spare          bool                   // it carries, but not yet
 	retired        bool                   // gone for good, as far as the operator knows
 	successor      *Machine               // that came in its place
-	since          time.Duration          // the start of its first process
+	firstStart     time.Duration          // the start of its first process
 	seeds          []string               // of its next start; nil: the operator's list then
 	clock          atomic.Int64           // how far its time of day is off
 	hung           int                    // troubles of its disk that last
@@ -81,26 +81,26 @@
 
 // World is one day.
 type World struct {
-	Net      *Net
-	Ledger   *Ledger
-	Beat     time.Duration
-	Machines map[string]*Machine
-	Carriers []*Machine
-	cores    atomic.Pointer[[]*Machine] // that the operator counts, by their slots
-	listed   []listing                  // ... as its list has them, which lags
-	coreMu   sync.Mutex
-	shape    Shape
-	seed     uint64
-	began    time.Time
-	mu       sync.Mutex // of backends, and of the machines' processes
-	backends map[string]*Backend
-	lives    int
-	loads    atomic.Uint64
-	platform *Host
-	operator *Host
-	pens     [2]*Host // of the two operators
-	done     chan struct{}
-	busy     sync.WaitGroup // clients' requests, and scripts
+	Net               *Net
+	Ledger            *Ledger
+	HeartbeatInterval time.Duration
+	Machines          map[string]*Machine
+	Proxies           []*Machine
+	cores             atomic.Pointer[[]*Machine] // that the operator counts, by their slots
+	listed            []listing                  // ... as its list has them, which lags
+	coreMu            sync.Mutex
+	shape             Shape
+	seed              uint64
+	began             time.Time
+	mu                sync.Mutex // of backends, and of the machines' processes
+	backends          map[string]*Backend
+	incarnations      int
+	loads             atomic.Uint64
+	platform          *Host
+	operator          *Host
+	pens              [2]*Host // of the two operators
+	done              chan struct{}
+	busy              sync.WaitGroup // clients' requests, and scripts
 }
 
 // NewWorld makes the machines of a day; none is started.
@@ -112,14 +112,14 @@
 		}
 	}
 	w := &World{
-		Ledger:   NewLedger(bootconfig.Default().Bounds),
-		Beat:     1500 * time.Millisecond,
-		Machines: map[string]*Machine{},
-		shape:    shape,
-		seed:     seed,
-		began:    time.Now(),
-		backends: map[string]*Backend{},
-		done:     make(chan struct{}),
+		Ledger:            NewLedger(bootconfig.Default().Bounds),
+		HeartbeatInterval: 1500 * time.Millisecond,
+		Machines:          map[string]*Machine{},
+		shape:             shape,
+		seed:              seed,
+		began:             time.Now(),
+		backends:          map[string]*Backend{},
+		done:              make(chan struct{}),
 	}
 	w.Net = NewNet(func(from, to string) time.Duration {
 		zone := func(ip string) string { return ip[:strings.Index(ip[3:], ".")+3] }
@@ -136,11 +136,11 @@
 			Zone: shape.Zones[i%len(shape.Zones)]}
 		w.addCore(m)
 	}
-	for i := range shape.Carriers + shape.Spare {
+	for i := range shape.Proxies + shape.Spare {
 		m := &Machine{Name: fmt.Sprintf("edge-%d", i), IP: fmt.Sprintf("10.%d.0.%d", i%len(shape.Zones), 100+i),
-			Zone: shape.Zones[i%len(shape.Zones)], spare: i >= shape.Carriers}
+			Zone: shape.Zones[i%len(shape.Zones)], spare: i >= shape.Proxies}
 		w.Machines[m.Name] = m
-		w.Carriers = append(w.Carriers, m)
+		w.Proxies = append(w.Proxies, m)
 	}
 	w.Ledger.Faults = shape.Faults
 	w.platform, w.operator = w.Net.Host("10.90.0.1"), w.Net.Host("10.91.0.1")
@@ -159,7 +159,7 @@
 // Start starts all machines that carry or control within 0.3 s, in any order, and the platform.
 func (w *World) Start() {
 	r := w.Rand("start", 0)
-	for _, m := range slices.Concat(w.Cores(), w.Carriers) {
+	for _, m := range slices.Concat(w.Cores(), w.Proxies) {
 		if after := time.Duration(r.Int64N(int64(300 * time.Millisecond))); !m.spare {
 			w.Go(func() { time.Sleep(after); w.first(m) })
 		}
@@ -190,7 +190,7 @@
 	}
 	m.seeds = nil
 	s.Limits.MaxFDs, s.FaultBudget.Machines, s.FaultBudget.Zones = 4100, w.shape.Faults, 1
-	s.HeartbeatInterval, s.Bounds = bootconfig.Seconds(w.Beat.Seconds()), w.Ledger.Bounds
+	s.HeartbeatInterval, s.Bounds = bootconfig.Seconds(w.HeartbeatInterval.Seconds()), w.Ledger.Bounds
 	s.Listen = map[string]string{"front": m.front(), "readiness": m.IP + ":8542"}
 	if m.Disk != nil {
 		s.Listen = map[string]string{"control": m.control()}
@@ -228,9 +228,9 @@
 	if m.host != nil || m.retired {
 		return
 	}
-	m.life++
+	m.incarnation++
 	h := w.Net.Host(m.IP)
-	m.host, m.leaving, m.ending, m.spare = h, false, false, false
+	m.host, m.shuttingDown, m.ending, m.spare = h, false, false, false
 	set := w.settings(m)
 	log := w.shape.Log.Named(m.Name)
 	if w.shape.Log.IsInfo() {
@@ -271,16 +271,16 @@
 		go func() { _ = ready.Serve(listen) }()
 		go func() { _ = c.Serve(front) }()
 		go c.Run()
-		m.carrier = c
+		m.proxy = c
 		m.stop = func() {
 			_ = ready.Close()
 			c.Shutdown(0)
 		}
 	}
 	if m.started {
-		w.Ledger.Trouble(w.Now(), m.Name, "start", false)(w.Now())
+		w.Ledger.BeginFault(w.Now(), m.Name, "start", false)(w.Now())
 	} else {
-		m.since = w.Now()
+		m.firstStart = w.Now()
 	}
 	if m.up != nil {
 		m.up(w.Now())
@@ -317,16 +317,16 @@
 func (w *World) stop(m *Machine, what string, silent bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	h, leaving := m.host, m.leaving
+	h, leaving := m.host, m.shuttingDown
 	if h == nil {
 		return
 	}
 	if what != "exit" {
-		m.up = w.Ledger.Trouble(w.Now(), m.Name, what, false)
+		m.up = w.Ledger.BeginFault(w.Now(), m.Name, what, false)
 	}
 	m.host = nil
 	if m.Disk != nil {
-		m.Disk.lose(h, w.Rand("unsynced "+m.Name, uint64(m.life)))
+		m.Disk.lose(h, w.Rand("unsynced "+m.Name, uint64(m.incarnation)))
 	}
 	if silent {
 		h.Power()
@@ -346,10 +346,10 @@
 		w.mu.Unlock()
 		return
 	}
-	w.Ledger.Trouble(w.Now(), m.Name, "term", false)(w.Now() + grace)
-	c, s, life := m.carrier, m.controller, m.life
+	w.Ledger.BeginFault(w.Now(), m.Name, "term", false)(w.Now() + grace)
+	c, s, life := m.proxy, m.controller, m.incarnation
 	m.ending = true
-	if m.leaving = m.Disk == nil; m.leaving {
+	if m.shuttingDown = m.Disk == nil; m.shuttingDown {
 		w.Ledger.do(func() { w.Ledger.Terms = append(w.Ledger.Terms, Term{m.Name, w.Now()}) })
 	}
 	w.mu.Unlock()
@@ -370,7 +370,7 @@
 	case <-time.After(grace):
 	}
 	w.mu.Lock()
-	same := m.life == life
+	same := m.incarnation == life
 	w.mu.Unlock()
 	if same {
 		w.end(m, "exit", false)
@@ -383,7 +383,7 @@
 	var ends []func(time.Duration)
 	for _, m := range []*Machine{a, b} {
 		if core || m.Disk == nil {
-			ends = append(ends, w.Ledger.Trouble(w.Now(), m.Name, "cut", false))
+			ends = append(ends, w.Ledger.BeginFault(w.Now(), m.Name, "cut", false))
 		}
 	}
 	w.Net.Cut(a.IP, b.IP)
@@ -425,7 +425,7 @@
 func (w *World) part(ways [][2]string, of ...*Machine) (join func()) {
 	var ends []func(time.Duration)
 	for _, m := range of {
-		ends = append(ends, w.Ledger.Trouble(w.Now(), m.Name, "cut", false))
+		ends = append(ends, w.Ledger.BeginFault(w.Now(), m.Name, "cut", false))
 	}
 	for _, way := range ways {
 		w.Net.Cut(way[0], way[1])
@@ -451,7 +451,7 @@
 
 // Frozen is Freeze until the function is called.
 func (w *World) Frozen(m *Machine) (thaw func()) {
-	end := w.Ledger.Trouble(w.Now(), m.Name, "freeze", false)
+	end := w.Ledger.BeginFault(w.Now(), m.Name, "freeze", false)
 	w.Net.Freeze(m.IP, true)
 	if m.Disk != nil {
 		w.coreEvent()
@@ -466,7 +466,7 @@
 
 // Reset breaks a machine's connections.
 func (w *World) Reset(m *Machine) {
-	w.Ledger.Trouble(w.Now(), m.Name, "reset", false)(w.Now())
+	w.Ledger.BeginFault(w.Now(), m.Name, "reset", false)(w.Now())
 	if w.Net.Reset(m.IP); m.Disk != nil {
 		w.coreEvent()
 	}
@@ -507,15 +507,15 @@
 
 func (w *World) left(b *Backend, at string) {
 	w.Ledger.do(func() {
-		w.Ledger.Leaves = append(w.Ledger.Leaves, Leave{Backend: b.ID, At: w.Now(), By: w.machineAt(at)})
+		w.Ledger.Shutdowns = append(w.Ledger.Shutdowns, Leave{Backend: b.ID, At: w.Now(), By: w.machineAt(at)})
 	})
 }
 
 // ends notes that a backend is not there to be used any more.
 func (w *World) ends(b *Backend) {
 	w.Ledger.do(func() {
-		for i := range w.Ledger.Lives {
-			if x := &w.Ledger.Lives[i]; x.Backend == b.ID && x.To == 0 {
+		for i := range w.Ledger.Incarnations {
+			if x := &w.Ledger.Incarnations[i]; x.Backend == b.ID && x.To == 0 {
 				x.To = w.Now()
 			}
 		}
@@ -545,7 +545,7 @@
 // watch is the platform: it asks each carrier every second whether it is ready.
 func (w *World) watch() {
 	for {
-		for _, m := range w.Carriers {
+		for _, m := range w.Proxies {
 			go w.probe(m)
 		}
 		select {
@@ -567,12 +567,12 @@
 	}
 }
 
-// carriersFor are the carriers for a client of a zone, in the order in which its tries reach them.
-func (w *World) carriersFor(zone string, hash uint64) []*Machine {
+// proxiesFor are the carriers for a client of a zone, in the order in which its tries reach them.
+func (w *World) proxiesFor(zone string, hash uint64) []*Machine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var near, in, other []*Machine // the platform uses all of a zone that has none, or too few, when it must
-	for _, m := range w.Carriers {
+	for _, m := range w.Proxies {
 		switch {
 		case m.spare:
 		case m.Zone == zone:
@@ -606,7 +606,7 @@
 	for _, m := range w.all() {
 		w.Kill(m)
 	}
-	for _, m := range w.Carriers {
+	for _, m := range w.Proxies {
 		w.Kill(m)
 	}
 	w.platform.Kill()
--- a/internal/simulation/worst.go
+++ b/internal/simulation/worst.go
@@ -34,7 +34,7 @@
 	}
 	for _, o := range w.Cores() {
 		if slices.Contains(cores, o) {
-			for _, m := range w.Carriers {
+			for _, m := range w.Proxies {
 				if !slices.Contains(carriers, m) {
 					apart(o.IP, m.IP)
 				}
@@ -56,8 +56,8 @@
 	return w.part(ways, slices.Concat(cores, carriers)...)
 }
 
-// Apart cuts each of some machines of the core from each other.
-func (w *World) Apart(some []*Machine) (join func()) {
+// Partition cuts each of some machines of the core from each other.
+func (w *World) Partition(some []*Machine) (join func()) {
 	var ways [][2]string
 	for i, a := range some {
 		for _, b := range some[:i] {
@@ -73,7 +73,7 @@
 // Next is a configuration unlike the last.
 func (n *Numbers) Next() *Config {
 	v := n.last.Add(1) + 1
-	c := Charter(v)
+	c := NewConfig(v)
 	if v%2 == 0 {
 		c.Routes[0].Services = []string{"views"}
 	}
@@ -180,7 +180,7 @@
 // killAll ends every process of the gateway at once, and starts them again.
 func (w *World) killAll(power bool, span time.Duration) {
 	var all []*Machine
-	for _, m := range slices.Concat(w.Cores(), w.Carriers) {
+	for _, m := range slices.Concat(w.Cores(), w.Proxies) {
 		if w.runs(m) {
 			all = append(all, m)
 			if power {
@@ -200,8 +200,8 @@
 	}
 }
 
-// settle waits until a loss counts no more, a little longer, or a little less.
-func (d *draw) settle(times float64) {
+// waitUntilCalm waits until a loss counts no more, a little longer, or a little less.
+func (d *draw) waitUntilCalm(times float64) {
 	time.Sleep(time.Duration(times * float64(d.w.Ledger.Bounds.CatchUp.Duration())))
 }
 
@@ -247,7 +247,7 @@
 	y, zone := Way(r.IntN(3)), pick(r, w.shape.Zones)
 	var carriers []*Machine
 	var minor []*Backend
-	for i, m := range w.Carriers {
+	for i, m := range w.Proxies {
 		if m.Zone == off[0].Zone && i != 1 || i == 4 {
 			carriers = append(carriers, m)
 		}
@@ -267,7 +267,7 @@
 	d.once(&Order{Config: d.next(r)}, off[0])
 	d.once(&Order{Config: d.next(r)}, pick(r, on))
 	w.Go(func() { w.Evacuate(zone, true, pick(w.Rand("cut", uint64(end)), on)) })
-	for _, m := range w.Carriers {
+	for _, m := range w.Proxies {
 		w.mu.Lock()
 		spare := m.spare
 		w.mu.Unlock()
@@ -359,7 +359,7 @@
 			time.Sleep(between(r, 0, 300*time.Millisecond))
 		}
 		d.order(r, nil, 0)
-		d.settle(1.1)
+		d.waitUntilCalm(1.1)
 	}
 }
 
@@ -379,14 +379,14 @@
 		time.Sleep(between(r, 200*time.Millisecond, 1500*time.Millisecond))
 		w.PowerOn(all[0])
 		if d.ask(r, 300*time.Millisecond); k == 0 && r.IntN(2) == 0 {
-			d.settle(0.9)
+			d.waitUntilCalm(0.9)
 			other := all[1]
 			d.log("%s loses power, disk kept", other.Name)
 			w.Power(other)
 			time.Sleep(time.Second)
 			w.PowerOn(other)
 		}
-		d.settle(1.1)
+		d.waitUntilCalm(1.1)
 	}
 }
 
@@ -401,7 +401,7 @@
 		d.log("%s is removed by SIGTERM, its successor first %t", all[0].Name, first)
 		if first {
 			w.Successor(all[0], nil)
-			d.settle(1.1)
+			d.waitUntilCalm(1.1)
 		}
 		w.Term(all[0])
 		w.Gone(all[0])
@@ -410,7 +410,7 @@
 			w.Successor(all[0], nil)
 		}
 		d.order(r, nil, 0)
-		d.settle(1.1)
+		d.waitUntilCalm(1.1)
 	}
 }
 
@@ -432,7 +432,7 @@
 	d.ask(r, time.Second)
 	w.Successor(all[0], nil)
 	d.order(r, nil, 0)
-	d.settle(1.1)
+	d.waitUntilCalm(1.1)
 }
 
 // wakes: a machine that is cut off is counted out and replaced; then it hears again, while others are gone.
@@ -447,7 +447,7 @@
 	n := w.Successor(all[0], nil)
 	d.log("%s is cut off and replaced by %s", all[0].Name, n.Name)
 	d.order(r, all[1], 0)
-	d.settle(1.1)
+	d.waitUntilCalm(1.1)
 	thaw := w.Frozen(n)
 	w.Power(all[1])
 	join()
@@ -456,7 +456,7 @@
 	d.ask(r, 1500*time.Millisecond)
 	thaw()
 	w.PowerOn(all[1])
-	d.settle(1.1)
+	d.waitUntilCalm(1.1)
 	w.Kill(all[0])
 }
 
@@ -470,11 +470,11 @@
 		d.order(r, pick(r, w.Cores()), 1+r.IntN(4))
 		time.Sleep(between(r, 0, time.Second))
 	}
-	d.apart(r)
+	d.partition(r)
 	w.send(&Order{Zone: zone, Begin: true, Valid: true, Pen: 1}, pick(r, w.Cores()), 5*time.Second, r.IntN(5))
-	d.apart(r)
+	d.partition(r)
 	w.send(&Order{Zone: zone, Valid: true, Pen: r.IntN(2)}, pick(r, w.Cores()), 5*time.Second, r.IntN(5))
-	d.apart(r)
+	d.partition(r)
 	d.log("take back %s", zone)
 	d.cool(zone)
 	w.send(&Order{Zone: zone, Valid: true}, pick(r, w.Cores()), 5*time.Second, r.IntN(5))
@@ -497,14 +497,14 @@
 		w.Evacuate(zone, true, pick(r, w.Cores()))
 		d.log("%s is evacuated, the clocks step", zone)
 		step()
-		d.apart(r)
+		d.partition(r)
 		if r.IntN(3) == 0 {
 			d.log("all killed")
 			w.killAll(r.IntN(2) == 0, 300*time.Millisecond)
 		}
 		d.order(r, pick(r, w.Cores()), 0)
 		d.refill(zone, pick(r, w.Cores()))
-		d.apart(r)
+		d.partition(r)
 	}
 }
 
@@ -526,13 +526,13 @@
 		w.send(&Order{Config: d.next(r), Valid: true}, all[1+k%2], 5*time.Second, 0)
 		time.Sleep(between(r, 0, 60*time.Millisecond))
 	}
-	d.settle(1.1)
+	d.waitUntilCalm(1.1)
 	d.reserve(2 * time.Second)
 	d.log("%s is down", all[1].Name)
 	w.Power(all[1])
 	d.ask(r, 2*time.Second)
 	w.PowerOn(all[1])
-	d.settle(1.1)
+	d.waitUntilCalm(1.1)
 }
 
 // powerInChange: power is lost at a write of a change of voters, before or after it lasts.
@@ -575,7 +575,7 @@
 		}
 		d.order(r, nil, 0)
 		d.ask(r, 5*time.Second)
-		d.settle(1.1)
+		d.waitUntilCalm(1.1)
 	}
 }
 
@@ -594,7 +594,7 @@
 	time.Sleep(span)
 	heal()
 	d.order(r, nil, 0)
-	d.settle(1.2)
+	d.waitUntilCalm(1.2)
 }
 
 // frozen: one is replaced while another is frozen, which wakes with what lay in its sockets.
@@ -615,16 +615,16 @@
 	}
 	thaw()
 	d.ask(r, time.Second)
-	d.settle(1.1)
+	d.waitUntilCalm(1.1)
 }
 
-// seedsApart: the first three, or all, cannot reach each other.
-func (d *draw) seedsApart(r *rand.Rand) {
+// partitionSeeds: the first three, or all, cannot reach each other.
+func (d *draw) partitionSeeds(r *rand.Rand) {
 	w, span := d.w, between(r, 500*time.Millisecond, 9*time.Second)
 	d.reserveAll(span, len(d.lost))
 	some := w.Cores()[:min(3, len(w.Cores()))]
 	d.log("%d cut from each other for %v", len(some), span)
-	join := w.Apart(some)
+	join := w.Partition(some)
 	for _, m := range some {
 		d.once(&Order{Config: d.next(r)}, m)
 	}
--- a/internal/simulation/worst_test.go
+++ b/internal/simulation/worst_test.go
@@ -19,7 +19,7 @@
 
 // sized is a deployment with so many machines in its core, and as many of them to be borne as a majority leaves.
 func sized(n int) Shape {
-	return Shape{Zones: Zones, Cores: n, Carriers: 3, Spare: 2, Faults: faultsOf(n)}
+	return Shape{Zones: Zones, Cores: n, Proxies: 3, Spare: 2, Faults: faultsOf(n)}
 }
 
 // night is a story of the core: it is played beside few requests, and afterwards, with all healed, an order must be
@@ -136,7 +136,7 @@
 				time.Sleep(4 * time.Second)
 				bs := w.Backends()
 				minor := []*Backend{bs[0], bs[4], bs[8]}
-				join := w.Split(off, []*Machine{w.Carriers[0], w.Carriers[3]}, minor, c.way)
+				join := w.Split(off, []*Machine{w.Proxies[0], w.Proxies[3]}, minor, c.way)
 				n.note("cut")
 				halfDone := n.Next() // within the time that it takes to notice
 				w.Go(func() { _, _, _ = w.ask(1, off[0].control(), &Order{Config: halfDone}, false) })
@@ -151,8 +151,8 @@
 					n.must(n.order(on[0]))
 					n.must(w.Evacuate("west", true, on[len(on)-1]))
 				}
-				w.Run(w.Carriers[3])
-				w.Run(w.Carriers[4])
+				w.Run(w.Proxies[3])
+				w.Run(w.Proxies[4])
 				w.Go(minor[0].Drain)
 				w.Go(bs[1].Drain)
 				for k := 0; w.Now() < 12*time.Second+c.span; k++ {
@@ -252,12 +252,12 @@
 			}
 		}},
 		{"seeds cut from each other for 20 s, others between them", 5, func(w *World) {
-			join := w.Apart(w.Cores()[:3])
+			join := w.Partition(w.Cores()[:3])
 			time.Sleep(20 * time.Second)
 			join()
 		}},
 		{"all seeds cut from each other for 8 s", 3, func(w *World) {
-			join := w.Apart(w.Cores())
+			join := w.Partition(w.Cores())
 			time.Sleep(8 * time.Second)
 			join()
 		}},
@@ -320,7 +320,7 @@
 		n := &night{T: t, World: w}
 		w.Go(func() { f(n) })
 		time.Sleep(700 * time.Millisecond)
-		w.Go(func() { w.Replace(Charter(1), true, nil, 40*time.Second) })
+		w.Go(func() { w.Replace(NewConfig(1), true, nil, 40*time.Second) })
 		time.Sleep(800 * time.Millisecond)
 		o := w.Replace(n.Next(), true, nil, 40*time.Second)
 		n.note("the first order is taken after %.3f s", o.Acked.Seconds())
@@ -598,7 +598,7 @@
 		for k := 1; k <= 10; k++ {
 			for _, before := range []bool{true, false} {
 				t.Run(fmt.Sprintf("%s, write %d, before it lasts %t", what, k, before), func(t *testing.T) {
-					play(t, 50, Shape{Zones: Zones, Cores: 5, Carriers: 1, Faults: 2, Backends: 1}, func(n *night) {
+					play(t, 50, Shape{Zones: Zones, Cores: 5, Proxies: 1, Faults: 2, Backends: 1}, func(n *night) {
 						all := n.Cores()
 						n.must(n.order(all[0]))
 						time.Sleep(time.Second)
@@ -646,7 +646,7 @@
 			var w *World
 			defer func() { sound(t, w) }() // also where the story itself fails
 			synctest.Test(t, func(t *testing.T) {
-				w = Begin(60, Shape{Zones: Zones, Cores: 3, Carriers: 1, Faults: 1, Backends: 1})
+				w = Begin(60, Shape{Zones: Zones, Cores: 3, Proxies: 1, Faults: 1, Backends: 1})
 				n := &night{T: t, World: w}
 				all, least := w.Cores(), 0
 				for k := range 500 {
