--- a/internal/bench/balancing/carry.go
+++ b/internal/bench/balancing/carry.go
@@ -78,7 +78,7 @@
 			if rules == "" {
 				rules = "-"
 			}
-			r.Row(day.Name+", "+way, append(row, part(s.All.LostLate), part(s.All.LostRefused),
+			r.Row(day.Name+", "+way, append(row, part(s.All.LostByLatency), part(s.All.LostRefused),
 				part(s.All.LostFailed), part(s.All.LostUnfinished), s.All.Requests, s.Connections, s.Further, s.InVain, rules)...)
 			for _, m := range s.Missed {
 				r.Missed = append(r.Missed, fmt.Sprintf("%s, %s: %s", day.Name, way, m))
--- a/internal/bench/controlplane/calls.go
+++ b/internal/bench/controlplane/calls.go
@@ -191,15 +191,16 @@
 	return v, configuration(v, "x")
 }
 
-// lateAfter is how much longer than it should take an order is tried, to tell a late one from one that is never taken.
-const lateAfter = 8 * time.Second
+// maxCallLatency is how much longer than it should take an order is tried, to tell a late one from one that is
+// never taken.
+const maxCallLatency = 8 * time.Second
 
 // orders sends the next configuration until it is taken, and notes how long after a trouble that was.
 func (s *system) orders(after string, since time.Time, within time.Duration) error {
 	version, body := s.next()
 	a := s.caller().until(
 		s.r.ctx,
-		since.Add(within+lateAfter),
+		since.Add(within+maxCallLatency),
 		func(m *machine) answer { return s.put(s.r.ctx, m, version, body, callTimeout) },
 	)
 	took := time.Since(since)
@@ -210,7 +211,7 @@
 		return fmt.Errorf("after %s a valid order was refused: %v", after, a)
 	case a.orderOutcome() != committed:
 		s.r.measure(after, -1)
-		return fmt.Errorf("after %s no order is taken within %v: %v", after, (within + lateAfter).Round(time.Second), a)
+		return fmt.Errorf("after %s no order is taken within %v: %v", after, (within + maxCallLatency).Round(time.Second), a)
 	case took > within:
 		s.r.short("after %s an order is taken only after %.1f s, not within %v", after, took.Seconds(), within)
 	}
--- a/internal/bench/controlplane/core.go
+++ b/internal/bench/controlplane/core.go
@@ -127,8 +127,8 @@
 
 type outcome struct {
 	play
-	word, cause, seconds string
-	took                 time.Duration
+	status, cause, seconds string
+	took                   time.Duration
 }
 
 func (r *run) finish() (o outcome) {
@@ -147,7 +147,7 @@
 		}
 	}
 	o.play, o.took = r.play, time.Since(r.began)
-	o.word, o.cause = summarize(r.seen, r.causes, r.notes)
+	o.status, o.cause = summarize(r.seen, r.causes, r.notes)
 	o.seconds = strings.Join(r.measures, ", ")
 	return o
 }
@@ -261,7 +261,7 @@
 	dir := filepath.Join(base, strings.NewReplacer("/", "-", " ", "-").Replace(p.name()))
 	r := &run{play: p, ctx: ctx, program: o.program, dir: dir, nextNet: net, began: time.Now(),
 		chance: rand.New(rand.NewPCG(seedOf(o.Seed, p.name()), 1))}
-	lost := func(err error) outcome { return outcome{play: p, word: short, cause: "the lab: " + err.Error()} }
+	lost := func(err error) outcome { return outcome{play: p, status: short, cause: "the lab: " + err.Error()} }
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return lost(err)
 	}
@@ -271,10 +271,10 @@
 	}
 	r.file = file
 	out := r.finish()
-	r.log("%s: %s (%s)", out.word, out.cause, out.seconds)
+	r.log("%s: %s (%s)", out.status, out.cause, out.seconds)
 	_ = file.Close()
-	fmt.Fprintf(os.Stderr, "%-5s %s, %.1f s: %s\n", out.word, p.name(), out.took.Seconds(), out.cause)
-	if o.logs != "" && out.word != ok {
+	fmt.Fprintf(os.Stderr, "%-5s %s, %.1f s: %s\n", out.status, p.name(), out.took.Seconds(), out.cause)
+	if o.logs != "" && out.status != ok {
 		to := filepath.Join(o.logs, fmt.Sprintf("seed%d-%s", o.Seed, filepath.Base(dir)))
 		_ = os.RemoveAll(to)
 		if err := keepLogs(dir, to); err != nil {
@@ -324,9 +324,9 @@
 	count := map[string]bool{}
 	plays := 0
 	for _, x := range results {
-		r.Row(fmt.Sprintf("%d %s", x.number, x.name()), x.word, x.seconds, x.cause)
-		count[x.story] = count[x.story] || x.word == short
-		if x.word == short {
+		r.Row(fmt.Sprintf("%d %s", x.number, x.name()), x.status, x.seconds, x.cause)
+		count[x.story] = count[x.story] || x.status == short
+		if x.status == short {
 			plays++
 		}
 	}
--- a/internal/bench/discovery/registry.go
+++ b/internal/bench/discovery/registry.go
@@ -124,7 +124,7 @@
 // watcher is one client's view.
 type watcher struct {
 	*ledger
-	told            map[string]reconcile.Member
+	reported        map[string]reconcile.Member
 	seen            map[string]int // the number last told, by id
 	delays          []float64      // ms
 	drains          []float64
@@ -136,28 +136,28 @@
 }
 
 func newWatcher(l *ledger) *watcher {
-	return &watcher{ledger: l, told: map[string]reconcile.Member{}, seen: map[string]int{}, freed: map[string]bool{}}
+	return &watcher{ledger: l, reported: map[string]reconcile.Member{}, seen: map[string]int{}, freed: map[string]bool{}}
 }
 
-// hear takes what a client was told, whole or as changes.
-func (w *watcher) hear(l reconcile.List) {
+// handle takes what a client was told, whole or as changes.
+func (w *watcher) handle(l reconcile.List) {
 	now := time.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if l.Whole {
 		w.wholes++
-		clear(w.told)
+		clear(w.reported)
 	}
 	for _, m := range l.Members {
-		was, there := w.told[m.ID]
+		was, there := w.reported[m.ID]
 		gone := m.Phase == reconcile.Deleted
 		if gone && !there || !gone && there && was == m {
 			w.doubled++
 			continue
 		}
 		w.changes++
-		if w.told[m.ID] = m; gone {
-			delete(w.told, m.ID)
+		if w.reported[m.ID] = m; gone {
+			delete(w.reported, m.ID)
 		}
 		w.place(m, gone, there, now)
 	}
@@ -201,11 +201,11 @@
 		}
 	}
 	for id, m := range held {
-		if w.told[id] != m {
+		if w.reported[id] != m {
 			n++
 		}
 	}
-	for id := range w.told {
+	for id := range w.reported {
 		if _, ok := held[id]; !ok {
 			n++
 		}
@@ -266,7 +266,7 @@
 	mine, naive := newWatcher(book), newWatcher(book)
 	follower := command.Follower(o, fmt.Sprint("lab", seed), func(said any) {
 		if l, ok := said.(reconcile.List); ok {
-			mine.hear(l)
+			mine.handle(l)
 		}
 	}, logrus.NewEntry(log))
 	go follower.Run()
@@ -470,7 +470,7 @@
 			}
 		}
 		had = now
-		w.hear(l)
+		w.handle(l)
 	}
 }
 
--- a/internal/bench/eventloop/kept.go
+++ b/internal/bench/eventloop/kept.go
@@ -16,7 +16,7 @@
 
 const (
 	keptProxies, keptBackends, keptTicks = 5000, 500, 60
-	keptMost                             = 1.25 // times the step without
+	maxStored                            = 1.25 // times the step without
 )
 
 func keptCommand() *cobra.Command {
@@ -38,7 +38,7 @@
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	path := filepath.Join(dir, "state")
-	s, _, err := statestore.Open(path, "lab", 0, report.Silent())
+	s, _, err := statestore.Open(path, "lab", 0, report.DiscardLogger())
 	if err != nil {
 		return err
 	}
@@ -101,8 +101,8 @@
 	r.Row("kB of them a second", fmt.Sprintf("%.0f", perS/1000))
 	r.Row("kB of the file", bytes/1000)
 	times := report.Part(kept, 0.5) / report.Part(plain, 0.5)
-	if times > keptMost {
-		r.Missed = append(r.Missed, fmt.Sprintf("a step costs %.2f times as much, %.2f is allowed", times, keptMost))
+	if times > maxStored {
+		r.Missed = append(r.Missed, fmt.Sprintf("a step costs %.2f times as much, %.2f is allowed", times, maxStored))
 	}
 	r.Figure = fmt.Sprintf(
 		"a step that keeps facts costs %.2f times one that does not at p50, %.2f at p99",
--- a/internal/bench/eventloop/moments.go
+++ b/internal/bench/eventloop/moments.go
@@ -61,13 +61,13 @@
 	Name              string
 	Millis            float64
 	Mallocs           uint64
-	Told              int // proxies
+	Reported          int // proxies
 }
 
 // sink is a stream that counts.
-type sink struct{ since, messages uint64 }
+type sink struct{ openedAt, messages uint64 }
 
-func (s *sink) Since() uint64  { return s.since }
+func (s *sink) Since() uint64  { return s.openedAt }
 func (s *sink) Send(b []byte)  { s.messages++ }
 func (s *sink) Known(string)   {}
 func (s *sink) Replaced()      {}
@@ -131,7 +131,7 @@
 	f.d.SetKnownList(reconcile.List{Revision: 1, Whole: true, Members: f.members})
 	f.d.Step(f.now)
 	for i := range proxies {
-		f.streams = append(f.streams, &sink{since: uint64(i + 1)})
+		f.streams = append(f.streams, &sink{openedAt: uint64(i + 1)})
 	}
 	return f
 }
@@ -177,8 +177,8 @@
 	}
 }
 
-// told is a total of the fleet's sums.
-func (f *fleetOf) told() {
+// reported is a total of the fleet's sums.
+func (f *fleetOf) reported() {
 	t := eventloop.RemoteSums{Age: policy.Second / 2}
 	for _, m := range f.members {
 		t.Reports = append(t.Reports, textproto.BackendReport{Backend: m.ID, Attempts: 80, Latency: 1500})
@@ -209,10 +209,10 @@
 		told += s.messages
 	}
 	return moment{
-		Name:    name,
-		Millis:  float64(took) / float64(time.Millisecond),
-		Mallocs: is.Mallocs - was.Mallocs,
-		Told:    int(told - before),
+		Name:     name,
+		Millis:   float64(took) / float64(time.Millisecond),
+		Mallocs:  is.Mallocs - was.Mallocs,
+		Reported: int(told - before),
 	}
 }
 
@@ -244,7 +244,7 @@
 	f.reports()
 	all = append(all, f.measure("a tick with all reports, nothing changes", tick))
 	f.reports()
-	f.told()
+	f.reported()
 	all = append(all, f.measure("a tick with all reports and sums told on", tick))
 	all = append(all, f.measure("a tick without news", tick))
 	f.d.Handle(
@@ -271,7 +271,7 @@
 	for at := 0; at < proxies; at += joinsAtOnce {
 		f.join(at, min(at+joinsAtOnce, proxies))
 		m := f.measure("", 40)
-		bit.Millis, bit.Mallocs, bit.Told = bit.Millis+m.Millis, bit.Mallocs+m.Mallocs, bit.Told+m.Told
+		bit.Millis, bit.Mallocs, bit.Reported = bit.Millis+m.Millis, bit.Mallocs+m.Mallocs, bit.Reported+m.Reported
 	}
 	return append(all, bit)
 }
@@ -323,7 +323,7 @@
 	}
 	worst, least := moment{}, math.Inf(1)
 	for i, m := range all {
-		row := []any{fmt.Sprintf("%.2f", m.Millis), m.Mallocs, m.Told}
+		row := []any{fmt.Sprintf("%.2f", m.Millis), m.Mallocs, m.Reported}
 		if i < len(old) && old[i].Name == m.Name {
 			times := old[i].Millis / max(m.Millis, 1e-6)
 			if row = append(row, fmt.Sprintf("%.2f", old[i].Millis), fmt.Sprintf("%.1f", times)); times < least {
--- a/internal/bench/gateway/scale.go
+++ b/internal/bench/gateway/scale.go
@@ -51,7 +51,7 @@
 	realProxies      = 2
 	scaleZones       = 10
 	heartbeatSeconds = 1.5
-	settleTime       = 9 * time.Second // after the start: joins, first tables
+	warmupDuration   = 9 * time.Second // after the start: joins, first tables
 	steadyTime       = 10 * time.Second
 	startTimeout     = 25 * time.Second
 	notifyTimeout    = 12 * time.Second
@@ -196,7 +196,7 @@
 		return x, nil
 	}
 	x.start = time.Since(began)
-	time.Sleep(settleTime)
+	time.Sleep(warmupDuration)
 	var before []gateway.Usage
 	for _, p := range append(append([]*gateway.Process(nil), d.Controllers...), d.Carriers...) {
 		u, err := p.Usage()
--- a/internal/bench/jobs/edits.go
+++ b/internal/bench/jobs/edits.go
@@ -24,14 +24,14 @@
 )
 
 const (
-	editSites  = 5
-	editEach   = 3 // processes of a site
-	editJobs   = 1500
-	healRounds = 30
-	healMost   = 2 * time.Second // p99
-	editHands  = 6               // clients of a process
-	failHands  = 5               // things that fail at once, each at processes of its own
-	editSkew   = time.Hour       // by which a site's clock may be off
+	editSites   = 5
+	editEach    = 3 // processes of a site
+	editJobs    = 1500
+	healRounds  = 30
+	maxHealTime = 2 * time.Second // p99
+	editHands   = 6               // clients of a process
+	failHands   = 5               // things that fail at once, each at processes of its own
+	editSkew    = time.Hour       // by which a site's clock may be off
 )
 
 // Commands of the lab.
@@ -64,15 +64,15 @@
 
 type editing struct {
 	*fleet.Rig
-	seed    uint64
-	mu      sync.Mutex
-	all     []made
-	unsure  map[jobs.ID]bool // an answer of one of its edits did not come
-	refused int
-	left    atomic.Int64   // edits
-	faults  atomic.Int64   // that are left
-	holds   []sync.RWMutex // by process: held while nobody may make edits there
-	quiet   atomic.Bool    // no more faults
+	seed      uint64
+	mu        sync.Mutex
+	all       []made
+	unsure    map[jobs.ID]bool // an answer of one of its edits did not come
+	refused   int
+	remaining atomic.Int64   // edits
+	faults    atomic.Int64   // that are left
+	hasEdit   []sync.RWMutex // by process: held while nobody may make edits there
+	quiet     atomic.Bool    // no more faults
 }
 
 func playEdits(w report.Where, program string, edits, faults int) error {
@@ -95,8 +95,8 @@
 	if err := rig.StartAll(); err != nil {
 		return err
 	}
-	e := &editing{Rig: rig, seed: w.Seed, unsure: map[jobs.ID]bool{}, holds: make([]sync.RWMutex, n)}
-	e.left.Store(int64(edits))
+	e := &editing{Rig: rig, seed: w.Seed, unsure: map[jobs.ID]bool{}, hasEdit: make([]sync.RWMutex, n)}
+	e.remaining.Store(int64(edits))
 	e.faults.Store(int64(faults))
 	began := time.Now()
 	for i := range editJobs {
@@ -174,7 +174,7 @@
 			differ++
 		}
 	}
-	lost, wrong, rules := e.judge(views[0])
+	lost, wrong, rules := e.checkEdit(views[0])
 	r.Expect("edits that were answered and are lost", lost, 0)
 	r.Expect("processes whose jobs differ after the heal", differ, 0)
 	r.Expect("jobs that are not what their edits come to by the rules", wrong, 0)
@@ -185,7 +185,7 @@
 		fmt.Sprintf("p50 %.2f", p50),
 		fmt.Sprintf("p99 %.2f of %d", p99, len(heals)),
 	)
-	if p99 > healMost.Seconds() {
+	if p99 > maxHealTime.Seconds() {
 		r.Missed = append(r.Missed, fmt.Sprintf("p99 from the heal until all are one is %.2f s", p99))
 	}
 	r.Row("edits a second, answered", fmt.Sprintf("%.0f", float64(len(e.all))/took.Seconds()))
@@ -224,7 +224,7 @@
 	switch {
 	case err == nil:
 		e.all = append(e.all, made{got, time.Now().Add(skew).UnixNano()})
-		e.left.Add(-1)
+		e.remaining.Add(-1)
 	case errors.Is(err, fleet.ErrRefused):
 		e.refused++
 	case !errors.Is(err, syscall.ECONNREFUSED) && !errors.Is(err, os.ErrNotExist):
@@ -237,7 +237,7 @@
 	c := e.Processes[at].Client()
 	defer c.Close()
 	chance := rand.New(rand.NewPCG(e.seed, uint64(at*100+hand)))
-	for e.left.Load() > 0 || e.faults.Load() > 0 {
+	for e.remaining.Load() > 0 || e.faults.Load() > 0 {
 		edit := jobs.Edit{ID: editID(chance.IntN(editJobs)), Operator: chance.IntN(3) == 0}
 		switch chance.IntN(40) {
 		case 0:
@@ -262,9 +262,9 @@
 		default:
 			edit.Kind = jobs.Release
 		}
-		e.holds[at].RLock()
+		e.hasEdit[at].RLock()
 		e.make(c, at, edit)
-		e.holds[at].RUnlock()
+		e.hasEdit[at].RUnlock()
 	}
 }
 
@@ -289,13 +289,13 @@
 		case kind < 4: // killed, and now and then begun from an old copy, once others have what it was told since
 			path := filepath.Join(p.Dir, "jobs")
 			if old := copies[at]; old != nil && chance.IntN(3) == 0 {
-				e.holds[at].Lock()
+				e.hasEdit[at].Lock()
 				known := e.known(at)
 				p.Kill()
 				if known { // else what it answered last would be on no disk any more
 					_ = os.WriteFile(path, old, 0o600)
 				}
-				e.holds[at].Unlock()
+				e.hasEdit[at].Unlock()
 			} else {
 				p.Kill()
 				if now, err := os.ReadFile(path); err == nil {
@@ -325,7 +325,7 @@
 func (e *editing) heals() (seconds []float64) {
 	chance := rand.New(rand.NewPCG(e.seed, 8))
 	for range healRounds {
-		if e.left.Load() <= 0 {
+		if e.remaining.Load() <= 0 {
 			return seconds
 		}
 		e.quiet.Store(true)
@@ -333,16 +333,16 @@
 		mode := []link.Mode{link.Silent, link.Closed}[chance.IntN(2)]
 		e.Part(mode, func(i, j int) bool { return (i%editSites < split) != (j%editSites < split) })
 		time.Sleep(700 * time.Millisecond)
-		for i := range e.holds {
-			e.holds[i].Lock()
+		for i := range e.hasEdit {
+			e.hasEdit[i].Lock()
 		}
 		e.Part(link.Open, nil)
 		at := time.Now()
 		if err := e.same(); err == nil {
 			seconds = append(seconds, time.Since(at).Seconds())
 		}
-		for i := range e.holds {
-			e.holds[i].Unlock()
+		for i := range e.hasEdit {
+			e.hasEdit[i].Unlock()
 		}
 		e.quiet.Store(false)
 		time.Sleep(500 * time.Millisecond)
@@ -393,8 +393,8 @@
 	})
 }
 
-// judge compares the jobs with what the answered edits come to.
-func (e *editing) judge(views []jobs.View) (lost, wrong int, rules map[int]int) {
+// checkEdit compares the jobs with what the answered edits come to.
+func (e *editing) checkEdit(views []jobs.View) (lost, wrong int, rules map[int]int) {
 	rules = map[int]int{}
 	by := map[jobs.ID][]*jobs.Edit{}
 	for i := range e.all {
@@ -408,7 +408,7 @@
 		}
 	}
 	for id, edits := range by {
-		want := jobs.Settle(id, edits)
+		want := jobs.Resolve(id, edits)
 		got, there := is[id]
 		if e.unsure[id] {
 			continue // an edit that nobody was told of may stand in it
--- a/internal/bench/membership/spread.go
+++ b/internal/bench/membership/spread.go
@@ -15,14 +15,14 @@
 
 // What many controllers must come up to: parts of one controller's.
 const (
-	spreadWithin  = 0.015 // service
-	shareWithin   = 0.02  // the slow eighth's share
-	peakWithin    = 1.15  // times what two choices with the true state give
-	herdMost      = 1.5
-	aloneLeast    = 0.95
-	bytesFlat     = 1.3
-	spreadMost    = 240 // controllers
-	spreadCounted = "slow"
+	spreadTimeout   = 0.015 // service
+	shareMargin     = 0.02  // the slow eighth's share
+	peakMargin      = 1.15  // times what two choices with the true state give
+	maxHerdIndex    = 1.5
+	minAloneService = 0.95
+	bytesFlat       = 1.3
+	maxSpreadTime   = 240 // controllers
+	spreadCounted   = "slow"
 )
 
 // Commands of the lab.
@@ -71,7 +71,7 @@
 		"B/s most",
 		"B/s mean",
 	)
-	counts := []int{1, 5, 24, 60, 120, spreadMost}
+	counts := []int{1, 5, 24, 60, 120, maxSpreadTime}
 	var plays []emulator.Spread
 	for _, n := range counts {
 		for _, day := range []string{"calm", "slow", "hot"} {
@@ -106,7 +106,7 @@
 			plays,
 			emulator.Spread{Controllers: 1, Case: day, Oracle: true},
 			emulator.Spread{Controllers: 1, Case: day, Naive: true},
-			emulator.Spread{Controllers: spreadMost, Case: day, Naive: true},
+			emulator.Spread{Controllers: maxSpreadTime, Case: day, Naive: true},
 		)
 	}
 	showed := make([]emulator.Spreading, len(plays))
@@ -152,22 +152,22 @@
 		one, many := at[emulator.Spread{
 			Controllers: 1,
 			Case:        day,
-		}], at[emulator.Spread{Controllers: spreadMost, Case: day, Told: true}]
+		}], at[emulator.Spread{Controllers: maxSpreadTime, Case: day, Told: true}]
 		two := at[emulator.Spread{Controllers: 1, Case: day, Oracle: true}]
 		missed(
-			many.Service < one.Service-spreadWithin,
+			many.Service < one.Service-spreadTimeout,
 			"%s: service %.3f with %d, %.3f with one",
 			day,
 			many.Service,
-			spreadMost,
+			maxSpreadTime,
 			one.Service,
 		)
 		missed(
-			math.Abs(many.Share-one.Share) > shareWithin,
+			math.Abs(many.Share-one.Share) > shareMargin,
 			"%s: slow share %.3f with %d, %.3f with one",
 			day,
 			many.Share,
-			spreadMost,
+			maxSpreadTime,
 			one.Share,
 		)
 		missed(
@@ -175,16 +175,16 @@
 			"%s: %.4f declined with %d, %.4f with one",
 			day,
 			many.Declined,
-			spreadMost,
+			maxSpreadTime,
 			one.Declined,
 		)
-		missed(many.Peak > peakWithin*two.Peak, "%s: peak %.2f of the mean, two choices %.2f", day, many.Peak, two.Peak)
-		missed(many.Herd > herdMost, "%s: herd index %.2f", day, many.Herd)
+		missed(many.Peak > peakMargin*two.Peak, "%s: peak %.2f of the mean, two choices %.2f", day, many.Peak, two.Peak)
+		missed(many.Herd > maxHerdIndex, "%s: herd index %.2f", day, many.Herd)
 		missed(many.Idle > 0, "%s: %d spans of an idle backend", day, many.Idle)
 	}
-	alone := at[emulator.Spread{Controllers: spreadMost, Case: spreadCounted}]
+	alone := at[emulator.Spread{Controllers: maxSpreadTime, Case: spreadCounted}]
 	missed(
-		alone.Service < aloneLeast || alone.Declined > 0,
+		alone.Service < minAloneService || alone.Declined > 0,
 		"alone: service %.3f, %.4f declined",
 		alone.Service,
 		alone.Declined,
@@ -206,7 +206,7 @@
 			Told:        true,
 		}], at[emulator.Spread{Controllers: 1, Case: day}]
 		missed(
-			many.Service < one.Service-2*spreadWithin,
+			many.Service < one.Service-2*spreadTimeout,
 			"%s: service %.3f with %d, %.3f with one",
 			day,
 			many.Service,
@@ -216,11 +216,11 @@
 	}
 	r.Figure = fmt.Sprintf(
 		"%d controllers: service %.3f told, %.3f alone, %.3f with one; slow share %.3f, %.3f, %.3f",
-		spreadMost,
-		at[emulator.Spread{Controllers: spreadMost, Case: "slow", Told: true}].Service,
+		maxSpreadTime,
+		at[emulator.Spread{Controllers: maxSpreadTime, Case: "slow", Told: true}].Service,
 		alone.Service,
 		at[emulator.Spread{Controllers: 1, Case: "slow"}].Service,
-		at[emulator.Spread{Controllers: spreadMost, Case: "slow", Told: true}].Share,
+		at[emulator.Spread{Controllers: maxSpreadTime, Case: "slow", Told: true}].Share,
 		alone.Share,
 		at[emulator.Spread{Controllers: 1, Case: "slow"}].Share,
 	)
--- a/internal/bench/membership/spreadreal.go
+++ b/internal/bench/membership/spreadreal.go
@@ -57,20 +57,20 @@
 	return b.cores[at].Sub(now)
 }
 
-type realSum struct{ asked, served, late, voided, declined int }
+type realSum struct{ requested, served, late, failed, declined int }
 
 // realProxy plays a proxy's clients against its controller's tables.
 type realProxy struct {
 	*fleet.Proxy
-	chance *rand.Rand
-	mu     sync.Mutex
-	busy   map[string]int
-	met    map[string][3]float64 // tries, voided, ms
-	came   int
-	voided int
-	room   float64
-	at     time.Time
-	sum    []realSum
+	chance  *rand.Rand
+	mu      sync.Mutex
+	busy    map[string]int
+	reports map[string][3]float64 // tries, voided, ms
+	arrived int
+	failed  int
+	credit  float64
+	at      time.Time
+	sum     []realSum
 }
 
 func (p *realProxy) second(began time.Time) *realSum {
@@ -108,19 +108,19 @@
 	defer p.mu.Unlock()
 	now := time.Now()
 	s := p.second(began)
-	s.asked++
-	p.came++
+	s.requested++
+	p.arrived++
 	if level > 0 && level < 1e5 {
-		p.room = math.Min(p.room+level*now.Sub(p.at).Seconds(), math.Max(level, 1))
-		if p.at = now; p.room < 1 {
+		p.credit = math.Min(p.credit+level*now.Sub(p.at).Seconds(), math.Max(level, 1))
+		if p.at = now; p.credit < 1 {
 			s.declined++
 			return
 		}
-		p.room--
+		p.credit--
 	}
 	id := p.pick(lines)
 	if id == "" {
-		s.voided++
+		s.failed++
 		return
 	}
 	p.busy[id]++
@@ -129,13 +129,13 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.busy[id]--
-		m := p.met[id]
+		m := p.reports[id]
 		m[0]++
 		switch {
 		case took > realGiveUp:
 			m[1]++
-			p.voided++
-			s.voided++
+			p.failed++
+			s.failed++
 		case took > realSLA:
 			s.late++
 		default:
@@ -144,15 +144,15 @@
 		if took <= realGiveUp {
 			m[2] += float64(took) / float64(time.Millisecond)
 		}
-		p.met[id] = m
+		p.reports[id] = m
 	})
 }
 
 // report says what the last second was.
 func (p *realProxy) report() {
 	p.mu.Lock()
-	met, came, voided := p.met, p.came, p.voided
-	p.met, p.came, p.voided = map[string][3]float64{}, 0, 0
+	met, came, voided := p.reports, p.arrived, p.failed
+	p.reports, p.arrived, p.failed = map[string][3]float64{}, 0, 0
 	p.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(met)) {
 		m := met[id]
@@ -194,7 +194,7 @@
 		// As many txns a proxy at any number of them: the backends are as strong as they are many.
 		backends[id] = &realBackend{cores: make([]time.Time, 2), speed: speed * float64(n) / 240}
 	}
-	rig.Silent = !told
+	rig.NoSums = !told
 	var all sync.WaitGroup
 	errs := make([]error, n)
 	for from := 0; from < n; from += 20 { // not all at once: they are on one machine
@@ -218,10 +218,10 @@
 		}
 		defer c.Close()
 		proxies[i] = &realProxy{
-			Proxy:  c,
-			chance: rand.New(rand.NewPCG(seed, uint64(i))),
-			busy:   map[string]int{},
-			met:    map[string][3]float64{},
+			Proxy:   c,
+			chance:  rand.New(rand.NewPCG(seed, uint64(i))),
+			busy:    map[string]int{},
+			reports: map[string][3]float64{},
 		}
 	}
 	began := time.Now()
@@ -257,7 +257,7 @@
 		p.mu.Lock()
 		for at, s := range p.sum {
 			if at >= int(span.Seconds())/2 && at < int(span.Seconds()) {
-				sum.asked, sum.served, sum.declined = sum.asked+s.asked, sum.served+s.served, sum.declined+s.declined
+				sum.requested, sum.served, sum.declined = sum.requested+s.requested, sum.served+s.served, sum.declined+s.declined
 			}
 		}
 		p.mu.Unlock()
@@ -265,7 +265,7 @@
 	for _, p := range rig.Processes {
 		memory = max(memory, report.ResidentOf(p.ID()))
 	}
-	return float64(sum.served) / float64(sum.asked), share, float64(sum.declined) / float64(sum.asked), memory, nil
+	return float64(sum.served) / float64(sum.requested), share, float64(sum.declined) / float64(sum.requested), memory, nil
 }
 
 func playSpreadReal(w report.Where, program string, counts []int) error {
@@ -313,7 +313,7 @@
 		r.Missed = append(r.Missed, fmt.Sprintf("memory from %.1f to %.1f MB", least/(1<<20), most/(1<<20)))
 	}
 	one := emulator.Spread{Controllers: 1, Case: "slow"}.Play(w.Seed)
-	if got[true] < one.Service-2*spreadWithin {
+	if got[true] < one.Service-2*spreadTimeout {
 		r.Missed = append(r.Missed, fmt.Sprintf("service %.3f, one controller in the emulator %.3f", got[true], one.Service))
 	}
 	r.Figure = fmt.Sprintf(
--- a/internal/bench/plugin/plugins.go
+++ b/internal/bench/plugin/plugins.go
@@ -16,7 +16,7 @@
 
 const (
 	pluginBackends, pluginTenants, pluginCalls = 500, 500, 300
-	pluginMost                                 = 50.0 // ms a call may take at the 99th percentile
+	maxPluginTime                              = 50.0 // ms a call may take at the 99th percentile
 )
 
 // Commands of the lab.
@@ -120,10 +120,10 @@
 			fmt.Sprintf("%.1f", (held()-before)/float64(count)),
 		)
 	}
-	if worst > pluginMost {
+	if worst > maxPluginTime {
 		r.Missed = append(
 			r.Missed,
-			fmt.Sprintf("a call takes %.1f ms at the 99th percentile, %.0f is the limit", worst, pluginMost),
+			fmt.Sprintf("a call takes %.1f ms at the 99th percentile, %.0f is the limit", worst, maxPluginTime),
 		)
 	}
 	r.Figure = fmt.Sprintf("a call takes %s ms at the 99th percentile", report.Ms(worst))
--- a/internal/bench/pubsub/channel.go
+++ b/internal/bench/pubsub/channel.go
@@ -25,10 +25,10 @@
 
 const (
 	chanProxies, chanOrders, chanSlow = 2000, 200000, 50
-	chanCut                           = 0.43 // of the proxies, three times
-	chanCuts, chanBackends            = 3, 60
+	interruption                      = 0.43 // of the proxies, three times
+	interruptions, chanBackends       = 3, 60
 	chanSlowness                      = 30 * time.Millisecond // for each message
-	chanWithin                        = 2 * time.Minute       // for all to hold what was ordered
+	deliveryTimeout                   = 2 * time.Minute       // for all to hold what was ordered
 )
 
 // Commands of the lab.
@@ -53,7 +53,7 @@
 type subscriber struct {
 	mu      sync.Mutex
 	want    map[string]float64 // weight by backend
-	holds   map[string]session.Value
+	table   map[string]session.Value
 	seen    map[uint64]bool // epoch and number that took effect
 	twice   int
 	effects int
@@ -84,7 +84,7 @@
 		chanProxies,
 		names,
 		hear,
-		report.Silent(),
+		report.DiscardLogger(),
 	)
 	if err != nil {
 		return err
@@ -104,13 +104,13 @@
 	for i := range all {
 		s := &subscriber{
 			want:  map[string]float64{},
-			holds: map[string]session.Value{},
+			table: map[string]session.Value{},
 			seen:  map[uint64]bool{},
 			at:    map[string]time.Time{},
 		}
 		all[i] = s
 		addr := hub.Addr()
-		if i < int(chanCut*chanProxies) {
+		if i < int(interruption*chanProxies) {
 			addr = cuts.Addr()
 		}
 		slow := i >= chanProxies-chanSlow
@@ -120,7 +120,7 @@
 				Changed: func(c *session.Copy, keys []string) { s.took(c, keys, slow) }})
 		}()
 	}
-	for over := time.Now().Add(chanWithin); joined.Load() < chanProxies; time.Sleep(10 * time.Millisecond) {
+	for over := time.Now().Add(deliveryTimeout); joined.Load() < chanProxies; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(over) {
 			return fmt.Errorf("%d of %d have joined", joined.Load(), chanProxies)
 		}
@@ -138,7 +138,7 @@
 		s.mu.Unlock()
 		(*streams[i].Load()).SendParts([]textproto.Part{{Weights: []textproto.BackendWeight{{Backend: id, Weight: weight}}}})
 		sent++
-		if n > 0 && n%(chanOrders/(chanCuts+1)) == 0 {
+		if n > 0 && n%(chanOrders/(interruptions+1)) == 0 {
 			cuts.CutAll()
 		}
 		if n%2000 == 1999 { // 200,000 in some seconds, not in an instant
@@ -150,7 +150,8 @@
 	}
 	ordered := time.Since(began)
 	missing := chanProxies
-	for over := time.Now().Add(chanWithin); missing > 0 && time.Now().Before(over); time.Sleep(20 * time.Millisecond) {
+	over := time.Now().Add(deliveryTimeout)
+	for ; missing > 0 && time.Now().Before(over); time.Sleep(20 * time.Millisecond) {
 		missing = 0
 		for _, s := range all {
 			if !s.right() {
@@ -182,8 +183,8 @@
 		fmt.Sprintf(
 			"%d proxies on loopback, %.0f%% cut off %d times, %d slow by %v a message",
 			chanProxies,
-			100*chanCut,
-			chanCuts,
+			100*interruption,
+			interruptions,
 			chanSlow,
 			chanSlowness,
 		),
@@ -192,7 +193,7 @@
 	)
 	r.Row("orders sent", sent, sent)
 	r.Row("messages that took effect", effects, "")
-	r.Row("lines sent again though they had taken effect", same, other.again)
+	r.Row("lines sent again though they had taken effect", same, other.resynced)
 	r.Expect("messages that took effect twice", twice, 0)
 	r.Expect("proxies that lack an order at the end", missing, 0)
 	r.Row("proxies that lack an order at the end, streams", "", other.missing)
@@ -226,7 +227,7 @@
 	r.Row(
 		"s of ordering; until all held it",
 		fmt.Sprintf("%.1f; %.1f", ordered.Seconds(), settled.Seconds()),
-		fmt.Sprintf("%.1f", other.settled.Seconds()),
+		fmt.Sprintf("%.1f", other.synced.Seconds()),
 	)
 	r.Row("kB of heap and stacks a session, both sides and the stand-in", fmt.Sprintf("%.0f", perSession/1000))
 	r.Row("bytes of a first table", packed[0], text[0])
@@ -281,8 +282,8 @@
 	s.largest = max(s.largest, len(keys))
 	for _, k := range keys {
 		v, there := c.State[k]
-		if s.holds[k] = v; !there {
-			delete(s.holds, k)
+		if s.table[k] = v; !there {
+			delete(s.table, k)
 		}
 		id := session.Split(k)[2]
 		if at, waits := s.at[id]; waits && there && v.Figure == s.want[id] {
@@ -297,11 +298,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, weight := range s.want {
-		if s.holds[pubsub.LineKey("look", id)].Figure != weight {
+		if s.table[pubsub.LineKey("look", id)].Figure != weight {
 			n++
 		}
 	}
-	for key := range s.holds {
+	for key := range s.table {
 		if _, wanted := s.want[session.Split(key)[2]]; !wanted {
 			n++
 		}
@@ -313,11 +314,11 @@
 func (s *subscriber) right() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.holds) != len(s.want) {
+	if len(s.table) != len(s.want) {
 		return false
 	}
 	for id, weight := range s.want {
-		if s.holds[pubsub.LineKey("look", id)].Figure != weight {
+		if s.table[pubsub.LineKey("look", id)].Figure != weight {
 			return false
 		}
 	}
--- a/internal/bench/pubsub/streams.go
+++ b/internal/bench/pubsub/streams.go
@@ -20,10 +20,10 @@
 
 // beside is what the same orders showed on the platform's streams.
 type beside struct {
-	missing, again int // proxies that lack an order; lines that were sent again though they had taken effect
-	joinings       int64
-	delays         []float64
-	settled        time.Duration
+	missing, resynced int // proxies that lack an order; lines that were sent again though they had taken effect
+	joinings          int64
+	delays            []float64
+	synced            time.Duration
 }
 
 // playStreams sends the same orders as text. Who comes again after a cut is sent its whole table, as the desk does.
@@ -31,7 +31,7 @@
 	conns := make([]atomic.Pointer[server.Conn], chanProxies)
 	all := make([]*subscriber, chanProxies)
 	for i := range all {
-		all[i] = &subscriber{want: map[string]float64{}, holds: map[string]session.Value{}, at: map[string]time.Time{}}
+		all[i] = &subscriber{want: map[string]float64{}, table: map[string]session.Value{}, at: map[string]time.Time{}}
 	}
 	var joinings, again atomic.Int64
 	hear := func(from *server.Conn, said any) {
@@ -46,14 +46,14 @@
 		var lines []textproto.BackendWeight
 		for id, weight := range s.want {
 			lines = append(lines, textproto.BackendWeight{Backend: id, Weight: weight})
-			if s.holds[pubsub.LineKey("look", id)].Figure == weight {
+			if s.table[pubsub.LineKey("look", id)].Figure == weight {
 				again.Add(1)
 			}
 		}
 		from.Send(textproto.Append(nil, []textproto.Part{{Products: []string{"look"}, Full: true, Weights: lines}}))
 		conns[j.Proxy].Store(from)
 	}
-	ln, err := server.Listen("127.0.0.1:0", 1<<30, 2*chanProxies+100, hear, report.Silent())
+	ln, err := server.Listen("127.0.0.1:0", 1<<30, 2*chanProxies+100, hear, report.DiscardLogger())
 	if err != nil {
 		return b, err
 	}
@@ -68,7 +68,7 @@
 	defer over.Store(true)
 	for i, s := range all {
 		addr := ln.Addr().String()
-		if i < int(chanCut*chanProxies) {
+		if i < int(interruption*chanProxies) {
 			addr = cuts.Addr()
 		}
 		go func() {
@@ -83,7 +83,7 @@
 			}
 		}()
 	}
-	for end := time.Now().Add(chanWithin); joinings.Load() < chanProxies; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(deliveryTimeout); joinings.Load() < chanProxies; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			return b, fmt.Errorf("%d of %d have joined streams", joinings.Load(), chanProxies)
 		}
@@ -102,7 +102,7 @@
 			),
 		)
 		s.mu.Unlock()
-		if n > 0 && n%(chanOrders/(chanCuts+1)) == 0 {
+		if n > 0 && n%(chanOrders/(interruptions+1)) == 0 {
 			cuts.CutAll()
 		}
 		if n%2000 == 1999 {
@@ -110,7 +110,8 @@
 		}
 	}
 	b.missing = chanProxies
-	for end := time.Now().Add(chanWithin); b.missing > 0 && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	end := time.Now().Add(deliveryTimeout)
+	for ; b.missing > 0 && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		b.missing = 0
 		for _, s := range all {
 			if !s.right() {
@@ -118,7 +119,7 @@
 			}
 		}
 	}
-	b.settled, b.again, b.joinings = time.Since(began), int(again.Load()), joinings.Load()
+	b.synced, b.resynced, b.joinings = time.Since(began), int(again.Load()), joinings.Load()
 	for _, s := range all {
 		s.mu.Lock()
 		b.delays = append(b.delays, s.delays...)
@@ -139,7 +140,7 @@
 		for _, word := range strings.Fields(in.Text()) {
 			name, value, _ := strings.Cut(word, "=")
 			if name == "whole" {
-				clear(s.holds)
+				clear(s.table)
 			}
 			if name != "lines" {
 				continue
@@ -148,8 +149,8 @@
 				id, text, _ := strings.Cut(l, ":")
 				weight, _ := strconv.ParseFloat(text, 64)
 				key := pubsub.LineKey("look", id)
-				if s.holds[key] = (session.Value{Figure: weight}); weight == 0 {
-					delete(s.holds, key)
+				if s.table[key] = (session.Value{Figure: weight}); weight == 0 {
+					delete(s.table, key)
 				}
 				if at, waits := s.at[id]; waits && weight == s.want[id] {
 					s.delays = append(s.delays, float64(time.Since(at))/float64(time.Millisecond))
--- a/internal/bench/report/common.go
+++ b/internal/bench/report/common.go
@@ -42,8 +42,8 @@
 // Three writes a part of one.
 func Three(v float64) string { return fmt.Sprintf("%.3f", v) }
 
-// Silent is a log that nobody reads.
-func Silent() *logrus.Entry {
+// DiscardLogger is a log that nobody reads.
+func DiscardLogger() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return logrus.NewEntry(log)
--- a/internal/bench/tenancy/cells.go
+++ b/internal/bench/tenancy/cells.go
@@ -86,8 +86,8 @@
 				continue
 			}
 			before, during := world.Over(emulator.Tenant(n), 5, cellsCalm), world.Over(emulator.Tenant(n), cellsCalm+3, cellsEnd)
-			total.Asked, total.Served = total.Asked+during.Asked, total.Served+during.Served
-			calm.Asked, calm.Served = calm.Asked+before.Asked, calm.Served+before.Served
+			total.Requested, total.Served = total.Requested+during.Requested, total.Served+during.Served
+			calm.Requested, calm.Served = calm.Requested+before.Requested, calm.Served+before.Served
 			others = append(others, during.Service())
 			if during.Service() < harmedUnder*before.Service() {
 				harmed++
@@ -116,7 +116,7 @@
 			sum := emulator.Sum{}
 			for n := range 20 {
 				if one := world.Over(emulator.Tenant(n), s, s+1); n != 7 {
-					sum.Asked, sum.Served = sum.Asked+one.Asked, sum.Served+one.Served
+					sum.Requested, sum.Served = sum.Requested+one.Requested, sum.Served+one.Served
 				}
 			}
 			line = append(line, plotter.XY{X: float64(s), Y: sum.Service()})
@@ -167,9 +167,9 @@
 }
 
 const (
-	moveEvery  = 4 * policy.Second // a move begins
-	moveCount  = 40
-	moveSettle = 2 * policy.Second
+	moveEvery = 4 * policy.Second // a move begins
+	moveCount = 40
+	moveTime  = 2 * policy.Second
 )
 
 func movesCommand() *cobra.Command {
@@ -185,7 +185,7 @@
 	chance := rand.New(rand.NewPCG(w.Seed, 5))
 	names := []string{"red", "blue", "green"}
 	d.Plan = d.Confine(0, names...)
-	d.Plan.Settle, d.Plan.Part = moveSettle, 0.34
+	d.Plan.Settle, d.Plan.Part = moveTime, 0.34
 	// The file that a controller which starts anew reads; a move by hand is written into it, too.
 	file := *d.Plan
 	file.Tenants = slices.Clone(file.Tenants)
@@ -231,8 +231,8 @@
 	before, during, worst := emulator.Sum{}, emulator.Sum{}, 1.0
 	for _, m := range moves {
 		b, a := world.Over(m.tenant, m.at-8, m.at), world.Over(m.tenant, m.at, m.at+8)
-		before.Asked, before.Served = before.Asked+b.Asked, before.Served+b.Served
-		during.Asked, during.Served = during.Asked+a.Asked, during.Served+a.Served
+		before.Requested, before.Served = before.Requested+b.Requested, before.Served+b.Served
+		during.Requested, during.Served = during.Requested+a.Requested, during.Served+a.Served
 		worst = min(worst, a.Service())
 	}
 	// Who moved is in its cell now: each proxy's lines are those of the file.
@@ -277,11 +277,11 @@
 	total := emulator.Sum{}
 	for n := range 20 {
 		s := world.Over(emulator.Tenant(n), 5, end)
-		total.Asked, total.Served, total.Voided, total.Declined = total.Asked+s.Asked, total.Served+s.Served, total.Voided+
-			s.Voided, total.Declined+s.Declined
+		total.Requested, total.Served = total.Requested+s.Requested, total.Served+s.Served
+		total.Failed, total.Declined = total.Failed+s.Failed, total.Declined+s.Declined
 	}
-	r.Row("txns asked", total.Asked)
-	r.Row("txns voided, all day", total.Voided)
+	r.Row("txns asked", total.Requested)
+	r.Row("txns voided, all day", total.Failed)
 	r.Row("effects in the ledger", len(world.Effects))
 	r.Row("service of the moved tenant, 8 s before", report.Three(before.Service()))
 	r.Row("service of the moved tenant, 8 s from the move", report.Three(during.Service()))
--- a/internal/bench/warmstart/kills.go
+++ b/internal/bench/warmstart/kills.go
@@ -45,7 +45,7 @@
 	var path string
 	var from int
 	c := &cobra.Command{Use: "storer", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		s, _, err := statestore.Open(path, killName, 0, report.Silent())
+		s, _, err := statestore.Open(path, killName, 0, report.DiscardLogger())
 		if err != nil {
 			return err
 		}
--- a/internal/bench/warmstart/process.go
+++ b/internal/bench/warmstart/process.go
@@ -210,7 +210,7 @@
 	}
 	now, right, err := live(processLooks, func(is map[string]float64) bool {
 		for id, w := range held {
-			if math.Abs(is[id]/w-1) > rightWithin {
+			if math.Abs(is[id]/w-1) > weightTolerance {
 				return false
 			}
 		}
--- a/internal/bench/warmstart/restart.go
+++ b/internal/bench/warmstart/restart.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	restartAt   = 60 // seconds into the day, when all is learnt
-	restartLook = 30 // seconds after it
-	rightWithin = 0.1
-	rightParts  = 0.95 // of the backends
-	rightStays  = 3    // seconds in a row
+	restartAt       = 60 // seconds into the day, when all is learnt
+	restartLook     = 30 // seconds after it
+	weightTolerance = 0.1
+	rightParts      = 0.95 // of the backends
+	rightStays      = 3    // seconds in a row
 )
 
 func restartCommand() *cobra.Command {
@@ -76,7 +76,7 @@
 			if i%10 == 7 || before[b.ID] == 0 {
 				continue
 			}
-			if all++; math.Abs(now[b.ID]/is/(before[b.ID]/was)-1) > rightWithin {
+			if all++; math.Abs(now[b.ID]/is/(before[b.ID]/was)-1) > weightTolerance {
 				off++
 			}
 		}
@@ -92,11 +92,11 @@
 	asked, served, declined := 0, 0, 0
 	for t := range len(d.Proxies) / 12 {
 		sum := w.Over(emulator.Tenant(t), restartAt, restartAt+restartLook)
-		asked, served, declined = asked+sum.Asked, served+sum.Served, declined+sum.Declined
+		asked, served, declined = asked+sum.Requested, served+sum.Served, declined+sum.Declined
 	}
 	r.service, r.declined = float64(served)/float64(asked), float64(declined)/float64(asked)
 	r.doubled, r.broken = w.Doubled(), w.Bare+w.Late+len(w.Tipped)
-	if w.Backlog > d.LinesMost {
+	if w.Backlog > d.MaxQueuedLines {
 		r.broken++
 	}
 	return r
--- a/internal/controller/aggregation/told.go
+++ b/internal/controller/aggregation/told.go
@@ -16,7 +16,7 @@
 
 const (
 	fanOut     = 8                // children of a node
-	mostWords  = 4096             // backends of a message; what is more is dropped
+	maxReports = 4096             // backends of a message; what is more is dropped
 	mostSpent  = 60 * 1000.0      // ms that a try can have taken
 	mostPart   = 8.0              // multiple of what the others tell for each origin that one may tell
 	mostAge    = 15 * time.Second // older sums say nothing
@@ -24,17 +24,18 @@
 	mostUnsure = 64               // folds whose way back is awaited
 )
 
-// Word is what was met at a backend: tries, how many of them voided, and ms that the answers of the others took in all.
-type Word struct {
+// Report is what was met at a backend: tries, how many of them voided, and ms that the answers of the others took
+// in all.
+type Report struct {
 	Backend string  `cbor:"1,keyasint"`
 	Tries   float64 `cbor:"2,keyasint"`
-	Voided  float64 `cbor:"3,keyasint"`
+	Failed  float64 `cbor:"3,keyasint"`
 	Spent   float64 `cbor:"4,keyasint"`
 }
 
 // Sums are words of several origins. Age is how old they are on the mean.
 type Sums struct {
-	Words   []Word        `cbor:"1,keyasint"`
+	Reports []Report      `cbor:"1,keyasint"`
 	Age     time.Duration `cbor:"2,keyasint"`
 	Origins int           `cbor:"3,keyasint"`
 	Uses    []Use         `cbor:"4,keyasint"` // that come to their proxies
@@ -47,27 +48,27 @@
 	Txns    float64 `cbor:"3,keyasint"`
 }
 
-// Ask goes down the tree: who hears it tells its parent what it has, within the span if it has to wait for others.
-type Ask struct {
-	Within time.Duration `cbor:"1,keyasint"`
+// Request goes down the tree: who hears it tells its parent what it has, within the span if it has to wait for others.
+type Request struct {
+	Timeout time.Duration `cbor:"1,keyasint"`
 }
 
-// AskWithin is the span that a root gives; each further one down has a part of it.
+// RequestTimeout is the span that a root gives; each further one down has a part of it.
 const (
-	AskWithin = 400 * time.Millisecond
-	askPart   = 0.6
+	RequestTimeout = 400 * time.Millisecond
+	askPart        = 0.6
 )
 
 // On is what goes on to the children.
-func (a Ask) On() Ask {
-	return Ask{min(max(time.Duration(askPart*float64(a.Within)), 0), AskWithin)}
+func (a Request) On() Request {
+	return Request{min(max(time.Duration(askPart*float64(a.Timeout)), 0), RequestTimeout)}
 }
 
 // Up goes to the parent: what came together since the number before.
 type Up struct {
-	Number uint64 `cbor:"1,keyasint"`
-	Sums   Sums   `cbor:"2,keyasint"`
-	Life   uint64 `cbor:"3,keyasint"` // of the one that sends it: numbers begin anew with each
+	Number      uint64 `cbor:"1,keyasint"`
+	Sums        Sums   `cbor:"2,keyasint"`
+	Incarnation uint64 `cbor:"3,keyasint"` // of the one that sends it: numbers begin anew with each
 }
 
 // Down comes from the parent: a total of the root, in which what the child sent up to Counted is contained.
@@ -80,69 +81,69 @@
 
 // heap is what is open at a node; born is the sum of tries times the moments at which they were met.
 type heap struct {
-	words map[string]Word
-	born  float64
-	tries float64
+	reports map[string]Report
+	born    float64
+	tries   float64
 }
 
-func (h *heap) add(w Word, at float64) {
-	if h.words == nil {
-		h.words = map[string]Word{}
+func (h *heap) add(w Report, at float64) {
+	if h.reports == nil {
+		h.reports = map[string]Report{}
 	}
-	if _, there := h.words[w.Backend]; !there && len(h.words) >= mostWords {
+	if _, there := h.reports[w.Backend]; !there && len(h.reports) >= maxReports {
 		return
 	}
-	was := h.words[w.Backend]
-	h.words[w.Backend] = Word{w.Backend, was.Tries + w.Tries, was.Voided + w.Voided, was.Spent + w.Spent}
+	was := h.reports[w.Backend]
+	h.reports[w.Backend] = Report{w.Backend, was.Tries + w.Tries, was.Failed + w.Failed, was.Spent + w.Spent}
 	h.born, h.tries = h.born+w.Tries*at, h.tries+w.Tries
 }
 
-func (h *heap) list() (all []Word) {
-	for _, w := range h.words {
+func (h *heap) list() (all []Report) {
+	for _, w := range h.reports {
 		all = append(all, w)
 	}
-	slices.SortFunc(all, func(a, b Word) int { return cmp.Compare(a.Backend, b.Backend) })
+	slices.SortFunc(all, func(a, b Report) int { return cmp.Compare(a.Backend, b.Backend) })
 	return all
 }
 
 // child is what a node has of another one below it.
 type child struct {
-	life    uint64
-	last    uint64 // number taken
-	at      time.Duration
-	open    []Word // since the last fold
-	age     time.Duration
-	origins int
-	uses    []Use
-	told    bool // since the last fold
+	incarnation uint64
+	last        uint64 // number taken
+	at          time.Duration
+	open        []Report // since the last fold
+	age         time.Duration
+	origins     int
+	uses        []Use
+	notified    bool // since the last fold
 }
 
 // fold is what a node sent up, until it comes back in a total.
 type fold struct {
 	number uint64
 	at     time.Duration
-	own    map[string]Word
+	own    map[string]Report
 	counts map[string]uint64 // by child: its folds up to that are in it
 }
 
 // Node is one controller's place in the tree.
 type Node struct {
-	self     string
-	life     uint64
-	parent   string // empty: it is the root
-	below    []string
-	own      heap
-	uses     []Use
-	children map[string]*child
-	number   uint64
-	unsure   []fold // oldest first
-	root     string
-	total    uint64 // number of the last one taken
+	self        string
+	incarnation uint64
+	parent      string // empty: it is the root
+	below       []string
+	own         heap
+	uses        []Use
+	children    map[string]*child
+	number      uint64
+	unsure      []fold // oldest first
+	root        string
+	total       uint64 // number of the last one taken
 }
 
 // New makes a Node that knows of nobody else; its life is another one at each start of the process.
 func New(self string, life uint64) *Node {
-	return &Node{self: self, life: life, children: map[string]*child{}}
+	return &Node{self: self, incarnation: life, children: map[string]*child{}}
 }
 
 // Place gives the parent and the children of a member among all of them: by a hash of the names, so that no zone and no
@@ -185,7 +186,7 @@
 func (n *Node) Children() []string { return n.below }
 
 // Met takes what the own proxies met.
-func (n *Node) Met(w Word, now time.Duration) {
+func (n *Node) Met(w Report, now time.Duration) {
 	if w, ok := sound(w); ok {
 		n.own.add(w, now.Seconds())
 	}
@@ -220,38 +221,38 @@
 func (n *Node) Ready() bool {
 	return !slices.ContainsFunc(
 		n.below,
-		func(name string) bool { return n.children[name] == nil || !n.children[name].told },
+		func(name string) bool { return n.children[name] == nil || !n.children[name].notified },
 	)
 }
 
 // sound bounds a word to what can be.
-func sound(w Word) (Word, bool) {
-	if !(w.Tries > 0) || !(w.Voided >= 0) || !(w.Spent >= 0) || w.Tries > 1e9 || w.Backend == "" || len(w.Backend) > 256 {
+func sound(w Report) (Report, bool) {
+	if !(w.Tries > 0) || !(w.Failed >= 0) || !(w.Spent >= 0) || w.Tries > 1e9 || w.Backend == "" || len(w.Backend) > 256 {
 		return w, false
 	}
-	w.Voided = min(w.Voided, w.Tries)
-	w.Spent = min(w.Spent, (w.Tries-w.Voided)*mostSpent)
+	w.Failed = min(w.Failed, w.Tries)
+	w.Spent = min(w.Spent, (w.Tries-w.Failed)*mostSpent)
 	return w, true
 }
 
-// Hear takes a child's word; false for one that was taken already.
-func (n *Node) Hear(from string, up Up, now time.Duration) bool {
+// Handle takes a child's word; false for one that was taken already.
+func (n *Node) Handle(from string, up Up, now time.Duration) bool {
 	c := n.children[from]
 	if c == nil {
 		c = &child{}
 		n.children[from] = c
 	}
-	if up.Life != c.life {
-		c.life, c.last = up.Life, 0
+	if up.Incarnation != c.incarnation {
+		c.incarnation, c.last = up.Incarnation, 0
 	}
 	if up.Number <= c.last || from == n.self {
 		return false
 	}
-	c.last, c.at, c.told = up.Number, now, true
-	if up.Sums.Age < 0 || up.Sums.Age > mostAge || len(up.Sums.Words) > mostWords {
+	c.last, c.at, c.notified = up.Number, now, true
+	if up.Sums.Age < 0 || up.Sums.Age > mostAge || len(up.Sums.Reports) > maxReports {
 		return true
 	}
-	for _, w := range up.Sums.Words {
+	for _, w := range up.Sums.Reports {
 		if w, ok := sound(w); ok {
 			c.open = append(c.open, w)
 		}
@@ -270,7 +271,7 @@
 
 // fold closes what is open, as one word.
 func (n *Node) fold(now time.Duration) Sums {
-	f := fold{number: n.number + 1, at: now, own: n.own.words, counts: map[string]uint64{}}
+	f := fold{number: n.number + 1, at: now, own: n.own.reports, counts: map[string]uint64{}}
 	all := heap{}
 	for _, w := range n.own.list() {
 		all.add(w, 0)
@@ -301,11 +302,11 @@
 			scale = mostPart * others / rates[name]
 		}
 		for _, w := range c.open {
-			all.add(Word{w.Backend, w.Tries * scale, w.Voided * scale, w.Spent * scale}, (c.at - c.age).Seconds())
+			all.add(Report{w.Backend, w.Tries * scale, w.Failed * scale, w.Spent * scale}, (c.at - c.age).Seconds())
 		}
-		c.open, c.told = nil, false
+		c.open, c.notified = nil, false
 	}
-	if s.Words = all.list(); all.tries > 0 {
+	if s.Reports = all.list(); all.tries > 0 {
 		s.Age = max(time.Duration((now.Seconds()-all.born/all.tries)*float64(time.Second)), 0)
 	}
 	n.number++
@@ -321,11 +322,11 @@
 func (n *Node) Turn(now time.Duration) (up *Up, total *Sums, on map[string]Down) {
 	s := n.fold(now)
 	if n.parent != "" {
-		return &Up{Number: n.number, Sums: s, Life: n.life}, nil, nil
+		return &Up{Number: n.number, Sums: s, Incarnation: n.incarnation}, nil, nil
 	}
 	total, on = n.Take(
 		"",
-		Down{Root: n.self + "@" + strconv.FormatUint(n.life, 36), Number: n.number, Counted: n.number, Sums: s},
+		Down{Root: n.self + "@" + strconv.FormatUint(n.incarnation, 36), Number: n.number, Counted: n.number, Sums: s},
 		now,
 	)
 	return nil, total, on
@@ -334,18 +335,18 @@
 // Take takes a total that came from a member, the parent: what the others met, and what goes on to each child.
 // Nil for one that is not the parent's, or was taken already. It is at least as old as what of this node is in it.
 func (n *Node) Take(from string, d Down, now time.Duration) (others *Sums, on map[string]Down) {
-	if from != n.parent || d.Root == n.root && d.Number <= n.total || d.Sums.Age < 0 || len(d.Sums.Words) > mostWords {
+	if from != n.parent || d.Root == n.root && d.Number <= n.total || d.Sums.Age < 0 || len(d.Sums.Reports) > maxReports {
 		return nil, nil
 	}
 	n.root, n.total = d.Root, d.Number
-	own, counts := map[string]Word{}, map[string]uint64{}
+	own, counts := map[string]Report{}, map[string]uint64{}
 	for len(n.unsure) > 0 && n.unsure[0].number <= d.Counted {
 		f := n.unsure[0]
 		n.unsure = n.unsure[1:]
 		d.Sums.Age = max(d.Sums.Age, now-f.at)
 		for id, w := range f.own {
 			was := own[id]
-			own[id] = Word{id, was.Tries + w.Tries, was.Voided + w.Voided, was.Spent + w.Spent}
+			own[id] = Report{id, was.Tries + w.Tries, was.Failed + w.Failed, was.Spent + w.Spent}
 		}
 		for name, last := range f.counts {
 			counts[name] = last
@@ -356,12 +357,12 @@
 		on[name] = Down{Root: d.Root, Number: d.Number, Counted: counts[name], Sums: d.Sums}
 	}
 	others = &Sums{Age: d.Sums.Age, Origins: d.Sums.Origins, Uses: addUses(d.Sums.Uses, n.uses, -1)}
-	for _, w := range d.Sums.Words {
+	for _, w := range d.Sums.Reports {
 		o := own[w.Backend]
-		w.Tries, w.Voided, w.Spent = w.Tries-o.Tries, w.Voided-o.Voided, w.Spent-o.Spent
-		if w.Voided = max(w.Voided, 0); w.Tries > 1e-6 {
-			if w, ok := sound(Word{w.Backend, w.Tries, w.Voided, max(w.Spent, 0)}); ok {
-				others.Words = append(others.Words, w)
+		w.Tries, w.Failed, w.Spent = w.Tries-o.Tries, w.Failed-o.Failed, w.Spent-o.Spent
+		if w.Failed = max(w.Failed, 0); w.Tries > 1e-6 {
+			if w, ok := sound(Report{w.Backend, w.Tries, w.Failed, max(w.Spent, 0)}); ok {
+				others.Reports = append(others.Reports, w)
 			}
 		}
 	}
--- a/internal/controller/aggregation/told_test.go
+++ b/internal/controller/aggregation/told_test.go
@@ -56,8 +56,8 @@
 		n := f.nodes[name]
 		up, total, on := n.Turn(f.now)
 		if up != nil && (f.lose == nil || !f.lose(name, n.Parent())) {
-			f.nodes[n.Parent()].Hear(name, *up, f.now)
-			if f.nodes[n.Parent()].Hear(name, *up, f.now) {
+			f.nodes[n.Parent()].Handle(name, *up, f.now)
+			if f.nodes[n.Parent()].Handle(name, *up, f.now) {
 				panic("a word was taken twice")
 			}
 		}
@@ -69,7 +69,7 @@
 	if total == nil {
 		return
 	}
-	for _, w := range total.Words {
+	for _, w := range total.Reports {
 		f.heard[name][w.Backend] += w.Tries
 	}
 	f.age = max(f.age, total.Age)
@@ -95,7 +95,7 @@
 		for range 6 {
 			for _, name := range f.names {
 				id, tries := fmt.Sprint("s-", chance.IntN(5)), float64(1+chance.IntN(4))
-				f.nodes[name].Met(Word{Backend: id, Tries: tries, Spent: 40 * tries}, f.now)
+				f.nodes[name].Met(Report{Backend: id, Tries: tries, Spent: 40 * tries}, f.now)
 				if own[name] == nil {
 					own[name] = map[string]float64{}
 				}
@@ -127,7 +127,7 @@
 		met := 0.0
 		meets := func() {
 			for _, name := range f.names {
-				f.nodes[name].Met(Word{Backend: "s", Tries: 1}, f.now)
+				f.nodes[name].Met(Report{Backend: "s", Tries: 1}, f.now)
 				met++
 			}
 		}
@@ -180,12 +180,12 @@
 		}
 	}
 	for _, name := range f.names {
-		f.nodes[name].Met(Word{Backend: "s", Tries: 10, Spent: 400}, f.now)
+		f.nodes[name].Met(Report{Backend: "s", Tries: 10, Spent: 400}, f.now)
 	}
-	f.nodes[liar].Met(Word{Backend: "s", Tries: 1e8, Voided: 2e8, Spent: -1}, f.now)
-	f.nodes[liar].Met(Word{Backend: "s", Tries: 1e8, Voided: 2e8, Spent: 1e12}, f.now)
-	f.nodes[liar].Met(Word{Backend: "", Tries: 5}, f.now)
-	f.nodes[liar].Met(Word{Backend: "s", Tries: math.NaN()}, f.now)
+	f.nodes[liar].Met(Report{Backend: "s", Tries: 1e8, Failed: 2e8, Spent: -1}, f.now)
+	f.nodes[liar].Met(Report{Backend: "s", Tries: 1e8, Failed: 2e8, Spent: 1e12}, f.now)
+	f.nodes[liar].Met(Report{Backend: "", Tries: 5}, f.now)
+	f.nodes[liar].Met(Report{Backend: "s", Tries: math.NaN()}, f.now)
 	f.wave()
 	for _, name := range f.names {
 		if name != liar && f.heard[name]["s"] > 230+mostPart*10*3 {
@@ -196,7 +196,7 @@
 	f.members()
 	before := f.heard["n3"]["s"]
 	for _, name := range f.names {
-		f.nodes[name].Met(Word{Backend: "s", Tries: 1}, f.now)
+		f.nodes[name].Met(Report{Backend: "s", Tries: 1}, f.now)
 	}
 	f.wave()
 	if got := f.heard["n3"]["s"] - before; got != 11 {
--- a/internal/controller/command/member.go
+++ b/internal/controller/command/member.go
@@ -80,7 +80,7 @@
 		life := make([]byte, 8)
 		_, _ = rand.Read(life)
 		if p.jobs, err = jobs.Open(
-			jobs.Plan{Path: j.Path, Count: j.Count, Judge: p.judge, Life: hex.EncodeToString(life)},
+			jobs.Plan{Path: j.Path, Count: j.Count, Judge: p.allowEdit, Life: hex.EncodeToString(life)},
 			all,
 			p.streams,
 			log,
@@ -91,8 +91,8 @@
 	return p, nil
 }
 
-// judge says whether the decisions permit what an edit asks for: a product goes to its zones only.
-func (p *fleet) judge(e jobs.Edit, v jobs.View) error {
+// allowEdit says whether the decisions permit what an edit asks for: a product goes to its zones only.
+func (p *fleet) allowEdit(e jobs.Edit, v jobs.View) error {
 	product, places := v.Job.Product, e.Places
 	if e.Job != nil {
 		product, places = e.Job.Product, e.Job.Places
@@ -123,7 +123,7 @@
 	DoJobSums = "jobs sizes"
 )
 
-const editWithin = 4 * time.Second
+const editTimeout = 4 * time.Second
 
 // More answers requests of operators and of sources that are about jobs.
 func (p *fleet) More(r controller.Request) (body json.RawMessage, ok bool, err error) {
@@ -138,7 +138,7 @@
 		if err := strict(r.Body, &e); err != nil {
 			return nil, true, err
 		}
-		ctx, stop := context.WithTimeout(context.Background(), editWithin)
+		ctx, stop := context.WithTimeout(context.Background(), editTimeout)
 		defer stop()
 		if e, err = p.jobs.Do(ctx, e); err != nil {
 			return nil, true, err
@@ -183,13 +183,13 @@
 		case s := <-totals:
 			if !heard {
 				log.WithFields(
-					logrus.Fields{"instances": s.Origins, "backends": len(s.Words), "age": s.Age.Round(time.Millisecond)},
+					logrus.Fields{"instances": s.Origins, "backends": len(s.Reports), "age": s.Age.Round(time.Millisecond)},
 				).Info(
 					"sums of the fleet are heard",
 				)
 			}
 			heard = true
-			hear(eventloop.Command{Message: toldOf(s)})
+			hear(eventloop.Command{Message: remoteSumsOf(s)})
 		case <-time.After(unheard):
 			if heard {
 				log.WithField("after", unheard).Warn("no sums of the fleet are heard: what is seen here decides")
@@ -199,12 +199,12 @@
 	}
 }
 
-// toldOf is a total as the desk takes it.
-func toldOf(s aggregation.Sums) eventloop.RemoteSums {
+// remoteSumsOf is a total as the desk takes it.
+func remoteSumsOf(s aggregation.Sums) eventloop.RemoteSums {
 	said := eventloop.RemoteSums{Age: policy.Time(s.Age * time.Duration(policy.Second) / time.Second)}
-	for _, w := range s.Words {
-		h := textproto.BackendReport{Backend: w.Backend, Attempts: w.Tries, Failed: w.Voided}
-		if good := w.Tries - w.Voided; good > 0 {
+	for _, w := range s.Reports {
+		h := textproto.BackendReport{Backend: w.Backend, Attempts: w.Tries, Failed: w.Failed}
+		if good := w.Tries - w.Failed; good > 0 {
 			h.Latency = policy.Time(w.Spent / good * float64(policy.Second) / 1000)
 		}
 		said.Reports = append(said.Reports, h)
--- a/internal/controller/command/memory.go
+++ b/internal/controller/command/memory.go
@@ -28,24 +28,24 @@
 	usualGrace = 10 * time.Minute
 	healthy    = 30 * time.Second // that a program must run not to be in a crash loop
 	seenKey    = ""               // no backend has an empty id
-	figureFor  = time.Minute      // a figure is worth nothing after that
+	figureTTL  = time.Minute      // a figure is worth nothing after that
 )
 
 // memory keeps the list in a store, and tells it to peers.
 type memory struct {
-	name    string
-	store   *statestore.Store // nil: nothing is kept
-	now     func() time.Time
-	began   time.Time
-	known   reconcile.List
-	ok      bool
-	figures []warmstart.Believe // what else is believed
+	name      string
+	store     *statestore.Store // nil: nothing is kept
+	now       func() time.Time
+	began     time.Time
+	knownList reconcile.List
+	ok        bool
+	figures   []warmstart.Believe // what else is believed
 
 	mu       sync.Mutex
-	recall   *warmstart.Session
+	session  *warmstart.Session
 	listed   map[string]reconcile.Member
 	revision int64
-	holds    bool             // the source answers
+	holdings bool             // the source answers
 	seen     time.Time        // ... when it did last; zero: not yet
 	learnt   map[learnt]known // of the decisions
 }
@@ -81,13 +81,13 @@
 			log.WithFields(logrus.Fields{"peer": a.Source, "facts": a.Facts, "error": a.Err}).Info("a peer was asked")
 		}
 	}
-	m.recall, m.began = warmstart.New(plan), began
+	m.session, m.began = warmstart.New(plan), began
 	var refused []warmstart.Refuse
-	m.known, refused, m.ok = m.believe(events)
+	m.knownList, refused, m.ok = m.believe(events)
 	for _, r := range refused {
 		log.WithFields(logrus.Fields{"source": r.Source, "reason": r.Reason, "count": r.Count}).Warn("facts are refused")
 	}
-	for _, x := range m.known.Members {
+	for _, x := range m.knownList.Members {
 		m.listed[x.ID] = x
 	}
 	if p := f.Peers; p != nil && p.Listen != "" {
@@ -107,11 +107,11 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.seen.IsZero() {
-		m.recall.Step(m.now().Sub(m.began), nil)
-		return m.recall.Facts()
+		m.session.Step(m.now().Sub(m.began), nil)
+		return m.session.Facts()
 	}
 	age := time.Duration(0)
-	if !m.holds {
+	if !m.holdings {
 		age = m.now().Sub(m.seen)
 	}
 	for _, id := range slices.Sorted(maps.Keys(m.listed)) {
@@ -169,7 +169,7 @@
 // believe is the list that what was offered gives.
 func (m *memory) believe(events []warmstart.Event) (l reconcile.List, refused []warmstart.Refuse, ok bool) {
 	l.Whole = true
-	for _, o := range m.recall.Step(m.now().Sub(m.began), events) {
+	for _, o := range m.session.Step(m.now().Sub(m.began), events) {
 		switch o := o.(type) {
 		case warmstart.Refuse:
 			refused = append(refused, o)
@@ -192,7 +192,7 @@
 }
 
 // Known is what the store held at the start.
-func (m *memory) Known() (reconcile.List, bool) { return m.known, m.ok }
+func (m *memory) Known() (reconcile.List, bool) { return m.knownList, m.ok }
 
 // Keep hands on what has changed.
 func (m *memory) Keep(said any) {
@@ -200,13 +200,13 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !ok {
-		if m.holds {
+		if m.holdings {
 			m.seen = m.now()
 		}
-		m.holds = false
+		m.holdings = false
 		return
 	}
-	m.holds = true
+	m.holdings = true
 	m.revision, m.seen = l.Revision, m.now()
 	at := m.now().UnixMilli()
 	var records []statestore.Record
@@ -278,7 +278,7 @@
 		)
 	}
 	for at, k := range m.learnt { // proxies and backends come and go for ever
-		if now.Sub(k.at) > figureFor {
+		if now.Sub(k.at) > figureTTL {
 			delete(m.learnt, at)
 		}
 	}
@@ -292,7 +292,7 @@
 	began := m.now()
 	for settled := false; ; time.Sleep(seenEvery) {
 		m.mu.Lock()
-		holds := m.holds
+		holds := m.holdings
 		m.mu.Unlock()
 		if holds {
 			m.store.Put(statestore.Record{Kind: warmstart.Backend, Key: seenKey, At: m.now().UnixMilli()})
--- a/internal/controller/command/memory_test.go
+++ b/internal/controller/command/memory_test.go
@@ -108,12 +108,12 @@
 	}
 	// No goroutine of its own runs beside it: its clock is the test's.
 	m := &memory{
-		name:   "n3",
-		store:  s,
-		now:    func() time.Time { return now },
-		listed: map[string]reconcile.Member{},
-		learnt: map[learnt]known{},
-		recall: warmstart.New(warmstart.Plan{Grace: 10 * time.Minute, Half: 10 * time.Second, Most: 1000}),
+		name:    "n3",
+		store:   s,
+		now:     func() time.Time { return now },
+		listed:  map[string]reconcile.Member{},
+		learnt:  map[learnt]known{},
+		session: warmstart.New(warmstart.Plan{Grace: 10 * time.Minute, Half: 10 * time.Second, Most: 1000}),
 	}
 	m.Keep(
 		reconcile.List{
@@ -126,7 +126,7 @@
 		[]warmstart.Fact{
 			{Kind: warmstart.Use, Key: "4/look", Value: 12, Age: 3 * time.Second},
 			{Kind: warmstart.Relief, Key: "s-1", Value: 0.4},
-			{Kind: warmstart.Pace, Value: 5},
+			{Kind: warmstart.Throughput, Value: 5},
 		},
 	)
 	now = now.Add(2 * time.Second)
@@ -149,10 +149,10 @@
 		t.Fatal(err)
 	}
 	again := memory{
-		name:   "n3",
-		now:    func() time.Time { return now },
-		began:  now,
-		recall: warmstart.New(warmstart.Plan{Grace: 10 * time.Minute, Half: 10 * time.Second, Most: 1000}),
+		name:    "n3",
+		now:     func() time.Time { return now },
+		began:   now,
+		session: warmstart.New(warmstart.Plan{Grace: 10 * time.Minute, Half: 10 * time.Second, Most: 1000}),
 	}
 	l, refused, ok := again.believe(
 		[]warmstart.Event{warmstart.Offered{Source: "store", Facts: facts(records, "n3", now)}},
@@ -167,12 +167,12 @@
 		got[warmstart.Relief].Part > 0.9 {
 		t.Errorf("believed %v, refused %v, list %v", got, refused, l)
 	}
-	now = now.Add(2 * figureFor)
+	now = now.Add(2 * figureTTL)
 	for i := range 1000 { // ids without end
 		now = now.Add(time.Second)
 		m.Learn([]warmstart.Fact{{Kind: warmstart.Relief, Key: fmt.Sprint("s-", i), Value: 0.5}})
 	}
-	if n := len(m.learnt); n > int(figureFor/time.Second)+1 {
+	if n := len(m.learnt); n > int(figureTTL/time.Second)+1 {
 		t.Errorf("%d figures are held", n)
 	}
 }
@@ -200,7 +200,7 @@
 	believed := func(at time.Time) (reconcile.List, []warmstart.Refuse, bool) {
 		plan := warmstart.Usual()
 		plan.Grace = time.Minute
-		m := &memory{now: func() time.Time { return at }, began: at, recall: warmstart.New(plan)}
+		m := &memory{now: func() time.Time { return at }, began: at, session: warmstart.New(plan)}
 		return m.believe([]warmstart.Event{warmstart.Offered{Source: "store", Facts: facts(records, "n1", at)}})
 	}
 	l, refused, ok := believed(seen.Add(59 * time.Second))
@@ -275,11 +275,11 @@
 func TestHearsay(t *testing.T) {
 	at := time.UnixMilli(1_000_000_000)
 	m := &memory{
-		name:   "n1",
-		now:    func() time.Time { return at },
-		began:  at,
-		recall: warmstart.New(warmstart.Usual()),
-		listed: map[string]reconcile.Member{},
+		name:    "n1",
+		now:     func() time.Time { return at },
+		began:   at,
+		session: warmstart.New(warmstart.Usual()),
+		listed:  map[string]reconcile.Member{},
 	}
 	note := `{"id":"s-1","locality":"a","phase":"SERVING"}`
 	m.believe(
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -41,9 +41,9 @@
 )
 
 const (
-	askWithin   = 5 * time.Second
-	longestAsk  = 64 << 10
-	controlMode = 0o600
+	askTimeout      = 5 * time.Second
+	maxRequestBytes = 64 << 10
+	controlMode     = 0o600
 )
 
 // control answers operators at a socket of this machine until it is closed. It reaches the desk by the queue.
@@ -91,11 +91,11 @@
 // answer takes requests, a line each, until the connection ends or is silent.
 func (c *control) answer(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	for in := bufio.NewReaderSize(conn, longestAsk); ; {
-		_ = conn.SetDeadline(time.Now().Add(askWithin))
+	for in := bufio.NewReaderSize(conn, maxRequestBytes); ; {
+		_ = conn.SetDeadline(time.Now().Add(askTimeout))
 		line, err := in.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			_ = json.NewEncoder(conn).Encode(Reply{Error: fmt.Sprintf("a request has %d bytes at most", longestAsk)})
+			_ = json.NewEncoder(conn).Encode(Reply{Error: fmt.Sprintf("a request has %d bytes at most", maxRequestBytes)})
 		}
 		if err != nil {
 			return
@@ -165,7 +165,7 @@
 	select {
 	case answer = <-to:
 		return answer, nil
-	case <-time.After(askWithin):
+	case <-time.After(askTimeout):
 		return answer, errors.New("the controller is busy")
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -174,7 +174,7 @@
 		if memory != nil {
 			memory.Learn(facts)
 		}
-		if served := c.lists.onlook.Load(); served != nil {
+		if served := c.lists.channel.Load(); served != nil {
 			(*served).Look(facts)
 		}
 	})
@@ -225,7 +225,7 @@
 		return err
 	}
 	served.Tell(list)
-	c.lists.onlook.Store(&served)
+	c.lists.channel.Store(&served)
 	c.log.WithField("channel", served.Addr()).Info("the channel is served")
 	return nil
 }
--- a/internal/controller/discovery/consul/consul.go
+++ b/internal/controller/discovery/consul/consul.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	mostAnswer = 128 << 20 // bytes
-	dialWithin = 1500 * time.Millisecond
-	wait       = time.Second            // that a read blocks: silence is noticed after that
-	grace      = 800 * time.Millisecond // more: Consul adds a sixteenth by chance
+	mostAnswer  = 128 << 20 // bytes
+	dialTimeout = 1500 * time.Millisecond
+	wait        = time.Second            // that a read blocks: silence is noticed after that
+	grace       = 800 * time.Millisecond // more: Consul adds a sixteenth by chance
 )
 
 // Source asks a cluster. Use New.
@@ -36,11 +36,11 @@
 	access    discovery.Access
 	answer    time.Duration
 
-	mu     sync.Mutex
-	client *fasthttp.HostClient
-	at     int  // endpoint of client
-	heard  bool // it has answered
-	token  string
+	mu       sync.Mutex
+	client   *fasthttp.HostClient
+	at       int  // endpoint of client
+	answered bool // it has answered
+	token    string
 }
 
 // New makes a Source of the keys under a prefix; endpoints are HOST:PORT. answer is what a read of the whole
@@ -74,7 +74,7 @@
 	}
 	s.leave()
 	addr := s.endpoints[endpoint]
-	dialer := net.Dialer{Timeout: dialWithin} // fasthttp's own keeps a goroutine for good
+	dialer := net.Dialer{Timeout: dialTimeout} // fasthttp's own keeps a goroutine for good
 	c := &fasthttp.HostClient{Addr: addr, MaxConns: 4, MaxResponseBodySize: mostAnswer, MaxIdemponentCallAttempts: 1,
 		NoDefaultUserAgentHeader: true,
 		Dial:                     func(addr string) (net.Conn, error) { return dialer.Dial("tcp", addr) }}
@@ -86,7 +86,7 @@
 		}
 		c.IsTLS, c.TLSConfig = true, conf
 	}
-	s.client, s.at, s.heard = c, endpoint, false
+	s.client, s.at, s.answered = c, endpoint, false
 	return c, nil
 }
 
@@ -196,10 +196,10 @@
 	}
 	req.SetBody(body)
 	if err := c.DoTimeout(req, resp, within); err != nil {
-		return 0, s.shut(c, err)
+		return 0, s.explainRefusal(c, err)
 	}
 	s.mu.Lock()
-	s.heard = true
+	s.answered = true
 	s.mu.Unlock()
 	code := resp.StatusCode()
 	if code != fasthttp.StatusOK && code != fasthttp.StatusNotFound {
@@ -222,14 +222,14 @@
 	return index, nil
 }
 
-// shut tells a connection that ends right after the TLS handshake, before any answer, from one that broke: a
+// explainRefusal tells a connection that ends right after the TLS handshake, before any answer, from one that broke: a
 // server that refuses our certificate says so then, in a message that the reset often overtakes.
-func (s *Source) shut(c *fasthttp.HostClient, err error) error {
+func (s *Source) explainRefusal(c *fasthttp.HostClient, err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var op *net.OpError
 	early := errors.Is(err, fasthttp.ErrConnectionClosed) || errors.As(err, &op) && op.Op != "dial"
-	if c.IsTLS && !s.heard && early {
+	if c.IsTLS && !s.answered && early {
 		return &failure{
 			reconcile.Certificate,
 			"closed after the handshake, as by one that refuses our certificate: " + err.Error(),
--- a/internal/controller/discovery/etcd/etcd.go
+++ b/internal/controller/discovery/etcd/etcd.go
@@ -30,9 +30,9 @@
 )
 
 const (
-	mostAnswer = 32 << 20 // bytes
-	dialWithin = 1500 * time.Millisecond
-	readBuffer = 16 << 10
+	mostAnswer  = 32 << 20 // bytes
+	dialTimeout = 1500 * time.Millisecond
+	readBuffer  = 16 << 10
 )
 
 // Source asks a cluster. Use New.
@@ -102,7 +102,7 @@
 		conf.NextProtos = []string{"h2"}
 		creds = credentials.NewTLS(conf)
 	}
-	dialer := net.Dialer{Timeout: dialWithin}
+	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(creds),
 		grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", addr)
@@ -159,9 +159,9 @@
 	}
 }
 
-// shut tells a connection that ends right after the TLS handshake from one that broke: a server that refuses
+// explainRefusal tells a connection that ends right after the TLS handshake from one that broke: a server that refuses
 // our certificate says so then, in a message that the reset often overtakes.
-func (s *Source) shut(err error) error {
+func (s *Source) explainRefusal(err error) error {
 	if s.access.TLS != nil && strings.Contains(err.Error(), "error reading server preface") {
 		return &refusal{reconcile.Certificate, plain(err)}
 	}
@@ -248,7 +248,7 @@
 	if err == nil || ctx.Err() != nil {
 		return
 	}
-	err = s.shut(err)
+	err = s.explainRefusal(err)
 	reason := why(err)
 	if reason == reconcile.Token {
 		s.forget()
--- a/internal/controller/discovery/registry.go
+++ b/internal/controller/discovery/registry.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	wait       = 400 * time.Millisecond // that discovery may take to answer a watch
-	grace      = 500 * time.Millisecond // more, after which the network is taken to be silent
-	dialWithin = 250 * time.Millisecond
-	pause      = 50 * time.Millisecond // after a failure, or an answer at once with nothing; 200 ms end a watch
-	mostBytes  = 16 << 20
-	path       = "/registry/instances"
+	wait        = 400 * time.Millisecond // that discovery may take to answer a watch
+	grace       = 500 * time.Millisecond // more, after which the network is taken to be silent
+	dialTimeout = 250 * time.Millisecond
+	pause       = 50 * time.Millisecond // after a failure, or an answer at once with nothing; 200 ms end a watch
+	mostBytes   = 16 << 20
+	path        = "/registry/instances"
 )
 
 // Registry asks one discovery.
 type Registry struct {
-	client   *fasthttp.HostClient
-	revision int64
-	known    bool // a revision that a watch can go on from
-	tell     func(any)
-	orders   chan order
-	moves    chan string // the address to go on at
-	log      *logrus.Entry
-	down     bool
-	stop     chan struct{}
+	client    *fasthttp.HostClient
+	revision  int64
+	knownList bool // a revision that a watch can go on from
+	tell      func(any)
+	orders    chan order
+	moves     chan string // the address to go on at
+	log       *logrus.Entry
+	down      bool
+	stop      chan struct{}
 
 	wait, grace time.Duration
 }
@@ -53,7 +53,7 @@
 }
 
 func clientFor(addr string) *fasthttp.HostClient {
-	dialer := net.Dialer{Timeout: dialWithin} // fasthttp's own keeps a goroutine for good, one for each move
+	dialer := net.Dialer{Timeout: dialTimeout} // fasthttp's own keeps a goroutine for good, one for each move
 	return &fasthttp.HostClient{
 		Addr: addr, MaxConns: 2, MaxResponseBodySize: mostBytes, MaxIdemponentCallAttempts: 1,
 		Dial: func(addr string) (net.Conn, error) { return dialer.Dial("tcp", addr) },
@@ -62,7 +62,7 @@
 
 // From says which revision is known already.
 func (r *Registry) From(l reconcile.List) {
-	r.revision, r.known = l.Revision, l.Whole
+	r.revision, r.knownList = l.Revision, l.Whole
 }
 
 // Follow asks for changes from now on, or no longer.
@@ -97,7 +97,7 @@
 func (r *Registry) move(addr string) {
 	r.log.WithFields(logrus.Fields{"from": r.client.Addr, "to": addr}).Info("discovery has moved")
 	r.client.CloseIdleConnections()
-	r.client, r.known, r.down = clientFor(addr), false, false
+	r.client, r.knownList, r.down = clientFor(addr), false, false
 }
 
 // send never makes the caller wait: orders beyond what may be waiting say nothing new.
@@ -120,7 +120,7 @@
 			case follow, unfollow:
 				following = o == follow
 			case reload:
-				r.known = false
+				r.knownList = false
 				if !following {
 					r.ask()
 				}
@@ -153,7 +153,7 @@
 // ask makes one call: a watch after a known revision, else for the whole list.
 func (r *Registry) ask() bool {
 	query, within := "", r.grace
-	if r.known {
+	if r.knownList {
 		query = fmt.Sprintf("?after=%d&wait_ms=%d", r.revision, r.wait.Milliseconds())
 		within += r.wait
 	}
@@ -161,10 +161,10 @@
 	if errors.Is(err, errMoved) {
 		return true
 	}
-	if err == nil && !l.Whole && (!r.known || l.Revision < r.revision) {
+	if err == nil && !l.Whole && (!r.knownList || l.Revision < r.revision) {
 		// A revision that goes back is another list's: the changes say nothing of ours.
 		err = fmt.Errorf("changes up to revision %d after %d", l.Revision, r.revision)
-		r.known = false
+		r.knownList = false
 	}
 	if err != nil {
 		if !r.down {
@@ -178,8 +178,8 @@
 		r.log.WithField("revision", l.Revision).Info("discovery answers again")
 	}
 	r.down = false
-	moved := l.Revision != r.revision || !r.known
-	r.revision, r.known = l.Revision, true
+	moved := l.Revision != r.revision || !r.knownList
+	r.revision, r.knownList = l.Revision, true
 	if l.Whole || moved || len(l.Members) > 0 {
 		r.tell(l)
 	}
--- a/internal/controller/discovery/watch/follow.go
+++ b/internal/controller/discovery/watch/follow.go
@@ -23,22 +23,22 @@
 
 // Follower follows one registry.
 type Follower struct {
-	roster *reconcile.Reconciler
-	source Source
-	names  []string // of the endpoints, for the log
-	tell   func(any)
-	seen   func(reconcile.Order) // each order that people may want to see; nil: nobody
-	log    *logrus.Entry
-	said   chan reconcile.Event
-	stop   context.Context
-	end    context.CancelFunc
-	work   sync.WaitGroup
+	reconciler *reconcile.Reconciler
+	source     Source
+	names      []string // of the endpoints, for the log
+	tell       func(any)
+	seen       func(reconcile.Order) // each order that people may want to see; nil: nobody
+	log        *logrus.Entry
+	events     chan reconcile.Event
+	stop       context.Context
+	end        context.CancelFunc
+	work       sync.WaitGroup
 }
 
 // New makes a Follower. tell is given each reconcile.List and each reconcile.Failed, from Run's goroutine.
 func New(plan reconcile.Plan, source Source, names []string, tell func(any), log *logrus.Entry) *Follower {
-	f := &Follower{roster: reconcile.New(plan), source: source, names: names, tell: tell, log: log,
-		said: make(chan reconcile.Event, 64)}
+	f := &Follower{reconciler: reconcile.New(plan), source: source, names: names, tell: tell, log: log,
+		events: make(chan reconcile.Event, 64)}
 	f.stop, f.end = context.WithCancel(context.Background())
 	return f
 }
@@ -52,7 +52,7 @@
 // Reload asks for the whole list once.
 func (f *Follower) Reload() {
 	select {
-	case f.said <- reconcile.Wanted{}:
+	case f.events <- reconcile.Wanted{}:
 	case <-f.stop.Done():
 	default: // what waits there is news already
 	}
@@ -89,14 +89,14 @@
 		select {
 		case <-f.stop.Done():
 			return
-		case e := <-f.said:
+		case e := <-f.events:
 			events = append(events, e)
 		case <-due.C:
 		}
-		for n := len(f.said); n > 0; n-- {
-			events = append(events, <-f.said)
+		for n := len(f.events); n > 0; n-- {
+			events = append(events, <-f.events)
 		}
-		for _, o := range f.roster.Step(time.Since(began), events) {
+		for _, o := range f.reconciler.Step(time.Since(began), events) {
 			switch o := o.(type) {
 			case reconcile.Tell:
 				f.see(o)
@@ -119,7 +119,7 @@
 				f.do(begin(o.Try), o)
 			}
 		}
-		due.Reset(f.roster.Next() - time.Since(began))
+		due.Reset(f.reconciler.Next() - time.Since(began))
 	}
 }
 
@@ -135,7 +135,7 @@
 		defer f.work.Done()
 		f.source.Do(ctx, o, func(e reconcile.Event) {
 			select {
-			case f.said <- e:
+			case f.events <- e:
 			case <-ctx.Done():
 			}
 		})
--- a/internal/controller/eventloop/snapshot.go
+++ b/internal/controller/eventloop/snapshot.go
@@ -20,8 +20,13 @@
 // SetFactSink hands on what is worth keeping from now on.
 func (d *Loop) SetFactSink(keep FactSink) { d.factSink = keep }
 
-var figures = map[policy.Figure]warmstart.Kind{policy.FigureUse: warmstart.Use, policy.FigureDerating: warmstart.Relief,
-	policy.FigureTotalLimit: warmstart.Total, policy.FigureKnee: warmstart.Knee, policy.FigureThroughput: warmstart.Pace}
+var figures = map[policy.Figure]warmstart.Kind{
+	policy.FigureUse:        warmstart.Use,
+	policy.FigureDerating:   warmstart.Relief,
+	policy.FigureTotalLimit: warmstart.Total,
+	policy.FigureKnee:       warmstart.Knee,
+	policy.FigureThroughput: warmstart.Throughput,
+}
 
 // snapshot tells the keeper what has its turn, under names that hold at every controller.
 func (d *Loop) snapshot() {
@@ -82,7 +87,7 @@
 		r.Figure = policy.FigureTotalLimit
 	case warmstart.Knee:
 		r.Figure = policy.FigureKnee
-	case warmstart.Pace:
+	case warmstart.Throughput:
 		r.Figure = policy.FigureThroughput
 	default: // lists and withdrawals are settled elsewhere
 		return nil
--- a/internal/controller/eventloop/snapshot_test.go
+++ b/internal/controller/eventloop/snapshot_test.go
@@ -69,7 +69,9 @@
 	}, {Fact: warmstart.Fact{Kind: warmstart.Use, Key: "7/look"}},
 		{
 			Fact: warmstart.Fact{Kind: warmstart.Use, Key: "0/none"},
-		}, {Fact: warmstart.Fact{Kind: warmstart.Use, Key: "x"}}, {Fact: warmstart.Fact{Kind: warmstart.Shut, Key: "s-0"}}} {
+		},
+		{Fact: warmstart.Fact{Kind: warmstart.Use, Key: "x"}},
+		{Fact: warmstart.Fact{Kind: warmstart.Withdrawal, Key: "s-0"}}} {
 		before := len(next.events)
 		if _ = next.onRestored(odd); len(next.events) != before {
 			t.Errorf("%v counts", odd)
--- a/internal/controller/jobs/jobs.go
+++ b/internal/controller/jobs/jobs.go
@@ -55,12 +55,12 @@
 	Seen       Kind = "seen" // an operator has seen the edits named, which lost
 	Late       Kind = "late"
 	Dispatched Kind = "dispatched"
-	InDoubt    Kind = "in doubt"
+	Uncertain  Kind = "in doubt"
 	Voided     Kind = "voided"
-	Settled    Kind = "settled"
+	Resolved   Kind = "settled"
 )
 
-var effects = []Kind{Dispatched, InDoubt, Voided, Settled} // a later one tells more
+var effects = []Kind{Dispatched, Uncertain, Voided, Resolved} // a later one tells more
 
 var kinds = append([]Kind{Announce, Arrive, Hold, Release, Withdraw, Place, Expire, Prioritise, Seen, Late}, effects...)
 
@@ -134,16 +134,16 @@
 	IsHeld       State = "held"
 	IsWithdrawn  State = "withdrawn"
 	IsDispatched State = "dispatched"
-	IsInDoubt    State = "in doubt"
+	IsUncertain  State = "in doubt"
 	IsVoided     State = "voided"
-	IsSettled    State = "settled"
+	IsResolved   State = "settled"
 	IsLate       State = "late"
 	IsUnknown    State = "unknown" // edits of a job that nobody announced here
 )
 
 // Ended says whether nothing more can come of a job.
 func (s State) Ended() bool {
-	return s == IsWithdrawn || s == IsVoided || s == IsSettled || s == IsUnknown // all have forgotten it
+	return s == IsWithdrawn || s == IsVoided || s == IsResolved || s == IsUnknown // all have forgotten it
 }
 
 // Lost is an edit that did not get its way, with the number of the rule that settled it.
@@ -269,8 +269,8 @@
 // caution ranks what is to be done with a job, the safest first.
 var caution = map[Kind]int{Withdraw: 0, Hold: 1, Release: 2}
 
-// Settle reads the one answer out of a set of edits of one job.
-func Settle(id ID, edits []*Edit) View {
+// Resolve reads the one answer out of a set of edits of one job.
+func Resolve(id ID, edits []*Edit) View {
 	v := View{ID: id, State: IsUnknown}
 	v.announce(edits)
 	v.place(standing(edits, Place))
@@ -284,7 +284,7 @@
 		v.Priority = e.Priority
 	}
 	wishes := standing(edits, Hold, Release, Withdraw)
-	v.applyWish(edits, wishes)
+	v.applyIntent(edits, wishes)
 	v.effect(edits, wishes)
 	v.dropForgotten(edits)
 	v.dropSeen(edits)
@@ -309,8 +309,8 @@
 	}
 }
 
-// applyWish applies the most cautious of those who hold, release or withdraw the job.
-func (v *View) applyWish(edits, wishes []*Edit) {
+// applyIntent applies the most cautious of those who hold, release or withdraw the job.
+func (v *View) applyIntent(edits, wishes []*Edit) {
 	late := slices.ContainsFunc(edits, func(o *Edit) bool { return o.Kind == Late })
 	wish := v.winner(wishes, func(a, b *Edit) int { return cmp.Compare(caution[a.Kind], caution[b.Kind]) })
 	switch {
@@ -416,7 +416,12 @@
 		}
 	}
 	v.Why = ""
-	v.State = map[Kind]State{Dispatched: IsDispatched, InDoubt: IsInDoubt, Voided: IsVoided, Settled: IsSettled}[best.Kind]
+	v.State = map[Kind]State{
+		Dispatched: IsDispatched,
+		Uncertain:  IsUncertain,
+		Voided:     IsVoided,
+		Resolved:   IsResolved,
+	}[best.Kind]
 }
 
 // Check says what is wrong with an edit that somebody asks for, in one line; nil where it can be taken.
--- a/internal/controller/jobs/jobs_test.go
+++ b/internal/controller/jobs/jobs_test.go
@@ -138,14 +138,14 @@
 				lost[e.Dot] = RuleEffect
 			}
 		}
-		state = []State{IsDispatched, IsInDoubt, IsVoided, IsSettled}[best]
+		state = []State{IsDispatched, IsUncertain, IsVoided, IsResolved}[best]
 	}
 	return state, lost, places
 }
 
 func (h *history) check(t *testing.T) {
 	state, lost, places := plain(h.all)
-	v := Settle(batch, h.all)
+	v := Resolve(batch, h.all)
 	got := map[Dot]int{}
 	for _, l := range v.Lost {
 		got[l.Dot] = l.Rule
@@ -169,7 +169,7 @@
 	}
 	turned := slices.Clone(h.all)
 	slices.Reverse(turned)
-	if o := Settle(batch, append(turned[len(turned)/2:], turned[:len(turned)/2]...)); !reflect.DeepEqual(o, v) {
+	if o := Resolve(batch, append(turned[len(turned)/2:], turned[:len(turned)/2]...)); !reflect.DeepEqual(o, v) {
 		t.Fatalf("another order of the same edits gives %+v, not %+v", o, v)
 	}
 }
@@ -306,7 +306,7 @@
 		by[made[i].ID] = append(by[made[i].ID], &made[i])
 	}
 	for id, edits := range by {
-		want := Settle(id, edits)
+		want := Resolve(id, edits)
 		if got, ok := f.r[0].View(
 			id,
 		); !ok && (!want.State.Ended() || len(want.Lost) != 0) ||
@@ -336,7 +336,7 @@
 		},
 		"its name is lost too": func(f *fleet) {
 			for _, r := range f.r {
-				delete(r.knows, "n1@1")
+				delete(r.versions, "n1@1")
 			}
 		},
 		"a merge that differs by order": func(f *fleet) { f.r[2].jobs[batch].view.State = IsArrived },
@@ -392,11 +392,11 @@
 				if v, ok := f.r[at].View(id); ok && len(v.Lost) > 0 {
 					e.Dots = []Dot{v.Lost[0].Dot}
 				}
-			case Withdraw, Settled, Voided:
+			case Withdraw, Resolved, Voided:
 				if chance.IntN(4) > 0 {
 					continue
 				}
-			case Hold, Release, Late, Dispatched, InDoubt: // have no more than their kind
+			case Hold, Release, Late, Dispatched, Uncertain: // have no more than their kind
 			}
 			if m, err := f.r[at].Make(e); err == nil {
 				f.r[at].Merge([]Edit{m}, nil)
@@ -462,7 +462,7 @@
 		old = append(old, *e)
 	}
 	f.make(t, 0, Edit{ID: batch, Kind: Hold, Operator: true})
-	f.make(t, 1, Edit{ID: other, Kind: Settled})
+	f.make(t, 1, Edit{ID: other, Kind: Resolved})
 	f.heal()
 	for _, r := range f.r {
 		r.Fold()
@@ -517,7 +517,7 @@
 	f.make(t, 0, Edit{ID: batch, Kind: Arrive, Job: job()})
 	f.heal()
 	f.make(t, 2, Edit{ID: batch, Kind: Hold})
-	f.make(t, 0, Edit{ID: batch, Kind: Settled})
+	f.make(t, 0, Edit{ID: batch, Kind: Resolved})
 	f.give(0, 1, 100)
 	f.give(1, 0, 100)
 	if gone := f.r[0].Fold(); gone != nil {
--- a/internal/controller/jobs/keep.go
+++ b/internal/controller/jobs/keep.go
@@ -14,40 +14,40 @@
 )
 
 var (
-	bucketEdits = []byte("edits") // by origin, a zero byte and the number
-	bucketKnows = []byte("knows") // by origin
-	bucketAbout = []byte("about")
+	bucketEdits    = []byte("edits") // by origin, a zero byte and the number
+	bucketVersions = []byte("knows") // by origin
+	bucketAbout    = []byte("about")
 )
 
 const keepVersion = "1"
 
-// Keep is the store of a replica: what is in it is on the disk.
-type Keep struct{ db *bbolt.DB }
+// Store is the store of a replica: what is in it is on the disk.
+type Store struct{ db *bbolt.DB }
 
-// Kept is what a store held at a start. Peers are the names of all that ever were there.
-type Kept struct {
-	Knows Versions
-	Edits []Edit
-	Peers []string
-	Aside string // where a store that could not be read went; empty: it could
+// StoredState is what a store held at a start. Peers are the names of all that ever were there.
+type StoredState struct {
+	Versions Versions
+	Edits    []Edit
+	Peers    []string
+	Aside    string // where a store that could not be read went; empty: it could
 }
 
 // OpenKeep opens a store, or makes one. One that cannot be read is set aside and begun anew: what was in it the others
 // know, but for what nobody had heard yet.
-func OpenKeep(path string) (k *Keep, held Kept, err error) {
+func OpenKeep(path string) (k *Store, held StoredState, err error) {
 	if k, held, err = openKeep(path); err == nil || errors.Is(err, bolterrors.ErrTimeout) {
 		return k, held, err
 	}
 	aside := path + ".aside-" + time.Now().UTC().Format("20060102T150405.000")
 	if e := os.Rename(path, aside); e != nil {
-		return nil, Kept{}, errors.Join(err, e)
+		return nil, StoredState{}, errors.Join(err, e)
 	}
 	k, held, err = openKeep(path)
 	held.Aside = aside
 	return k, held, err
 }
 
-func openKeep(path string) (k *Keep, held Kept, err error) {
+func openKeep(path string) (k *Store, held StoredState, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a torn page can send the library beyond its map
 	defer func() {
 		if broken := recover(); broken != nil {
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, held, err
 	}
-	held.Knows = Versions{}
+	held.Versions = Versions{}
 	err = db.Update(func(tx *bbolt.Tx) error {
 		if err := prepareKeep(tx, path); err != nil {
 			return err
@@ -70,14 +70,14 @@
 	})
 	if err != nil {
 		_ = db.Close()
-		return nil, Kept{}, err
+		return nil, StoredState{}, err
 	}
-	return &Keep{db}, held, nil
+	return &Store{db}, held, nil
 }
 
 // prepareKeep creates what a new file lacks, and refuses one of another version.
 func prepareKeep(tx *bbolt.Tx, path string) error {
-	for _, name := range [][]byte{bucketEdits, bucketKnows, bucketAbout} {
+	for _, name := range [][]byte{bucketEdits, bucketVersions, bucketAbout} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 			return err
 		}
@@ -90,17 +90,17 @@
 }
 
 // read reads all that a file has.
-func (held *Kept) read(tx *bbolt.Tx, path string) error {
+func (held *StoredState) read(tx *bbolt.Tx, path string) error {
 	if raw := tx.Bucket(bucketAbout).Get([]byte("peers")); raw != nil {
 		if err := cbor.Unmarshal(raw, &held.Peers); err != nil {
 			return fmt.Errorf("%s: who was there cannot be read: %w", path, err)
 		}
 	}
-	err := tx.Bucket(bucketKnows).ForEach(func(origin, n []byte) error {
+	err := tx.Bucket(bucketVersions).ForEach(func(origin, n []byte) error {
 		if len(n) != 8 {
 			return fmt.Errorf("%s: what is known of %q cannot be read", path, origin)
 		}
-		held.Knows[string(origin)] = binary.BigEndian.Uint64(n)
+		held.Versions[string(origin)] = binary.BigEndian.Uint64(n)
 		return nil
 	})
 	if err != nil {
@@ -118,7 +118,7 @@
 }
 
 // Put stores edits, what is known with them, and forgets others, all or nothing; it returns once it is on the disk.
-func (k *Keep) Put(edits []Edit, knows Versions, gone []Dot) error {
+func (k *Store) Put(edits []Edit, knows Versions, gone []Dot) error {
 	return k.db.Update(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucketEdits)
 		for _, e := range edits {
@@ -131,7 +131,7 @@
 				return err
 			}
 		}
-		b = tx.Bucket(bucketKnows)
+		b = tx.Bucket(bucketVersions)
 		for origin, n := range knows {
 			if err := b.Put([]byte(origin), binary.BigEndian.AppendUint64(nil, n)); err != nil {
 				return err
@@ -142,7 +142,7 @@
 }
 
 // PutPeers stores who was there.
-func (k *Keep) PutPeers(names []string) error {
+func (k *Store) PutPeers(names []string) error {
 	raw, err := cbor.Marshal(names)
 	if err != nil {
 		return err
@@ -151,4 +151,4 @@
 }
 
 // Close ends it.
-func (k *Keep) Close() error { return k.db.Close() }
+func (k *Store) Close() error { return k.db.Close() }
--- a/internal/controller/jobs/node.go
+++ b/internal/controller/jobs/node.go
@@ -17,37 +17,37 @@
 )
 
 const (
-	beat        = 250 * time.Millisecond // at least so often one has something to say
-	together    = 10 * time.Millisecond
-	silence     = time.Second
-	perFrame    = 2000 // edits
-	foldEvery   = time.Second
-	settleEvery = 500 * time.Millisecond // that one who differs is asked what it has
-	mostAtOnce  = 4096                   // edits that are stored together
-	partners    = 12                     // up to so many each hears from all; beyond, from some
+	heartbeatInterval = 250 * time.Millisecond // at least so often one has something to say
+	together          = 10 * time.Millisecond
+	heartbeatTimeout  = time.Second
+	perFrame          = 2000 // edits
+	foldEvery         = time.Second
+	resolveInterval   = 500 * time.Millisecond // that one who differs is asked what it has
+	mostAtOnce        = 4096                   // edits that are stored together
+	partners          = 12                     // up to so many each hears from all; beyond, from some
 )
 
 // Node is a replica that is kept on a disk and told on to others. Its mutex is held while a batch is written:
 // nobody may see an edit that is not on the disk yet, and only who deals with jobs waits for it. It is never held
 // over a socket.
 type Node struct {
-	name    string
-	keep    *Keep
-	log     *logrus.Entry
-	streams *membership.Streams
-	fleet   *membership.Fleet
-	count   []string // who counts beside this one; nil: whoever was ever there
-	judge   func(e Edit, v View) error
+	name      string
+	storage   *Store
+	log       *logrus.Entry
+	streams   *membership.Streams
+	fleet     *membership.Fleet
+	count     []string // who counts beside this one; nil: whoever was ever there
+	authorize func(e Edit, v View) error
 
 	mu      sync.Mutex
 	r       *Replica
 	changed chan struct{} // closed when there is something new
-	heard   map[string]Heard
+	peers   map[string]PeerStatus
 
-	intake chan asked
+	intake chan editRequest
 }
 
-type asked struct {
+type editRequest struct {
 	edit Edit
 	to   chan answer
 }
@@ -57,28 +57,28 @@
 	err  error
 }
 
-// Heard is what one knew when it was heard last, told on for those who do not hear it themselves.
-type Heard struct {
-	Origin string   `cbor:"1,keyasint"`
-	Knows  Versions `cbor:"2,keyasint"`
-	Beat   uint64   `cbor:"3,keyasint"` // grows in a life of it
+// PeerStatus is what one knew when it was heard last, told on for those who do not hear it themselves.
+type PeerStatus struct {
+	Origin        string   `cbor:"1,keyasint"`
+	Versions      Versions `cbor:"2,keyasint"`
+	LastHeartbeat uint64   `cbor:"3,keyasint"` // grows in a life of it
 }
 
-// ask is what one says that wants to hear; it says it again after each frame.
-type ask struct {
-	Knows Versions `cbor:"1,keyasint"`
-	Kept  bool     `cbor:"2,keyasint"` // it knows the same, and has other edits
+// peerRequest is what one says that wants to hear; it says it again after each frame.
+type peerRequest struct {
+	Versions Versions `cbor:"1,keyasint"`
+	Kept     bool     `cbor:"2,keyasint"` // it knows the same, and has other edits
 }
 
 // given answers it.
 type given struct {
-	Edits  [][]byte            `cbor:"1,keyasint"`
-	Whole  Versions            `cbor:"2,keyasint"`
-	Folded bool                `cbor:"3,keyasint"`
-	Kept   map[string][]uint64 `cbor:"4,keyasint"`
-	Heard  map[string]Heard    `cbor:"5,keyasint"`
-	Knows  Versions            `cbor:"6,keyasint"`
-	Digest uint64              `cbor:"7,keyasint"`
+	Edits    [][]byte              `cbor:"1,keyasint"`
+	Whole    Versions              `cbor:"2,keyasint"`
+	Folded   bool                  `cbor:"3,keyasint"`
+	Kept     map[string][]uint64   `cbor:"4,keyasint"`
+	Heard    map[string]PeerStatus `cbor:"5,keyasint"`
+	Versions Versions              `cbor:"6,keyasint"`
+	Digest   uint64                `cbor:"7,keyasint"`
 }
 
 // Plan is what a Node is told.
@@ -97,22 +97,22 @@
 	}
 	self := fleet.Self()
 	n := &Node{
-		name:    self.Name,
-		keep:    keep,
-		log:     log,
-		streams: streams,
-		fleet:   fleet,
-		count:   p.Count,
-		judge:   p.Judge,
-		changed: make(chan struct{}),
-		heard:   map[string]Heard{},
-		intake:  make(chan asked, 1024),
-		r:       New(self.Name+"@"+p.Life, self.Site),
-	}
-	n.r.Restore(held.Knows, held.Edits)
+		name:      self.Name,
+		storage:   keep,
+		log:       log,
+		streams:   streams,
+		fleet:     fleet,
+		count:     p.Count,
+		authorize: p.Judge,
+		changed:   make(chan struct{}),
+		peers:     map[string]PeerStatus{},
+		intake:    make(chan editRequest, 1024),
+		r:         New(self.Name+"@"+p.Life, self.Site),
+	}
+	n.r.Restore(held.Versions, held.Edits)
 	n.counts(held.Peers) // before it folds anything: also those that are not there yet count
-	if n.judge == nil {
-		n.judge = func(Edit, View) error { return nil }
+	if n.authorize == nil {
+		n.authorize = func(Edit, View) error { return nil }
 	}
 	if held.Aside != "" {
 		log.WithFields(
@@ -131,11 +131,11 @@
 }
 
 // Close ends it; the streams are closed before it.
-func (n *Node) Close() error { return n.keep.Close() }
+func (n *Node) Close() error { return n.storage.Close() }
 
 // Do takes an edit that somebody asks for; it returns once it is on the disk.
 func (n *Node) Do(ctx context.Context, e Edit) (Edit, error) {
-	a := asked{e, make(chan answer, 1)}
+	a := editRequest{e, make(chan answer, 1)}
 	select {
 	case n.intake <- a:
 	case <-ctx.Done():
@@ -196,8 +196,8 @@
 	return n.changed
 }
 
-// news wakes who waits for it; the mutex is held.
-func (n *Node) news() {
+// notify wakes who waits for it; the mutex is held.
+func (n *Node) notify() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
@@ -205,7 +205,7 @@
 // store takes what is asked for, as much at once as came while the last was written.
 func (n *Node) store(ctx context.Context) {
 	for {
-		var all []asked
+		var all []editRequest
 		select {
 		case <-ctx.Done():
 			return
@@ -234,14 +234,14 @@
 }
 
 // storeAll makes edits and stores them in one write.
-func (n *Node) storeAll(all []asked) ([]answer, error) {
+func (n *Node) storeAll(all []editRequest) ([]answer, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var made []Edit
 	answers := make([]answer, len(all))
 	for i, a := range all {
 		v, _ := n.r.View(a.edit.ID)
-		e, err := a.edit, n.judge(a.edit, v)
+		e, err := a.edit, n.authorize(a.edit, v)
 		if err == nil {
 			e, err = n.r.Make(e)
 		}
@@ -250,9 +250,9 @@
 			n.r.Merge([]Edit{e}, nil) // so that those after it know of it; peers hear of it once it is stored
 		}
 	}
-	err := n.keep.Put(made, n.r.Knows().clone(), nil)
+	err := n.storage.Put(made, n.r.Knows().clone(), nil)
 	if err == nil && len(made) > 0 {
-		n.news()
+		n.notify()
 	}
 	return answers, err
 }
@@ -278,44 +278,44 @@
 		knows[origin] = max(knows[origin], m)
 	}
 	if !maps.Equal(knows, n.r.Knows()) {
-		if err := n.keep.Put(fresh, knows, nil); err != nil {
+		if err := n.storage.Put(fresh, knows, nil); err != nil {
 			n.log.WithField("reason", "jobs").Fatalf("edits cannot be kept: %v", err)
 		}
 		n.r.Merge(fresh, g.Whole)
-		n.news()
+		n.notify()
 	}
 	if g.Folded && g.Kept != nil {
-		if gone := n.r.Settled(g.Kept, g.Knows); len(gone) > 0 {
+		if gone := n.r.Settled(g.Kept, g.Versions); len(gone) > 0 {
 			n.log.WithFields(
 				logrus.Fields{"edits": len(gone), "of": from},
 			).Debug(
 				"edits that another one has folded are forgotten",
 			)
-			if err := n.keep.Put(nil, nil, gone); err != nil {
+			if err := n.storage.Put(nil, nil, gone); err != nil {
 				return err
 			}
 		}
 	}
 	n.countAll(slices.Collect(maps.Keys(g.Heard))) // whoever anybody knows of counts
 	for name, h := range g.Heard {
-		if was := n.heard[name]; name != n.name && (h.Origin != was.Origin || h.Beat > was.Beat) {
-			n.heard[name] = h
-			n.r.Heard(name, h.Knows)
+		if was := n.peers[name]; name != n.name && (h.Origin != was.Origin || h.LastHeartbeat > was.LastHeartbeat) {
+			n.peers[name] = h
+			n.r.Heard(name, h.Versions)
 		}
 	}
 	return nil
 }
 
 // give is what one that knows so much lacks, and who was heard of; the wait for news is outside.
-func (n *Node) give(a ask, beats uint64, heard bool) (g given, news <-chan struct{}) {
-	knows := a.Knows
+func (n *Node) give(a peerRequest, beats uint64, heard bool) (g given, news <-chan struct{}) {
+	knows := a.Versions
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := n.r.Lacks(knows, perFrame)
-	g = given{Whole: l.Whole, Folded: l.Folded, Kept: l.Kept, Knows: n.r.Knows().clone(), Digest: n.r.Digest()}
+	g = given{Whole: l.Whole, Folded: l.Folded, Kept: l.Kept, Versions: n.r.Knows().clone(), Digest: n.r.Digest()}
 	if heard {
-		g.Heard = maps.Clone(n.heard)
-		g.Heard[n.name] = Heard{n.r.Origin(), g.Knows, beats}
+		g.Heard = maps.Clone(n.peers)
+		g.Heard[n.name] = PeerStatus{n.r.Origin(), g.Versions, beats}
 	}
 	if a.Kept {
 		g.Folded, g.Kept = true, n.r.Kept()
@@ -331,14 +331,14 @@
 func (n *Node) serve(ctx context.Context, _ string, c *membership.Conn) {
 	began := time.Now()
 	beats := func() uint64 { return uint64(began.UnixMilli()) + uint64(time.Since(began)/time.Millisecond) }
-	c.Patience = silence
+	c.Patience = heartbeatTimeout
 	var last time.Time
 	for {
-		var a ask
+		var a peerRequest
 		if c.Receive(&a) != nil {
 			return
 		}
-		due := time.Since(last) >= beat
+		due := time.Since(last) >= heartbeatInterval
 		g, news := n.give(a, beats(), due)
 		if len(g.Edits) == 0 && len(g.Whole) == 0 && !a.Kept && !due {
 			select {
@@ -346,9 +346,9 @@
 				return
 			case <-news:
 				time.Sleep(together)
-			case <-time.After(beat - time.Since(last)):
+			case <-time.After(heartbeatInterval - time.Since(last)):
 			}
-			due = time.Since(last) >= beat
+			due = time.Since(last) >= heartbeatInterval
 			g, _ = n.give(a, beats(), due)
 		}
 		if due {
@@ -444,7 +444,7 @@
 		if hearing[name] == nil {
 			one, stop := context.WithCancel(ctx)
 			hearing[name] = stop
-			running.Go(func() { n.hear(one, name) })
+			running.Go(func() { n.subscribe(one, name) })
 		}
 	}
 }
@@ -464,7 +464,7 @@
 	}
 	names = slices.DeleteFunc(slices.Clone(names), func(s string) bool { return s == n.name })
 	if len(names) != len(n.r.peers) {
-		if err := n.keep.PutPeers(names); err != nil {
+		if err := n.storage.PutPeers(names); err != nil {
 			n.log.WithField("reason", "jobs").Errorf("who is there is not kept: %v", err)
 		}
 	}
@@ -472,21 +472,21 @@
 }
 
 const (
-	dialFirst = 50 * time.Millisecond
-	dialMost  = 400 * time.Millisecond
+	dialFirst    = 50 * time.Millisecond
+	maxDialPause = 400 * time.Millisecond
 )
 
-// hear asks one for what it has, as long as it is wanted.
-func (n *Node) hear(ctx context.Context, name string) {
+// subscribe asks one for what it has, as long as it is wanted.
+func (n *Node) subscribe(ctx context.Context, name string) {
 	pause := dialFirst
 	for ctx.Err() == nil {
-		err := n.hearOnce(ctx, name, func() { pause = dialFirst })
+		err := n.subscribeOnce(ctx, name, func() { pause = dialFirst })
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(pause):
 		}
-		if pause = min(2*pause, dialMost); err != nil {
+		if pause = min(2*pause, maxDialPause); err != nil {
 			n.log.WithFields(logrus.Fields{"peer": name, "reason": err}).Debug("jobs of a peer are not heard")
 		}
 	}
@@ -494,17 +494,17 @@
 
 var errTwice = errors.New("it said less than it gave")
 
-func (n *Node) hearOnce(ctx context.Context, name string, well func()) error {
+func (n *Node) subscribeOnce(ctx context.Context, name string, well func()) error {
 	c, err := n.streams.Dial(name, membership.StreamJobs)
 	if err != nil {
 		return err
 	}
 	defer n.streams.Done(c)
-	c.Patience = silence
+	c.Patience = heartbeatTimeout
 	defer context.AfterFunc(ctx, func() { _ = c.Close() })()
-	want, asked := ask{}, time.Now()
+	want, asked := peerRequest{}, time.Now()
 	for {
-		want.Knows = n.Knows()
+		want.Versions = n.Knows()
 		if err := c.Send(want); err != nil {
 			return err
 		}
@@ -512,14 +512,14 @@
 		if err := c.Receive(&g); err != nil {
 			return err
 		}
-		if g.Knows == nil {
+		if g.Versions == nil {
 			return errTwice
 		}
 		if err := n.take(name, g); err != nil {
 			return err
 		}
 		well()
-		if want.Kept = n.differs(g) && time.Since(asked) > settleEvery; want.Kept {
+		if want.Kept = n.differs(g) && time.Since(asked) > resolveInterval; want.Kept {
 			asked = time.Now()
 		}
 	}
@@ -529,7 +529,7 @@
 func (n *Node) differs(g given) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.r.Digest() != g.Digest && n.r.Knows().Cover(g.Knows) && g.Knows.Cover(n.r.Knows())
+	return n.r.Digest() != g.Digest && n.r.Knows().Cover(g.Versions) && g.Versions.Cover(n.r.Knows())
 }
 
 // fold forgets now and then what all know.
@@ -548,7 +548,7 @@
 			continue
 		}
 		if gone := n.r.Fold(); len(gone) > 0 {
-			if err := n.keep.Put(nil, nil, gone); err != nil {
+			if err := n.storage.Put(nil, nil, gone); err != nil {
 				n.log.WithField("reason", "jobs").Errorf("what all know is not forgotten on the disk: %v", err)
 			}
 		}
--- a/internal/controller/jobs/process_test.go
+++ b/internal/controller/jobs/process_test.go
@@ -135,7 +135,7 @@
 	}
 	start(1)
 	r.do(1, jobs.Edit{ID: id(1), Kind: jobs.Hold, Operator: true})
-	r.do(2, jobs.Edit{ID: id(2), Kind: jobs.Settled})
+	r.do(2, jobs.Edit{ID: id(2), Kind: jobs.Resolved})
 	gone := func(all []jobs.View) bool { return len(all) == 1 && is(1, jobs.IsHeld)(all) }
 	r.same("the second has ended, and all have folded it", gone, 0, 1, 2, 3, 4)
 	r.Processes[1].Kill()
--- a/internal/controller/jobs/replica.go
+++ b/internal/controller/jobs/replica.go
@@ -18,15 +18,15 @@
 
 // Replica is what one of us knows. It is not safe for several goroutines at once.
 type Replica struct {
-	origin string
-	site   string
-	last   uint64 // number of the own edit made last
-	knows  Versions
-	jobs   map[ID]*entry
-	log    map[string][]Dot // by origin: dots that are kept, in their order
-	edits  map[Dot]*Edit
-	peers  map[string]peer // who counts, by name
-	digest uint64
+	origin   string
+	site     string
+	last     uint64 // number of the own edit made last
+	versions Versions
+	jobs     map[ID]*entry
+	log      map[string][]Dot // by origin: dots that are kept, in their order
+	edits    map[Dot]*Edit
+	peers    map[string]peer // who counts, by name
+	digest   uint64
 }
 
 type entry struct {
@@ -37,18 +37,18 @@
 
 // peer is what another one said that it knew: the last word of which all is here, and a later one of which something
 // is on its way still. While edits come all the time there is always such a one.
-type peer struct{ knows, later Versions }
+type peer struct{ versions, later Versions }
 
 // New makes a Replica for a life of an instance: its origin must never have been used before.
 func New(origin, site string) *Replica {
 	return &Replica{
-		origin: origin,
-		site:   site,
-		knows:  Versions{},
-		jobs:   map[ID]*entry{},
-		log:    map[string][]Dot{},
-		edits:  map[Dot]*Edit{},
-		peers:  map[string]peer{},
+		origin:   origin,
+		site:     site,
+		versions: Versions{},
+		jobs:     map[ID]*entry{},
+		log:      map[string][]Dot{},
+		edits:    map[Dot]*Edit{},
+		peers:    map[string]peer{},
 	}
 }
 
@@ -56,7 +56,7 @@
 func (r *Replica) Origin() string { return r.origin }
 
 // Knows is what it knows. The caller must not change it.
-func (r *Replica) Knows() Versions { return r.knows }
+func (r *Replica) Knows() Versions { return r.versions }
 
 var (
 	errEnded  = errors.New("the job has ended")
@@ -84,7 +84,7 @@
 	}
 	if known != nil {
 		v := r.view(known, e.ID)
-		telling := slices.Contains(effects, e.Kind) && (v.State != IsSettled)
+		telling := slices.Contains(effects, e.Kind) && (v.State != IsResolved)
 		if v.State.Ended() && !telling && (e.Kind != Seen || len(v.Lost) <= 0) {
 			return e, fmt.Errorf("%s: %w: %s", e.ID, errEnded, v.State)
 		}
@@ -115,7 +115,7 @@
 	r.edits[e.Dot] = e
 	r.digest ^= xxh3.HashString(e.Dot.String())
 	r.log[e.Dot.Origin] = append(r.log[e.Dot.Origin], e.Dot)
-	r.knows[e.Dot.Origin] = max(r.knows[e.Dot.Origin], e.Dot.Number)
+	r.versions[e.Dot.Origin] = max(r.versions[e.Dot.Origin], e.Dot.Number)
 }
 
 // Restore takes in what a store holds: what it knew, which counts also where edits were folded, and the edits.
@@ -125,13 +125,13 @@
 		r.put(&edits[i])
 	}
 	for origin, n := range knew {
-		r.knows[origin] = max(r.knows[origin], n)
+		r.versions[origin] = max(r.versions[origin], n)
 	}
 }
 
 func (r *Replica) view(j *entry, id ID) View {
 	if !j.fresh {
-		j.view, j.fresh = Settle(id, j.edits), true
+		j.view, j.fresh = Resolve(id, j.edits), true
 	}
 	return j.view
 }
@@ -173,8 +173,8 @@
 			g.Kept = r.Kept()
 		}
 	}()
-	for _, origin := range slices.Sorted(maps.Keys(r.knows)) {
-		if knows[origin] >= r.knows[origin] {
+	for _, origin := range slices.Sorted(maps.Keys(r.versions)) {
+		if knows[origin] >= r.versions[origin] {
 			continue
 		}
 		kept := r.log[origin]
@@ -189,8 +189,8 @@
 			}
 			g.Edits = append(g.Edits, r.edits[d])
 		}
-		g.Whole[origin] = r.knows[origin]
-		g.Folded = g.Folded || uint64(len(kept)-from) < r.knows[origin]-knows[origin]
+		g.Whole[origin] = r.versions[origin]
+		g.Folded = g.Folded || uint64(len(kept)-from) < r.versions[origin]-knows[origin]
 	}
 	return g
 }
@@ -213,7 +213,7 @@
 // Fresh are those edits that are new here, for the store; nothing counts before Merge.
 func (r *Replica) Fresh(edits []Edit) (fresh []Edit) {
 	for _, e := range edits {
-		if !r.knows.Know(e.Dot) {
+		if !r.versions.Know(e.Dot) {
 			fresh = append(fresh, e)
 		}
 	}
@@ -223,12 +223,12 @@
 // Merge takes in edits that are stored, and up to where each origin is whole with them.
 func (r *Replica) Merge(edits []Edit, whole Versions) {
 	for i := range edits {
-		if !r.knows.Know(edits[i].Dot) {
+		if !r.versions.Know(edits[i].Dot) {
 			r.put(&edits[i])
 		}
 	}
 	for origin, n := range whole {
-		r.knows[origin] = max(r.knows[origin], n)
+		r.versions[origin] = max(r.versions[origin], n)
 	}
 }
 
@@ -284,11 +284,11 @@
 // Heard takes what another one says that it knows, under its name.
 func (r *Replica) Heard(name string, knows Versions) {
 	p := r.peers[name]
-	if p.later != nil && r.knows.Cover(p.later) {
-		p.knows, p.later = p.later, nil
+	if p.later != nil && r.versions.Cover(p.later) {
+		p.versions, p.later = p.later, nil
 	}
-	if r.knows.Cover(knows) {
-		p.knows = knows
+	if r.versions.Cover(knows) {
+		p.versions = knows
 	} else if p.later == nil {
 		p.later = knows
 	}
@@ -313,18 +313,18 @@
 // goes only when nobody can have made an edit of it that is not here: each has said that it knows the end, after
 // which it takes none, and all that it made until then is here. It gives the names of what went, for the store.
 func (r *Replica) Fold() (gone []Dot) {
-	all := []Versions{r.knows}
+	all := []Versions{r.versions}
 	for _, p := range r.peers {
-		if p.later != nil && r.knows.Cover(p.later) {
-			p.knows = p.later
+		if p.later != nil && r.versions.Cover(p.later) {
+			p.versions = p.later
 		}
-		if p.knows == nil {
+		if p.versions == nil {
 			return nil // one was not heard yet, or never knew only what is here
 		}
-		all = append(all, p.knows)
+		all = append(all, p.versions)
 	}
 	stable := Versions{}
-	for origin := range r.knows {
+	for origin := range r.versions {
 		stable[origin] = least(origin, all)
 	}
 	for id, j := range r.jobs {
--- a/internal/controller/membership/member.go
+++ b/internal/controller/membership/member.go
@@ -43,12 +43,12 @@
 }
 
 const (
-	probeEvery  = 500 * time.Millisecond
-	probeWithin = 250 * time.Millisecond
-	seekEvery   = 2 * time.Second // others that are not there are looked for
-	forgetAfter = time.Hour       // ... until then
-	seekAtOnce  = 3
-	mostBody    = 60 << 10 // of a datagram
+	probeEvery    = 500 * time.Millisecond
+	probeTimeout  = 250 * time.Millisecond
+	seekEvery     = 2 * time.Second // others that are not there are looked for
+	forgetTimeout = time.Hour       // ... until then
+	seekAtOnce    = 3
+	mostBody      = 60 << 10 // of a datagram
 )
 
 // frame is what goes between instances.
@@ -91,7 +91,7 @@
 		done:     make(chan struct{}),
 	}
 	c := memberlist.DefaultLANConfig()
-	c.Name, c.ProbeInterval, c.ProbeTimeout, c.TCPTimeout = p.Name, probeEvery, probeWithin, 2*time.Second
+	c.Name, c.ProbeInterval, c.ProbeTimeout, c.TCPTimeout = p.Name, probeEvery, probeTimeout, 2*time.Second
 	c.Logger = stdlog.New(io.Discard, "", 0)
 	c.Delegate, c.Events, c.Conflict = hands{f}, hands{f}, hands{f}
 	c.DeadNodeReclaimTime = time.Second // one that comes again under its name may do so at another address
@@ -220,7 +220,7 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(f.away)) {
-		if time.Since(f.away[name].at) > forgetAfter {
+		if time.Since(f.away[name].at) > forgetTimeout {
 			delete(f.away, name)
 		} else if a := f.away[name].addr; !there[a] && !slices.Contains(all, a) {
 			all = append(all, name+"/"+a) // by name, so that it is reached as the plan says
--- a/internal/controller/membership/member_test.go
+++ b/internal/controller/membership/member_test.go
@@ -49,7 +49,7 @@
 			sums = append(sums, f.Tell(func(s aggregation.Sums) {
 				mu.Lock()
 				defer mu.Unlock()
-				for _, w := range s.Words {
+				for _, w := range s.Reports {
 					heard[i] += w.Tries
 				}
 			}))
--- a/internal/controller/membership/sums.go
+++ b/internal/controller/membership/sums.go
@@ -14,7 +14,7 @@
 
 // Kinds of word that are in use.
 const (
-	kindAsk uint8 = iota + 1
+	kindRequest uint8 = iota + 1
 	kindUp
 	kindDown
 )
@@ -53,8 +53,8 @@
 		node:  aggregation.New(f.plan.Name, f.self.Incarnation),
 		uses:  map[use]float64{},
 	}
-	f.Handle(kindAsk, func(from string, body []byte) {
-		var a aggregation.Ask
+	f.Handle(kindRequest, func(from string, body []byte) {
+		var a aggregation.Request
 		if cbor.Unmarshal(body, &a) == nil {
 			s.asked(from, a)
 		}
@@ -62,7 +62,7 @@
 	f.Handle(kindUp, func(from string, body []byte) {
 		var up aggregation.Up
 		if cbor.Unmarshal(body, &up) == nil {
-			s.hear(from, up)
+			s.handle(from, up)
 		}
 	})
 	f.Handle(kindDown, func(from string, body []byte) {
@@ -93,7 +93,7 @@
 				root := s.node.Parent() == ""
 				s.mu.Unlock()
 				if root {
-					s.asked("", aggregation.Ask{Within: aggregation.AskWithin})
+					s.asked("", aggregation.Request{Timeout: aggregation.RequestTimeout})
 				}
 			}
 		}
@@ -114,10 +114,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.node.Met(
-		aggregation.Word{
+		aggregation.Report{
 			Backend: backend,
 			Tries:   tries,
-			Voided:  voided,
+			Failed:  voided,
 			Spent:   float64(took) / float64(time.Millisecond) * (tries - voided),
 		},
 		s.now(),
@@ -143,10 +143,10 @@
 	}
 }
 
-// words are what is to be sent once the mutex is let go.
-type words []func()
+// reportList are what is to be sent once the mutex is let go.
+type reportList []func()
 
-func (w words) send() {
+func (w reportList) send() {
 	for _, do := range w {
 		do()
 	}
@@ -157,9 +157,9 @@
 }
 
 // asked passes the question on and answers it once those below have, or the time is over.
-func (s *Sums) asked(from string, a aggregation.Ask) {
+func (s *Sums) asked(from string, a aggregation.Request) {
 	s.mu.Lock()
-	var out words
+	var out reportList
 	defer func() { out.send() }()
 	defer s.mu.Unlock()
 	if from != s.node.Parent() {
@@ -168,16 +168,16 @@
 	s.turn++
 	s.waits = s.turn
 	for _, name := range s.node.Children() {
-		out = append(out, s.to(name, kindAsk, a.On()))
+		out = append(out, s.to(name, kindRequest, a.On()))
 	}
 	if s.node.Ready() {
 		out = append(out, s.answer()...)
 		return
 	}
 	turn := s.turn
-	time.AfterFunc(min(max(a.Within, 0), aggregation.AskWithin), func() {
+	time.AfterFunc(min(max(a.Timeout, 0), aggregation.RequestTimeout), func() {
 		s.mu.Lock()
-		var out words
+		var out reportList
 		if s.waits == turn {
 			out = s.answer()
 		}
@@ -186,10 +186,10 @@
 	})
 }
 
-func (s *Sums) hear(from string, up aggregation.Up) {
+func (s *Sums) handle(from string, up aggregation.Up) {
 	s.mu.Lock()
-	var out words
-	if s.node.Hear(from, up, s.now()) && s.waits > 0 && s.node.Ready() {
+	var out reportList
+	if s.node.Handle(from, up, s.now()) && s.waits > 0 && s.node.Ready() {
 		out = s.answer()
 	}
 	s.mu.Unlock()
@@ -204,7 +204,7 @@
 }
 
 // answer closes a turn; the mutex is held.
-func (s *Sums) answer() (out words) {
+func (s *Sums) answer() (out reportList) {
 	s.waits = 0
 	all := make([]aggregation.Use, 0, len(s.uses))
 	for at, txns := range s.uses {
@@ -219,7 +219,7 @@
 	return append(out, s.down(total, on)...)
 }
 
-func (s *Sums) down(total *aggregation.Sums, on map[string]aggregation.Down) (out words) {
+func (s *Sums) down(total *aggregation.Sums, on map[string]aggregation.Down) (out reportList) {
 	if total == nil {
 		return nil
 	}
--- a/internal/controller/operatorfile/cells.go
+++ b/internal/controller/operatorfile/cells.go
@@ -34,7 +34,7 @@
 func (r *reader) cells(s section) *Cells {
 	c := &Cells{Plan: tenancy.Usual(), File: r.file}
 	p := &c.Plan
-	switch way := strings.Join(s.words, " "); way {
+	switch way := strings.Join(s.arguments, " "); way {
 	case "fixed", "shuffle":
 		p.Shuffle = way == "shuffle"
 	default:
@@ -110,13 +110,13 @@
 
 // tenant reads a section tenant NAME.
 func (r *reader) tenant(s section) (t tenancy.Tenant) {
-	if len(s.words) != 1 {
+	if len(s.arguments) != 1 {
 		r.fault(s.line, "write tenant NAME", "a tenant has one name")
 		return t
 	}
-	t.Name = s.words[0]
+	t.Name = s.arguments[0]
 	at := r.obey(s, map[string]rule{
-		"cell": r.word(&t.Cell, "blue"),
+		"cell": r.parseWord(&t.Cell, "blue"),
 		"size": r.count(&t.Size, 1, 1000),
 		"proxies": {1, many, "0-4 7", func(d directive, w []string) {
 			for _, word := range w {
@@ -145,7 +145,7 @@
 // control reads the section control.
 func (r *reader) control(s section) *Control {
 	c := &Control{}
-	at := r.obey(s, map[string]rule{"socket": r.word(&c.Path, "/run/elmfold.sock")})
+	at := r.obey(s, map[string]rule{"socket": r.parseWord(&c.Path, "/run/elmfold.sock")})
 	if at["socket"] == 0 {
 		r.fault(s.line, "add a line such as: socket /run/elmfold.sock", "control has no socket")
 	}
--- a/internal/controller/operatorfile/operator.go
+++ b/internal/controller/operatorfile/operator.go
@@ -98,8 +98,8 @@
 	var lines []int
 	for _, s := range r.sections(text) {
 		name := s.name
-		if s.name == "tenant" && len(s.words) == 1 {
-			name += " " + s.words[0]
+		if s.name == "tenant" && len(s.arguments) == 1 {
+			name += " " + s.arguments[0]
 		}
 		if first := seen[name]; first > 0 {
 			r.fault(s.line, "put both into one", "a second section %s; the first is in line %d", name, first)
@@ -170,12 +170,12 @@
 		case first > 0 && rule.most < many:
 			r.fault(d.line, "take one of them out", "%s stands in line %d already", d.name, first)
 			continue
-		case len(d.words) < rule.least:
+		case len(d.arguments) < rule.least:
 			r.fault(d.line, "write "+d.name+" "+rule.example, "%s says too little", d.name)
-		case len(d.words) > rule.most:
-			r.fault(d.line, "write "+d.name+" "+rule.example, "%s says too much: %q", d.name, d.words[rule.most])
+		case len(d.arguments) > rule.most:
+			r.fault(d.line, "write "+d.name+" "+rule.example, "%s says too much: %q", d.name, d.arguments[rule.most])
 		default:
-			rule.read(d, d.words)
+			rule.read(d, d.arguments)
 		}
 		if at[d.name] == 0 {
 			at[d.name] = d.line
@@ -250,8 +250,8 @@
 	}}
 }
 
-// word reads a name or a path, which need not be there yet.
-func (r *reader) word(into *string, example string) rule {
+// parseWord reads a name or a path, which need not be there yet.
+func (r *reader) parseWord(into *string, example string) rule {
 	return rule{1, 1, example, func(_ directive, w []string) { *into = w[0] }}
 }
 
@@ -277,7 +277,7 @@
 func (r *reader) store(s section) *Store {
 	f := &Store{Limit: 64 << 20, Grace: 10 * time.Minute}
 	at := r.obey(s, map[string]rule{
-		"file":  r.word(&f.Path, "/var/lib/elmfold/state"),
+		"file":  r.parseWord(&f.Path, "/var/lib/elmfold/state"),
 		"limit": r.size(&f.Limit, 1<<20, 1<<30),
 		"grace": r.span(&f.Grace, time.Second, 24*time.Hour),
 	})
@@ -308,7 +308,7 @@
 func (r *reader) jobs(s section) *Jobs {
 	j := &Jobs{}
 	at := r.obey(s, map[string]rule{
-		"file":  r.word(&j.Path, "/var/lib/elmfold/jobs"),
+		"file":  r.parseWord(&j.Path, "/var/lib/elmfold/jobs"),
 		"count": {1, many, "n1 n2", func(_ directive, w []string) { j.Count = append(j.Count, w...) }},
 	})
 	if at["file"] == 0 {
@@ -323,7 +323,7 @@
 	var listen, streams []string
 	at := r.obey(s, map[string]rule{
 		"listen":  r.addresses(&listen),
-		"site":    r.word(&m.Site, "hall-a"),
+		"site":    r.parseWord(&m.Site, "hall-a"),
 		"join":    r.addresses(&m.Join),
 		"streams": r.addresses(&streams),
 		"sums":    {0, 0, "", func(directive, []string) { m.Sums = true }},
@@ -387,8 +387,8 @@
 
 func (r *reader) registry(s section) *Registry {
 	g := &Registry{Plan: reconcile.Usual()}
-	if len(s.words) == 1 {
-		g.Kind = s.words[0]
+	if len(s.arguments) == 1 {
+		g.Kind = s.arguments[0]
 	}
 	p, a := &g.Plan, &g.Access
 	p.Prefix = "elmfold/backends"
@@ -402,7 +402,7 @@
 			s.line,
 			"write registry etcd or registry consul",
 			"registry %q is of no known kind",
-			strings.Join(s.words, " "),
+			strings.Join(s.arguments, " "),
 		)
 		return nil
 	}
@@ -413,13 +413,13 @@
 	}
 	rules := map[string]rule{
 		"endpoint":      r.addresses(&g.Endpoints),
-		"prefix":        r.word(&p.Prefix, "/elmfold/backends"),
-		"token-file":    r.word(&a.TokenFile, "/etc/elmfold/token"),
+		"prefix":        r.parseWord(&p.Prefix, "/elmfold/backends"),
+		"token-file":    r.parseWord(&a.TokenFile, "/etc/elmfold/token"),
 		"tls":           {0, 0, "", func(directive, []string) { tls = true }},
-		"tls-ca":        r.word(&files.CA, "/etc/elmfold/ca.pem"),
-		"tls-cert":      r.word(&files.Cert, "/etc/elmfold/cert.pem"),
-		"tls-key":       r.word(&files.Key, "/etc/elmfold/key.pem"),
-		"tls-name":      r.word(&files.Name, "registry.example"),
+		"tls-ca":        r.parseWord(&files.CA, "/etc/elmfold/ca.pem"),
+		"tls-cert":      r.parseWord(&files.Cert, "/etc/elmfold/cert.pem"),
+		"tls-key":       r.parseWord(&files.Key, "/etc/elmfold/key.pem"),
+		"tls-name":      r.parseWord(&files.Name, "registry.example"),
 		"value-limit":   r.size(&p.MostValue, 64, 1<<20),
 		"keys-limit":    r.count(&p.MostKeys, 1, 1_000_000),
 		"answer":        r.span(&p.Answer, 100*time.Millisecond, time.Minute),
@@ -435,8 +435,8 @@
 		"shrink":        r.part(&p.Shrink),
 	}
 	if g.Kind == Etcd {
-		rules["user"] = r.word(&a.User, "elmfold")
-		rules["password-file"] = r.word(&a.PasswordFile, "/etc/elmfold/password")
+		rules["user"] = r.parseWord(&a.User, "elmfold")
+		rules["password-file"] = r.parseWord(&a.PasswordFile, "/etc/elmfold/password")
 		rules["page"] = r.count(&p.Page, 1, 10000)
 		rules["ask"] = r.span(&p.ProgressInterval, 50*time.Millisecond, 10*time.Second)
 		rules["audit"] = r.span(&p.Audit, 0, 24*time.Hour)
--- a/internal/controller/operatorfile/text.go
+++ b/internal/controller/operatorfile/text.go
@@ -44,9 +44,9 @@
 }
 
 type directive struct {
-	name  string
-	words []string
-	line  int
+	name      string
+	arguments []string
+	line      int
 }
 
 type section struct {
@@ -54,7 +54,7 @@
 	inner []directive
 }
 
-const longestLine = 4096
+const maxLineBytes = 4096
 
 // reader keeps the faults met.
 type reader struct {
@@ -93,8 +93,8 @@
 
 // split takes a line apart; where it cannot, it says what is wrong and how to mend it.
 func split(line string) (words []string, mend, what string) {
-	if len(line) > longestLine {
-		return nil, "split it into several lines", fmt.Sprintf("the line has over %d bytes", longestLine)
+	if len(line) > maxLineBytes {
+		return nil, "split it into several lines", fmt.Sprintf("the line has over %d bytes", maxLineBytes)
 	}
 	isNoText := func(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f || c == '\ufffd' }
 	if at := strings.IndexFunc(line, isNoText); at >= 0 {
--- a/internal/controller/peersync/peer.go
+++ b/internal/controller/peersync/peer.go
@@ -29,7 +29,7 @@
 	perPart   = 500 // facts
 	mostFrame = 1 << 20
 	mostAtAll = 2 // transfers at once
-	keepFor   = 30 * time.Second
+	partTTL   = 30 * time.Second
 	partPause = 2 * time.Millisecond // so that serving takes no turn from deciding
 	patience  = time.Second          // for one frame, either way
 )
@@ -186,7 +186,7 @@
 func (s *Server) take(h hello) (snapshot, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if h.Snapshot == s.last.number && h.Snapshot != 0 && time.Since(s.last.at) < keepFor && h.From >= 0 &&
+	if h.Snapshot == s.last.number && h.Snapshot != 0 && time.Since(s.last.at) < partTTL && h.From >= 0 &&
 		h.From <= len(s.last.facts) {
 		return s.last, h.From
 	}
@@ -195,8 +195,8 @@
 	return s.last, 0
 }
 
-// Asked is how one source answered.
-type Asked struct {
+// Result is how one source answered.
+type Result struct {
 	Source string
 	Facts  int
 	Err    error // nil: all came
@@ -204,7 +204,7 @@
 
 // Ask asks sources one after the other, in an order by chance, until one has told all or the time is over. Each
 // part is handed on as it comes; of a transfer that broke off twice what came counts.
-func Ask(sources []string, name, seed string, within time.Duration, offered func(warmstart.Offered)) (all []Asked) {
+func Ask(sources []string, name, seed string, within time.Duration, offered func(warmstart.Offered)) (all []Result) {
 	order := slices.Clone(sources)
 	slices.SortFunc(order, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxh3.HashString(seed+a), xxh3.HashString(seed+b)), cmp.Compare(a, b))
@@ -214,7 +214,7 @@
 		if !time.Now().Before(over) {
 			break
 		}
-		a := Asked{Source: source}
+		a := Result{Source: source}
 		h := hello{Version: Version, Name: name}
 		for range 2 { // once more, from where it broke off
 			if a.Err = fetch(source, &h, over, func(facts []warmstart.Fact) {
--- a/internal/controller/pluginguard/hook.go
+++ b/internal/controller/pluginguard/hook.go
@@ -173,9 +173,9 @@
 	kind   Kind
 }
 
-type held struct {
+type activeProposal struct {
 	Proposal
-	until Time
+	endsAt Time
 }
 
 // change remembers what was in force before, to see what goes back and forth.
@@ -187,7 +187,7 @@
 type plugin struct {
 	name       string
 	precedence int
-	holds      map[thing]held
+	active     map[thing]activeProposal
 	changes    map[thing]*change
 	second     Time
 	count      int
@@ -204,14 +204,14 @@
 	products []policy.Product
 	tenants  map[string]Tenant
 	proxies  int
-	asked    map[string]float64
+	demand   map[string]float64
 	revision int64
 	list     map[string]tenancy.Backend
 	ids      []string // of the list, sorted: sums are the same in each run
 	ramp     map[string]float64
 	changed  map[string]int64 // by backend: the revision at which it came, went or began to drain
 	plugins  map[string]*plugin
-	told     map[string]Limit
+	notified map[string]Limit
 	back     Time // when limits were last taken back, and how many in that second
 	backs    int
 	orders   []Order
@@ -220,14 +220,14 @@
 // New makes a Hook without plug-ins.
 func New(plan Plan) *Hook {
 	return &Hook{
-		plan:    plan,
-		tenants: map[string]Tenant{},
-		asked:   map[string]float64{},
-		list:    map[string]tenancy.Backend{},
-		ramp:    map[string]float64{},
-		changed: map[string]int64{},
-		plugins: map[string]*plugin{},
-		told:    map[string]Limit{},
+		plan:     plan,
+		tenants:  map[string]Tenant{},
+		demand:   map[string]float64{},
+		list:     map[string]tenancy.Backend{},
+		ramp:     map[string]float64{},
+		changed:  map[string]int64{},
+		plugins:  map[string]*plugin{},
+		notified: map[string]Limit{},
 	}
 }
 
@@ -239,14 +239,14 @@
 		case Planned:
 			h.products, h.tenants, h.proxies = e.Products, e.Tenants, e.Proxies
 		case Listed:
-			h.hearList(e)
+			h.onList(e)
 		case Asked:
-			h.asked[e.Tenant] = e.Rate
+			h.demand[e.Tenant] = e.Rate
 		case Loaded:
 			h.plugins[e.Plugin] = &plugin{
 				name:       e.Plugin,
 				precedence: e.Precedence,
-				holds:      map[thing]held{},
+				active:     map[thing]activeProposal{},
 				changes:    map[thing]*change{},
 				pause:      h.plan.Pause,
 			}
@@ -266,7 +266,7 @@
 	return h.orders
 }
 
-func (h *Hook) hearList(e Listed) {
+func (h *Hook) onList(e Listed) {
 	next := map[string]tenancy.Backend{}
 	for _, b := range e.Backends {
 		if was, there := h.list[b.ID]; !there || was.Status != b.Status {
@@ -291,7 +291,7 @@
 // fault pauses a plug-in for longer and longer, and puts it out after so many.
 func (h *Hook) fault(p *plugin, why string) {
 	p.faults = append(slices.DeleteFunc(p.faults, func(at Time) bool { return h.now > at+h.plan.Forget }), h.now)
-	clear(p.holds)
+	clear(p.active)
 	if len(p.faults) >= h.plan.Faults {
 		p.out = true
 		h.orders = append(h.orders, PutOut{p.name, fmt.Sprintf("%d faults, the last: %s", len(p.faults), why)})
@@ -324,15 +324,15 @@
 		}
 		named := map[thing]bool{}
 		for _, x := range e.All {
-			if why := h.judge(p, x, e.Revision); why != "" {
+			if why := h.check(p, x, e.Revision); why != "" {
 				refuse(x, why)
 			} else {
 				named[thing{x.Tenant, x.Kind}] = true
 			}
 		}
-		for t := range p.holds {
+		for t := range p.active {
 			if !named[t] && !slices.ContainsFunc(e.All, func(x Proposal) bool { return t == thing{x.Tenant, x.Kind} }) {
-				delete(p.holds, t) // it wants that no more; what was refused this time stays until it is old
+				delete(p.active, t) // it wants that no more; what was refused this time stays until it is old
 			}
 		}
 	}
@@ -341,15 +341,15 @@
 	}
 }
 
-// judge takes a proposal into force, or says why not.
-func (h *Hook) judge(p *plugin, x Proposal, revision int64) Reason {
+// check takes a proposal into force, or says why not.
+func (h *Hook) check(p *plugin, x Proposal, revision int64) Reason {
 	if why := h.fits(x, revision); why != "" {
 		return why
 	}
 	t := thing{x.Tenant, x.Kind}
 	text := fmt.Sprint(x.Backends, x.Figure)
-	if was, there := p.holds[t]; there && fmt.Sprint(was.Backends, was.Figure) == text {
-		p.holds[t] = held{x, h.now + h.plan.Hold}
+	if was, there := p.active[t]; there && fmt.Sprint(was.Backends, was.Figure) == text {
+		p.active[t] = activeProposal{x, h.now + h.plan.Hold}
 		return ""
 	}
 	c := p.changes[t]
@@ -369,7 +369,7 @@
 	}
 	p.count++
 	c.before, c.now, c.at = c.now, text, h.now
-	p.holds[t] = held{x, h.now + h.plan.Hold}
+	p.active[t] = activeProposal{x, h.now + h.plan.Hold}
 	return ""
 }
 
@@ -467,13 +467,13 @@
 		return cmp.Or(cmp.Compare(b.precedence, a.precedence), cmp.Compare(a.name, b.name))
 	}) {
 		for _, kind := range []Kind{Allow, Cap, Shed} {
-			x, there := p.holds[thing{tenant, kind}]
+			x, there := p.active[thing{tenant, kind}]
 			if !there {
 				continue
 			}
 			// What passed once need not hold with the list of now.
-			if h.now >= x.until || h.fits(x.Proposal, h.revision) != "" {
-				delete(p.holds, thing{tenant, kind})
+			if h.now >= x.endsAt || h.fits(x.Proposal, h.revision) != "" {
+				delete(p.active, thing{tenant, kind})
 				continue
 			}
 			h.applyTo(&l, kind, x.Proposal)
@@ -496,7 +496,7 @@
 		}
 		return
 	case Shed:
-		if most *= h.asked[l.Tenant]; most == 0 {
+		if most *= h.demand[l.Tenant]; most == 0 {
 			return
 		}
 	case Cap, Retry: // are a figure as they stand
@@ -513,7 +513,7 @@
 		h.back, h.backs = h.now, 0
 	}
 	for _, name := range slices.Sorted(maps.Keys(h.tenants)) {
-		next, was := h.join(name), h.told[name]
+		next, was := h.join(name), h.notified[name]
 		was.Tenant = name
 		same := slices.Equal(next.Backends, was.Backends) && math.Abs(next.Most-was.Most) <= 0.05*was.Most
 		if same {
@@ -526,17 +526,17 @@
 			}
 			h.backs++
 		}
-		if h.told[name] = next; next.Backends == nil && next.Most == 0 {
-			delete(h.told, name)
+		if h.notified[name] = next; next.Backends == nil && next.Most == 0 {
+			delete(h.notified, name)
 		}
 		h.orders = append(h.orders, next)
 	}
-	for name := range h.told {
+	for name := range h.notified {
 		if _, known := h.tenants[name]; !known {
-			delete(h.told, name)
+			delete(h.notified, name)
 		}
 	}
 }
 
 // Waits says whether something is to be taken back, or ages, without further events.
-func (h *Hook) Waits() bool { return len(h.told) > 0 }
+func (h *Hook) Waits() bool { return len(h.notified) > 0 }
--- a/internal/controller/pluginguard/hook_test.go
+++ b/internal/controller/pluginguard/hook_test.go
@@ -225,8 +225,8 @@
 		}
 		h.Step(now+Time(3+s)*second, []Event{Proposed{"one", 5, all}})
 	}
-	if len(h.told) != 40 {
-		t.Fatalf("%d limits hold", len(h.told))
+	if len(h.notified) != 40 {
+		t.Fatalf("%d limits hold", len(h.notified))
 	}
 	var back []int
 	why := []Event{Faulted{"one", "it loops"}}
@@ -318,7 +318,7 @@
 				events = append(events, Faulted{name, "trap"})
 			}
 			h.Step(now, events)
-			for tenant, l := range h.told {
+			for tenant, l := range h.notified {
 				if l.Most < 0 || math.IsNaN(l.Most) {
 					t.Fatalf("seed %d: cap %v", seed, l.Most)
 				}
--- a/internal/controller/pubsub/channel_test.go
+++ b/internal/controller/pubsub/channel_test.go
@@ -257,7 +257,7 @@
 func TestCase2AnotherHub(t *testing.T) {
 	keep := client.File(filepath.Join(t.TempDir(), "copy"))
 	one, two := open(t, pubsub.Plan{}, "s-0", "s-1"), open(t, pubsub.Plan{}, "s-0", "s-1", "s-2")
-	o := client.Options{Addresses: []string{one.hub.Addr(), two.hub.Addr()}, Hello: hello(0), Keep: keep}
+	o := client.Options{Addresses: []string{one.hub.Addr(), two.hub.Addr()}, Hello: hello(0), Storage: keep}
 	f := follow(t, o)
 	f.until("tables", full("s-0", "s-1"))
 	one.hub.Close()
@@ -370,7 +370,10 @@
 		"no such zone":    {pubsub.CodeTopic, [][]byte{say(pubsub.Hello{Topic: "orders/2", Own: true, Zone: "x"})}},
 		"reports of another": {
 			pubsub.CodeNotOwn,
-			[][]byte{say(own), pubsub.Encode(pubsub.KindHeard, pubsub.Heard{Backend: "s-0", Tries: 1, Millis: 1000})},
+			[][]byte{
+				say(own),
+				pubsub.Encode(pubsub.KindBackendReport, pubsub.BackendReport{Backend: "s-0", Tries: 1, Millis: 1000}),
+			},
 		},
 		"use as an onlooker": {
 			pubsub.CodeNotOwn,
@@ -437,7 +440,9 @@
 		t,
 		client.Options{Addresses: []string{h.hub.Addr()}, Hello: pubsub.Hello{Topic: pubsub.ReportsTopic + "a"}},
 	)
-	if err := (<-zone.ups).Heard(pubsub.Heard{Backend: "s-0", Tries: 9, Took: 120, Millis: 1000}); err != nil {
+	if err := (<-zone.ups).ReportBackend(
+		pubsub.BackendReport{Backend: "s-0", Tries: 9, Took: 120, Millis: 1000},
+	); err != nil {
 		t.Fatal(err)
 	}
 	for deadline := time.Now().Add(time.Minute); h.times(textproto.BackendReport{}) == 0; time.Sleep(time.Millisecond) {
@@ -461,7 +466,7 @@
 	h.hub.Look(
 		[]warmstart.Fact{
 			{Kind: warmstart.Relief, Key: "s-1", Value: 0.4},
-			{Kind: warmstart.Pace, Value: 5},
+			{Kind: warmstart.Throughput, Value: 5},
 			{Kind: warmstart.Use, Key: "1/look", Value: 9},
 		},
 	)
--- a/internal/controller/pubsub/client/client.go
+++ b/internal/controller/pubsub/client/client.go
@@ -18,8 +18,8 @@
 	"elmfold/internal/controller/pubsub/session"
 )
 
-// Keeper keeps what took effect.
-type Keeper interface {
+// Storage keeps what took effect.
+type Storage interface {
 	Load() (session.Copy, error) // none: an empty one
 	Save(session.Copy) error     // whole or not at all
 }
@@ -56,7 +56,7 @@
 type Options struct {
 	Addresses []string // of controllers, host and port; the next one is tried where one does not answer
 	Hello     pubsub.Hello
-	Keep      Keeper // nil: nothing is kept over starts
+	Storage   Storage // nil: nothing is kept over starts
 	// Changed is called in turn, with the keys that now stand otherwise, after a message took effect. The copy is the
 	// client's: it is to be read until Changed returns.
 	Changed func(c *session.Copy, keys []string)
@@ -79,8 +79,10 @@
 // Used publishes what came to the proxy.
 func (p *Publisher) Used(u pubsub.Used) error { return p.write(pubsub.KindUsed, u) }
 
-// Heard publishes what the proxies of a zone met.
-func (p *Publisher) Heard(h pubsub.Heard) error { return p.write(pubsub.KindHeard, h) }
+// ReportBackend publishes what the proxies of a zone met.
+func (p *Publisher) ReportBackend(h pubsub.BackendReport) error {
+	return p.write(pubsub.KindBackendReport, h)
+}
 
 func (p *Publisher) write(kind byte, v any) error {
 	return p.ws.Write(p.ctx, websocket.MessageBinary, pubsub.Encode(kind, v))
@@ -89,9 +91,9 @@
 // Run subscribes until the context ends, or until what was kept cannot be read.
 func Run(ctx context.Context, o Options) error {
 	c := session.Copy{}
-	if o.Keep != nil {
+	if o.Storage != nil {
 		var err error
-		if c, err = o.Keep.Load(); err != nil {
+		if c, err = o.Storage.Load(); err != nil {
 			return fmt.Errorf("what took effect cannot be read: %w", err)
 		}
 	}
@@ -188,8 +190,8 @@
 	if err != nil {
 		return err
 	}
-	if fresh && o.Keep != nil {
-		if err := o.Keep.Save(*c); err != nil {
+	if fresh && o.Storage != nil {
+		if err := o.Storage.Save(*c); err != nil {
 			return err
 		}
 	}
--- a/internal/controller/pubsub/hub.go
+++ b/internal/controller/pubsub/hub.go
@@ -25,10 +25,10 @@
 )
 
 const (
-	helloWithin = 1500 * time.Millisecond
-	writeWithin = 5 * time.Second
-	mostMessage = 64 << 10 // of a client's
-	spareConns  = 64       // over proxies and zones, at least
+	helloTimeout = 1500 * time.Millisecond
+	writeTimeout = 5 * time.Second
+	mostMessage  = 64 << 10 // of a client's
+	spareConns   = 64       // over proxies and zones, at least
 )
 
 // Plan is what a Hub is given.
@@ -44,7 +44,7 @@
 	plan    Plan
 	names   flatsettings.Names
 	proxies int
-	hear    func(eventloop.Command)
+	handler func(eventloop.Command)
 	log     *logrus.Entry
 	net     net.Listener
 	server  *http.Server
@@ -90,7 +90,7 @@
 		plan:    plan,
 		names:   names,
 		proxies: proxies,
-		hear:    hear,
+		handler: hear,
 		log:     log,
 		net:     ln,
 		began:   time.Now(),
@@ -99,7 +99,7 @@
 		done:    make(chan struct{}),
 		streams: map[string]*stream{},
 	}
-	h.server = &http.Server{Handler: http.HandlerFunc(h.accept), ReadHeaderTimeout: helloWithin}
+	h.server = &http.Server{Handler: http.HandlerFunc(h.accept), ReadHeaderTimeout: helloTimeout}
 	go func() { _ = h.server.Serve(ln) }()
 	go h.run()
 	return h, nil
@@ -180,7 +180,7 @@
 		}
 		for _, e := range events { // after the joining that may have come with it
 			if p, ok := e.(publish); ok && h.streams[p.topic] != nil {
-				h.hear(eventloop.Command{From: h.streams[p.topic], Message: p.said})
+				h.handler(eventloop.Command{From: h.streams[p.topic], Message: p.message})
 			}
 		}
 		next := time.Hour
@@ -207,24 +207,24 @@
 			return // it is gone again, and its Closed is on the way
 		}
 		at, _ = proxyOf(o.Topic)
-		s := &stream{hub: h, topic: o.Topic, since: sockets.Next()}
+		s := &stream{hub: h, topic: o.Topic, openedAt: sockets.Next()}
 		h.streams[o.Topic] = s
-		h.hear(
+		h.handler(
 			eventloop.Command{
 				From:    s,
 				Message: textproto.Subscribe{Proxy: at, Zone: c.hello.Zone, Rate: c.hello.Rate, Fresh: true},
 			},
 		)
-	case session.Left:
+	case session.OwnerLeft:
 		if s := h.streams[o.Topic]; s != nil {
 			delete(h.streams, o.Topic)
 			h.log.WithFields(logrus.Fields{"reason": "away", "of": o.Topic}).Info("a subscriber has left")
-			h.hear(eventloop.Command{From: s, Message: textproto.Closed{}})
+			h.handler(eventloop.Command{From: s, Message: textproto.Closed{}})
 		}
 	case session.Answered:
 		if s := h.streams[o.Topic]; s != nil {
 			at, _ := proxyOf(o.Topic)
-			h.hear(eventloop.Command{From: s, Message: textproto.Ack{Proxy: at, Number: o.Mark}})
+			h.handler(eventloop.Command{From: s, Message: textproto.Ack{Proxy: at, Number: o.Mark}})
 		}
 	}
 }
@@ -267,7 +267,7 @@
 	delete(h.conns, id)
 	h.mu.Unlock()
 	if c.from != nil {
-		h.hear(eventloop.Command{From: c.from, Message: textproto.Closed{}})
+		h.handler(eventloop.Command{From: c.from, Message: textproto.Closed{}})
 	} else if c.hello.Topic != "" {
 		h.tell(session.Closed{Conn: id})
 	}
@@ -285,7 +285,7 @@
 
 // say writes an error and closes.
 func (c *conn) say(ctx context.Context, e Error) {
-	ctx, cancel := context.WithTimeout(ctx, writeWithin)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	_ = c.ws.Write(ctx, websocket.MessageBinary, Encode(KindError, e))
 	_ = c.ws.Close(websocket.StatusPolicyViolation, e.Code)
@@ -342,11 +342,11 @@
 
 // greet takes the hello of a connection. Its error has a code, which the other side was told unless it was silent.
 func (h *Hub) greet(ctx context.Context, c *conn) (code string, err error) {
-	first, cancel := context.WithTimeout(ctx, helloWithin)
+	first, cancel := context.WithTimeout(ctx, helloTimeout)
 	_, text, err := c.ws.Read(first)
 	cancel()
 	if err != nil {
-		return CodeSilent, err
+		return CodeHelloTimeout, err
 	}
 	message, err := Decode(text)
 	hello, ok := message.(Hello)
@@ -404,8 +404,8 @@
 	) && hello.Rate >= 0 && hello.Rate < 1e6):
 		return nil
 	case reports && slices.Contains(h.names.Zones, zone):
-		c.from = &source{since: sockets.Next(), c: c}
-		h.hear(eventloop.Command{From: c.from, Message: textproto.Source{Zone: zone}})
+		c.from = &source{openedAt: sockets.Next(), c: c}
+		h.handler(eventloop.Command{From: c.from, Message: textproto.Source{Zone: zone}})
 		return nil
 	}
 	return fmt.Errorf("%w: %.60q", errTopic, hello.Topic)
@@ -428,14 +428,14 @@
 			Proxy:   at,
 			Product: said.Product,
 			Txns:    said.Txns,
-			Failed:  said.Voided,
+			Failed:  said.Failed,
 			Period:  textproto.Millis(said.Millis),
 		}
 		if err := u.Check(); err != nil {
 			return err
 		}
 		h.tell(publish{c.hello.Topic, u})
-	case Heard:
+	case BackendReport:
 		zone, ok := strings.CutPrefix(c.hello.Topic, ReportsTopic)
 		if !ok {
 			return errNotOwn
@@ -444,13 +444,13 @@
 			Zone:     zone,
 			Backend:  said.Backend,
 			Attempts: said.Tries,
-			Failed:   said.Voided,
+			Failed:   said.Failed,
 			Latency:  textproto.Millis(said.Took),
 		}
 		if err := e.Check(textproto.Millis(said.Millis)); err != nil {
 			return err
 		}
-		h.hear(eventloop.Command{From: c.from, Message: e})
+		h.handler(eventloop.Command{From: c.from, Message: e})
 	default:
 		return fmt.Errorf("%w: %T", errMessage, said)
 	}
@@ -459,8 +459,8 @@
 
 // publish is a report of a topic's owner, on its way to the stream that the desk knows.
 type publish struct {
-	topic string
-	said  any
+	topic   string
+	message any
 }
 
 // write sends what is queued. A client that does not read in time is let go of.
@@ -472,7 +472,7 @@
 				_ = c.ws.Close(websocket.StatusPolicyViolation, "")
 				return nil
 			}
-			within, cancel := context.WithTimeout(ctx, writeWithin)
+			within, cancel := context.WithTimeout(ctx, writeTimeout)
 			err := c.ws.Write(within, websocket.MessageBinary, message)
 			cancel()
 			if err != nil {
@@ -494,11 +494,11 @@
 
 // source is a collector as the desk sees it.
 type source struct {
-	since uint64
-	c     *conn
+	openedAt uint64
+	c        *conn
 }
 
-func (s *source) Since() uint64 { return s.since }
+func (s *source) Since() uint64 { return s.openedAt }
 func (s *source) Known(string)  {}
 func (s *source) Send([]byte)   {}
 func (s *source) Replaced()     { s.c.ended() }
--- a/internal/controller/pubsub/session/session.go
+++ b/internal/controller/pubsub/session/session.go
@@ -94,8 +94,8 @@
 	Conn  int
 }
 
-// Left says that the owner has been gone for the linger.
-type Left struct{ Topic string }
+// OwnerLeft says that the owner has been gone for the linger.
+type OwnerLeft struct{ Topic string }
 
 // Answered is a mark of which all took effect.
 type Answered struct {
@@ -141,15 +141,15 @@
 }
 
 type subscriber struct {
-	topic  *topic
-	conn   int    // 0: none
-	seq    uint32 // given out last
-	prev   uint32 // that the next message goes on from
-	whole  bool   // a snapshot is wanted
-	dirty  map[string]bool
-	marks  []int // to be answered with the next message
-	flight []sent
-	credit int
+	topic         *topic
+	conn          int    // 0: none
+	seq           uint32 // given out last
+	prev          uint32 // that the next message goes on from
+	needsSnapshot bool   // a snapshot is wanted
+	dirty         map[string]bool
+	marks         []int // to be answered with the next message
+	flight        []sent
+	credit        int
 }
 
 type sent struct {
@@ -191,7 +191,7 @@
 	}
 	for _, t := range sorted(s.topics) {
 		if t.away > 0 && s.now >= t.away+s.plan.Linger {
-			s.out = append(s.out, Left{t.name})
+			s.out = append(s.out, OwnerLeft{t.name})
 			s.end(t, Ended)
 		} else if touched[t] {
 			for _, x := range t.all {
@@ -249,7 +249,7 @@
 
 func (s *Sessions) opened(e Opened) *topic {
 	t := s.topic(e.Topic)
-	x := &subscriber{topic: t, whole: true, dirty: map[string]bool{}}
+	x := &subscriber{topic: t, needsSnapshot: true, dirty: map[string]bool{}}
 	switch {
 	case !e.Owner && len(t.all) > s.plan.Onlookers:
 		s.out = append(s.out, Close{e.Conn, Crowded})
@@ -279,13 +279,13 @@
 	at := slices.IndexFunc(x.flight, func(m sent) bool { return m.seq == seq })
 	first := len(x.flight) == 0 && seq == x.seq || len(x.flight) > 0 && seq+1 == x.flight[0].seq
 	if epoch != s.plan.Epoch || at < 0 && !first || seq == 0 {
-		x.whole = true
+		x.needsSnapshot = true
 	} else {
-		s.settle(x, at+1)
+		s.step(x, at+1)
 		x.prev = seq
 	}
 	for _, m := range x.flight {
-		x.whole = x.whole || m.snapshot
+		x.needsSnapshot = x.needsSnapshot || m.snapshot
 		for _, k := range m.keys {
 			x.dirty[k] = true
 		}
@@ -294,8 +294,8 @@
 	x.flight = nil
 }
 
-// settle takes so many of what was sent for having taken effect.
-func (s *Sessions) settle(x *subscriber, n int) {
+// step takes so many of what was sent for having taken effect.
+func (s *Sessions) step(x *subscriber, n int) {
 	for _, m := range x.flight[:n] {
 		for _, mark := range m.marks {
 			s.out = append(s.out, Answered{x.topic.name, mark})
@@ -308,7 +308,7 @@
 	x.credit = min(x.credit+max(e.More, 0), s.plan.MostCredit)
 	switch at := slices.IndexFunc(x.flight, func(m sent) bool { return m.seq == e.Seq }); {
 	case e.Epoch == s.plan.Epoch && at >= 0:
-		s.settle(x, at+1)
+		s.step(x, at+1)
 	case e.Epoch == s.plan.Epoch && int32(e.Seq-x.seq) > 0: // late ones and repeats are nothing new
 		s.out = append(s.out, Close{x.conn, Unknown})
 		s.let(x)
@@ -354,9 +354,9 @@
 // nextKeys are the keys of the next message; it reports whether there is one to send.
 func (s *Sessions) nextKeys(x *subscriber) (keys []string, ok bool) {
 	switch {
-	case x.whole && len(x.topic.state) == 0:
+	case x.needsSnapshot && len(x.topic.state) == 0:
 		return nil, false
-	case x.whole:
+	case x.needsSnapshot:
 		clear(x.dirty)
 		return slices.Sorted(maps.Keys(x.topic.state)), true
 	case len(x.dirty) > 0:
@@ -372,13 +372,13 @@
 }
 
 func (s *Sessions) sendKeys(x *subscriber, keys []string) {
-	m := Send{Conn: x.conn, Epoch: s.plan.Epoch, Prev: x.prev, Snapshot: x.whole}
+	m := Send{Conn: x.conn, Epoch: s.plan.Epoch, Prev: x.prev, Snapshot: x.needsSnapshot}
 	for _, k := range keys {
 		v, there := x.topic.state[k]
 		m.Sets = append(m.Sets, Set{Key: k, Gone: !there, Value: v})
 	}
 	if x.seq++; x.seq == 0 { // numbers are used up: the next one stands for all
-		x.seq, x.whole, x.flight = 1, true, nil
+		x.seq, x.needsSnapshot, x.flight = 1, true, nil
 		m.Prev, m.Snapshot = 0, true
 		m.Sets = nil
 		for _, k := range slices.Sorted(maps.Keys(x.topic.state)) {
@@ -394,7 +394,7 @@
 		f.keys = nil
 	}
 	x.flight = append(x.flight, f)
-	x.whole, x.credit = false, x.credit-1
+	x.needsSnapshot, x.credit = false, x.credit-1
 	s.out = append(s.out, m)
 }
 
@@ -402,7 +402,7 @@
 func (s *Sessions) Waits(topic string) (sets, messages int) {
 	if t := s.topics[topic]; t != nil && t.owner != nil {
 		sets = len(t.owner.dirty)
-		if t.owner.whole {
+		if t.owner.needsSnapshot {
 			sets = len(t.state)
 		}
 		return sets, len(t.owner.flight)
@@ -410,8 +410,8 @@
 	return 0, 0
 }
 
-// Held counts what is kept, for a look from outside.
-func (s *Sessions) Held() (topics, conns, values int) {
+// Size counts what is kept, for a look from outside.
+func (s *Sessions) Size() (topics, conns, values int) {
 	for _, t := range s.topics {
 		values += len(t.state)
 	}
--- a/internal/controller/pubsub/session/session_test.go
+++ b/internal/controller/pubsub/session/session_test.go
@@ -56,7 +56,7 @@
 			r.marks = append(r.marks, o.Mark)
 		case Joined:
 			r.joined++
-		case Left:
+		case OwnerLeft:
 			r.left++
 		case Close:
 			r.closed = append(r.closed, o.Reason)
@@ -260,7 +260,7 @@
 	if len(r.marks) != 2 || r.closed[1] != Unknown {
 		t.Errorf("a number never sent: marks %v, closed %v", r.marks, r.closed)
 	}
-	if _, conns, _ := r.s.Held(); conns != 0 {
+	if _, conns, _ := r.s.Size(); conns != 0 {
 		t.Errorf("%d connections are held", conns)
 	}
 }
@@ -294,7 +294,7 @@
 	r.step(Changed{Topic: "p", Sets: []Set{set("b1", 1)}})
 	r.open(8)
 	r.step(Dropped{"p"})
-	if topics, conns, values := r.s.Held(); r.left != 1 || r.closed[len(r.closed)-1] != Replaced ||
+	if topics, conns, values := r.s.Size(); r.left != 1 || r.closed[len(r.closed)-1] != Replaced ||
 		topics+conns+values != 0 {
 		t.Errorf("left %d, closed %v, %d topics, %d connections, %d values are held", r.left, r.closed, topics, conns, values)
 	}
@@ -308,7 +308,7 @@
 	for i := range 200 {
 		r.step(Opened{Conn: 1000 + i, Topic: "p", Credit: 0}) // never any credit
 	}
-	if _, conns, _ := r.s.Held(); conns > 2+r.s.plan.Onlookers || len(r.closed) < 130 || r.closed[0] != Crowded {
+	if _, conns, _ := r.s.Size(); conns > 2+r.s.plan.Onlookers || len(r.closed) < 130 || r.closed[0] != Crowded {
 		t.Errorf("%d connections, closed %d", conns, len(r.closed))
 	}
 	r.step(Changed{Topic: "p", Sets: []Set{set("b1", 2)}})
@@ -318,7 +318,7 @@
 	for i := range 200 {
 		r.step(Closed{1000 + i})
 	}
-	if _, conns, _ := r.s.Held(); conns != 1 {
+	if _, conns, _ := r.s.Size(); conns != 1 {
 		t.Errorf("%d connections are held", conns)
 	}
 }
--- a/internal/controller/pubsub/stream.go
+++ b/internal/controller/pubsub/stream.go
@@ -9,9 +9,9 @@
 
 // stream is a proxy's topic as the desk sees it: a desk.Stream. It outlives the connections of its owner.
 type stream struct {
-	hub   *Hub
-	topic string
-	since uint64
+	hub      *Hub
+	topic    string
+	openedAt uint64
 
 	orders Orders // the desk's goroutine alone looks
 
@@ -21,7 +21,7 @@
 	fault  error
 }
 
-func (s *stream) Since() uint64 { return s.since }
+func (s *stream) Since() uint64 { return s.openedAt }
 
 func (s *stream) Known(string) {}
 
@@ -59,14 +59,14 @@
 
 // Orders turns the messages to a proxy into values, in the order in which they are made.
 type Orders struct {
-	lines map[string]map[string]bool // by product, that it has
+	installed map[string]map[string]bool // by product, that it has
 }
 
 // Sets are the values that a message changes, and the mark that it asks an answer for, 0 for none. Of a key that is
 // named twice the last one holds. Parts that name no products mean all.
 func (o *Orders) Sets(products []string, parts []textproto.Part) (sets []session.Set, mark int) {
-	if o.lines == nil {
-		o.lines = map[string]map[string]bool{}
+	if o.installed == nil {
+		o.installed = map[string]map[string]bool{}
 	}
 	c := changeSet{at: map[string]int{}}
 	for _, p := range parts {
@@ -106,10 +106,10 @@
 }
 
 func (o *Orders) setProduct(c *changeSet, product string, p textproto.Part) {
-	if o.lines[product] == nil {
-		o.lines[product] = map[string]bool{}
+	if o.installed[product] == nil {
+		o.installed[product] = map[string]bool{}
 	}
-	lines := o.lines[product]
+	lines := o.installed[product]
 	if p.Full {
 		for id := range lines {
 			c.put(session.Set{Key: LineKey(product, id), Gone: true})
--- a/internal/controller/pubsub/wire.go
+++ b/internal/controller/pubsub/wire.go
@@ -22,13 +22,13 @@
 
 // Kinds of message: the first byte; cbor follows.
 const (
-	KindHello    = 'H'
-	KindAck      = 'A'
-	KindUsed     = 'U'
-	KindHeard    = 'R'
-	KindSnapshot = 'S'
-	KindChange   = 'C'
-	KindError    = 'E'
+	KindHello         = 'H'
+	KindAck           = 'A'
+	KindUsed          = 'U'
+	KindBackendReport = 'R'
+	KindSnapshot      = 'S'
+	KindChange        = 'C'
+	KindError         = 'E'
 )
 
 // Topics.
@@ -63,15 +63,15 @@
 type Used struct {
 	Product string  `cbor:"1,keyasint"`
 	Txns    float64 `cbor:"2,keyasint"`
-	Voided  float64 `cbor:"3,keyasint,omitempty"`
+	Failed  float64 `cbor:"3,keyasint,omitempty"`
 	Millis  float64 `cbor:"4,keyasint"`
 }
 
-// Heard sums what the proxies of a zone met at a backend in so many ms; Took is the mean time of answers in ms.
-type Heard struct {
+// BackendReport sums what the proxies of a zone met at a backend in so many ms; Took is the mean time of answers in ms.
+type BackendReport struct {
 	Backend string  `cbor:"1,keyasint"`
 	Tries   float64 `cbor:"2,keyasint"`
-	Voided  float64 `cbor:"3,keyasint,omitempty"`
+	Failed  float64 `cbor:"3,keyasint,omitempty"`
 	Took    float64 `cbor:"4,keyasint,omitempty"`
 	Millis  float64 `cbor:"5,keyasint"`
 }
@@ -92,15 +92,15 @@
 
 // Codes of Error, beside the reasons of a session.
 const (
-	CodeVersion = "version"  // another version of the protocol
-	CodeTopic   = "topic"    // no such topic, or not for the one that asks
-	CodeMessage = "message"  // what came is no message of the protocol
-	CodeNotOwn  = "not-own"  // it publishes what only another may
-	CodeCrowded = "crowded"  // no more connections are taken
-	CodeRefused = "refused"  // a proxy or zone that the settings do not have
-	CodeSilent  = "silent"   // no hello in time
-	CodeUnread  = "unread"   // what is sent is not read in time
-	CodeStopped = "stopping" // the controller ends
+	CodeVersion      = "version"  // another version of the protocol
+	CodeTopic        = "topic"    // no such topic, or not for the one that asks
+	CodeMessage      = "message"  // what came is no message of the protocol
+	CodeNotOwn       = "not-own"  // it publishes what only another may
+	CodeCrowded      = "crowded"  // no more connections are taken
+	CodeRefused      = "refused"  // a proxy or zone that the settings do not have
+	CodeHelloTimeout = "silent"   // no hello in time
+	CodeUnread       = "unread"   // what is sent is not read in time
+	CodeStopped      = "stopping" // the controller ends
 )
 
 // Encode writes a message of a kind.
@@ -138,8 +138,8 @@
 		var u Used
 		err := read(&u)
 		return u, err
-	case KindHeard:
-		var h Heard
+	case KindBackendReport:
+		var h BackendReport
 		err := read(&h)
 		return h, err
 	case KindError:
--- a/internal/controller/sources.go
+++ b/internal/controller/sources.go
@@ -80,11 +80,11 @@
 // sources is the one way from Sources to the desk. Of two the new one takes the old one's place with its first
 // whole list: until then the old one is followed, so nothing is undone by one that cannot be reached.
 type sources struct {
-	queue  chan<- eventloop.Command
-	memory Memory                  // nil: nothing is kept
-	onlook atomic.Pointer[Channel] // nil: nobody looks on
-	log    *logrus.Entry
-	now    atomic.Pointer[slot] // the desk asks here and never waits
+	queue   chan<- eventloop.Command
+	memory  Memory                  // nil: nothing is kept
+	channel atomic.Pointer[Channel] // nil: nobody looks on
+	log     *logrus.Entry
+	now     atomic.Pointer[slot] // the desk asks here and never waits
 
 	mu   sync.Mutex
 	next *slot
@@ -120,7 +120,7 @@
 		if s.memory != nil {
 			s.memory.Keep(said)
 		}
-		if c := s.onlook.Load(); c != nil {
+		if c := s.channel.Load(); c != nil {
 			if l, ok := said.(reconcile.List); ok {
 				(*c).Tell(l)
 			}
--- a/internal/controller/statestore/store.go
+++ b/internal/controller/statestore/store.go
@@ -48,7 +48,7 @@
 	versionKey  = []byte("version")
 	nameKey     = []byte("name")
 	startsKey   = []byte("starts")
-	openWithin  = 2 * time.Second
+	openTimeout = 2 * time.Second
 	flushEvery  = 500 * time.Millisecond
 	mostStarts  = uint64(3)
 	mostWaiting = 100000
@@ -56,9 +56,9 @@
 
 // Store holds the file of one controller.
 type Store struct {
-	db   *bbolt.DB
-	log  *logrus.Entry
-	most int64 // bytes
+	db       *bbolt.DB
+	log      *logrus.Entry
+	maxFacts int64 // bytes
 
 	flushing sync.Mutex // one batch at a time: who flushes knows all that was handed over before to be written
 
@@ -88,7 +88,7 @@
 	} else if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	s.log, s.most = log, mostBytes
+	s.log, s.maxFacts = log, mostBytes
 	s.waiting, s.wake, s.stop, s.done = map[string]Record{}, make(
 		chan struct{},
 		1,
@@ -148,7 +148,7 @@
 	if err := checkFile(path); err != nil {
 		return nil, err
 	}
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openWithin, FreelistType: bbolt.FreelistMapType})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTimeout, FreelistType: bbolt.FreelistMapType})
 	if err == nil || errors.Is(err, os.ErrPermission) || errors.Is(err, bbolterrors.ErrTimeout) {
 		return db, err
 	}
@@ -361,7 +361,7 @@
 	}
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		facts := tx.Bucket(factBucket)
-		if s.most > 0 && tx.Size() > s.most { // the oldest half goes
+		if s.maxFacts > 0 && tx.Size() > s.maxFacts { // the oldest half goes
 			if err := prune(facts); err != nil {
 				return err
 			}
--- a/internal/controller/tenancy/cells.go
+++ b/internal/controller/tenancy/cells.go
@@ -881,8 +881,8 @@
 	Radius
 }
 
-// Touch is what a backend is to the tenants: the part of all their strength, and how many have it.
-type Touch struct {
+// Overlap is what a backend is to the tenants: the part of all their strength, and how many have it.
+type Overlap struct {
 	Backend string
 	Part    float64
 	Tenants int
@@ -891,7 +891,7 @@
 // View is all of it: tenants in the order of the plan, backends in that of their ids.
 type View struct {
 	Tenants  []State
-	Backends []Touch
+	Backends []Overlap
 }
 
 // Show tells how tenants and backends stand.
@@ -922,7 +922,7 @@
 	}
 	for _, b := range c.list {
 		if having[b.At] > 0 {
-			v.Backends = append(v.Backends, Touch{b.ID, parts[b.At], having[b.At]})
+			v.Backends = append(v.Backends, Overlap{b.ID, parts[b.At], having[b.At]})
 		}
 	}
 	return v
--- a/internal/controller/warmstart/recall.go
+++ b/internal/controller/warmstart/recall.go
@@ -20,14 +20,14 @@
 
 // Kinds. The first three are states, of which one holds; the others are figures, which are weighed.
 const (
-	Backend Kind = iota + 1 // Key: its id; State: one of the list's phases
-	Shut                    // Key: a backend; State: Out or In
-	Moving                  // Key: a tenant; State: the cell that it is to be in
-	Use                     // Key: a proxy and product; txns/s
-	Pace                    // the most served, txns/s for a unit of the listed weight
-	Total                   // txns/s for a unit of the listed weight, 0 for unbounded
-	Knee                    // the same
-	Relief                  // Key: a backend; part of its weight that it keeps
+	Backend    Kind = iota + 1 // Key: its id; State: one of the list's phases
+	Withdrawal                 // Key: a backend; State: Out or In
+	Moving                     // Key: a tenant; State: the cell that it is to be in
+	Use                        // Key: a proxy and product; txns/s
+	Throughput                 // the most served, txns/s for a unit of the listed weight
+	Total                      // txns/s for a unit of the listed weight, 0 for unbounded
+	Knee                       // the same
+	Relief                     // Key: a backend; part of its weight that it keeps
 	ends
 )
 
@@ -84,8 +84,8 @@
 	Facts  []Fact
 }
 
-// Known is a fact at first hand: nothing that was offered stands against it any more.
-type Known struct {
+// KnownFact is a fact at first hand: nothing that was offered stands against it any more.
+type KnownFact struct {
 	Kind Kind
 	Key  string
 }
@@ -145,7 +145,7 @@
 		switch e := e.(type) {
 		case Offered:
 			out = append(out, r.offered(e)...)
-		case Known:
+		case KnownFact:
 			at := id{e.Kind, e.Key}
 			if h := r.facts[at]; h != nil {
 				r.count -= len(h.facts)
@@ -173,7 +173,7 @@
 		return "nobody's"
 	case f.Doubt == 1:
 		return "of one that is warming up itself"
-	case f.Kind <= Shut && safety[f.State] == 0:
+	case f.Kind <= Withdrawal && safety[f.State] == 0:
 		return "in a state that is not known"
 	case r.knownIDs[id{f.Kind, f.Key}]:
 		return "known at first hand"
--- a/internal/controller/warmstart/recall_test.go
+++ b/internal/controller/warmstart/recall_test.go
@@ -122,14 +122,17 @@
 		}
 	}
 	r := New(Usual())
-	out := r.Step(0, []Event{Offered{"x", []Fact{fact(Shut, "s-2", In, 0, s, "n2"), fact(Shut, "s-2", Out, 0, 30*s, "n3"),
-		fact(Moving, "acme", "red", 0, 9*s, "n2"), fact(Moving, "acme", "blue", 0, 3*s, "n3")}}})
+	out := r.Step(
+		0,
+		[]Event{Offered{"x", []Fact{fact(Withdrawal, "s-2", In, 0, s, "n2"), fact(Withdrawal, "s-2", Out, 0, 30*s, "n3"),
+			fact(Moving, "acme", "red", 0, 9*s, "n2"), fact(Moving, "acme", "blue", 0, 3*s, "n3")}}},
+	)
 	b := find[Believe](out)
 	if len(b) != 2 || b[0].State != Out || b[1].State != "blue" || len(find[Differ](out)) != 2 {
 		t.Errorf("orders %+v", out)
 	}
 	// What we know at first hand stands against all of it, and is told no more.
-	out = r.Step(s, []Event{Known{Shut, "s-2"}, Offered{"x", []Fact{fact(Shut, "s-2", Out, 0, 0, "n4")}}})
+	out = r.Step(s, []Event{KnownFact{Withdrawal, "s-2"}, Offered{"x", []Fact{fact(Withdrawal, "s-2", Out, 0, 0, "n4")}}})
 	if len(find[Believe](out)) != 0 || find[Refuse](out)[0].Reason != "known at first hand" {
 		t.Errorf("orders %+v", out)
 	}
@@ -196,7 +199,7 @@
 				switch f.Kind {
 				case Backend:
 					f.State = []string{Serving, Draining, Ended}[chance.IntN(3)]
-				case Shut:
+				case Withdrawal:
 					f.State = []string{In, Out}[chance.IntN(2)]
 				case Moving:
 					f.State = []string{"red", "blue"}[chance.IntN(2)]
@@ -209,7 +212,7 @@
 				}
 			}
 			if chance.IntN(10) == 0 {
-				k := Known{Kind(1 + chance.IntN(5)), fmt.Sprint(chance.IntN(3))}
+				k := KnownFact{Kind(1 + chance.IntN(5)), fmt.Sprint(chance.IntN(3))}
 				events = append(events, k)
 				known[id{k.Kind, k.Key}] = true
 				delete(believed, id{k.Kind, k.Key})
@@ -243,7 +246,7 @@
 						p := (1 - w.Doubt) * math.Exp2(-float64(w.Age+now-w.at)/float64(plan.Half))
 						sum, weight = sum+p*w.Value, weight+p
 					}
-					if kind <= Shut && safety[got.State] < safest {
+					if kind <= Withdrawal && safety[got.State] < safest {
 						t.Fatalf("seed %d, %v: %v holds %s, a safer one was told", seed, now, at, got.State)
 					}
 					if kind > Moving && math.Abs(got.Value-sum/weight) > 0.011*math.Max(got.Value, 1) {
--- a/internal/emulator/days.go
+++ b/internal/emulator/days.go
@@ -9,13 +9,25 @@
 // Campus is a day of the size that the cells are measured at: 24 backends in three zones, 60 proxies in 20
 // tenants, 500 txns/s, at two fifths of what the backends can do.
 func Campus(seed uint64) Day {
-	d := Day{Seed: seed, Zones: 3, Controllers: 2, Cold: 10 * second, ColdLeast: 0.3, ColdMost: 4, TipAfter: 1500 * ms,
-		MarkFor: 2500 * ms, ReportLate: 900 * ms, ListLate: 300 * ms, Dial: 1200 * ms, Again: 3,
+	d := Day{
+		Seed:           seed,
+		Zones:          3,
+		Controllers:    2,
+		WarmupTime:     10 * second,
+		WarmupCapacity: 0.3,
+		WarmupOverload: 4,
+		TipAfter:       1500 * ms,
+		MarkFor:        2500 * ms,
+		ReportDelay:    900 * ms,
+		ListDelay:      300 * ms,
+		Dial:           1200 * ms,
+		Again:          3,
 		Products: []Product{
 			{Name: "lookup", Part: 0.5, Work: 0.03, SLA: 400 * ms, Deadline: 2 * second},
 			{Name: "file-copy", Part: 0.35, Work: 0.04, SLA: 500 * ms, Deadline: 3 * second, Safety: Keyed, OwnZone: true},
 			{Name: "send-invoice", Part: 0.15, Work: 0.06, SLA: 800 * ms, Deadline: 4 * second, Safety: Unsafe},
-		}}
+		},
+	}
 	for i := range 24 {
 		d.Backends = append(
 			d.Backends,
@@ -32,7 +44,7 @@
 // four zones, at about half of what these can do, with a channel that is slow against a first table for all.
 func Fleet(seed uint64, controllers int) Day {
 	d := Campus(seed)
-	d.Zones, d.Controllers, d.LinesPerS, d.LinesMost, d.Grace, d.Again = 4, controllers, 2400, 9600, 2*second, 0
+	d.Zones, d.Controllers, d.LinesPerS, d.MaxQueuedLines, d.Grace, d.Again = 4, controllers, 2400, 9600, 2*second, 0
 	d.Backends, d.Proxies = nil, nil
 	for i := range 48 {
 		d.Backends = append(
@@ -78,11 +90,11 @@
 func (w *World) Over(tenant string, from, to int) (sum Sum) {
 	for at, s := range w.Sums[tenant] {
 		if at >= from && at < to {
-			sum.Asked += s.Asked
+			sum.Requested += s.Requested
 			sum.Served += s.Served
 			sum.Late += s.Late
 			sum.Declined += s.Declined
-			sum.Voided += s.Voided
+			sum.Failed += s.Failed
 		}
 	}
 	return sum
--- a/internal/emulator/emu.go
+++ b/internal/emulator/emu.go
@@ -77,31 +77,31 @@
 
 // Day is what is played.
 type Day struct {
-	Seed        uint64
-	Zones       int
-	Products    []Product
-	Proxies     []Proxy
-	Backends    []Backend
-	Controllers int
-	Plan        *tenancy.Plan // nil: nobody is confined
-	Cold        Time
-	ColdLeast   float64 // capacity of one that has just started
-	ColdMost    float64 // multiple of its capacity that tips it
-	TipAfter    Time
-	MarkFor     Time // that a zone's backends drop a repeat
-	ReportLate  Time
-	ListLate    Time
-	Dial        Time    // until a proxy whose stream broke has joined again
-	Again       int     // times that a poisoned tenant's clients repeat what failed
-	LinesPerS   float64 // of a controller's channel, in which messages leave one after the other; 0: they do not wait
-	LinesMost   float64 // that may wait there
-	Recall      Recall
-	Channel     bool // proxies subscribe to the channel, in place of the platform's streams
-	Grace       Time // after which a try at a backend that drains or is gone is a late one
-	Told        Time // how often controllers tell sums on; 0: never
-	Oracle      bool // proxies take the better of two draws from all that is open, by the true state: a baseline
-	Naive       bool // proxies take the line that seems least loaded by what was told last: another one
-	Careless    bool // proxies try again after any failure, as none of ours may: to see that the ledger notices
+	Seed           uint64
+	Zones          int
+	Products       []Product
+	Proxies        []Proxy
+	Backends       []Backend
+	Controllers    int
+	Plan           *tenancy.Plan // nil: nobody is confined
+	WarmupTime     Time
+	WarmupCapacity float64 // capacity of one that has just started
+	WarmupOverload float64 // multiple of its capacity that tips it
+	TipAfter       Time
+	MarkFor        Time // that a zone's backends drop a repeat
+	ReportDelay    Time
+	ListDelay      Time
+	Dial           Time    // until a proxy whose stream broke has joined again
+	Again          int     // times that a poisoned tenant's clients repeat what failed
+	LinesPerS      float64 // of a controller's channel, in which messages leave one after the other; 0: they do not wait
+	MaxQueuedLines float64 // that may wait there
+	Recall         Recall
+	Channel        bool // proxies subscribe to the channel, in place of the platform's streams
+	Grace          Time // after which a try at a backend that drains or is gone is a late one
+	Told           Time // how often controllers tell sums on; 0: never
+	Oracle         bool // proxies take the better of two draws from all that is open, by the true state: a baseline
+	Naive          bool // proxies take the line that seems least loaded by what was told last: another one
+	Careless       bool // proxies try again after any failure, as none of ours may: to see that the ledger notices
 }
 
 // Recall is where a controller that starts knows something from.
@@ -114,10 +114,10 @@
 )
 
 // Sum is what became of a tenant's txns.
-type Sum struct{ Asked, Served, Late, Declined, Voided int }
+type Sum struct{ Requested, Served, Late, Declined, Failed int }
 
 // Service is the part that was served in its SLA time.
-func (s Sum) Service() float64 { return float64(s.Served) / math.Max(float64(s.Asked), 1) }
+func (s Sum) Service() float64 { return float64(s.Served) / math.Max(float64(s.Requested), 1) }
 
 type action struct {
 	at  Time
@@ -392,7 +392,7 @@
 		w.every(second, second, func() {
 			for _, b := range w.backends {
 				tried := b.tried
-				w.after(w.ReportLate, func() { b.seems, b.seen = float64(tried-b.seen)/b.strength(), tried })
+				w.after(w.ReportDelay, func() { b.seems, b.seen = float64(tried-b.seen)/b.strength(), tried })
 			}
 		})
 	}
@@ -476,12 +476,12 @@
 		Zones:           w.Zones,
 		Proxies:         len(w.Proxies),
 		RemovalBinds:    true,
-		WarmupTime:      w.Cold,
-		WarmupCapacity:  w.ColdLeast,
-		WarmupOverload:  w.ColdMost,
+		WarmupTime:      w.WarmupTime,
+		WarmupCapacity:  w.WarmupCapacity,
+		WarmupOverload:  w.WarmupOverload,
 		MinConns:        2000,
 		LinesPerSecond:  cmp.Or(w.LinesPerS, 3000),
-		MaxQueuedLines:  cmp.Or(w.LinesMost, 6000),
+		MaxQueuedLines:  cmp.Or(w.MaxQueuedLines, 6000),
 		MessageOverhead: messageOverhead,
 		MaxMessages:     60,
 		MessageWindow:   10 * second,
@@ -501,7 +501,7 @@
 	}
 	if plan != nil {
 		p := *plan
-		p.Products, p.Zones, p.Cold = dep.Products, w.Zones, w.Cold
+		p.Products, p.Zones, p.Cold = dep.Products, w.Zones, w.WarmupTime
 		c.loop.Handle(eventloop.Command{Message: tenancy.PlanUpdate{Plan: p}})
 	}
 	c.topics = nil
@@ -557,13 +557,13 @@
 // tell hands a change of the list to each controller, late.
 func (w *World) tell(b *backend) {
 	w.revision++
-	if b.announcedAt = w.Now + w.ListLate; b.listed == reconcile.Serving {
+	if b.announcedAt = w.Now + w.ListDelay; b.listed == reconcile.Serving {
 		b.announcedAt = 0
 	}
 	l := reconcile.List{Revision: w.revision, Members: []reconcile.Member{b.member()}}
 	for _, c := range w.control {
 		epoch := c.epoch
-		w.after(w.ListLate, func() {
+		w.after(w.ListDelay, func() {
 			if c.epoch == epoch && !c.down {
 				c.loop.Handle(eventloop.Command{Message: l})
 			}
--- a/internal/emulator/emu_test.go
+++ b/internal/emulator/emu_test.go
@@ -65,7 +65,7 @@
 func TestTips(t *testing.T) {
 	d := Campus(1)
 	w := New(d)
-	w.ColdLeast, w.ColdMost, w.TipAfter = 0.01, 0.05, 100*ms // worse than the decisions were told
+	w.WarmupCapacity, w.WarmupOverload, w.TipAfter = 0.01, 0.05, 100*ms // worse than the decisions were told
 	w.At(5*second, func() { w.Restart("s-03", second) })
 	w.Run(12 * second)
 	if len(w.Tipped) == 0 {
@@ -83,7 +83,7 @@
 	d.Plan = d.Confine(2)
 	shuffled := poisoned(d)
 	own := shuffled.Over(Tenant(7), 20, 40)
-	if without.harmed() < 10 || fixed.harmed() > 4 || shuffled.harmed() > 3 || own.Declined*2 < own.Asked {
+	if without.harmed() < 10 || fixed.harmed() > 4 || shuffled.harmed() > 3 || own.Declined*2 < own.Requested {
 		t.Errorf(
 			"harmed %d without, %d fixed, %d shuffled; the poisoned one: %+v",
 			without.harmed(),
@@ -158,7 +158,7 @@
 // seconds earlier: none is pushed over by all proxies together.
 func TestCase4ColdCell(t *testing.T) {
 	d := Campus(1)
-	d.ColdMost = 3
+	d.WarmupOverload = 3
 	d.Plan = d.Confine(0, "red", "blue", "green")
 	w := New(d)
 	w.At(10*second, func() {
@@ -245,7 +245,7 @@
 
 func planFor(d Day, p *tenancy.Plan) tenancy.Plan {
 	q := *p
-	q.Zones, q.Cold = d.Zones, d.Cold
+	q.Zones, q.Cold = d.Zones, d.WarmupTime
 	for _, x := range d.Products {
 		q.Products = append(q.Products, policy.Product{SLA: x.SLA, OwnZone: x.OwnZone})
 	}
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -10,8 +10,8 @@
 func (w *World) all(from, to int) (sum Sum) {
 	for i := range 20 {
 		s := w.Over(Tenant(i), from, to)
-		sum.Asked, sum.Served, sum.Late = sum.Asked+s.Asked, sum.Served+s.Served, sum.Late+s.Late
-		sum.Declined, sum.Voided = sum.Declined+s.Declined, sum.Voided+s.Voided
+		sum.Requested, sum.Served, sum.Late = sum.Requested+s.Requested, sum.Served+s.Served, sum.Late+s.Late
+		sum.Declined, sum.Failed = sum.Declined+s.Declined, sum.Failed+s.Failed
 	}
 	return sum
 }
@@ -19,7 +19,7 @@
 // kept fails the test where a rule of the fleet was broken, or a channel grew over its limit.
 func (w *World) kept(t *testing.T) {
 	t.Helper()
-	if n := w.Doubled(); n+w.Bare+w.Late+len(w.Tipped) > 0 || w.Backlog > w.LinesMost {
+	if n := w.Doubled(); n+w.Bare+w.Late+len(w.Tipped) > 0 || w.Backlog > w.MaxQueuedLines {
 		t.Errorf(
 			"%d doubled, %d without a line, %d late tries, pushed over %v, %.0f lines waited of %.0f",
 			n,
@@ -27,7 +27,7 @@
 			w.Late,
 			w.Tipped,
 			w.Backlog,
-			w.LinesMost,
+			w.MaxQueuedLines,
 		)
 	}
 }
@@ -72,7 +72,7 @@
 // lines, and all drains are kept at all of them.
 func TestTrialCase7AllJoinOneInADrain(t *testing.T) {
 	d := Fleet(6, 5)
-	d.LinesPerS, d.LinesMost, d.Grace = 400, 3600, 18*second
+	d.LinesPerS, d.MaxQueuedLines, d.Grace = 400, 3600, 18*second
 	w := New(d)
 	w.At(30*second, func() {
 		for i := 1; i < 5; i++ {
@@ -91,7 +91,7 @@
 func TestManyCase4Release(t *testing.T) {
 	for seed := range uint64(3) {
 		d := Fleet(seed+1, 5)
-		d.ListLate = 600 * ms
+		d.ListDelay = 600 * ms
 		w := New(d)
 		w.release(8*second, 7*second, 2, func(i int) bool { return i%5 < 3 })
 		for i := range 6 {
@@ -136,7 +136,7 @@
 		}
 		w.At(8*second, func() { w.CutZone(2, 5*second) })
 		w.Run(30 * second)
-		if n := w.Doubled(); n+w.Late+len(w.Tipped) > 0 || w.Backlog > w.LinesMost {
+		if n := w.Doubled(); n+w.Late+len(w.Tipped) > 0 || w.Backlog > w.MaxQueuedLines {
 			t.Errorf("%s: %d doubled, %d late tries, pushed over %v, %.0f lines waited", also, n, w.Late, w.Tipped, w.Backlog)
 		}
 		if s, want := w.all(22, 30).Service(), map[string]float64{"nothing": 0.95, "errs": 0.8, "slow": 0.8}[also]; s < want {
@@ -190,7 +190,7 @@
 func TestTrialCase3Silence(t *testing.T) {
 	for _, cut := range []bool{true, false} {
 		d := Fleet(5, 5)
-		d.ListLate = 2 * second
+		d.ListDelay = 2 * second
 		w := New(d)
 		w.At(10*second, func() {
 			if cut {
@@ -257,7 +257,7 @@
 // is written over its limit.
 func TestFleetLedger(t *testing.T) {
 	d := Fleet(6, 1)
-	d.LinesPerS, d.LinesMost = 40, 1e6 // so slow that a drain comes late
+	d.LinesPerS, d.MaxQueuedLines = 40, 1e6 // so slow that a drain comes late
 	w := New(d)
 	w.At(40*second, func() { w.Drain("s-00", true) })
 	w.Run(50 * second)
--- a/internal/emulator/proxies/client.go
+++ b/internal/emulator/proxies/client.go
@@ -26,10 +26,10 @@
 
 // Tally is of requests by their end, and of worth.
 type Tally struct {
-	Owed, Earned                                        float64
-	Requests                                            int
-	Inside, Late, Returned, Refused, Failed, Unfinished int // ends; each request has one
-	LostLate, LostRefused, LostFailed, LostUnfinished   float64
+	Owed, Earned                                           float64
+	Requests                                               int
+	Inside, Late, Returned, Refused, Failed, Unfinished    int // ends; each request has one
+	LostByLatency, LostRefused, LostFailed, LostUnfinished float64
 }
 
 // Earnings is the part that was earned.
@@ -39,7 +39,7 @@
 	t.Owed, t.Earned, t.Requests = t.Owed+o.Owed, t.Earned+o.Earned, t.Requests+o.Requests
 	t.Inside, t.Late, t.Returned = t.Inside+o.Inside, t.Late+o.Late, t.Returned+o.Returned
 	t.Refused, t.Failed, t.Unfinished = t.Refused+o.Refused, t.Failed+o.Failed, t.Unfinished+o.Unfinished
-	t.LostLate, t.LostRefused = t.LostLate+o.LostLate, t.LostRefused+o.LostRefused
+	t.LostByLatency, t.LostRefused = t.LostByLatency+o.LostByLatency, t.LostRefused+o.LostRefused
 	t.LostFailed, t.LostUnfinished = t.LostFailed+o.LostFailed, t.LostUnfinished+o.LostUnfinished
 }
 
@@ -100,7 +100,7 @@
 	case ended == apierror.None && r.refusedE && w.now-sent <= kind.LatencyTarget && w.now <= over:
 		tally.Earned, tally.Returned, tally.LostRefused = mean, 1, kind.Value-mean
 	case ended == apierror.None && w.now <= over:
-		tally.Earned, tally.Late, tally.LostLate = late, 1, kind.Value-late
+		tally.Earned, tally.Late, tally.LostByLatency = late, 1, kind.Value-late
 	default:
 		if refusal && !r.refused {
 			r.refused, r.refusedE = true, took <= kind.LatencyTarget/4
@@ -211,7 +211,7 @@
 	ends := a.Inside + a.Late + a.Returned + a.Refused + a.Failed + a.Unfinished
 	missed(a.Requests != len(requests) || ends != a.Requests,
 		"%d requests, %d accounted for, %d ends", len(requests), a.Requests, ends)
-	missed(math.Abs(a.Owed-a.Earned-a.LostLate-a.LostRefused-a.LostFailed-a.LostUnfinished) > 1e-6,
+	missed(math.Abs(a.Owed-a.Earned-a.LostByLatency-a.LostRefused-a.LostFailed-a.LostUnfinished) > 1e-6,
 		"what was lost by cause is not what is missing")
 	var kinds, windows Tally
 	for _, t := range s.Kinds {
--- a/internal/emulator/spread.go
+++ b/internal/emulator/spread.go
@@ -60,7 +60,7 @@
 		for i := range 800 {
 			d.Proxies = append(d.Proxies, Proxy{Zone: i % 4, Tenant: Tenant(i / 40), Rate: 1100.0 / 800})
 		}
-		d.LinesMost = 30000
+		d.MaxQueuedLines = 30000
 	}
 	for i := range d.Backends {
 		b := &d.Backends[i]
@@ -84,7 +84,7 @@
 		case s.Case == "uneven":
 			d.Proxies[i].Rate *= 0.4
 		case s.Case == "late3" || s.Case == "late8":
-			d.ReportLate = map[string]Time{"late3": 3, "late8": 8}[s.Case] * second
+			d.ReportDelay = map[string]Time{"late3": 3, "late8": 8}[s.Case] * second
 		}
 	}
 	if s.Told {
@@ -112,18 +112,18 @@
 		})
 	case "liar":
 		w.Twist = func(i int, up *aggregation.Up) {
-			for k := range up.Sums.Words {
-				x := &up.Sums.Words[k]
+			for k := range up.Sums.Reports {
+				x := &up.Sums.Reports[k]
 				switch { // in turn: twice the truth, zeros, negative, a backend that is not there
 				case i != 3:
 				case up.Number%4 == 0:
-					x.Tries, x.Voided, x.Spent = 2*x.Tries, 2*x.Voided, 2*x.Spent
+					x.Tries, x.Failed, x.Spent = 2*x.Tries, 2*x.Failed, 2*x.Spent
 				case up.Number%4 == 1:
-					x.Tries, x.Voided, x.Spent = 0, 0, 0
+					x.Tries, x.Failed, x.Spent = 0, 0, 0
 				case up.Number%4 == 2:
-					x.Tries, x.Voided, x.Spent = -x.Tries, -x.Voided, -x.Spent
+					x.Tries, x.Failed, x.Spent = -x.Tries, -x.Failed, -x.Spent
 				default:
-					x.Backend, x.Tries, x.Voided = "nowhere", 1e6, 1e6
+					x.Backend, x.Tries, x.Failed = "nowhere", 1e6, 1e6
 				}
 			}
 		}
@@ -159,7 +159,7 @@
 	asked, sum := 0, Sum{}
 	for i := range 20 {
 		o := w.Over(Tenant(i), spreadFrom, spreadTo)
-		asked, sum.Served, sum.Declined = asked+o.Asked, sum.Served+o.Served, sum.Declined+o.Declined
+		asked, sum.Served, sum.Declined = asked+o.Requested, sum.Served+o.Served, sum.Declined+o.Declined
 	}
 	r.Service, r.Declined = float64(sum.Served)/float64(asked), float64(sum.Declined)/float64(asked)
 	for id, part := range w.Shares(0) {
@@ -168,7 +168,7 @@
 		}
 	}
 	r.Broken = w.Doubled() + w.Late + len(w.Tipped)
-	if w.Backlog > w.LinesMost {
+	if w.Backlog > w.MaxQueuedLines {
 		r.Broken++
 	}
 	r.Herd = moves.index()
--- a/internal/emulator/told.go
+++ b/internal/emulator/told.go
@@ -53,7 +53,7 @@
 	again = func() {
 		if c.epoch == epoch && !c.down {
 			if c.node.Parent() == "" {
-				c.asked(aggregation.Ask{Within: aggregation.AskWithin})
+				c.asked(aggregation.Request{Timeout: aggregation.RequestTimeout})
 			}
 			w.after(w.Told, again)
 		}
@@ -62,7 +62,7 @@
 }
 
 // asked lets a controller tell what it has, after those below it.
-func (c *controller) asked(a aggregation.Ask) {
+func (c *controller) asked(a aggregation.Request) {
 	w, epoch := c.w, c.epoch
 	c.turns++
 	turn := c.turns
@@ -73,7 +73,7 @@
 		c.tell()
 		return
 	}
-	w.after(Time(a.Within*time.Duration(second)/time.Second), func() {
+	w.after(Time(a.Timeout*time.Duration(second)/time.Second), func() {
 		if c.epoch == epoch && !c.down && c.turns == turn && c.waits {
 			c.tell()
 		}
@@ -91,7 +91,7 @@
 			w.Twist(c.at(), up)
 		}
 		w.pass(c, c.node.Parent(), up, func(to *controller) {
-			if to.node.Hear(c.name(), *up, clock(w.Now)); to.waits && to.node.Ready() {
+			if to.node.Handle(c.name(), *up, clock(w.Now)); to.waits && to.node.Ready() {
 				to.tell()
 			}
 		})
@@ -152,9 +152,9 @@
 	for _, u := range total.Uses {
 		said.Uses = append(said.Uses, eventloop.ZoneUse(u))
 	}
-	for _, x := range total.Words {
-		h := textproto.BackendReport{Backend: x.Backend, Attempts: x.Tries, Failed: x.Voided}
-		if good := x.Tries - x.Voided; good > 0 {
+	for _, x := range total.Reports {
+		h := textproto.BackendReport{Backend: x.Backend, Attempts: x.Tries, Failed: x.Failed}
+		if good := x.Tries - x.Failed; good > 0 {
 			h.Latency = Time(x.Spent / good * float64(ms))
 		}
 		said.Reports = append(said.Reports, h)
@@ -171,10 +171,10 @@
 func (c *controller) met(h textproto.BackendReport) {
 	if c.node != nil {
 		c.node.Met(
-			aggregation.Word{
+			aggregation.Report{
 				Backend: h.Backend,
 				Tries:   h.Attempts,
-				Voided:  h.Failed,
+				Failed:  h.Failed,
 				Spent:   float64(h.Latency) / float64(ms) * (h.Attempts - h.Failed),
 			},
 			clock(c.w.Now),
--- a/internal/emulator/topics.go
+++ b/internal/emulator/topics.go
@@ -78,7 +78,7 @@
 					Message: textproto.Subscribe{Proxy: p.i, Zone: w.zone(p.zone), Rate: p.rate, Fresh: true},
 				},
 			)
-		case session.Left:
+		case session.OwnerLeft:
 			if t := c.owners[o.Topic]; t != nil {
 				delete(c.owners, o.Topic)
 				c.loop.Handle(eventloop.Command{From: t, Message: textproto.Closed{}})
--- a/internal/emulator/txns.go
+++ b/internal/emulator/txns.go
@@ -49,7 +49,7 @@
 	w := p.w
 	w.txns++
 	txn, at, product, s := w.txns, w.Now, w.Products[k], w.sum(p.tenant)
-	s.Asked++
+	s.Requested++
 	p.used[k].txns++
 	again := func() {
 		if w.Poison[p.tenant] > 1 && repeated < w.Again {
@@ -68,7 +68,7 @@
 	p.try(txn, k, work, 0, nil, func(ok bool) {
 		switch {
 		case !ok:
-			s.Voided++
+			s.Failed++
 			p.used[k].voided++
 			again()
 		case w.Now-at <= product.SLA:
@@ -235,10 +235,10 @@
 
 // ramp is the part of its capacity that a backend has, which grows while it is cold.
 func (b *backend) ramp() float64 {
-	if b.up == 0 || b.w.Cold == 0 {
+	if b.up == 0 || b.w.WarmupTime == 0 {
 		return 1
 	}
-	return math.Min(1, b.w.ColdLeast+(1-b.w.ColdLeast)*float64(b.w.Now-b.up)/float64(b.w.Cold))
+	return math.Min(1, b.w.WarmupCapacity+(1-b.w.WarmupCapacity)*float64(b.w.Now-b.up)/float64(b.w.WarmupTime))
 }
 
 // take queues a job. A cold backend that is sent more than a multiple of what it can do for a while falls over.
@@ -266,7 +266,7 @@
 	}
 	b.arrivals = append(slices.DeleteFunc(b.arrivals, func(at Time) bool { return at < w.Now-second }), w.Now)
 	can := float64(b.spec.Cores) * b.spec.Speed * b.ramp() / j.work
-	if b.ramp() < 1 && float64(len(b.arrivals)) > w.ColdMost*math.Max(can, 1) {
+	if b.ramp() < 1 && float64(len(b.arrivals)) > w.WarmupOverload*math.Max(can, 1) {
 		if b.overAt == 0 {
 			b.overAt = w.Now
 		}
@@ -341,7 +341,7 @@
 	}
 	clear(p.used)
 	epoch := s.c.epoch
-	w.after(w.ReportLate, func() {
+	w.after(w.ReportDelay, func() {
 		if s.c.down || s.c.epoch != epoch {
 			return
 		}
--- a/internal/fakes/fleet/fleet.go
+++ b/internal/fakes/fleet/fleet.go
@@ -50,7 +50,7 @@
 	Dir       string
 	Zones     []string         // of the list that each process is told
 	Members   []map[string]any // of the list
-	Silent    bool             // no sums are told on
+	NoSums    bool             // no sums are told on
 	Processes []*Process
 	ways      map[[2]int]*link.Way // of words, from one to another
 	streams   map[[2]int]*link.Way
@@ -245,7 +245,7 @@
 	}
 	var file strings.Builder
 	fmt.Fprintf(&file, "member\n    listen %s\n    streams %s\n    site %s\n", p.Listen, p.Streams, p.Site)
-	if !r.Silent {
+	if !r.NoSums {
 		file.WriteString("    sums\n")
 	}
 	for k := 1; k <= min(3, len(r.Processes)-1); k++ {
