--- a/internal/controlplane/storage/writer.go
+++ b/internal/controlplane/storage/writer.go
@@ -108,6 +108,7 @@
 	return s.complete(pending[:1], err)
 }
 
+// append writes a batch. Its records are durable once Sync has returned.
 func (s *Store) append(b batch) error {
 	var entries wal.Batch
 	var encoded []byte
