--- a/internal/bench/gateway/bench_test.go
+++ b/internal/bench/gateway/bench_test.go
@@ -132,7 +132,7 @@
 				time.Second,
 				balancer.Request{Service: gateway.ServiceName(0), TimeToTarget: time.Second, Draws: [2]float64{0.3, 0.7}},
 			); kind == apierror.None {
-				s.End(time.Second, k, balancer.Result{Latency: time.Millisecond})
+				s.RecordResult(time.Second, k, balancer.Result{Latency: time.Millisecond})
 			}
 		}
 	})
--- a/internal/emulator/proxies/ways.go
+++ b/internal/emulator/proxies/ways.go
@@ -74,7 +74,7 @@
 		v := balancer.New(name(i), zoneName(c.zone), balancer.Bounds{RetryRatio: retryRatio, RetrySlack: retrySlack,
 			RetryWindow: retryWindow, SlowStartExcess: slowStartExcess, SlowStartSlack: slowStartSlack}, 0)
 		for _, k := range w.Kinds {
-			v.Configure(k.Name, k.MaxConns, k.SlowStartRate, k.SlowStart)
+			v.ConfigureService(k.Name, k.MaxConns, k.SlowStartRate, k.SlowStart)
 		}
 		v.SetProxies(members)
 		v.ExtendLease(time.Hour)
@@ -185,7 +185,7 @@
 
 func (s *inService) end(c *proxy, t *attempt, _ *backend, m balancer.Result) {
 	v := s.balancers[c.index]
-	v.End(s.w.now, t.picked, m)
+	v.RecordResult(s.w.now, t.picked, m)
 	if m.Kind != apierror.None {
 		for _, d := range v.TakeSuspects() {
 			i := slices.IndexFunc(s.w.backends, func(o *backend) bool { return o.address == d.Address })
--- a/internal/proxy/balancer/balancer.go
+++ b/internal/proxy/balancer/balancer.go
@@ -128,8 +128,8 @@
 	return s
 }
 
-// Configure sets what the configuration says of a service.
-func (b *Balancer) Configure(name string, maxConns int, slowStartRate float64, slowStart time.Duration) {
+// ConfigureService sets what the configuration says of a service.
+func (b *Balancer) ConfigureService(name string, maxConns int, slowStartRate float64, slowStart time.Duration) {
 	s := b.service(name)
 	s.maxConns, s.slowStartRate, s.slowStart = maxConns, slowStartRate, slowStart
 }
--- a/internal/proxy/balancer/balancer_test.go
+++ b/internal/proxy/balancer/balancer_test.go
@@ -173,7 +173,7 @@
 		b := Endpoint{ID: "i", Service: "s", Address: "10.0.0.1:80", Zone: "a", Capacity: 8, Usable: true,
 			WarmupEnd: time.Hour}
 		for i, c := range pair {
-			c.Configure("s", 0, rate, time.Hour)
+			c.ConfigureService("s", 0, rate, time.Hour)
 			c.SetEndpoint(0, b)
 			c.SetProxies(members(2)[i : i+1]) // each has heard of itself alone
 			c.ExtendLease(time.Hour)
@@ -186,7 +186,7 @@
 			}
 			if p, kind := c.Pick(now, Request{Service: "s", TimeToTarget: time.Second}); kind == apierror.None {
 				sent = append(sent, now)
-				c.End(
+				c.RecordResult(
 					now,
 					p,
 					Result{Kind: []apierror.Kind{apierror.None, apierror.ResponseTimeout, apierror.MismatchedResponse}[r.IntN(3)]},
@@ -209,7 +209,7 @@
 	owners := 0
 	for i := range 5 {
 		c := New(fmt.Sprint("e", i), "a", bounds, 0)
-		c.Configure("s", 0, 4, time.Minute)
+		c.ConfigureService("s", 0, 4, time.Minute)
 		c.SetProxies(members(5))
 		c.SetEndpoint(0, Endpoint{ID: "i", Service: "s", Zone: "a", Capacity: 8, Usable: true, WarmupEnd: time.Minute})
 		if _, kind := c.Pick(time.Second, Request{Service: "s", TimeToTarget: time.Second}); kind == apierror.None {
@@ -218,7 +218,7 @@
 		c.ExtendLease(3 * time.Second)
 		if p, kind := c.Pick(2*time.Second, Request{Service: "s", TimeToTarget: time.Second}); kind == apierror.None {
 			owners++
-			c.End(2*time.Second, p, Result{})
+			c.RecordResult(2*time.Second, p, Result{})
 		}
 		if _, kind := c.Pick(4*time.Second, Request{Service: "s", TimeToTarget: time.Second}); kind == apierror.None {
 			t.Errorf("%s sends after its lease", c.name)
@@ -248,7 +248,7 @@
 	for seed := range uint64(100) {
 		r := rand.New(rand.NewPCG(seed, 11))
 		s := New("e0", "a", bounds, 0)
-		s.Configure("s", 4, 0, 0) // 3 of 4 connections to each backend
+		s.ConfigureService("s", 4, 0, 0) // 3 of 4 connections to each backend
 		var all []*endpoint
 		for i := range 6 {
 			b := Endpoint{
@@ -287,7 +287,7 @@
 				o := open[i]
 				open = slices.Delete(open, i, i+1)
 				kind := kinds[r.IntN(len(kinds))]
-				s.End(
+				s.RecordResult(
 					now,
 					o.b,
 					Result{Kind: kind, Latency: now - o.from, Unresponsive: kind == apierror.ConnectFailed && r.IntN(2) == 0},
@@ -332,7 +332,7 @@
 			open = append(open, try{b, now})
 		}
 		for _, o := range open {
-			s.End(now, o.b, Result{})
+			s.RecordResult(now, o.b, Result{})
 		}
 		for _, b := range all {
 			if b.inFlight != 0 {
@@ -346,7 +346,7 @@
 // at the end.
 func TestPickOwnZoneThenOthersThenFull(t *testing.T) {
 	s := New("e0", "a", bounds, 0)
-	s.Configure("s", 0, 0, 0)
+	s.ConfigureService("s", 0, 0, 0)
 	for i, zone := range []string{"a", "a", "b"} {
 		s.SetEndpoint(0, Endpoint{ID: fmt.Sprint("i", i), Service: "s", Zone: zone, Capacity: 4, Usable: true})
 	}
@@ -376,12 +376,12 @@
 		return b
 	}
 	one, two := pick(0), pick(0)
-	s.End(time.Second, one, Result{Kind: apierror.ConnectFailed})
+	s.RecordResult(time.Second, one, Result{Kind: apierror.ConnectFailed})
 	first, second := s.TakeSuspects(), s.TakeSuspects()
 	if len(first) != 1 || len(second) != 0 {
 		t.Errorf("proved by %d, then by %d", len(first), len(second))
 	}
-	s.End(2*time.Second, two, Result{Kind: apierror.None}) // an older one ends; the proof is still under way
+	s.RecordResult(2*time.Second, two, Result{Kind: apierror.None}) // an older one ends; the proof is still under way
 	if pick(time.Minute).endpoint != nil {
 		t.Error("a request goes to a backend in doubt")
 	}
--- a/internal/proxy/balancer/decisions_test.go
+++ b/internal/proxy/balancer/decisions_test.go
@@ -29,7 +29,7 @@
 		0,
 	)
 	for i := range 2 {
-		s.Configure(fmt.Sprint("s", i), r.IntN(3)*20, float64(r.IntN(20)), 3*time.Second)
+		s.ConfigureService(fmt.Sprint("s", i), r.IntN(3)*20, float64(r.IntN(20)), 3*time.Second)
 	}
 	var busy []Selection
 	var doubts []Suspect
@@ -102,9 +102,16 @@
 		case k < 92:
 			if len(busy) > 0 {
 				i := r.IntN(len(busy))
-				s.End(now, busy[i], Result{Kind: kinds[r.IntN(len(kinds))], Latency: time.Duration(r.IntN(800)) * time.Millisecond,
-					Running: r.IntN(9), Queued: max(r.IntN(9)-4, 0), HasLoad: r.IntN(2) == 0,
-					WarmupLeft: time.Duration(r.IntN(3)) * time.Second, HasWarmup: r.IntN(6) == 0, Unresponsive: r.IntN(12) == 0})
+				s.RecordResult(now, busy[i], Result{
+					Kind:         kinds[r.IntN(len(kinds))],
+					Latency:      time.Duration(r.IntN(800)) * time.Millisecond,
+					Running:      r.IntN(9),
+					Queued:       max(r.IntN(9)-4, 0),
+					HasLoad:      r.IntN(2) == 0,
+					WarmupLeft:   time.Duration(r.IntN(3)) * time.Second,
+					HasWarmup:    r.IntN(6) == 0,
+					Unresponsive: r.IntN(12) == 0,
+				})
 				busy = append(busy[:i], busy[i+1:]...)
 			}
 		case k < 95:
--- a/internal/proxy/balancer/outlier.go
+++ b/internal/proxy/balancer/outlier.go
@@ -38,8 +38,8 @@
 	Unresponsive bool
 }
 
-// End ends an attempt.
-func (b *Balancer) End(now time.Duration, selected Selection, r Result) {
+// RecordResult ends an attempt.
+func (b *Balancer) RecordResult(now time.Duration, selected Selection, r Result) {
 	e := selected.endpoint
 	e.inFlight--
 	e.attempts++
--- a/internal/proxy/balancer/selection.go
+++ b/internal/proxy/balancer/selection.go
@@ -61,8 +61,8 @@
 	endpoint *endpoint
 }
 
-// Pick chooses an endpoint for a request. The kind is None, or says why there is none. A Selection must be ended by
-// End.
+// Pick chooses an endpoint for a request. The kind is None, or says why there is none. A Selection must be passed to
+// RecordResult.
 func (b *Balancer) Pick(now time.Duration, r Request) (Selection, apierror.Kind) {
 	s := b.services[r.Service]
 	if s == nil || len(s.endpoints) == 0 {
--- a/internal/proxy/configuration.go
+++ b/internal/proxy/configuration.go
@@ -45,7 +45,7 @@
 	}
 	p.withBalancer(func(b *balancer.Balancer) {
 		for _, s := range next.Services {
-			b.Configure(s.Name, s.MaxConns, s.SlowStartRate, s.SlowStart)
+			b.ConfigureService(s.Name, s.MaxConns, s.SlowStartRate, s.SlowStart)
 		}
 	})
 	// A proxy that has just started may know that a zone has recovered before it knows for how long its endpoints are in
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -154,7 +154,7 @@
 func (p *Proxy) endAttempt(selected balancer.Selection, result balancer.Result) {
 	var suspects []balancer.Suspect
 	p.withBalancer(func(b *balancer.Balancer) {
-		b.End(p.now(), selected, result)
+		b.RecordResult(p.now(), selected, result)
 		if result.Kind != apierror.None {
 			suspects = b.TakeSuspects()
 		}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -11,7 +11,7 @@
 //  4. balancer.Admit holds the request to the rate limit of the service.
 //  5. bufferBody reads the body, up to 128 KiB; what is longer is streamed.
 //  6. [Proxy.forward] tries endpoints. For each attempt, balancer.Pick chooses one, upstream.Pool.Do sends the request
-//     once, balancer.End notes the result, and balancer.AllowRetry decides about another attempt.
+//     once, balancer.RecordResult notes the result, and balancer.AllowRetry decides about another attempt.
 //  7. [Proxy.respond] returns the endpoint's response, or [Proxy.refuse] one of the proxy's own, by the table in
 //     package apierror.
 //
--- a/internal/proxy/socket/probe.go
+++ b/internal/proxy/socket/probe.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrPending says that bytes wait to be read.
-var ErrPending = errors.New("bytes that nobody has read")
+// ErrUnreadData says that bytes wait to be read.
+var ErrUnreadData = errors.New("bytes that nobody has read")
 
 // States of a connection (linux/tcp_states.h) in which the other side sends no more.
 const (
@@ -45,7 +45,7 @@
 	return p
 }
 
-// Peek returns nil if the connection is up and nothing waits there, ErrPending if bytes wait, io.EOF if the other
+// Peek returns nil if the connection is up and nothing waits there, ErrUnreadData if bytes wait, io.EOF if the other
 // side has closed it and nothing waits before that, and what ended it otherwise.
 func (p *Probe) Peek() error {
 	if p == nil {
@@ -61,7 +61,7 @@
 		return false
 	}
 	err := p.Peek()
-	if errors.Is(err, ErrPending) {
+	if errors.Is(err, ErrUnreadData) {
 		err = p.look(p.stateFunc)
 	}
 	return err != nil
@@ -84,7 +84,7 @@
 	case n == 0:
 		p.result = io.EOF
 	default:
-		p.result = ErrPending
+		p.result = ErrUnreadData
 	}
 }
 
--- a/internal/proxy/socket/probe_test.go
+++ b/internal/proxy/socket/probe_test.go
@@ -44,7 +44,7 @@
 			t.Errorf("quiet: %v, closed %t", err, p.HasPeerClosed())
 		}
 		_, _ = there.Write([]byte("abc"))
-		until(t, "bytes do not show", func() bool { return errors.Is(p.Peek(), ErrPending) })
+		until(t, "bytes do not show", func() bool { return errors.Is(p.Peek(), ErrUnreadData) })
 		if p.HasPeerClosed() {
 			t.Error("bytes are taken for the end")
 		}
--- a/internal/proxy/upstream/attempt_test.go
+++ b/internal/proxy/upstream/attempt_test.go
@@ -531,10 +531,10 @@
 				s.say(said)
 			}
 		})
-		health := func() (Health, error) {
-			return p.Health(t.Context(), "b:1", "/health", time.Now().Add(time.Second))
+		health := func() (HealthStatus, error) {
+			return p.CheckHealth(t.Context(), "b:1", "/health", time.Now().Add(time.Second))
 		}
-		want := Health{OK: true, EndpointID: "i-1", WarmupLeft: 250 * time.Millisecond, HasWarmup: true,
+		want := HealthStatus{OK: true, EndpointID: "i-1", WarmupLeft: 250 * time.Millisecond, HasWarmup: true,
 			Load: Load{3, 0, 8}, HasLoad: true}
 		if h, err := health(); h != want || err != nil || p.OpenConns("b:1") != 0 {
 			t.Error(h, err)
--- a/internal/proxy/upstream/health.go
+++ b/internal/proxy/upstream/health.go
@@ -8,8 +8,8 @@
 	"elmfold/internal/gateway/apierror"
 )
 
-// Health is an endpoint's response to a health check.
-type Health struct {
+// HealthStatus is an endpoint's response to a health check.
+type HealthStatus struct {
 	OK         bool          // it responded 200
 	EndpointID string        // "": it gave none
 	WarmupLeft time.Duration // until its slow start ends
@@ -18,46 +18,46 @@
 	HasLoad    bool // Load was told
 }
 
-// Health checks an endpoint: GET path, without an id. An *apierror.Error (as of Do) says that no response came; a
-// response other than 200, a rejection included, is a Health that is not OK.
-func (p *Pool) Health(ctx context.Context, address, path string, deadline time.Time) (Health, error) {
+// CheckHealth checks an endpoint: GET path, without an id. An *apierror.Error (as of Do) says that no response came; a
+// response other than 200, a rejection included, is a CheckHealth that is not OK.
+func (p *Pool) CheckHealth(ctx context.Context, address, path string, deadline time.Time) (HealthStatus, error) {
 	c := &Call{Address: address, Method: http.MethodGet, RequestTarget: path, Host: address, Deadline: deadline}
 	if err := validate(c); err != nil {
-		return Health{}, apierror.New(apierror.Malformed, address, err)
+		return HealthStatus{}, apierror.New(apierror.Malformed, address, err)
 	}
 	a, err := p.start(ctx, c, false)
 	if err != nil {
-		return Health{}, err
+		return HealthStatus{}, err
 	}
 	a.conn.carriedNameless = true
 	for surplus := 0; ; surplus++ {
 		resp, err := a.readHead()
 		if err != nil {
-			return Health{}, err
+			return HealthStatus{}, err
 		}
 		isHealth := len(resp.Header[HeaderInstanceID]) > 0 || len(resp.Header[HeaderAttemptID]) == 0
 		if isHealth {
 			return a.acceptHealth(resp)
 		}
 		if surplus == maxSurplus || !a.skipResponse(resp) { // it was the late response to a request
-			return Health{}, a.fail(apierror.MismatchedResponse, errMismatched)
+			return HealthStatus{}, a.fail(apierror.MismatchedResponse, errMismatched)
 		}
 	}
 }
 
-func (a *attempt) acceptHealth(resp *http.Response) (Health, error) {
+func (a *attempt) acceptHealth(resp *http.Response) (HealthStatus, error) {
 	endpointID := resp.Header.Get(HeaderInstanceID)
 	r := a.newResponse(resp)
 	_, whole, err := a.readBody(resp)
 	if err != nil {
-		return Health{}, err
+		return HealthStatus{}, err
 	}
 	if whole {
 		a.release(resp)
 	} else {
 		a.end(false)
 	}
-	return Health{
+	return HealthStatus{
 		OK:         r.Status == http.StatusOK,
 		EndpointID: endpointID,
 		WarmupLeft: r.WarmupLeft,
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -104,7 +104,7 @@
 	// An endpoint resets connections beyond its maxConns at once. Seen here, the request is known not to be executed.
 	if err := k.checkQuiet(); err != nil {
 		p.closeConn(k)
-		if errors.Is(err, socket.ErrPending) {
+		if errors.Is(err, socket.ErrUnreadData) {
 			return nil, apierror.New(apierror.ConnectFailed, c.Address, err)
 		}
 		return nil, apierror.New(apierror.EndpointsSaturated, c.Address, err)
