--- a/internal/bench/eventloop/moments.go
+++ b/internal/bench/eventloop/moments.go
@@ -111,7 +111,7 @@
 			},
 			Zones:           4,
 			Proxies:         proxies,
-			RemovalBinds:    true,
+			HonorRemovals:   true,
 			WarmupTime:      12 * policy.Second,
 			WarmupCapacity:  0.3,
 			WarmupOverload:  3,
--- a/internal/bench/tenancy/step.go
+++ b/internal/bench/tenancy/step.go
@@ -42,7 +42,7 @@
 	orders := s.c.Step(s.now, events)
 	inCells = time.Since(began)
 	for _, o := range orders {
-		if a, ok := o.(policy.ProxyConfined); ok {
+		if a, ok := o.(policy.ProxyRestricted); ok {
 			also = append(also, a)
 			told++
 		}
@@ -57,7 +57,7 @@
 		Products:        []policy.Product{{Revenue: 1, SLA: 8000}, {Revenue: 2, SLA: 8000, OwnZone: true}},
 		Zones:           2,
 		Proxies:         stepProxies,
-		RemovalBinds:    true,
+		HonorRemovals:   true,
 		WarmupTime:      10 * policy.Second,
 		WarmupCapacity:  0.3,
 		WarmupOverload:  3,
--- a/internal/controller/config/launch_test.go
+++ b/internal/controller/config/launch_test.go
@@ -60,7 +60,7 @@
 	if look.SLA != 8000 || look.Revenue != 2 || look.OwnZone || !pay.OwnZone || pay.OnlyZones[0] != 1 ||
 		pay.OnlyKinds[0] != 1 ||
 		d.Proxies != 12 || d.LinesPerSecond != 3700 ||
-		d.PullsList ||
+		d.ListOnRequest ||
 		len(d.Gauges) > 0 {
 		t.Errorf("deployment %+v", d)
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -289,7 +289,7 @@
 	c.lists.begin(func(tell func(any)) Source {
 		r := discovery.New(c.sheet.Discovery, tell, c.log)
 		r.From(known)
-		go r.Run(!c.sheet.Deployment.PullsList || !known.Whole)
+		go r.Run(!c.sheet.Deployment.ListOnRequest || !known.Whole)
 		return r
 	})
 }
--- a/internal/controller/eventloop/eventloop.go
+++ b/internal/controller/eventloop/eventloop.go
@@ -169,7 +169,7 @@
 	return &Loop{
 		assigner:     policy.New(d),
 		products:     len(d.Products),
-		removalBinds: d.RemovalBinds,
+		removalBinds: d.HonorRemovals,
 		names:        names,
 		lists:        lists,
 		log:          log,
--- a/internal/controller/eventloop/eventloop_test.go
+++ b/internal/controller/eventloop/eventloop_test.go
@@ -57,7 +57,7 @@
 			{Revenue: 3, SLA: 8000, OnlyZones: []int{0}}},
 		Zones:           2,
 		Proxies:         proxies,
-		RemovalBinds:    true,
+		HonorRemovals:   true,
 		WarmupTime:      17 * policy.Second,
 		WarmupCapacity:  0.2,
 		WarmupOverload:  3,
@@ -102,7 +102,7 @@
 		want []policy.Event
 	}{
 		{first, used, nil},
-		{first, join, []policy.Event{policy.ProxyConnected{Proxy: 2, Zone: 1, Rate: 7, BringsTables: true}}},
+		{first, join, []policy.Event{policy.ProxyConnected{Proxy: 2, Zone: 1, Rate: 7, HasPeerTables: true}}},
 		{first, join, nil},
 		{first, used, []policy.Event{policy.UsageReport{Proxy: 2, Product: 1, Txns: 3, Period: 10000}}},
 		{first, textproto.UsageReport{Proxy: 1, Product: "order"}, nil},
@@ -110,7 +110,7 @@
 		{older, used, nil},
 		{second, join, []policy.Event{
 			policy.ProxyDisconnected{Proxy: 2},
-			policy.ProxyConnected{Proxy: 2, Zone: 1, Rate: 7, BringsTables: true},
+			policy.ProxyConnected{Proxy: 2, Zone: 1, Rate: 7, HasPeerTables: true},
 		}},
 		{first, used, nil},
 		{first, textproto.Closed{}, nil},
@@ -256,7 +256,8 @@
 			"CONFIG classes=look+order+pay whole=1 lines=s-0:3\r\n"},
 		{[]policy.Order{policy.AssignTable{Proxy: 1, Table: 5, Products: 4}}, "", "CONFIG classes=pay whole=1\r\n"},
 		{[]policy.Order{policy.Marker{Number: 0, All: true}}, "CONFIG ticket=0\r\n", "CONFIG ticket=0\r\n"},
-		{[]policy.Order{policy.AssignTable{Proxy: 3, Table: 1}, policy.Marker{Number: 12}, policy.Note{}, policy.Probe{}},
+		{[]policy.Order{policy.AssignTable{Proxy: 3, Table: 1}, policy.Marker{Number: 12},
+			policy.PeerMessage{}, policy.Probe{}},
 			"", ""},
 	} {
 		d.execute(c.orders)
@@ -267,7 +268,7 @@
 			t.Errorf("%d: a fresh one got\n%s, want\n%s", i, got, c.cold)
 		}
 	}
-	d.execute([]policy.Order{policy.FollowList{On: true}, policy.ReloadList{}})
+	d.execute([]policy.Order{policy.WatchList{Enabled: true}, policy.ReloadList{}})
 	if got, ok := d.lists.(*asked); !ok || *got != (asked{1, 1}) {
 		t.Errorf("lists were asked for %+v", got)
 	}
--- a/internal/controller/eventloop/orders.go
+++ b/internal/controller/eventloop/orders.go
@@ -52,8 +52,8 @@
 		d.marker, d.markAll = o.Number, o.All
 	case policy.SetTimer:
 		d.timers = append(d.timers, timer{at: d.now + max(o.Delay, 0), name: o.Name})
-	case policy.FollowList:
-		d.lists.Follow(o.On)
+	case policy.WatchList:
+		d.lists.Follow(o.Enabled)
 	case policy.ReloadList:
 		d.lists.Reload()
 	case policy.Log:
--- a/internal/controller/eventloop/reports.go
+++ b/internal/controller/eventloop/reports.go
@@ -91,7 +91,7 @@
 			uses[k][z] += u.Txns
 		}
 	}
-	d.events = append(d.events, policy.RemoteUsage{Uses: uses})
+	d.events = append(d.events, policy.RemoteUsage{Rates: uses})
 }
 
 // product is the index of a product; -1: there is none of that name.
@@ -164,6 +164,6 @@
 		p.initial = usable // nothing was ordered, so nothing is withdrawn
 	}
 	d.events = append(d.events, policy.ProxyConnected{Proxy: said.Proxy, Zone: zone, Rate: said.Rate,
-		BringsTables: !said.Fresh})
+		HasPeerTables: !said.Fresh})
 	return nil
 }
--- a/internal/controller/eventloop/snapshot.go
+++ b/internal/controller/eventloop/snapshot.go
@@ -20,12 +20,12 @@
 // SetFactSink hands on what is worth keeping from now on.
 func (d *Loop) SetFactSink(keep FactSink) { d.factSink = keep }
 
-var figures = map[policy.Figure]warmstart.Kind{
-	policy.FigureUse:        warmstart.Use,
-	policy.FigureDerating:   warmstart.Relief,
-	policy.FigureTotalLimit: warmstart.Total,
-	policy.FigureKnee:       warmstart.Knee,
-	policy.FigureThroughput: warmstart.Throughput,
+var figures = map[policy.EstimateKind]warmstart.Kind{
+	policy.EstimateUsage:      warmstart.Use,
+	policy.EstimateDerating:   warmstart.Relief,
+	policy.EstimateTotalLimit: warmstart.Total,
+	policy.EstimateKnee:       warmstart.Knee,
+	policy.EstimateThroughput: warmstart.Throughput,
 }
 
 // snapshot tells the keeper what has its turn, under names that hold at every controller.
@@ -38,14 +38,14 @@
 	facts := make([]warmstart.Fact, 0, len(all))
 	for _, r := range all {
 		f := warmstart.Fact{
-			Kind:  figures[r.Figure],
+			Kind:  figures[r.Kind],
 			Value: r.Value,
 			Age:   time.Duration(r.Age) * time.Second / time.Duration(policy.Second),
 		}
-		switch r.Figure {
-		case policy.FigureUse:
+		switch r.Kind {
+		case policy.EstimateUsage:
 			f.Key = strconv.Itoa(r.Proxy) + "/" + d.names.Products[r.Product]
-		case policy.FigureDerating:
+		case policy.EstimateDerating:
 			// A whole one is told only after one that was not, so that it ends that.
 			d.derated = append(d.derated, make([]bool, max(r.Backend+1-len(d.derated), 0))...)
 			eased := d.derated[r.Backend]
@@ -53,7 +53,7 @@
 			if f.Key = d.backends[r.Backend]; f.Key == "" || r.Value == 1 && !eased {
 				continue
 			}
-		case policy.FigureTotalLimit, policy.FigureKnee, policy.FigureThroughput: // one each: no key
+		case policy.EstimateTotalLimit, policy.EstimateKnee, policy.EstimateThroughput: // one each: no key
 		}
 		facts = append(facts, f)
 	}
@@ -62,7 +62,7 @@
 
 // onRestored puts what is believed of earlier knowledge before the decisions, as a figure with its age.
 func (d *Loop) onRestored(b warmstart.Believe) error {
-	r := policy.RestoredFigure{
+	r := policy.RestoredEstimate{
 		Value:      b.Value,
 		Age:        policy.Time(b.Age * time.Duration(policy.Second) / time.Second),
 		Confidence: b.Part,
@@ -74,7 +74,7 @@
 		if err != nil || at < 0 || at >= len(d.proxies) {
 			return fmt.Errorf("%w: %q", errProxy, b.Key)
 		}
-		if r.Figure, r.Proxy, r.Product = policy.FigureUse, at, d.product(product); r.Product < 0 {
+		if r.Kind, r.Proxy, r.Product = policy.EstimateUsage, at, d.product(product); r.Product < 0 {
 			return fmt.Errorf("%w: %q", errProduct, b.Key)
 		}
 	case warmstart.Relief:
@@ -82,13 +82,13 @@
 		if !listed {
 			return fmt.Errorf("%w: %q", errBackend, b.Key)
 		}
-		r.Figure, r.Backend = policy.FigureDerating, at
+		r.Kind, r.Backend = policy.EstimateDerating, at
 	case warmstart.Total:
-		r.Figure = policy.FigureTotalLimit
+		r.Kind = policy.EstimateTotalLimit
 	case warmstart.Knee:
-		r.Figure = policy.FigureKnee
+		r.Kind = policy.EstimateKnee
 	case warmstart.Throughput:
-		r.Figure = policy.FigureThroughput
+		r.Kind = policy.EstimateThroughput
 	default: // lists and withdrawals are settled elsewhere
 		return nil
 	}
--- a/internal/controller/eventloop/tenancy.go
+++ b/internal/controller/eventloop/tenancy.go
@@ -67,7 +67,7 @@
 			} else {
 				d.log.Info(o.Text)
 			}
-		case policy.ProxyConfined:
+		case policy.ProxyRestricted:
 			d.events = append(d.events, o)
 		}
 	}
--- a/internal/controller/flatsettings/deployment.go
+++ b/internal/controller/flatsettings/deployment.go
@@ -118,10 +118,10 @@
 	d := policy.Deployment{
 		Zones:           max(len(zones), 1),
 		Proxies:         p.count("Specifics.ProxyCount", 1<<16),
-		PullsList:       p.text["Discovery"] == "subscribe",
+		ListOnRequest:   p.text["Discovery"] == "subscribe",
 		Probes:          p.flag("Ceilings.Probes"),
 		Shards:          p.count("Specifics.Shards", 1<<16),
-		RemovalBinds:    !p.flag("Guarantees.DrainBindsAlone"),
+		HonorRemovals:   !p.flag("Guarantees.DrainBindsAlone"),
 		WarmupTime:      p.span("Guarantees.Cold", true),
 		WarmupCapacity:  p.number("Guarantees.StartCapacity", 0),
 		WarmupOverload:  p.number("Guarantees.TipMultiple", 1),
--- a/internal/controller/pubsub/channel_test.go
+++ b/internal/controller/pubsub/channel_test.go
@@ -64,7 +64,7 @@
 			Products:        []policy.Product{{Revenue: 1, SLA: 8000}, {Revenue: 3, SLA: 8000, OnlyZones: []int{0}}},
 			Zones:           2,
 			Proxies:         4,
-			RemovalBinds:    true,
+			HonorRemovals:   true,
 			WarmupTime:      10 * policy.Second,
 			WarmupCapacity:  0.3,
 			WarmupOverload:  3,
--- a/internal/controller/reconcile/rules_test.go
+++ b/internal/controller/reconcile/rules_test.go
@@ -98,7 +98,7 @@
 			Products:        []policy.Product{{Revenue: 1, SLA: 8000}},
 			Zones:           1,
 			Proxies:         1,
-			RemovalBinds:    binds,
+			HonorRemovals:   binds,
 			WarmupTime:      policy.Second,
 			WarmupCapacity:  0.5,
 			WarmupOverload:  3,
--- a/internal/controller/tenancy/cells.go
+++ b/internal/controller/tenancy/cells.go
@@ -43,7 +43,7 @@
 // Undo reverts a move that is under way.
 type Undo struct{ Tenant string }
 
-// Order is a policy.ProxyConfined or a Note.
+// Order is a policy.ProxyRestricted or a Note.
 type Order any
 
 // Note is a line for people.
@@ -131,7 +131,7 @@
 	zone         int
 	tenant       int       // -1: none
 	txns, voided []float64 // a second, by product
-	confinement  policy.ProxyConfined
+	confinement  policy.ProxyRestricted
 	ever         bool // it was told something
 }
 
@@ -216,7 +216,7 @@
 	case ProxyConnected:
 		if p := c.at(e.Proxy); p != nil {
 			// What an earlier stream was told is no more: the decisions lay its tables anew.
-			p.joined, p.zone, p.ever, c.dirty = true, e.Zone, p.ever && p.confinement.Confined, true
+			p.joined, p.zone, p.ever, c.dirty = true, e.Zone, p.ever && p.confinement.Restricted, true
 		}
 	case ProxyDisconnected:
 		if p := c.at(e.Proxy); p != nil {
@@ -814,13 +814,13 @@
 			} else if t.phase != steady && i >= t.done {
 				may = union(settled, leaving)
 			}
-			c.send(p, policy.ProxyConfined{Proxy: at, Confined: true, Backends: may, MaxRate: shares[i],
+			c.send(p, policy.ProxyRestricted{Proxy: at, Restricted: true, Backends: may, MaxRate: shares[i],
 				NoRetries: c.now < t.calm || t.unhealthy || t.spent || t.phase == moving && i < t.both})
 		}
 	}
 	for i := range c.proxies {
-		if p := &c.proxies[i]; p.tenant < 0 && p.joined && p.ever && p.confinement.Confined {
-			c.send(p, policy.ProxyConfined{Proxy: i})
+		if p := &c.proxies[i]; p.tenant < 0 && p.joined && p.ever && p.confinement.Restricted {
+			c.send(p, policy.ProxyRestricted{Proxy: i})
 		}
 	}
 }
@@ -858,11 +858,12 @@
 	return shares
 }
 
-func (c *Cells) send(p *proxy, o policy.ProxyConfined) {
+func (c *Cells) send(p *proxy, o policy.ProxyRestricted) {
 	was := p.confinement
 	near := was.MaxRate > 0 && o.MaxRate > 0 && o.MaxRate < was.MaxRate*(1+leastTell) &&
 		o.MaxRate > was.MaxRate*(1-leastTell)
-	if p.ever && was.Confined == o.Confined && was.NoRetries == o.NoRetries && slices.Equal(was.Backends, o.Backends) &&
+	if p.ever && was.Restricted == o.Restricted && was.NoRetries == o.NoRetries &&
+		slices.Equal(was.Backends, o.Backends) &&
 		(near || was.MaxRate == o.MaxRate) {
 		return
 	}
--- a/internal/controller/tenancy/cells_test.go
+++ b/internal/controller/tenancy/cells_test.go
@@ -60,13 +60,13 @@
 	c     *Cells
 	now   Time
 	list  []Backend
-	may   map[int]policy.ProxyConfined
+	may   map[int]policy.ProxyRestricted
 	notes []string
 	sent  int
 }
 
 func newDay(t *testing.T, p Plan, list []Backend, proxies int) *day {
-	d := &day{T: t, c: New(proxies), now: 1000 * second, list: list, may: map[int]policy.ProxyConfined{}}
+	d := &day{T: t, c: New(proxies), now: 1000 * second, list: list, may: map[int]policy.ProxyRestricted{}}
 	events := []Event{ListUpdate{list}, PlanUpdate{p}}
 	for i := range proxies {
 		events = append(events, ProxyConnected{Proxy: i, Zone: i % p.Zones})
@@ -79,7 +79,7 @@
 	d.notes, d.sent = nil, 0
 	for _, o := range d.c.Step(d.now, events) {
 		switch o := o.(type) {
-		case policy.ProxyConfined:
+		case policy.ProxyRestricted:
 			d.may[o.Proxy] = o
 			d.sent++
 		case Note:
@@ -459,16 +459,16 @@
 	q := p
 	q.Tenants = p.Tenants[:1]
 	d.step(PlanUpdate{q})
-	if d.may[2].Confined || !d.may[1].Confined || d.sent != 2 {
+	if d.may[2].Restricted || !d.may[1].Restricted || d.sent != 2 {
 		t.Errorf("without its tenant proxy 2 has %+v; %d told", d.may[2], d.sent)
 	}
 	q.Tenants = nil
 	d.step(PlanUpdate{q})
-	if d.may[0].Confined {
+	if d.may[0].Restricted {
 		t.Errorf("without tenants proxy 0 has %+v", d.may[0])
 	}
 	d.step(PlanUpdate{p})
-	if !d.may[3].Confined {
+	if !d.may[3].Restricted {
 		t.Errorf("confined anew proxy 3 has %+v", d.may[3])
 	}
 }
--- a/internal/controlplane/steering/service.go
+++ b/internal/controlplane/steering/service.go
@@ -120,7 +120,7 @@
 		// No more proxies than are here: what is limited is their total, which a leave does not change (docs/design.md).
 		Proxies:        1,
 		Limits:         policy.LimitRate,
-		RemovalBinds:   true,
+		HonorRemovals:  true,
 		WarmupTime:     unlimitedWarmup,
 		WarmupOverload: math.Inf(1),
 		FirstTick:      s.firstTick(at),
@@ -130,7 +130,7 @@
 	// Policy believes the load of other zones by steps, a tick each. Before it does, it takes all zones to ask for
 	// what the own one does, or for nothing, and sends requests to other zones on the calmest day.
 	for range spilloverBeliefSteps {
-		events := []policy.Event{policy.RemoteUsage{Uses: [][]float64{make([]float64, len(s.adapter.zones))}}}
+		events := []policy.Event{policy.RemoteUsage{Rates: [][]float64{make([]float64, len(s.adapter.zones))}}}
 		for _, alarm := range s.alarms {
 			events = append(events, policy.TimerFired{Name: alarm.name})
 		}
@@ -169,7 +169,7 @@
 		return nil
 	}
 	events = append(events, s.idleEvents()...)
-	events = append(events, policy.RemoteUsage{Uses: [][]float64{s.loadElsewhere(due)}})
+	events = append(events, policy.RemoteUsage{Rates: [][]float64{s.loadElsewhere(due)}})
 	events = append(events, s.fenceEvents()...)
 	events = append(events, s.takeAlarms(at)...)
 	updates := s.applyOrders(due, s.assigner.Step(due, events))
--- a/internal/emulator/emu.go
+++ b/internal/emulator/emu.go
@@ -475,7 +475,7 @@
 	dep := policy.Deployment{
 		Zones:           w.Zones,
 		Proxies:         len(w.Proxies),
-		RemovalBinds:    true,
+		HonorRemovals:   true,
 		WarmupTime:      w.WarmupTime,
 		WarmupCapacity:  w.WarmupCapacity,
 		WarmupOverload:  w.WarmupOverload,
--- a/internal/policy/allowed_test.go
+++ b/internal/policy/allowed_test.go
@@ -7,7 +7,7 @@
 func TestAllowed(t *testing.T) {
 	r := start(t, deployment())
 	r.second(reports(15, calm, 1000)...)
-	r.step(ProxyConfined{Proxy: 0, Confined: true, Backends: []int{1, 2}})
+	r.step(ProxyRestricted{Proxy: 0, Restricted: true, Backends: []int{1, 2}})
 	r.second(reports(15, calm, 1000)...)
 	lines := func(proxy, product int) (all [4]bool) {
 		for b := range 4 {
@@ -23,7 +23,7 @@
 	if got := lines(1, 0); !got[2] || !got[3] {
 		t.Errorf("the free proxy: %v", got)
 	}
-	r.step(ProxyDisconnected{Proxy: 0}, ProxyConnected{Proxy: 0, Zone: 0, Rate: 50, BringsTables: true})
+	r.step(ProxyDisconnected{Proxy: 0}, ProxyConnected{Proxy: 0, Zone: 0, Rate: 50, HasPeerTables: true})
 	if got := lines(0, 1); got[0] || !got[1] {
 		t.Errorf("joined again: %v", got)
 	}
@@ -39,7 +39,7 @@
 	if got := lines(0, 1); got[0] || !got[1] {
 		t.Errorf("open again inside: %v", got)
 	}
-	r.step(ProxyConfined{Proxy: 0})
+	r.step(ProxyRestricted{Proxy: 0})
 	for range 3 {
 		r.second(reports(15, calm, 1000)...)
 	}
@@ -47,7 +47,7 @@
 		t.Errorf("free again: %v", got)
 	}
 	r.step(
-		ProxyConfined{Proxy: 0, Confined: true, Backends: []int{3}},
+		ProxyRestricted{Proxy: 0, Restricted: true, Backends: []int{3}},
 		ListUpdate{Entries: []Entry{{Backend: 3, Status: Gone}}},
 		IndexReleased{Backend: 3},
 	)
@@ -66,7 +66,7 @@
 	if r.gate(0, 0).RateLimit < 30 || r.gate(0, 0).Retries != RetryUnexecuted {
 		t.Fatalf("at first %+v", r.gate(0, 0))
 	}
-	r.step(ProxyConfined{Proxy: 0, Confined: true, Backends: []int{0, 1, 2, 3}, MaxRate: 45, NoRetries: true})
+	r.step(ProxyRestricted{Proxy: 0, Restricted: true, Backends: []int{0, 1, 2, 3}, MaxRate: 45, NoRetries: true})
 	for range 3 {
 		r.second(reports(30, calm, 1000)...)
 	}
@@ -80,7 +80,7 @@
 	if sum < 40 || sum > 50 || r.gate(1, 0).RateLimit < 30 || r.gate(1, 0).Retries != RetryUnexecuted {
 		t.Errorf("levels sum to %.1f; the other proxy has %+v", sum, r.gate(1, 0))
 	}
-	r.step(ProxyConfined{Proxy: 0, Confined: true, Backends: []int{0, 1, 2, 3}})
+	r.step(ProxyRestricted{Proxy: 0, Restricted: true, Backends: []int{0, 1, 2, 3}})
 	for range 3 {
 		r.second(reports(30, calm, 1000)...)
 	}
@@ -97,7 +97,7 @@
 	for range 3 {
 		r.second(reports(15, calm, 1000)...)
 	}
-	r.step(ProxyConfined{Proxy: 0, Confined: true, Backends: []int{0, 1, 2, 3}, MaxRate: 1000})
+	r.step(ProxyRestricted{Proxy: 0, Restricted: true, Backends: []int{0, 1, 2, 3}, MaxRate: 1000})
 	first := -1
 	for range 40 {
 		r.a.urgent = true
--- a/internal/policy/day_test.go
+++ b/internal/policy/day_test.go
@@ -18,9 +18,9 @@
 				OnlyKinds: []int{1},
 			},
 		},
-		Zones:        3,
-		Proxies:      14,
-		RemovalBinds: seed%2 == 0,
+		Zones:         3,
+		Proxies:       14,
+		HonorRemovals: seed%2 == 0,
 		Limits: LimitKind(
 			seed % 2,
 		),
@@ -51,7 +51,7 @@
 		)
 	}
 	for p := range 14 {
-		events = append(events, ProxyConnected{Proxy: p, Zone: p % 3, Rate: 10, BringsTables: p%2 == 0})
+		events = append(events, ProxyConnected{Proxy: p, Zone: p % 3, Rate: 10, HasPeerTables: p%2 == 0})
 	}
 	for now, wake := Time(0), Second; now < 200*Second; now += Second / 4 {
 		if now >= wake {
@@ -103,7 +103,7 @@
 			events = append(
 				events,
 				ProxyDisconnected{Proxy: p},
-				ProxyConnected{Proxy: p, Zone: p % 3, Rate: 5, BringsTables: true},
+				ProxyConnected{Proxy: p, Zone: p % 3, Rate: 5, HasPeerTables: true},
 			)
 		}
 		orders := step(now, events)
--- a/internal/policy/events.go
+++ b/internal/policy/events.go
@@ -18,7 +18,7 @@
 			a.onConnected(e)
 		case ProxyDisconnected:
 			a.onDisconnected(e)
-		case ProxyConfined:
+		case ProxyRestricted:
 			a.onConfined(e)
 		case BackendReport:
 			a.onBackendReport(e)
@@ -26,12 +26,12 @@
 			a.onBackendReport(e.BackendReport)
 			a.backends.age[e.Backend], a.backends.remoteAt[e.Backend] = e.Age, a.now
 		case RemoteUsage:
-			a.remoteUsage, a.remoteUsageAt = e.Uses, a.now
+			a.remoteUsage, a.remoteUsageAt = e.Rates, a.now
 		case ProbeResult:
 			a.onProbeResult(e)
 		case UsageReport:
 			a.onUsage(e)
-		case RestoredFigure:
+		case RestoredEstimate:
 			a.onRestored(e)
 		case MarkerAcked:
 			a.onMarkerAck(a.proxyAt(e.Proxy), a.batch-(a.batch-e.Number)%markerNumbers)
@@ -50,7 +50,7 @@
 func (a *Assigner) onConnected(e ProxyConnected) {
 	p := a.proxyAt(e.Proxy)
 	p.connected, p.assigned, p.zone, p.sent = true, false, a.clampZone(e.Zone), nil
-	p.bringsTables, p.counted, p.stranded = e.BringsTables, false, true
+	p.bringsTables, p.counted, p.stranded = e.HasPeerTables, false, true
 	p.installed = make([]table, len(a.groups))
 	// A stream that breaks and comes back soon brings the same traffic: what is known of it stays.
 	if a.now > p.disconnectedAt+useTimeout {
--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -12,7 +12,7 @@
 		},
 		Zones:           2,
 		Proxies:         4,
-		RemovalBinds:    true,
+		HonorRemovals:   true,
 		WarmupTime:      15 * Second,
 		WarmupCapacity:  0.2,
 		WarmupOverload:  3,
--- a/internal/policy/iface.go
+++ b/internal/policy/iface.go
@@ -39,12 +39,12 @@
 	Products        []Product
 	Zones           int
 	Proxies         int       // of the whole deployment
-	PullsList       bool      // the list of backends comes only on FollowList and ReloadList
+	ListOnRequest   bool      // the list of backends comes only on WatchList and ReloadList
 	Probes          bool      // backends may be probed
 	Gauges          []Gauge   // values of a load report, in their order
 	Limits          LimitKind // what a rate limit is
 	Shards          int       // not 0: tables are those of shards, which belong to a store
-	RemovalBinds    bool      // a backend that the list drops must not be used
+	HonorRemovals   bool      // a backend that the list drops must not be used
 	WarmupTime      Time      // how long a backend is in slow start
 	WarmupCapacity  float64   // part of its capacity that a backend has from its start
 	WarmupOverload  float64   // multiple of its capacity that brings a backend in slow start down
@@ -65,13 +65,13 @@
 func (TimerFired) isEvent()        {}
 func (ProbeResult) isEvent()       {}
 func (ProxyConnected) isEvent()    {}
-func (ProxyConfined) isEvent()     {}
+func (ProxyRestricted) isEvent()   {}
 func (ProxyDisconnected) isEvent() {}
 func (BackendReport) isEvent()     {}
 func (RemoteUsage) isEvent()       {}
 func (UsageReport) isEvent()       {}
 func (MarkerAcked) isEvent()       {}
-func (RestoredFigure) isEvent()    {}
+func (RestoredEstimate) isEvent()  {}
 
 // Status of a backend on the list.
 type Status uint8
@@ -123,19 +123,19 @@
 
 // ProxyConnected says that a proxy's stream is up.
 type ProxyConnected struct {
-	Proxy, Zone  int
-	Rate         float64 // txns/s that it is said to get, of all products
-	BringsTables bool    // and withdrawals of another controller, to be settled with the first line for each backend
+	Proxy, Zone   int
+	Rate          float64 // txns/s that it is said to get, of all products
+	HasPeerTables bool    // and withdrawals of another controller, to be settled with the first line for each backend
 }
 
-// ProxyConfined confines a proxy to some backends, until the next one: others it is given only where none of these
+// ProxyRestricted confines a proxy to some backends, until the next one: others it is given only where none of these
 // is open. A proxy that was never confined is free.
-type ProxyConfined struct {
-	Proxy     int
-	Confined  bool
-	Backends  []int
-	MaxRate   float64 // txns/s that it may admit of all products; 0: no limit of its own
-	NoRetries bool
+type ProxyRestricted struct {
+	Proxy      int
+	Restricted bool
+	Backends   []int
+	MaxRate    float64 // txns/s that it may admit of all products; 0: no limit of its own
+	NoRetries  bool
 }
 
 // ProxyDisconnected says that a proxy's stream broke.
@@ -155,7 +155,7 @@
 }
 
 // RemoteUsage is the use of the proxies of other controllers: txns/s by product and zone.
-type RemoteUsage struct{ Uses [][]float64 }
+type RemoteUsage struct{ Rates [][]float64 }
 
 // UsageReport sums the txns of a product that arrived at a proxy within Period.
 type UsageReport struct {
@@ -178,8 +178,8 @@
 func (Marker) isOrder()      {}
 func (SetTimer) isOrder()    {}
 func (Probe) isOrder()       {}
-func (Note) isOrder()        {}
-func (FollowList) isOrder()  {}
+func (PeerMessage) isOrder() {}
+func (WatchList) isOrder()   {}
 func (ReloadList) isOrder()  {}
 func (Log) isOrder()         {}
 
@@ -239,25 +239,25 @@
 // Probe asks a backend for its load.
 type Probe struct{ Backend int }
 
-// Note is a message to another controller, or to all of them.
-type Note struct {
+// PeerMessage is a message to another controller, or to all of them.
+type PeerMessage struct {
 	To   int
 	Data []byte
 }
 
-// ToAll is the Note.To that means every other controller.
-const ToAll = -1
+// AllPeers is the Note.To that means every other controller.
+const AllPeers = -1
 
-// FollowList asks for changes of the list from now on, or no longer.
-type FollowList struct{ On bool }
+// WatchList asks for changes of the list from now on, or no longer.
+type WatchList struct{ Enabled bool }
 
 // ReloadList asks for the whole list once.
 type ReloadList struct{}
 
-// RestoredFigure is a figure of an earlier start of this controller, or of another one. What has been reported at first
-// hand meanwhile goes before it.
-type RestoredFigure struct {
-	Figure         Figure
+// RestoredEstimate restores an estimate from before a restart of this controller, or from another controller. Values
+// that proxies have reported since take precedence.
+type RestoredEstimate struct {
+	Kind           EstimateKind
 	Backend        int
 	Proxy, Product int
 	Value          float64
@@ -265,17 +265,17 @@
 	Confidence     float64 // how far it is to be believed, 0 to 1
 }
 
-// Figure is what a RestoredFigure is about.
-type Figure uint8
+// EstimateKind says what a RestoredEstimate is about.
+type EstimateKind uint8
 
 // Figures. The last three are txns/s for a unit of the listed weight that is ready, so that they hold for a
 // controller that other proxies connect to.
 const (
-	FigureUse        Figure = iota // txns/s of a product that arrive at a proxy
-	FigureDerating                 // part of its weight that a backend keeps
-	FigureTotalLimit               // 0: unbounded
-	FigureKnee
-	FigureThroughput // the most that was served
+	EstimateUsage      EstimateKind = iota // txns/s of a product that arrive at a proxy
+	EstimateDerating                       // part of its weight that a backend keeps
+	EstimateTotalLimit                     // 0: unbounded
+	EstimateKnee
+	EstimateThroughput // the most that was served
 )
 
 // Log is a line for people.
--- a/internal/policy/limits.go
+++ b/internal/policy/limits.go
@@ -66,14 +66,14 @@
 	if a.capacity > 0 {
 		a.totalLimit = a.totalLimit * capacity / a.capacity
 		a.knee, a.served = a.knee*capacity/a.capacity, a.served*capacity/a.capacity
-	} else if restored := a.restored[FigureTotalLimit]; restored > 0 {
-		a.totalLimit, a.knee = restored*capacity, max(restored, a.restored[FigureKnee])*capacity
+	} else if restored := a.restored[EstimateTotalLimit]; restored > 0 {
+		a.totalLimit, a.knee = restored*capacity, max(restored, a.restored[EstimateKnee])*capacity
 		a.reducedAt, a.raisedAt = a.restoredAt, a.now
 	}
 	a.capacity = capacity
 	// While most have not reported yet, what they are assumed to get is all there is: neither figure goes on from it.
 	if 2*reporting < len(a.connected) {
-		a.served, a.throughput = served, cmp.Or(a.restored[FigureThroughput], served/capacity)
+		a.served, a.throughput = served, cmp.Or(a.restored[EstimateThroughput], served/capacity)
 	}
 	a.served = cmp.Or(a.served, served)
 	a.served += (served - a.served) / smoothingTicks
--- a/internal/policy/many_test.go
+++ b/internal/policy/many_test.go
@@ -15,7 +15,7 @@
 	joined := 0
 	join := func(n int) (e []Event) {
 		for range n {
-			e = append(e, ProxyConnected{Proxy: joined, Zone: joined % 2, Rate: 4, BringsTables: true})
+			e = append(e, ProxyConnected{Proxy: joined, Zone: joined % 2, Rate: 4, HasPeerTables: true})
 			joined++
 		}
 		return e
@@ -99,7 +99,7 @@
 	r := newRig(t, d)
 	events := []Event{ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}}}
 	for p := range d.Proxies {
-		events = append(events, ProxyConnected{Proxy: p, Zone: p % 2, Rate: float64(10 + 90*(p%4)), BringsTables: p%4 != 0})
+		events = append(events, ProxyConnected{Proxy: p, Zone: p % 2, Rate: float64(10 + 90*(p%4)), HasPeerTables: p%4 != 0})
 	}
 	var order []int
 	ticks := 0
@@ -283,24 +283,24 @@
 			append(
 				[]Event{ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}}},
 				known...)...)
-		r.step(ProxyConnected{Proxy: 0, Zone: 0, Rate: 90, BringsTables: true})
+		r.step(ProxyConnected{Proxy: 0, Zone: 0, Rate: 90, HasPeerTables: true})
 		return r
 	}
 	r := begin(
-		RestoredFigure{Figure: FigureUse, Proxy: 0, Product: 1, Value: 7, Age: Second, Confidence: 1},
-		RestoredFigure{Figure: FigureUse, Proxy: 0, Product: 9, Value: 7},
+		RestoredEstimate{Kind: EstimateUsage, Proxy: 0, Product: 1, Value: 7, Age: Second, Confidence: 1},
+		RestoredEstimate{Kind: EstimateUsage, Proxy: 0, Product: 9, Value: 7},
 	)
 	if u := r.a.proxies[0].use; u[1] != 7 || u[0] != 0 {
 		t.Errorf("use of a second ago: %v", u)
 	}
-	old := RestoredFigure{Figure: FigureUse, Proxy: 0, Product: 1, Value: 7, Age: 2 * useTimeout, Confidence: 1}
+	old := RestoredEstimate{Kind: EstimateUsage, Proxy: 0, Product: 1, Value: 7, Age: 2 * useTimeout, Confidence: 1}
 	if u := begin(old).a.proxies[0].use; u[1] != 30 {
 		t.Errorf("use of long ago holds against what the proxy is said to get: %v", u)
 	}
 	for part, want := range map[float64]float64{1: 0.4, fullConfidence: 0.4, fullConfidence / 2: 0.7, 0: 1} {
 		r := begin(
-			RestoredFigure{Figure: FigureDerating, Backend: 2, Value: 0.4, Confidence: part},
-			RestoredFigure{Figure: FigureDerating, Backend: 77, Value: 0.4, Confidence: 1},
+			RestoredEstimate{Kind: EstimateDerating, Backend: 2, Value: 0.4, Confidence: part},
+			RestoredEstimate{Kind: EstimateDerating, Backend: 77, Value: 0.4, Confidence: 1},
 		)
 		if got := r.a.backends.derating[2]; math.Abs(got-want) > 1e-9 {
 			t.Errorf("relief %v at part %v, want %v", got, part, want)
@@ -309,8 +309,8 @@
 	// A total holds from the first tick, for as many as have joined; an old one does not come back.
 	for age, bounded := range map[Time]bool{2 * Second: true, 30 * Second: false} {
 		r := begin(
-			RestoredFigure{Figure: FigureTotalLimit, Value: 10, Age: age, Confidence: 1},
-			RestoredFigure{Figure: FigureThroughput, Value: 12, Age: age, Confidence: 1},
+			RestoredEstimate{Kind: EstimateTotalLimit, Value: 10, Age: age, Confidence: 1},
+			RestoredEstimate{Kind: EstimateThroughput, Value: 12, Age: age, Confidence: 1},
 		)
 		r.second()
 		each := r.a.totalLimit / r.a.capacity
--- a/internal/policy/plain_test.go
+++ b/internal/policy/plain_test.go
@@ -22,7 +22,7 @@
 	tick := m.handleEvents(now, events)
 	if m.needsFollow && (tick || !m.started) {
 		m.needsFollow = false
-		m.order(FollowList{On: true})
+		m.order(WatchList{Enabled: true})
 	}
 	if tick || !m.started {
 		m.order(SetTimer{Delay: tickInterval})
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -107,7 +107,7 @@
 	tick := a.handleEvents(now, events)
 	if a.needsFollow && (tick || !a.started) {
 		a.needsFollow = false
-		a.order(FollowList{On: true})
+		a.order(WatchList{Enabled: true})
 	}
 	if tick || !a.started {
 		a.order(SetTimer{Delay: either(tick, tickInterval, cmp.Or(a.conf.FirstTick, tickInterval))})
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -185,7 +185,7 @@
 func TestDrains(t *testing.T) {
 	for _, binds := range []bool{true, false} {
 		d := deployment()
-		d.RemovalBinds = binds
+		d.HonorRemovals = binds
 		r := start(t, d)
 		r.a.queuedLines, r.count = 0.9*d.MaxQueuedLines, 0
 		r.step(ListUpdate{Entries: []Entry{{Backend: 0, Status: Draining}, {Backend: 2, Status: Gone}}})
@@ -267,7 +267,7 @@
 			ProxyDisconnected{Proxy: 0},
 		)
 		before := r.a.queuedLines
-		for _, o := range r.step(ProxyConnected{Proxy: 0, Zone: 0, Rate: 50, BringsTables: brings}) {
+		for _, o := range r.step(ProxyConnected{Proxy: 0, Zone: 0, Rate: 50, HasPeerTables: brings}) {
 			if _, ok := o.(SetWeight); ok {
 				lines++
 			}
@@ -361,7 +361,7 @@
 	r.step(ListUpdate{Kind: ListCached, Entries: list})
 	var joins []Event
 	for p := range proxies {
-		joins = append(joins, ProxyConnected{Proxy: p, Zone: p % 2, Rate: 1 + float64(p%40), BringsTables: true})
+		joins = append(joins, ProxyConnected{Proxy: p, Zone: p % 2, Rate: 1 + float64(p%40), HasPeerTables: true})
 	}
 	lines := func(orders []Order) (first, least, n float64) {
 		for _, o := range orders {
@@ -480,7 +480,7 @@
 func TestOtherDeployments(t *testing.T) {
 	d := deployment()
 	for kind, most := range map[LimitKind]float64{LimitShare: 0.99, LimitNone: unlimited} {
-		d.Limits, d.PullsList = kind, true
+		d.Limits, d.ListOnRequest = kind, true
 		r := start(t, d)
 		for range 4 {
 			r.second(reports(50, []float64{.4, .4, .4, .4}, 6000)...)
@@ -489,7 +489,7 @@
 			t.Errorf("kind %v: level %v under overload", kind, l)
 		}
 		r.step(ListUpdate{Kind: ListFailed})
-		if !slices.Contains(r.second(), Order(FollowList{On: true})) {
+		if !slices.Contains(r.second(), Order(WatchList{Enabled: true})) {
 			t.Error("the list was not asked for again")
 		}
 	}
@@ -557,7 +557,7 @@
 	r := newRig(t, d)
 	events := []Event{ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}}}
 	for p := range d.Proxies - 1 {
-		events = append(events, ProxyConnected{Proxy: p, Zone: p % 2, Rate: 5, BringsTables: true})
+		events = append(events, ProxyConnected{Proxy: p, Zone: p % 2, Rate: 5, HasPeerTables: true})
 	}
 	r.step(events...)
 	large := r.a.unackedLines
--- a/internal/policy/reports.go
+++ b/internal/policy/reports.go
@@ -7,7 +7,7 @@
 
 func (a *Assigner) onList(e ListUpdate) {
 	if e.Kind == ListFailed {
-		a.needsFollow = a.conf.PullsList
+		a.needsFollow = a.conf.ListOnRequest
 		return
 	}
 	a.urgent = true
@@ -23,7 +23,7 @@
 		// Where removal alone does not bind, a backend that is dropped from the list stays in use until attempts
 		// there fail too: lists that drop running backends and backends that die unseen look alike.
 		switch {
-		case isMissing && (a.conf.RemovalBinds || status != Ready):
+		case isMissing && (a.conf.HonorRemovals || status != Ready):
 			backends.status[b], backends.goneAt[b] = Gone, either(status == Gone, backends.goneAt[b], a.now)
 		case isMissing:
 			backends.unlisted[b] = true
@@ -48,19 +48,19 @@
 // onRestored takes figures of an earlier start for what they are worth at their age: use as long as that of a stream
 // that broke, the total limit while timeouts of its time may still be reported, derating in part below full
 // confidence, as a wrong one ends by itself, the throughput always, as it is the best there was.
-func (a *Assigner) onRestored(e RestoredFigure) {
+func (a *Assigner) onRestored(e RestoredEstimate) {
 	at := a.now - e.Age
 	switch {
-	case e.Figure == FigureUse && e.Age < useTimeout:
+	case e.Kind == EstimateUsage && e.Age < useTimeout:
 		if p := a.proxyAt(e.Proxy); e.Product < len(p.use) && !p.reported[e.Product] {
 			p.use[e.Product], p.reportedAt[e.Product] = e.Value, at
 			p.disconnectedAt = max(p.disconnectedAt, at)
 		}
-	case e.Figure == FigureDerating && e.Backend < len(a.backends.zone) && a.backends.reportedAt[e.Backend] == never:
+	case e.Kind == EstimateDerating && e.Backend < len(a.backends.zone) && a.backends.reportedAt[e.Backend] == never:
 		reduction := min(e.Confidence/fullConfidence, 1) * (1 - min(e.Value, 1))
 		a.backends.derating[e.Backend] = max(minDerating, 1-reduction)
-	case e.Figure == FigureTotalLimit && e.Age < reduceInterval, e.Figure == FigureKnee, e.Figure == FigureThroughput:
-		a.restored[e.Figure], a.restoredAt = e.Value, at
+	case e.Kind == EstimateTotalLimit && e.Age < reduceInterval, e.Kind == EstimateKnee, e.Kind == EstimateThroughput:
+		a.restored[e.Kind], a.restoredAt = e.Value, at
 	}
 }
 
--- a/internal/policy/spread_test.go
+++ b/internal/policy/spread_test.go
@@ -90,7 +90,7 @@
 			ProxyConnected{Proxy: 0, Rate: 100}, ProxyConnected{Proxy: 1, Rate: 100})
 		for range 8 {
 			r.second(UsageReport{Proxy: 0, Txns: 100, Period: Second}, UsageReport{Proxy: 1, Txns: 100, Period: Second},
-				RemoteUsage{Uses: [][]float64{{0, there}}})
+				RemoteUsage{Rates: [][]float64{{0, there}}})
 		}
 		return r, r.a.spillover[0][0][1]
 	}
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -125,7 +125,7 @@
 	reducedAt, raisedAt Time
 	resetLimits         bool   // limits return to equal shares
 	uncapped            []bool // by product: the limits cover the demand
-	restored            [FigureThroughput + 1]float64
+	restored            [EstimateThroughput + 1]float64
 	restoredAt          Time
 
 	overloaded, fast   bool
@@ -151,7 +151,7 @@
 
 // New makes an Assigner that knows its deployment and nothing else.
 func New(d Deployment) *Assigner {
-	a := &Assigner{conf: d, needsFollow: d.PullsList, uncapped: make([]bool, len(d.Products))}
+	a := &Assigner{conf: d, needsFollow: d.ListOnRequest, uncapped: make([]bool, len(d.Products))}
 	for k, p := range d.Products {
 		placement := fmt.Sprint(!p.OwnZone, p.OnlyZones, p.OnlyKinds)
 		g := slices.IndexFunc(a.groups, func(g group) bool { return g.placement == placement })
@@ -226,9 +226,9 @@
 	}
 }
 
-func (a *Assigner) onConfined(e ProxyConfined) {
+func (a *Assigner) onConfined(e ProxyRestricted) {
 	p := a.proxyAt(e.Proxy)
-	p.confined, p.maxRate, p.noRetries, p.allowed = e.Confined, e.MaxRate, e.NoRetries, nil
+	p.confined, p.maxRate, p.noRetries, p.allowed = e.Restricted, e.MaxRate, e.NoRetries, nil
 	a.urgent = true
 	for _, b := range e.Backends {
 		a.ensureBackend(b + 1)
@@ -246,14 +246,14 @@
 
 // Snapshot is what is worth restoring after a crash, or at another controller: use that was reported and deratings,
 // then total limit, knee and throughput. A turn gives each nth of the proxies and backends.
-func (a *Assigner) Snapshot(turn, of int) (all []RestoredFigure) {
+func (a *Assigner) Snapshot(turn, of int) (all []RestoredEstimate) {
 	for i := turn; i < len(a.proxies); i += of {
 		for k, told := range a.proxies[i].reported {
 			if p := &a.proxies[i]; told && p.connected {
 				all = append(
 					all,
-					RestoredFigure{
-						Figure:     FigureUse,
+					RestoredEstimate{
+						Kind:       EstimateUsage,
 						Proxy:      i,
 						Product:    k,
 						Value:      p.use[k],
@@ -266,13 +266,13 @@
 	}
 	for b := turn; b < len(a.backends.zone); b += of {
 		if a.backends.status[b] == Ready {
-			all = append(all, RestoredFigure{Figure: FigureDerating, Backend: b, Value: a.backends.derating[b], Confidence: 1})
+			all = append(all, RestoredEstimate{Kind: EstimateDerating, Backend: b, Value: a.backends.derating[b], Confidence: 1})
 		}
 	}
 	if a.capacity > 0 && a.throughput > 0 &&
 		(a.medianLatency > 0 || a.medianFailed > 0) { // otherwise no report stands behind them
 		for i, v := range [...]float64{a.totalLimit, a.knee, a.throughput * a.capacity} {
-			all = append(all, RestoredFigure{Figure: FigureTotalLimit + Figure(i), Value: v / a.capacity, Confidence: 1})
+			all = append(all, RestoredEstimate{Kind: EstimateTotalLimit + EstimateKind(i), Value: v / a.capacity, Confidence: 1})
 		}
 	}
 	return all
--- a/internal/policy/steps_test.go
+++ b/internal/policy/steps_test.go
@@ -110,11 +110,11 @@
 		products = append(products, Product{Revenue: 1, SLA: 4000, OnlyKinds: []int{1}})
 	}
 	d.deployment = Deployment{
-		Products: products, Zones: zones, Proxies: d.proxies + d.rand.IntN(10), RemovalBinds: d.chance(0.5),
+		Products: products, Zones: zones, Proxies: d.proxies + d.rand.IntN(10), HonorRemovals: d.chance(0.5),
 		Limits:     []LimitKind{LimitRate, LimitRate, LimitShare, LimitNone}[d.rand.IntN(4)],
 		WarmupTime: Time(d.rand.IntN(20)) * Second, WarmupCapacity: 0.1 + 0.3*d.rand.Float64(),
 		WarmupOverload: 1 + 3*d.rand.Float64(), MessageOverhead: 6, MessageWindow: 10 * Second,
-		PullsList: d.chance(0.2), Probes: d.chance(0.3), Gauges: []Gauge{GaugeOther, GaugeInFlight},
+		ListOnRequest: d.chance(0.2), Probes: d.chance(0.3), Gauges: []Gauge{GaugeOther, GaugeInFlight},
 	}
 	if d.chance(0.7) {
 		d.deployment.MinConns = 50 + 1000*d.rand.Float64()
@@ -140,8 +140,8 @@
 	if d.chance(0.3) {
 		for p := range d.proxies {
 			d.add(
-				RestoredFigure{
-					Figure:     FigureUse,
+				RestoredEstimate{
+					Kind:       EstimateUsage,
 					Proxy:      p,
 					Value:      20 * d.rand.Float64(),
 					Age:        Second,
@@ -149,9 +149,9 @@
 				},
 			)
 		}
-		d.add(RestoredFigure{Figure: FigureTotalLimit, Value: 30 * d.rand.Float64(), Age: Second, Confidence: 1})
-		d.add(RestoredFigure{Figure: FigureKnee, Value: 40 * d.rand.Float64(), Age: Second, Confidence: 1})
-		d.add(RestoredFigure{Figure: FigureThroughput, Value: 40 * d.rand.Float64(), Age: Second, Confidence: 1})
+		d.add(RestoredEstimate{Kind: EstimateTotalLimit, Value: 30 * d.rand.Float64(), Age: Second, Confidence: 1})
+		d.add(RestoredEstimate{Kind: EstimateKnee, Value: 40 * d.rand.Float64(), Age: Second, Confidence: 1})
+		d.add(RestoredEstimate{Kind: EstimateThroughput, Value: 40 * d.rand.Float64(), Age: Second, Confidence: 1})
 	}
 	var all []Entry
 	for b := range d.backends {
@@ -160,7 +160,7 @@
 	d.add(ListUpdate{Kind: ListCached, Entries: all})
 	for b := range d.backends {
 		if d.chance(0.1) {
-			d.add(RestoredFigure{Figure: FigureDerating, Backend: b, Value: d.rand.Float64(), Confidence: d.rand.Float64()})
+			d.add(RestoredEstimate{Kind: EstimateDerating, Backend: b, Value: d.rand.Float64(), Confidence: d.rand.Float64()})
 		}
 	}
 	for p := range d.proxies {
@@ -173,7 +173,8 @@
 func (d *dayDraw) add(e ...Event) { d.events = append(d.events, e...) }
 
 func (d *dayDraw) join(p int) {
-	d.add(ProxyConnected{Proxy: p, Zone: p % d.deployment.Zones, Rate: 30 * d.rand.Float64(), BringsTables: d.chance(0.5)})
+	zone, rate := p%d.deployment.Zones, 30*d.rand.Float64()
+	d.add(ProxyConnected{Proxy: p, Zone: zone, Rate: rate, HasPeerTables: d.chance(0.5)})
 }
 
 // draw adds what happens until this step.
@@ -235,7 +236,7 @@
 				uses[k] = append(uses[k], 200*d.rand.Float64())
 			}
 		}
-		d.add(RemoteUsage{Uses: uses})
+		d.add(RemoteUsage{Rates: uses})
 	}
 	for b := range d.backends {
 		if d.deployment.Probes && d.chance(0.2) {
@@ -282,7 +283,7 @@
 }
 
 func (d *dayDraw) confine(p int) {
-	e := ProxyConfined{Proxy: p, Confined: d.chance(0.7), NoRetries: d.chance(0.3)}
+	e := ProxyRestricted{Proxy: p, Restricted: d.chance(0.7), NoRetries: d.chance(0.3)}
 	if d.chance(0.5) {
 		e.MaxRate = 40 * d.rand.Float64()
 	}
@@ -343,8 +344,8 @@
 		d.wakes = append(d.wakes, dueWake{d.now + o.Delay, o.Name})
 	case Probe:
 		write(8, o.Backend)
-	case FollowList:
-		write(9, o.On)
+	case WatchList:
+		write(9, o.Enabled)
 	case ReloadList:
 		write(10)
 	case Log:
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -407,17 +407,17 @@
 		case policy.Probe:
 			r.start(outProbe, inst)
 			r.addr(d.backends[o.Backend])
-		case policy.Note:
+		case policy.PeerMessage:
 			r.start(outNotify, inst)
 			to := o.To
-			if to == policy.ToAll {
+			if to == policy.AllPeers {
 				to = toAll
 			}
 			r.u16(to)
 			r.text(o.Data)
-		case policy.FollowList:
+		case policy.WatchList:
 			r.start(outListen, inst)
-			r.u8(o.On)
+			r.u8(o.Enabled)
 		case policy.ReloadList:
 			r.start(outReload, inst)
 		case policy.Log:
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -71,7 +71,7 @@
 	d := launch.Deployment
 	p, q := d.Products[0], d.Products[1]
 	if p.SLA != 8000 || !q.OwnZone || len(q.OnlyZones) != 2 || d.WarmupTime != 170001 || d.MessageWindow != 100001 ||
-		d.RemovalBinds || !d.PullsList || d.Limits != policy.LimitShare ||
+		d.HonorRemovals || !d.ListOnRequest || d.Limits != policy.LimitShare ||
 		d.Zones != 3 || len(d.Gauges) != 4 ||
 		d.Gauges[1] != policy.GaugeInFlight {
 		t.Errorf("settings read as %+v", d)
@@ -163,8 +163,8 @@
 		policy.Marker{Number: 12},
 		policy.SetTimer{Delay: 5000, Name: 77},
 		policy.Probe{},
-		policy.Note{To: policy.ToAll, Data: []byte("hi 7")},
-		policy.FollowList{On: true},
+		policy.PeerMessage{To: policy.AllPeers, Data: []byte("hi 7")},
+		policy.WatchList{Enabled: true},
 		policy.ReloadList{},
 		policy.Log{Text: "two"},
 	})
