--- a/internal/compat/messages_test.go
+++ b/internal/compat/messages_test.go
@@ -50,7 +50,7 @@
 		{"disk", func(m *rpc.Message) { m.StoreID = "0123456789abcdef" }},
 		{"epoch", func(m *rpc.Message) {
 			m.Epoch = &rpc.Epoch{Number: 5, OldVoters: []rpc.Voter{{Node: other, StoreID: "b"}},
-				Voters: []rpc.Voter{{Node: node, StoreID: "a"}}, FoundingSize: 3}
+				Voters: []rpc.Voter{{Node: node, StoreID: "a"}}, InitialSize: 3}
 		}},
 		{"ballot-prepare", func(m *rpc.Message) {
 			m.Paxos = []rpc.PaxosMessage{{Kind: rpc.Prepare, Register: "charter", Ballot: ballot}}
@@ -227,8 +227,8 @@
 		set  func(*rpc.Message)
 		want string
 	}{
-		{"founding id of a message", func(m *rpc.Message) { m.FoundingID = 7 }, "a1182607"},
-		{"founding id of an epoch", func(m *rpc.Message) { m.Epoch = &rpc.Epoch{Number: 1, FoundingID: 7} },
+		{"founding id of a message", func(m *rpc.Message) { m.ClusterID = 7 }, "a1182607"},
+		{"founding id of an epoch", func(m *rpc.Message) { m.Epoch = &rpc.Epoch{Number: 1, ClusterID: 7} },
 			"a1181da3010103f60507"},
 		{"origin of a disk", func(m *rpc.Message) {
 			m.Hello = &rpc.Hello{Origin: rpc.Origin{Address: "a", Seeds: []string{"b"}}}
--- a/internal/controlplane/consensus/founding.go
+++ b/internal/controlplane/consensus/bootstrap.go
@@ -30,10 +30,10 @@
 		return
 	}
 	first := Epoch{
-		Number:       1,
-		Voters:       founders,
-		FoundingSize: len(founders),
-		FoundingID:   hash64(r.options.Incarnation, r.queryID) | 1, // not 0, which stands for none
+		Number:      1,
+		Voters:      founders,
+		InitialSize: len(founders),
+		ClusterID:   hash64(r.options.Incarnation, r.queryID) | 1, // not 0, which stands for none
 	}
 	if r.isEverybodyHere() {
 		r.proposeEpochUnless(first, func(half Epoch) bool { return majorityReplaced(half, founders) })
--- a/internal/controlplane/consensus/foundingrule.go
+++ b/internal/controlplane/consensus/bootstraprule.go
@@ -13,7 +13,7 @@
 //
 // What this does not survive: more than 2f+1 machines, with 2f+1 more than the seeds, that are cut into groups of f+1
 // before the groups have heard of each other. Nobody could do better: a group of f+1 cannot tell such a cut from a
-// system of 2f+1 that has lost f. Two systems that came about so find each other by their FoundingID (foreign.go).
+// system of 2f+1 that has lost f. Two systems that came about so detect each other by their ClusterID (foreign.go).
 type foundingRule struct {
 	seeds     int // that were named at the first start
 	maxFaults int // machines that may be lost at once
--- a/internal/controlplane/consensus/durablestate.go
+++ b/internal/controlplane/consensus/durablestate.go
@@ -131,7 +131,7 @@
 	for _, f := range founders {
 		voters = append(voters, Voter{Node: f, StoreID: legacyStoreID(f.Name)})
 	}
-	s.Epoch = Epoch{Number: 1, Voters: sortVoters(voters), FoundingSize: len(founders)}
+	s.Epoch = Epoch{Number: 1, Voters: sortVoters(voters), InitialSize: len(founders)}
 	for name, text := range records {
 		registerName, isRegister := strings.CutPrefix(name, legacyRegisterPrefix)
 		if isRegister && len(text) >= legacyVersionBytes {
--- a/internal/controlplane/consensus/epochs.go
+++ b/internal/controlplane/consensus/epochs.go
@@ -20,7 +20,7 @@
 	if e.Number <= r.epoch.Number {
 		return
 	}
-	isFirst := r.epoch.FoundingID == 0
+	isFirst := r.epoch.ClusterID == 0
 	r.epoch, r.epochChangedAt = e, r.now
 	if isFirst {
 		r.reportForeignPeers()
--- a/internal/controlplane/consensus/evacuations.go
+++ b/internal/controlplane/consensus/evacuations.go
@@ -71,9 +71,9 @@
 // IsEvacuated reports whether the value of a zone's register says that nothing is to be sent there.
 func IsEvacuated(value []byte) bool { return parseEvacuations(value).open > 0 }
 
-// HasEvacuationOrder reports whether an order counts in the value of a zone's register. One that was committed and does
+// HasAppliedEvacuation reports whether an order counts in the value of a zone's register. One that was committed and does
 // not was taken for a repetition of the last one of its kind, or lies further back than ids are kept.
-func HasEvacuationOrder(value []byte, id uint64) bool {
+func HasAppliedEvacuation(value []byte, id uint64) bool {
 	return slices.Contains(parseEvacuations(value).ids, id)
 }
 
--- a/internal/controlplane/consensus/events.go
+++ b/internal/controlplane/consensus/events.go
@@ -110,8 +110,8 @@
 // ForeignPeerFound says that a peer belongs to a system that was founded independently of this one. What it says does
 // not count; the two are never merged.
 type ForeignPeerFound struct {
-	Name       string
-	FoundingID uint64 // of the other system
+	Name      string
+	ClusterID uint64 // of the other system
 }
 
 // HandedOver answers a Shutdown: nothing needs this process any more.
--- a/internal/controlplane/consensus/foreign.go
+++ b/internal/controlplane/consensus/foreign.go
@@ -3,18 +3,18 @@
 import "elmfold/internal/gateway/rpc"
 
 // Systems that were founded independently, because more machines than the faults to be survived ask for were cut into
-// groups in their first seconds, are told apart by the FoundingID of their epochs. They are never merged: what either
+// groups in their first seconds, are told apart by the ClusterID of their epochs. They are never merged: what either
 // has acknowledged would be lost or shown in an older state. Whoever meets the other says so, ignores it, and answers
 // as one without quorum contact unless its own system has most of the seeds.
 
 // isForeignMessage reports whether a message is from another system, and notes the system of the peer.
 func (r *Replica) isForeignMessage(p *peer, m *rpc.Message) bool {
 	isOfThisDisk := m.StoreID == p.storeID
-	if isOfThisDisk && m.FoundingID != 0 && m.FoundingID != p.foundingID {
-		p.foundingID = m.FoundingID
+	if isOfThisDisk && m.ClusterID != 0 && m.ClusterID != p.foundingID {
+		p.foundingID = m.ClusterID
 		r.reportIfForeign(p)
 	}
-	return r.isOtherSystem(m.FoundingID) || isOfThisDisk && r.isForeign(p)
+	return r.isOtherSystem(m.ClusterID) || isOfThisDisk && r.isForeign(p)
 }
 
 // reportForeignPeers is called once this node belongs to a system itself.
@@ -36,7 +36,7 @@
 // isOtherSystem reports whether an id is that of another system. 0 is of none: the sender has not entered an epoch, or
 // its version does not know of systems.
 func (r *Replica) isOtherSystem(foundingID uint64) bool {
-	own := r.epoch.FoundingID
+	own := r.epoch.ClusterID
 	return own != 0 && foundingID != 0 && foundingID != own
 }
 
@@ -80,7 +80,7 @@
 		return true
 	}
 	for _, p := range r.peers {
-		if p.foundingAddress() == address && p.foundingID == r.epoch.FoundingID {
+		if p.foundingAddress() == address && p.foundingID == r.epoch.ClusterID {
 			return true
 		}
 	}
--- a/internal/controlplane/consensus/founding_test.go
+++ b/internal/controlplane/consensus/founding_test.go
@@ -176,9 +176,9 @@
 	w := twoSystems([]int{2}) // seed 2 with 3 and 4; seeds 0 and 1 with 5
 	ids := map[uint64][]int{}
 	for i, m := range w.machines {
-		ids[m.r.Epoch().FoundingID] = append(ids[m.r.Epoch().FoundingID], i)
+		ids[m.r.Epoch().ClusterID] = append(ids[m.r.Epoch().ClusterID], i)
 	}
-	if len(ids) != 2 || w.machines[0].r.Epoch().FoundingID == w.machines[2].r.Epoch().FoundingID {
+	if len(ids) != 2 || w.machines[0].r.Epoch().ClusterID == w.machines[2].r.Epoch().ClusterID {
 		t.Fatalf("founded: %v", ids)
 	}
 	held := map[int]Version{}
@@ -198,8 +198,8 @@
 	for i, m := range w.machines {
 		hasFewSeeds := i == 2 || i == 3 || i == 4
 		r, _ := m.r.CommittedValue(charter)
-		if r.Version != held[i] || slices.Index(ids[m.r.Epoch().FoundingID], i) < 0 {
-			t.Errorf("%s has %v of system %x", m.who.Name, r.Version, m.r.Epoch().FoundingID)
+		if r.Version != held[i] || slices.Index(ids[m.r.Epoch().ClusterID], i) < 0 {
+			t.Errorf("%s has %v of system %x", m.who.Name, r.Version, m.r.Epoch().ClusterID)
 		}
 		if has := m.r.HasQuorum(w.now - m.startAt); has == hasFewSeeds {
 			t.Errorf("%s has quorum contact: %t", m.who.Name, has)
--- a/internal/controlplane/consensus/joint.go
+++ b/internal/controlplane/consensus/joint.go
@@ -41,11 +41,11 @@
 		return
 	}
 	joint := Epoch{
-		Number:       r.epoch.Number + 1,
-		OldVoters:    r.epoch.Voters,
-		Voters:       voters,
-		FoundingSize: r.epoch.FoundingSize,
-		FoundingID:   r.epoch.FoundingID,
+		Number:      r.epoch.Number + 1,
+		OldVoters:   r.epoch.Voters,
+		Voters:      voters,
+		InitialSize: r.epoch.InitialSize,
+		ClusterID:   r.epoch.ClusterID,
 	}
 	if r.options.bugs.noJointEpoch {
 		joint.OldVoters = nil
--- a/internal/controlplane/consensus/orders_test.go
+++ b/internal/controlplane/consensus/orders_test.go
@@ -47,7 +47,7 @@
 		case HandedOver:
 			fmt.Fprintln(sum, "left")
 		case ForeignPeerFound:
-			fmt.Fprintln(sum, "foreign", o.Name, o.FoundingID)
+			fmt.Fprintln(sum, "foreign", o.Name, o.ClusterID)
 		}
 	})
 	if w.fault != "" {
--- a/internal/controlplane/consensus/proposer.go
+++ b/internal/controlplane/consensus/proposer.go
@@ -131,7 +131,7 @@
 	switch {
 	case next.Version == Version{}: // there is no value, and none is wanted
 		r.closeBallot(g, next)
-	case next.Version == found.Version && r.hasWriteQuorum(g, g.proposal.HasHighest):
+	case next.Version == found.Version && r.hasWriteQuorum(g, g.proposal.HasHighestAccepted):
 		r.onDecided(g, g.proposal.HighestAccepted, found) // enough disks have it under one ballot already
 	default:
 		r.startAccept(g, next, nextAge)
--- a/internal/controlplane/consensus/replica.go
+++ b/internal/controlplane/consensus/replica.go
@@ -13,7 +13,7 @@
 //
 // Voters are disks, told apart by ids that are drawn when a disk is first written. Who votes is itself a register,
 // decided anew for each Epoch by the voters of the epoch before. The first epoch is decided by the disks of the
-// system's first start (foundingrule.go). A change of voters goes through a joint epoch, in which a quorum needs both
+// system's first start (bootstraprule.go). A change of voters goes through a joint epoch, in which a quorum needs both
 // the old and the new voters (joint consensus, Ongaro 2014, 4.3).
 //
 // # Invariants
@@ -40,8 +40,8 @@
 //	reads.go          reads without a ballot
 //	replication.go    which disks have accepted what, what is chosen, what is missing where
 //	epochs.go         entering epochs, quorums, proposals for the next one
-//	founding.go       the first epoch
-//	foundingrule.go   which disks decide it
+//	bootstrap.go      the first epoch
+//	bootstraprule.go  which disks decide it
 //	foreign.go        nodes of another system
 //	joint.go          changes of voters
 //	membership.go     who should vote
@@ -289,7 +289,7 @@
 
 func (r *Replica) sendMessage(to string, m *rpc.Message) {
 	if p := r.peers[to]; p != nil && p.connected {
-		m.EpochNumber, m.StoreID, m.FoundingID = r.epoch.Number, r.storeID, r.epoch.FoundingID
+		m.EpochNumber, m.StoreID, m.ClusterID = r.epoch.Number, r.storeID, r.epoch.ClusterID
 		r.emit(Send{to, m})
 	}
 }
--- a/internal/controlplane/consensus/status.go
+++ b/internal/controlplane/consensus/status.go
@@ -19,16 +19,16 @@
 	Voters        []MemberStatus   `json:"voters"`
 	Learners      []MemberStatus   `json:"learners"` // connected nodes that do not vote
 	Registers     []RegisterStatus `json:"registers"`
-	Founding      *FoundingStatus  `json:"founding,omitempty"` // while there is no epoch
+	Bootstrap     *BootstrapStatus `json:"founding,omitempty"` // while there is no epoch
 	ForeignPeers  []string         `json:"foreign,omitempty"`  // nodes of a system that was founded independently
 }
 
-// FoundingStatus is what a founding has and needs, as far as this node knows the machines.
-type FoundingStatus struct {
-	Disks     int  `json:"disks"`           // in touch, from the system's first start, the own one included
-	Needed    int  `json:"needed"`          // of them
-	SeedsOnly bool `json:"seeds,omitempty"` // only those of the seeds count
-	CanFound  bool `json:"enough"`          // they, or all machines that were heard of, are enough
+// BootstrapStatus is what a founding has and needs, as far as this node knows the machines.
+type BootstrapStatus struct {
+	Disks        int  `json:"disks"`           // in touch, from the system's first start, the own one included
+	Needed       int  `json:"needed"`          // of them
+	SeedsOnly    bool `json:"seeds,omitempty"` // only those of the seeds count
+	CanBootstrap bool `json:"enough"`          // they, or all machines that were heard of, are enough
 }
 
 // MemberStatus is a node with its disk, as another node, or itself, sees it.
@@ -74,17 +74,17 @@
 		Voters:        r.voterStatuses(now),
 		Learners:      r.learnerStatuses(now),
 		Registers:     r.registerStatuses(),
-		Founding:      r.foundingStatus(),
+		Bootstrap:     r.foundingStatus(),
 		ForeignPeers:  r.ForeignPeers(),
 	}
 }
 
-func (r *Replica) foundingStatus() *FoundingStatus {
+func (r *Replica) foundingStatus() *BootstrapStatus {
 	if r.epoch.Number > 0 {
 		return nil
 	}
 	rule, votes := r.foundingRule(), r.foundingVotes(anyStore)
-	s := &FoundingStatus{Disks: votes.remembering, Needed: rule.needed(), CanFound: r.canFound()}
+	s := &BootstrapStatus{Disks: votes.remembering, Needed: rule.needed(), CanBootstrap: r.canFound()}
 	if rule.seedsDecide() {
 		s.Disks, s.SeedsOnly = votes.rememberingSeeds, true
 	}
--- a/internal/controlplane/consensus/voterchange_test.go
+++ b/internal/controlplane/consensus/voterchange_test.go
@@ -138,7 +138,7 @@
 // old voters alone decide that it is reverted, not earlier, and with the epoch's other properties kept.
 func TestJointEpochIsReverted(t *testing.T) {
 	t.Parallel()
-	joint := Epoch{Number: 4, OldVoters: voters(0, 1, 2), Voters: voters(0, 1, 7), FoundingSize: 3, FoundingID: 5}
+	joint := Epoch{Number: 4, OldVoters: voters(0, 1, 2), Voters: voters(0, 1, 7), InitialSize: 3, ClusterID: 5}
 	x := newTrio(t, joint, injectedBugs{}, nil)
 	var got Epoch
 	for x.now < 2*jointTimeout && got.Number == 0 {
@@ -162,7 +162,7 @@
 	if x.now < jointTimeout || x.now > jointTimeout+4*voterStagger { // the process knew of the epoch from its start
 		t.Errorf("after %v", x.now)
 	}
-	want := Epoch{Number: 5, Voters: joint.OldVoters, FoundingSize: 3, FoundingID: 5}
+	want := Epoch{Number: 5, Voters: joint.OldVoters, InitialSize: 3, ClusterID: 5}
 	if string(encodeEpoch(got)) != string(encodeEpoch(want)) {
 		t.Errorf("%+v, not %+v", got, want)
 	}
@@ -171,7 +171,7 @@
 // A joint epoch whose new voters have all is ended, not reverted, also when it took long.
 func TestJointEpochIsFinishedWhereItCanBe(t *testing.T) {
 	t.Parallel()
-	r := pair(t, Epoch{Number: 4, OldVoters: voters(0, 1), Voters: voters(0), FoundingID: 5}, "d1")
+	r := pair(t, Epoch{Number: 4, OldVoters: voters(0, 1), Voters: voters(0), ClusterID: 5}, "d1")
 	scan := func(now time.Duration) (Epoch, bool) {
 		var all []Action
 		for _, a := range r.Step(now) {
@@ -201,7 +201,7 @@
 	}
 	for now := 10 * ms; now < jointTimeout/2; now += 50 * ms {
 		if e, is := scan(now); is {
-			if len(e.Voters) != 1 || e.Voters[0].StoreID != "d0" || e.Number != 5 || e.FoundingID != 5 {
+			if len(e.Voters) != 1 || e.Voters[0].StoreID != "d0" || e.Number != 5 || e.ClusterID != 5 {
 				t.Errorf("%+v", e)
 			}
 			return
--- a/internal/controlplane/consensus/votes_test.go
+++ b/internal/controlplane/consensus/votes_test.go
@@ -284,7 +284,7 @@
 
 // A learner is not wished for as a voter before it has all, on its disk, as it said in this epoch.
 func TestLearnersAreWholeBeforeTheyVote(t *testing.T) {
-	e := Epoch{Number: 2, Voters: voters(0, 1, 2), FoundingSize: 5} // there is room for it
+	e := Epoch{Number: 2, Voters: voters(0, 1, 2), InitialSize: 5} // there is room for it
 	has := paxos.Acceptor[Register]{
 		Promised: BallotNumber{Round: 5},
 		Accepted: BallotNumber{Round: 5},
--- a/internal/controlplane/operatorcalls.go
+++ b/internal/controlplane/operatorcalls.go
@@ -72,7 +72,7 @@
 	committed, err := s.request(r, receivedAt, func(id uint64) consensus.Event {
 		return consensus.Propose{RequestID: id, Register: zoneRegisterPrefix + zone, Change: change}
 	})
-	if err == nil && !consensus.HasEvacuationOrder(committed.Value, orderID) {
+	if err == nil && !consensus.HasAppliedEvacuation(committed.Value, orderID) {
 		// Nothing in a call says who gives the order, so that another operator's cannot be told from a repetition.
 		s.log.Warn("evacuation order taken for a repetition of the last one", logfield.Zone, zone, logfield.Begin, begin)
 	}
--- a/internal/controlplane/paxos/paxos.go
+++ b/internal/controlplane/paxos/paxos.go
@@ -96,8 +96,8 @@
 	return true
 }
 
-// HasHighest reports whether an acceptor has promised, and had accepted the highest ballot itself.
-func (p *Proposal[V]) HasHighest(acceptor string) bool {
+// HasHighestAccepted reports whether an acceptor has promised, and had accepted the highest ballot itself.
+func (p *Proposal[V]) HasHighestAccepted(acceptor string) bool {
 	accepted, responded := p.Responses[acceptor]
 	return responded && accepted == p.HighestAccepted
 }
--- a/internal/controlplane/paxos/paxos_test.go
+++ b/internal/controlplane/paxos/paxos_test.go
@@ -211,7 +211,7 @@
 		p.OnAccepted("x", b) {
 		t.Errorf("%+v", p)
 	}
-	if !p.OnPromise("y", b, BallotNumber{}, "") || !p.HasHighest("x") || p.HasHighest("y") || p.HasHighest("z") ||
+	if !p.OnPromise("y", b, BallotNumber{}, "") || !p.HasHighestAccepted("x") || p.HasHighestAccepted("y") || p.HasHighestAccepted("z") ||
 		p.Value != "one" {
 		t.Errorf("%+v", p)
 	}
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -40,7 +40,7 @@
 		}
 	case consensus.ForeignPeerFound:
 		s.log.Error("peer belongs to another system: stop one of the two and empty its disks", logfield.Peer, a.Name,
-			logfield.FoundingID, fmt.Sprintf("%016x", a.FoundingID))
+			logfield.FoundingID, fmt.Sprintf("%016x", a.ClusterID))
 	case consensus.HandedOver:
 		close(s.handedOver)
 	}
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -273,7 +273,7 @@
 		return
 	}
 	s.lastFoundingLog = now
-	if f := s.replica.Status(now).Founding; f != nil {
+	if f := s.replica.Status(now).Bootstrap; f != nil {
 		s.log.Warn("no epoch yet", logfield.Disks, f.Disks, logfield.Needed, f.Needed)
 	}
 }
--- a/internal/gateway/cli/statustable.go
+++ b/internal/gateway/cli/statustable.go
@@ -41,7 +41,7 @@
 	fmt.Fprintf(w, "%s: %s; %s\n", s.Self.Name, contact, votes)
 	switch {
 	case s.Epoch == 0:
-		printFounding(w, s.Founding)
+		printFounding(w, s.Bootstrap)
 	case s.Changing:
 		fmt.Fprintf(w, "epoch %d: its voters change\n", s.Epoch)
 	default:
@@ -59,11 +59,11 @@
 }
 
 // printFounding says what the first epoch waits for.
-func printFounding(w io.Writer, f *consensus.FoundingStatus) {
+func printFounding(w io.Writer, f *consensus.BootstrapStatus) {
 	switch {
 	case f == nil: // the node's version does not tell
 		fmt.Fprintln(w, "no epoch yet: nothing has decided who votes")
-	case f.CanFound:
+	case f.CanBootstrap:
 		fmt.Fprintln(w, "no epoch yet: enough disks are in touch to decide who votes")
 	case f.SeedsOnly:
 		fmt.Fprintf(w, "no epoch yet: %d of the seeds' disks are in touch, %d are needed to decide who votes\n",
--- a/internal/gateway/rpc/epoch.go
+++ b/internal/gateway/rpc/epoch.go
@@ -23,13 +23,13 @@
 // is not empty the epoch is a joint one: a change from OldVoters to Voters is under way, and each quorum needs
 // both.
 type Epoch struct {
-	Number       uint64  `cbor:"1,keyasint"` // 0: none was decided yet
-	OldVoters    []Voter `cbor:"2,keyasint,omitempty"`
-	Voters       []Voter `cbor:"3,keyasint"`
-	FoundingSize int     `cbor:"4,keyasint,omitempty"` // voters of the first epoch
-	// FoundingID tells systems apart that were founded independently. It is drawn with the first epoch, and all later ones
+	Number      uint64  `cbor:"1,keyasint"` // 0: none was decided yet
+	OldVoters   []Voter `cbor:"2,keyasint,omitempty"`
+	Voters      []Voter `cbor:"3,keyasint"`
+	InitialSize int     `cbor:"4,keyasint,omitempty"` // voters of the first epoch
+	// ClusterID tells systems apart that were founded independently. It is drawn with the first epoch, and all later ones
 	// have it. 0: the system was founded by a version that had none.
-	FoundingID uint64 `cbor:"5,keyasint,omitempty"`
+	ClusterID uint64 `cbor:"5,keyasint,omitempty"`
 }
 
 // IsJoint reports whether a change of voters is under way.
@@ -38,10 +38,10 @@
 // TargetSize is how many voters there should be: as many as in the first epoch, and one more if that is even,
 // because an even number of voters survives no more losses than the odd one below it.
 func (e Epoch) TargetSize() int {
-	if e.FoundingSize == 0 {
+	if e.InitialSize == 0 {
 		return len(e.Voters) | 1
 	}
-	return e.FoundingSize | 1
+	return e.InitialSize | 1
 }
 
 // AllVoters are the voters of both sets, each once.
--- a/internal/gateway/rpc/message.go
+++ b/internal/gateway/rpc/message.go
@@ -57,7 +57,7 @@
 type Consensus struct {
 	EpochNumber uint64 `cbor:"27,keyasint,omitempty"` // of the epoch in which all of this is said
 	StoreID     string `cbor:"28,keyasint,omitempty"` // of the sender's disk
-	FoundingID  uint64 `cbor:"38,keyasint,omitempty"` // of that epoch
+	ClusterID   uint64 `cbor:"38,keyasint,omitempty"` // of that epoch
 	// the newest that the sender knows to be decided; to proxies too
 	Epoch         *Epoch                  `cbor:"29,keyasint,omitempty"`
 	Paxos         []PaxosMessage          `cbor:"30,keyasint,omitempty"`
