--- a/internal/controlplane/registry/endpoints.go
+++ b/internal/controlplane/registry/endpoints.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// missedHeartbeats is how many heartbeats an endpoint may miss before it is no longer live here.
-	missedHeartbeats = 3.5
-	// tombstoneTTL is how long an endpoint that is gone is remembered, so that a late heartbeat does not bring it back.
+	// maxMissedHeartbeats is the heartbeat timeout, in heartbeat intervals.
+	maxMissedHeartbeats = 3.5
+	// tombstoneTTL is how long the entry of a gone endpoint is kept, so that a late heartbeat does not revive it.
 	tombstoneTTL = 90 * time.Second
-	// unconfirmedTTL is how long an endpoint that is not live here is remembered after its last report.
-	unconfirmedTTL = 4 * tombstoneTTL
-	// noHeartbeat stands for no heartbeat in LastHeartbeat.
+	// remoteTTL is how long the entry of an endpoint that is not live on this node is kept after its last report.
+	remoteTTL = 4 * tombstoneTTL
+	// noHeartbeat is the LastHeartbeat of an endpoint that has sent this node no heartbeat.
 	noHeartbeat = time.Duration(-1)
 )
 
-// Entry is what is known of an endpoint.
+// Entry is the state of one endpoint.
 type Entry struct {
-	rpc.Endpoint                // as last reported, but for Live and WarmupLeft, which are not kept here
-	LastHeartbeat time.Duration // that was received here; negative: none was
-	WarmupEnd     time.Duration // until when it is in slow start
-	goneAt        time.Duration
-	updatedAt     time.Duration // the last report of it, by whomever
-	live          bool          // as proxies were told
+	rpc.Endpoint                 // as last reported, except Live and WarmupRemaining, which are zero here
+	LastHeartbeat  time.Duration // when this node received the last heartbeat; negative if it never received one
+	WarmupEnd      time.Duration // when the slow start of the endpoint ends
+	stateChangedAt time.Duration // when State last advanced
+	updatedAt      time.Duration // when the last report arrived, from the endpoint or from another node
+	live           bool          // this node receives the heartbeats of the endpoint
 }
 
-// Heartbeat handles a heartbeat that was received here. changes are to be told to proxies and the other nodes; none if
-// nothing changed. outdated says that a newer report of the endpoint was there already.
+// Heartbeat applies a heartbeat that this node received. It returns the changes to send to proxies and to the other
+// nodes. outdated reports that the heartbeat was ignored, because a newer report is known or the endpoint is gone.
 func (r *Registry) Heartbeat(now time.Duration, reported rpc.Endpoint) (changes []rpc.Endpoint, outdated bool) {
 	if e := r.entries[reported.ID]; e != nil {
-		overtaken := reported.Seq < e.Seq && reported.Seq > 0
-		if overtaken || e.State == rpc.Gone {
+		isOlder := reported.Seq < e.Seq && reported.Seq > 0
+		if isOlder || e.State == rpc.Gone {
 			return nil, true
 		}
 	}
@@ -51,7 +51,8 @@
 	return append(changes, r.evictPrevious(now, e)...), false
 }
 
-// Deregister marks an endpoint as gone. It returns what is to be told, nil if it was gone already.
+// Deregister marks an endpoint as gone. It returns the changes to send to proxies and to the other nodes; nil if the
+// endpoint was gone already.
 func (r *Registry) Deregister(now time.Duration, id string, seq uint64) []rpc.Endpoint {
 	e := r.entries[id]
 	switch {
@@ -61,12 +62,12 @@
 	case e.State == rpc.Gone:
 		return nil
 	}
-	e.State, e.goneAt, e.live = rpc.Gone, now, false
+	e.State, e.stateChangedAt, e.live = rpc.Gone, now, false
 	e.Seq = max(e.Seq, seq)
 	return []rpc.Endpoint{e.snapshot(now, false)}
 }
 
-// ApplyRemote handles reports of another node. It returns those that changed something here.
+// ApplyRemote applies reports of another node. It returns the resulting changes, to be sent to proxies.
 func (r *Registry) ApplyRemote(now time.Duration, reports []rpc.Endpoint) (changes []rpc.Endpoint) {
 	for _, reported := range reports {
 		if r.apply(now, reported) {
@@ -78,7 +79,7 @@
 	return changes
 }
 
-// apply takes over a report and says whether something changed that others need to know.
+// apply updates the entry of an endpoint from a report. It reports whether others need to be told of a change.
 func (r *Registry) apply(now time.Duration, reported rpc.Endpoint) bool {
 	e := r.entries[reported.ID]
 	if e == nil {
@@ -91,7 +92,7 @@
 	}
 	changed := e.advance(now, reported.State)
 	if reported.Seq >= e.Seq && reported.State != rpc.Gone {
-		changed = e.update(now, reported, r.heartbeatInterval/4) || changed
+		changed = e.updateData(now, reported, r.heartbeatInterval/4) || changed
 	}
 	return changed
 }
@@ -100,40 +101,41 @@
 	e := &Entry{
 		Endpoint:      reported,
 		LastHeartbeat: noHeartbeat,
-		WarmupEnd:     now + warmupLeft(reported),
+		WarmupEnd:     now + warmupRemaining(reported),
 		updatedAt:     now,
 	}
 	e.Live, e.WarmupRemaining = false, 0
 	if e.State == rpc.Gone {
-		e.goneAt = now
+		e.stateChangedAt = now
 	}
 	return e
 }
 
-func warmupLeft(reported rpc.Endpoint) time.Duration {
+func warmupRemaining(reported rpc.Endpoint) time.Duration {
 	return max(time.Duration(reported.WarmupRemaining)*time.Millisecond, 0)
 }
 
-// advance moves the state on, never back: a late heartbeat does not revive what drains.
+// advance moves the state forward, never back: a late heartbeat does not revive a draining endpoint. It reports whether
+// the state changed.
 func (e *Entry) advance(now time.Duration, state rpc.EndpointState) bool {
 	if state <= e.State {
 		return false
 	}
-	e.State, e.goneAt = state, now
+	e.State, e.stateChangedAt = state, now
 	if state == rpc.Gone {
 		e.live = false
 	}
 	return true
 }
 
-// update takes over the data of a report that is not outdated. Heartbeats of an endpoint in slow start report less time
-// left each time: only one that ends later by more than slack is a change.
-func (e *Entry) update(now time.Duration, reported rpc.Endpoint, slack time.Duration) (changed bool) {
-	until := now + time.Duration(reported.WarmupRemaining)*time.Millisecond
+// updateData copies the data of a report that is not outdated, and reports whether the data changed. The remaining slow
+// start shrinks with each heartbeat, so it counts as a change only if its end moves back by more than slack.
+func (e *Entry) updateData(now time.Duration, reported rpc.Endpoint, slack time.Duration) (changed bool) {
+	warmupEnd := now + time.Duration(reported.WarmupRemaining)*time.Millisecond
 	changed = reported.Address != e.Address || reported.Service != e.Service || reported.Capacity != e.Capacity ||
-		reported.WarmupRemaining > 0 && until > e.WarmupEnd+slack
-	if until > e.WarmupEnd || reported.WarmupRemaining == 0 {
-		e.WarmupEnd = until
+		reported.WarmupRemaining > 0 && warmupEnd > e.WarmupEnd+slack
+	if warmupEnd > e.WarmupEnd || reported.WarmupRemaining == 0 {
+		e.WarmupEnd = warmupEnd
 	}
 	state := e.State
 	e.Endpoint = reported
@@ -141,8 +143,8 @@
 	return changed
 }
 
-// evictPrevious marks the endpoint as gone that had the address of e before: its process ended without saying so,
-// or its deregistration is still on its way.
+// evictPrevious marks the endpoint that had the address of e before as gone: its process ended without deregistering,
+// or its deregistration has not arrived yet. It returns the resulting changes.
 func (r *Registry) evictPrevious(now time.Duration, e *Entry) []rpc.Endpoint {
 	if e.State == rpc.Gone || e.Address == "" {
 		return nil
@@ -154,7 +156,7 @@
 		return nil
 	}
 	if previous.live && !e.live {
-		return nil // its heartbeats come in here, and the report of e may be the older one
+		return nil // this node receives the heartbeats of previous, so e may be the older endpoint
 	}
 	r.byAddress[e.Address] = e.ID
 	if previous.State == rpc.Gone {
@@ -163,7 +165,7 @@
 	return r.Deregister(now, previousID, previous.Seq)
 }
 
-// snapshot is the entry as it is told to others.
+// snapshot returns the entry in the form that is sent to proxies and nodes.
 func (e *Entry) snapshot(now time.Duration, live bool) rpc.Endpoint {
 	endpoint := e.Endpoint
 	endpoint.Live = live
@@ -171,14 +173,14 @@
 	return endpoint
 }
 
-// ExpireHeartbeats ends what was not heard of for too long. It returns what is to be told to proxies: the endpoints
-// that are no longer live here.
+// ExpireHeartbeats removes outdated entries and marks endpoints without recent heartbeats as not live. It returns the
+// latter, to be sent to proxies.
 func (r *Registry) ExpireHeartbeats(now time.Duration) (changes []rpc.Endpoint) {
-	timeout := time.Duration(missedHeartbeats * float64(r.heartbeatInterval))
+	timeout := time.Duration(maxMissedHeartbeats * float64(r.heartbeatInterval))
 	for _, id := range slices.Sorted(maps.Keys(r.entries)) {
 		e := r.entries[id]
 		switch {
-		case e.State == rpc.Gone && now > e.goneAt+tombstoneTTL:
+		case e.State == rpc.Gone && now > e.stateChangedAt+tombstoneTTL:
 			delete(r.entries, id)
 			if r.byAddress[e.Address] == id {
 				delete(r.byAddress, e.Address)
@@ -186,21 +188,21 @@
 		case e.live && now > e.LastHeartbeat+timeout:
 			e.live = false
 			changes = append(changes, e.snapshot(now, false))
-		case !e.live && e.State != rpc.Gone && now > max(e.LastHeartbeat, e.goneAt, e.updatedAt)+unconfirmedTTL:
+		case !e.live && e.State != rpc.Gone && now > max(e.LastHeartbeat, e.stateChangedAt, e.updatedAt)+remoteTTL:
 			delete(r.entries, id)
 		}
 	}
 	return changes
 }
 
-// All is every endpoint, for another node that has a new connection here and for a proxy that is steered from here.
+// All returns every endpoint. It is sent to a newly connected node, and to a proxy that this node steers.
 func (r *Registry) All(now time.Duration) []rpc.Endpoint {
 	return r.snapshots(now, func(*Entry) bool { return true })
 }
 
-// Local are the endpoints that are live here, and those that drain or are gone: what a proxy with a new connection
-// here cannot do without. The others it hears of from the nodes where they are live, and all of them from the one
-// that steers it.
+// Local returns the endpoints that are live on this node, and those that are draining or gone. It is sent to a newly
+// connected proxy, which learns of other endpoints from the nodes where they are live, and of all endpoints from the
+// node that steers it.
 func (r *Registry) Local(now time.Duration) []rpc.Endpoint {
 	return r.snapshots(now, func(e *Entry) bool { return e.live || e.State != rpc.Ready })
 }
@@ -215,10 +217,10 @@
 	return all
 }
 
-// Get is what is known of an endpoint, nil if nothing is.
+// Get returns the entry of an endpoint, or nil if there is none.
 func (r *Registry) Get(id string) *Entry { return r.entries[id] }
 
-// Active are all endpoints that are ready or drain, in the order of their ids.
+// Active returns all endpoints that are ready or draining, sorted by id.
 func (r *Registry) Active() []*Entry {
 	var all []*Entry
 	for _, e := range r.entries {
--- a/internal/controlplane/registry/leases.go
+++ b/internal/controlplane/registry/leases.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// LeaseDuration is how long a proxy is a member after its last renewal, by the clock of the control-plane node.
+	// LeaseDuration is how long a node keeps the lease of a proxy after receiving its last renewal.
 	LeaseDuration = 3 * time.Second
-	// LeaseUseDuration is how long a proxy may rely on its lease, from the sending of a renewal that was answered. It is
-	// shorter than LeaseDuration, so that the proxy stops before the node lets the lease expire.
+	// LeaseUseDuration is how long a proxy may rely on its lease after sending a renewal that was acknowledged. It is
+	// shorter than LeaseDuration, so that the proxy stops using the lease before the node expires it.
 	LeaseUseDuration = 2 * time.Second
 )
 
@@ -22,7 +22,7 @@
 	expiresAt time.Duration
 }
 
-// RenewLease handles a proxy's renewal. It reports whether the proxy had no lease before.
+// RenewLease grants or extends the lease of a proxy. It reports whether the proxy had no lease before.
 func (r *Registry) RenewLease(now time.Duration, proxy rpc.ProxyInfo) (isNew bool) {
 	_, held := r.leases[proxy.Name]
 	r.leases[proxy.Name] = lease{ProxyInfo: proxy, expiresAt: now + LeaseDuration}
@@ -40,8 +40,8 @@
 	}
 }
 
-// LeaseChanges expires the leases that were not renewed, and returns which proxies lost or got their lease since the
-// last call. A proxy that stands in both was removed first.
+// LeaseChanges expires the leases that were not renewed, and returns the proxies whose leases ended or were granted
+// since the last call. A proxy in both lists was removed first and then added again.
 func (r *Registry) LeaseChanges(now time.Duration) (removed []string, added []rpc.ProxyInfo) {
 	for _, name := range slices.Sorted(maps.Keys(r.leases)) {
 		if now > r.leases[name].expiresAt {
@@ -58,7 +58,7 @@
 	return removed, added
 }
 
-// Proxies are those that hold a lease, in the order of their names.
+// Proxies returns the proxies that hold a lease, sorted by name.
 func (r *Registry) Proxies() []rpc.ProxyInfo {
 	all := make([]rpc.ProxyInfo, 0, len(r.leases))
 	for _, l := range r.leases {
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -1,14 +1,14 @@
-// Package registry holds which endpoints there are and which proxies have a lease, as one control-plane node knows it.
-// It is soft state: after a restart it fills again from heartbeats, renewals and what the other nodes tell. It does no
-// I/O and reads no clock; times are durations since the process began.
+// Package registry is the table of endpoints and of proxy leases that one control-plane node keeps. It is soft state:
+// after a restart it is rebuilt from heartbeats, lease renewals and the reports of the other nodes. The package does no
+// I/O and reads no clock; times are durations since the process started.
 //
-// An endpoint is identified by its id, which it draws at each start. Of several reports the one with the greatest Seq
-// counts, and the state only moves on: ready, draining, gone. A node counts those endpoints as live whose heartbeats it
-// receives itself. Proxies use an endpoint as long as any node counts it as live, and while no node that has listened
-// for long enough is there to say otherwise.
+// An endpoint is identified by an id that it generates at each start. The report with the greatest Seq takes
+// precedence. The state of an endpoint only advances: ready, draining, gone. A node considers an endpoint live while it
+// receives the heartbeats of that endpoint itself. Proxies use an endpoint as long as any node considers it live, or
+// while no node with a synced endpoint table is reachable.
 //
-//	endpoints.go  endpoints by their heartbeats
-//	leases.go     proxies by their leases
+//	endpoints.go  endpoints, by their heartbeats
+//	leases.go     proxies, by their leases
 package registry
 
 import (
@@ -17,17 +17,17 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-// Registry holds endpoints and leases. It belongs to one goroutine.
+// Registry holds endpoints and leases. It is not safe for concurrent use.
 type Registry struct {
 	heartbeatInterval time.Duration
 	entries           map[string]*Entry // by endpoint id
-	byAddress         map[string]string // the newest endpoint id of each address
+	byAddress         map[string]string // id of the newest endpoint at each address
 	leases            map[string]lease  // by proxy name
-	added             []rpc.ProxyInfo   // since the last LeaseChanges
-	removed           []string          // since the last LeaseChanges
+	added             []rpc.ProxyInfo   // leases granted since the last LeaseChanges
+	removed           []string          // leases ended since the last LeaseChanges
 }
 
-// New makes an empty Registry. heartbeatInterval is the time between two heartbeats of an endpoint.
+// New returns an empty Registry. heartbeatInterval is the time between two heartbeats of an endpoint.
 func New(heartbeatInterval time.Duration) *Registry {
 	return &Registry{
 		heartbeatInterval: heartbeatInterval,
--- a/internal/controlplane/registry/registry_test.go
+++ b/internal/controlplane/registry/registry_test.go
@@ -12,74 +12,78 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-const s = time.Second
+const (
+	second            = time.Second
+	heartbeatInterval = 1500 * time.Millisecond
+)
 
-func beat(id string, seq uint64, state rpc.EndpointState) rpc.Endpoint {
+func endpointReport(id string, seq uint64, state rpc.EndpointState) rpc.Endpoint {
 	return rpc.Endpoint{ID: id, Service: "look", Address: "10.0.0.9:80", Zone: "a", Capacity: 4, Seq: seq, State: state}
 }
 
-func at(b rpc.Endpoint, address string) rpc.Endpoint {
-	b.Address = address
-	return b
+func withAddress(report rpc.Endpoint, address string) rpc.Endpoint {
+	report.Address = address
+	return report
 }
 
-// The words of one controller, in the order in which they are told to carriers and to others.
-func TestStory(t *testing.T) {
-	var out strings.Builder
-	table := New(1500 * time.Millisecond)
+// Covers the changes that one node reports to proxies and peers, in order: repeated, late and conflicting heartbeats,
+// reports of another node, timeouts and deregistrations.
+func TestChangesInOrder(t *testing.T) {
+	var transcript strings.Builder
+	table := New(heartbeatInterval)
 	states := []string{"ready", "draining", "gone"}
-	show := func(now time.Duration, what string, news []rpc.Endpoint) {
-		fmt.Fprintf(&out, "%4v %s\n", now, what)
-		for _, b := range news {
-			fmt.Fprintf(&out, "       %s at %s: %s, seq %d, vouched %v, cold for %d ms\n", b.ID, b.Address, states[b.State],
-				b.Seq, b.Live, b.WarmupRemaining)
+	record := func(now time.Duration, step string, changes []rpc.Endpoint) {
+		fmt.Fprintf(&transcript, "%4v %s\n", now, step)
+		for _, e := range changes {
+			fmt.Fprintf(&transcript, "       %s at %s: %s, seq %d, vouched %v, cold for %d ms\n", e.ID, e.Address,
+				states[e.State], e.Seq, e.Live, e.WarmupRemaining)
 		}
 	}
-	hear := func(now time.Duration, what string, b rpc.Endpoint) {
-		news, late := table.Heartbeat(now, b)
-		if late {
-			what += " (late)"
+	heartbeat := func(now time.Duration, step string, report rpc.Endpoint) {
+		changes, outdated := table.Heartbeat(now, report)
+		if outdated {
+			step += " (late)"
 		}
-		show(now, what, news)
+		record(now, step, changes)
 	}
-	cold := beat("i-1", 2, rpc.Ready)
+	cold := endpointReport("i-1", 2, rpc.Ready)
 	cold.WarmupRemaining = 3000
-	hear(1*s, "i-1 beats", beat("i-1", 1, rpc.Ready))
-	hear(2*s, "i-1 beats, cold now", cold)
+	heartbeat(1*second, "i-1 beats", endpointReport("i-1", 1, rpc.Ready))
+	heartbeat(2*second, "i-1 beats, cold now", cold)
 	cold.Seq, cold.WarmupRemaining = 3, 2000
-	hear(3*s, "i-1 beats, still cold", cold)
-	hear(4*s, "an older beat of i-1", beat("i-1", 1, rpc.Ready))
-	show(4*s, "another controller tells of i-2, which it hears",
-		table.ApplyRemote(4*s, []rpc.Endpoint{at(beat("i-2", 7, rpc.Ready), "10.0.0.8:80")}))
-	hear(5*s, "i-1 drains", beat("i-1", 4, rpc.Draining))
-	hear(6*s, "i-1 says that it is ready", beat("i-1", 5, rpc.Ready))
-	hear(7*s, "i-3 beats at the address of i-1", beat("i-3", 1, rpc.Ready))
-	hear(8*s, "i-1 beats", beat("i-1", 6, rpc.Draining))
-	show(9*s, "nothing is silent yet", table.ExpireHeartbeats(9*s))
-	show(13*s, "i-3 is silent", table.ExpireHeartbeats(13*s))
-	hear(14*s, "i-3 beats again", beat("i-3", 2, rpc.Ready))
-	show(15*s, "i-3 leaves", table.Deregister(15*s, "i-3", 3))
-	show(15*s, "i-3 leaves, told again", table.Deregister(15*s, "i-3", 3))
-	show(16*s, "one that is not known leaves", table.Deregister(16*s, "i-4", 0))
-	hear(17*s, "its beat", beat("i-4", 9, rpc.Ready))
-	show(18*s, "a new line is told all", table.All(18*s))
-	autogold.Equal(t, out.String())
+	heartbeat(3*second, "i-1 beats, still cold", cold)
+	heartbeat(4*second, "an older beat of i-1", endpointReport("i-1", 1, rpc.Ready))
+	record(4*second, "another controller tells of i-2, which it hears",
+		table.ApplyRemote(4*second, []rpc.Endpoint{withAddress(endpointReport("i-2", 7, rpc.Ready), "10.0.0.8:80")}))
+	heartbeat(5*second, "i-1 drains", endpointReport("i-1", 4, rpc.Draining))
+	heartbeat(6*second, "i-1 says that it is ready", endpointReport("i-1", 5, rpc.Ready))
+	heartbeat(7*second, "i-3 beats at the address of i-1", endpointReport("i-3", 1, rpc.Ready))
+	heartbeat(8*second, "i-1 beats", endpointReport("i-1", 6, rpc.Draining))
+	record(9*second, "nothing is silent yet", table.ExpireHeartbeats(9*second))
+	record(13*second, "i-3 is silent", table.ExpireHeartbeats(13*second))
+	heartbeat(14*second, "i-3 beats again", endpointReport("i-3", 2, rpc.Ready))
+	record(15*second, "i-3 leaves", table.Deregister(15*second, "i-3", 3))
+	record(15*second, "i-3 leaves, told again", table.Deregister(15*second, "i-3", 3))
+	record(16*second, "one that is not known leaves", table.Deregister(16*second, "i-4", 0))
+	heartbeat(17*second, "its beat", endpointReport("i-4", 9, rpc.Ready))
+	record(18*second, "a new line is told all", table.All(18*second))
+	autogold.Equal(t, transcript.String(), autogold.Name("TestStory"))
 }
 
-// In whatever order words come, from whomever, a life only moves on.
-func TestLifeOnlyMovesOn(t *testing.T) {
+// Guards against a state or sequence number that goes back, for random orders of heartbeats and reports of other nodes.
+func TestStateAndSeqNeverGoBack(t *testing.T) {
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 3))
-		table, now := New(1500*time.Millisecond), time.Duration(0)
-		var most rpc.EndpointState
-		var newest uint64
+		table, now := New(heartbeatInterval), time.Duration(0)
+		var latestState rpc.EndpointState
+		var latestSeq uint64
 		for range 60 {
-			now += time.Duration(r.Int64N(int64(3 * s))) // less in all than it takes to forget one that is gone
-			if now > 80*s {
+			now += time.Duration(r.Int64N(int64(3 * second))) // in total less than tombstoneTTL
+			if now > 80*second {
 				break
 			}
 			seq := uint64(r.IntN(20))
-			b := beat("i", seq+1, rpc.EndpointState(min(seq/8, 1)))
+			report := endpointReport("i", seq+1, rpc.EndpointState(min(seq/8, 1)))
 			switch r.IntN(20) {
 			case 0:
 				table.Deregister(now, "i", seq)
@@ -87,77 +91,84 @@
 				table.ExpireHeartbeats(now)
 			default:
 				if r.IntN(2) == 0 {
-					table.Heartbeat(now, b)
+					table.Heartbeat(now, report)
 				} else {
-					table.ApplyRemote(now, []rpc.Endpoint{b})
+					table.ApplyRemote(now, []rpc.Endpoint{report})
 				}
 			}
-			if l := table.Get("i"); l != nil {
-				if l.State < most || l.Seq < newest {
-					t.Fatalf("seed %d: from state %d, seq %d back to %d, %d", seed, most, newest, l.State, l.Seq)
+			if e := table.Get("i"); e != nil {
+				if e.State < latestState || e.Seq < latestSeq {
+					t.Fatalf("seed %d: from state %d, seq %d back to %d, %d", seed, latestState, latestSeq, e.State, e.Seq)
 				}
-				most, newest = l.State, l.Seq
+				latestState, latestSeq = e.State, e.Seq
 			}
 		}
 	}
 }
 
-// What another controller still believes of a life that had the address before says nothing against the one that
-// beats here: it may have missed that the old one is gone, as this one may where it has just started.
-func TestLateWordOfAnOldLifeDoesNotEndTheNewOne(t *testing.T) {
-	table := New(1500 * time.Millisecond)
-	table.Heartbeat(s, beat("i-new", 1, rpc.Ready))
-	table.ApplyRemote(2*s, []rpc.Endpoint{beat("i-old", 900, rpc.Ready)})
-	if _, late := table.Heartbeat(3*s, beat("i-new", 2, rpc.Ready)); late || table.Get("i-new").State != rpc.Ready {
-		t.Error("the life that beats here is held to be gone, for good")
+// Another node may still report an endpoint that had the same address before. Guards against such a report that marks
+// the current endpoint, whose heartbeats arrive here, as gone.
+func TestReportOfPreviousEndpointAtAddress(t *testing.T) {
+	table := New(heartbeatInterval)
+	table.Heartbeat(second, endpointReport("i-new", 1, rpc.Ready))
+	table.ApplyRemote(2*second, []rpc.Endpoint{endpointReport("i-old", 900, rpc.Ready)})
+	_, outdated := table.Heartbeat(3*second, endpointReport("i-new", 2, rpc.Ready))
+	if outdated || table.Get("i-new").State != rpc.Ready {
+		t.Error("the endpoint whose heartbeats arrive here is marked as gone")
 	}
 }
 
-// What others hear is kept for as long as what is heard here, however long this controller has been running.
-func TestToldLifeIsKept(t *testing.T) {
-	for _, now := range []time.Duration{10 * s, 1000 * s} {
-		table := New(1500 * time.Millisecond)
-		table.ApplyRemote(now, []rpc.Endpoint{beat("i", 1, rpc.Draining)})
-		table.ExpireHeartbeats(now + s)
+// Guards against a registry that removes an endpoint known only from another node too early, whatever its own uptime.
+func TestRemoteEndpointIsKept(t *testing.T) {
+	for _, now := range []time.Duration{10 * second, 1000 * second} {
+		table := New(heartbeatInterval)
+		table.ApplyRemote(now, []rpc.Endpoint{endpointReport("i", 1, rpc.Draining)})
+		table.ExpireHeartbeats(now + second)
 		if table.Get("i") == nil {
-			t.Errorf("told at %v, forgotten a second later", now)
+			t.Errorf("reported at %v, removed a second later", now)
 		}
 	}
 }
 
-// A lease outlasts the right that goes with it, and its end is told once.
+// Guards against a lease that expires while its proxy may still use it, and against changes that are reported twice or
+// not at all.
 func TestLease(t *testing.T) {
-	table := New(s)
-	if !table.RenewLease(10*s, rpc.ProxyInfo{Name: "e1", Zone: "a"}) ||
-		table.RenewLease(11*s, rpc.ProxyInfo{Name: "e1", Zone: "a"}) {
-		t.Error("only the first renewal is news")
+	table := New(second)
+	if !table.RenewLease(10*second, rpc.ProxyInfo{Name: "e1", Zone: "a"}) ||
+		table.RenewLease(11*second, rpc.ProxyInfo{Name: "e1", Zone: "a"}) {
+		t.Error("RenewLease does not report exactly the first renewal as new")
 	}
-	table.RenewLease(11*s, rpc.ProxyInfo{Name: "e0", Zone: "b"})
+	table.RenewLease(11*second, rpc.ProxyInfo{Name: "e0", Zone: "b"})
 	if got := fmt.Sprint(table.Proxies()); got != "[{e0 b} {e1 a}]" {
 		t.Error(got)
 	}
-	told := func(at time.Duration) string { went, came := table.LeaseChanges(at); return fmt.Sprint(went, came) }
-	if got := told(11 * s); got != "[] [{e1 a} {e0 b}]" {
-		t.Error("who came:", got)
+	changes := func(now time.Duration) string {
+		removed, added := table.LeaseChanges(now)
+		return fmt.Sprint(removed, added)
+	}
+	if got := changes(11 * second); got != "[] [{e1 a} {e0 b}]" {
+		t.Error("added:", got)
 	}
 	table.ReleaseLease("e0")
 	table.ReleaseLease("e0")
-	if got := told(11 * s); got != "[e0] []" {
-		t.Error("a lease is given back once:", got)
+	if got := changes(11 * second); got != "[e0] []" {
+		t.Error("released twice:", got)
 	}
-	// The renewal that is heard at 11 s was sent at 11 s or before.
-	if got := told(11*s+LeaseUseDuration) + told(11*s+LeaseDuration); got != "[] [][] []" || len(table.Proxies()) != 1 {
-		t.Error("the lease ends while its holder may use it:", got)
+	// A renewal that arrives at 11 s was sent at 11 s or earlier.
+	got := changes(11*second+LeaseUseDuration) + changes(11*second+LeaseDuration)
+	if got != "[] [][] []" || len(table.Proxies()) != 1 {
+		t.Error("the lease expires while its proxy may use it:", got)
 	}
-	if got := told(11*s+LeaseDuration+1) + told(20*s); got != "[e1] [][] []" || len(table.Proxies()) != 0 {
-		t.Error("the lease does not end, or is told again:", got)
+	got = changes(11*second+LeaseDuration+1) + changes(20*second)
+	if got != "[e1] [][] []" || len(table.Proxies()) != 0 {
+		t.Error("the lease does not expire, or its end is reported twice:", got)
 	}
-	// One that went and came again between two tellings is a member to whoever hears them in their order.
-	table.RenewLease(30*s, rpc.ProxyInfo{Name: "e1", Zone: "a"})
-	told(30 * s)
+	// A lease that ends and is granted again between two calls appears in both lists.
+	table.RenewLease(30*second, rpc.ProxyInfo{Name: "e1", Zone: "a"})
+	changes(30 * second)
 	table.ReleaseLease("e1")
-	table.RenewLease(31*s, rpc.ProxyInfo{Name: "e1", Zone: "a"})
-	if got := told(31 * s); got != "[e1] [{e1 a}]" {
-		t.Error("went and came:", got)
+	table.RenewLease(31*second, rpc.ProxyInfo{Name: "e1", Zone: "a"})
+	if got := changes(31 * second); got != "[e1] [{e1 a}]" {
+		t.Error("removed and added:", got)
 	}
 }
--- a/internal/controlplane/storage/entry.go
+++ b/internal/controlplane/storage/entry.go
@@ -9,19 +9,19 @@
 	"github.com/zeebo/xxh3"
 )
 
-// An entry, in the frame of the write-ahead log (its length as a uvarint), little-endian:
+// Layout of an entry, little-endian. In the write-ahead log a frame precedes it: the length of the entry as a uvarint.
 //
-//	offset  bytes  what
+//	offset  bytes  content
 //	0       4      magic
-//	4       8      xxh3 of what follows it
-//	12      4      length of the whole entry; it stands inside as well, so that entries behind a damaged frame can be
-//	               found again
+//	4       8      xxh3 of all bytes from offset 12 on
+//	12      4      length of the entry; repeats that of the frame, so that entries after a damaged frame can be read
 //	16      8      sequence number
-//	24      8      sequence number of the first entry of its commit
+//	24      8      sequence number of the first entry of the same commit
 //	32      2      length of the name
 //	34             name, then value
 //
-// A file begins with an entry without a name: its value is the number of records that the file began with (4 bytes).
+// The first entry of a segment has no name. Its value is the number of records (4 bytes) in the snapshot that the
+// segment starts with.
 const (
 	magic            = "\xe1mR\x01"
 	checksumOffset   = 4
@@ -35,15 +35,15 @@
 
 type entry struct {
 	seq       uint64
-	commitSeq uint64 // the first of its commit: all before it were synced when it was written
+	commitSeq uint64 // of the first entry of its commit; every entry before that one was synced when this one was written
 	name      string
-	value     []byte // points into the file that was read
+	value     []byte // aliases the buffer that it was decoded from
 }
 
 func appendEntry(b []byte, seq, commitSeq uint64, name string, value []byte) []byte {
 	start := len(b)
 	b = append(b, magic...)
-	b = append(b, 0, 0, 0, 0, 0, 0, 0, 0) // the checksum, below
+	b = append(b, 0, 0, 0, 0, 0, 0, 0, 0) // the checksum is filled in below
 	b = binary.LittleEndian.AppendUint32(b, uint32(headerBytes+len(name)+len(value)))
 	b = binary.LittleEndian.AppendUint64(b, seq)
 	b = binary.LittleEndian.AppendUint64(b, commitSeq)
@@ -54,7 +54,8 @@
 	return b
 }
 
-// decodeEntry reads the entry at the front of b and its length; ok is false if no intact one is there.
+// decodeEntry decodes the entry at the start of b and returns its length. ok is false if b does not start with an
+// intact entry.
 func decodeEntry(b []byte) (e entry, length int, ok bool) {
 	if len(b) < headerBytes || string(b[:checksumOffset]) != magic {
 		return e, 0, false
@@ -77,17 +78,18 @@
 	return e, len(b), true
 }
 
-// framedSize is the size of an entry with its frame.
-func framedSize(size int64) int64 {
+// sizeWithFrame returns the size of an entry including its frame.
+func sizeWithFrame(size int64) int64 {
 	return size + int64(len(binary.AppendUvarint(nil, uint64(size))))
 }
 
-// frameSize is the size that a record takes in a file.
-func frameSize(name string, value []byte) int64 {
-	return framedSize(int64(headerBytes + len(name) + len(value)))
+// recordSize returns the size of a record in a segment, including its frame.
+func recordSize(name string, value []byte) int64 {
+	return sizeWithFrame(int64(headerBytes + len(name) + len(value)))
 }
 
-// encodeSnapshot is a file that begins at a sequence number with all records, in the order of their names.
+// encodeSnapshot returns a segment that consists of the records in live, sorted by name. Its entries are numbered from
+// firstSeq on.
 func encodeSnapshot(firstSeq uint64, live map[string][]byte) []byte {
 	var file, encoded []byte
 	add := func(seq uint64, name string, value []byte) {
@@ -102,20 +104,20 @@
 	return file
 }
 
-// scanResult is what a file holds.
+// scanResult is the content of a segment.
 type scanResult struct {
-	entries      []entry // the intact ones, in order
-	intactBytes  int     // at its front, before the first damage
-	beyondDamage bool    // some of the entries lie behind damage
-	lostData     bool    // an entry is missing that had been synced
+	entries      []entry // the intact entries, by sequence number
+	intactBytes  int     // length of the segment up to the first damage
+	beyondDamage bool    // some of the entries come after damage
+	lostData     bool    // an entry that had been synced is missing
 }
 
-// scanFile reads a file whose first entry must have the sequence number firstSeq.
-func scanFile(file []byte, firstSeq uint64) scanResult {
+// scanSegment reads a segment whose first entry must have the sequence number firstSeq.
+func scanSegment(file []byte, firstSeq uint64) scanResult {
 	var r scanResult
 	nextSeq := firstSeq
 	pos := 0
-	for pos < len(file) { // up to the first damage
+	for pos < len(file) { // read frames up to the first damage
 		e, size, ok := decodeFrame(file[pos:])
 		if !ok || e.seq != nextSeq {
 			break
@@ -125,7 +127,7 @@
 		nextSeq++
 	}
 	r.intactBytes = pos
-	for pos < len(file) { // behind it: wherever an entry may begin
+	for pos < len(file) { // after the damage, look for further entries by their magic
 		found := bytes.Index(file[pos:], []byte(magic))
 		if found < 0 {
 			break
@@ -145,7 +147,7 @@
 	return r
 }
 
-// decodeFrame reads the frame at the front of b; size includes the frame's own length.
+// decodeFrame decodes the frame at the start of b and the entry in it. size is the length of both.
 func decodeFrame(b []byte) (e entry, size int, ok bool) {
 	length, prefix := binary.Uvarint(b)
 	if prefix <= 0 {
@@ -158,8 +160,8 @@
 	return e, prefix + entrySize, true
 }
 
-// hasLostData reports whether an entry is missing that had been synced. Synced were all that the file began with, since
-// it has its name only after that; and for each commit that begins in it, all before.
+// hasLostData reports whether an entry that had been synced is missing. The entries of the snapshot at the start were
+// synced before the segment got its final name, and a commit is written only after the earlier ones were synced.
 func hasLostData(entries []entry, firstSeq uint64) bool {
 	if len(entries) == 0 || entries[0].seq != firstSeq || len(entries[0].value) != recordCountBytes {
 		return true
--- a/internal/controlplane/storage/segments.go
+++ b/internal/controlplane/storage/segments.go
@@ -16,58 +16,58 @@
 	temporarySuffix   = ".TEMP"
 )
 
-// load reads the folder, repairs it and opens the log.
-func (s *Store) load(parent string) (found Recovery, err error) {
-	if err = os.MkdirAll(s.dir, folderPerms); err == nil {
-		err = syncFolder(parent)
+// load reads the directory of the store, repairs it and opens the log.
+func (s *Store) load(parent string) (recovery Recovery, err error) {
+	if err = os.MkdirAll(s.dir, dirPerms); err == nil {
+		err = syncDir(parent)
 	}
 	if err != nil {
-		return found, err
+		return recovery, err
 	}
-	segments, err := s.segments()
+	segments, err := s.listSegments()
 	if err != nil {
-		return found, err
+		return recovery, err
 	}
 	if len(segments) == 0 {
-		found.Fresh = true
-		return found, s.compact()
+		recovery.Fresh = true
+		return recovery, s.compact()
 	}
 	newest := segments[len(segments)-1]
 	file, err := os.ReadFile(newest.path)
 	if err != nil {
-		return found, err
+		return recovery, err
 	}
-	scan := scanFile(file, newest.firstSeq)
-	found.Torn = scan.intactBytes < len(file) || scan.lostData
-	found.LostData = scan.lostData
+	scan := scanSegment(file, newest.firstSeq)
+	recovery.Torn = scan.intactBytes < len(file) || scan.lostData
+	recovery.LostData = scan.lostData
 	entries := scan.entries
 	if scan.lostData {
-		// Older files are superseded by the newest, which begins with all records; now they may help.
+		// The newest segment starts with a snapshot of all records, so older ones matter only if it is damaged.
 		if entries, err = withOlderEntries(entries, segments[:len(segments)-1]); err != nil {
-			return found, err
+			return recovery, err
 		}
 	}
-	s.takeOver(newest.firstSeq, entries)
-	if found.LostData {
+	s.loadEntries(newest.firstSeq, entries)
+	if recovery.LostData {
 		delete(s.live, CompleteMarker)
 	}
-	_, found.Complete = s.live[CompleteMarker]
-	found.Records = len(s.live)
-	if found.Complete {
-		found.Records--
+	_, recovery.Complete = s.live[CompleteMarker]
+	recovery.Records = len(s.live)
+	if recovery.Complete {
+		recovery.Records--
 	}
-	s.liveBytes = s.liveSize()
+	s.liveBytes = s.snapshotSize()
 	if scan.lostData || scan.beyondDamage {
-		return found, s.compact()
+		return recovery, s.compact()
 	}
-	// What a killed process wrote is there but perhaps not synced: nobody may hear of it before it is.
+	// A process that was killed may have left entries that are not synced. truncate syncs them before they are read.
 	s.segment, s.logBytes = newest.path, int64(scan.intactBytes)
-	s.planCompaction()
-	s.removeOthers()
+	s.setCompactionThreshold()
+	s.removeObsoleteFiles()
 	if err = s.truncate(); err == nil {
-		err = syncFolder(s.dir)
+		err = syncDir(s.dir)
 	}
-	return found, err
+	return recovery, err
 }
 
 func withOlderEntries(entries []entry, older []segmentFile) ([]entry, error) {
@@ -76,14 +76,14 @@
 		if err != nil {
 			return nil, err
 		}
-		entries = append(entries, scanFile(file, old.firstSeq).entries...)
+		entries = append(entries, scanSegment(file, old.firstSeq).entries...)
 	}
 	slices.SortFunc(entries, func(a, b entry) int { return cmp.Compare(a.seq, b.seq) })
 	return entries, nil
 }
 
-// takeOver makes the records of the entries, which are in their order, the live ones.
-func (s *Store) takeOver(firstSeq uint64, entries []entry) {
+// loadEntries sets the live records from entries, which are sorted by sequence number.
+func (s *Store) loadEntries(firstSeq uint64, entries []entry) {
 	s.nextSeq = firstSeq + 1
 	for _, e := range entries {
 		s.nextSeq = max(s.nextSeq, e.seq+1)
@@ -93,7 +93,7 @@
 	}
 }
 
-// repair opens the log again after an error.
+// repair reopens the log if an error has closed it.
 func (s *Store) repair() error {
 	switch {
 	case s.log != nil:
@@ -104,7 +104,7 @@
 	return s.truncate()
 }
 
-// closeLog lets the log go. Its error says nothing new, and a file that it left open is closed by the collector.
+// closeLog discards the log. An error of Close is ignored: it follows from an earlier one, or the segment is replaced.
 func (s *Store) closeLog() {
 	if s.log != nil {
 		_ = s.log.Close()
@@ -112,13 +112,13 @@
 	}
 }
 
-// truncate shortens the file to what is known to be synced, syncs it and opens the log on it. It needs no room.
+// truncate cuts the segment to its first logBytes, syncs it and opens the log on it. It needs no disk space.
 func (s *Store) truncate() error {
 	path := s.segment
 	f, err := os.OpenFile(path, os.O_RDWR, filePerms)
 	if err != nil {
 		if errors.Is(err, os.ErrNotExist) {
-			s.segment = "" // somebody removed it: memory has all records, so the next repair writes them
+			s.segment = "" // the file was removed from outside; the next repair writes all records anew from memory
 		}
 		return err
 	}
@@ -142,8 +142,8 @@
 		return err
 	}
 	if info.Size() < s.logBytes {
-		s.segment = "" // what was synced is gone: only a compaction repairs
-		return fmt.Errorf("%s: %d bytes, %d were synced", f.Name(), info.Size(), s.logBytes)
+		s.segment = "" // synced bytes are missing; the next repair writes all records anew from memory
+		return fmt.Errorf("%s: size is %d bytes, but %d bytes were synced", f.Name(), info.Size(), s.logBytes)
 	}
 	if info.Size() > s.logBytes {
 		return f.Truncate(s.logBytes)
@@ -151,52 +151,53 @@
 	return nil
 }
 
-// compact writes all records to a new file, which takes the place of the others. The steps are ordered so that a
-// loss of power after any of them leaves the old file, the new one, or both; a new one under its final name is
-// whole.
+// compact writes all live records to a new segment, which replaces the others. The steps are ordered so that a power
+// failure after any of them leaves the old segment, the new one, or both. A segment under its final name is complete.
 func (s *Store) compact() error {
 	path := filepath.Join(s.dir, fmt.Sprintf("%0*d", segmentNameDigits, s.nextSeq))
 	file := encodeSnapshot(s.nextSeq, s.live)
 	if err := writeSynced(path+temporarySuffix, file); err != nil {
-		_ = os.Remove(path + temporarySuffix) // otherwise removeOthers does it later
+		_ = os.Remove(path + temporarySuffix) // if this fails, removeObsoleteFiles retries later
 		return err
 	}
-	// From here on the new file may count after a crash, and nothing may be added to the old one.
+	// From here on a crash may leave the new segment as the newest, so nothing more may be appended to the old one.
 	s.closeLog()
 	s.segment = ""
 	s.nextSeq += 1 + uint64(len(s.live))
 	if err := os.Rename(path+temporarySuffix, path); err != nil {
 		return err
 	}
-	if err := syncFolder(s.dir); err != nil {
+	if err := syncDir(s.dir); err != nil {
 		return err
 	}
 	s.segment, s.logBytes, s.liveBytes = path, int64(len(file)), int64(len(file))
-	s.planCompaction()
-	s.removeOthers()
-	// What comes back of the others after a loss of power is superseded, so this need not succeed.
-	_ = syncFolder(s.dir)
+	s.setCompactionThreshold()
+	s.removeObsoleteFiles()
+	// An old segment that reappears after a power failure is superseded, so an error can be ignored.
+	_ = syncDir(s.dir)
 	return s.truncate()
 }
 
-func (s *Store) planCompaction() { s.compactAt = compactionFactor*s.liveBytes + compactionSlack }
+func (s *Store) setCompactionThreshold() {
+	s.compactionThreshold = compactionFactor*s.liveBytes + compactionSlack
+}
 
-// liveSize is the size of a file that holds the live records alone.
-func (s *Store) liveSize() int64 {
-	n := framedSize(headerBytes + recordCountBytes)
+// snapshotSize returns the size of a segment that consists of the live records only.
+func (s *Store) snapshotSize() int64 {
+	n := sizeWithFrame(headerBytes + recordCountBytes)
 	for name, value := range s.live {
-		n += frameSize(name, value)
+		n += recordSize(name, value)
 	}
 	return n
 }
 
 type segmentFile struct {
-	firstSeq uint64 // of its first entry; the file's name
+	firstSeq uint64 // sequence number of the first entry; also the name of the file
 	path     string
 }
 
-// segments are the files of the log, the oldest first.
-func (s *Store) segments() ([]segmentFile, error) {
+// listSegments returns the segments in the directory, oldest first.
+func (s *Store) listSegments() ([]segmentFile, error) {
 	files, err := os.ReadDir(s.dir)
 	if err != nil {
 		return nil, err
@@ -211,9 +212,9 @@
 	return segments, nil
 }
 
-// removeOthers removes all files but the one in use: superseded ones, and beginnings of compactions that did not end.
-// A file that stays does no harm, and the next compaction tries again.
-func (s *Store) removeOthers() {
+// removeObsoleteFiles removes all files except the current segment: superseded segments, and temporary files of
+// interrupted compactions. It ignores errors: a file that remains is harmless, and the next compaction retries.
+func (s *Store) removeObsoleteFiles() {
 	files, _ := os.ReadDir(s.dir)
 	for _, f := range files {
 		if f.Name() != filepath.Base(s.segment) {
@@ -233,7 +234,7 @@
 	return errors.Join(err, f.Close())
 }
 
-func syncFolder(path string) error {
+func syncDir(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
--- a/internal/controlplane/storage/store.go
+++ b/internal/controlplane/storage/store.go
@@ -1,15 +1,15 @@
-// Package storage keeps the named records of one machine on its disk, the newest version of each. It is a local file of
-// versions, never a replicated log. What was acknowledged lasts over a kill and over a loss of power; what the disk has
-// lost of it is reported by Open.
+// Package storage is a local key-value store: it keeps the newest value of each named record on the disk of one
+// machine. Acknowledged writes survive a killed process and a power failure. If the disk has lost some of them, Open
+// reports it.
 //
-// The records lie in one segment of a write-ahead log (tidwall/wal). Each commit is appended and synced; once the
-// log is several times as large as the records in it, they are written to a new segment, which takes the place of
-// the old one.
+// The records are stored in one segment of a write-ahead log (tidwall/wal). Each commit is appended and synced. Once
+// the log is several times as large as the records in it, a compaction writes them to a new segment, which replaces the
+// old one.
 //
-//	store.go    the interface, and the queue to the writer
-//	writer.go   the goroutine that owns the disk: commits and their answers
-//	segments.go opening, repair, truncation and compaction of the files
-//	entry.go    the encoding of an entry, and the scan of a file that may be damaged
+//	store.go    the interface, and the queue of write requests
+//	writer.go   the goroutine that writes: commits and their acknowledgement
+//	segments.go opening, repair, truncation and compaction of the segments
+//	entry.go    the encoding of an entry, and the scan of a segment that may be damaged
 package storage
 
 import (
@@ -24,41 +24,41 @@
 	"elmfold/internal/gateway/apierror"
 )
 
-// CompleteMarker names the record that MarkComplete writes. A disk that has lost something acknowledged loses its
-// marker with it, so that a kill right after the repair cannot hide the loss from the next Open. All leaves it out.
+// CompleteMarker names the record that MarkComplete writes. All does not return it. Open deletes it when it finds that
+// acknowledged data is lost, so that later calls of Open report the disk as incomplete too.
 const CompleteMarker = "complete"
 
 const (
-	folder           = "word" // below the data folder; stored, so it keeps its name
-	folderPerms      = 0o700
+	dirName          = "word" // below the data directory; exists on deployed disks
+	dirPerms         = 0o700
 	filePerms        = 0o600
-	maxPendingBytes  = 32 << 20  // of values: a disk that hangs must not fill the memory
+	maxPendingBytes  = 32 << 20  // of values; limits the memory that requests take while the disk hangs
 	maxNameBytes     = 1<<16 - 1 // the length of a name is stored in 16 bits
-	compactionSlack  = 256 << 10 // bytes by which the log may exceed compactionFactor times the live ones
+	compactionSlack  = 256 << 10 // bytes by which the log may exceed compactionFactor times the live records
 	compactionFactor = 4
 )
 
-// Causes of the errors that the Store returns, each in an *apierror.Error.
+// Causes of the errors that Store returns, each wrapped in an *apierror.Error.
 var (
-	errClosed   = errors.New("closed")
-	errBacklog  = errors.New("too much waits for the disk")
-	errName     = errors.New("a name has 1 to 65535 bytes")
-	errDiskFull = errors.New("over the disk space allowed")
+	errClosed      = errors.New("the store is closed")
+	errBacklog     = errors.New("too many bytes are waiting to be written")
+	errInvalidName = errors.New("a record name must have 1 to 65535 bytes")
+	errDiskFull    = errors.New("the disk space limit is reached")
 )
 
-// Recovery is what Open found on the disk.
+// Recovery describes the state in which Open found the disk.
 type Recovery struct {
-	Fresh bool // no file was there: a new disk, or one that lost everything
-	// Torn says that something could not be read and was cut off. Without LostData it was of the last commit, which was
-	// not finished.
+	Fresh bool // there was no segment: the disk is new or has lost everything
+	// Torn reports that damaged data was cut off. Unless LostData is set, it belonged to an unfinished last commit.
 	Torn bool
-	// LostData says that what was cut off had been synced, so it may have been acknowledged. The marker is gone too.
+	// LostData reports that synced data is missing, some of which may have been acknowledged. Open has deleted the
+	// CompleteMarker.
 	LostData bool
-	Complete bool // the marker is there: since MarkComplete nothing acknowledged is known to be lost
-	Records  int  // without the marker
+	Complete bool // the CompleteMarker is present: no loss of acknowledged data is known since MarkComplete
+	Records  int  // not counting the CompleteMarker
 }
 
-// segmentLog is what the Store uses of wal.Log.
+// segmentLog is the subset of wal.Log that Store uses.
 type segmentLog interface {
 	WriteBatch(*wal.Batch) error
 	Sync() error
@@ -71,47 +71,47 @@
 	done  func(error)
 }
 
-func (w writeRequest) size() int64 { return frameSize(w.name, w.value) }
+func (w writeRequest) size() int64 { return recordSize(w.name, w.value) }
 
-// Store is the records of one folder. Its methods are safe for concurrent use.
+// Store holds the records of one directory. Its methods are safe for concurrent use.
 type Store struct {
 	dir      string
-	maxBytes int64 // of all files; 0: no limit
+	maxBytes int64 // of all files; 0 means no limit
 	openLog  func(dir string) (segmentLog, error)
 
-	mu           sync.RWMutex // never held while the disk is waited for
+	mu           sync.RWMutex // never held during disk I/O
 	live         map[string][]byte
 	pending      []writeRequest
-	pendingBytes int // of the values that were not answered yet
+	pendingBytes int // of the values that are not acknowledged yet
 	closed       bool
 	wake         chan struct{}
-	done         chan struct{} // closed when the writer has ended
-	closeErr     error         // of the log at the end, to be read after done
+	done         chan struct{} // closed when the writer has stopped
+	closeErr     error         // of closing the log; valid once done is closed
 
-	// The fields below belong to the writer.
+	// Only the writer goroutine uses the fields below.
 
-	log       segmentLog // nil: the files must be repaired first
-	segment   string     // path of the one segment file; "": unknown which one counts, only a compaction repairs
-	logBytes  int64      // of the segment, all of it synced
-	liveBytes int64      // that a compaction would write
-	nextSeq   uint64     // number of the next entry
-	compactAt int64      // size of the log at which it is compacted
+	log                 segmentLog // nil while the segment needs repair
+	segment             string     // path of the current segment; "" if only a compaction can repair the store
+	logBytes            int64      // size of the segment, all of it synced
+	liveBytes           int64      // size of the segment that a compaction would write
+	nextSeq             uint64     // sequence number of the next entry
+	compactionThreshold int64      // size of the log at which it is compacted
 }
 
-// Open opens or makes the folder dir/word, repairs it, and has all that it returns synced. The files stay under
-// maxBytes, a compaction under way included (0: no limit), so the records may take up to a third of it. An error
-// (NotDurable) means that the disk cannot be read or written now, and Open may be tried again. It waits for the
-// disk.
+// Open opens or creates the store in dir/word and repairs it. All records that it finds are synced when it returns. The
+// files together, including those of a running compaction, stay below maxBytes (0 means no limit), so the records can
+// take up to a third of it. A NotDurable error means that the disk cannot be read or written at present; Open may be
+// retried.
 func Open(dir string, maxBytes int64) (*Store, Recovery, error) {
 	return openWith(dir, maxBytes, func(path string) (segmentLog, error) {
-		// One segment, compacted as a whole: the library's own truncations rename and remove without a sync of the
-		// folder in between, and a loss of power could keep the removal only.
+		// The log has a single segment, which compact replaces. The truncation of the wal library renames and removes
+		// files without syncing the directory in between, so a power failure could persist the removal alone.
 		return wal.Open(path, &wal.Options{
-			NoSync:           true, // the writer syncs
+			NoSync:           true, // append calls Sync
 			LogFormat:        wal.Binary,
 			SegmentSize:      math.MaxInt,
 			SegmentCacheSize: 1,
-			DirPerms:         folderPerms,
+			DirPerms:         dirPerms,
 			FilePerms:        filePerms,
 		})
 	})
@@ -119,7 +119,7 @@
 
 func openWith(dir string, maxBytes int64, openLog func(string) (segmentLog, error)) (*Store, Recovery, error) {
 	s := &Store{
-		dir:      filepath.Join(dir, folder),
+		dir:      filepath.Join(dir, dirName),
 		maxBytes: maxBytes,
 		openLog:  openLog,
 		live:     map[string][]byte{},
@@ -127,15 +127,15 @@
 		wake:     make(chan struct{}, 1),
 		done:     make(chan struct{}),
 	}
-	found, err := s.load(dir)
+	recovery, err := s.load(dir)
 	if err != nil {
 		return nil, Recovery{}, s.notDurable(err)
 	}
-	go s.run()
-	return s, found, nil
+	go s.runWriter()
+	return s, recovery, nil
 }
 
-// Get is a copy of the newest value that is safe on the disk. It never waits for the disk.
+// Get returns a copy of the newest synced value of a record. It does not wait for the disk.
 func (s *Store) Get(name string) ([]byte, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -143,7 +143,7 @@
 	return bytes.Clone(value), ok
 }
 
-// All is a copy of all records, without the marker. It never waits for the disk.
+// All returns a copy of all records except the CompleteMarker. It does not wait for the disk.
 func (s *Store) All() map[string][]byte {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -156,23 +156,23 @@
 	return all
 }
 
-// MarkComplete records that this disk holds all that it must: from now on it may vote. It waits for the disk.
+// MarkComplete writes the CompleteMarker: the disk holds all data that the node needs to vote. It waits for the disk.
 func (s *Store) MarkComplete() error { return s.Put(CompleteMarker, []byte{1}) }
 
-// Put returns once the record, or a later Put of its name, is synced: nil, or an *apierror.Error. NotDurable: it
-// may be on the disk or not, and Get shows what was before; the store repairs itself at the next Put.
-// InvalidArgument: the name is not valid.
+// Put writes a record. It returns once the record, or a later value of the same name, is synced. An error is an
+// *apierror.Error: InvalidArgument for an invalid name, otherwise NotDurable. After NotDurable the value may or may not
+// be on the disk, Get returns the previous value, and the next Put repairs the store.
 func (s *Store) Put(name string, value []byte) error {
-	answer := make(chan error, 1)
-	s.PutAsync(name, value, func(err error) { answer <- err })
-	return <-answer
+	result := make(chan error, 1)
+	s.PutAsync(name, value, func(err error) { result <- err })
+	return <-result
 }
 
-// PutAsync is Put without waiting. done is called once, by the writer (before PutAsync returns, if the record is
-// refused): it must not wait.
+// PutAsync is like Put but does not wait. It calls done once with the result: from the writer goroutine, or before it
+// returns if the request is rejected. done must not block.
 func (s *Store) PutAsync(name string, value []byte, done func(error)) {
 	if name == "" || len(name) > maxNameBytes {
-		done(apierror.New(apierror.InvalidArgument, s.dir, errName))
+		done(apierror.New(apierror.InvalidArgument, s.dir, errInvalidName))
 		return
 	}
 	if err := s.enqueue(writeRequest{name, bytes.Clone(value), done}); err != nil {
@@ -191,21 +191,21 @@
 	}
 	s.pendingBytes += len(w.value)
 	s.pending = append(s.pending, w)
-	s.wakeUp()
+	s.wakeWriter()
 	return nil
 }
 
-// Close answers what is pending and closes the files. It waits for the disk.
+// Close writes and acknowledges all pending requests, and then closes the log.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	s.closed = true
-	s.wakeUp()
+	s.wakeWriter()
 	s.mu.Unlock()
 	<-s.done
 	return s.closeErr
 }
 
-func (s *Store) wakeUp() {
+func (s *Store) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
--- a/internal/controlplane/storage/store_test.go
+++ b/internal/controlplane/storage/store_test.go
@@ -17,14 +17,14 @@
 	"elmfold/internal/gateway/apierror"
 )
 
-func mustOpen(t testing.TB, dir string, most int64) (*Store, Recovery) {
+func mustOpen(t testing.TB, dir string, maxBytes int64) (*Store, Recovery) {
 	t.Helper()
-	s, found, err := Open(dir, most)
+	s, recovery, err := Open(dir, maxBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = s.Close() })
-	return s, found
+	return s, recovery
 }
 
 func put(t testing.TB, s *Store, name, value string) {
@@ -42,33 +42,33 @@
 	return out
 }
 
-// logFile is the one file that a closed store leaves.
+// logFile returns the path of the only file in the directory of a store.
 func logFile(t testing.TB, dir string) string {
 	t.Helper()
-	files, err := filepath.Glob(filepath.Join(dir, folder, "*"))
+	files, err := filepath.Glob(filepath.Join(dir, dirName, "*"))
 	if err != nil || len(files) != 1 {
 		t.Fatal(files, err)
 	}
 	return files[0]
 }
 
-// place makes a disk with one file of these bytes.
-func place(t testing.TB, name string, data []byte) string {
+// diskWithFile returns a data directory whose store consists of one file.
+func diskWithFile(t testing.TB, name string, data []byte) string {
 	t.Helper()
 	dir := t.TempDir()
-	if err := errors.Join(os.Mkdir(filepath.Join(dir, folder), 0o700),
-		os.WriteFile(filepath.Join(dir, folder, name), data, 0o600)); err != nil {
+	if err := errors.Join(os.Mkdir(filepath.Join(dir, dirName), 0o700),
+		os.WriteFile(filepath.Join(dir, dirName, name), data, 0o600)); err != nil {
 		t.Fatal(err)
 	}
 	return dir
 }
 
-// three is the file of three commits after Know, and the offset at which each entry ends.
-func three(t testing.TB) (name string, file []byte, ends []int) {
+// threeCommits returns a segment with the CompleteMarker and three further commits, and the end offset of each entry.
+func threeCommits(t testing.TB) (name string, file []byte, ends []int) {
 	dir := t.TempDir()
-	s, found := mustOpen(t, dir, 0)
-	if found != (Recovery{Fresh: true}) {
-		t.Fatal(found)
+	s, recovery := mustOpen(t, dir, 0)
+	if recovery != (Recovery{Fresh: true}) {
+		t.Fatal(recovery)
 	}
 	ends = append(ends, int(s.logBytes))
 	steps := []func() error{s.MarkComplete, func() error { return s.Put("a", []byte("one")) },
@@ -88,122 +88,121 @@
 	return filepath.Base(logFile(t, dir)), file, ends
 }
 
-func TestEndCutAtEachByte(t *testing.T) {
-	name, file, ends := three(t)
-	last := ends[len(ends)-2]
-	for cut := last; cut <= len(file); cut++ {
-		// Cut off, and as a hole of zeros, as a disk leaves a write that it had begun.
+// Guards against a partial write of the last commit that damages earlier records, counts as lost data or remains after
+// the repair.
+func TestLastCommitTruncatedAtEachByte(t *testing.T) {
+	name, file, ends := threeCommits(t)
+	lastStart := ends[len(ends)-2]
+	for cut := lastStart; cut <= len(file); cut++ {
+		// The rest of an interrupted write is missing or reads as zeros.
 		for _, tail := range [][]byte{nil, make([]byte, len(file)-cut)} {
-			dir := place(t, name, append(slices.Clone(file[:cut]), tail...))
-			want, found := map[string]string{
-				"a": "one",
-				"b": "two",
-			}, Recovery{
-				Torn:     cut+len(tail) > last,
-				Complete: true,
-				Records:  2,
-			}
+			dir := diskWithFile(t, name, append(slices.Clone(file[:cut]), tail...))
+			wantRecords := map[string]string{"a": "one", "b": "two"}
+			want := Recovery{Torn: cut+len(tail) > lastStart, Complete: true, Records: 2}
 			if cut == len(file) {
-				want["a"], found.Torn = "three", false
+				wantRecords["a"], want.Torn = "three", false
 			}
 			s, got := mustOpen(t, dir, 0)
-			if got != found || !maps.Equal(all(s), want) {
+			if got != want || !maps.Equal(all(s), wantRecords) {
 				t.Fatalf("cut at %d: %+v %v", cut, got, all(s))
 			}
 			put(t, s, "c", "four")
-			want["c"], found.Torn, found.Records = "four", false, 3
+			wantRecords["c"], want.Torn, want.Records = "four", false, 3
 			_ = s.Close()
-			if s, got = mustOpen(t, dir, 0); got != found || !maps.Equal(all(s), want) {
-				t.Fatalf("cut at %d, opened again: %+v %v", cut, got, all(s))
+			if s, got = mustOpen(t, dir, 0); got != want || !maps.Equal(all(s), wantRecords) {
+				t.Fatalf("cut at %d, reopened: %+v %v", cut, got, all(s))
 			}
 		}
 	}
 }
 
+// Guards against a corrupt byte that goes unnoticed, hides later records, or is no longer reported after the repair.
 func TestFlippedByte(t *testing.T) {
-	name, file, ends := three(t)
-	for at := range file {
-		bad := slices.Clone(file)
-		bad[at] ^= 0x5a
-		dir := place(t, name, bad)
-		s, found := mustOpen(t, dir, 0)
+	name, file, ends := threeCommits(t)
+	lastEntry := len(ends) - 1
+	for offset := range file {
+		corrupt := slices.Clone(file)
+		corrupt[offset] ^= 0x5a
+		dir := diskWithFile(t, name, corrupt)
+		s, recovery := mustOpen(t, dir, 0)
 		want := map[string]string{"a": "three", "b": "two"}
-		hit, _ := slices.BinarySearch(ends, at+1)
-		// A frame (the first byte of an entry) can be mended: nothing is lost. The last entry may be one that was
-		// never synced; of the others the disk has forgotten something, and says so after the repair too.
-		frame := at == 0 || slices.Contains(ends, at)
+		entry, _ := slices.BinarySearch(ends, offset+1)
+		// A damaged frame, the byte in front of an entry, loses nothing. A damaged last entry may never have been synced.
+		// Damage to any other entry is a loss of synced data.
+		isFrame := offset == 0 || slices.Contains(ends, offset)
 		switch {
-		case !frame && hit == 4:
+		case !isFrame && entry == lastEntry:
 			want["a"] = "one"
-		case !frame && hit == 3:
+		case !isFrame && entry == lastEntry-1:
 			delete(want, "b")
 		}
-		forgot := !frame && hit < 4
-		if !found.Torn || found.LostData != forgot || found.Complete == forgot || !maps.Equal(all(s), want) {
-			t.Fatalf("byte %d (entry %d): %+v %v", at, hit, found, all(s))
+		lost := !isFrame && entry < lastEntry
+		if !recovery.Torn || recovery.LostData != lost || recovery.Complete == lost || !maps.Equal(all(s), want) {
+			t.Fatalf("byte %d (entry %d): %+v %v", offset, entry, recovery, all(s))
 		}
 		_ = s.Close()
-		again := Recovery{Complete: !forgot, Records: len(want)}
-		if s, found = mustOpen(t, dir, 0); found != again || !maps.Equal(all(s), want) {
-			t.Fatalf("byte %d, opened again: %+v %v", at, found, all(s))
+		wantReopened := Recovery{Complete: !lost, Records: len(want)}
+		if s, recovery = mustOpen(t, dir, 0); recovery != wantReopened || !maps.Equal(all(s), want) {
+			t.Fatalf("byte %d, reopened: %+v %v", offset, recovery, all(s))
 		}
 	}
 }
 
-// faulty is a log whose disk can be made to fail, and which knows what was synced.
-type faulty struct {
+// faultyLog is a log on a faultyDisk.
+type faultyLog struct {
 	segmentLog
-	disk *disk
+	disk *faultyDisk
 }
 
-type disk struct {
-	dir    string
-	mu     sync.Mutex
-	full   bool
-	gone   bool // its file vanishes too
-	syncs  int
-	synced []byte // the file as of the last sync
-	hold   chan struct{}
-	held   chan struct{}
+// faultyDisk injects faults into the writes of a log, and keeps what was synced.
+type faultyDisk struct {
+	dir          string
+	mu           sync.Mutex
+	full         bool // writes fail after a few bytes
+	removeFile   bool // a failing write also removes the segment
+	syncs        int
+	synced       []byte        // the segment as of the last sync
+	syncStarted  chan struct{} // receives at the start of each sync, if continueSync is set
+	continueSync chan struct{} // if set, each sync waits for a value
 }
 
-func (d *disk) open(path string) (segmentLog, error) {
+func (d *faultyDisk) open(path string) (segmentLog, error) {
 	inner, err := wal.Open(path, &wal.Options{NoSync: true, SegmentSize: 1 << 40})
-	return faulty{inner, d}, err
+	return faultyLog{inner, d}, err
 }
 
-func (f faulty) WriteBatch(b *wal.Batch) error {
+func (f faultyLog) WriteBatch(b *wal.Batch) error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
 	if !f.disk.full {
 		return f.segmentLog.WriteBatch(b)
 	}
-	// The front of the commit still found room.
-	files, _ := filepath.Glob(filepath.Join(f.disk.dir, folder, "*"))
+	// A part of the commit still fits on the disk.
+	files, _ := filepath.Glob(filepath.Join(f.disk.dir, dirName, "*"))
 	file, _ := os.OpenFile(files[0], os.O_APPEND|os.O_WRONLY, 0)
 	_, _ = file.Write([]byte{40, magic[0], magic[1]})
-	if f.disk.gone {
+	if f.disk.removeFile {
 		_ = os.Remove(files[0])
 	}
 	return errors.Join(syscall.ENOSPC, file.Close())
 }
 
-func (f faulty) Sync() error {
-	if f.disk.hold != nil {
-		f.disk.held <- struct{}{}
-		<-f.disk.hold
+func (f faultyLog) Sync() error {
+	if f.disk.continueSync != nil {
+		f.disk.syncStarted <- struct{}{}
+		<-f.disk.continueSync
 	}
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
 	f.disk.syncs++
-	files, _ := filepath.Glob(filepath.Join(f.disk.dir, folder, "*"))
+	files, _ := filepath.Glob(filepath.Join(f.disk.dir, dirName, "*"))
 	f.disk.synced, _ = os.ReadFile(files[0])
 	return f.segmentLog.Sync()
 }
 
-// A loss of power at the moment that a Put returns leaves what was synced: the record must be in it.
-func TestLossOfPower(t *testing.T) {
-	d := &disk{dir: t.TempDir()}
+// Guards against a Put that returns before its record is synced: a power failure would lose the record.
+func TestPowerFailureAfterPut(t *testing.T) {
+	d := &faultyDisk{dir: t.TempDir()}
 	s, _, err := openWith(d.dir, 0, d.open)
 	if err != nil {
 		t.Fatal(err)
@@ -211,15 +210,16 @@
 	defer func() { _ = s.Close() }()
 	for i := range 20 {
 		put(t, s, "v", fmt.Sprint(i))
-		after, found := mustOpen(t, place(t, filepath.Base(logFile(t, d.dir)), d.synced), 0)
-		if got, _ := after.Get("v"); string(got) != fmt.Sprint(i) || found.Torn {
-			t.Fatalf("%q after the Put of %d: %+v", got, i, found)
+		restarted, recovery := mustOpen(t, diskWithFile(t, filepath.Base(logFile(t, d.dir)), d.synced), 0)
+		if got, _ := restarted.Get("v"); string(got) != fmt.Sprint(i) || recovery.Torn {
+			t.Fatalf("%q after the Put of %d: %+v", got, i, recovery)
 		}
 	}
 }
 
-func TestFullDiskHeals(t *testing.T) {
-	d := &disk{dir: t.TempDir()}
+// Guards against a store that stays unusable after a failed write, or shows a value that is not durable.
+func TestRecoversFromFullDisk(t *testing.T) {
+	d := &faultyDisk{dir: t.TempDir()}
 	s, _, err := openWith(d.dir, 0, d.open)
 	if err != nil {
 		t.Fatal(err)
@@ -227,10 +227,10 @@
 	put(t, s, "a", "one")
 	for i := range 3 {
 		d.full = true
-		d.gone = i == 2
-		var f *apierror.Error
+		d.removeFile = i == 2
+		var apiErr *apierror.Error
 		err := s.Put("a", []byte("two"))
-		if !errors.As(err, &f) || f.Kind != apierror.NotDurable || !errors.Is(err, syscall.ENOSPC) {
+		if !errors.As(err, &apiErr) || apiErr.Kind != apierror.NotDurable || !errors.Is(err, syscall.ENOSPC) {
 			t.Fatal(err)
 		}
 		if got, _ := s.Get("a"); string(got) != "one" {
@@ -242,31 +242,32 @@
 		put(t, s, "b", "three")
 	}
 	_ = s.Close()
-	s, found := mustOpen(t, d.dir, 0)
-	if want := map[string]string{"a": "one", "b": "three"}; found != (Recovery{Records: 2}) || !maps.Equal(all(s), want) {
-		t.Fatal(found, all(s))
+	s, recovery := mustOpen(t, d.dir, 0)
+	want := map[string]string{"a": "one", "b": "three"}
+	if recovery != (Recovery{Records: 2}) || !maps.Equal(all(s), want) {
+		t.Fatal(recovery, all(s))
 	}
 }
 
-// While the disk hangs in one sync, a hundred Puts come: they are one commit, and reads do not wait.
+// Requests that arrive during a sync must be written in one commit, and reads must not wait for the disk.
 func TestGroupCommit(t *testing.T) {
-	d := &disk{dir: t.TempDir(), hold: make(chan struct{}), held: make(chan struct{})}
+	d := &faultyDisk{dir: t.TempDir(), continueSync: make(chan struct{}), syncStarted: make(chan struct{})}
 	s, _, err := openWith(d.dir, 0, d.open)
 	if err != nil {
 		t.Fatal(err)
 	}
 	answers := make(chan error, 101)
 	s.PutAsync("first", nil, func(err error) { answers <- err })
-	<-d.held
+	<-d.syncStarted
 	for i := range 100 {
 		s.PutAsync(fmt.Sprint(i%50), []byte{byte(i)}, func(err error) { answers <- err })
 	}
 	if len(s.All()) != 0 || len(answers) != 0 {
-		t.Fatal("seen before it was synced")
+		t.Fatal("a record is visible before it is synced")
 	}
-	d.hold <- struct{}{}
-	<-d.held
-	d.hold <- struct{}{}
+	d.continueSync <- struct{}{}
+	<-d.syncStarted
+	d.continueSync <- struct{}{}
 	for range 101 {
 		if err := <-answers; err != nil {
 			t.Fatal(err)
@@ -278,11 +279,12 @@
 	_ = s.Close()
 }
 
-// A rewrite keeps the live records and the bound, and a loss of power within one leaves the old or the new.
-func TestRewrite(t *testing.T) {
-	const most = 100_000
+// Guards against a compaction that loses records or exceeds the disk limit, and against a power failure during a
+// compaction that leaves neither the old segment nor the new one readable.
+func TestCompaction(t *testing.T) {
+	const maxBytes = 100_000
 	dir := t.TempDir()
-	s, _ := mustOpen(t, dir, most)
+	s, _ := mustOpen(t, dir, maxBytes)
 	put(t, s, "old", "kept")
 	value := bytes.Repeat([]byte("v"), 30_000)
 	for i := range 20 {
@@ -290,7 +292,7 @@
 		if err := s.Put("v", value); err != nil {
 			t.Fatal(i, err)
 		}
-		if s.logBytes+s.liveBytes > most {
+		if s.logBytes+s.liveBytes > maxBytes {
 			t.Fatal(s.logBytes, s.liveBytes)
 		}
 	}
@@ -299,25 +301,26 @@
 	}
 	put(t, s, "old", "still kept")
 	_ = s.Close()
-	if s.liveBytes != s.liveSize() || logFile(t, dir) == "00000000000000000001" {
-		t.Fatal(s.liveBytes, s.liveSize())
+	if s.liveBytes != s.snapshotSize() || logFile(t, dir) == "00000000000000000001" {
+		t.Fatal(s.liveBytes, s.snapshotSize())
 	}
 	name := filepath.Base(logFile(t, dir))
 	file, _ := os.ReadFile(logFile(t, dir))
-	next := encodeSnapshot(s.nextSeq, s.live)
+	compacted := encodeSnapshot(s.nextSeq, s.live)
 	newName := fmt.Sprintf("%020d", s.nextSeq)
-	for file2, data := range map[string][]byte{newName + ".TEMP": next[:len(next)/2], newName: next} {
-		for _, torn := range []int{0, 5} { // of the old one
-			dir := place(t, name, file[:len(file)-torn])
-			if err := os.WriteFile(filepath.Join(dir, folder, file2), data, 0o600); err != nil {
+	for secondName, data := range map[string][]byte{newName + ".TEMP": compacted[:len(compacted)/2], newName: compacted} {
+		for _, cutBytes := range []int{0, 5} { // off the end of the old segment
+			dir := diskWithFile(t, name, file[:len(file)-cutBytes])
+			if err := os.WriteFile(filepath.Join(dir, dirName, secondName), data, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			s, found := mustOpen(t, dir, most)
+			s, recovery := mustOpen(t, dir, maxBytes)
 			old, _ := s.Get("old")
 			got, _ := s.Get("v")
-			lost := torn > 0 && file2 != newName
-			if found != (Recovery{Torn: lost, Records: 2}) || !bytes.Equal(got, value) || lost != (string(old) == "kept") {
-				t.Fatalf("%s: %+v %q", file2, found, old)
+			torn := cutBytes > 0 && secondName != newName
+			want := Recovery{Torn: torn, Records: 2}
+			if recovery != want || !bytes.Equal(got, value) || torn != (string(old) == "kept") {
+				t.Fatalf("%s: %+v %q", secondName, recovery, old)
 			}
 			put(t, s, "after", "")
 			_ = s.Close()
--- a/internal/controlplane/storage/writer.go
+++ b/internal/controlplane/storage/writer.go
@@ -6,8 +6,9 @@
 	"github.com/tidwall/wal"
 )
 
-// run is the writer: the only goroutine that touches the disk after Open. What arrived while it synced is one commit.
-func (s *Store) run() {
+// runWriter is the goroutine that does all disk I/O after Open. Requests that arrive during a sync form the next
+// commit.
+func (s *Store) runWriter() {
 	defer close(s.done)
 	for range s.wake {
 		s.mu.Lock()
@@ -29,20 +30,20 @@
 	}
 }
 
-// commit writes the front of the pending requests, as many as there is room for, and answers them. It returns how many
-// were answered; 0 means that it has made room and is to be called again.
+// commit writes as many of the first pending requests as the disk limit allows, and answers them. It returns the number
+// of answered requests; 0 means that it has compacted the log and must be called again.
 func (s *Store) commit(pending []writeRequest) int {
 	if err := s.repair(); err != nil {
-		return s.complete(pending, err)
+		return s.finish(pending, err)
 	}
 	b := s.newBatch(pending)
 	if b.requests == 0 {
 		return s.makeRoom(pending)
 	}
 	if err := s.append(b); err != nil {
-		// The library's view no longer agrees with the file, and half a commit may stand there. If this cannot cut it
-		// off, the next commit does.
-		s.complete(pending[:b.requests], err)
+		// The segment may now end with a part of the commit, and the state of the wal library no longer matches the
+		// file. If this repair fails, the next commit repeats it.
+		s.finish(pending[:b.requests], err)
 		s.closeLog()
 		_ = s.repair()
 		return b.requests
@@ -53,51 +54,51 @@
 	s.mu.Lock()
 	maps.Copy(s.live, b.values)
 	s.mu.Unlock()
-	s.complete(pending[:b.requests], nil)
-	if s.logBytes > s.compactAt && s.compact() != nil {
-		s.compactAt = s.logBytes + compactionSlack // no room or no disk now: do not try again at each commit
+	s.finish(pending[:b.requests], nil)
+	if s.logBytes > s.compactionThreshold && s.compact() != nil {
+		s.compactionThreshold = s.logBytes + compactionSlack // compaction fails for now: do not retry at each commit
 	}
 	return b.requests
 }
 
-// batch is what one commit writes. Of several versions of a name the last is written, and stands for all.
+// batch is the content of one commit. If several requests have the same name, only the value of the last is written.
 type batch struct {
-	requests  int               // so many of the pending ones
+	requests  int               // number of requests that the batch covers
 	names     []string          // in the order of their first request
 	values    map[string][]byte // by name
-	bytes     int64             // that are appended
-	liveBytes int64             // that a compaction after the commit would write
+	bytes     int64             // number of bytes that are appended to the segment
+	liveBytes int64             // size of the snapshot after the commit
 }
 
-// newBatch takes as many requests as there is room for.
+// newBatch collects as many of the first pending requests as the disk limit allows.
 func (s *Store) newBatch(pending []writeRequest) batch {
 	b := batch{values: map[string][]byte{}, liveBytes: s.liveBytes}
 	for _, w := range pending {
-		earlier, again := b.values[w.name]
+		earlier, inBatch := b.values[w.name]
 		appended := w.size()
-		if again {
-			appended -= frameSize(w.name, earlier)
+		if inBatch {
+			appended -= recordSize(w.name, earlier)
 		}
-		grown := appended
-		if old, ok := s.live[w.name]; ok && !again {
-			grown -= frameSize(w.name, old)
+		liveGrowth := appended
+		if old, ok := s.live[w.name]; ok && !inBatch {
+			liveGrowth -= recordSize(w.name, old)
 		}
-		// Room for a compaction must be left, or the log could never be shortened again.
-		if s.maxBytes > 0 && s.logBytes+b.bytes+appended+b.liveBytes+grown > s.maxBytes {
+		// Space for a compaction must remain, or the log could never shrink again.
+		if s.maxBytes > 0 && s.logBytes+b.bytes+appended+b.liveBytes+liveGrowth > s.maxBytes {
 			break
 		}
-		if !again {
+		if !inBatch {
 			b.names = append(b.names, w.name)
 		}
 		b.values[w.name] = w.value
 		b.bytes += appended
-		b.liveBytes += grown
+		b.liveBytes += liveGrowth
 		b.requests++
 	}
 	return b
 }
 
-// makeRoom compacts the log for a first request that has no room, or refuses that request.
+// makeRoom compacts the log because the first request does not fit. If that is not possible, it fails the request.
 func (s *Store) makeRoom(pending []writeRequest) int {
 	err := errDiskFull
 	if s.logBytes > s.liveBytes {
@@ -105,10 +106,10 @@
 			return 0
 		}
 	}
-	return s.complete(pending[:1], err)
+	return s.finish(pending[:1], err)
 }
 
-// append writes a batch. Its records are durable once Sync has returned.
+// append appends a batch to the log and syncs it.
 func (s *Store) append(b batch) error {
 	var entries wal.Batch
 	var encoded []byte
@@ -123,8 +124,8 @@
 	return s.log.Sync()
 }
 
-// complete answers requests and returns their number.
-func (s *Store) complete(requests []writeRequest, err error) int {
+// finish calls the done functions of requests, and returns the number of requests.
+func (s *Store) finish(requests []writeRequest, err error) int {
 	if err != nil {
 		err = s.notDurable(err)
 	}
