--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -13,15 +13,15 @@
 	"elmfold/internal/gateway/apierror"
 )
 
-// callsPath is where all calls come in. The parameter "call" names the call, "of" its subject.
+// callsPath is the path of all calls. The query parameter "call" names the call, and "of" the object it applies to.
 const callsPath = "/v1/rpc"
 
-// Handler serves the calls of operators and endpoints. Answers are JSON; an error is {"error": TEXT} with the status of
-// its apierror.Kind.
+// Handler serves the calls of operators and endpoints. Response bodies are JSON; an error is {"error": TEXT} with the
+// status of its apierror.Kind.
 func (s *Server) Handler() http.Handler {
 	mux := chi.NewRouter()
 	mux.Post(callsPath, func(w http.ResponseWriter, r *http.Request) {
-		defer s.metrics.followCall(r)()
+		defer s.metrics.trackCall(r)()
 		body, err := s.dispatch(r)
 		if err != nil {
 			writeError(w, err)
@@ -32,24 +32,24 @@
 	return mux
 }
 
-// dispatch carries out a call and returns the body of its answer.
+// dispatch executes a call and returns the response body.
 func (s *Server) dispatch(r *http.Request) ([]byte, error) {
 	receivedAt := s.options.Clock.Now()
 	query := r.URL.Query()
-	subject := query.Get("of")
+	object := query.Get("of")
 	switch call := query.Get("call"); call {
 	case "instances.heartbeat":
-		return s.heartbeat(r, subject)
+		return s.handleHeartbeat(r, object)
 	case "instances.deregister":
-		return s.deregister(r, subject)
+		return s.handleDeregister(r, object)
 	case "config.replace":
 		return s.replaceConfig(r, receivedAt)
 	case "config.read":
 		return s.readConfig(r, receivedAt)
 	case "evacuation.begin":
-		return s.evacuate(r, receivedAt, subject, true)
+		return s.evacuate(r, receivedAt, object, true)
 	case "evacuation.finish":
-		return s.evacuate(r, receivedAt, subject, false)
+		return s.evacuate(r, receivedAt, object, false)
 	case "core.status":
 		return s.status(r)
 	default:
@@ -57,15 +57,15 @@
 	}
 }
 
-// emptyAnswer is the body of an answer that says nothing more than its status.
-func emptyAnswer() []byte { return []byte("{}") }
+// emptyBody is the body of a response whose only information is its status.
+func emptyBody() []byte { return []byte("{}") }
 
 func writeJSON(w http.ResponseWriter, status int, body []byte) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // a caller that has gone asks again elsewhere
+	_, _ = w.Write(body) // a client that is gone retries at another node
 }
 
 func writeError(w http.ResponseWriter, err error) {
@@ -79,12 +79,12 @@
 	}
 	body, err := json.Marshal(map[string]string{"error": apiErr.Error()})
 	if err != nil {
-		body = emptyAnswer() // cannot happen: a map of strings
+		body = emptyBody() // unreachable: a map of strings always encodes
 	}
 	writeJSON(w, policy.Status, body)
 }
 
-// readBody reads the body of a call whole: one that ends early is no body.
+// readBody reads the whole body of a call. A body that ends early is an error.
 func readBody(r *http.Request, maxBytes int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBytes+1))
 	switch {
@@ -96,37 +96,38 @@
 	return body, nil
 }
 
-// await waits for the owner's answer, unless the caller leaves or the process ends. What the owner was given goes on:
-// an order is not taken back because nobody waits for its answer.
-func (s *Server) await(r *http.Request, done <-chan error) error {
+// awaitOwner waits until the owner sends a result on done, the client disconnects, or the server stops. The owner
+// completes its command in any case: a disconnect cancels nothing.
+func (s *Server) awaitOwner(r *http.Request, done <-chan error) error {
 	select {
 	case err := <-done:
 		return err
 	case <-r.Context().Done():
-		return callerLeftError()
+		return clientDisconnectedError()
 	case <-s.queue.Stopped():
 		return apierror.New(apierror.ShuttingDown, "", nil)
 	}
 }
 
-// callerLeftError is the answer to a caller that has closed its connection, or its own direction of it.
-func callerLeftError() error {
-	return apierror.New(apierror.OutcomeUnknown, "", errors.New("the caller has left"))
+// clientDisconnectedError is the response to a client that has closed its connection, or its sending side.
+func clientDisconnectedError() error {
+	return apierror.New(apierror.OutcomeUnknown, "", errors.New("the client closed its connection"))
 }
 
-// noQuorumError is the answer of a node that is cut off: the caller finds another one sooner than it would by waiting.
+// noQuorumError is the response of a node without quorum contact, so that the client turns to another node at once.
 func noQuorumError() error {
 	return apierror.New(apierror.Unavailable, "", errors.New("there is no contact with a majority of the voters"))
 }
 
-// describeJSON is an error of the JSON decoder without the names of Go types, which are nothing to the caller.
-func describeJSON(err error, what string) error {
+// withoutGoTypes replaces the names of Go types in an error of the JSON decoder by target, which describes the decoded
+// value.
+func withoutGoTypes(err error, target string) error {
 	var wrongType *json.UnmarshalTypeError
 	if !errors.As(err, &wrongType) || wrongType.Struct == "" && wrongType.Field != "" {
 		return err
 	}
 	if wrongType.Field == "" {
-		return fmt.Errorf("json: cannot unmarshal %s into %s", wrongType.Value, what)
+		return fmt.Errorf("json: cannot unmarshal %s into %s", wrongType.Value, target)
 	}
-	return fmt.Errorf("json: cannot unmarshal %s into %s of %s", wrongType.Value, wrongType.Field, what)
+	return fmt.Errorf("json: cannot unmarshal %s into %s of %s", wrongType.Value, wrongType.Field, target)
 }
--- a/internal/controlplane/connections.go
+++ b/internal/controlplane/connections.go
@@ -10,24 +10,24 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-// acceptRetryInterval is the pause after an error of the listener, such as too many open files.
+// acceptRetryInterval is the pause after an Accept error, such as too many open files.
 const acceptRetryInterval = 50 * time.Millisecond
 
 // peer is another control-plane node.
 type peer struct {
 	node   rpc.Node
-	conn   *rpc.Conn // that was dialled from here; nil: none is up
-	synced bool      // its first message on a connection has come
+	conn   *rpc.Conn // the connection that this node dialled; nil while disconnected
+	synced bool      // the first message of the peer has arrived, which contains its endpoint table
 }
 
-// proxyConn is a proxy with its current connection.
+// proxyConn is the current connection of a proxy.
 type proxyConn struct {
 	node        rpc.Node
 	conn        *rpc.Conn
-	lastRenewal uint64 // the newest that was received
+	lastRenewal uint64 // number of the newest lease renewal that was received
 }
 
-// onDialledMessage handles a message on a connection that was dialled from here.
+// onDialledMessage handles a message on a connection that this node dialled.
 func (s *Server) onDialledMessage(name string, conn *rpc.Conn, m *rpc.Message) {
 	if m.Hello != nil {
 		s.onPeerConnected(name, conn, m.Hello)
@@ -47,10 +47,10 @@
 		KnownPeers:     s.knownNodes(),
 		EndpointUpdate: rpc.EndpointUpdate{Endpoints: s.registry.All(s.now())},
 	})
-	s.step(consensus.PeerConnected(identityOf(hello)))
+	s.step(consensus.PeerConnected(peerIdentity(hello)))
 }
 
-func identityOf(hello *rpc.Hello) consensus.PeerIdentified {
+func peerIdentity(hello *rpc.Hello) consensus.PeerIdentified {
 	return consensus.PeerIdentified{
 		Node:             hello.Node,
 		StoreID:          hello.StoreID,
@@ -65,12 +65,12 @@
 	s.step(consensus.PeerDisconnected{Name: name})
 }
 
-// acceptConnections serves the connections that others dial.
+// acceptConnections accepts and serves the connections of proxies and peers.
 func (s *Server) acceptConnections() {
 	for {
 		netConn, err := s.options.Listener.Accept()
 		if err == nil {
-			go s.serve(rpc.NewConn(netConn))
+			go s.serveConnection(rpc.NewConn(netConn))
 			continue
 		}
 		select {
@@ -81,8 +81,8 @@
 	}
 }
 
-// serve hands the messages of an accepted connection to the owner until it ends.
-func (s *Server) serve(conn *rpc.Conn) {
+// serveConnection passes the messages of an accepted connection to the owner until the connection ends.
+func (s *Server) serveConnection(conn *rpc.Conn) {
 	var hello *rpc.Hello
 	for {
 		m, err := conn.Receive(connTimeout)
@@ -93,7 +93,7 @@
 			hello = m.Hello
 		}
 		if hello == nil {
-			break // a connection begins with Hello
+			break // the first message must contain Hello
 		}
 		from := *hello
 		s.queue.Do(func() { s.onAcceptedMessage(from, conn, m) })
@@ -105,8 +105,8 @@
 	}
 }
 
-// onAcceptedMessage handles a message of a connection if that is the current one. A message on an old connection
-// that is read late, after the process was suspended, must not renew a lease.
+// onAcceptedMessage handles a message if its connection is the current one of the sender. Messages on an older
+// connection are dropped: one that is read late, after this process was suspended, must not renew a lease.
 func (s *Server) onAcceptedMessage(from rpc.Hello, conn *rpc.Conn, m *rpc.Message) {
 	name := from.Node.Name
 	if from.IsProxy {
@@ -129,8 +129,8 @@
 	}
 }
 
-// onPeerAccepted answers the Hello of a peer. A peer to which no connection is up from here is dialled at once: after a
-// loss of all power each moment counts.
+// onPeerAccepted responds to the Hello of a peer. If this node has no connection to the peer, it dials at once instead
+// of waiting for the next retry, which speeds up the start of a whole cluster.
 func (s *Server) onPeerAccepted(from rpc.Hello, conn *rpc.Conn) {
 	s.connectNodes(from.Node)
 	if p := s.peers[from.Node.Name]; p == nil || p.conn == nil {
@@ -144,7 +144,7 @@
 			EndpointsSynced: s.endpointsSynced,
 		},
 	})
-	s.step(identityOf(&from))
+	s.step(peerIdentity(&from))
 }
 
 func (s *Server) onAcceptedClosed(from rpc.Hello, conn *rpc.Conn) {
@@ -155,14 +155,14 @@
 	}
 	if p := s.proxies[conn]; p != nil {
 		delete(s.proxies, conn)
-		s.steering.leave(p)
+		s.steering.stopSteering(p)
 	}
 }
 
-// onPeerMessage handles a message of a peer, on whichever connection. Answers go out on the one that was dialled from
-// here, as those of the replica do, or on the connection itself.
+// onPeerMessage handles a message of a peer on either connection, the dialled or the accepted one. Direct responses use
+// the same connection; messages of the replica use the dialled one.
 func (s *Server) onPeerMessage(name string, conn *rpc.Conn, m *rpc.Message) {
-	if m.RenewLease > 0 && m.Ack == 0 { // a keep-alive: both directions say something each second
+	if m.RenewLease > 0 && m.Ack == 0 { // a keep-alive, which is answered so that there is traffic in both directions
 		conn.Send(&rpc.Message{Lease: rpc.Lease{LeaseRenewed: m.RenewLease}})
 	}
 	s.connectNodes(m.KnownPeers...)
@@ -178,7 +178,7 @@
 	}
 }
 
-// connectNodes keeps connections to nodes that were heard of.
+// connectNodes makes the dialer connect to the given nodes and keep the connections.
 func (s *Server) connectNodes(nodes ...rpc.Node) {
 	for _, node := range nodes {
 		if node.Name != "" && node.Name != s.self.Name {
@@ -187,7 +187,7 @@
 	}
 }
 
-// knownNodes are all control-plane nodes, the own one included, sorted by name.
+// knownNodes returns all known control-plane nodes, including this one, sorted by name.
 func (s *Server) knownNodes() []rpc.Node {
 	all := []rpc.Node{s.self}
 	for _, p := range s.peers {
--- a/internal/controlplane/endpointcalls.go
+++ b/internal/controlplane/endpointcalls.go
@@ -13,66 +13,65 @@
 
 const maxHeartbeatBytes = 64 << 10
 
-// States in a heartbeat.
+// Values of observed.state in a heartbeat.
 const (
 	stateReady    = "ready"
 	stateDraining = "draining"
 )
 
-// heartbeat is the body of instances.heartbeat. The inner structs have no names of their own: they would stand in the
-// decoder's error texts, which endpoints receive.
-type heartbeat struct {
+// heartbeatBody is the body of instances.heartbeat. The inner structs are anonymous, because errors of the JSON
+// decoder, which are sent to endpoints, contain the names of struct types.
+type heartbeatBody struct {
 	Address    string `json:"address"` // "ip:port"
 	Descriptor struct {
 		Service    string  `json:"service"`
 		Generation string  `json:"generation"`
 		Zone       string  `json:"zone"`
-		Capacity   float64 `json:"capacity"` // requests at once
+		Capacity   float64 `json:"capacity"` // maximum number of concurrent requests
 	} `json:"descriptor"`
 	Observed struct {
 		State     string  `json:"state"`
-		CallSeq   uint64  `json:"callSeq"`   // rises with each call of the endpoint
-		ColdLeftS float64 `json:"coldLeftS"` // seconds until its slow start ends
+		CallSeq   uint64  `json:"callSeq"`   // increases with each call of the endpoint
+		ColdLeftS float64 `json:"coldLeftS"` // seconds until the slow start of the endpoint ends
 	} `json:"observed"`
 }
 
-// heartbeat handles a heartbeat. A ready endpoint is acknowledged once it is known here; a draining one once enough
-// nodes know it.
-func (s *Server) heartbeat(r *http.Request, id string) ([]byte, error) {
+// handleHeartbeat handles instances.heartbeat. The heartbeat of a ready endpoint is acknowledged once this node has
+// applied it; that of a draining endpoint once enough nodes have received it.
+func (s *Server) handleHeartbeat(r *http.Request, id string) ([]byte, error) {
 	body, err := readBody(r, maxHeartbeatBytes)
 	if err != nil {
 		return nil, err
 	}
-	var h heartbeat
+	var h heartbeatBody
 	if err := json.Unmarshal(body, &h); err != nil {
-		return nil, apierror.New(apierror.InvalidArgument, "heartbeat", describeJSON(err, "a heartbeat"))
+		return nil, apierror.New(apierror.InvalidArgument, "heartbeat", withoutGoTypes(err, "a heartbeat"))
 	}
 	endpoint, err := h.endpoint(id)
 	if err != nil {
 		return nil, err
 	}
 	done := make(chan error, 1)
-	target := make(chan string, 1)
+	target := make(chan string, 1) // the address to which the endpoint sends its next heartbeats
 	s.queue.Do(func() {
 		changes, _ := s.registry.Heartbeat(s.now(), endpoint)
 		if endpoint.State == rpc.Draining {
-			// Each report of draining goes to the peers, not only the first: it may be the repetition of one that was not
-			// acknowledged because they could not be reached.
+			// Repeated reports are sent too: the endpoint may be retrying one that too few peers have acknowledged.
 			if changes == nil {
 				changes = []rpc.Endpoint{endpoint}
 			}
-			s.spreadDurably(changes, done)
+			s.broadcastUntilDurable(changes, done)
 			return
 		}
-		s.spread(changes)
+		s.broadcastEndpoints(changes)
 		if !s.hasQuorumNow() && !s.isStarting() {
-			done <- noQuorumError() // the endpoint should report to a node that others hear of
+			done <- noQuorumError() // the endpoint should turn to a node that can reach its peers
 			return
 		}
 		target <- s.heartbeatTarget(endpoint.Zone)
 		done <- nil
 	})
-	if err := s.await(r, done); err != nil {
+	if err := s.awaitOwner(r, done); err != nil {
 		return nil, err
 	}
 	select {
@@ -82,11 +81,11 @@
 		}
 	default:
 	}
-	return emptyAnswer(), nil
+	return emptyBody(), nil
 }
 
-// endpoint checks a heartbeat and returns what it says of the endpoint.
-func (h *heartbeat) endpoint(id string) (rpc.Endpoint, error) {
+// endpoint validates a heartbeat and converts it to the report of an endpoint.
+func (h *heartbeatBody) endpoint(id string) (rpc.Endpoint, error) {
 	e := rpc.Endpoint{
 		ID:              id,
 		Service:         h.Descriptor.Service,
@@ -99,7 +98,7 @@
 	}
 	switch {
 	case id == "":
-		return e, noInstanceError()
+		return e, missingInstanceError()
 	case e.Service == "" || e.Address == "":
 		return e, apierror.New(apierror.InvalidArgument, "descriptor.service, address", errors.New("is missing"))
 	}
@@ -115,16 +114,16 @@
 	return e, nil
 }
 
-func noInstanceError() error {
+func missingInstanceError() error {
 	return apierror.New(apierror.InvalidArgument, "of", errors.New("names no instance"))
 }
 
-// isStarting reports whether this node may still be among others that start. Then none of them has quorum contact, and
-// there is nowhere to send an endpoint.
+// isStarting reports whether the whole cluster may still be starting. No node has quorum contact then, so there is no
+// better node for an endpoint.
 func (s *Server) isStarting() bool { return !s.hadQuorum && s.now() <= startupDuration }
 
-// heartbeatTarget is where endpoints of a zone should send their heartbeats: to the zone's own node, so that
-// heartbeats do not cross zones. It is empty if they should stay.
+// heartbeatTarget returns the address to which the endpoints of a zone should send their heartbeats: that of a node in
+// the same zone, so that heartbeats do not cross zones. It is empty if they should stay with this node.
 func (s *Server) heartbeatTarget(zone string) string {
 	if zone == s.self.Zone {
 		return ""
@@ -138,10 +137,10 @@
 	return ""
 }
 
-// deregister handles the end of an endpoint. It is acknowledged once enough nodes know it.
-func (s *Server) deregister(r *http.Request, id string) ([]byte, error) {
+// handleDeregister handles instances.deregister. The call is acknowledged once enough nodes have received the change.
+func (s *Server) handleDeregister(r *http.Request, id string) ([]byte, error) {
 	if id == "" {
-		return nil, noInstanceError()
+		return nil, missingInstanceError()
 	}
 	done := make(chan error, 1)
 	s.queue.Do(func() {
@@ -149,7 +148,7 @@
 		if changes == nil {
 			changes = []rpc.Endpoint{{ID: id, State: rpc.Gone}}
 		}
-		s.spreadDurably(changes, done)
+		s.broadcastUntilDurable(changes, done)
 	})
-	return emptyAnswer(), s.await(r, done)
+	return emptyBody(), s.awaitOwner(r, done)
 }
--- a/internal/controlplane/endpoints.go
+++ b/internal/controlplane/endpoints.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// ackTimeout is how long a report of an endpoint that leaves waits for enough nodes to have it. After that it is not
-	// acknowledged, and the endpoint reports it elsewhere.
+	// ackTimeout is how long a report that an endpoint is draining or gone waits for enough peers to acknowledge it. After
+	// that the call fails, and the endpoint retries at another node.
 	ackTimeout = 900 * time.Millisecond
-	// batchPerProxy is how long reports of endpoints that come may wait for others, for each proxy that is to be told.
-	batchPerProxy = 300 * time.Microsecond
-	// minBatchDelay is the delay below which batching is not worth while.
+	// batchDelayPerProxy times the number of proxies is how long changes that are not urgent are collected for proxies.
+	batchDelayPerProxy = 300 * time.Microsecond
+	// minBatchDelay is the delay below which changes are sent at once.
 	minBatchDelay = 10 * time.Millisecond
 )
 
-// pendingAck is a report of an endpoint that leaves, waiting for other nodes to have it.
+// pendingAck is a report that an endpoint is draining or gone, and that too few nodes have acknowledged.
 type pendingAck struct {
 	acks     map[string]bool // names of nodes
 	deadline time.Duration
 	done     chan<- error
 }
 
-// onEndpointUpdate handles the reports of a peer. What is new here is passed on to the proxies at once, as the peer may
-// be gone before it has told them all.
+// onEndpointUpdate handles endpoint reports of a peer. Changes are forwarded to proxies, because the peer may fail
+// before it has sent them to all proxies.
 func (s *Server) onEndpointUpdate(u *rpc.EndpointUpdate) {
 	if len(u.Endpoints) > 0 {
 		if changes := s.registry.ApplyRemote(s.now(), u.Endpoints); len(changes) > 0 {
@@ -38,8 +38,8 @@
 	}
 }
 
-// spread tells proxies and peers of changed endpoints.
-func (s *Server) spread(changes []rpc.Endpoint) {
+// broadcastEndpoints sends endpoint changes to proxies and peers.
+func (s *Server) broadcastEndpoints(changes []rpc.Endpoint) {
 	if len(changes) == 0 {
 		return
 	}
@@ -48,12 +48,13 @@
 	s.steering.invalidate()
 }
 
-// spreadDurably does so for endpoints that leave, and answers once enough nodes have it: the one that acknowledges
-// may be gone the next moment, and a proxy that starts reads from a majority, so it meets one that knows.
-func (s *Server) spreadDurably(changes []rpc.Endpoint, done chan<- error) {
+// broadcastUntilDurable sends changes of draining or gone endpoints to proxies and peers at once. It reports success on
+// done when enough nodes have the changes: a starting proxy reads from a majority of the voters, so it learns of them
+// even if this node has failed.
+func (s *Server) broadcastUntilDurable(changes []rpc.Endpoint, done chan<- error) {
 	s.lastAckID++
 	update := rpc.EndpointUpdate{Endpoints: changes}
-	s.flushEndpoints() // earlier changes go first
+	s.flushEndpoints() // keeps the order of changes
 	s.broadcastToProxies(&rpc.Message{EndpointUpdate: update})
 	s.broadcastToPeers(&rpc.Message{
 		Acknowledgement: rpc.Acknowledgement{WantAck: s.lastAckID},
@@ -87,8 +88,8 @@
 	}
 }
 
-// isDurable reports whether so many voters have a report that a proxy that starts meets one of them, though as many as
-// may be lost at once are gone.
+// isDurable reports whether enough voters have acknowledged a report: any majority includes one of them, even after as
+// many machines have failed as the fault budget allows.
 func (s *Server) isDurable(p *pendingAck) bool {
 	return s.replica.Epoch().IsDurable(s.options.Settings.FaultBudget.Machines, func(v rpc.Voter) bool {
 		return p.acks[v.Name]
@@ -104,21 +105,21 @@
 	}
 }
 
-// batchForProxies tells proxies of endpoints that come, batched for as long as telling all proxies takes, and at
-// once of those that leave or are in slow start. A few proxies are always told at once: after a loss of all power
-// each moment without endpoints is lost.
+// batchForProxies sends endpoint changes to proxies. Changes that are not urgent are collected for a delay that grows
+// with the number of proxies; with few proxies they are sent at once, which shortens the start of a cluster.
 func (s *Server) batchForProxies(changes []rpc.Endpoint) {
-	delay := time.Duration(len(s.proxies)) * batchPerProxy
+	delay := time.Duration(len(s.proxies)) * batchDelayPerProxy
 	isFirst := len(s.batchedEndpoints) == 0
 	s.batchedEndpoints = append(s.batchedEndpoints, changes...)
 	switch {
 	case delay < minBatchDelay || isUrgent(changes):
 		s.flushEndpoints()
-	case isFirst && delay < tickInterval: // otherwise the tick flushes
+	case isFirst && delay < tickInterval: // with a longer delay the tick flushes
 		s.options.Clock.AfterFunc(delay, func() { s.queue.Post(s.flushEndpoints) })
 	}
 }
 
+// isUrgent reports whether any of the endpoints is draining, gone or in slow start.
 func isUrgent(changes []rpc.Endpoint) bool {
 	for _, e := range changes {
 		if e.State != rpc.Ready || e.WarmupRemaining > 0 {
@@ -128,7 +129,7 @@
 	return false
 }
 
-// flushEndpoints tells proxies what was batched.
+// flushEndpoints sends the batched changes to proxies.
 func (s *Server) flushEndpoints() {
 	if len(s.batchedEndpoints) > 0 {
 		s.broadcastToProxies(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{Endpoints: s.batchedEndpoints}})
@@ -136,8 +137,8 @@
 	}
 }
 
-// allEndpoints is the whole list as an encoded message, for a proxy that is steered here. It is made once a tick at
-// most.
+// allEndpoints returns an encoded message with all endpoints, for a proxy that this node steers. The message is encoded
+// anew at most once per tick.
 func (s *Server) allEndpoints() []byte {
 	if now := s.now(); s.encodedEndpoints == nil || now >= s.encodedAt+tickInterval {
 		s.flushEndpoints()
@@ -149,9 +150,9 @@
 	return s.encodedEndpoints
 }
 
-// noticeEndpointsSynced: nobody who knows more is there. Either all other voters have sent what they know, or what was
-// reported by heartbeats since the start is all there is.
-func (s *Server) noticeEndpointsSynced(now time.Duration) {
+// updateEndpointsSynced marks the endpoint table as complete once all other voters have sent theirs, or after two
+// heartbeat intervals, in which each live endpoint has sent a heartbeat.
+func (s *Server) updateEndpointsSynced(now time.Duration) {
 	if s.allVotersSynced() || now > 2*s.options.Settings.HeartbeatInterval.Duration() {
 		s.setEndpointsSynced()
 	}
@@ -164,7 +165,7 @@
 	}
 }
 
-// allVotersSynced reports whether all other voters have sent their first message on a connection that is up.
+// allVotersSynced reports whether all other voters are connected and have sent their endpoint tables.
 func (s *Server) allVotersSynced() bool {
 	e := s.replica.Epoch()
 	for _, v := range e.AllVoters() {
--- a/internal/controlplane/main.go
+++ b/internal/controlplane/main.go
@@ -21,11 +21,11 @@
 
 const (
 	programName = "elmfold-controlplane"
-	about       = "The gateway's control-plane node: it keeps the operator's word, knows backends and proxies, and steers."
+	about       = "Gateway control-plane node: stores the configuration, tracks endpoints and proxies, balances load."
 
-	shutdownReserve     = time.Second            // of the grace period, for what comes after the handover
-	callShutdownTimeout = 300 * time.Millisecond // for answers that are on their way
-	diskShare           = 0.8                    // of the disk space allowed that records may take
+	shutdownReserve     = time.Second            // part of the grace period that is kept for the steps after the handover
+	callShutdownTimeout = 300 * time.Millisecond // for calls that are in progress
+	storeDiskShare      = 0.8                    // share of the disk limit that the store may use
 
 	callHeaderTimeout = 5 * time.Second
 	callReadTimeout   = 20 * time.Second
@@ -37,18 +37,18 @@
 	return cli.Program{Name: programName, About: about, Out: out, Err: errs, Run: run}.Main(args)
 }
 
-// run serves until a signal ends the program.
+// run serves until a signal stops the program.
 func run(settings *bootconfig.Settings, options cli.Options) error {
 	buffer, log := logbuffer.New(settings.Name, os.Stderr, time.Now, options.Verbose)
 	if err := requireSettings(settings); err != nil {
 		return err
 	}
 	cli.LimitMemory(settings.Limits)
-	store, found, err := storage.Open(settings.DataDir, int64(settings.Limits.DiskMB*diskShare)<<20)
+	store, recovery, err := storage.Open(settings.DataDir, int64(settings.Limits.DiskMB*storeDiskShare)<<20)
 	if err != nil {
 		return err
 	}
-	logRecovery(log, found)
+	logRecovery(log, recovery)
 	peers, err := cli.Listen(settings.OwnPeerAddress())
 	if err != nil {
 		return err
@@ -60,8 +60,8 @@
 	s := New(Options{
 		Settings:     settings,
 		Disk:         store,
-		DiskComplete: found.Complete,
-		DiskFresh:    found.Fresh,
+		DiskComplete: recovery.Complete,
+		DiskFresh:    recovery.Fresh,
 		Log:          log,
 		Clock:        clockwork.NewRealClock(),
 		Dial:         cli.Dial,
@@ -71,11 +71,11 @@
 	callServer := newCallServer(s.Handler())
 	go serveCalls(log, callServer, calls)
 	cli.ServeMetrics(log, settings, options, s.Metrics())
-	cli.HandleSignals(log, s.Reload, func() { // a second signal finds this under way, and waits with it
+	cli.HandleSignals(log, s.Reload, func() { // called once per signal; a second call waits for the same handover
 		s.Shutdown(settings.Bounds.Grace.Duration() - shutdownReserve)
 		ctx, cancel := context.WithTimeout(context.Background(), callShutdownTimeout)
 		defer cancel()
-		_ = callServer.Shutdown(ctx) // calls that are not answered in time are repeated elsewhere
+		_ = callServer.Shutdown(ctx) // clients retry unfinished calls at another node
 		s.Stop()
 	})
 	s.Run()
@@ -91,11 +91,11 @@
 	return err
 }
 
-func logRecovery(log hclog.Logger, found storage.Recovery) {
-	log.Info("disk opened", logfield.Fresh, found.Fresh, logfield.Torn, found.Torn, logfield.LostData, found.LostData,
-		logfield.Complete, found.Complete, logfield.Records, found.Records)
-	if found.LostData {
-		log.Warn("disk has lost data: it gets a new identity, and votes once it is caught up")
+func logRecovery(log hclog.Logger, recovery storage.Recovery) {
+	log.Info("store opened", logfield.Fresh, recovery.Fresh, logfield.Torn, recovery.Torn,
+		logfield.LostData, recovery.LostData, logfield.Complete, recovery.Complete, logfield.Records, recovery.Records)
+	if recovery.LostData {
+		log.Warn("the disk has lost data: the node gets a new store id, and votes again once it has caught up")
 	}
 }
 
@@ -114,8 +114,7 @@
 	}
 }
 
-// Reload takes over settings that were changed while the program runs: new seeds are dialled, the rest waits for a
-// restart.
+// Reload applies changed settings to the running server. Only new seeds take effect; other changes need a restart.
 func (s *Server) Reload(next *bootconfig.Settings) {
 	s.queue.Do(func() { s.dialer.ConnectAll(next.SeedPeerAddresses()) })
 }
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -8,11 +8,11 @@
 	"elmfold/internal/gateway/metrics"
 )
 
-// serverMetrics are the figures that a node keeps of itself. docs/operate/gateway.md lists them.
+// serverMetrics are the metrics of a control-plane node. docs/operate/gateway.md lists them.
 type serverMetrics struct {
 	registry        metrics.Registry
 	callsInProgress atomic.Int64
-	callDisconnects *metrics.Counter // callers that left before their answer
+	callDisconnects *metrics.Counter // clients that disconnected before the response
 }
 
 func newMetrics() *serverMetrics {
@@ -24,15 +24,15 @@
 	return m
 }
 
-// Metrics shows the figures.
+// Metrics serves the metrics of the server over HTTP.
 func (s *Server) Metrics() http.Handler { return &s.metrics.registry }
 
-// followCall counts a call until the returned function is called.
-func (m *serverMetrics) followCall(r *http.Request) (stop func()) {
+// trackCall counts a call as in progress until the returned function is called, and detects a client disconnect.
+func (m *serverMetrics) trackCall(r *http.Request) (stop func()) {
 	m.callsInProgress.Add(1)
 	stopWatching := context.AfterFunc(r.Context(), m.callDisconnects.Add)
 	return func() {
-		if stopWatching() && r.Context().Err() != nil { // the call was told first, and ended before the watch ran
+		if stopWatching() && r.Context().Err() != nil { // the call ended before the watching function could run
 			m.callDisconnects.Add()
 		}
 		m.callsInProgress.Add(-1)
--- a/internal/controlplane/metrics_test.go
+++ b/internal/controlplane/metrics_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// A call whose caller leaves waits for nobody. Guards against work that outlives the one who asked for it.
-func TestCallerLeaves(t *testing.T) {
+// Guards against calls that keep waiting after their client has disconnected, and against disconnects that the metrics
+// miss.
+func TestClientDisconnect(t *testing.T) {
 	for call, body := range map[string]string{
 		"config.read":                  "",
 		"evacuation.begin&of=north":    "",
@@ -20,32 +21,32 @@
 	} {
 		t.Run(call, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := convene(3, 1)
+				c := startCluster(3, 1)
 				time.Sleep(3 * time.Second)
-				for _, k := range c.cores[1:] { // from here on no answer comes of anything
-					c.net.Freeze(k.ip, true)
+				for _, n := range c.nodes[1:] { // no call can complete from now on
+					c.net.Freeze(n.ip, true)
 				}
-				ctx, leave := context.WithCancel(t.Context())
+				ctx, disconnect := context.WithCancel(t.Context())
 				r := httptest.NewRequestWithContext(ctx, "POST", "/v1/rpc?call="+call, strings.NewReader(body))
-				time.AfterFunc(100*time.Millisecond, leave)
+				time.AfterFunc(100*time.Millisecond, disconnect)
 				began, w := time.Now(), httptest.NewRecorder()
-				c.cores[0].server.Handler().ServeHTTP(w, r)
-				hasLeft := strings.Contains(w.Body.String(), "the caller has left")
-				if took := time.Since(began); took > 101*time.Millisecond || !hasLeft {
-					t.Errorf("it ended after %v: %d %s", took, w.Code, w.Body)
+				c.nodes[0].server.Handler().ServeHTTP(w, r)
+				detected := strings.Contains(w.Body.String(), "the client closed its connection")
+				if took := time.Since(began); took > 101*time.Millisecond || !detected {
+					t.Errorf("the call ended after %v: %d %s", took, w.Code, w.Body)
 				}
-				synctest.Wait() // what counts the caller's leaving has run
-				figures := httptest.NewRecorder()
-				c.cores[0].server.Metrics().ServeHTTP(figures, httptest.NewRequest("GET", "/metrics", nil))
+				synctest.Wait() // until the disconnect is counted
+				metrics := httptest.NewRecorder()
+				c.nodes[0].server.Metrics().ServeHTTP(metrics, httptest.NewRequest("GET", "/metrics", nil))
 				for _, want := range []string{"\nelmfold_calls_in_progress 0\n", "\nelmfold_call_disconnects_total 1\n"} {
-					if !strings.Contains(figures.Body.String(), want) {
-						t.Errorf("no %q in\n%s", want, figures.Body)
+					if !strings.Contains(metrics.Body.String(), want) {
+						t.Errorf("no %q in\n%s", want, metrics.Body)
 					}
 				}
-				for _, k := range c.cores[1:] {
-					c.net.Freeze(k.ip, false)
+				for _, n := range c.nodes[1:] {
+					c.net.Freeze(n.ip, false)
 				}
-				c.end()
+				c.stop()
 			})
 		})
 	}
--- a/internal/controlplane/operatorcalls.go
+++ b/internal/controlplane/operatorcalls.go
@@ -19,17 +19,17 @@
 
 const (
 	maxConfigBytes = 8 << 20
-	// maxQueueDelay is how long a call may wait for the owner. A caller that hears nothing goes on to another node after
-	// a second.
+	// maxQueueDelay is how long a request may wait for the owner. Clients turn to another node after a second without
+	// response.
 	maxQueueDelay = time.Second
-	// proposalTimeout is when a call is answered though the replica has said nothing, which it does earlier.
+	// proposalTimeout bounds the wait for the replica, which normally reports an outcome within RequestTimeout.
 	proposalTimeout = consensus.RequestTimeout + time.Second
-	// repeatSlack is how long after the bound ackS, the last moment at which an order may be repeated, it may still
-	// arrive.
-	repeatSlack = 500 * time.Millisecond
+	// retryArrivalSlack is how long a retry may take to arrive. Clients send the last retry of an order within the bound
+	// ackS.
+	retryArrivalSlack = 500 * time.Millisecond
 )
 
-// replaceConfig replaces the configuration. The answer is given once it is committed.
+// replaceConfig replaces the configuration. It returns once the new one is committed.
 func (s *Server) replaceConfig(r *http.Request, receivedAt time.Time) ([]byte, error) {
 	body, err := readBody(r, maxConfigBytes)
 	if err != nil {
@@ -43,10 +43,10 @@
 	_, err = s.request(r, receivedAt, func(id uint64) consensus.Event {
 		return consensus.Propose{RequestID: id, Register: configRegister, Change: change}
 	})
-	return emptyAnswer(), err
+	return emptyBody(), err
 }
 
-// readConfig answers with the body of the committed configuration.
+// readConfig returns the committed configuration.
 func (s *Server) readConfig(r *http.Request, receivedAt time.Time) ([]byte, error) {
 	committed, err := s.request(r, receivedAt, func(id uint64) consensus.Event {
 		return consensus.ReadRequest{RequestID: id, Register: configRegister}
@@ -66,28 +66,28 @@
 		return nil, apierror.New(apierror.InvalidArgument, "of", fmt.Errorf("%q is no zone", zone))
 	}
 	timeOfDay := uint64(s.options.TimeOfDay().UnixMilli())
-	repeatWindow := s.options.Settings.Bounds.Ack.Duration() + repeatSlack
+	repeatWindow := s.options.Settings.Bounds.Ack.Duration() + retryArrivalSlack
 	orderID := rand.Uint64()
 	change := consensus.Evacuate(begin, orderID, repeatWindow, timeOfDay)
 	committed, err := s.request(r, receivedAt, func(id uint64) consensus.Event {
 		return consensus.Propose{RequestID: id, Register: zoneRegisterPrefix + zone, Change: change}
 	})
 	if err == nil && !consensus.HasAppliedEvacuation(committed.Value, orderID) {
-		// Nothing in a call says who gives the order, so that another operator's cannot be told from a repetition.
-		s.log.Warn("evacuation order taken for a repetition of the last one", logfield.Zone, zone, logfield.Begin, begin)
+		// Calls do not identify the operator, so an equal order of another operator looks like a retry.
+		s.log.Warn("evacuation order treated as a retry of the previous one", logfield.Zone, zone, logfield.Begin, begin)
 	}
-	return emptyAnswer(), err
+	return emptyBody(), err
 }
 
-// request gives a request to the replica and waits for its outcome. What cannot be begun is refused at once: it was not
-// done and will not be. Of what was begun and got no answer the outcome is unknown.
+// request passes a request to the replica and waits for its outcome. A request that is not admitted fails at once and
+// has no effect. The outcome of an admitted request that gets no result in time is unknown.
 func (s *Server) request(r *http.Request, receivedAt time.Time,
 	event func(id uint64) consensus.Event) (consensus.Register, error) {
 	done := make(chan consensus.RequestDone, 1)
-	refused := make(chan error, 1)
+	rejected := make(chan error, 1)
 	s.queue.Do(func() {
-		if err := s.refusal(r, receivedAt); err != nil {
-			refused <- err
+		if err := s.admissionError(r, receivedAt); err != nil {
+			rejected <- err
 			return
 		}
 		s.lastRequestID++
@@ -97,29 +97,29 @@
 	select {
 	case d := <-done:
 		return d.Register, outcomeError(d.Outcome)
-	case err := <-refused:
+	case err := <-rejected:
 		return consensus.Register{}, err
 	case <-r.Context().Done():
-		return consensus.Register{}, callerLeftError()
+		return consensus.Register{}, clientDisconnectedError()
 	case <-s.queue.Stopped():
 	case <-s.options.Clock.After(proposalTimeout):
 	}
 	return consensus.Register{}, outcomeError(consensus.Indeterminate)
 }
 
-// refusal says why a request is not begun; nil: it is.
-func (s *Server) refusal(r *http.Request, receivedAt time.Time) error {
+// admissionError returns why a request cannot be started, or nil if it can.
+func (s *Server) admissionError(r *http.Request, receivedAt time.Time) error {
 	waited := s.options.Clock.Now().Sub(receivedAt)
 	switch {
 	case s.shuttingDown:
 		return apierror.New(apierror.ShuttingDown, "", nil)
 	case !s.hasQuorumNow():
 		return noQuorumError()
-	case s.now() < s.distrustEnd:
-		return apierror.New(apierror.Unavailable, "", errors.New("this process was frozen just now"))
+	case s.now() < s.staleInputEnd:
+		return apierror.New(apierror.Unavailable, "", errors.New("this process was suspended until just now"))
 	case waited > maxQueueDelay || r.Context().Err() != nil:
-		// An order must not be committed after its caller gave it again elsewhere, and others followed it.
-		return apierror.New(apierror.Unavailable, "", errors.New("it has waited for too long"))
+		// The client may have retried at another node by now. Committing the order late could undo newer ones.
+		return apierror.New(apierror.Unavailable, "", errors.New("the request was queued for too long"))
 	}
 	return nil
 }
@@ -137,19 +137,19 @@
 	return apierror.New(apierror.OutcomeUnknown, "", nil)
 }
 
-// status tells how the control plane stands as this node sees it, also without quorum contact: then it says so.
+// status returns the state of the control plane as this node sees it. It also works without quorum contact.
 func (s *Server) status(r *http.Request) ([]byte, error) {
-	answer := make(chan cli.Status, 1)
+	status := make(chan cli.Status, 1)
 	done := make(chan error, 1)
 	s.queue.Do(func() {
-		answer <- cli.Status{
+		status <- cli.Status{
 			Status:    s.replica.Status(s.now()),
 			Evacuated: slices.Sorted(maps.Keys(s.evacuatedZones())),
 		}
 		done <- nil
 	})
-	if err := s.await(r, done); err != nil {
+	if err := s.awaitOwner(r, done); err != nil {
 		return nil, err
 	}
-	return json.Marshal(<-answer)
+	return json.Marshal(<-status)
 }
--- a/internal/controlplane/proxies.go
+++ b/internal/controlplane/proxies.go
@@ -13,10 +13,10 @@
 		}
 		p = &proxyConn{node: from.Node, conn: conn}
 		s.proxies[conn] = p
-		s.sendFirstMessage(conn)
+		s.sendInitialState(conn)
 	}
 	if m.RenewLease > 0 {
-		s.onRenewal(p, m)
+		s.onLeaseRenewal(p, m)
 	}
 	for _, name := range m.FetchRegisters {
 		s.sendRegister(conn, name)
@@ -26,8 +26,8 @@
 	}
 }
 
-// sendFirstMessage gives a proxy the whole state that it needs on a new connection.
-func (s *Server) sendFirstMessage(conn *rpc.Conn) {
+// sendInitialState sends the complete state that a proxy needs on a new connection.
+func (s *Server) sendInitialState(conn *rpc.Conn) {
 	m := s.registerSnapshot()
 	m.Hello, m.KnownPeers = s.hello(), s.knownNodes()
 	m.Endpoints, m.EndpointsSynced = s.registry.Local(s.now()), s.endpointsSynced
@@ -35,7 +35,7 @@
 	conn.Send(m)
 }
 
-// registerSnapshot is what this node holds of the registers.
+// registerSnapshot returns a message with the state of all registers on this node.
 func (s *Server) registerSnapshot() *rpc.Message {
 	m := &rpc.Message{
 		NoQuorum: !s.hasQuorumNow(),
@@ -56,15 +56,15 @@
 			continue
 		}
 		m.CommittedVersions[name] = r.Version
-		if name != configRegister { // which is large: a proxy fetches it from one node
+		if name != configRegister { // the configuration is large, so a proxy fetches it from one node only
 			m.CommittedValues = append(m.CommittedValues, r)
 		}
 	}
 	return m
 }
 
-// onRenewal renews a proxy's lease, and takes the load report that comes along.
-func (s *Server) onRenewal(p *proxyConn, m *rpc.Message) {
+// onLeaseRenewal renews the lease of a proxy and handles the load report in the same message.
+func (s *Server) onLeaseRenewal(p *proxyConn, m *rpc.Message) {
 	p.conn.Send(&rpc.Message{Lease: rpc.Lease{LeaseRenewed: m.RenewLease}, NoQuorum: !s.hasQuorumNow()})
 	p.lastRenewal = m.RenewLease
 	s.registry.RenewLease(s.now(), rpc.ProxyInfo{Name: p.node.Name, Zone: p.node.Zone})
@@ -82,7 +82,7 @@
 	}})
 }
 
-// broadcastToProxies sends a message to all proxies, encoded once.
+// broadcastToProxies sends a message to all proxies. The message is encoded only once.
 func (s *Server) broadcastToProxies(m *rpc.Message) {
 	body := rpc.Encode(m)
 	for conn := range s.proxies {
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -10,16 +10,16 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-// step hands events to the replica and carries out its actions, in their order.
+// step passes events to the replica and executes the resulting actions in order.
 func (s *Server) step(events ...consensus.Event) {
 	for _, action := range s.replica.Step(s.now(), events...) {
-		s.carryOut(action)
+		s.execute(action)
 	}
-	s.noticeQuorum()
+	s.updateQuorum()
 	s.scheduleDeadline()
 }
 
-func (s *Server) carryOut(action consensus.Action) {
+func (s *Server) execute(action consensus.Action) {
 	switch a := action.(type) {
 	case consensus.Persist:
 		s.options.Disk.PutAsync(a.Record, a.Value, func(err error) {
@@ -32,15 +32,15 @@
 	case consensus.ValueCommitted:
 		s.onCommitted(a.Register)
 	case consensus.EpochEntered:
-		s.onEpoch(a.Epoch)
+		s.onEpochEntered(a.Epoch)
 	case consensus.RequestDone:
 		if done := s.requests[a.RequestID]; done != nil {
 			delete(s.requests, a.RequestID)
 			done <- a
 		}
 	case consensus.ForeignPeerFound:
-		s.log.Error("peer belongs to another system: stop one of the two and empty its disks", logfield.Peer, a.Name,
-			logfield.FoundingID, fmt.Sprintf("%016x", a.ClusterID))
+		s.log.Error("peer belongs to another cluster: stop one of the two clusters and erase its disks",
+			logfield.Peer, a.Name, logfield.FoundingID, fmt.Sprintf("%016x", a.ClusterID))
 	case consensus.HandedOver:
 		close(s.handedOver)
 	}
@@ -48,12 +48,12 @@
 
 func (s *Server) onPersisted(written consensus.Persist, err error) {
 	if err != nil {
-		s.log.Error("write failed", logfield.Record, written.Record, logfield.Error, err)
+		s.log.Error("writing a record failed", logfield.Record, written.Record, logfield.Error, err)
 	}
 	s.step(consensus.Persisted{Seq: written.Seq, Err: err})
 }
 
-// scheduleDeadline has step called when the replica needs it before the next tick.
+// scheduleDeadline schedules a call of step if the next deadline of the replica is before the next tick.
 func (s *Server) scheduleDeadline() {
 	next := s.replica.NextDeadline()
 	isEarlier := s.deadline == 0 || next < s.deadline
@@ -63,7 +63,7 @@
 	s.deadline = next
 	s.options.Clock.AfterFunc(next-s.now(), func() {
 		s.queue.Post(func() {
-			if s.deadline == next { // otherwise an earlier deadline has taken its place
+			if s.deadline == next { // otherwise an earlier deadline has replaced this one
 				s.deadline = 0
 			}
 			s.step()
@@ -71,11 +71,12 @@
 	})
 }
 
-// hasQuorumNow reports whether this node has quorum contact at this moment.
+// hasQuorumNow reports whether this node has quorum contact, evaluated at the current time.
 func (s *Server) hasQuorumNow() bool { return s.replica.HasQuorum(s.now()) }
 
-// noticeQuorum tells proxies once quorum contact is established: what is said from now on is current.
-func (s *Server) noticeQuorum() {
+// updateQuorum handles changes of quorum contact. When contact is established, it sends the registers to proxies, since
+// they are now known to be current.
+func (s *Server) updateQuorum() {
 	hasQuorum := s.hasQuorumNow()
 	if hasQuorum == s.hasQuorum {
 		return
@@ -90,8 +91,8 @@
 	s.broadcastToProxies(s.registerSnapshot())
 }
 
-// onEpoch: who votes has changed.
-func (s *Server) onEpoch(e rpc.Epoch) {
+// onEpochEntered handles a change of the voters.
+func (s *Server) onEpochEntered(e rpc.Epoch) {
 	names := make([]string, 0, len(e.Voters))
 	for _, v := range e.Voters {
 		names = append(names, v.Name)
@@ -108,14 +109,14 @@
 	}
 }
 
-// onCommitted tells proxies of a committed value. They fetch a configuration from the nearest node that has it;
-// values of the other registers are small and go along.
+// onCommitted announces a committed value to proxies. The configuration is announced by its version only, and proxies
+// fetch it from the nearest node that has it; values of other registers are small and included.
 func (s *Server) onCommitted(r rpc.Register) {
 	s.log.Info("value committed", logfield.Register, r.Name, logfield.Version, r.Version.Number)
 	update := rpc.RegisterUpdate{CommittedVersions: map[string]rpc.Version{r.Name: r.Version}}
 	if r.Name == configRegister {
 		config, err := routeconfig.Parse(r.Value)
-		if err != nil { // it was checked before it was proposed
+		if err != nil { // unexpected: it was validated before it was proposed
 			s.log.Error("committed configuration cannot be parsed", logfield.Error, err)
 			return
 		}
@@ -128,7 +129,7 @@
 	s.broadcastToProxies(&rpc.Message{RegisterUpdate: update})
 }
 
-// evacuatedZones are the zones that nothing is to be sent to.
+// evacuatedZones returns the zones that get no traffic.
 func (s *Server) evacuatedZones() map[string]bool {
 	zones := map[string]bool{}
 	for _, name := range s.replica.RegisterNames() {
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -1,22 +1,22 @@
-// Package controlplane is the server of a control-plane node. It stores what operators order together with the
-// other nodes, knows endpoints by their heartbeats and proxies by their leases, tells proxies what changed, and
-// steers those of its zone.
+// Package controlplane is the server of a control-plane node. Together with its peers it stores the configuration and
+// the evacuations that operators order. It tracks endpoints by heartbeats and proxies by leases, sends changes to
+// proxies, and steers the proxies of its zone: it computes their routing tables.
 //
-// One goroutine, the owner (Server.Run), holds all tables and works through a queue of commands. Connections, the disk
-// and HTTP calls only queue commands and wait for answers; the owner never waits for any of them. What is decided, is
-// decided by packages without I/O: consensus, registry and steering.
+// A single goroutine, the owner (Server.Run), holds all state and executes commands from a queue. Connections, the disk
+// and HTTP calls post commands and wait for results; the owner never blocks on any of them. The decisions are made by
+// packages without I/O: consensus, registry and steering.
 //
 //	main.go          the program
-//	server.go        the Server, its owner and its ticks
-//	replica.go       the owner's side of consensus: writes, deadlines, committed values
+//	server.go        the Server, its owner and the periodic tick
+//	replica.go       actions and deadlines of the consensus replica
 //	connections.go   connections of peers and proxies, and their messages
-//	proxies.go       what proxies are told
-//	endpoints.go     how reports of endpoints spread, and their acknowledgement
-//	calls.go         HTTP calls: dispatch and answers
+//	proxies.go       messages to and from proxies
+//	endpoints.go     distribution and acknowledgement of endpoint reports
+//	calls.go         HTTP calls: dispatch and responses
 //	operatorcalls.go calls of operators
 //	endpointcalls.go calls of endpoints
-//	metrics.go       the figures that the process keeps of itself
-//	steering.go      routing tables for the proxies that are steered here
+//	metrics.go       metrics of the process
+//	steering.go      routing tables for the proxies that this node steers
 package controlplane
 
 import (
@@ -42,45 +42,45 @@
 	commandQueueCapacity = 1024
 	tickInterval         = 200 * time.Millisecond
 	dialRetryInterval    = 300 * time.Millisecond
-	// connTimeout is when a connection is closed on which nothing arrives: both sides send something each
+	// connTimeout is how long a connection may be idle before it is closed. Both sides send a message every
 	// keepAliveInterval.
 	connTimeout       = 3 * time.Second
 	keepAliveInterval = time.Second
-	// suspensionThreshold is how late a tick must be for the process to have been suspended. What it then reads from its
-	// sockets may be outdated: for distrustDuration it takes no proposals.
+	// suspensionThreshold is the time between two ticks from which on the process counts as suspended. Input that was
+	// buffered meanwhile may be outdated, so the node accepts no requests of operators for staleInputDuration.
 	suspensionThreshold = time.Second
-	distrustDuration    = 500 * time.Millisecond
-	// foundingLogInterval is the pause between two log lines while nothing is founded.
+	staleInputDuration  = 500 * time.Millisecond
+	// foundingLogInterval is the time between two log lines while the cluster is not founded yet.
 	foundingLogInterval = 5 * time.Second
-	// startupDuration is how long a node that never had quorum contact may still be among others that start.
+	// startupDuration is how long a node without any quorum contact assumes that the whole cluster is starting.
 	startupDuration = 3 * time.Second
 )
 
-// Names of registers. They are stored, and sent to proxies and operators, so they do not change.
+// Names of registers. They are stored and sent to proxies and operators, so they must not change.
 const (
 	configRegister     = "charter" // the configuration
-	zoneRegisterPrefix = "zone/"   // before the name of a zone: its evacuations
+	zoneRegisterPrefix = "zone/"   // followed by the name of a zone: the evacuations of the zone
 )
 
 // Disk stores records.
 type Disk interface {
 	// PutAsync calls done once the record is synced, or has failed.
 	PutAsync(name string, value []byte, done func(error))
-	// All are the records that are synced.
+	// All returns all synced records.
 	All() map[string][]byte
 }
 
-// Options make a Server.
+// Options are the parameters of New.
 type Options struct {
 	Settings     *bootconfig.Settings
 	Disk         Disk
-	DiskComplete bool // the disk is known never to have lost anything
+	DiskComplete bool // no loss of acknowledged writes is known
 	DiskFresh    bool // the disk was empty
 	Log          hclog.Logger
 	Clock        clockwork.Clock
 	Dial         func(address string) (net.Conn, error)
-	Listener     net.Listener     // for nodes and proxies; the Server accepts on it as long as it runs
-	TimeOfDay    func() time.Time // dates evacuations
+	Listener     net.Listener     // for connections of peers and proxies
+	TimeOfDay    func() time.Time // wall-clock time, for the timestamps of evacuations
 }
 
 // Server is one control-plane node.
@@ -89,48 +89,48 @@
 	log              hclog.Logger
 	self             rpc.Node
 	incarnation      uint64
-	storeID          string // of the disk
-	mayHaveLostState bool   // the disk may have forgotten that there is an epoch
+	storeID          string // identifies the content of the disk
+	mayHaveLostState bool   // the disk may have lost the fact that an epoch exists
 	startedAt        time.Time
 	queue            *session.CommandQueue
-	handedOver       chan struct{} // closed once a shutdown has handed over all
+	handedOver       chan struct{} // closed once a shutdown has handed over all state
 	metrics          *serverMetrics
 
-	// The fields below belong to the owner.
+	// Only the owner uses the fields below.
 
 	dialer           *session.Dialer
 	replica          *consensus.Replica
 	registry         *registry.Registry
 	steering         *steerer
 	peers            map[string]*peer                        // by name
-	acceptedPeers    session.Sessions                        // connections that peers dialled
-	acceptedProxies  session.Sessions                        // connections that proxies dialled
-	proxies          map[*rpc.Conn]*proxyConn                // current ones
+	acceptedPeers    session.Sessions                        // connections dialled by peers
+	acceptedProxies  session.Sessions                        // connections dialled by proxies
+	proxies          map[*rpc.Conn]*proxyConn                // by current connection
 	requests         map[uint64]chan<- consensus.RequestDone // by request id
 	lastRequestID    uint64
 	pendingAcks      map[uint64]*pendingAck // by ack id
 	lastAckID        uint64
-	config           *routeconfig.Config // committed; nil: none
-	endpointsSynced  bool                // what the peers know of endpoints was received, or nobody knows more
-	hadQuorum        bool                // at any time
-	hasQuorum        bool                // when it was last looked at
+	config           *routeconfig.Config // committed; nil if there is none
+	endpointsSynced  bool                // the endpoint table is as complete as that of any peer
+	hadQuorum        bool                // at any time since the start
+	hasQuorum        bool                // as of the last updateQuorum
 	lastTick         time.Duration
 	lastFoundingLog  time.Duration
 	lastKeepAlive    time.Duration
-	distrustEnd      time.Duration
-	batchedEndpoints []rpc.Endpoint // reports for proxies that may wait for the tick
-	encodedEndpoints []byte         // all endpoints, as a message
+	staleInputEnd    time.Duration
+	batchedEndpoints []rpc.Endpoint // changes that are not sent to proxies yet
+	encodedEndpoints []byte         // cached message with all endpoints
 	encodedAt        time.Duration
-	deadline         time.Duration // for which a timer runs; 0: none does
+	deadline         time.Duration // of the running timer; 0 if none runs
 	shuttingDown     bool
 }
 
-// New makes a Server; Run starts it.
+// New returns a Server, which Run starts.
 func New(o Options) *Server {
 	s := &Server{
 		options:         o,
 		log:             o.Log,
-		incarnation:     rand.Uint64() | 1, // 0 stands for none
+		incarnation:     rand.Uint64() | 1, // never 0, which means none
 		startedAt:       o.Clock.Now(),
 		queue:           session.NewCommandQueue(commandQueueCapacity),
 		handedOver:      make(chan struct{}),
@@ -175,14 +175,15 @@
 	return s
 }
 
-// loadState reads the disk. A disk that cannot be read has lost its state; the other nodes have what was on it.
+// loadState loads the replica state from the disk. If a record cannot be decoded, the node starts with a new store id,
+// and catches up from its peers.
 func (s *Server) loadState(isFirstStart bool) consensus.DurableState {
 	records := s.options.Disk.All()
 	newStoreID := fmt.Sprintf("%016x", rand.Uint64())
 	state, err := consensus.LoadState(s.self.Name, records, s.options.DiskComplete, isFirstStart, newStoreID)
 	if err != nil {
-		s.log.Error("disk cannot be read, it gets a new identity", logfield.Error, err)
-		state, _ = consensus.LoadState(s.self.Name, records, false, false, newStoreID) // reads no record
+		s.log.Error("stored state cannot be read; starting with a new store id", logfield.Error, err)
+		state, _ = consensus.LoadState(s.self.Name, records, false, false, newStoreID) // succeeds: reads no record
 	}
 	return state
 }
@@ -197,7 +198,7 @@
 	}
 }
 
-// Run is the owner. It serves until Stop.
+// Run executes the owner loop until Stop is called.
 func (s *Server) Run() {
 	go s.acceptConnections()
 	ticker := s.options.Clock.NewTicker(tickInterval)
@@ -219,9 +220,9 @@
 // Stop ends Run.
 func (s *Server) Stop() { s.queue.Stop() }
 
-// Shutdown hands over to the other nodes what only this one has: requests under way are finished, values are
-// copied, the vote moves on. It returns once that is done, or after the timeout. New calls are refused from its
-// beginning.
+// Shutdown hands over to the other nodes: it finishes running requests, copies values that only this node has, and
+// gives up the vote. It returns once the handover is complete, or after the timeout. New requests are rejected from its
+// start.
 func (s *Server) Shutdown(timeout time.Duration) {
 	s.queue.Do(func() {
 		if !s.shuttingDown {
@@ -239,48 +240,48 @@
 	}
 }
 
-// now is the steady time since the start.
+// now returns the monotonic time since the start.
 func (s *Server) now() time.Duration { return s.options.Clock.Now().Sub(s.startedAt) }
 
 func (s *Server) tick() {
 	now := s.now()
-	s.noticeSuspension(now)
+	s.detectSuspension(now)
 	s.step()
-	s.noticeFounding(now)
+	s.logFoundingProgress(now)
 	if now >= s.lastKeepAlive+keepAliveInterval {
 		s.lastKeepAlive = now
 		s.broadcastToPeers(&rpc.Message{Lease: rpc.Lease{RenewLease: 1}})
-		s.expire(now)
+		s.expireRegistry(now)
 	}
 	s.flushEndpoints()
 	s.steering.step(now)
 	s.expireAcks(now)
-	s.noticeEndpointsSynced(now)
+	s.updateEndpointsSynced(now)
 }
 
-// noticeSuspension distrusts what is read for a while after the process did not run.
-func (s *Server) noticeSuspension(now time.Duration) {
+// detectSuspension detects from a late tick that the process was suspended, and starts the staleInputDuration.
+func (s *Server) detectSuspension(now time.Duration) {
 	if s.lastTick > 0 && now-s.lastTick > suspensionThreshold {
-		s.distrustEnd = now + distrustDuration
+		s.staleInputEnd = now + staleInputDuration
 		s.log.Warn("process was suspended", logfield.Duration, now-s.lastTick)
 	}
 	s.lastTick = now
 }
 
-// noticeFounding says now and again what a founding waits for.
-func (s *Server) noticeFounding(now time.Duration) {
+// logFoundingProgress periodically logs how many disks are still missing to found the cluster.
+func (s *Server) logFoundingProgress(now time.Duration) {
 	if now < s.lastFoundingLog+foundingLogInterval {
 		return
 	}
 	s.lastFoundingLog = now
-	if f := s.replica.Status(now).Bootstrap; f != nil {
-		s.log.Warn("no epoch yet", logfield.Disks, f.Disks, logfield.Needed, f.Needed)
+	if bootstrap := s.replica.Status(now).Bootstrap; bootstrap != nil {
+		s.log.Warn("the cluster is not bootstrapped yet", logfield.Disks, bootstrap.Disks, logfield.Needed, bootstrap.Needed)
 	}
 }
 
-// expire ends endpoints and leases that were not renewed. Lease changes are told once a second, and as changes: while a
-// fleet starts, each proxy told at once to each would be its square.
-func (s *Server) expire(now time.Duration) {
+// expireRegistry expires endpoints and leases that were not renewed. Lease changes are collected and sent once per
+// keepAliveInterval: the start of n proxies would otherwise cause n² messages.
+func (s *Server) expireRegistry(now time.Duration) {
 	if changes := s.registry.ExpireHeartbeats(now); len(changes) > 0 {
 		s.broadcastToProxies(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{Endpoints: changes}})
 		s.steering.invalidate()
--- a/internal/controlplane/steering.go
+++ b/internal/controlplane/steering.go
@@ -12,20 +12,21 @@
 	"elmfold/internal/proxy/balancer"
 )
 
-// steerer gives what is known here to the decisions (package steering), and their routing tables to the proxies
-// that are steered here: those of the own zone, and of zones whose node is away.
+// steerer connects the server to package steering: it passes endpoints, proxies and load reports to the adapter, and
+// sends the resulting routing tables to the steered proxies. These are the proxies that ask this node for tables: those
+// of its zone, and those of zones whose own node is unavailable.
 type steerer struct {
 	server           *Server
 	adapter          *steering.Adapter
 	services         map[string]steering.Service
-	steered          map[string]*proxyConn // proxies that are steered here, by name
-	endpointsChanged bool                  // since the adapter was given them
-	proxiesChanged   bool                  // since the adapter was given them
+	steered          map[string]*proxyConn // by name of the proxy
+	endpointsChanged bool                  // since the last SetEndpoints
+	proxiesChanged   bool                  // since the last SetProxies
 }
 
 func newSteerer(s *Server) *steerer {
 	zones := slices.Sorted(maps.Keys(s.options.Settings.Zones))
-	// Nodes that start together should not tick together.
+	// Spreads the ticks of nodes that start together.
 	firstTick := time.Duration(balancer.RendezvousHash(s.self.Name, "tick") % uint64(time.Second))
 	t := &steerer{
 		server:         s,
@@ -37,17 +38,16 @@
 	return t
 }
 
-// configure takes over the services of a configuration. The strictest route of a service decides what is late. A
-// service keeps its target as long as any route has it: each new one begins its rate limits anew, and routes come
-// and go.
+// configure sets the services of a configuration. The latency target of a service is the lowest among its routes. Since
+// a new target resets the rate limits of the service, the current target is kept while any route still has it.
 func (t *steerer) configure(config *routeconfig.Config) {
 	services := map[string]steering.Service{}
 	keepsTarget := map[string]bool{}
 	for _, route := range config.Routes() {
 		for _, weighted := range route.Services {
 			name := weighted.Service
-			strictest, seen := services[name]
-			if !seen || route.LatencyTarget < strictest.LatencyTarget {
+			lowest, seen := services[name]
+			if !seen || route.LatencyTarget < lowest.LatencyTarget {
 				services[name] = steering.Service{LatencyTarget: route.LatencyTarget}
 			}
 			if route.LatencyTarget == t.services[name].LatencyTarget {
@@ -65,10 +65,10 @@
 	t.endpointsChanged = true
 }
 
-// invalidate notes that endpoints, evacuations or proxies have changed.
+// invalidate marks endpoints, evacuations and proxies as changed.
 func (t *steerer) invalidate() { t.endpointsChanged, t.proxiesChanged = true, true }
 
-// step lets the decisions be made that are due, and sends the proxies what changed.
+// step runs the adapter and sends changed routing tables to proxies.
 func (t *steerer) step(now time.Duration) {
 	if t.proxiesChanged {
 		t.proxiesChanged = false
@@ -82,7 +82,7 @@
 		if p := t.steered[name]; p != nil {
 			p.conn.Send(&rpc.Message{
 				RoutingTables: tables,
-				// By its last renewal the proxy knows tables that were worked out before this process was suspended.
+				// The number of the last renewal lets the proxy detect tables from before a suspension of this process.
 				Lease:    rpc.Lease{LeaseRenewed: p.lastRenewal},
 				NoQuorum: !t.server.hasQuorumNow(),
 			})
@@ -94,7 +94,7 @@
 	evacuated := t.server.evacuatedZones()
 	var all []steering.Endpoint
 	for _, e := range t.server.registry.Active() {
-		if e.Service == "" { // only its end was reported
+		if e.Service == "" { // deregistered before any heartbeat arrived
 			continue
 		}
 		all = append(all, steering.Endpoint{
@@ -108,14 +108,14 @@
 	return all
 }
 
-// onReport handles what a proxy's renewal reports.
+// onReport handles the load report in a lease renewal.
 func (t *steerer) onReport(p *proxyConn, report *rpc.LoadReport) {
 	name := p.node.Name
 	if !report.WantTables {
-		t.leave(p)
+		t.stopSteering(p)
 		return
 	}
-	if t.steered[name] != p { // another incarnation or connection: it has no table from here
+	if t.steered[name] != p { // a new connection, which has received no tables
 		if t.steered[name] != nil {
 			t.adapter.Leave(name)
 		}
@@ -126,8 +126,8 @@
 	t.adapter.Report(name, report.ServiceLoads, report.EndpointReports, report.ReportSeconds)
 }
 
-// leave ends the steering of a proxy, if it is steered on this connection.
-func (t *steerer) leave(p *proxyConn) {
+// stopSteering stops steering a proxy, if it is steered on this connection.
+func (t *steerer) stopSteering(p *proxyConn) {
 	name := p.node.Name
 	if t.steered[name] == p {
 		delete(t.steered, name)
