--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -50,8 +50,8 @@
 	// buffered meanwhile may be outdated, so the node accepts no requests of operators for staleInputDuration.
 	suspensionThreshold = time.Second
 	staleInputDuration  = 500 * time.Millisecond
-	// foundingLogInterval is the time between two log lines while the cluster is not founded yet.
-	foundingLogInterval = 5 * time.Second
+	// bootstrapLogInterval is the time between two log lines while the cluster is not bootstrapped yet.
+	bootstrapLogInterval = 5 * time.Second
 	// startupDuration is how long a node without any quorum contact assumes that the whole cluster is starting.
 	startupDuration = 3 * time.Second
 )
@@ -115,7 +115,7 @@
 	hadQuorum        bool                // at any time since the start
 	hasQuorum        bool                // as of the last updateQuorum
 	lastTick         time.Duration
-	lastFoundingLog  time.Duration
+	lastBootstrapLog time.Duration
 	lastKeepAlive    time.Duration
 	staleInputEnd    time.Duration
 	batchedEndpoints []rpc.Endpoint // changes that are not sent to proxies yet
@@ -247,7 +247,7 @@
 	now := s.now()
 	s.detectSuspension(now)
 	s.step()
-	s.logFoundingProgress(now)
+	s.logBootstrapProgress(now)
 	if now >= s.lastKeepAlive+keepAliveInterval {
 		s.lastKeepAlive = now
 		s.broadcastToPeers(&rpc.Message{Lease: rpc.Lease{RenewLease: 1}})
@@ -268,12 +268,12 @@
 	s.lastTick = now
 }
 
-// logFoundingProgress periodically logs how many disks are still missing to found the cluster.
-func (s *Server) logFoundingProgress(now time.Duration) {
-	if now < s.lastFoundingLog+foundingLogInterval {
+// logBootstrapProgress periodically logs how many disks are known and needed to bootstrap the cluster.
+func (s *Server) logBootstrapProgress(now time.Duration) {
+	if now < s.lastBootstrapLog+bootstrapLogInterval {
 		return
 	}
-	s.lastFoundingLog = now
+	s.lastBootstrapLog = now
 	if bootstrap := s.replica.Status(now).Bootstrap; bootstrap != nil {
 		s.log.Warn("the cluster is not bootstrapped yet", logfield.Disks, bootstrap.Disks, logfield.Needed, bootstrap.Needed)
 	}
