--- a/internal/controlplane/operatorcalls.go
+++ b/internal/controlplane/operatorcalls.go
@@ -19,8 +19,8 @@
 
 const (
 	maxConfigBytes = 8 << 20
-	// maxQueueDelay is how long a request may wait for the owner. Clients turn to another node after a second without
-	// response.
+	// maxQueueDelay is how long a request may wait for the owner. Clients that get no response within a second retry at
+	// another node.
 	maxQueueDelay = time.Second
 	// proposalTimeout bounds the wait for the replica, which normally reports an outcome within RequestTimeout.
 	proposalTimeout = consensus.RequestTimeout + time.Second
@@ -66,9 +66,9 @@
 		return nil, apierror.New(apierror.InvalidArgument, "of", fmt.Errorf("%q is no zone", zone))
 	}
 	timeOfDay := uint64(s.options.TimeOfDay().UnixMilli())
-	repeatWindow := s.options.Settings.Bounds.Ack.Duration() + retryArrivalSlack
+	retryWindow := s.options.Settings.Bounds.Ack.Duration() + retryArrivalSlack
 	orderID := rand.Uint64()
-	change := consensus.Evacuate(begin, orderID, repeatWindow, timeOfDay)
+	change := consensus.Evacuate(begin, orderID, retryWindow, timeOfDay)
 	committed, err := s.request(r, receivedAt, func(id uint64) consensus.Event {
 		return consensus.Propose{RequestID: id, Register: zoneRegisterPrefix + zone, Change: change}
 	})
--- a/internal/controlplane/registry/endpoints.go
+++ b/internal/controlplane/registry/endpoints.go
@@ -129,7 +129,7 @@
 }
 
 // updateData copies the data of a report that is not outdated, and reports whether the data changed. The remaining slow
-// start shrinks with each heartbeat, so it counts as a change only if its end moves back by more than slack.
+// start shrinks with each heartbeat, so it counts as a change only if its end is later than before by more than slack.
 func (e *Entry) updateData(now time.Duration, reported rpc.Endpoint, slack time.Duration) (changed bool) {
 	warmupEnd := now + time.Duration(reported.WarmupRemaining)*time.Millisecond
 	changed = reported.Address != e.Address || reported.Service != e.Service || reported.Capacity != e.Capacity ||
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -120,7 +120,6 @@
 			s.log.Error("committed configuration cannot be parsed", logfield.Error, err)
 			return
 		}
-		s.config = config
 		s.steering.configure(config)
 	} else {
 		update.CommittedValues = []rpc.Register{r}
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -33,7 +33,6 @@
 	"elmfold/internal/controlplane/registry"
 	"elmfold/internal/gateway/bootconfig"
 	"elmfold/internal/gateway/logfield"
-	"elmfold/internal/gateway/routeconfig"
 	"elmfold/internal/gateway/rpc"
 	"elmfold/internal/gateway/session"
 )
@@ -110,10 +109,9 @@
 	lastRequestID    uint64
 	pendingAcks      map[uint64]*pendingAck // by ack id
 	lastAckID        uint64
-	config           *routeconfig.Config // committed; nil if there is none
-	endpointsSynced  bool                // the endpoint table is as complete as that of any peer
-	hadQuorum        bool                // at any time since the start
-	hasQuorum        bool                // as of the last updateQuorum
+	endpointsSynced  bool // the endpoint table is as complete as that of any peer
+	hadQuorum        bool // at any time since the start
+	hasQuorum        bool // as of the last updateQuorum
 	lastTick         time.Duration
 	lastBootstrapLog time.Duration
 	lastKeepAlive    time.Duration
--- a/internal/controlplane/status_test.go
+++ b/internal/controlplane/status_test.go
@@ -16,12 +16,12 @@
 )
 
 var (
-	storeIDPattern = regexp.MustCompile(`[0-9a-f]{16}`)
-	loPattern      = regexp.MustCompile(`"lo":"[0-9]+"`)
+	storeIDPattern   = regexp.MustCompile(`[0-9a-f]{16}`)
+	versionIDPattern = regexp.MustCompile(`"lo":"[0-9]+"`)
 )
 
-// status returns the status that a node reports, as JSON and as the table that the command prints. Store ids, which are
-// random, are replaced by numbers in the order of their first appearance.
+// status returns the status that a node reports, as JSON and as the table that the command prints. It replaces random
+// values: store ids by numbers in the order of their first appearance, and version ids ("lo") by 0.
 func (c *cluster) status(n *node, storeNames map[string]string) (raw, table string) {
 	w := httptest.NewRecorder()
 	n.server.Handler().ServeHTTP(w, httptest.NewRequest("POST", "/v1/rpc?call=core.status", nil))
@@ -39,7 +39,7 @@
 			return fmt.Sprintf(format, storeNames[id])
 		})
 	}
-	raw = withStoreNames("%s", loPattern.ReplaceAllString(w.Body.String(), `"lo":"0"`))
+	raw = withStoreNames("%s", versionIDPattern.ReplaceAllString(w.Body.String(), `"lo":"0"`))
 	return raw, withStoreNames("%-16s", printed.String())
 }
 
--- a/internal/controlplane/storage/store_test.go
+++ b/internal/controlplane/storage/store_test.go
@@ -162,7 +162,7 @@
 	removeFile   bool // a failing write also removes the segment
 	syncs        int
 	synced       []byte        // the segment as of the last sync
-	syncStarted  chan struct{} // receives at the start of each sync, if continueSync is set
+	syncStarted  chan struct{} // gets a value at the start of each sync, if continueSync is set
 	continueSync chan struct{} // if set, each sync waits for a value
 }
 
@@ -256,20 +256,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	answers := make(chan error, 101)
-	s.PutAsync("first", nil, func(err error) { answers <- err })
+	results := make(chan error, 101)
+	s.PutAsync("first", nil, func(err error) { results <- err })
 	<-d.syncStarted
 	for i := range 100 {
-		s.PutAsync(fmt.Sprint(i%50), []byte{byte(i)}, func(err error) { answers <- err })
+		s.PutAsync(fmt.Sprint(i%50), []byte{byte(i)}, func(err error) { results <- err })
 	}
-	if len(s.All()) != 0 || len(answers) != 0 {
+	if len(s.All()) != 0 || len(results) != 0 {
 		t.Fatal("a record is visible before it is synced")
 	}
 	d.continueSync <- struct{}{}
 	<-d.syncStarted
 	d.continueSync <- struct{}{}
 	for range 101 {
-		if err := <-answers; err != nil {
+		if err := <-results; err != nil {
 			t.Fatal(err)
 		}
 	}
