--- a/internal/controlplane/steering/adapter.go
+++ b/internal/controlplane/steering/adapter.go
@@ -1,20 +1,19 @@
-// Package steering applies the decisions of package policy to the gateway: names become indices, load reports become
-// events, and orders become the routing tables of proxies. There is one policy.Assigner for each service; the proxies
-// that are steered here are its proxies.
+// Package steering connects package policy to the gateway: it maps names to indices, load reports to events, and orders
+// to the routing tables of proxies. Each service has its own policy.Assigner, which steers the proxies that are
+// connected to this control-plane node.
 //
-// An Adapter does no I/O, reads no clock and is not safe for concurrent use: the owner of the control-plane server
-// calls it. Times are durations since the process began. Equal calls give equal tables.
+// An Adapter does no I/O, reads no clock and is not safe for concurrent use. Times are durations since the start of the
+// process. Equal sequences of calls produce equal tables.
 //
-// Some of what policy can do is not used here. Retries are decided by the proxies' shared budget. Endpoints in slow
-// start are held to a rate of their own by the one proxy that sends to them. Connections between proxies and
-// control-plane nodes are ordered and wide, so fences are answered at once and nothing is held back for a narrow
-// channel.
+// Some features of policy are not used. Retries are governed by the proxies' shared budget. Each endpoint in slow start
+// is rate-limited by the one proxy that sends to it. Connections between proxies and control-plane nodes are ordered
+// and fast, so markers are acknowledged at once and there is no channel limit.
 //
 //	adapter.go    the interface: services, endpoints, proxies, reports
-//	service.go    one service: when its Assigner runs
-//	events.go     what its Assigner is told
-//	spillover.go  what it is told of the load in other zones
-//	tables.go     its orders as routing tables
+//	service.go    one service and the schedule of its Assigner
+//	events.go     reports as policy events
+//	spillover.go  estimated load in other zones
+//	tables.go     policy orders as routing tables
 package steering
 
 import (
@@ -29,59 +28,59 @@
 )
 
 const (
-	// proxyIndexTTL is how long after a proxy left its index may mean no other. Policy remembers a proxy's use for 12 s.
+	// proxyIndexTTL is the delay before the index of a departed proxy is reused. Policy keeps a proxy's rate for 12 s.
 	proxyIndexTTL = 60 * time.Second
-	// defaultLatencyTarget stands for the target of a service that has none.
+	// defaultLatencyTarget applies to services without a target.
 	defaultLatencyTarget = time.Second
 )
 
-// Service is what policy has to know of one.
+// Service is the configuration of a service.
 type Service struct {
-	LatencyTarget time.Duration // within which a response has its full value; 0: defaultLatencyTarget
+	LatencyTarget time.Duration // after which a response loses value; 0: defaultLatencyTarget
 }
 
-// Endpoint is one that is ready or drains; those that are gone are left out of the list.
+// Endpoint is a ready or draining instance of a service.
 type Endpoint struct {
 	ID, Service, Zone string
-	Capacity          int  // requests at once
-	Ready             bool // false: it drains, or its zone is evacuated
+	Capacity          int  // concurrent requests
+	Ready             bool // false: draining, or its zone is evacuated
 }
 
-// Adapter steers the proxies that joined, for all services.
+// Adapter steers the joined proxies for all services.
 type Adapter struct {
-	Log func(service, text string) // receives what policy logs; may be nil
+	Log func(service, text string) // receives log messages of policy; may be nil
 
-	zones        []string // sorted; policy knows them by their index
+	zones        []string // sorted; policy uses their indices
 	firstTick    time.Duration
-	startedAt    time.Duration // the first time that was seen; negative: none yet
+	startedAt    time.Duration // time of the first call; negative: none yet
 	now          time.Duration
 	services     map[string]*service
 	serviceNames []string                  // sorted
 	endpoints    map[string]*knownEndpoint // by id
 	proxies      map[string]*proxy         // by name
-	proxyIndex   []*proxy                  // policy knows them by their index
-	leases       []float64                 // by zone: proxies that hold a lease
+	proxyIndex   []*proxy                  // by index in policy
+	leases       []float64                 // by zone: number of proxies that hold a lease
 }
 
-// proxy is one that is steered here, or was.
+// proxy is a joined proxy, or a departed one whose index is not yet reused.
 type proxy struct {
-	name        string
-	index       int
-	zone        int
-	joined      bool    // it is steered here now
-	hasReported bool    // since it joined
-	reported    float64 // seconds that its reports cover
-	leftAt      time.Duration
+	name            string
+	index           int
+	zone            int
+	joined          bool    // currently steered by this node
+	hasReported     bool    // since it joined
+	reportedSeconds float64 // total time covered by its reports
+	leftAt          time.Duration
 }
 
 type knownEndpoint struct {
 	Endpoint
 	service *service
-	listed  bool // in the list that is being taken over
+	listed  bool // in the list that SetEndpoints is processing
 }
 
-// New makes an Adapter that knows no service. Nodes that start together should not tick together: firstTick, up to a
-// second, is when this one does first; 0 stands for a whole second.
+// New creates an Adapter without services. firstTick, up to a second, staggers the ticks of nodes that start together;
+// 0 means a whole second.
 func New(zones []string, firstTick time.Duration) *Adapter {
 	zones = slices.Compact(slices.Sorted(slices.Values(zones)))
 	return &Adapter{
@@ -95,10 +94,10 @@
 	}
 }
 
-// policyTime converts to the unit of package policy.
+// policyTime converts a duration to policy.Time.
 func policyTime(d time.Duration) policy.Time { return policy.Time(d / (100 * time.Microsecond)) }
 
-// zoneIndex is negative for a zone that is not known.
+// zoneIndex returns the index of a zone, or -1 if it is unknown.
 func (a *Adapter) zoneIndex(name string) int { return slices.Index(a.zones, name) }
 
 func (a *Adapter) advance(now time.Duration) {
@@ -108,9 +107,9 @@
 	}
 }
 
-// Configure sets which services there are. Those that stay keep all that is known of them; one with another target
-// is decided anew from what is worth recollecting, and its proxies get full tables. Endpoints of new services must
-// be listed again.
+// Configure sets the services. Unchanged services keep their state. A service with a new target gets a new Assigner,
+// which starts from the restorable estimates of the former one, and its proxies get full tables. The endpoints of new
+// services must be passed to SetEndpoints again.
 func (a *Adapter) Configure(services map[string]Service) {
 	for name, s := range a.services {
 		if _, stays := services[name]; !stays {
@@ -132,7 +131,7 @@
 	a.serviceNames = slices.Sorted(maps.Keys(a.services))
 }
 
-// SetEndpoints takes over the whole list, in any order. Endpoints of services or zones that are not known are ignored.
+// SetEndpoints replaces the list of endpoints, in any order. Endpoints of unknown services or zones are ignored.
 func (a *Adapter) SetEndpoints(now time.Duration, all []Endpoint) {
 	a.advance(now)
 	for _, known := range a.endpoints {
@@ -169,8 +168,8 @@
 	}
 }
 
-// SetProxies takes over all proxies that hold a lease, those that are steered here among them: the load of the
-// others is estimated from their number.
+// SetProxies sets the proxies that hold a lease, at this node or elsewhere. Their number serves to estimate the load of
+// proxies that other nodes steer.
 func (a *Adapter) SetProxies(all []rpc.ProxyInfo) {
 	clear(a.leases)
 	for _, p := range all {
@@ -180,9 +179,9 @@
 	}
 }
 
-// Join adds a proxy that has a new connection and is steered here. It gets full tables once it has reported: policy
-// holds one that it has not heard of to a request a second. After the start of this node all proxies wait for
-// joinDelay. A proxy of a zone that is not known decides for itself.
+// Join adds a proxy that connected to this node. It gets full tables after its first report: policy limits a proxy
+// without reports to one request/s. After the start of this node all proxies wait for joinDelay. Proxies of unknown
+// zones are ignored and route on their own.
 func (a *Adapter) Join(name, zone string) {
 	index := a.zoneIndex(zone)
 	if index < 0 {
@@ -196,8 +195,8 @@
 	p.zone, p.joined, p.hasReported = index, true, false
 }
 
-// addProxy gives a proxy an index, that of one that left long ago if there is any: proxies whose names never come again
-// must not pile up.
+// addProxy assigns an index to a new proxy. It reuses indices of departed proxies, so that unique proxy names do not
+// exhaust memory.
 func (a *Adapter) addProxy(name string) *proxy {
 	isFree := func(p *proxy) bool { return !p.joined && a.now > p.leftAt+proxyIndexTTL }
 	index := slices.IndexFunc(a.proxyIndex, isFree)
@@ -212,7 +211,7 @@
 	return p
 }
 
-// Leave removes a proxy: its connection broke, or it is steered elsewhere.
+// Leave removes a proxy that disconnected or moved to another node.
 func (a *Adapter) Leave(name string) {
 	p := a.proxies[name]
 	if p == nil || !p.joined {
@@ -224,14 +223,14 @@
 	}
 }
 
-// Report handles what a joined proxy received, and how its attempts went, in so many seconds.
+// Report adds a joined proxy's requests and attempts within the given number of seconds.
 func (a *Adapter) Report(name string, loads []rpc.ServiceLoad, reports []rpc.EndpointReport, seconds float64) {
 	p := a.proxies[name]
-	isDuration := seconds > 0 && !math.IsInf(seconds, 1) // not so for NaN
+	isDuration := seconds > 0 && !math.IsInf(seconds, 1) // false for NaN
 	if p == nil || !p.joined || !isDuration {
 		return
 	}
-	p.reported += seconds
+	p.reportedSeconds += seconds
 	p.hasReported = true
 	for _, load := range loads {
 		if s := a.services[load.Service]; s != nil && load.Requests > 0 {
@@ -245,9 +244,8 @@
 	}
 }
 
-// Step runs what is due and returns, by proxy, what it is to apply from now on and was not told yet; nil where nothing
-// changed. It should be called a few times a second: drains and losses go out with the first call after they were
-// listed, all else once a second.
+// Step runs due decisions and returns the changed tables by proxy, or nil. Call it a few times a second: drained and
+// lost endpoints take effect with the next call, all else once a second.
 func (a *Adapter) Step(now time.Duration) map[string][]rpc.RoutingTable {
 	a.advance(now)
 	var tables map[string][]rpc.RoutingTable
--- a/internal/controlplane/steering/service.go
+++ b/internal/controlplane/steering/service.go
@@ -10,61 +10,59 @@
 )
 
 const (
-	// maxTickLead and maxTickDelay are how much too early or late a tick may come and still count as in time: the owner's
-	// ticker is coarse and jitters.
+	// maxTickLead and maxTickDelay bound how early or late a tick may be and still count as punctual: the caller's ticker
+	// is coarse.
 	maxTickLead  = 100 * time.Millisecond
 	maxTickDelay = 500 * time.Millisecond
-	// idleTimeout is how long nothing must happen before a service has no ticks any more. Nothing that an Assigner does
-	// takes that long.
+	// idleTimeout is the time without events after which a service is no longer ticked. All transitions in an Assigner are
+	// shorter.
 	idleTimeout = 45 * policy.Second
-	// endpointIndexTTL is how long after an endpoint is gone its index may mean no other.
+	// endpointIndexTTL is the delay before the index of a removed endpoint is reused.
 	endpointIndexTTL = 35 * policy.Second
-	// startupDuration is the time after the start of this node in which an endpoint that is heard of was there before.
+	// startupDuration is the time after the start of this node in which new endpoints are assumed to be running already.
 	startupDuration = 5 * time.Second
-	// targetFactor is the SLA time that policy is given, in latency targets. Policy takes a fleet for overloaded once its
-	// median latency is 0.4 of the SLA time, and lifts rate limits by steps that go by the same measure. Here proxies shed
-	// at once what would be late, so the rate limit is the second line, against what they cannot see: it acts when half
-	// of the responses come after 1.2 times the target.
+	// targetFactor is the SLA given to policy, in latency targets. Policy detects overload at a median latency of 0.4 of
+	// the SLA. Proxies already shed late requests, so the rate limit only acts when half of the responses take longer than
+	// 1.2 times the target.
 	targetFactor = 3
-	// unlimitedWarmup and the infinite multiple beside it have policy lower no rate limit for endpoints in slow start, and
-	// expect nothing above the ramp.
+	// unlimitedWarmup, together with an infinite WarmupOverload, disables rate limits for endpoints in slow start.
 	unlimitedWarmup = 1 << 50
-	// spilloverBeliefSteps is how many steps policy takes to believe what it is told of other zones.
-	spilloverBeliefSteps = 4
+	// remoteTrustTicks is the number of ticks after which policy fully trusts reports of remote usage.
+	remoteTrustTicks = 4
 )
 
-// service is one Assigner with what stands between it and names.
+// service holds the Assigner and the state of one service.
 type service struct {
 	adapter       *Adapter
 	name          string
 	latencyTarget time.Duration
-	assigner      *policy.Assigner // nil: it is made at the next step
-	recollected   []policy.Event   // of the Assigner before
-	alarms        []alarm
-	fence         int         // to be answered; negative: none
-	lastActivity  policy.Time // the last step with any events
-	hasTraffic    bool        // requests came
+	assigner      *policy.Assigner // nil: created by the next step
+	restored      []policy.Event   // estimates of the former Assigner
+	timers        []timer
+	pendingMarker int         // to be acknowledged; negative: none
+	lastActivity  policy.Time // last step with events
+	hasTraffic    bool        // has received requests
 
-	indexOf        map[string]int // by endpoint id
-	ids            []string       // by index; "" where it is free
+	indexOf        map[string]int // by endpoint ID
+	ids            []string       // by index; "" if it is free
 	endpoints      []endpointState
-	changedEntries []policy.Entry // for the next list
-	pendingEvents  []policy.Event // proxies that left and indices that were freed, in their order
+	changedEntries []policy.Entry // for the next list update
+	pendingEvents  []policy.Event // departed proxies and released indices, in order
 
 	proxies []proxyState // by index
-	tables  []tableState // as policy numbers them
+	tables  []tableState // by table number in policy
 
-	latency    float64 // seconds of a response, smoothed
-	spillsOver bool    // other zones may be asked for a zone's excess
+	latency    float64 // smoothed seconds per response
+	spillsOver bool    // other zones may take a zone's excess
 }
 
-// alarm is a call that policy asked for.
-type alarm struct {
+// timer is a pending policy.SetTimer.
+type timer struct {
 	at   policy.Time
 	name uint32
 }
 
-// endpointState is what is known of an endpoint by its index.
+// endpointState is the state of an endpoint, by index.
 type endpointState struct {
 	entry     policy.Entry
 	goneAt    policy.Time
@@ -74,33 +72,33 @@
 
 	attempts, failed float64
 	measured         float64 // attempts whose latency is known
-	latencySum       float64 // of those, in units of policy.Time
+	latencySum       float64 // in units of policy.Time
 }
 
-// proxyState is what is known of a proxy for this service.
+// proxyState is the state of a proxy for this service.
 type proxyState struct {
 	joined           bool
 	requests, failed float64 // since the last step
-	reportedUpTo     float64 // of proxy.reported
+	reportedSeconds  float64 // value of proxy.reportedSeconds up to which policy has reports
 	rate             float64 // requests/s, smoothed
-	idleTicks        int     // ticks in a row without a request
-	rateLimit        float64 // as told; 0: unlimited
+	idleTicks        int     // consecutive ticks without a request
+	rateLimit        float64 // as last sent; 0: unlimited
 }
 
 func newService(a *Adapter, name string, latencyTarget time.Duration) *service {
-	return &service{adapter: a, name: name, latencyTarget: latencyTarget, fence: -1, indexOf: map[string]int{}}
+	return &service{adapter: a, name: name, latencyTarget: latencyTarget, pendingMarker: -1, indexOf: map[string]int{}}
 }
 
-// restart has the next step make a new Assigner that goes on from what this one knows.
+// restart makes the next step create a new Assigner from the estimates of the current one.
 func (s *service) restart() {
 	if s.assigner == nil {
 		return
 	}
-	s.recollected = nil
+	s.restored = nil
 	for _, recollection := range s.assigner.Snapshot(0, 1) {
-		s.recollected = append(s.recollected, recollection)
+		s.restored = append(s.restored, recollection)
 	}
-	s.assigner, s.alarms, s.pendingEvents, s.tables, s.fence = nil, nil, nil, nil, -1
+	s.assigner, s.timers, s.pendingEvents, s.tables, s.pendingMarker = nil, nil, nil, nil, -1
 	for i := range s.proxies {
 		s.proxies[i].joined = false
 	}
@@ -117,7 +115,7 @@
 	s.assigner = policy.New(policy.Deployment{
 		Products: []policy.Product{{Revenue: 1, SLA: policyTime(targetFactor * s.latencyTarget)}},
 		Zones:    len(s.adapter.zones),
-		// No more proxies than are here: what is limited is their total, which a leave does not change (docs/design.md).
+		// Policy divides the total limit among the connected proxies only, so that a departure does not change the total.
 		Proxies:        1,
 		Limits:         policy.LimitRate,
 		HonorRemovals:  true,
@@ -125,13 +123,13 @@
 		WarmupOverload: math.Inf(1),
 		FirstTick:      s.firstTick(at),
 	})
-	s.alarms = nil
+	s.timers = nil
 	s.applyOrders(at, s.assigner.Step(at, nil))
-	// Policy believes the load of other zones by steps, a tick each. Before it does, it takes all zones to ask for
-	// what the own one does, or for nothing, and sends requests to other zones on the calmest day.
-	for range spilloverBeliefSteps {
+	// Policy increases its trust in remote usage by a step per tick. Until then it assumes that other zones are as loaded
+	// as the local one, or idle, and would send requests there without need.
+	for range remoteTrustTicks {
 		events := []policy.Event{policy.RemoteUsage{Rates: [][]float64{make([]float64, len(s.adapter.zones))}}}
-		for _, alarm := range s.alarms {
+		for _, alarm := range s.timers {
 			events = append(events, policy.TimerFired{Name: alarm.name})
 		}
 		s.assigner.Step(at, events)
@@ -139,7 +137,7 @@
 	s.lastActivity = at
 }
 
-// firstTick has a service that comes later tick with the others.
+// firstTick aligns the ticks of a service that is added later with those of the others.
 func (s *service) firstTick(at policy.Time) policy.Time {
 	first := cmp.Or(policyTime(s.adapter.firstTick), policy.Second)
 	first -= (at - policyTime(s.adapter.startedAt)) % policy.Second
@@ -149,7 +147,7 @@
 	return first
 }
 
-// step runs the Assigner if something is due for it.
+// step runs the Assigner if a timer or a change is due.
 func (s *service) step() []tableUpdate {
 	at := policyTime(s.adapter.now)
 	if s.assigner == nil {
@@ -159,29 +157,29 @@
 	if !isDue {
 		return nil
 	}
-	events := s.gatherEvents()
+	events := s.collectEvents()
 	if len(events) > 0 {
 		s.lastActivity = due
 	} else if due > s.lastActivity+idleTimeout {
-		for i := range s.alarms {
-			s.alarms[i].at = max(s.alarms[i].at, due+policy.Second)
+		for i := range s.timers {
+			s.timers[i].at = max(s.timers[i].at, due+policy.Second)
 		}
 		return nil
 	}
 	events = append(events, s.idleEvents()...)
-	events = append(events, policy.RemoteUsage{Rates: [][]float64{s.loadElsewhere(due)}})
-	events = append(events, s.fenceEvents()...)
-	events = append(events, s.takeAlarms(at)...)
+	events = append(events, policy.RemoteUsage{Rates: [][]float64{s.remoteLoad(due)}})
+	events = append(events, s.markerEvents()...)
+	events = append(events, s.takeExpiredTimers(at)...)
 	updates := s.applyOrders(due, s.assigner.Step(due, events))
 	s.freeIndices(due)
 	return updates
 }
 
-// dueTime says whether a step is due, and the time that it counts for. A tick that comes a little early or late
-// counts as in time: otherwise a rise that is due each second would be late by one.
+// dueTime reports whether a step is due, and its nominal time. A slightly early or late tick counts as punctual:
+// otherwise changes that are due each second would be delayed by one.
 func (s *service) dueTime(at policy.Time) (due policy.Time, isDue bool) {
 	next := policy.Time(math.MinInt64)
-	for _, alarm := range s.alarms {
+	for _, alarm := range s.timers {
 		if alarm.isDue(at) {
 			next = max(next, alarm.at)
 		}
@@ -195,31 +193,31 @@
 	return at, true
 }
 
-func (a alarm) isDue(at policy.Time) bool { return a.at <= at+policyTime(maxTickLead) }
+func (a timer) isDue(at policy.Time) bool { return a.at <= at+policyTime(maxTickLead) }
 
-// takeAlarms removes the alarms that are due, and returns them as events.
-func (s *service) takeAlarms(at policy.Time) (events []policy.Event) {
-	for _, alarm := range s.alarms {
+// takeExpiredTimers removes the timers that are due and returns them as events.
+func (s *service) takeExpiredTimers(at policy.Time) (events []policy.Event) {
+	for _, alarm := range s.timers {
 		if alarm.isDue(at) {
 			events = append(events, policy.TimerFired{Name: alarm.name})
 		}
 	}
-	s.alarms = slices.DeleteFunc(s.alarms, func(a alarm) bool { return a.isDue(at) })
+	s.timers = slices.DeleteFunc(s.timers, func(a timer) bool { return a.isDue(at) })
 	return events
 }
 
-// fenceEvents answers a fence at once: connections are ordered.
-func (s *service) fenceEvents() (events []policy.Event) {
+// markerEvents acknowledges the pending marker for all joined proxies: connections are ordered.
+func (s *service) markerEvents() (events []policy.Event) {
 	for i := range s.proxies {
-		if s.fence >= 0 && s.proxies[i].joined {
-			events = append(events, policy.MarkerAcked{Proxy: i, Number: s.fence})
+		if s.pendingMarker >= 0 && s.proxies[i].joined {
+			events = append(events, policy.MarkerAcked{Proxy: i, Number: s.pendingMarker})
 		}
 	}
-	s.fence = -1
+	s.pendingMarker = -1
 	return events
 }
 
-// endpointChanged handles an endpoint that is new or changed.
+// endpointChanged records a new or changed endpoint.
 func (s *service) endpointChanged(e Endpoint) {
 	index, known := s.indexOf[e.ID]
 	if !known {
@@ -227,8 +225,8 @@
 	}
 	state := &s.endpoints[index]
 	isNew := !known || state.entry.Status == policy.Gone
-	// One that comes while there is traffic has just started, and begins with little. One that was there before this node
-	// knew of it does not.
+	// An endpoint that appears under traffic has just started and needs slow start. Those that were running before this
+	// node started do not.
 	if isNew && s.hasTraffic && s.adapter.now >= s.adapter.startedAt+startupDuration {
 		state.entry.StartedAt = max(policyTime(s.adapter.now), 1)
 	}
@@ -260,7 +258,7 @@
 	}
 }
 
-// freeIndices frees the indices of endpoints that have been gone for long and stand in no table of a joined proxy.
+// freeIndices releases the indices of endpoints that are gone for endpointIndexTTL and in no table of a joined proxy.
 func (s *service) freeIndices(at policy.Time) {
 	for index, id := range s.ids {
 		state := &s.endpoints[index]
@@ -270,7 +268,7 @@
 		if slices.ContainsFunc(s.tables, func(t tableState) bool { return s.isInUse(&t, index) }) {
 			continue
 		}
-		for i := range s.tables { // of proxies that left
+		for i := range s.tables { // tables of departed proxies
 			if t := &s.tables[i]; index < len(t.weights) {
 				t.weights[index] = 0
 			}
--- a/internal/controlplane/steering/spillover.go
+++ b/internal/controlplane/steering/spillover.go
@@ -7,45 +7,43 @@
 )
 
 const (
-	// spillStart is the part of a zone's capacity in use from which other zones may be asked for its excess, and spillStop
-	// that below which they no longer are.
+	// spillStart is the utilization of a zone above which other zones may take its excess, and spillStop that below which
+	// they no longer do.
 	spillStart, spillStop = 0.85, 0.7
-	// fairStart and fairStop are the same for the part that is left of a zone's fair share of all capacity.
+	// fairStart and fairStop are the same thresholds for a zone's capacity relative to its fair share.
 	fairStart, fairStop = 0.5, 0.6
-	// homeMargin is the factor by which zones without a proxy here are said to be fuller, where nothing is to leave a
-	// zone.
-	homeMargin = 1.5
-	// An endpoint in slow start counts with rampStart of its capacity, which doubles each rampStep.
-	rampStart    = 0.1
-	rampStep     = 5 * policy.Second
-	maxRampSteps = 10
+	// localityMargin is the factor by which the load of zones without local proxies is overstated to suppress spillover.
+	localityMargin = 1.5
+	// Slow start: the initial fraction of an endpoint's capacity, and the time in which it doubles.
+	slowStartBegin    = 0.1
+	slowStartDoubling = 5 * policy.Second
+	maxDoublings      = 10
 )
 
-// zoneLoad is what is known of a zone.
+// zoneLoad is the estimated load of a zone.
 type zoneLoad struct {
-	capacity float64 // of its endpoints, slow start taken into account
-	proxies  float64 // that are steered here
-	fleet    float64 // that hold a lease
-	rate     float64 // requests/s of those steered here
-	demand   float64 // requests/s of all of them, estimated
+	capacity float64 // of ready endpoints, reduced in slow start
+	proxies  float64 // steered by this node
+	leased   float64 // proxies that hold a lease
+	rate     float64 // requests/s at proxies that this node steers
+	demand   float64 // estimated requests/s at all proxies
 }
 
-// loadElsewhere estimates the load of the proxies that are steered by other nodes, by zone, in requests/s: as if
-// each of them received what one here does. Policy then lets other zones join for what a zone is asked for over its
-// fair share.
+// remoteLoad estimates the requests/s by zone at proxies that other nodes steer: each is assumed to receive as much as
+// a local one. Policy uses it to move the excess over a zone's fair share to other zones.
 //
-// That is more often than the design has it, and what crosses zones costs. So where some of the zone's capacity is free
-// and at least half of its fair share is there, the other zones are said to be as full as the fullest one here, which
-// keeps all at home. The overflow of a single proxy is the proxy's own to place.
-func (s *service) loadElsewhere(at policy.Time) []float64 {
+// Because traffic between zones is expensive, remoteLoad suppresses spillover while zones have free capacity and at
+// least half of their fair share: it then reports all zones as full as the fullest local one. Proxies handle their own
+// overflow.
+func (s *service) remoteLoad(at policy.Time) []float64 {
 	zones, capacity := s.zoneLoads(at)
-	elsewhere := make([]float64, len(zones))
+	remote := make([]float64, len(zones))
 	for i, z := range zones {
-		elsewhere[i] = z.demand - z.rate
+		remote[i] = z.demand - z.rate
 	}
 	s.spillsOver = s.needsSpillover(zones, capacity)
 	if s.spillsOver {
-		return elsewhere
+		return remote
 	}
 	fullest := 0.0
 	for _, z := range zones {
@@ -56,17 +54,17 @@
 	for i, z := range zones {
 		load := fullest * z.capacity
 		if z.proxies == 0 {
-			load *= homeMargin
+			load *= localityMargin
 		}
-		elsewhere[i] = max(load-z.rate, 0)
+		remote[i] = max(load-z.rate, 0)
 	}
-	return elsewhere
+	return remote
 }
 
-// isServedHere reports whether a zone has proxies that are steered here, and endpoints.
+// isServedHere reports whether a zone has endpoints and locally steered proxies.
 func (z zoneLoad) isServedHere() bool { return z.proxies > 0 && z.capacity > 0 }
 
-// zoneLoads returns what is known of each zone, and the capacity of all.
+// zoneLoads returns the load of each zone and the total capacity.
 func (s *service) zoneLoads(at policy.Time) (zones []zoneLoad, total float64) {
 	zones = make([]zoneLoad, len(s.adapter.zones))
 	for i := range s.proxies {
@@ -78,7 +76,7 @@
 	}
 	for i := range s.endpoints {
 		if entry := &s.endpoints[i].entry; entry.Status == policy.Ready {
-			capacity := capacityInSlowStart(entry, at)
+			capacity := currentCapacity(entry, at)
 			zones[entry.Zone].capacity += capacity
 			total += capacity
 		}
@@ -90,24 +88,25 @@
 	}
 	for i := range zones {
 		z := &zones[i]
-		z.fleet = max(s.adapter.leases[i], z.proxies)
-		z.demand = z.rate * z.fleet / max(z.proxies, 1)
+		z.leased = max(s.adapter.leases[i], z.proxies)
+		z.demand = z.rate * z.leased / max(z.proxies, 1)
 		if z.proxies == 0 {
-			z.demand = rate / max(proxies, 1) * z.fleet
+			z.demand = rate / max(proxies, 1) * z.leased
 		}
 	}
 	return zones, total
 }
 
-func capacityInSlowStart(entry *policy.Entry, at policy.Time) float64 {
+// currentCapacity returns an endpoint's capacity, reduced in slow start.
+func currentCapacity(entry *policy.Entry, at policy.Time) float64 {
 	if entry.StartedAt <= 0 {
 		return entry.Weight
 	}
-	steps := max(at-entry.StartedAt, 0) / rampStep
-	return entry.Weight * min(1, rampStart*math.Exp2(float64(min(steps, maxRampSteps))))
+	steps := max(at-entry.StartedAt, 0) / slowStartDoubling
+	return entry.Weight * min(1, slowStartBegin*math.Exp2(float64(min(steps, maxDoublings))))
 }
 
-// needsSpillover reports whether any zone is nearly full, or has lost most of its fair share of the capacity.
+// needsSpillover reports whether a zone is nearly full, or has lost most of its fair share of the capacity.
 func (s *service) needsSpillover(zones []zoneLoad, capacity float64) bool {
 	maxBusy, minFair := spillStart, fairStart
 	if s.spillsOver {
@@ -115,14 +114,14 @@
 	}
 	fleet := 0.0
 	for _, z := range zones {
-		fleet += z.fleet
+		fleet += z.leased
 	}
 	for _, z := range zones {
 		if !z.isServedHere() {
 			continue
 		}
 		isBusy := z.demand*s.latency > maxBusy*z.capacity
-		isShort := z.capacity/capacity < minFair*z.fleet/fleet
+		isShort := z.capacity/capacity < minFair*z.leased/fleet
 		if isBusy || isShort {
 			return true
 		}
--- a/internal/controlplane/steering/tables.go
+++ b/internal/controlplane/steering/tables.go
@@ -9,39 +9,38 @@
 )
 
 const (
-	// unlimitedRate is a rate limit from which policy limits nobody.
+	// unlimitedRate is the lowest rate limit that policy uses for no limit.
 	unlimitedRate = 1e6
-	// minRateLimit is the least that is told: 0 stands for no limit there.
+	// minRateLimit is the smallest rate limit that is sent, because 0 means unlimited.
 	minRateLimit = 0.01
 )
 
-// tableState is a routing table as policy has it.
+// tableState is a routing table as ordered by policy.
 type tableState struct {
-	proxy     int       // that uses it; negative: none yet
+	proxy     int       // index of the proxy that uses it; negative: none
 	weights   []float64 // by endpoint index
 	rateLimit float64   // as ordered; 0: unlimited
 
 	// Of the current step.
 
 	dirty    bool
-	full     bool // the proxy was put on it
+	full     bool // newly assigned: the proxy needs the whole table
 	previous []previousWeight
 }
 
-// previousWeight is what a proxy went by before a change.
+// previousWeight is an endpoint's weight before a change.
 type previousWeight struct {
 	endpoint int
 	weight   float64
 }
 
-// tableUpdate is what a proxy is told.
+// tableUpdate is a routing table to be sent to a proxy.
 type tableUpdate struct {
 	proxy *proxy
 	table rpc.RoutingTable
 }
 
-// applyOrders takes over the orders of the Assigner, and returns what the proxies concerned were not told yet, in the
-// order in which their tables were first dirty.
+// applyOrders executes orders and returns the resulting updates, in the order in which tables were first changed.
 func (s *service) applyOrders(at policy.Time, orders []policy.Order) (updates []tableUpdate) {
 	var dirty []int
 	markDirty := func(id int) *tableState {
@@ -73,7 +72,7 @@
 func (s *service) applyOrder(at policy.Time, order policy.Order, markDirty func(id int) *tableState) {
 	switch o := order.(type) {
 	case policy.ClearTable:
-		clear(markDirty(o.Table).weights) // it comes only before a Use, and the table is told whole then
+		clear(markDirty(o.Table).weights) // an AssignTable follows, which sends the whole table
 	case policy.SetWeight:
 		t := markDirty(o.Table)
 		t.weights = append(t.weights, make([]float64, max(len(s.ids)-len(t.weights), 0))...)
@@ -85,15 +84,15 @@
 		if o.RateLimit >= unlimitedRate {
 			t.rateLimit = 0
 		}
-	case policy.AssignTable: // each proxy has a table of its own
+	case policy.AssignTable: // each table belongs to one proxy
 		t := markDirty(o.Table)
 		t.proxy, t.full = o.Proxy, true
 	case policy.Withdraw:
 		s.withdraw(o, markDirty)
 	case policy.Marker:
-		s.fence = o.Number
+		s.pendingMarker = o.Number
 	case policy.SetTimer:
-		s.alarms = append(s.alarms, alarm{at: at + max(o.Delay, 0), name: o.Name})
+		s.timers = append(s.timers, timer{at: at + max(o.Delay, 0), name: o.Name})
 	case policy.Log:
 		if s.adapter.Log != nil {
 			s.adapter.Log(s.name, o.Text)
@@ -101,7 +100,7 @@
 	}
 }
 
-// withdraw takes an endpoint out of all tables, or puts it back.
+// withdraw excludes an endpoint from all tables, or readmits it.
 func (s *service) withdraw(o policy.Withdraw, markDirty func(id int) *tableState) {
 	for id := range s.tables {
 		if t := &s.tables[id]; o.Backend < len(t.weights) && t.weights[o.Backend] > 0 {
@@ -115,7 +114,7 @@
 	t.previous = append(t.previous, previousWeight{endpoint, s.weight(t, endpoint)})
 }
 
-// weight is what a proxy on a table is to go by now.
+// weight returns the weight of an endpoint in a table, 0 if it is withdrawn.
 func (s *service) weight(t *tableState, endpoint int) float64 {
 	if endpoint >= len(t.weights) || s.endpoints[endpoint].withdrawn {
 		return 0
@@ -123,7 +122,7 @@
 	return t.weights[endpoint]
 }
 
-// encodeTable makes the message of what changed in a table, and reports whether anything did.
+// encodeTable returns the changes of a table since the last step, and reports whether there are any.
 func (s *service) encodeTable(t *tableState) (table rpc.RoutingTable, changed bool) {
 	table = rpc.RoutingTable{Service: s.name, Full: t.full, Weights: map[string]float64{}}
 	if t.full {
@@ -132,15 +131,15 @@
 		s.encodeChanges(t, table.Weights)
 	}
 	state := &s.proxies[t.proxy]
-	if t.full || t.rateLimit != state.rateLimit { // it may have the rate limit of another node
+	if t.full || t.rateLimit != state.rateLimit { // a new proxy may still have another node's limit
 		table.Limited, table.RateLimit = true, t.rateLimit
 		state.rateLimit = t.rateLimit
 	}
 	return table, t.full || table.Limited || len(table.Weights) > 0
 }
 
-// encodeAll names all endpoints with a weight, and those of the proxy's own zone without one: an endpoint that is not
-// named the proxy takes for one that this node does not know yet, and goes by its capacity.
+// encodeAll adds all endpoints with a weight, and those of the proxy's own zone without one: proxies route to endpoints
+// that a table does not name by their capacity.
 func (s *service) encodeAll(t *tableState, weights map[string]float64) {
 	zone := s.adapter.proxyIndex[t.proxy].zone
 	for index, id := range s.ids {
@@ -152,7 +151,7 @@
 	}
 }
 
-// encodeChanges names the endpoints whose weight is another one than before the step.
+// encodeChanges adds the endpoints whose weight changed.
 func (s *service) encodeChanges(t *tableState, weights map[string]float64) {
 	slices.SortStableFunc(t.previous, func(a, b previousWeight) int { return cmp.Compare(a.endpoint, b.endpoint) })
 	for i, before := range t.previous {
--- a/internal/policy/channel.go
+++ b/internal/policy/channel.go
@@ -6,26 +6,26 @@
 	"slices"
 )
 
-// Urgencies of changes, the most urgent first; only withdrawals go before.
+// Urgencies of changes, most urgent first. Withdrawals precede all of them.
 const (
-	urgencyNeeded = iota // lines for a proxy that has none of ours, or no usable backend
-	urgencyDerate        // less weight for backends in slow start
-	urgencyLow           // limits, and the rest
+	urgencyCritical = iota // the proxy has no usable backend or no table from this controller
+	urgencyDerate          // lowers the weight of backends in slow start
+	urgencyLow             // everything else
 	urgencyNone
 )
 
-// changesOf is what a proxy lacks.
-func (a *Assigner) changesOf(i int) change {
+// pendingChange returns the orders that bring a proxy's installed tables to the planned ones.
+func (a *Assigner) pendingChange(i int) change {
 	p, c := &a.proxies[i], change{proxy: i, urgency: urgencyNone}
 	for g := range a.groups {
 		id, next, installed := i*len(a.groups)+g, a.planTable(p, g), &p.installed[g]
 		if !p.assigned {
-			c.add(ClearTable{Table: id}, urgencyNeeded) // of an earlier stream's lines
+			c.add(ClearTable{Table: id}, urgencyCritical) // removes lines of an earlier stream
 		}
-		warmsUp := a.addWeights(&c, p, id, installed, next)
-		addAdmissions(&c, id, installed, next, warmsUp)
+		inSlowStart := a.addWeights(&c, p, id, installed, next)
+		addAdmissions(&c, id, installed, next, inSlowStart)
 		if !p.assigned {
-			c.add(AssignTable{Proxy: i, Table: id, Products: a.groups[g].mask}, urgencyNeeded)
+			c.add(AssignTable{Proxy: i, Table: id, Products: a.groups[g].mask}, urgencyCritical)
 		}
 	}
 	for g := 0; g < len(a.groups) && c.urgency < urgencyNone; g++ {
@@ -36,9 +36,9 @@
 	return c
 }
 
-// addWeights adds the lines in which a table differs; a line that is not worth it stays as it is installed. It reports
-// whether any backend of the table is in slow start.
-func (a *Assigner) addWeights(c *change, p *proxy, id int, installed *table, next table) (warmsUp bool) {
+// addWeights adds the lines of a table that differ from the installed ones. Differences too small to send keep the
+// installed value. It reports whether any backend of the table is in slow start.
+func (a *Assigner) addWeights(c *change, p *proxy, id int, installed *table, next table) (inSlowStart bool) {
 	missing := len(next.weight) - len(installed.weight)
 	installed.weight = append(installed.weight, make([]float64, missing)...)
 	stranded := true
@@ -47,7 +47,7 @@
 	}
 	for b, w := range next.weight {
 		before, withdrawn := installed.weight[b], a.backends.withdrawn[b]
-		warmsUp = warmsUp || w > 0 && a.slowStart[b] < 1
+		inSlowStart = inSlowStart || w > 0 && a.slowStart[b] < 1
 		if a.staysInstalled(b, before, w) {
 			next.weight[b] = before
 			continue
@@ -55,23 +55,22 @@
 		urgency := urgencyLow
 		switch {
 		case w == 0 && withdrawn:
-			c.extraLines++ // it is let in again as its last line goes, so that nothing of it remains
-			urgency = either(a.backends.status[b] == Gone, urgencyLow, urgencyDerate)
+			c.extraLines++ // readmitting the backend after its last line is removed
+			urgency = ifElse(a.backends.status[b] == Gone, urgencyLow, urgencyDerate)
 		case w > 0 && stranded:
-			urgency = urgencyNeeded
+			urgency = urgencyCritical
 		case w < before && (withdrawn || a.slowStart[b] < 1):
 			urgency = urgencyDerate
 		}
 		c.add(SetWeight{Table: id, Backend: b, Weight: w}, urgency)
-		if p.bringsTables && before == 0 {
+		if p.hasPeerTables && before == 0 {
 			c.extraLines++
 		}
 	}
-	return warmsUp
+	return inSlowStart
 }
 
-// staysInstalled reports whether a line stays as it is: a small change is not worth a line, and what is withdrawn keeps
-// its lines for as long as it may come back.
+// staysInstalled reports whether a line is not worth sending: its change is small, or a withdrawn backend may return.
 func (a *Assigner) staysInstalled(b int, before, w float64) bool {
 	if a.backends.withdrawn[b] {
 		isKept := a.backends.status[b] == Draining || a.now < a.backends.goneAt[b]+goneRetention
@@ -80,7 +79,8 @@
 	return w == before || w > 0 && before > 0 && math.Abs(w-before) < minChange*before
 }
 
-func addAdmissions(c *change, id int, installed *table, next table, warmsUp bool) {
+// addAdmissions adds the rate limits and retry modes of a table that differ from the installed ones.
+func addAdmissions(c *change, id int, installed *table, next table, inSlowStart bool) {
 	for j := range next.admissions {
 		w := &next.admissions[j]
 		w.Table = id
@@ -93,33 +93,33 @@
 			*w = before
 			continue
 		}
-		c.add(*w, either(warmsUp && w.RateLimit < before.RateLimit, urgencyDerate, urgencyLow))
+		c.add(*w, ifElse(inSlowStart && w.RateLimit < before.RateLimit, urgencyDerate, urgencyLow))
 	}
 }
 
-// hasRoom reports whether the part of what is allowed has room for lines, and for another message to each proxy. What
-// can wait does so here and not in the channel, where it grows old and withdrawals stand behind it: only these may take
-// more than two seconds of its pace. What nobody acknowledged may still wait, however long ago it was written.
-func (a *Assigner) hasRoom(part, lines float64, to ...*proxy) bool {
+// hasRoom reports whether the given fraction of the channel's allowance has room for more lines and one more message to
+// each proxy. Changes other than withdrawals wait here, not in the channel, where they would go stale and delay
+// withdrawals. They may fill at most queueSeconds of the channel's pace.
+func (a *Assigner) hasRoom(fraction, lines float64, to ...*proxy) bool {
 	allowed := a.conf.MaxQueuedLines
-	if part != 1 {
+	if fraction != 1 {
 		allowed = min(allowed, queueSeconds*a.conf.LinesPerSecond)
 	}
 	for _, p := range to {
-		if a.conf.MaxMessages > 0 && float64(len(p.sent)+1) > part*float64(a.conf.MaxMessages) {
+		if a.conf.MaxMessages > 0 && float64(len(p.sent)+1) > fraction*float64(a.conf.MaxMessages) {
 			return false
 		}
 		lines += a.conf.MessageOverhead + 1
 	}
-	fits := a.queuedLines+lines <= part*allowed && a.unackedLines+lines <= min((1+part)/2, maxUnacked)*allowed
+	fits := a.queuedLines+lines <= fraction*allowed && a.unackedLines+lines <= min((1+fraction)/2, maxUnacked)*allowed
 	return a.conf.MaxQueuedLines == 0 || fits
 }
 
-// setWithdrawn withdraws backends or lets them in again, all or none: one line for each proxy that has them, whatever
-// its tables say, so that a drain of many reaches all in time.
-func (a *Assigner) setWithdrawn(withdrawn bool, part float64, backends ...int) bool {
+// setWithdrawn withdraws backends or readmits them, all or none. It costs one line per backend and proxy regardless of
+// the number of tables, so that even a large drain reaches all proxies in time.
+func (a *Assigner) setWithdrawn(withdrawn bool, fraction float64, backends ...int) bool {
 	to, lines, sum := []*proxy{}, []float64{}, 0.0
-	// Proxies on tables that they brought are otherwise given a table of few lines sooner.
+	// Proxies on a peer's tables get a small table of this controller sooner than a long list of withdrawals.
 	deferred := withdrawn && float64(len(backends))+a.conf.MessageOverhead+1 > queueSeconds*a.linesPerSecondEach()
 	for _, p := range a.connected {
 		n := 0.0
@@ -132,12 +132,12 @@
 			to, lines, sum = append(to, p), append(lines, n), sum+n
 		}
 	}
-	if !a.hasRoom(part, sum, to...) {
+	if !a.hasRoom(fraction, sum, to...) {
 		return false
 	}
 	for _, b := range backends {
 		a.backends.withdrawn[b] = withdrawn
-		a.order(Withdraw{Backend: b, Withdrawn: withdrawn, Deferred: deferred})
+		a.emit(Withdraw{Backend: b, Withdrawn: withdrawn, Deferred: deferred})
 	}
 	for i, p := range to {
 		a.charge(p, lines[i])
@@ -146,26 +146,26 @@
 	return true
 }
 
-// compareProxies puts those with a limit of their own last, before them those on tables that they brought; the busiest
-// first.
+// compareProxies orders proxies for service: those with a rate limit of their own last, before them those on a peer's
+// tables, and by falling rate within each class.
 func compareProxies(p, q *proxy) int {
 	return cmp.Or(
-		cmp.Compare(either(p.maxRate > 0, 1, 0), either(q.maxRate > 0, 1, 0)),
-		cmp.Compare(either(p.onForeignTables(), 1, 0), either(q.onForeignTables(), 1, 0)),
-		cmp.Compare(q.totalUse(), p.totalUse()))
+		cmp.Compare(ifElse(p.maxRate > 0, 1, 0), ifElse(q.maxRate > 0, 1, 0)),
+		cmp.Compare(ifElse(p.usesPeerTables(), 1, 0), ifElse(q.usesPeerTables(), 1, 0)),
+		cmp.Compare(q.totalRate(), p.totalRate()))
 }
 
-// send orders changes, the most urgent first, as far as the part of the channel has room; it reports whether all went
-// out. A proxy gets its whole change or nothing: what is installed there was ordered so.
-func (a *Assigner) send(changes []change, part float64) (all bool) {
+// send emits changes, most urgent first, as far as the given fraction of the channel's allowance has room. It reports
+// whether all were emitted. A proxy gets its whole change or nothing, so that the installed tables stay known.
+func (a *Assigner) send(changes []change, fraction float64) (all bool) {
 	slices.SortStableFunc(changes, func(c, d change) int {
 		return cmp.Or(cmp.Compare(c.urgency, d.urgency), compareProxies(&a.proxies[c.proxy], &a.proxies[d.proxy]))
 	})
 	all = true
 	for _, c := range changes {
 		p, lines := &a.proxies[c.proxy], float64(len(c.orders))+c.extraLines
-		mayTake := either(p.maxRate > 0, min(part, roomRest), part)
-		if !a.hasRoom(either(c.urgency == urgencyNeeded, roomNeeded, mayTake), lines, p) {
+		allowed := ifElse(p.maxRate > 0, min(fraction, roomRest), fraction)
+		if !a.hasRoom(ifElse(c.urgency == urgencyCritical, roomCritical, allowed), lines, p) {
 			all = false
 			continue
 		}
@@ -177,54 +177,55 @@
 	return all
 }
 
-// withdrawDraining withdraws what drains or is gone. Subsets come after it: who has no usable backend is known then.
+// withdrawDraining withdraws draining and removed backends. It runs before setSubsets, which needs to know which
+// proxies are left without a usable backend.
 func (a *Assigner) withdrawDraining() {
 	a.urgent = false
 	for b, s := range a.backends.status {
 		if s != Ready && !a.backends.withdrawn[b] && a.backends.weight[b] > 0 && !a.setWithdrawn(true, 1, b) {
-			a.urgent = true // with the next events
+			a.urgent = true // retries in the next step
 		}
 	}
 }
 
-// reconcile sends what the proxies lack, the most urgent first: between ticks only to those that lack a usable backend.
+// reconcile sends pending changes, most urgent first. Between ticks it serves only proxies without a usable backend.
 func (a *Assigner) reconcile(tick bool) {
-	all := a.conf.Shards > 0 || a.serveStranded() // tables of shards belong to the store
+	all := a.conf.Shards > 0 || a.serveStranded() // shard tables belong to the store
 	var urgent, rest []change
 	for _, p := range a.connected {
 		if !tick || !p.assigned || a.conf.Shards > 0 {
 			continue
 		}
-		if c := a.changesOf(p.index); c.urgency <= urgencyDerate {
+		if c := a.pendingChange(p.index); c.urgency <= urgencyDerate {
 			urgent = append(urgent, c)
 		} else if c.urgency < urgencyNone {
 			rest = append(rest, c)
 		}
 	}
 	all = a.send(urgent, roomUrgent) && all
-	if !all && !a.retryPending { // sooner than the tick, so that the channel does not run dry meanwhile
+	if !all && !a.retryPending { // before the next tick, so that the channel does not idle
 		a.retryPending = true
-		a.order(SetTimer{Delay: roomRetryInterval, Name: timerRetry})
+		a.emit(SetTimer{Delay: roomRetryInterval, Name: timerRetry})
 	}
-	// Backends are let in again once all lines that are too heavy for them are out, and all of them together: those let
-	// in alone would get what their tables have for the others.
+	// Backends are readmitted together, and only after all lines that are too heavy for them are corrected: a backend
+	// readmitted alone would get the traffic that its tables assign to the others.
 	if all && tick {
 		a.setWithdrawn(false, roomUrgent, a.withdrawnReady()...)
 	}
 	a.send(rest, roomRest)
 }
 
-// serveStranded serves the proxies that lack a usable backend, as far as the channel has room, which bounds a step's
-// work while thousands wait. It reports whether all were.
+// serveStranded sends tables to proxies without a usable backend and reports whether all were served. It stops when the
+// channel is full, which bounds the work of a step.
 func (a *Assigner) serveStranded() bool {
 	stranded := a.strandedProxies()
 	slices.SortStableFunc(stranded, compareProxies)
 	for _, p := range stranded {
-		if !a.hasRoom(roomNeeded, a.conf.MessageOverhead+2) {
+		if !a.hasRoom(roomCritical, a.conf.MessageOverhead+2) {
 			return false
 		}
-		c := a.changesOf(p.index)
-		if c.urgency == urgencyNeeded && !a.send([]change{c}, roomUrgent) {
+		c := a.pendingChange(p.index)
+		if c.urgency == urgencyCritical && !a.send([]change{c}, roomUrgent) {
 			return false
 		}
 	}
--- a/internal/policy/events.go
+++ b/internal/policy/events.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// handleEvents takes events into the state; it reports whether a tick is among them.
+// handleEvents applies events to the state and reports whether a tick is among them.
 func (a *Assigner) handleEvents(now Time, events []Event) (tick bool) {
 	a.now, a.orders = now, nil
 	for _, e := range events {
@@ -19,7 +19,7 @@
 		case ProxyDisconnected:
 			a.onDisconnected(e)
 		case ProxyRestricted:
-			a.onConfined(e)
+			a.onRestricted(e)
 		case BackendReport:
 			a.onBackendReport(e)
 		case RemoteReport:
@@ -41,7 +41,7 @@
 		}
 	}
 	a.listConnected()
-	if tick || a.urgent { // otherwise nothing is decided in this step
+	if tick || a.urgent { // other steps decide nothing
 		a.updateWeights()
 	}
 	return tick
@@ -50,13 +50,13 @@
 func (a *Assigner) onConnected(e ProxyConnected) {
 	p := a.proxyAt(e.Proxy)
 	p.connected, p.assigned, p.zone, p.sent = true, false, a.clampZone(e.Zone), nil
-	p.bringsTables, p.counted, p.stranded = e.HasPeerTables, false, true
+	p.hasPeerTables, p.counted, p.stranded = e.HasPeerTables, false, true
 	p.installed = make([]table, len(a.groups))
-	// A stream that breaks and comes back soon brings the same traffic: what is known of it stays.
-	if a.now > p.disconnectedAt+useTimeout {
+	// A proxy that reconnects soon has the same traffic as before, so its known rates stay.
+	if a.now > p.disconnectedAt+rateTimeout {
 		p.hasReported = false
-		for k := range p.use {
-			p.reported[k], p.use[k], p.failed[k], p.reportedAt[k] = false, e.Rate/float64(len(p.use)), 0, a.now
+		for k := range p.rate {
+			p.reported[k], p.rate[k], p.failed[k], p.reportedAt[k] = false, e.Rate/float64(len(p.rate)), 0, a.now
 		}
 	}
 	a.resetLimits, a.urgent = true, true
@@ -75,18 +75,18 @@
 	}
 }
 
-// onUsage smooths the use of a proxy.
+// onUsage updates a proxy's smoothed rates from a report.
 func (a *Assigner) onUsage(e UsageReport) {
 	p, seconds, k := a.proxyAt(e.Proxy), float64(e.Period)/float64(Second), e.Product
-	if k >= len(p.use) || seconds <= 0 {
+	if k >= len(p.rate) || seconds <= 0 {
 		return
 	}
-	keep := math.Pow(useDecay, max(seconds, 0.2)*min(max(p.use[k]/largeUse, minDecayRate), 1))
-	if !p.reported[k] || p.use[k] == 0 {
-		keep = 0 // the rate that was assumed gives way to the reported one, by product
+	keep := math.Pow(rateDecay, max(seconds, 0.2)*min(max(p.rate[k]/steadyRate, minDecayRate), 1))
+	if !p.reported[k] || p.rate[k] == 0 {
+		keep = 0 // the first report replaces the assumed rate
 	}
 	p.hasReported, p.reported[k], p.reportedAt[k] = true, true, a.now
 	a.spanSum, a.spanCount = a.spanSum+seconds, a.spanCount+1
-	p.use[k] = p.use[k]*keep + max(e.Txns, 0)/seconds*(1-keep)
+	p.rate[k] = p.rate[k]*keep + max(e.Txns, 0)/seconds*(1-keep)
 	p.failed[k] = p.failed[k]*keep + e.Failed/seconds*(1-keep)
 }
--- a/internal/policy/many_test.go
+++ b/internal/policy/many_test.go
@@ -74,12 +74,12 @@
 				e = append(e, BackendReport{Backend: b, Attempts: 30, Latency: 3400})
 			}
 			for i := range 6 { // proxy 0 has the clients that repeat
-				e = append(e, UsageReport{Proxy: i / 3, Product: i % 3, Txns: 50 * either(i < 3, times, 1), Period: Second})
+				e = append(e, UsageReport{Proxy: i / 3, Product: i % 3, Txns: 50 * ifElse(i < 3, times, 1), Period: Second})
 			}
 			r.second(e...)
 		}
 		for _, p := range r.a.connected {
-			for k := range p.use {
+			for k := range p.rate {
 				in += r.a.admitted(p, k)
 			}
 		}
@@ -229,7 +229,7 @@
 			var e []Event
 			for b := range 4 {
 				if s%every == 0 {
-					e = append(e, BackendReport{Backend: b, Attempts: 40, Latency: either(b == 0, took, 1000)})
+					e = append(e, BackendReport{Backend: b, Attempts: 40, Latency: ifElse(b == 0, took, 1000)})
 				}
 			}
 			r.second(e...)
@@ -290,11 +290,11 @@
 		RestoredEstimate{Kind: EstimateUsage, Proxy: 0, Product: 1, Value: 7, Age: Second, Confidence: 1},
 		RestoredEstimate{Kind: EstimateUsage, Proxy: 0, Product: 9, Value: 7},
 	)
-	if u := r.a.proxies[0].use; u[1] != 7 || u[0] != 0 {
+	if u := r.a.proxies[0].rate; u[1] != 7 || u[0] != 0 {
 		t.Errorf("use of a second ago: %v", u)
 	}
-	old := RestoredEstimate{Kind: EstimateUsage, Proxy: 0, Product: 1, Value: 7, Age: 2 * useTimeout, Confidence: 1}
-	if u := begin(old).a.proxies[0].use; u[1] != 30 {
+	old := RestoredEstimate{Kind: EstimateUsage, Proxy: 0, Product: 1, Value: 7, Age: 2 * rateTimeout, Confidence: 1}
+	if u := begin(old).a.proxies[0].rate; u[1] != 30 {
 		t.Errorf("use of long ago holds against what the proxy is said to get: %v", u)
 	}
 	for part, want := range map[float64]float64{1: 0.4, fullConfidence: 0.4, fullConfidence / 2: 0.7, 0: 1} {
--- a/internal/policy/plain_test.go
+++ b/internal/policy/plain_test.go
@@ -22,10 +22,10 @@
 	tick := m.handleEvents(now, events)
 	if m.needsFollow && (tick || !m.started) {
 		m.needsFollow = false
-		m.order(WatchList{Enabled: true})
+		m.emit(WatchList{Enabled: true})
 	}
 	if tick || !m.started {
-		m.order(SetTimer{Delay: tickInterval})
+		m.emit(SetTimer{Delay: tickInterval})
 	}
 	if m.started = true; tick {
 		m.evaluate()
@@ -42,7 +42,7 @@
 			if !m.proxies[i].connected || !tick && !m.bare(i) {
 				continue
 			}
-			if d := m.lacks(i); d.urgency == urgencyNeeded || tick && d.urgency == urgencyDerate {
+			if d := m.lacks(i); d.urgency == urgencyCritical || tick && d.urgency == urgencyDerate {
 				urgent = append(urgent, d)
 			} else if tick && d.urgency < urgencyNone {
 				rest = append(rest, d)
@@ -51,7 +51,7 @@
 		all := m.send(urgent, roomUrgent)
 		if !all && !m.retryPending {
 			m.retryPending = true
-			m.order(SetTimer{Delay: roomRetryInterval, Name: timerRetry})
+			m.emit(SetTimer{Delay: roomRetryInterval, Name: timerRetry})
 		}
 		if all && tick {
 			var back []int
@@ -66,7 +66,7 @@
 		if m.queuedLines > before {
 			m.batch++
 			m.writtenAt[m.batch%len(m.writtenAt)] = now
-			m.order(Marker{Number: m.batch % markerNumbers})
+			m.emit(Marker{Number: m.batch % markerNumbers})
 		}
 	}
 	return m.orders
@@ -77,7 +77,7 @@
 	for _, t := range p.installed {
 		n := 0
 		for b, w := range t.weight {
-			n += either(w > 0 && !m.backends.withdrawn[b], 1, 0)
+			n += ifElse(w > 0 && !m.backends.withdrawn[b], 1, 0)
 		}
 		if n == 0 {
 			return true
@@ -113,7 +113,7 @@
 			for g, group := range m.groups {
 				r := m.spillover[g][p.zone][y]
 				for _, k := range group.products {
-					flow[i] += p.use[k] * min(r*1e9, r+(1-r)*m.failureRisk)
+					flow[i] += p.rate[k] * min(r*1e9, r+(1-r)*m.failureRisk)
 				}
 				if r > 0 {
 					need[i] = max(need[i], 1, size*r)
@@ -129,7 +129,7 @@
 			}
 			for b, on := range p.subset {
 				if on && be.zone[b] == y && !m.counted[i] {
-					m.raw[b] += flow[i] / max(either(be.withdrawn[b], all, inUse), 1e-9)
+					m.raw[b] += flow[i] / max(ifElse(be.withdrawn[b], all, inUse), 1e-9)
 				}
 			}
 		}
@@ -168,7 +168,7 @@
 	for b := range be.zone {
 		home := 0.0
 		for _, p := range m.connected {
-			home += either(p.zone == be.zone[b], float64(m.conf.Zones)/float64(m.conf.Proxies), 0)
+			home += ifElse(p.zone == be.zone[b], float64(m.conf.Zones)/float64(m.conf.Proxies), 0)
 		}
 		m.load[b] = m.raw[b] / max(m.connectedShare(), min(home, 1), 1e-9)
 	}
@@ -217,7 +217,7 @@
 			t.admissions,
 			Admission{
 				RateLimit: m.rateLimitFor(p, k, part),
-				Retries:   either(m.fast, RetryUnexecuted, NoRetry),
+				Retries:   ifElse(m.responsesFast, RetryUnexecuted, NoRetry),
 				Products:  1 << k,
 			},
 		)
@@ -234,7 +234,7 @@
 		next, held, id, usable, cold := m.table(p, g), p.installed[g], i*len(m.groups)+g, false, false
 		held.weight = append(held.weight, make([]float64, len(next.weight)-len(held.weight))...)
 		if !p.assigned {
-			need(ClearTable{Table: id}, urgencyNeeded)
+			need(ClearTable{Table: id}, urgencyCritical)
 		}
 		for b, h := range held.weight {
 			usable = usable || h > 0 && !m.backends.withdrawn[b]
@@ -251,13 +251,13 @@
 			urgency := urgencyLow
 			if w == 0 && out {
 				d.extraLines++
-				urgency = either(gone, urgencyLow, urgencyDerate)
+				urgency = ifElse(gone, urgencyLow, urgencyDerate)
 			} else if w > 0 && !usable {
-				urgency = urgencyNeeded
+				urgency = urgencyCritical
 			} else if w < h && (out || m.slowStartFactor(b) < 1) {
 				urgency = urgencyDerate
 			}
-			if need(SetWeight{Table: id, Backend: b, Weight: w}, urgency); p.bringsTables && h == 0 {
+			if need(SetWeight{Table: id, Backend: b, Weight: w}, urgency); p.hasPeerTables && h == 0 {
 				d.extraLines++
 			}
 		}
@@ -269,13 +269,13 @@
 				math.Abs(h.RateLimit-w.RateLimit) <= minChange*h.RateLimit {
 				w = h
 			} else {
-				need(w, either(cold && w.RateLimit < h.RateLimit, urgencyDerate, urgencyLow))
+				need(w, ifElse(cold && w.RateLimit < h.RateLimit, urgencyDerate, urgencyLow))
 			}
 			next.admissions[j] = w
 		}
 		d.tables = append(d.tables, next)
 		if !p.assigned {
-			need(AssignTable{Proxy: i, Table: id, Products: group.mask}, urgencyNeeded)
+			need(AssignTable{Proxy: i, Table: id, Products: group.mask}, urgencyCritical)
 		}
 	}
 	return d
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,116 +1,116 @@
-// Package policy holds all decisions of elmfold. New makes a controller's Assigner from its Deployment; Step takes the
-// events of a moment and returns the orders. A step goes through these files, in this order:
+// Package policy implements elmfold's load balancing and admission control. New creates a controller's Assigner from
+// its Deployment; Step takes events and returns orders. A step runs through these files in order:
 //
-//	reports.go   lists of backends, and which of them are slow, failing or overloaded
-//	limits.go    the bound on all traffic under overload, and its parts (max-rate sharing)
-//	spillover.go what leaves its zone
-//	tables.go    which backends a proxy uses, with which weights, and what it admits
-//	channel.go   what is sent now, the most urgent first, and what waits
+//	reports.go   backend lists; detection of slow, failing and overloaded backends
+//	limits.go    the total rate limit under overload and its division (max-rate sharing)
+//	spillover.go traffic between zones
+//	tables.go    subsets of backends, weights and rate limits of each proxy
+//	channel.go   order in which changes are sent
 //
-// events.go hands events to these, state.go has what is remembered and sums over it, iface.go the types that go in and
-// out. Nothing here reads a clock, a file or a network, and nothing is left to chance.
+// events.go dispatches events, state.go holds the state, aggregates.go sums over it, and types.go defines events and
+// orders. Steps are deterministic: the package reads no clock and no random numbers, and does no I/O.
 package policy
 
 import "cmp"
 
-// Tuned values: rates in txns/s, spans as Time, all else ratios unless a unit is given. (design): see docs/design.md.
+// Rates are in txns/s, durations are of type Time, and other values are ratios unless a unit is given.
 
 // Max-rate sharing and rate limits.
 const (
-	tickInterval    = Second      // between decisions (design)
-	busyThreshold   = 0.9         // use over its limit from which a proxy is busy (design)
-	idleMargin      = 0.2         // that an idle proxy keeps above its use (design)
-	minLimit        = 1.0         // least limit of a proxy, while the total has that much for all (design)
-	unlimited       = 1e6         // a limit that binds nobody
-	chanceMargin    = 0.5         // most that a limit is raised for what arrives by chance
-	admitPart       = 0.95        // part of what arrives by chance that a limit admits
-	warmupAdmitPart = 0.99        // the same beside a backend in slow start, while reports are rare
-	useDecay        = 0.5         // part of an old use that a second leaves
-	largeUse        = 5.0         // use under which chance is large, so that the old one decays more slowly
-	minDecayRate    = 0.4         // the slowest such decay
-	useTimeout      = 12 * Second // without reports, after which a use is no longer believed
+	tickInterval        = Second      // between decisions
+	busyThreshold       = 0.9         // rate over its limit above which a proxy is busy
+	idleMargin          = 0.2         // fraction above its rate that an idle proxy keeps
+	minLimit            = 1.0         // lower bound of a proxy's limit while the total suffices for all
+	unlimited           = 1e6         // stands for no limit
+	poissonMargin       = 0.5         // largest raise of a limit for random arrivals
+	admitFraction       = 0.95        // fraction of random arrivals that a limit admits
+	warmupAdmitFraction = 0.99        // the same with a backend in slow start, while reports are rare
+	rateDecay           = 0.5         // fraction of an old rate that remains after a second
+	steadyRate          = 5.0         // rate below which random variation is large and the old rate decays more slowly
+	minDecayRate        = 0.4         // slowest such decay, relative to the normal one
+	rateTimeout         = 12 * Second // time without reports after which a rate expires
 )
 
-// The bound on the total rate under overload.
+// Total rate limit under overload.
 const (
-	overloadLatency    = 0.4        // median latency over the SLA time that is overload (design)
-	overloadFailures   = 0.05       // part that fails at the median backend that is, unless responses are fast (design)
-	smoothingTicks     = 3.0        // over which the served rate is smoothed
-	kneeStep           = 0.9        // of the knee, when a reduction did not help
-	reduceTo           = 0.8        // part of the knee to reduce to, so that queues drain
-	reduceLateTo       = 0.5        // the same while responses take more than the SLA time
-	reduceInterval     = 6 * Second // between reductions: timeouts of before one are reported for some seconds
-	reduceTimeout      = 3 * Second // in which queues drain: a reduction that nothing is reported of ends
-	longSpan           = 3.0        // seconds that a report stands for from which it is too late for that
-	rareInterval       = 1.75       // seconds between reports of the median backend from which they are rare
-	raiseFactor        = 1.1        // of one raise (design)
-	raiseInterval      = 5 * Second // between raises (design)
-	quickRaiseInterval = 3 * Second // while latency is under quickLatency
-	fastRaiseInterval  = Second     // while latency is under fastLatency
+	overloadLatency    = 0.4        // median latency over the SLA that indicates overload
+	overloadFailures   = 0.05       // the same for the failing fraction at the median backend, if responses are slow
+	smoothingTicks     = 3.0        // time constant of the smoothed served rate
+	kneeStep           = 0.9        // factor on the knee if a reduction did not help
+	reduceTo           = 0.8        // fraction of the knee to reduce to, so that queues drain
+	reduceToWhenLate   = 0.5        // the same while latency exceeds the SLA
+	reduceInterval     = 6 * Second // time between reductions: earlier timeouts are still being reported
+	reduceTimeout      = 3 * Second // ends a reduction without reports; queues drain within this time
+	sparseReportSpan   = 3.0        // seconds covered by a report, above which reports are sparse
+	rareReportInterval = 1.75       // seconds between reports of the median backend, above which reports are rare
+	raiseFactor        = 1.1        // factor of one raise
+	raiseInterval      = 5 * Second // between raises
+	quickRaiseInterval = 3 * Second // while latency is below quickLatency
+	fastRaiseInterval  = Second     // while latency is below fastLatency
 	quickLatency       = 0.75       // of overloadLatency
 	fastLatency        = 0.5        // of overloadLatency
-	releaseRatio       = 1.5        // total over demand from which there is no bound (design)
+	releaseRatio       = 1.5        // total over demand above which the limit is removed
 )
 
 // Slow start and subsets.
 const (
-	slowStartBegin    = 0.1        // part of its weight that a new backend begins with (design)
-	slowStartDoubling = 5 * Second // in which that part doubles (design)
-	maxWarmExtra      = 2.0        // of its part: most that a warm backend takes over from those in slow start
-	maxWarmupLoad     = 0.4        // part of Deployment.WarmupOverload that a backend in slow start may get
-	minSpillover      = 0.1        // part of a zone's demand under which an excess stays at home
-	connShare         = 0.03       // part of a backend's connections that the proxies may use together
-	minSubset         = 4.0        // backends that each proxy uses at least
-	swapRatio         = 1.3        // load of one in the subset over another's from which they change places
-	minChange         = 0.12       // relative change of a weight or limit that is worth a line
+	slowStartBegin    = 0.1        // initial fraction of a new backend's weight
+	slowStartDoubling = 5 * Second // time in which that fraction doubles
+	maxWarmExtra      = 2.0        // share that a warm backend takes over from those in slow start, relative to its own
+	maxWarmupLoad     = 0.4        // fraction of Deployment.WarmupOverload that a backend in slow start may get
+	minSpillover      = 0.1        // fraction of a zone's demand below which excess stays in the zone
+	connShare         = 0.03       // fraction of a backend's connections that the proxies may use together
+	minSubset         = 4.0        // lower bound of backends per proxy and zone
+	swapRatio         = 1.3        // load ratio above which a backend in the subset is swapped for one outside
+	minChange         = 0.12       // relative change of a weight or limit that is worth sending
 )
 
 // Evaluation of backends.
 const (
-	reportDecay      = 0.2         // part of earlier attempts that a tick with reports leaves
-	minAttempts      = 4.0         // under which a report says nothing of its backend
-	fullAttempts     = 10.0        // that replace all that was reported before
-	minReported      = 0.25        // part of the weight that must have reported before medians count
-	slowRatio        = 1.35        // latency over the median that is slow, if it is also ...
-	slowSLA          = 0.35        // ... this part of the SLA time
-	failingMargin    = 0.2         // part that fails above the median's that is failing
-	deadMargin       = 0.6         // the same of a backend that the list dropped, which is gone then
-	deratingStep     = 0.8         // of the weight of a slow backend
-	minDerating      = 0.3         // part of its weight that it keeps
-	deratingInterval = 3 * Second  // between steps: what is reported now happened before the last one
-	maxDeratingSteps = 3.0         // at once, of a backend that reports rarely
-	recoveryStep     = 1.03        // of the weight, a second
-	recoveryRatio    = 1.01        // latency over the median up to which a backend recovers
-	maxRecoverySteps = 10.0        // at once
-	fullConfidence   = 0.5         // confidence in a restored figure from which it counts in full
-	goneRetention    = 30 * Second // for which a backend that is gone keeps its lines: it may come back
+	reportDecay       = 0.2         // fraction of earlier attempts that remains after a tick with reports
+	minAttempts       = 4.0         // attempts below which the samples of one backend are not significant
+	replacingAttempts = 10.0        // attempts that replace all earlier samples while reports are rare
+	minReported       = 0.25        // fraction of the weight that must have reported for medians to count
+	slowRatio         = 1.35        // latency over the median that is slow, if it also exceeds slowSLA
+	slowSLA           = 0.35        // latency over the SLA that is slow
+	failingMargin     = 0.2         // failing fraction above the median's that marks a backend as failing
+	deadMargin        = 0.6         // the same for an unlisted backend, which is then treated as removed
+	deratingStep      = 0.8         // factor on the weight of a slow backend
+	minDerating       = 0.3         // smallest fraction of its weight that a slow backend keeps
+	deratingInterval  = 3 * Second  // time between steps: reports lag behind the last step
+	maxDeratingSteps  = 3.0         // steps at once, for a backend with sparse reports
+	recoveryStep      = 1.03        // factor on the weight per second
+	recoveryRatio     = 1.01        // latency over the median below which a backend recovers
+	maxRecoverySteps  = 10.0        // steps at once
+	fullConfidence    = 0.5         // confidence above which a restored derating applies in full
+	goneRetention     = 30 * Second // time for which a removed backend keeps its lines: it may return
 )
 
 // The channel to the proxies.
 const (
-	slowChannelPart   = 0.3         // part of its pace that a slow channel is taken to keep
-	roomNeeded        = 0.9         // part of the allowed lines for proxies that lack a usable backend
-	roomUrgent        = 0.8         // the same for urgent changes
-	roomRest          = 0.5         // the same for all others
-	maxUnacked        = 0.95        // part of the allowed lines that may be unacknowledged
-	unackedTimeout    = 30 * Second // after which unacknowledged lines no longer count
-	reorderWindow     = Second      // messages written so close to each other may arrive in any order
-	queueSeconds      = 2.0         // seconds of the channel's pace that all but withdrawals share
-	roomRetryInterval = Second / 5  // until what had no room is tried again
-	markerNumbers     = 1 << 15     // numbers of markers, far more than are ever on the way
+	minPaceFraction   = 0.3         // fraction of its pace that a slow channel is assumed to keep
+	roomCritical      = 0.9         // fraction of the allowed lines for proxies without a usable backend
+	roomUrgent        = 0.8         // the same for other urgent changes
+	roomRest          = 0.5         // the same for all other changes
+	maxUnacked        = 0.95        // fraction of the allowed lines that may be unacknowledged
+	unackedTimeout    = 30 * Second // time after which unacknowledged lines no longer count
+	reorderWindow     = Second      // time within which messages may arrive in any order
+	queueSeconds      = 2.0         // seconds of the channel's pace that may be queued, withdrawals excepted
+	roomRetryInterval = Second / 5  // delay before changes that had no room are retried
+	markerNumbers     = 1 << 15     // modulus of marker numbers, more than can be in transit
 )
 
-const timerTick, timerRetry = 0, 1 // what a SetTimer is for
+const timerTick, timerRetry = 0, 1 // values of SetTimer.Name
 
-// Step takes the events of one moment and returns the orders.
+// Step processes the events since the previous step and returns the orders to execute.
 func (a *Assigner) Step(now Time, events []Event) []Order {
 	tick := a.handleEvents(now, events)
 	if a.needsFollow && (tick || !a.started) {
 		a.needsFollow = false
-		a.order(WatchList{Enabled: true})
+		a.emit(WatchList{Enabled: true})
 	}
 	if tick || !a.started {
-		a.order(SetTimer{Delay: either(tick, tickInterval, cmp.Or(a.conf.FirstTick, tickInterval))})
+		a.emit(SetTimer{Delay: ifElse(tick, tickInterval, cmp.Or(a.conf.FirstTick, tickInterval))})
 	}
 	a.started = true
 	if tick {
@@ -125,25 +125,25 @@
 		a.withdrawDraining()
 		a.setSubsets(tick)
 		a.reconcile(tick)
-		a.closeBatch(queued)
+		a.requestAcks(queued)
 	}
 	return a.orders
 }
 
-// closeBatch has the proxies acknowledge what this step has written.
-func (a *Assigner) closeBatch(queuedBefore float64) {
+// requestAcks asks the proxies to acknowledge this step's messages, if there are any.
+func (a *Assigner) requestAcks(queuedBefore float64) {
 	if a.queuedLines > queuedBefore {
 		a.batch++
 		a.writtenAt[a.batch%len(a.writtenAt)] = a.now
-		a.order(Marker{Number: a.batch % markerNumbers})
+		a.emit(Marker{Number: a.batch % markerNumbers})
 	}
 }
 
-// probe asks all backends for their load, where the deployment has probes.
+// probe requests the load of all ready backends, if the deployment supports probes.
 func (a *Assigner) probe() {
 	for b, s := range a.backends.status {
 		if s == Ready && a.conf.Probes && len(a.conf.Gauges) > 0 {
-			a.order(Probe{Backend: b})
+			a.emit(Probe{Backend: b})
 		}
 	}
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -24,7 +24,7 @@
 	} {
 		var in []*proxy
 		for i := range c.level {
-			in = append(in, &proxy{limit: c.level[i : i+1], use: c.use[i : i+1], hasReported: !c.silent[i]})
+			in = append(in, &proxy{limit: c.level[i : i+1], rate: c.use[i : i+1], hasReported: !c.silent[i]})
 		}
 		shareRate(in, 0, c.total)
 		for i, w := range c.want {
@@ -111,25 +111,25 @@
 	}
 	p := &r.a.proxies[0]
 	r.second(UsageReport{Proxy: 0, Product: 0, Txns: 9, Period: Second})
-	if p.use[0] != 9 || p.use[1] != 0.5 || r.gate(0, 0).RateLimit < unlimited {
-		t.Errorf("use %v, level %v after a report of one product", p.use, r.gate(0, 0).RateLimit)
+	if p.rate[0] != 9 || p.rate[1] != 0.5 || r.gate(0, 0).RateLimit < unlimited {
+		t.Errorf("use %v, level %v after a report of one product", p.rate, r.gate(0, 0).RateLimit)
 	}
 	r.second(ProxyDisconnected{Proxy: 0})
 	r.second(ProxyConnected{Proxy: 0, Rate: 1.5})
-	if p.use[0] != 9 || r.gate(0, 0).RateLimit < unlimited {
-		t.Errorf("use %v, level %v on a new stream", p.use, r.gate(0, 0).RateLimit)
+	if p.rate[0] != 9 || r.gate(0, 0).RateLimit < unlimited {
+		t.Errorf("use %v, level %v on a new stream", p.rate, r.gate(0, 0).RateLimit)
 	}
 	for range 20 {
 		r.second()
 	}
-	if p.use[0] > 0.1 {
-		t.Errorf("use %v after 20 s without news", p.use)
+	if p.rate[0] > 0.1 {
+		t.Errorf("use %v after 20 s without news", p.rate)
 	}
 	r.second(ProxyDisconnected{Proxy: 0})
-	r.now += 2 * useTimeout
+	r.now += 2 * rateTimeout
 	r.second(ProxyConnected{Proxy: 0, Rate: 1.5})
-	if p.use[0] != 0.5 || r.gate(0, 0).RateLimit >= unlimited {
-		t.Errorf("use %v, level %v of one that was long away", p.use, r.gate(0, 0).RateLimit)
+	if p.rate[0] != 0.5 || r.gate(0, 0).RateLimit >= unlimited {
+		t.Errorf("use %v, level %v of one that was long away", p.rate, r.gate(0, 0).RateLimit)
 	}
 }
 
@@ -293,7 +293,7 @@
 		r.step(ListUpdate{Entries: []Entry{again}})
 		messages, lines = max(messages, len(r.a.proxies[0].sent)), max(lines, r.a.queuedLines)
 	}
-	if messages > d.MaxMessages || lines > d.MaxQueuedLines+6*slowChannelPart*d.LinesPerSecond {
+	if messages > d.MaxMessages || lines > d.MaxQueuedLines+6*minPaceFraction*d.LinesPerSecond {
 		t.Errorf("%d messages to one proxy, %v lines without an answer", messages, lines)
 	}
 }
--- a/internal/policy/reports.go
+++ b/internal/policy/reports.go
@@ -11,7 +11,7 @@
 		return
 	}
 	a.urgent = true
-	listed := map[int]bool{} // by backend that is named: it is not gone
+	listed := map[int]bool{} // by backend in the update: false if it is gone
 	for _, entry := range e.Entries {
 		listed[entry.Backend] = entry.Status != Gone
 		a.onEntry(entry)
@@ -20,11 +20,11 @@
 	for b, status := range backends.status {
 		isListed, isNamed := listed[b]
 		isMissing := !isListed && (isNamed || e.Kind != ListChange)
-		// Where removal alone does not bind, a backend that is dropped from the list stays in use until attempts
-		// there fail too: lists that drop running backends and backends that die unseen look alike.
+		// Without HonorRemovals a backend that is dropped from the list stays in use until attempts fail too, because a
+		// faulty list is indistinguishable from a crash.
 		switch {
 		case isMissing && (a.conf.HonorRemovals || status != Ready):
-			backends.status[b], backends.goneAt[b] = Gone, either(status == Gone, backends.goneAt[b], a.now)
+			backends.status[b], backends.goneAt[b] = Gone, ifElse(status == Gone, backends.goneAt[b], a.now)
 		case isMissing:
 			backends.unlisted[b] = true
 		}
@@ -38,22 +38,22 @@
 		backends.zone[b], backends.kind[b] = a.clampZone(e.Zone), e.Kind
 		backends.weight[b], backends.status[b], backends.unlisted[b] = cmp.Or(e.Weight, 1), e.Status, false
 	}
-	// A restart, also of one that still stands in tables: slow start begins, and its earlier reports no longer hold.
+	// After a restart slow start begins anew, and earlier reports no longer apply.
 	if e.Status == Ready && e.StartedAt > 0 && e.StartedAt > backends.startedAt[b] {
 		backends.startedAt[b], backends.derating[b] = e.StartedAt, 1
 		backends.attempts[b], backends.failed[b], backends.succeeded[b], backends.latencySum[b] = 0, 0, 0, 0
 	}
 }
 
-// onRestored takes figures of an earlier start for what they are worth at their age: use as long as that of a stream
-// that broke, the total limit while timeouts of its time may still be reported, derating in part below full
-// confidence, as a wrong one ends by itself, the throughput always, as it is the best there was.
+// onRestored applies estimates from before a restart, depending on their age: rates as long as those of a disconnected
+// proxy, the total limit while old timeouts may still be reported, the knee and the throughput at any age. Deratings
+// are scaled by confidence.
 func (a *Assigner) onRestored(e RestoredEstimate) {
 	at := a.now - e.Age
 	switch {
-	case e.Kind == EstimateUsage && e.Age < useTimeout:
-		if p := a.proxyAt(e.Proxy); e.Product < len(p.use) && !p.reported[e.Product] {
-			p.use[e.Product], p.reportedAt[e.Product] = e.Value, at
+	case e.Kind == EstimateUsage && e.Age < rateTimeout:
+		if p := a.proxyAt(e.Proxy); e.Product < len(p.rate) && !p.reported[e.Product] {
+			p.rate[e.Product], p.reportedAt[e.Product] = e.Value, at
 			p.disconnectedAt = max(p.disconnectedAt, at)
 		}
 	case e.Kind == EstimateDerating && e.Backend < len(a.backends.zone) && a.backends.reportedAt[e.Backend] == never:
@@ -64,17 +64,16 @@
 	}
 }
 
-// evaluate looks at what was reported since the last tick: which backends are slow or failing, and whether all are.
+// evaluate processes the reports since the last tick: it finds slow, failing and overloaded backends.
 func (a *Assigner) evaluate() {
-	// While reports are rare all that was reported counts, as far as it is relied on: otherwise the own zone would be
-	// taken for the fleet.
+	// While reports are rare, all samples count by weight: otherwise the proxies' own zone would stand for the fleet.
 	s, sla := a.collectSamples(), a.meanSLA()
-	a.medianFailed, a.medianLatency = median(s.allFailed, a.rareReports), median(s.allNext, a.rareReports)
-	a.failureRisk = max(a.medianFailed, median(s.caution, a.rareReports))
+	a.medianFailed, a.medianLatency = median(s.failedSamples, a.rareReports), median(s.nextSamples, a.rareReports)
+	a.failureRisk = max(a.medianFailed, median(s.failedUnderated, a.rareReports))
 	if a.spanCount > 0 {
 		a.reportSpan, a.spanSum, a.spanCount = a.spanSum/a.spanCount, 0, 0
 	}
-	typical, anyUpdated := median(s.allLatency, a.rareReports), false
+	typical, anyUpdated := median(s.latencySamples, a.rareReports), false
 	for b, updated := range a.backends.updated {
 		if updated {
 			a.evaluateBackend(b, s, typical, sla)
@@ -85,26 +84,25 @@
 	if anyUpdated && (!a.rareReports || s.strength >= minReported*relied) {
 		isSlow := a.medianLatency == 0 || a.medianLatency > slowSLA*sla
 		a.overloaded = a.medianLatency > overloadLatency*sla || a.medianFailed > overloadFailures && isSlow
-		a.fast = a.medianLatency > 0 && !a.overloaded
+		a.responsesFast = a.medianLatency > 0 && !a.overloaded
 	}
-	a.evaluatedAt, a.rareReports = a.now, median(s.intervals, true) > rareInterval
-	isRemoteFresh := a.remoteUsage != nil && a.now < a.remoteUsageAt+useTimeout
-	a.trust = min(max(a.trust+either(isRemoteFresh, 1.0, -1)/smoothingTicks, 0), 1)
+	a.evaluatedAt, a.rareReports = a.now, median(s.intervals, true) > rareReportInterval
+	isRemoteFresh := a.remoteUsage != nil && a.now < a.remoteUsageAt+rateTimeout
+	a.remoteTrust = min(max(a.remoteTrust+ifElse(isRemoteFresh, 1.0, -1)/smoothingTicks, 0), 1)
 	a.updateWeights()
 }
 
-// evaluateBackend derates a backend that is far slower than the others and near the SLA time, or fails more, and lets
-// others recover. Slow machines, other programs on them, wrong listed weights and hangs all look like that.
+// evaluateBackend derates a backend that is slower or fails more than the median, and gradually restores others.
 func (a *Assigner) evaluateBackend(b int, s samples, typical, sla float64) {
 	backends := &a.backends
 	if backends.unlisted[b] && s.failed[b] > a.medianFailed+deadMargin {
 		backends.status[b] = Gone
 	}
 	isBad := s.latency[b] > max(slowRatio*typical, slowSLA*sla) || s.failed[b] > a.medianFailed+failingMargin
-	// What is reported by all is known to all controllers: each acts in turn, and once it can see what that did.
-	isShared := a.now < backends.remoteAt[b]+useTimeout
-	interval := either(isShared, deratingInterval+a.lag(b), Second)
-	isTurn := !isShared || a.isTurn(b, interval)
+	// Controllers that share their reports act in turn, each after the effect of its last step is visible.
+	isShared := a.now < backends.remoteAt[b]+rateTimeout
+	interval := ifElse(isShared, deratingInterval+a.reportLag(b), Second)
+	isTurn := !isShared || a.isOwnTurn(b, interval)
 	switch {
 	case isBad && isTurn && (isShared || a.now >= backends.deratedAt[b]+deratingInterval):
 		steps := min(max(backends.reportGap[b]*float64(Second)/float64(deratingInterval), 1), maxDeratingSteps)
--- a/internal/policy/samples.go
+++ b/internal/policy/samples.go
@@ -8,8 +8,9 @@
 	"slices"
 )
 
-// Reports of backends as samples, and their medians. Nothing is decided here.
+// This file collects backend reports as weighted samples and computes their medians.
 
+// onBackendReport adds a report to a backend's sums. Invalid counts are clamped.
 func (a *Assigner) onBackendReport(e BackendReport) {
 	backends, b := &a.backends, e.Backend
 	a.ensureBackend(b + 1)
@@ -24,43 +25,44 @@
 	}
 }
 
-// noteReportTime keeps how often a backend reports. Where reports are too many for the intake one stands for several
-// seconds, and what was reported before it is as old.
+// noteReportTime updates a backend's report interval. If a report covers more than sparseReportSpan, it first decays
+// the earlier sums by that span.
 func (a *Assigner) noteReportTime(b int, attempts float64) {
 	backends := &a.backends
 	before := backends.reportedAt[b]
 	if before != never && a.now > before {
-		interval := float64(min(a.now-before, useTimeout)) / float64(Second)
+		interval := float64(min(a.now-before, rateTimeout)) / float64(Second)
 		backends.reportInterval[b] += (interval - backends.reportInterval[b]) / smoothingTicks
 	}
-	if gap := float64(a.now-before) / float64(Second); gap > longSpan {
-		a.decay(b, attempts, min(gap, float64(useTimeout)/float64(Second))-1)
-		backends.reportGap[b] = either(before == never, 1, gap)
+	if gap := float64(a.now-before) / float64(Second); gap > sparseReportSpan {
+		a.decay(b, attempts, min(gap, float64(rateTimeout)/float64(Second))-1)
+		backends.reportGap[b] = ifElse(before == never, 1, gap)
 	} else if a.now > before {
 		backends.reportGap[b] = 1
 	}
 	backends.reportedAt[b] = a.now
 }
 
-// decay has earlier reports of a backend count for less beside so many new attempts of a span of seconds: for long
-// where there are few, and most backends do not report each second.
+// decay reduces the weight of a backend's earlier reports after new attempts within span seconds. While reports are
+// rare, few attempts replace only a part of the earlier ones.
 func (a *Assigner) decay(b int, attempts, span float64) {
 	backends := &a.backends
-	replaced := either(attempts < minAttempts && a.rareReports, attempts/fullAttempts, 1)
+	replaced := ifElse(attempts < minAttempts && a.rareReports, attempts/replacingAttempts, 1)
 	keep := 1 - replaced*(1-math.Pow(reportDecay, span))
 	backends.attempts[b], backends.failed[b] = backends.attempts[b]*keep, backends.failed[b]*keep
 	backends.succeeded[b], backends.latencySum[b] = backends.succeeded[b]*keep, backends.latencySum[b]*keep
 	backends.evaluated[b] = backends.attempts[b]
 }
 
-// samples are what was reported: by backend, where it is enough to say something of it alone, and what the medians
-// go by: one sample a backend, or, while reports are rare, with its weight, less where little was reported.
+// samples are the reports of all backends. The latency and failed slices hold the values by backend, 0 where there are
+// too few attempts. Each backend contributes one sample to a median: with equal strength, or by weight and number of
+// attempts while reports are rare.
 type samples struct {
-	failed, latency                []float64
-	allFailed, allLatency, allNext []sample
-	caution                        []sample // as allFailed, also of backends that are derated
-	intervals                      []sample // seconds between reports
-	strength                       float64  // of all samples
+	failed, latency                            []float64
+	failedSamples, latencySamples, nextSamples []sample // nextSamples: predicted latency of the next txn
+	failedUnderated                            []sample // failing fraction, weighted as if no backend were derated
+	intervals                                  []sample // seconds between reports
+	strength                                   float64  // sum over failedSamples
 }
 
 func (a *Assigner) collectSamples() (s samples) {
@@ -77,12 +79,12 @@
 
 func (a *Assigner) collectFailures(s *samples, b int, attempts float64) {
 	failed, strength := a.backends.failed[b]/attempts, a.sampleStrength(b, attempts)
-	caution := strength
+	underated := strength
 	if a.rareReports {
-		caution = a.backends.weight[b] * a.slowStart[b] * min(attempts/minAttempts, 1)
+		underated = a.backends.weight[b] * a.slowStart[b] * min(attempts/minAttempts, 1)
 	}
-	s.allFailed, s.strength = append(s.allFailed, sample{failed, strength}), s.strength+strength
-	s.caution = append(s.caution, sample{failed, caution})
+	s.failedSamples, s.strength = append(s.failedSamples, sample{failed, strength}), s.strength+strength
+	s.failedUnderated = append(s.failedUnderated, sample{failed, underated})
 	s.intervals = append(s.intervals, sample{a.backends.reportInterval[b], 1})
 	if attempts >= minAttempts {
 		s.failed[b] = failed
@@ -97,50 +99,52 @@
 	if attempts >= minAttempts {
 		s.latency[b] = latency
 	}
-	s.allLatency = append(s.allLatency, sample{latency, strength})
-	// What a probe finds in flight, over what is sent in a tick or can be served, is the latency of the next txn, known
-	// sooner. Load in responses would be seen too often at busy moments.
+	s.latencySamples = append(s.latencySamples, sample{latency, strength})
+	// Txns in flight over the rate of service predict the latency of the next txn. They come from probes only: values in
+	// responses are biased towards busy moments.
 	sent := max(attempts*(1-reportDecay), a.throughput*a.effective[b], 1e-9)
 	next := a.backends.inFlight[b] / sent * float64(tickInterval)
-	s.allNext = append(s.allNext, sample{max(latency, next), strength})
+	s.nextSamples = append(s.nextSamples, sample{max(latency, next), strength})
 }
 
+// sampleStrength returns the weight of a backend's samples in medians.
 func (a *Assigner) sampleStrength(b int, attempts float64) float64 {
 	if a.rareReports {
 		return a.effective[b] * min(attempts/minAttempts, 1)
 	}
-	return either(attempts < minAttempts, 0.0, 1)
+	return ifElse(attempts < minAttempts, 0.0, 1)
 }
 
-// lag is by how much reports of a backend are late, in whole intervals.
-func (a *Assigner) lag(b int) Time {
+// reportLag returns the delay of a backend's reports, rounded down to multiples of deratingInterval.
+func (a *Assigner) reportLag(b int) Time {
 	return max(a.backends.age[b], 0) / deratingInterval * deratingInterval
 }
 
-// isTurn reports whether a moment of this controller's own within each span, for a backend, passed since the last
-// evaluation: controllers that have the same reports do not act at the same moment.
-func (a *Assigner) isTurn(b int, span Time) bool {
+// isOwnTurn reports whether this controller's turn for a backend has come since the last evaluation. Each span has one
+// turn at an offset hashed from controller and backend, so that controllers with the same reports do not act
+// simultaneously.
+func (a *Assigner) isOwnTurn(b int, span Time) bool {
 	h := fnv.New32a()
 	_, _ = h.Write(binary.LittleEndian.AppendUint64(nil, uint64(a.conf.FirstTick)<<20+uint64(b)))
 	at := Time(h.Sum32()) % span
 	return a.evaluatedAt > 0 && (a.now-at)/span > (a.evaluatedAt-at)/span
 }
 
-// admitCap is the limit on the txns of a second that admits want of them, where use arrive by chance (Poisson).
-func admitCap(want, use float64) float64 {
-	if use > 50 {
-		return want // chance is small beside that
+// poissonLimit returns the limit on txns per second that admits the rate want of Poisson arrivals with the given rate.
+func poissonLimit(want, rate float64) float64 {
+	if rate > 50 {
+		return want // random variation is relatively small
 	}
-	chance, more, in := math.Exp(-use), 1.0, 0.0
+	probability, tail, admitted := math.Exp(-rate), 1.0, 0.0 // of n arrivals; of more than n; mean at limit n
 	for n := 0.0; ; n++ {
-		if more -= chance; in+more >= want || more < 1e-3 {
-			return n + (want-in)/max(more, 1e-3)
+		if tail -= probability; admitted+tail >= want || tail < 1e-3 {
+			return n + (want-admitted)/max(tail, 1e-3)
 		}
-		in, chance = in+more, chance*use/(n+1)
+		admitted, probability = admitted+tail, probability*rate/(n+1)
 	}
 }
 
-// median is the weighted median, the lower or the upper one of two.
+// median returns the weighted median. If it falls between two samples, lower selects the smaller one.
 func median(all []sample, lower bool) float64 {
 	slices.SortFunc(all, func(a, b sample) int { return cmp.Compare(a.value, b.value) })
 	sum, half := 0.0, 0.0
@@ -157,9 +161,9 @@
 
 type sample struct{ value, strength float64 }
 
-// either is yes or no.
-func either[T any](is bool, yes, no T) T {
-	if is {
+// ifElse returns yes if the condition holds, otherwise no.
+func ifElse[T any](condition bool, yes, no T) T {
+	if condition {
 		return yes
 	}
 	return no
--- a/internal/policy/spillover.go
+++ b/internal/policy/spillover.go
@@ -2,8 +2,7 @@
 
 import "math"
 
-// setSpillover works out which part of each group's txns leaves its zone. The design lets other zones join when under
-// half a zone is usable; here they join for the demand above the zone's part of the fleet's weight.
+// setSpillover assigns a zone's demand above its share of the fleet's weight to other zones.
 func (a *Assigner) setSpillover() {
 	room, all, _ := a.capacityOf(a.ready)
 	if all == 0 || len(a.connected) == 0 {
@@ -18,7 +17,7 @@
 	}
 }
 
-// spillGroup places a group's demand in the room that the zones have, and takes it off that.
+// spillGroup distributes a group's demand over the zones' room and subtracts it from the room.
 func (a *Assigner) spillGroup(g int, room, demand []float64) {
 	group := &a.groups[g]
 	weight, allWeight, _ := a.capacityOf(group.open)
@@ -36,7 +35,7 @@
 			free += max(room[z], 0)
 		}
 	}
-	for z := range to { // where the excess goes: where there is room, otherwise by weight
+	for z := range to { // distributes the excess by free room, or by weight if there is none
 		if to[z] = weight[z] / max(allWeight, 1e-9); weight[z] > 0 && free > 0 {
 			to[z] = max(room[z], 0) / free
 		}
--- a/internal/policy/spread_test.go
+++ b/internal/policy/spread_test.go
@@ -62,7 +62,7 @@
 				e = append(
 					e,
 					RemoteReport{
-						BackendReport: BackendReport{Backend: b, Attempts: 100, Latency: either(b == 0, Time(6000), 400)},
+						BackendReport: BackendReport{Backend: b, Attempts: 100, Latency: ifElse(b == 0, Time(6000), 400)},
 						Age:           Second,
 					},
 				)
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -7,149 +7,147 @@
 	"slices"
 )
 
-// What an Assigner remembers. Nothing is decided here.
-
 const never = Time(math.MinInt64 / 2)
 
-// group is the products that may go to the same backends: they share a table.
+// group is a set of products that may use the same backends. They share a table per proxy.
 type group struct {
 	products  []int
-	mask      uint16 // of the products
-	class     Product
-	placement string // what makes two products of one group
-	open      []bool // by backend: its products may go there from some zone, in this step
-	planned   table  // the newest plan, of whichever proxy
+	mask      uint16  // bit mask of the products
+	class     Product // the first product of the group
+	placement string  // key of the group, made of its constraints
+	open      []bool  // by backend: usable from at least one zone in this step
+	planned   table   // result of the last planTable; its slices are reused
 }
 
-// table has weights by backend, and admissions by place in the group.
+// table holds weights by backend, and admissions in the order of group.products.
 type table struct {
 	weight     []float64
 	admissions []Admission
 }
 
 type proxy struct {
-	index        int
-	connected    bool
-	assigned     bool // to tables of ours
-	hasReported  bool // since it connected
-	bringsTables bool // and withdrawals of another controller
-	zone         int
-
-	// By product, txns/s.
-	use, failed, limit []float64
-	reported           []bool // its use was reported
-	reportedAt         []Time // the newest report, or when the proxy connected
+	index         int
+	connected     bool
+	assigned      bool // has tables of this controller
+	hasReported   bool // since it connected
+	hasPeerTables bool // connected with another controller's tables
+	zone          int
+
+	// By product; rates in txns/s.
+	rate, failed, limit []float64 // smoothed demand, smoothed failures, and rate limit
+	reported            []bool    // rate comes from a report
+	reportedAt          []Time    // time of the last report, or of the connection
 
 	disconnectedAt Time
-	installed      []table   // by group: what was ordered
+	installed      []table   // by group: the tables as ordered
 	subset         []bool    // by backend: may have a line
-	counted        bool      // its use is in Assigner.localLoad
-	stranded       bool      // it lacks a usable backend in some group
-	sent           []message // within the message window, or on their way
-
-	confined  bool
-	allowed   []bool // by backend, while confined
-	maxRate   float64
-	noRetries bool
+	counted        bool      // rate is included in Assigner.localLoad
+	stranded       bool      // has no usable backend in some group
+	sent           []message // messages within the message window or not yet acknowledged
+
+	restricted bool   // see ProxyRestricted
+	allowed    []bool // by backend, if restricted
+	maxRate    float64
+	noRetries  bool
 }
 
-// change is what a proxy lacks, and the tables that it has then.
+// change is the set of orders that a proxy is due, and its tables after them.
 type change struct {
 	proxy, urgency int
-	extraLines     float64 // that settle what the proxy brings
+	extraLines     float64 // cost beyond the orders: later readmissions and replaced withdrawals of a peer
 	orders         []Order
 	tables         []table
 }
 
-// backendStates are parallel arrays, by index of backend.
+// backendStates holds the state of all backends as parallel slices, by backend index.
 type backendStates struct {
 	zone, kind []int
 	status     []Status
 	weight     []float64 // as listed
-	unlisted   []bool    // dropped from the list, though that alone does not bind
+	unlisted   []bool    // dropped from the list without HonorRemovals
 	withdrawn  []bool
-	startedAt  []Time // when slow start began
+	startedAt  []Time // start of slow start
 	goneAt     []Time
 
-	derating  []float64 // part of its weight that a slow backend keeps
-	deratedAt []Time    // the newest step of it
-	inFlight  []float64 // txns, as a probe found since the last tick
+	derating  []float64 // fraction of its weight that a backend keeps
+	deratedAt []Time    // time of the last derating step
+	inFlight  []float64 // txns found by a probe since the last tick
 
-	// Of reports; the sums decay.
+	// Decaying sums over reports.
 
 	attempts, failed      []float64
 	succeeded, latencySum []float64
 	reportedAt            []Time
 	updated               []bool    // reported since the last tick
 	evaluated             []float64 // attempts at the last evaluation
-	age                   []Time    // how late the newest report of other controllers is
-	remoteAt              []Time    // when that arrived
-	reportGap             []float64 // seconds between the last two reports; 1 where that is often enough
-	reportInterval        []float64 // seconds between reports, smoothed
+	age                   []Time    // delay of the last remote report
+	remoteAt              []Time    // arrival of the last remote report
+	reportGap             []float64 // seconds between the last two reports, 1 unless reports are sparse
+	reportInterval        []float64 // smoothed seconds between reports
 }
 
-// Assigner decides for one controller.
+// Assigner makes the decisions of one controller.
 type Assigner struct {
 	conf         Deployment
 	now          Time
 	orders       []Order // of this step
 	started      bool
-	urgent       bool // something happened that cannot wait for the tick
-	needsFollow  bool // ask for the list again at the tick
-	retryPending bool // a timer is set for what the channel had no room for
+	urgent       bool // decide in this step without waiting for the tick
+	needsFollow  bool // request the list at the next tick
+	retryPending bool // a timer is set to retry changes that had no room
 
 	groups    []group
 	proxies   []proxy
 	connected []*proxy
 	backends  backendStates
-	spillover [][][]float64 // by group, zone of the proxies, zone of the backends: part of their txns
+	spillover [][][]float64 // by group, zone of the proxy, zone of the backend: fraction of txns
 
-	// By backend, in this step.
+	// By backend, recomputed in steps that make decisions.
 
-	slowStart   []float64 // part of its weight that it may have in slow start
+	slowStart   []float64 // fraction of its weight allowed by slow start
 	effective   []float64 // weight in tables
-	expected    []float64 // weight for the load of others
+	expected    []float64 // weight for estimating the load of other backends
 	ready       []bool
-	byZone      [][]int   // the backends of a zone
-	load        []float64 // txns/s for a unit of weight, as if all proxies chose as those here
-	localLoad   []float64 // the same of the proxies here alone, at the last tick and since
-	warmupShare []float64 // part of the demand for a backend in slow start that it can bear; otherwise unlimited
+	byZone      [][]int   // backends by zone
+	load        []float64 // txns/s per unit of weight, extrapolated to all proxies
+	localLoad   []float64 // the same from local proxies only, as of the last tick and connections since
+	warmupShare []float64 // fraction of the demand that a backend in slow start can serve; otherwise unlimited
 
-	// Under overload, txns/s.
+	// Overload control; rates in txns/s.
 
-	totalLimit          float64 // 0: there is no bound
-	knee                float64 // what the backends are taken to manage
+	totalLimit          float64 // 0: no limit
+	knee                float64 // estimated rate that the backends sustain
 	served              float64 // smoothed
-	capacity            float64 // weight of the ready backends, less in slow start
-	throughput          float64 // the most that was served for a unit of that
+	capacity            float64 // ready weight after slow start, before derating, scaled by connectedShare
+	throughput          float64 // highest served rate per unit of capacity
 	reducedAt, raisedAt Time
 	resetLimits         bool   // limits return to equal shares
-	uncapped            []bool // by product: the limits cover the demand
+	uncapped            []bool // by product: its limits cover the demand
 	restored            [EstimateThroughput + 1]float64
 	restoredAt          Time
 
-	overloaded, fast   bool
-	medianLatency      float64
-	medianFailed       float64 // part that fails at the median backend
-	failureRisk        float64 // the same, of backends in slow start too
-	rareReports        bool    // most backends do not report each second
-	evaluatedAt        Time
-	reportSpan         float64 // seconds that a usage report stands for, the mean of the last tick with any
-	spanSum, spanCount float64 // of reports since
+	overloaded, responsesFast bool
+	medianLatency             float64
+	medianFailed              float64 // failing fraction at the median backend
+	failureRisk               float64 // the same or that without derating, whichever is higher
+	rareReports               bool    // see rareReportInterval
+	evaluatedAt               Time
+	reportSpan                float64 // mean seconds covered by a usage report in the last tick with any
+	spanSum, spanCount        float64
 
-	remoteUsage   [][]float64 // txns/s by product and zone, of other controllers
+	remoteUsage   [][]float64 // txns/s by product and zone
 	remoteUsageAt Time
-	trust         float64 // part that is believed of it, which rises and falls in steps
+	remoteTrust   float64 // weight of remoteUsage, 0 to 1, changed gradually
 
-	queuedLines  float64 // that may wait in the channel
-	unackedLines float64 // of messages that nothing shows to have left it
+	queuedLines  float64 // estimated lines queued in the channel
+	unackedLines float64 // lines without evidence that they left the channel
 	queuedAt     Time
-	batch        int                      // messages that were written together
-	writtenAt    [markerNumbers / 32]Time // of the newest batches
-	drainedUntil Time                     // what was written up to here has left the channel
+	batch        int                      // number of the last batch of messages
+	writtenAt    [markerNumbers / 32]Time // by batch, for the most recent ones
+	drainedUntil Time                     // messages sent up to this time have left the channel
 }
 
-// New makes an Assigner that knows its deployment and nothing else.
+// New creates an Assigner without any state but its deployment.
 func New(d Deployment) *Assigner {
 	a := &Assigner{conf: d, needsFollow: d.ListOnRequest, uncapped: make([]bool, len(d.Products))}
 	for k, p := range d.Products {
@@ -160,15 +158,15 @@
 		}
 		a.groups[g].products, a.groups[g].mask = append(a.groups[g].products, k), a.groups[g].mask|1<<k
 	}
-	// The most confined are placed first, as their text sorts; the others take the room that is left.
+	// The placement text sorts groups with more constraints first; the others get the remaining room.
 	slices.SortFunc(a.groups, func(g, h group) int { return cmp.Compare(g.placement, h.placement) })
 	a.initSpillover()
 	return a
 }
 
-func (a *Assigner) order(o Order) { a.orders = append(a.orders, o) }
+func (a *Assigner) emit(o Order) { a.orders = append(a.orders, o) }
 
-func (a *Assigner) log(format string, v ...any) { a.order(Log{Text: fmt.Sprintf(format, v...)}) }
+func (a *Assigner) logf(format string, v ...any) { a.emit(Log{Text: fmt.Sprintf(format, v...)}) }
 
 func (a *Assigner) clampZone(z int) int { return min(max(z, 0), a.conf.Zones-1) }
 
@@ -176,7 +174,7 @@
 	for n := len(a.conf.Products); len(a.proxies) <= i; {
 		a.proxies = append(
 			a.proxies,
-			proxy{index: len(a.proxies), use: make([]float64, n), failed: make([]float64, n), limit: make([]float64, n),
+			proxy{index: len(a.proxies), rate: make([]float64, n), failed: make([]float64, n), limit: make([]float64, n),
 				reported: make([]bool, n), reportedAt: make([]Time, n), disconnectedAt: never},
 		)
 	}
@@ -199,7 +197,7 @@
 	}
 }
 
-// releaseIndex resets an index as if no backend had ever had it.
+// releaseIndex resets all state of a backend index for reuse.
 func (a *Assigner) releaseIndex(b int) {
 	s := &a.backends
 	if b >= len(s.zone) {
@@ -226,9 +224,9 @@
 	}
 }
 
-func (a *Assigner) onConfined(e ProxyRestricted) {
+func (a *Assigner) onRestricted(e ProxyRestricted) {
 	p := a.proxyAt(e.Proxy)
-	p.confined, p.maxRate, p.noRetries, p.allowed = e.Restricted, e.MaxRate, e.NoRetries, nil
+	p.restricted, p.maxRate, p.noRetries, p.allowed = e.Restricted, e.MaxRate, e.NoRetries, nil
 	a.urgent = true
 	for _, b := range e.Backends {
 		a.ensureBackend(b + 1)
@@ -237,26 +235,26 @@
 	}
 }
 
-// mayUse reports whether a backend is one of those that a proxy is confined to.
-func (p *proxy) mayUse(b int) bool { return !p.confined || b < len(p.allowed) && p.allowed[b] }
+// mayUse reports whether a proxy's restriction allows a backend.
+func (p *proxy) mayUse(b int) bool { return !p.restricted || b < len(p.allowed) && p.allowed[b] }
 
-// onForeignTables reports whether a proxy still uses tables of another controller: it can wait longer than one with
-// none.
-func (p *proxy) onForeignTables() bool { return p.bringsTables && !p.assigned }
+// usesPeerTables reports whether a proxy still uses another controller's tables. It can wait longer than a proxy
+// without any.
+func (p *proxy) usesPeerTables() bool { return p.hasPeerTables && !p.assigned }
 
-// Snapshot is what is worth restoring after a crash, or at another controller: use that was reported and deratings,
-// then total limit, knee and throughput. A turn gives each nth of the proxies and backends.
-func (a *Assigner) Snapshot(turn, of int) (all []RestoredEstimate) {
-	for i := turn; i < len(a.proxies); i += of {
-		for k, told := range a.proxies[i].reported {
-			if p := &a.proxies[i]; told && p.connected {
+// Snapshot returns the estimates that are worth restoring after a restart or at another controller. Each call covers
+// every nth proxy and backend, beginning at index turn.
+func (a *Assigner) Snapshot(turn, n int) (all []RestoredEstimate) {
+	for i := turn; i < len(a.proxies); i += n {
+		for k, reported := range a.proxies[i].reported {
+			if p := &a.proxies[i]; reported && p.connected {
 				all = append(
 					all,
 					RestoredEstimate{
 						Kind:       EstimateUsage,
 						Proxy:      i,
 						Product:    k,
-						Value:      p.use[k],
+						Value:      p.rate[k],
 						Age:        a.now - p.reportedAt[k],
 						Confidence: 1,
 					},
@@ -264,13 +262,13 @@
 			}
 		}
 	}
-	for b := turn; b < len(a.backends.zone); b += of {
+	for b := turn; b < len(a.backends.zone); b += n {
 		if a.backends.status[b] == Ready {
 			all = append(all, RestoredEstimate{Kind: EstimateDerating, Backend: b, Value: a.backends.derating[b], Confidence: 1})
 		}
 	}
 	if a.capacity > 0 && a.throughput > 0 &&
-		(a.medianLatency > 0 || a.medianFailed > 0) { // otherwise no report stands behind them
+		(a.medianLatency > 0 || a.medianFailed > 0) { // requires reports
 		for i, v := range [...]float64{a.totalLimit, a.knee, a.throughput * a.capacity} {
 			all = append(all, RestoredEstimate{Kind: EstimateTotalLimit + EstimateKind(i), Value: v / a.capacity, Confidence: 1})
 		}
@@ -278,7 +276,7 @@
 	return all
 }
 
-// initSpillover is where the groups' txns go at first: nowhere else.
+// initSpillover starts with all txns in their own zone.
 func (a *Assigner) initSpillover() {
 	a.byZone = make([][]int, a.conf.Zones)
 	for g := range a.groups {
@@ -290,19 +288,20 @@
 	}
 }
 
-func (p *proxy) totalUse() (u float64) {
-	for _, v := range p.use {
-		u += v
+// totalRate returns the sum over all products.
+func (p *proxy) totalRate() (total float64) {
+	for _, rate := range p.rate {
+		total += rate
 	}
-	return u
+	return total
 }
 
-// hasLine reports whether any table that is installed at a proxy has a line for a backend.
+// hasLine reports whether any installed table of a proxy has a weight for a backend.
 func (p *proxy) hasLine(b int) bool {
 	return slices.ContainsFunc(p.installed, func(t table) bool { return b < len(t.weight) && t.weight[b] > 0 })
 }
 
-// add adds an order of an urgency.
+// add appends an order and raises the urgency if necessary.
 func (c *change) add(o Order, urgency int) {
 	c.orders, c.urgency = append(c.orders, o), min(c.urgency, urgency)
 }
