--- a/internal/controlplane/consensus/acceptor.go
+++ b/internal/controlplane/consensus/acceptor.go
@@ -4,53 +4,54 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-// onPaxos handles a Paxos message of a peer, in this epoch.
+// onPaxos handles a Paxos message that a peer sent in the current epoch.
 func (r *Replica) onPaxos(p *peer, m *rpc.PaxosMessage) {
-	g := r.registerFor(m.Register)
-	g.round = max(g.round, roundOf(m.Ballot))
+	reg := r.registerFor(m.Register)
+	reg.round = max(reg.round, roundOf(m.Ballot))
 	switch m.Kind {
 	case rpc.Prepare, rpc.Accept:
-		r.answerAsAcceptor(p.Name, g, m)
+		r.answerAsAcceptor(p.Name, reg, m)
 	case rpc.Promise:
 		if r.countsVotesOf(p) {
-			r.onPromise(g, p.storeID, m)
+			r.onPromise(reg, p.storeID, m)
 		}
 	case rpc.Accepted:
-		if p.accepted[g.name].Less(m.Ballot) && g.name != epochRegister {
-			p.accepted[g.name] = m.Ballot
+		if p.accepted[reg.name].Less(m.Ballot) && reg.name != epochRegister {
+			p.accepted[reg.name] = m.Ballot
 		}
 		if r.countsVotesOf(p) {
-			r.onAccepted(g, p.storeID, m)
+			r.onAccepted(reg, p.storeID, m)
 		}
 	case rpc.Preempted:
-		r.onPreempted(g, m.Ballot)
+		r.onPreempted(reg, m.Ballot)
 	}
 }
 
-// answerAsAcceptor handles a request to this disk. A promise or a vote is sent once it is on the disk.
-func (r *Replica) answerAsAcceptor(to string, g *register, m *rpc.PaxosMessage) {
+// answerAsAcceptor handles a prepare or accept request to the local acceptor. A promise or vote is sent only once it is
+// on disk.
+func (r *Replica) answerAsAcceptor(to string, reg *register, m *rpc.PaxosMessage) {
 	if !r.mayVote(m.Register) {
 		return
 	}
 	if r.storedEpoch < r.epoch.Number {
-		// A vote of this epoch must not lie on the disk beside the epoch before.
+		// The disk must not hold a vote of this epoch together with an older epoch.
 		if len(r.deferred) < maxDeferredRequests {
 			r.deferred = append(r.deferred, deferredRequest{to, r.epoch.Number, *m})
 		}
 		return
 	}
-	answer := r.vote(g, m)
+	answer := r.vote(reg, m)
 	if answer.Kind == rpc.Preempted {
 		r.sendAnswer(to, answer)
 		return
 	}
-	r.noteOpenBallot(g, to, m.Ballot)
-	g.answers = append(g.answers, pendingAnswer{to, answer})
-	r.write(g)
+	r.recordOpenBallot(reg, to, m.Ballot)
+	reg.answers = append(reg.answers, pendingAnswer{to, answer})
+	r.write(reg)
 }
 
-// mayVote reports whether this disk answers requests about a register. A disk that may have forgotten something
-// must not vote, and before the first epoch only that epoch is decided.
+// mayVote reports whether the local acceptor answers requests about a register. A disk without an identity may have
+// forgotten votes and must not vote. Before the first epoch, only the epoch register is decided.
 func (r *Replica) mayVote(registerName string) bool {
 	if !r.identified {
 		return false
@@ -61,39 +62,39 @@
 	return r.epoch.IsVoter(r.storeID)
 }
 
-// vote applies a request to the acceptor and returns its answer.
-func (r *Replica) vote(g *register, m *rpc.PaxosMessage) rpc.PaxosMessage {
+// vote applies a request to the acceptor and returns the answer.
+func (r *Replica) vote(reg *register, m *rpc.PaxosMessage) rpc.PaxosMessage {
 	if m.Kind == rpc.Prepare {
-		if !g.acceptor.Prepare(m.Ballot) {
-			return preemptedBy(g)
+		if !reg.acceptor.Prepare(m.Ballot) {
+			return preemptedBy(reg)
 		}
 		answer := rpc.PaxosMessage{
 			Kind:           rpc.Promise,
-			Register:       g.name,
+			Register:       reg.name,
 			Ballot:         m.Ballot,
-			AcceptedBallot: g.acceptor.Accepted,
-			ValueAge:       r.reportedAge(g),
+			AcceptedBallot: reg.acceptor.Accepted,
+			ValueAge:       r.reportedAge(reg),
 		}
-		if g.hasAccepted() {
-			value := g.acceptor.Value
+		if reg.hasAccepted() {
+			value := reg.acceptor.Value
 			answer.Value = &value
 		}
 		return answer
 	}
-	previous := g.acceptor.Accepted
-	same := m.Value.Version == g.acceptor.Value.Version
-	if !g.acceptor.Accept(m.Ballot, *m.Value) {
-		return preemptedBy(g)
+	previous := reg.acceptor.Accepted
+	sameValue := m.Value.Version == reg.acceptor.Value.Version
+	if !reg.acceptor.Accept(m.Ballot, *m.Value) {
+		return preemptedBy(reg)
 	}
-	r.noteAge(g, same, m.ValueAge)
-	if previous != g.acceptor.Accepted {
-		g.unconfirmedAt = r.now
+	r.updateAge(reg, sameValue, m.ValueAge)
+	if previous != reg.acceptor.Accepted {
+		reg.unconfirmedAt = r.now
 	}
-	return rpc.PaxosMessage{Kind: rpc.Accepted, Register: g.name, Ballot: m.Ballot}
+	return rpc.PaxosMessage{Kind: rpc.Accepted, Register: reg.name, Ballot: m.Ballot}
 }
 
-func preemptedBy(g *register) rpc.PaxosMessage {
-	return rpc.PaxosMessage{Kind: rpc.Preempted, Register: g.name, Ballot: g.acceptor.Promised}
+func preemptedBy(reg *register) rpc.PaxosMessage {
+	return rpc.PaxosMessage{Kind: rpc.Preempted, Register: reg.name, Ballot: reg.acceptor.Promised}
 }
 
 func (r *Replica) sendAnswer(to string, m rpc.PaxosMessage) {
@@ -101,16 +102,16 @@
 		r.sendPaxos(to, m)
 		return
 	}
-	g := r.registerFor(m.Register)
+	reg := r.registerFor(m.Register)
 	switch m.Kind {
 	case rpc.Promise:
-		r.onPromise(g, r.storeID, &m)
+		r.onPromise(reg, r.storeID, &m)
 	case rpc.Accepted:
-		r.onAccepted(g, r.storeID, &m)
+		r.onAccepted(reg, r.storeID, &m)
 	case rpc.Preempted:
-		g.round = max(g.round, roundOf(m.Ballot))
-		r.onPreempted(g, m.Ballot)
-	case rpc.Prepare, rpc.Accept: // are no answers
+		reg.round = max(reg.round, roundOf(m.Ballot))
+		r.onPreempted(reg, m.Ballot)
+	case rpc.Prepare, rpc.Accept: // requests, not answers
 	}
 }
 
@@ -118,49 +119,49 @@
 	r.send(to, rpc.Consensus{Paxos: []rpc.PaxosMessage{m}})
 }
 
-// write puts the acceptor's state on the disk, one write at a time: what changed meanwhile is one more.
-func (r *Replica) write(g *register) {
-	if r.registers[g.name] != g {
-		return // the epoch register of an earlier epoch must not stand on the disk as that of the next one
+// write persists the acceptor's state. Each register has one write in progress; changes meanwhile share the next one.
+func (r *Replica) write(reg *register) {
+	if r.registers[reg.name] != reg {
+		return // the epoch register of an earlier epoch must not be stored as that of the current epoch
 	}
-	if g.writing {
-		g.dirty = true
+	if reg.writing {
+		reg.dirty = true
 		return
 	}
-	g.writing, g.dirty = true, false
-	r.persist(registerRecordName(g.name), encodeRegister(r.epoch.Number, g.acceptor), pendingWrite{
-		register: g.name,
-		accepted: g.acceptor.Accepted,
+	reg.writing, reg.dirty = true, false
+	r.persist(registerRecordName(reg.name), encodeRegister(r.epoch.Number, reg.acceptor), pendingWrite{
+		register: reg.name,
+		accepted: reg.acceptor.Accepted,
 		inEpoch:  r.epoch.Number,
-		answers:  g.answers,
+		answers:  reg.answers,
 	})
-	g.answers = nil
+	reg.answers = nil
 }
 
 func (r *Replica) onRegisterWritten(w pendingWrite, err error) {
-	g := r.registers[w.register]
+	reg := r.registers[w.register]
 	isOutdated := w.register == epochRegister && w.inEpoch != r.epoch.Number
-	if g == nil || !g.writing || isOutdated {
+	if reg == nil || !reg.writing || isOutdated {
 		return
 	}
-	g.writing = false
+	reg.writing = false
 	if err != nil {
-		g.writeFailedAt = max(r.now, 1) // nothing is answered; whoever asked asks again
+		reg.writeFailedAt = max(r.now, 1) // no answer is sent; the proposers send their requests again
 	} else {
-		r.onRegisterStored(g, w)
+		r.onRegisterStored(reg, w)
 	}
-	if g.dirty {
-		r.write(g)
+	if reg.dirty {
+		r.write(reg)
 	}
 }
 
-func (r *Replica) onRegisterStored(g *register, w pendingWrite) {
-	g.writeFailedAt = 0
-	if g.storedBallot.Less(w.accepted) {
-		g.storedBallot = w.accepted
-		r.onStored(g)
+func (r *Replica) onRegisterStored(reg *register, w pendingWrite) {
+	reg.writeFailedAt = 0
+	if reg.storedBallot.Less(w.accepted) {
+		reg.storedBallot = w.accepted
+		r.onStored(reg)
 	}
-	// A vote must not count while the disk lacks the epoch in which it was given.
+	// A vote must not count before its epoch is on disk.
 	if w.inEpoch != r.epoch.Number || r.storedEpoch != w.inEpoch {
 		return
 	}
--- a/internal/controlplane/consensus/bootstrap.go
+++ b/internal/controlplane/consensus/bootstrap.go
@@ -7,67 +7,68 @@
 )
 
 const (
-	// foundingQuietPeriod is how long no further node must have been identified before the first epoch is proposed: its
-	// voters are all that came.
-	foundingQuietPeriod = 700 * time.Millisecond
-	// foundingPatience is the time before it is proposed with fewer voters than the faults to be survived ask for, or
-	// without a majority of the seeds: further machines are heard of meanwhile, if there are any.
-	foundingPatience = 2 * time.Second
-	// foundingStagger is the pause between the seeds, and then the others, that propose it one after the other.
-	foundingStagger = 500 * time.Millisecond
-	// foundingStragglers is how many places those have that are no seeds.
-	foundingStragglers = 4
-	// maxSeeds is how many seeds the settings name where there are so many machines. Fewer seeds are all machines.
+	// bootstrapQuietPeriod is how long no new peer must have been identified before the first epoch is proposed, so that
+	// its voters include all machines that start together.
+	bootstrapQuietPeriod = 700 * time.Millisecond
+	// incompleteBootstrapDelay is the minimum time before the first epoch is proposed without 2f+1 voters or without a
+	// majority of the seeds. Further machines may be discovered meanwhile.
+	incompleteBootstrapDelay = 2 * time.Second
+	// bootstrapStagger is the delay between the nodes that propose the first epoch: first the seeds, then the others.
+	bootstrapStagger = 500 * time.Millisecond
+	// nonSeedSlots is the number of proposal slots that the other nodes share.
+	nonSeedSlots = 4
+	// maxSeeds is the number of seeds in the settings if there are at least as many machines. With fewer seeds, the seeds
+	// are all machines.
 	maxSeeds = 3
 )
 
-// tryFounding proposes the first epoch, of all nodes that came. Any quorum of the founding decides it (foundingRule),
-// whichever machines are gone. All nodes propose it, one after the other, as each may have connections to others that
-// are cut off from each other.
-func (r *Replica) tryFounding() {
-	founders := r.founders()
-	if !r.canFound() || r.now < r.foundingTime(len(founders)) {
+// tryBootstrap proposes the first epoch, with all connected nodes as voters. Any bootstrap quorum decides it
+// (bootstrapRule). All nodes propose it, one after the other, because each may be connected to nodes that cannot reach
+// each other.
+func (r *Replica) tryBootstrap() {
+	voters := r.initialVoters()
+	if !r.canBootstrap() || r.now < r.bootstrapTime(len(voters)) {
 		return
 	}
 	first := Epoch{
 		Number:      1,
-		Voters:      founders,
-		InitialSize: len(founders),
-		ClusterID:   hash64(r.options.Incarnation, r.queryID) | 1, // not 0, which stands for none
+		Voters:      voters,
+		InitialSize: len(voters),
+		ClusterID:   hash64(r.options.Incarnation, r.queryID) | 1, // not 0, which means none
 	}
-	if r.isEverybodyHere() {
-		r.proposeEpochUnless(first, func(half Epoch) bool { return majorityReplaced(half, founders) })
+	if r.hasAllMachines() {
+		r.proposeEpochUnless(first, func(accepted Epoch) bool { return majorityReplaced(accepted, voters) })
 		return
 	}
 	r.proposeEpoch(first)
 }
 
-// founders are the voters of a first epoch that is proposed now.
-func (r *Replica) founders() []Voter {
-	founders := []Voter{r.selfVoter()}
+// initialVoters returns the voters for a first epoch that is proposed now.
+func (r *Replica) initialVoters() []Voter {
+	voters := []Voter{r.selfVoter()}
 	for _, name := range r.connectedPeers() {
 		if p := r.peers[name]; p.reportedAt != never { // otherwise its disk has no identity yet
-			founders = append(founders, p.voter())
+			voters = append(voters, p.voter())
 		}
 	}
-	return sortVoters(founders)
+	return sortVoters(voters)
 }
 
-// foundingTime is when this node proposes the first epoch.
-func (r *Replica) foundingTime(founders int) time.Duration {
-	at := r.lastPeerAt + foundingQuietPeriod
-	hasMostSeeds := r.foundingVotes(anyStore).hasSeedMajority(len(r.foundingSeeds()))
-	if founders < 2*r.options.MaxFaults+1 || !hasMostSeeds {
-		at = max(at, foundingPatience)
+// bootstrapTime returns when this node proposes the first epoch.
+func (r *Replica) bootstrapTime(voters int) time.Duration {
+	at := r.lastNewPeerAt + bootstrapQuietPeriod
+	hasMostSeeds := r.bootstrapVotes(anyStore).hasSeedMajority(len(r.bootstrapSeeds()))
+	if voters < 2*r.options.MaxFaults+1 || !hasMostSeeds {
+		at = max(at, incompleteBootstrapDelay)
 	}
-	return at + time.Duration(r.foundingTurn())*foundingStagger
+	return at + time.Duration(r.bootstrapTurn())*bootstrapStagger
 }
 
-// foundingTurn is how many nodes propose the first epoch before this one: the seeds that answer, in their order, and
-// then the others.
-func (r *Replica) foundingTurn() (turn int) {
-	own := r.foundingAddress()
-	for _, seed := range r.foundingSeeds() {
+// bootstrapTurn returns the slot in which this node proposes the first epoch: first the responsive seeds in order, then
+// a hashed slot for each of the others.
+func (r *Replica) bootstrapTurn() (turn int) {
+	own := r.bootstrapAddress()
+	for _, seed := range r.bootstrapSeeds() {
 		if seed == own {
 			return turn
 		}
@@ -75,12 +76,12 @@
 			turn++
 		}
 	}
-	return turn + int(rendezvousHash(epochRegister, r.storeID)%foundingStragglers)
+	return turn + int(rendezvousHash(epochRegister, r.storeID)%nonSeedSlots)
 }
 
 func (r *Replica) isSeedResponsive(address string) bool {
 	for _, p := range r.peers {
-		if p.foundingAddress() == address && p.connected && r.now <= p.lastContact+QuorumContactTimeout {
+		if p.bootstrapAddress() == address && p.connected && r.now <= p.lastContact+QuorumContactTimeout {
 			return true
 		}
 	}
@@ -89,23 +90,22 @@
 
 func anyStore(string) bool { return true }
 
-// canFound reports whether those to which connections are up could decide the first epoch.
-func (r *Replica) canFound() bool { return r.identified && r.isFoundingQuorum(anyStore) }
+// canBootstrap reports whether the connected disks could decide the first epoch.
+func (r *Replica) canBootstrap() bool { return r.identified && r.isBootstrapQuorum(anyStore) }
 
-// isFoundingQuorum reports whether the disks that are counted, of those to which connections are up, are enough to
-// decide the first epoch.
-func (r *Replica) isFoundingQuorum(counted func(storeID string) bool) bool {
-	return r.foundingRule().isQuorum(r.foundingVotes(counted))
+// isBootstrapQuorum reports whether the counted disks, among the connected ones, are a quorum for the first epoch.
+func (r *Replica) isBootstrapQuorum(counted func(storeID string) bool) bool {
+	return r.bootstrapRule().isQuorum(r.bootstrapVotes(counted))
 }
 
-// isEverybodyHere reports whether connections are up to all machines of the founding, as far as can be known.
-func (r *Replica) isEverybodyHere() bool {
-	return r.foundingRule().isEverybody(r.foundingVotes(anyStore))
+// hasAllMachines reports whether all known machines are connected.
+func (r *Replica) hasAllMachines() bool {
+	return r.bootstrapRule().isAllMachines(r.bootstrapVotes(anyStore))
 }
 
-// foundingSeeds are the peer addresses that were the seeds at the system's first start, when all nodes were told the
-// same ones. A node that starts later may be told others: then the disks that remember go before its settings.
-func (r *Replica) foundingSeeds() []string {
+// bootstrapSeeds returns the addresses of the seeds at the cluster's first start, when all nodes had the same list. A
+// node that starts later may be configured with another list, so the list stored on any disk takes precedence.
+func (r *Replica) bootstrapSeeds() []string {
 	if len(r.origin.Seeds) > 0 {
 		return r.origin.Seeds
 	}
@@ -117,57 +117,61 @@
 	return r.options.Seeds
 }
 
-// foundingAddress is the own peer address at the system's first start, as far as that is known.
-func (r *Replica) foundingAddress() string { return cmp.Or(r.origin.Address, r.options.Self.Address) }
+// bootstrapAddress returns this node's address at the cluster's first start, as far as it is known.
+func (r *Replica) bootstrapAddress() string { return cmp.Or(r.origin.Address, r.options.Self.Address) }
 
-// foundingAddress is that of a peer.
-func (p *peer) foundingAddress() string { return cmp.Or(p.origin.Address, p.Address) }
+// bootstrapAddress returns the peer's address at the cluster's first start, as far as it is known.
+func (p *peer) bootstrapAddress() string { return cmp.Or(p.origin.Address, p.Address) }
 
-// foundingRule is the rule as far as this node knows the machines.
-func (r *Replica) foundingRule() foundingRule {
-	seeds := r.foundingSeeds()
-	rule := foundingRule{seeds: len(seeds), maxFaults: r.options.MaxFaults, machines: len(seeds), heardOf: len(seeds)}
+// bootstrapRule returns the rule for the machines that this node knows.
+func (r *Replica) bootstrapRule() bootstrapRule {
+	seeds := r.bootstrapSeeds()
+	rule := bootstrapRule{
+		seeds:              len(seeds),
+		maxFaults:          r.options.MaxFaults,
+		firstStartMachines: len(seeds),
+		knownMachines:      len(seeds),
+	}
 	count := func(address string, mayHaveLostState bool) {
 		if slices.Contains(seeds, address) {
 			return
 		}
-		rule.heardOf++
+		rule.knownMachines++
 		if !mayHaveLostState {
-			rule.machines++
+			rule.firstStartMachines++
 		}
 	}
-	count(r.foundingAddress(), r.mayHaveLostState)
+	count(r.bootstrapAddress(), r.mayHaveLostState)
 	for _, p := range r.peers {
-		count(p.foundingAddress(), p.mayHaveLostState)
+		count(p.bootstrapAddress(), p.mayHaveLostState)
 	}
 	return rule
 }
 
-// foundingVotes counts the disks, of those to which connections are up.
-func (r *Replica) foundingVotes(counted func(storeID string) bool) foundingVotes {
-	seeds := r.foundingSeeds()
-	votes := foundingVotes{}
+// bootstrapVotes counts this disk and the connected ones.
+func (r *Replica) bootstrapVotes(counted func(storeID string) bool) bootstrapVotes {
+	seeds := r.bootstrapSeeds()
+	votes := bootstrapVotes{}
 	count := func(storeID, address string, mayHaveLostState bool) {
 		if counted(storeID) {
 			votes.add(slices.Contains(seeds, address), mayHaveLostState)
 		}
 	}
-	count(r.storeID, r.foundingAddress(), r.mayHaveLostState)
+	count(r.storeID, r.bootstrapAddress(), r.mayHaveLostState)
 	for _, name := range r.connectedPeers() {
 		p := r.peers[name]
-		count(p.storeID, p.foundingAddress(), p.mayHaveLostState)
+		count(p.storeID, p.bootstrapAddress(), p.mayHaveLostState)
 	}
 	return votes
 }
 
-// majorityReplaced reports whether the machines of most voters of a first epoch are here with other disks. Otherwise a
-// first epoch that was left open when its voters lost their disks would be finished, and nobody would ever vote in it.
-// Everybody is here, and nobody has entered it: nothing was acknowledged in it but by disks that are gone, more than
-// are to be survived.
-func majorityReplaced(first Epoch, here []Voter) bool {
+// majorityReplaced reports whether the machines of most voters of a proposed first epoch are connected with other
+// disks. Such an epoch must not be finished, because it could never have a majority. It is safe to replace when all
+// machines are connected and none has entered it: only lost disks can have acknowledged anything in it.
+func majorityReplaced(first Epoch, connected []Voter) bool {
 	replaced := 0
 	for _, v := range first.Voters {
-		if slices.ContainsFunc(here, func(w Voter) bool { return w.Name == v.Name && w.StoreID != v.StoreID }) {
+		if slices.ContainsFunc(connected, func(w Voter) bool { return w.Name == v.Name && w.StoreID != v.StoreID }) {
 			replaced++
 		}
 	}
--- a/internal/controlplane/consensus/bootstraprule.go
+++ b/internal/controlplane/consensus/bootstraprule.go
@@ -1,86 +1,91 @@
 package consensus
 
-// foundingRule says which disks are enough to decide the first epoch, where nobody is told how many machines there
-// are. Any two quorums must share a disk that remembers what it voted, and what is left after maxFaults losses must be
-// a quorum.
+// bootstrapRule determines which disks may decide the first epoch, when the number of machines is not configured. Any
+// two quorums must share a disk that remembers its votes, and a quorum must remain after the loss of maxFaults (f)
+// machines.
 //
-// Where a majority of the seeds survives the losses, the seeds decide: any two majorities of them share one, however
-// many machines there are. Otherwise a lone seed must do, and one seed and the other two share nothing. Then machines
-// decide, f+1 of 2f+1 (a majority, which is what "f may be lost at once" rests on), or all but f where more have been
-// heard of. A disk remembers if it is from the system's first start. One that may have forgotten its vote, as its
-// machine was wiped or killed before the disk was first written, counts only where everybody is here: then nobody is
-// left who could know of an epoch.
+// If a majority of the seeds survives f losses, the seeds decide. Any two majorities of the seeds overlap, however many
+// machines there are.
 //
-// What this does not survive: more than 2f+1 machines, with 2f+1 more than the seeds, that are cut into groups of f+1
-// before the groups have heard of each other. Nobody could do better: a group of f+1 cannot tell such a cut from a
-// system of 2f+1 that has lost f. Two systems that came about so detect each other by their ClusterID (foreign.go).
-type foundingRule struct {
-	seeds     int // that were named at the first start
-	maxFaults int // machines that may be lost at once
-	machines  int // seeds, and others that were heard of and are from the first start
-	heardOf   int // seeds, and all others that were heard of
+// Otherwise only one seed may be left after f losses, and two quorums with one seed each need not share a seed. Then
+// the machines decide: f+1 of 2f+1, or all but f if more machines are known.
+//
+// A disk is intact if it is from the cluster's first start. Other disks may have forgotten a vote, because the machine
+// was wiped, or was killed before the first write. They count only when all machines are connected, so that no other
+// machine can know of an epoch.
+//
+// The rule does not cover more than 2f+1 machines, 2f+1 of them besides the seeds, that are partitioned into groups of
+// f+1 before the groups have discovered each other. No rule can: a group of f+1 cannot distinguish this from a cluster
+// of 2f+1 that has lost f machines. Each group then bootstraps a cluster, and their nodes detect each other by the
+// ClusterID (foreign.go).
+type bootstrapRule struct {
+	seeds              int // configured at the first start
+	maxFaults          int // machines that may be lost at once
+	firstStartMachines int // the seeds, and the other known machines that are from the first start
+	knownMachines      int // the seeds, and all other known machines
 }
 
-// foundingVotes counts disks by what they are.
-type foundingVotes struct {
-	all              int
-	remembering      int // from the system's first start
-	seeds            int
-	rememberingSeeds int
+// bootstrapVotes counts disks by kind.
+type bootstrapVotes struct {
+	all         int
+	intact      int // from the cluster's first start
+	seeds       int
+	intactSeeds int
 }
 
-func (v *foundingVotes) add(isSeed, mayHaveLostState bool) {
+func (v *bootstrapVotes) add(isSeed, mayHaveLostState bool) {
 	v.all++
 	if isSeed {
 		v.seeds++
 	}
 	if !mayHaveLostState {
-		v.remembering++
+		v.intact++
 		if isSeed {
-			v.rememberingSeeds++
+			v.intactSeeds++
 		}
 	}
 }
 
-func (v foundingVotes) hasSeedMajority(seeds int) bool { return v.seeds >= seeds/2+1 }
+func (v bootstrapVotes) hasSeedMajority(seeds int) bool { return v.seeds >= seeds/2+1 }
 
-// seedsDecide reports whether the seeds alone decide: they are all machines, or enough of them survive the losses.
-func (f foundingRule) seedsDecide() bool {
-	return f.seeds < maxSeeds || f.seeds >= 2*f.maxFaults+1
+// seedsDecide reports whether the seeds alone decide: they are all machines, or a majority of them survives maxFaults
+// losses.
+func (b bootstrapRule) seedsDecide() bool {
+	return b.seeds < maxSeeds || b.seeds >= 2*b.maxFaults+1
 }
 
-// size is the number of machines whose majority decides.
-func (f foundingRule) size() int { return max(2*f.maxFaults+1, f.machines) }
+// size returns the assumed number of machines. It is used if the seeds do not decide.
+func (b bootstrapRule) size() int { return max(2*b.maxFaults+1, b.firstStartMachines) }
 
-// isQuorum reports whether the disks are enough to decide the first epoch.
-func (f foundingRule) isQuorum(v foundingVotes) bool {
-	if f.isEverybody(v) {
+// isQuorum reports whether the disks may decide the first epoch.
+func (b bootstrapRule) isQuorum(v bootstrapVotes) bool {
+	if b.isAllMachines(v) {
 		return true
 	}
-	if f.seedsDecide() {
-		return v.rememberingSeeds >= f.needed()
+	if b.seedsDecide() {
+		return v.intactSeeds >= b.needed()
 	}
-	return v.remembering >= f.needed() && f.hasEnoughSeeds(v)
+	return v.intact >= b.needed() && b.hasEnoughSeeds(v)
 }
 
-// needed is how many disks that remember are a quorum.
-func (f foundingRule) needed() int {
-	if f.seedsDecide() {
-		return f.seeds/2 + 1
+// needed returns how many intact disks are a quorum.
+func (b bootstrapRule) needed() int {
+	if b.seedsDecide() {
+		return b.seeds/2 + 1
 	}
-	return f.size() - f.maxFaults
+	return b.size() - b.maxFaults
 }
 
-// hasEnoughSeeds asks for one seed: who is connected to none can have heard of few. Where all seeds may be lost at
-// once, none is asked for.
-func (f foundingRule) hasEnoughSeeds(v foundingVotes) bool {
-	return v.seeds > 0 || f.maxFaults >= f.seeds
+// hasEnoughSeeds requires one seed, because a node without a connection to any seed knows few machines. No seed is
+// required if all seeds may be lost at once.
+func (b bootstrapRule) hasEnoughSeeds(v bootstrapVotes) bool {
+	return v.seeds > 0 || b.maxFaults >= b.seeds
 }
 
-// isEverybody reports whether the disks are those of all machines, as far as can be known.
-func (f foundingRule) isEverybody(v foundingVotes) bool {
-	if f.seedsDecide() {
-		return v.seeds == f.seeds
+// isAllMachines reports whether the disks belong to all known machines.
+func (b bootstrapRule) isAllMachines(v bootstrapVotes) bool {
+	if b.seedsDecide() {
+		return v.seeds == b.seeds
 	}
-	return v.all >= max(f.size(), f.heardOf)
+	return v.all >= max(b.size(), b.knownMachines)
 }
--- a/internal/controlplane/consensus/durablestate.go
+++ b/internal/controlplane/consensus/durablestate.go
@@ -14,46 +14,46 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-// Names of records on the disk. Each is the newest of its name; their number is that of the registers, never that
-// of the changes. The names, and the keys of the records below, are stored: they never change.
+// Record names. A disk keeps only the newest record of each name, so that its size grows with the number of registers
+// and not with the number of changes. The names, and the CBOR keys of the records, are stored and must not change.
 const (
-	recordDisk           = "disk"     // the disk's identity
-	recordEpoch          = "epoch"    // the newest epoch
-	recordComplete       = "complete" // since it was written nothing that was on the disk is known to be lost
-	recordRegisterPrefix = "b/"       // before a register's name: what was promised and accepted
+	recordDisk           = "disk"     // diskRecord
+	recordEpoch          = "epoch"    // the newest Epoch
+	recordComplete       = "complete" // present while no record is known to be lost
+	recordRegisterPrefix = "b/"       // followed by the register's name: registerRecord
 
-	// Of the version before epochs: the nodes whose disks counted, and before a register's name its version and value.
-	legacyFounders       = "founders"
+	// Records of the version before epochs: the initial voters, and the version and value of each register.
+	legacyInitialVoters  = "founders"
 	legacyRegisterPrefix = "r/"
 	legacyVersionBytes   = 16
 )
 
-// DurableState is what a disk holds.
+// DurableState is the state that is read from a disk at the start.
 type DurableState struct {
 	StoreID          string
-	MayHaveLostState bool       // it is not from the system's first start: there may be an epoch that it does not know
-	Identified       bool       // StoreID is on the disk
-	Origin           rpc.Origin // of a disk from the system's first start
+	MayHaveLostState bool       // not from the cluster's first start, so that it may have forgotten an epoch or votes
+	Identified       bool       // StoreID is on disk
+	Origin           rpc.Origin // set if the disk is from the cluster's first start
 	Epoch            Epoch
-	Acceptors        map[string]paxos.Acceptor[Register] // by register
+	Acceptors        map[string]paxos.Acceptor[Register] // by register name
 
-	foreignRecords []string // of another identity, to be emptied
+	foreignRecords []string // written under another identity; they are erased
 }
 
 type diskRecord struct {
 	ID         string     `cbor:"1,keyasint"`
-	FirstStart bool       `cbor:"2,keyasint,omitempty"` // written at the system's first start
-	Origin     rpc.Origin `cbor:"3,keyasint,omitzero"`  // noted then
+	FirstStart bool       `cbor:"2,keyasint,omitempty"` // written at the cluster's first start
+	Origin     rpc.Origin `cbor:"3,keyasint,omitzero"`  // set if FirstStart
 }
 
 type registerRecord struct {
-	EpochNumber uint64       `cbor:"1,keyasint"` // of the epoch register: the epoch whose successor it decides
+	EpochNumber uint64       `cbor:"1,keyasint"` // epoch register only: the epoch whose successor it decides
 	Promised    BallotNumber `cbor:"2,keyasint"`
 	Accepted    BallotNumber `cbor:"3,keyasint"`
 	Value       Register     `cbor:"4,keyasint"`
 }
 
-// RecordError is a record that cannot be read.
+// RecordError reports a record that cannot be decoded.
 type RecordError struct {
 	Record string
 	Cause  error
@@ -61,12 +61,14 @@
 
 func (e *RecordError) Error() string { return fmt.Sprintf("record %s: %v", e.Record, e.Cause) }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *RecordError) Unwrap() error { return e.Cause }
 
-// LoadState reads the records of a disk. complete says that the disk has recordComplete; firstStart that this is the
-// system's first start and the disk is empty. newStoreID is the id of a disk that is new, or may have forgotten what it
-// voted. The error is a *RecordError: what a disk has lost of itself must not be taken for nothing.
+// LoadState decodes the records of a disk. complete tells whether the disk has recordComplete. firstStart tells whether
+// this is the cluster's first start, with an empty disk. newStoreID becomes the id of a disk that is new or may have
+// forgotten votes.
+//
+// A decoding error is a *RecordError. The caller must not treat it as an empty disk, because the disk may have voted.
 func LoadState(selfName string, records map[string][]byte, complete, firstStart bool,
 	newStoreID string) (DurableState, error) {
 	s := DurableState{
@@ -78,10 +80,10 @@
 	switch {
 	case complete && len(records[recordDisk]) > 0:
 		err = s.load(records)
-	case complete && len(records[legacyFounders]) > 0:
+	case complete && len(records[legacyInitialVoters]) > 0:
 		err = s.loadLegacy(selfName, records)
 	default:
-		s.noteForeign(records)
+		s.collectForeignRecords(records)
 	}
 	return s, err
 }
@@ -119,19 +121,19 @@
 	return nil
 }
 
-// loadLegacy reads a disk of the version before epochs. Founders were told apart by their names alone; a disk that is
-// complete is the one that was meant.
+// loadLegacy decodes the records of the version before epochs. That version identifies disks by node name alone, so a
+// complete disk is taken for the one of the initial voter of that name.
 func (s *DurableState) loadLegacy(selfName string, records map[string][]byte) error {
-	var founders []rpc.Node
-	if err := json.Unmarshal(records[legacyFounders], &founders); err != nil {
-		return &RecordError{legacyFounders, err}
+	var nodes []rpc.Node
+	if err := json.Unmarshal(records[legacyInitialVoters], &nodes); err != nil {
+		return &RecordError{legacyInitialVoters, err}
 	}
 	s.StoreID, s.MayHaveLostState = legacyStoreID(selfName), false
 	var voters []Voter
-	for _, f := range founders {
-		voters = append(voters, Voter{Node: f, StoreID: legacyStoreID(f.Name)})
+	for _, n := range nodes {
+		voters = append(voters, Voter{Node: n, StoreID: legacyStoreID(n.Name)})
 	}
-	s.Epoch = Epoch{Number: 1, Voters: sortVoters(voters), InitialSize: len(founders)}
+	s.Epoch = Epoch{Number: 1, Voters: sortVoters(voters), InitialSize: len(nodes)}
 	for name, text := range records {
 		registerName, isRegister := strings.CutPrefix(name, legacyRegisterPrefix)
 		if isRegister && len(text) >= legacyVersionBytes {
@@ -143,7 +145,7 @@
 
 func legacyStoreID(nodeName string) string { return "first:" + nodeName }
 
-// decodeLegacyRegister: what orders the values there serves as the ballot too.
+// decodeLegacyRegister uses the version of the value as its ballot, because both order the values in the same way.
 func decodeLegacyRegister(name string, text []byte) paxos.Acceptor[Register] {
 	high, low := binary.BigEndian.Uint64(text), binary.BigEndian.Uint64(text[8:])
 	ballot := BallotNumber{Round: high, Incarnation: low}
@@ -158,8 +160,8 @@
 	}
 }
 
-// noteForeign notes the records that do not count, as the disk has a new identity from now on.
-func (s *DurableState) noteForeign(records map[string][]byte) {
+// collectForeignRecords lists the records of the former identity of a disk that gets a new one.
+func (s *DurableState) collectForeignRecords(records map[string][]byte) {
 	for _, name := range slices.Sorted(maps.Keys(records)) {
 		if len(records[name]) > 0 && name != recordDisk {
 			s.foreignRecords = append(s.foreignRecords, name)
@@ -167,8 +169,8 @@
 	}
 }
 
-// writeIdentity gives the disk its identity: what it had under another one is emptied, then what it begins with is
-// written, its id, and recordComplete last. Before all of it is written the disk does not vote.
+// writeIdentity writes the disk's identity. It first erases the records of another identity, then writes the initial
+// state, the id, and recordComplete last. The disk does not vote before all of it is written.
 func (r *Replica) writeIdentity() {
 	state := &r.options.State
 	r.identityFailed = false
@@ -181,27 +183,27 @@
 			write(name, nil)
 		}
 	}
-	// What a disk of an older version begins with is on it in records of this version before it votes.
+	// The state of a legacy disk is converted to current records.
 	for _, name := range slices.Sorted(maps.Keys(state.Acceptors)) {
 		write(registerRecordName(name), encodeRegister(r.epoch.Number, r.registerFor(name).acceptor))
 	}
 	if state.Epoch.Number > 0 {
 		write(recordEpoch, encodeEpoch(r.epoch))
 	}
-	// The id comes after the rest. An older disk is complete already: if the power were lost in between, it would pass for
-	// one from the system's first start that knows of nothing.
+	// The id follows the state. A legacy disk already has recordComplete: with the id first, a power loss in between would
+	// make it look like an empty disk from the cluster's first start.
 	write(recordDisk, marshal(diskRecord{state.StoreID, !state.MayHaveLostState, r.origin}))
 	write(recordComplete, []byte{1})
 }
 
-// isRewritten reports whether a foreign record is written anyway, with what has come since the start.
+// isRewritten reports whether a foreign record is overwritten anyway by state that arrived since the start.
 func (r *Replica) isRewritten(record string) bool {
 	if record == recordEpoch {
 		return r.epoch.Number > 0
 	}
 	registerName, isRegister := strings.CutPrefix(record, recordRegisterPrefix)
-	g := r.registers[registerName]
-	return isRegister && g != nil && g.hasAccepted()
+	reg := r.registers[registerName]
+	return isRegister && reg != nil && reg.hasAccepted()
 }
 
 func registerRecordName(registerName string) string { return recordRegisterPrefix + registerName }
@@ -220,7 +222,7 @@
 func marshal(v any) []byte {
 	b, err := cbor.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("consensus: %v", err)) // cannot fail: the types above are plain data
+		panic(fmt.Sprintf("consensus: encode record: %v", err)) // unreachable: the record types are plain data
 	}
 	return b
 }
--- a/internal/controlplane/consensus/durablestate_test.go
+++ b/internal/controlplane/consensus/durablestate_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	return map[string][]byte{
-		legacyFounders:                  text,
+		legacyInitialVoters:             text,
 		legacyRegisterPrefix + charter:  oldRegister(7, 99, "seven"),
 		legacyRegisterPrefix + "zone/a": oldRegister(1_700_000_000_000, 3, "2b"),
 	}
@@ -139,7 +139,7 @@
 		}
 	}
 	old := oldRecords(t)
-	old[legacyFounders] = old[legacyFounders][1:]
+	old[legacyInitialVoters] = old[legacyInitialVoters][1:]
 	if _, err := LoadState("c0", old, true, false, "drawn"); err == nil {
 		t.Error("broken founders are taken")
 	}
--- a/internal/controlplane/consensus/epochs.go
+++ b/internal/controlplane/consensus/epochs.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	// epochRegister is the register in which the voters of an epoch decide the next one. Each epoch begins it anew.
+	// epochRegister is the register in which the voters of an epoch decide the next one. Each epoch starts with an empty
+	// one.
 	epochRegister = "epoch"
-	// voterStagger is the pause between the voters where one of them is enough to act: by rank, one after the other.
+	// voterStagger is the delay per rank for actions that one voter is enough for.
 	voterStagger = 200 * time.Millisecond
 )
 
-// enterEpoch takes over a newer epoch. What was under way in the old one begins anew.
+// enterEpoch switches to a newer epoch and restarts the ballots and reads of the old one.
 func (r *Replica) enterEpoch(e Epoch) {
 	if e.Number <= r.epoch.Number {
 		return
@@ -25,14 +26,14 @@
 	if isFirst {
 		r.reportForeignPeers()
 	}
-	r.desired, r.jointScan = "", nil
+	r.desiredVotersKey, r.jointScan = "", nil
 	r.writeEpoch()
 	delete(r.registers, epochRegister)
-	for _, g := range r.registers {
-		g.answers = nil
-		if g.ballotUnderWay() {
-			g.proposal.Stop()
-			g.requeue()
+	for _, reg := range r.registers {
+		reg.answers = nil
+		if reg.ballotInProgress() {
+			reg.proposal.Stop()
+			reg.requeue()
 		}
 	}
 	for _, q := range r.reads {
@@ -53,10 +54,10 @@
 	r.persist(recordEpoch, encodeEpoch(r.epoch), pendingWrite{epochNumber: r.epoch.Number})
 }
 
-// tickEpoch does what is due for the disk's identity and for the epoch.
+// tickEpoch performs due work on the disk's identity and on the epoch.
 func (r *Replica) tickEpoch() {
 	if !r.identified && (r.identityTriedAt < 0 || r.now >= r.identityTriedAt+diskRetryInterval) {
-		r.identityTriedAt = r.now + time.Hour // until the writes are answered
+		r.identityTriedAt = r.now + time.Hour // until the writes complete
 		r.writeIdentity()
 	}
 	if r.storedEpoch < r.epoch.Number && r.now >= r.epochWrittenAt+diskRetryInterval {
@@ -65,45 +66,46 @@
 	switch {
 	case !r.identified:
 	case r.epoch.Number == 0:
-		r.tryFounding()
+		r.tryBootstrap()
 	case r.epoch.IsJoint() && r.IsVoter():
-		r.finishJointEpoch() // which finds out for itself who is there
+		r.finishJointEpoch()
 	case !r.IsVoter() || !r.HasQuorum(r.now):
-		r.jointScan, r.desired = nil, ""
+		r.jointScan, r.desiredVotersKey = nil, ""
 	default:
 		r.tryVoterChange()
 	}
 }
 
-// proposeEpoch proposes the next epoch, unless another one is proposed already: then that one is finished.
+// proposeEpoch proposes the next epoch. If another epoch was proposed already, that one is finished instead.
 func (r *Replica) proposeEpoch(next Epoch) {
 	r.proposeEpochUnless(next, func(Epoch) bool { return false })
 }
 
-// proposeEpochUnless does so too, but goes past an epoch that is proposed already and is obsolete.
+// proposeEpochUnless is proposeEpoch, but replaces an already proposed epoch that is obsolete.
 func (r *Replica) proposeEpochUnless(next Epoch, isObsolete func(Epoch) bool) {
-	g := r.registerFor(epochRegister)
-	if g.ballotUnderWay() || len(g.queue) > 0 {
+	reg := r.registerFor(epochRegister)
+	if reg.ballotInProgress() || len(reg.queue) > 0 {
 		return
 	}
 	incarnation := r.options.Incarnation
 	change := func(proposed Register, _ Age) (Register, Outcome) {
-		half, err := decodeEpoch(proposed.Value)
-		if proposed.Version == (Version{}) || err == nil && isObsolete(half) {
+		accepted, err := decodeEpoch(proposed.Value)
+		if proposed.Version == (Version{}) || err == nil && isObsolete(accepted) {
 			e := next
-			e.Number = max(next.Number, half.Number+1) // no two epochs have one number
+			e.Number = max(next.Number, accepted.Number+1) // epoch numbers are unique
 			proposed.Version = Version{Number: proposed.Version.Number + 1, ID: incarnation}
 			proposed.Value = encodeEpoch(e)
 		}
 		return proposed, Committed
 	}
-	g.queue = append(g.queue, &request{startedAt: r.now, change: change})
-	r.startBallot(g)
+	reg.queue = append(reg.queue, &request{startedAt: r.now, change: change})
+	r.startBallot(reg)
 }
 
-// deciders are those who decide what follows this epoch. In a joint epoch that are the old voters, whether it ends
-// in the new ones or is reverted: both ends need a majority of them, so there is only one.
-func (r *Replica) deciders() Epoch {
+// decidingEpoch returns the epoch whose voters decide the next one. In a joint epoch only the old voters decide,
+// whether it is completed or reverted. Both outcomes need a majority of the same set, so only one of them can be
+// chosen.
+func (r *Replica) decidingEpoch() Epoch {
 	e := r.epoch
 	if e.IsJoint() {
 		e.Voters, e.OldVoters = e.OldVoters, nil
@@ -111,52 +113,52 @@
 	return e
 }
 
-// canReachQuorum reports whether connections are up to enough of those that vote: otherwise nothing would come of a
-// ballot but higher numbers.
-func (r *Replica) canReachQuorum(g *register) bool {
+// canReachQuorum reports whether this node is connected to a read quorum. Without one, a ballot could not succeed and
+// would only raise the ballot numbers.
+func (r *Replica) canReachQuorum(reg *register) bool {
 	if r.epoch.Number == 0 {
-		return r.canFound()
+		return r.canBootstrap()
 	}
 	reachable := map[string]bool{r.storeID: r.identified}
 	for _, p := range r.peers {
 		reachable[p.storeID] = reachable[p.storeID] || p.connected
 	}
-	return r.hasReadQuorum(g, func(storeID string) bool { return reachable[storeID] })
+	return r.hasReadQuorum(reg, func(storeID string) bool { return reachable[storeID] })
 }
 
-// hasReadQuorum reports whether the disks that are counted are enough to read a register from.
-func (r *Replica) hasReadQuorum(g *register, counted func(storeID string) bool) bool {
+// hasReadQuorum reports whether the counted disks are a quorum for reading a register (phase 1).
+func (r *Replica) hasReadQuorum(reg *register, counted func(storeID string) bool) bool {
 	switch {
 	case r.epoch.Number == 0:
-		return r.isFoundingQuorum(counted)
-	case g.name == epochRegister:
-		return r.deciders().HasMajority(func(v Voter) bool { return counted(v.StoreID) || r.isStaleIdentity(v) })
+		return r.isBootstrapQuorum(counted)
+	case reg.name == epochRegister:
+		return r.decidingEpoch().HasMajority(func(v Voter) bool { return counted(v.StoreID) || r.isReplacedVoterOfPair(v) })
 	}
-	return r.epoch.HasMajority(func(v Voter) bool { return counted(v.StoreID) || r.isStaleOldVoter(v) })
+	return r.epoch.HasMajority(func(v Voter) bool { return counted(v.StoreID) || r.isReplacedOutgoingVoter(v) })
 }
 
-// hasWriteQuorum reports whether the disks that are counted are enough to write a register to.
-func (r *Replica) hasWriteQuorum(g *register, counted func(storeID string) bool) bool {
-	if r.epoch.Number == 0 || g.name == epochRegister {
-		return r.hasReadQuorum(g, counted)
+// hasWriteQuorum reports whether the counted disks are a quorum for writing a register (phase 2).
+func (r *Replica) hasWriteQuorum(reg *register, counted func(storeID string) bool) bool {
+	if r.epoch.Number == 0 || reg.name == epochRegister {
+		return r.hasReadQuorum(reg, counted)
 	}
 	return r.epoch.IsDurable(r.options.MaxFaults, func(v Voter) bool {
-		return counted(v.StoreID) || r.isStaleOldVoter(v)
+		return counted(v.StoreID) || r.isReplacedOutgoingVoter(v)
 	})
 }
 
-// isStaleIdentity reports whether a voter is one of two and its disk is known to be gone, because its machine is there
-// with another one. What two have chosen lies on both, and a disk that is gone votes for nothing else: the other one
-// decides alone who votes next. Otherwise a wiped disk would end a control plane of two for good.
-func (r *Replica) isStaleIdentity(v Voter) bool {
-	if v.StoreID == r.storeID || !r.isOneOfTwo(v) {
+// isReplacedVoterOfPair reports whether a voter is one of two and its disk is known to be lost, because its machine is
+// connected with another disk. A write quorum of two is both, so the other disk has every chosen value and can decide
+// the next voters alone. Otherwise the loss of one of two disks would stop the control plane for good.
+func (r *Replica) isReplacedVoterOfPair(v Voter) bool {
+	if v.StoreID == r.storeID || !r.isVoterOfPair(v) {
 		return false
 	}
 	p := r.peers[v.Name]
 	return p != nil && p.connected && p.storeID != v.StoreID
 }
 
-func (r *Replica) isOneOfTwo(v Voter) bool {
+func (r *Replica) isVoterOfPair(v Voter) bool {
 	isSame := func(w Voter) bool { return w.StoreID == v.StoreID }
 	for _, set := range [][]Voter{r.epoch.Voters, r.epoch.OldVoters} {
 		if len(set) == 2 && slices.ContainsFunc(set, isSame) {
@@ -166,15 +168,15 @@
 	return false
 }
 
-// isStaleOldVoter is isStaleIdentity of a voter that the change under way removes. For registers it counts only
-// there: the new voters must have all that the one that is left has.
-func (r *Replica) isStaleOldVoter(v Voter) bool {
+// isReplacedOutgoingVoter reports whether isReplacedVoterOfPair holds for a voter that the current change removes. Only
+// such a voter is ignored for registers, because the new voters must get all values of the remaining one.
+func (r *Replica) isReplacedOutgoingVoter(v Voter) bool {
 	stays := slices.ContainsFunc(r.epoch.Voters, func(w Voter) bool { return w.StoreID == v.StoreID })
-	return r.epoch.IsJoint() && !stays && r.isStaleIdentity(v)
+	return r.epoch.IsJoint() && !stays && r.isReplacedVoterOfPair(v)
 }
 
-// rankAmongVoters is the number of connected voters that come before this node, where one node is enough to act. Each
-// register has an order of its own.
+// rankAmongVoters returns how many connected voters precede this node. It staggers actions that one node is enough for.
+// Each register has its own order.
 func (r *Replica) rankAmongVoters(registerName string) (rank int) {
 	own := rendezvousHash(registerName, r.storeID)
 	for _, p := range r.peers {
@@ -190,10 +192,10 @@
 	return voters
 }
 
-// selfVoter is the own disk as a voter.
+// selfVoter returns the local disk as a voter.
 func (r *Replica) selfVoter() Voter { return Voter{Node: r.options.Self, StoreID: r.storeID} }
 
 func (p *peer) voter() Voter { return Voter{Node: p.Node, StoreID: p.storeID} }
 
-// queryState asks all peers for what their disks have accepted.
+// queryState asks all peers for the ballots that their disks have accepted.
 func (r *Replica) queryState(id uint64) { r.broadcast(rpc.Consensus{QueryState: true, QueryID: id}) }
--- a/internal/controlplane/consensus/evacuations.go
+++ b/internal/controlplane/consensus/evacuations.go
@@ -10,18 +10,17 @@
 
 // Evacuations
 //
-// The register of a zone holds how many evacuations of it are open and what the last order was: "2b" after a second
-// begin, "1f" after one of two finishes; then, after a colon, the ids of the last orders. These values are stored, and
+// The register of a zone holds the number of open evacuations and the kind of the last request: "2b" after a second
+// begin, "1f" after one of two finishes. After a colon follow the ids of the last requests. These values are stored and
 // sent to proxies.
 //
-// Two operators may evacuate a zone for reasons of their own at overlapping times, and the end of one must not send
-// anything to what the other still evacuates. A plain state, evacuated or not, would; so evacuations are counted.
+// Evacuations are counted because two operators may evacuate a zone at overlapping times. The finish of one must not
+// end the evacuation of the other.
 //
-// An order that is repeated, as callers do without a clear answer, must not count twice: the zone would stay
-// evacuated after its one finish. Orders carry no number, so an order of the same kind as the last, within the time
-// in which it may be repeated, is taken for that one. Two operators that begin within that time count as one, and
-// the first finish ends both; two that finish within it count as one too, and the zone stays evacuated until it is
-// finished once more. That price is paid knowingly; see docs/control.md.
+// A retried request must not count twice, or the zone would stay evacuated after its only finish. Clients send no
+// request id, so a request of the same kind as the last one, within the retry window, is taken for a retry. As a
+// consequence, two operators that begin within the window count as one, and the first finish ends both evacuations. Two
+// finishes within the window also count as one, and the zone stays evacuated until another finish.
 
 const (
 	lastBegan        = 'b'
@@ -30,11 +29,11 @@
 	idBytes          = 8
 )
 
-// evacuations is the value of a zone's register.
+// evacuations is the decoded value of a zone's register.
 type evacuations struct {
 	open int
 	last byte     // lastBegan or lastFinished
-	ids  []uint64 // of the last orders, the oldest first
+	ids  []uint64 // of the last requests, oldest first
 }
 
 func parseEvacuations(value []byte) evacuations {
@@ -43,7 +42,7 @@
 		return evacuations{last: lastFinished}
 	}
 	e := evacuations{last: state[len(state)-1]}
-	e.open, _ = strconv.Atoi(string(state[:len(state)-1])) // 0 for what is no number; only encode writes it
+	e.open, _ = strconv.Atoi(string(state[:len(state)-1])) // 0 if malformed
 	for ; len(ids) >= idBytes; ids = ids[idBytes:] {
 		e.ids = append(e.ids, binary.BigEndian.Uint64(ids))
 	}
@@ -58,7 +57,7 @@
 	return value
 }
 
-// apply is the state after an order.
+// apply returns the state after a request.
 func (e evacuations) apply(begin bool, id uint64) evacuations {
 	next := evacuations{open: max(e.open-1, 0), last: lastFinished}
 	if begin {
@@ -68,21 +67,21 @@
 	return next
 }
 
-// IsEvacuated reports whether the value of a zone's register says that nothing is to be sent there.
+// IsEvacuated reports whether the value of a zone's register says that the zone is evacuated.
 func IsEvacuated(value []byte) bool { return parseEvacuations(value).open > 0 }
 
-// HasAppliedEvacuation reports whether an order counts in the value of a zone's register. One that was committed and does
-// not was taken for a repetition of the last one of its kind, or lies further back than ids are kept.
+// HasAppliedEvacuation reports whether the value of a zone's register includes the request with an id. It does not if
+// the request was taken for a retry, or if its id is no longer among the last maxRememberedIDs.
 func HasAppliedEvacuation(value []byte, id uint64) bool {
 	return slices.Contains(parseEvacuations(value).ids, id)
 }
 
-// Evacuate is the meaning of an order to begin or to finish an evacuation.
+// Evacuate returns the change that begins or finishes an evacuation.
 //
-// id tells the order from others: if it was committed already, by a ballot that somebody else finished, it is not done
-// again. repeatWindow is the time in which callers repeat an order. timeOfDay is in ms since 1970: it tells the age of
-// the last order where nobody has run since, and is a hint otherwise.
-func Evacuate(begin bool, id uint64, repeatWindow time.Duration, timeOfDay uint64) ChangeFunc {
+// id identifies the request, so that it is applied once even if another node has already finished its ballot. A request
+// of the same kind within retryWindow is a retry. timeOfDay, in ms since 1970, becomes the version. It also gives the
+// age of the last request if no node knows that age exactly.
+func Evacuate(begin bool, id uint64, retryWindow time.Duration, timeOfDay uint64) ChangeFunc {
 	return func(committed Register, age Age) (Register, Outcome) {
 		current := parseEvacuations(committed.Value)
 		if !age.Exact {
@@ -90,8 +89,8 @@
 			age.Duration = max(age.Duration, byClock)
 		}
 		next := current.apply(begin, id)
-		isRepetition := committed.Version != (Version{}) && current.last == next.last && age.Duration < repeatWindow
-		if isRepetition || slices.Contains(current.ids, id) {
+		isRetry := committed.Version != (Version{}) && current.last == next.last && age.Duration < retryWindow
+		if isRetry || slices.Contains(current.ids, id) {
 			return committed, Committed
 		}
 		return Register{
@@ -102,9 +101,9 @@
 	}
 }
 
-// ReplaceConfig is the meaning of an order to replace the configuration. A higher version replaces the committed
-// one. The same version with the same body is confirmed; so is a lower one, as what is committed is above it. The
-// same version with another body is a conflict, for good.
+// ReplaceConfig returns the change that replaces the configuration. A higher version replaces the committed one. A
+// lower version, or the same version with the same body, is confirmed without a change. The same version with another
+// body is a Conflict.
 func ReplaceConfig(version, digest uint64, body []byte) ChangeFunc {
 	return func(committed Register, _ Age) (Register, Outcome) {
 		switch {
--- a/internal/controlplane/consensus/foreign.go
+++ b/internal/controlplane/consensus/foreign.go
@@ -2,22 +2,24 @@
 
 import "elmfold/internal/gateway/rpc"
 
-// Systems that were founded independently, because more machines than the faults to be survived ask for were cut into
-// groups in their first seconds, are told apart by the ClusterID of their epochs. They are never merged: what either
-// has acknowledged would be lost or shown in an older state. Whoever meets the other says so, ignores it, and answers
-// as one without quorum contact unless its own system has most of the seeds.
+// Foreign peers
+//
+// If a partition splits the machines during the first seconds, several clusters may be bootstrapped independently
+// (bootstraprule.go). The ClusterID of their epochs distinguishes them. They are never merged, because that would lose
+// or roll back acknowledged values. A node that meets a peer of another cluster reports it and ignores its messages.
+// Unless most of the seeds belong to its own cluster, the node behaves as if it had no quorum contact.
 
-// isForeignMessage reports whether a message is from another system, and notes the system of the peer.
+// isForeignMessage reports whether a message is from another cluster, and records the peer's cluster.
 func (r *Replica) isForeignMessage(p *peer, m *rpc.Message) bool {
 	isOfThisDisk := m.StoreID == p.storeID
-	if isOfThisDisk && m.ClusterID != 0 && m.ClusterID != p.foundingID {
-		p.foundingID = m.ClusterID
+	if isOfThisDisk && m.ClusterID != 0 && m.ClusterID != p.clusterID {
+		p.clusterID = m.ClusterID
 		r.reportIfForeign(p)
 	}
-	return r.isOtherSystem(m.ClusterID) || isOfThisDisk && r.isForeign(p)
+	return r.isOtherCluster(m.ClusterID) || isOfThisDisk && r.isForeign(p)
 }
 
-// reportForeignPeers is called once this node belongs to a system itself.
+// reportForeignPeers reports the known foreign peers when this node joins a cluster.
 func (r *Replica) reportForeignPeers() {
 	for _, name := range r.sortedPeers() {
 		r.reportIfForeign(r.peers[name])
@@ -26,21 +28,21 @@
 
 func (r *Replica) reportIfForeign(p *peer) {
 	if r.isForeign(p) {
-		r.emit(ForeignPeerFound{p.Name, p.foundingID})
+		r.emit(ForeignPeerFound{p.Name, p.clusterID})
 	}
 }
 
-// isForeign reports whether a peer belongs to another system.
-func (r *Replica) isForeign(p *peer) bool { return r.isOtherSystem(p.foundingID) }
+// isForeign reports whether a peer belongs to another cluster.
+func (r *Replica) isForeign(p *peer) bool { return r.isOtherCluster(p.clusterID) }
 
-// isOtherSystem reports whether an id is that of another system. 0 is of none: the sender has not entered an epoch, or
-// its version does not know of systems.
-func (r *Replica) isOtherSystem(foundingID uint64) bool {
+// isOtherCluster reports whether an id belongs to another cluster. 0 belongs to none: the sender has not entered an
+// epoch, or its version has no cluster ids.
+func (r *Replica) isOtherCluster(clusterID uint64) bool {
 	own := r.epoch.ClusterID
-	return own != 0 && foundingID != 0 && foundingID != own
+	return own != 0 && clusterID != 0 && clusterID != own
 }
 
-// ForeignPeers are the names of the peers that belong to another system, sorted.
+// ForeignPeers returns the names of the peers that belong to another cluster, sorted.
 func (r *Replica) ForeignPeers() []string {
 	var names []string
 	for _, name := range r.sortedPeers() {
@@ -60,12 +62,12 @@
 	return false
 }
 
-// isOutvoted reports whether there is another system and most of the seeds are not known to be of this one.
+// isOutvoted reports whether there is a foreign peer while most of the seeds are not known to belong to this cluster.
 func (r *Replica) isOutvoted() bool {
 	if !r.hasForeignPeer() {
 		return false
 	}
-	seeds, own := r.foundingSeeds(), 0
+	seeds, own := r.bootstrapSeeds(), 0
 	for _, seed := range seeds {
 		if r.isOwnSeed(seed) {
 			own++
@@ -74,13 +76,13 @@
 	return own < len(seeds)/2+1
 }
 
-// isOwnSeed reports whether the node that was a seed at an address is known to be of this system.
+// isOwnSeed reports whether the seed at an address is known to belong to this cluster.
 func (r *Replica) isOwnSeed(address string) bool {
-	if r.foundingAddress() == address {
+	if r.bootstrapAddress() == address {
 		return true
 	}
 	for _, p := range r.peers {
-		if p.foundingAddress() == address && p.foundingID == r.epoch.ClusterID {
+		if p.bootstrapAddress() == address && p.clusterID == r.epoch.ClusterID {
 			return true
 		}
 	}
--- a/internal/controlplane/consensus/foundingmodel_test.go
+++ b/internal/controlplane/consensus/foundingmodel_test.go
@@ -12,7 +12,7 @@
 	"github.com/zeebo/xxh3"
 )
 
-// The founding model plays the Paxos of the first epoch with the real foundingRule, every message at any time, lost or
+// The founding model plays the Paxos of the first epoch with the real bootstrapRule, every message at any time, lost or
 // late, and every machine wiped at any time. States that differ only in which seed, or which other machine, is which
 // are one state. What a node knows of others is what votes it has received; connections and clocks are left out, so
 // whatever a proposer may count it may count at any moment.
@@ -88,27 +88,27 @@
 	cut    bool
 }
 
-func (m *foundingModel) rule() foundingRule {
+func (m *foundingModel) rule() bootstrapRule {
 	seeds := min(m.machines, maxSeeds)
-	return foundingRule{seeds: seeds, maxFaults: m.faults, machines: m.machines, heardOf: m.machines}
+	return bootstrapRule{seeds: seeds, maxFaults: m.faults, firstStartMachines: m.machines, knownMachines: m.machines}
 }
 
-func (m *foundingModel) isQuorum(v foundingVotes) bool {
+func (m *foundingModel) isQuorum(v bootstrapVotes) bool {
 	seeds := min(m.machines, maxSeeds)
 	switch {
 	case m.flaws.seedsAlone:
-		return v.rememberingSeeds >= seeds/2+1 || v.remembering >= m.faults+1 && v.seeds > 0
+		return v.intactSeeds >= seeds/2+1 || v.intact >= m.faults+1 && v.seeds > 0
 	case m.flaws.loneSeed:
-		return v.rememberingSeeds > 0
+		return v.intactSeeds > 0
 	case m.flaws.fewer:
-		return v.remembering >= m.faults
+		return v.intact >= m.faults
 	}
 	return m.rule().isQuorum(v)
 }
 
 // count counts the machines for which has is true of the first or the second disk.
-func (m *foundingModel) count(s *foundingState, has func(diskVotes) bool, ballot int) foundingVotes {
-	votes := foundingVotes{}
+func (m *foundingModel) count(s *foundingState, has func(diskVotes) bool, ballot int) bootstrapVotes {
+	votes := bootstrapVotes{}
 	for i := range m.machines {
 		one := &s.machines[i]
 		isSeed := i < maxSeeds
@@ -226,7 +226,7 @@
 
 // found is the highest ballot that some of those that promised have accepted, and whether they are a quorum.
 func (m *foundingModel) found(s *foundingState, b int, promised []int, set int) (found uint8, isQuorum bool) {
-	votes := foundingVotes{}
+	votes := bootstrapVotes{}
 	for k, i := range promised {
 		if set>>k&1 == 0 {
 			continue
@@ -341,7 +341,7 @@
 // epoch.
 func (m *foundingModel) checkLive(s *foundingState) string {
 	for gone := range 1 << m.machines {
-		lost, left, knows := 0, foundingVotes{}, false
+		lost, left, knows := 0, bootstrapVotes{}, false
 		for i := range m.machines {
 			one := &s.machines[i]
 			isGone := gone>>i&1 == 1
--- a/internal/controlplane/consensus/joint.go
+++ b/internal/controlplane/consensus/joint.go
@@ -9,35 +9,35 @@
 const (
 	minEpochInterval = 200 * time.Millisecond // between two changes of voters
 	scanInterval     = 300 * time.Millisecond // between two queries of a scan
-	jointTimeout     = 5 * time.Second        // a change of voters that is not done by then is reverted
+	jointTimeout     = 5 * time.Second        // an incomplete change of voters is reverted after this time
 )
 
-// stateScan asks, in a joint epoch, what all voters have.
+// stateScan collects, in a joint epoch, which ballots the voters have accepted.
 type stateScan struct {
 	queryID uint64
 	askedAt time.Duration
-	answers map[string]map[string]BallotNumber // by store id, then by register
+	answers map[string]map[string]BallotNumber // accepted ballots by store id, then by register
 }
 
-// tryVoterChange proposes the voters that are desired, one node after the other.
+// tryVoterChange proposes a joint epoch if the voters should change. The voters propose one after the other, by rank.
 func (r *Replica) tryVoterChange() {
 	voters := r.desiredVoters()
 	if slices.Equal(voters, r.epoch.Voters) {
-		r.desired = ""
+		r.desiredVotersKey = ""
 		return
 	}
 	key := ""
 	for _, v := range voters {
 		key += v.StoreID + " "
 	}
-	if key != r.desired {
-		r.desired, r.desiredAt = key, r.now
+	if key != r.desiredVotersKey {
+		r.desiredVotersKey, r.desiredVotersAt = key, r.now
 	}
 	stagger := time.Duration(r.rankAmongVoters(epochRegister)) * voterStagger
 	if r.shuttingDown {
 		stagger = 0
 	}
-	if r.now < r.desiredAt+stagger || r.now < r.epochChangedAt+minEpochInterval {
+	if r.now < r.desiredVotersAt+stagger || r.now < r.epochChangedAt+minEpochInterval {
 		return
 	}
 	joint := Epoch{
@@ -53,9 +53,11 @@
 	r.proposeEpoch(joint)
 }
 
-// finishJointEpoch ends a change of voters. Each value must lie, under one ballot, on enough disks of the old
-// voters and of the new ones; those that do not are written anew. Whoever answers the scan is in the joint epoch
-// and votes in no older one any more, so that what the voters report is all there is.
+// finishJointEpoch completes a change of voters once each value is durable, under one ballot, among both the old and
+// the new voters. Values that are not are written again.
+//
+// A voter that answers the scan has entered the joint epoch and no longer votes in an older one. The answers of a
+// majority therefore cover everything that was chosen before.
 func (r *Replica) finishJointEpoch() {
 	stagger := time.Duration(r.rankAmongVoters(epochRegister)) * voterStagger
 	if r.now < r.epochChangedAt+stagger {
@@ -64,20 +66,17 @@
 	scan := r.runScan()
 	answered := func(v Voter) bool {
 		_, has := scan.answers[v.StoreID]
-		return has || r.isStaleIdentity(v)
+		return has || r.isReplacedVoterOfPair(v)
 	}
-	if r.storedEpoch < r.epoch.Number || !r.epoch.HasMajority(answered) {
-		r.revertJointEpoch()
-		return
-	}
-	if !r.isReplicated(scan) {
+	isScanned := r.storedEpoch >= r.epoch.Number && r.epoch.HasMajority(answered)
+	if !isScanned || !r.isReplicated(scan) {
 		r.revertJointEpoch()
 		return
 	}
 	r.proposeEpoch(r.successor(r.epoch.Voters))
 }
 
-// runScan asks all voters for what they have, now and again.
+// runScan queries all voters, at most once per scanInterval.
 func (r *Replica) runScan() *stateScan {
 	if r.jointScan == nil {
 		r.jointScan = &stateScan{
@@ -95,17 +94,17 @@
 	return scan
 }
 
-// isReplicated reports whether each value lies on enough disks of both sets. Those that do not are written anew.
+// isReplicated reports whether each value is durable in both sets of voters, and starts ballots for those that are not.
 func (r *Replica) isReplicated(scan *stateScan) bool {
 	highest := scan.highestBallots()
 	replicated := true
 	for _, name := range slices.Sorted(maps.Keys(highest)) {
 		has := func(v Voter) bool {
-			return scan.answers[v.StoreID][name] == highest[name] || r.isStaleIdentity(v)
+			return scan.answers[v.StoreID][name] == highest[name] || r.isReplacedVoterOfPair(v)
 		}
 		if !r.epoch.IsDurable(r.options.MaxFaults, has) {
 			replicated = false
-			r.finishOpenProposal(r.registerFor(name))
+			r.finishOpenBallot(r.registerFor(name))
 		}
 	}
 	return replicated
@@ -123,9 +122,8 @@
 	return highest
 }
 
-// revertJointEpoch ends a change of voters that cannot be ended otherwise: the new voters went before they had all.
-// What was chosen in the joint epoch lies on enough disks of the old voters. Otherwise the death of a learner would
-// hold up the control plane for ever.
+// revertJointEpoch returns to the old voters after jointTimeout, so that a failed learner cannot block the control
+// plane forever. This loses nothing: values chosen in the joint epoch are durable among the old voters too.
 func (r *Replica) revertJointEpoch() {
 	stagger := time.Duration(r.rankAmongVoters(epochRegister)) * voterStagger
 	if r.now >= r.epochChangedAt+jointTimeout+stagger {
@@ -133,7 +131,7 @@
 	}
 }
 
-// successor is the epoch that ends a joint one.
+// successor returns the epoch that ends the current joint one.
 func (r *Replica) successor(voters []Voter) Epoch {
 	next := r.epoch
 	next.Number++
--- a/internal/controlplane/consensus/membership.go
+++ b/internal/controlplane/consensus/membership.go
@@ -7,25 +7,26 @@
 	"time"
 )
 
-// voterTimeout is how long a voter may be silent before a node that is caught up takes its place.
+// voterTimeout is how long a voter may be silent before a caught-up learner replaces it.
 const voterTimeout = 2 * time.Second
 
-// candidate is what is known of a voter, or of a node that does not vote yet.
+// candidate is what this node knows of a voter or a learner.
 type candidate struct {
 	Voter
-	lastContact  time.Duration // negative: none in this incarnation
-	inactivity   time.Duration // since then
-	connectedAt  time.Duration // of a node that does not vote
+	lastContact  time.Duration // negative if there was none since this process started
+	inactivity   time.Duration // time without contact
+	connectedAt  time.Duration // of a learner
 	shuttingDown bool
-	replaced     bool // its machine is back with another disk: this one is gone for good
-	caughtUp     bool // it has all that is chosen
+	replaced     bool // the machine is connected with another disk, so this one is lost
+	caughtUp     bool // the disk has all values that are known to be chosen
 }
 
-func (c candidate) isGone() bool {
+// isRemovable reports whether this voter may be removed, or replaced by another machine.
+func (c candidate) isRemovable() bool {
 	return (c.shuttingDown || c.inactivity > voterTimeout) && !c.replaced
 }
 
-// desiredVoters are those who should vote: those that do, with at most a few changes.
+// desiredVoters returns the voters that there should be: the present ones with few changes.
 func (r *Replica) desiredVoters() []Voter {
 	var voters, learners []candidate
 	for _, v := range r.epoch.Voters {
@@ -50,34 +51,32 @@
 		return candidate{Voter: v, shuttingDown: r.shuttingDown, lastContact: r.now}
 	}
 	p := r.peers[v.Name]
-	if p == nil { // it was not seen in this incarnation
+	if p == nil { // not seen since this process started
 		return candidate{Voter: v, inactivity: r.now, lastContact: never}
 	}
-	// Silence counts from when this node itself had quorum contact again. And a machine that was back with another disk,
-	// and is silent again, is gone like any other.
+	// Inactivity is counted only while this node itself has quorum contact.
 	c := candidate{
 		Voter:        v,
 		lastContact:  p.lastContact,
 		inactivity:   r.now - max(p.lastContact, r.contact.establishedAt),
 		shuttingDown: p.shuttingDown,
 	}
+	// A machine that returned with another disk and then fell silent counts as silent, not as replaced.
 	c.replaced = p.storeID != v.StoreID && (p.connected || c.inactivity <= voterTimeout)
 	return c
 }
 
-// chooseVoters decides on the next change of voters.
+// chooseVoters returns the next voters:
 //
-//   - A machine that came back with another disk votes with that one, once it is caught up: the old one is gone for
-//     sure.
-//   - A learner that is caught up takes the place of a voter that shuts down or is silent. It comes beside the others
-//     only once all of them have answered since it connected: otherwise it could come beside one that was lost just
-//     before, whose place it is to take, and the dead one would count for ever.
-//   - By silence alone the number of voters only goes from even to odd, and never below 2f+1: a partition looks like a
-//     loss, and those that are cut off must find a majority with any others that are half of the machines. Three that
-//     lost one stay three and need both that are left; of two that lost one nothing is decided until it is back.
-//   - One that shuts down is removed likewise, but down to f+1.
-//   - They are never more than targetSize, or 2f+1: otherwise machines whose places others took long ago, and that
-//     wake, could be a majority that may go at any moment.
+//   - A machine that returned with another disk votes with that disk once it is caught up, in place of the lost one.
+//   - A caught-up learner replaces a voter that shuts down or is silent.
+//   - A learner is added only if every voter has answered since the learner connected. Otherwise it might be added
+//     beside a voter that has just failed and that it should replace, and the failed voter would count forever.
+//   - Silence alone removes a voter only from an even number of voters, and never below 2f+1. A partition looks like a
+//     loss, and the nodes that are cut off must still form a majority with any other half of the machines.
+//   - A voter that shuts down is removed under the same rule, but down to f+1.
+//   - Growth stops at max(targetSize, 2f+1) voters. Otherwise machines that were replaced long ago and return could
+//     form a majority that may disappear at any time.
 func chooseVoters(voters, learners []candidate, maxFaults, targetSize int) []Voter {
 	c := newVoterChange(voters)
 	for _, learner := range learners {
@@ -90,32 +89,31 @@
 			c.remove(voters[previous].Voter)
 		case previous >= 0:
 			continue
-		case len(c.gone) > 0:
-			c.remove(c.gone[0].Voter)
-			c.gone = c.gone[1:]
+		case len(c.removable) > 0:
+			c.remove(c.removable[0].Voter)
+			c.removable = c.removable[1:]
 		case !c.mayGrow(learner, max(targetSize, 2*maxFaults+1)):
 			continue
 		}
 		c.next = append(c.next, learner.Voter)
 	}
-	if len(c.gone) > 0 && len(c.next) == len(voters) && len(c.next)%2 == 0 {
+	if len(c.removable) > 0 && len(c.next) == len(voters) && len(c.next)%2 == 0 {
 		minSize := 2*maxFaults + 1
-		if c.gone[0].shuttingDown {
+		if c.removable[0].shuttingDown {
 			minSize = maxFaults + 1
 		}
 		if len(c.next)-1 >= minSize {
-			c.remove(c.gone[0].Voter)
+			c.remove(c.removable[0].Voter)
 		}
 	}
 	return sortVoters(c.next)
 }
 
-// voterChange is a change of voters in the making.
+// voterChange is a change of voters that is being computed.
 type voterChange struct {
-	next []Voter
-	gone []candidate // voters whose place is free, the longest silent first
-	// stable says that no voter shuts down or was replaced.
-	stable          bool
+	next            []Voter
+	removable       []candidate   // voters that may be removed, the longest silent first
+	stable          bool          // no voter shuts down or was replaced
 	earliestContact time.Duration // the earliest of the voters' last contacts
 }
 
@@ -125,11 +123,11 @@
 		c.next = append(c.next, v.Voter)
 		c.stable = c.stable && !v.shuttingDown && !v.replaced
 		c.earliestContact = min(c.earliestContact, v.lastContact)
-		if v.isGone() {
-			c.gone = append(c.gone, v)
+		if v.isRemovable() {
+			c.removable = append(c.removable, v)
 		}
 	}
-	slices.SortStableFunc(c.gone, func(a, b candidate) int { return cmp.Compare(b.inactivity, a.inactivity) })
+	slices.SortStableFunc(c.removable, func(a, b candidate) int { return cmp.Compare(b.inactivity, a.inactivity) })
 	return c
 }
 
@@ -137,7 +135,7 @@
 	c.next = slices.DeleteFunc(c.next, func(v Voter) bool { return v.StoreID == out.StoreID })
 }
 
-// mayGrow reports whether a learner may come beside the voters.
+// mayGrow reports whether a learner may be added to the voters.
 func (c *voterChange) mayGrow(learner candidate, maxSize int) bool {
 	return c.stable && c.earliestContact > learner.connectedAt+pingInterval && len(c.next) < maxSize
 }
--- a/internal/controlplane/consensus/persistence.go
+++ b/internal/controlplane/consensus/persistence.go
@@ -6,32 +6,32 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-// diskRetryInterval is the pause before a write that failed is tried again.
+// diskRetryInterval is the delay before a failed write is retried.
 const diskRetryInterval = time.Second
 
-// maxDeferredRequests bounds the Paxos requests that wait for the epoch to be on the disk. More are dropped, as if they
-// had been lost on the way; the proposer sends them again.
+// maxDeferredRequests bounds the Paxos requests that wait until the epoch is on disk. Further requests are dropped and
+// sent again by their proposers.
 const maxDeferredRequests = 256
 
-// deferredRequest is a Paxos request that arrived before the epoch was on the disk.
+// deferredRequest is a Paxos request that arrived before the current epoch was on disk.
 type deferredRequest struct {
-	to          string
+	to          string // the proposer
 	epochNumber uint64
 	message     rpc.PaxosMessage
 }
 
-// pendingWrite is a Persist without its answer. It is of a register's state, of an epoch, or of the disk's identity.
+// pendingWrite is a write in progress: of a register's state, of an epoch, or of the disk's identity.
 type pendingWrite struct {
-	register string // name; empty for the others
-	accepted BallotNumber
-	inEpoch  uint64          // in which the register's state came about
-	answers  []pendingAnswer // that are sent once it is on the disk
+	register string          // name; empty unless a register's state is written
+	accepted BallotNumber    // the accepted ballot in that state
+	inEpoch  uint64          // the epoch of that state
+	answers  []pendingAnswer // sent once that state is on disk
 
-	epochNumber uint64 // of the epoch that is written; 0 for the others
+	epochNumber uint64 // 0 unless an epoch is written
 	identity    bool
 }
 
-// pendingAnswer is an acceptor's answer that waits for the state behind it to be on the disk.
+// pendingAnswer is an acceptor's answer that waits until the state behind it is on disk.
 type pendingAnswer struct {
 	to     string
 	answer rpc.PaxosMessage
@@ -59,7 +59,7 @@
 	}
 }
 
-// onIdentityWritten: the disk has its id, and may vote, only once all records of its identity are written.
+// onIdentityWritten marks the disk as identified, so that it may vote, once all records of its identity are on disk.
 func (r *Replica) onIdentityWritten(err error) {
 	r.identityWrites--
 	r.identityFailed = r.identityFailed || err != nil
--- a/internal/controlplane/consensus/proposer.go
+++ b/internal/controlplane/consensus/proposer.go
@@ -9,70 +9,70 @@
 )
 
 const (
-	// RequestTimeout is how long a request may take. Of one that was not decided by then nothing is known, unless it was
-	// never sent to any disk.
+	// RequestTimeout is how long a request may take. If its value was sent to acceptors by then, the outcome is
+	// Indeterminate, otherwise Aborted.
 	RequestTimeout = 3 * time.Second
 
-	resendInterval  = 200 * time.Millisecond // of a request to those that have not answered it
-	minBackoff      = 8 * time.Millisecond   // of a proposer that was preempted
-	backoffJitter   = 24 * time.Millisecond  // added to it, times the preemptions in a row
-	maxBackoffSteps = 8
+	resendInterval  = 200 * time.Millisecond // for requests that acceptors have not answered
+	minBackoff      = 8 * time.Millisecond   // after a preemption
+	backoffJitter   = 24 * time.Millisecond  // maximum jitter for each consecutive preemption
+	maxBackoffSteps = 8                      // preemptions after which the jitter no longer grows
 )
 
-// request is a proposal, or a read that became one.
+// request is a proposal, or a read that needs a ballot.
 type request struct {
-	id        uint64 // 0: nobody waits for it; a ballot that was left open is only finished
+	id        uint64 // 0 if the request only finishes an undecided ballot and has no caller
 	change    ChangeFunc
 	startedAt time.Duration
-	outcome   Outcome // once what change returned is chosen
-	proposed  bool    // it may have been accepted by some disk
+	outcome   Outcome // once the value that change returned is chosen
+	proposed  bool    // its value may have been accepted by an acceptor
 }
 
 // keepCommitted is the ChangeFunc of requests that change nothing.
 func keepCommitted(committed Register, _ Age) (Register, Outcome) { return committed, Committed }
 
 func (r *Replica) onPropose(e Propose) {
-	g := r.registerFor(e.Register)
-	g.queue = append(g.queue, &request{id: e.RequestID, change: e.Change, startedAt: r.now})
-	r.startBallot(g)
+	reg := r.registerFor(e.Register)
+	reg.queue = append(reg.queue, &request{id: e.RequestID, change: e.Change, startedAt: r.now})
+	r.startBallot(reg)
 }
 
-// finishOpenProposal has a value decided that was accepted and may be chosen, without changing it.
-func (r *Replica) finishOpenProposal(g *register) {
-	if len(g.queue) == 0 && !g.ballotUnderWay() {
-		g.queue = append(g.queue, &request{change: keepCommitted, startedAt: r.now})
-		r.startBallot(g)
+// finishOpenBallot decides an accepted value that may be chosen, without changing it.
+func (r *Replica) finishOpenBallot(reg *register) {
+	if len(reg.queue) == 0 && !reg.ballotInProgress() {
+		reg.queue = append(reg.queue, &request{change: keepCommitted, startedAt: r.now})
+		r.startBallot(reg)
 	}
 }
 
-// startBallot begins a ballot for all requests that wait.
-func (r *Replica) startBallot(g *register) {
-	if g.ballotUnderWay() || len(g.queue) == 0 || r.now < g.retryAt || !r.canReachQuorum(g) {
+// startBallot begins a ballot for all queued requests.
+func (r *Replica) startBallot(reg *register) {
+	if reg.ballotInProgress() || len(reg.queue) == 0 || r.now < reg.retryAt || !r.canReachQuorum(reg) {
 		return
 	}
-	if r.now < r.turnTime(g) {
-		r.announceWaiting(g)
+	if r.now < r.turnTime(reg) {
+		r.announceWaiting(reg)
 		return
 	}
-	if r.epoch.Number == 0 && g.name != epochRegister {
-		return // before the first epoch the seeds decide who votes, and nothing else
+	if r.epoch.Number == 0 && reg.name != epochRegister {
+		return // before the first epoch, only the epoch register is decided
 	}
-	g.round = max(g.round, roundOf(g.acceptor.Promised)) + 1
-	ballot := BallotNumber{Round: r.epoch.Number<<epochShift | g.round, Incarnation: r.options.Incarnation}
+	reg.round = max(reg.round, roundOf(reg.acceptor.Promised)) + 1
+	ballot := BallotNumber{Round: r.epoch.Number<<epochShift | reg.round, Incarnation: r.options.Incarnation}
 	if r.options.bugs.unorderedEpochs {
-		ballot.Round = g.round
+		ballot.Round = reg.round
 	}
-	g.turns.announced = openTurn{}
-	g.proposal.Begin(ballot)
-	g.batch, g.queue = g.queue, nil
-	g.age, g.sentAt = Age{}, r.now
-	r.broadcastPaxos(r.currentRequest(g))
+	reg.turns.announced = openTurn{}
+	reg.proposal.Begin(ballot)
+	reg.batch, reg.queue = reg.queue, nil
+	reg.age, reg.sentAt = Age{}, r.now
+	r.broadcastPaxos(r.currentRequest(reg))
 }
 
-// roundOf is a ballot's round within its epoch.
+// roundOf returns a ballot's round within its epoch.
 func roundOf(b BallotNumber) uint64 { return b.Round & (1<<epochShift - 1) }
 
-// broadcastPaxos sends a request to all whose votes count, and to the own disk.
+// broadcastPaxos sends a request to all connected acceptors and to the local one.
 func (r *Replica) broadcastPaxos(m rpc.PaxosMessage) {
 	for _, to := range r.connectedPeers() {
 		if r.countsVotesOf(r.peers[to]) {
@@ -82,161 +82,160 @@
 	r.answerAsAcceptor(r.options.Self.Name, r.registerFor(m.Register), &m)
 }
 
-// currentRequest is what the ballot under way asks of acceptors.
-func (r *Replica) currentRequest(g *register) rpc.PaxosMessage {
-	m := rpc.PaxosMessage{Kind: rpc.Prepare, Register: g.name, Ballot: g.proposal.Ballot}
-	if g.proposal.Phase == paxos.Accepting {
-		m.Kind, m.Value = rpc.Accept, g.proposal.Value
-		m.ValueAge = r.ageSince(g.proposedChosenAt)
+// currentRequest returns the request of the current phase.
+func (r *Replica) currentRequest(reg *register) rpc.PaxosMessage {
+	m := rpc.PaxosMessage{Kind: rpc.Prepare, Register: reg.name, Ballot: reg.proposal.Ballot}
+	if reg.proposal.Phase == paxos.Accepting {
+		m.Kind, m.Value = rpc.Accept, reg.proposal.Value
+		m.ValueAge = r.ageSince(reg.proposedChosenAt)
 	}
 	return m
 }
 
-// resendRequest sends the current request again to those that have not answered it.
-func (r *Replica) resendRequest(g *register) {
-	if !g.ballotUnderWay() || r.now < g.sentAt+resendInterval {
+// resendRequest sends the current request again to the acceptors that have not answered it.
+func (r *Replica) resendRequest(reg *register) {
+	if !reg.ballotInProgress() || r.now < reg.sentAt+resendInterval {
 		return
 	}
-	g.sentAt = r.now
+	reg.sentAt = r.now
 	for _, to := range r.connectedPeers() {
-		if p := r.peers[to]; r.countsVotesOf(p) && !g.proposal.HasResponded(p.storeID) {
-			r.sendPaxos(to, r.currentRequest(g))
+		if p := r.peers[to]; r.countsVotesOf(p) && !reg.proposal.HasResponded(p.storeID) {
+			r.sendPaxos(to, r.currentRequest(reg))
 		}
 	}
-	if !g.proposal.HasResponded(r.storeID) && !g.writing { // the own disk failed before
-		m := r.currentRequest(g)
-		r.answerAsAcceptor(r.options.Self.Name, g, &m)
+	if !reg.proposal.HasResponded(r.storeID) && !reg.writing { // an earlier write failed
+		m := r.currentRequest(reg)
+		r.answerAsAcceptor(r.options.Self.Name, reg, &m)
 	}
 }
 
-// onPromise counts a promise. Once a quorum has promised, the requests are applied to the value of the highest ballot
-// that was accepted, and the result is proposed.
-func (r *Replica) onPromise(g *register, storeID string, m *rpc.PaxosMessage) {
-	if !g.proposal.OnPromise(storeID, m.Ballot, m.AcceptedBallot, m.Value) {
+// onPromise counts a promise. Once a quorum has promised, the requests are applied to the value with the highest
+// accepted ballot, and the result is proposed.
+func (r *Replica) onPromise(reg *register, storeID string, m *rpc.PaxosMessage) {
+	if !reg.proposal.OnPromise(storeID, m.Ballot, m.AcceptedBallot, m.Value) {
 		return
 	}
-	g.notePromisedAge(m)
-	if !r.hasReadQuorum(g, g.proposal.HasResponded) {
+	reg.updatePromisedAge(m)
+	if !r.hasReadQuorum(reg, reg.proposal.HasResponded) {
 		return
 	}
-	found := Register{Name: g.name}
-	if g.proposal.Value != nil {
-		found = *g.proposal.Value
+	found := Register{Name: reg.name}
+	if reg.proposal.Value != nil {
+		found = *reg.proposal.Value
 	}
-	age := g.age
-	if !age.Exact && g.acceptor.Value.Version == found.Version {
-		age.Duration = r.now - g.receivedAt
+	age := reg.age
+	if !age.Exact && reg.acceptor.Value.Version == found.Version {
+		age.Duration = r.now - reg.receivedAt
 	}
-	next, nextAge := g.applyBatch(found, age)
+	next, nextAge := reg.applyBatch(found, age)
 	switch {
-	case next.Version == Version{}: // there is no value, and none is wanted
-		r.closeBallot(g, next)
-	case next.Version == found.Version && r.hasWriteQuorum(g, g.proposal.HasHighestAccepted):
-		r.onDecided(g, g.proposal.HighestAccepted, found) // enough disks have it under one ballot already
+	case next.Version == Version{}: // no value exists, and none is proposed
+		r.closeBallot(reg, next)
+	case next.Version == found.Version && r.hasWriteQuorum(reg, reg.proposal.HasHighestAccepted):
+		r.onDecided(reg, reg.proposal.HighestAccepted, found) // already durable under one ballot
 	default:
-		r.startAccept(g, next, nextAge)
+		r.startAccept(reg, next, nextAge)
 	}
 }
 
-// notePromisedAge keeps the longest that any acceptor has had the value of the highest ballot.
-func (g *register) notePromisedAge(m *rpc.PaxosMessage) {
-	if m.AcceptedBallot != g.proposal.HighestAccepted || m.AcceptedBallot == (BallotNumber{}) {
+// updatePromisedAge keeps the highest age that acceptors report for the value of the highest accepted ballot.
+func (reg *register) updatePromisedAge(m *rpc.PaxosMessage) {
+	if m.AcceptedBallot != reg.proposal.HighestAccepted || m.AcceptedBallot == (BallotNumber{}) {
 		return
 	}
-	if m.AcceptedBallot != g.ageBallot {
-		g.ageBallot, g.age = m.AcceptedBallot, Age{}
+	if m.AcceptedBallot != reg.ageBallot {
+		reg.ageBallot, reg.age = m.AcceptedBallot, Age{}
 	}
 	age := time.Duration(m.ValueAge-1) * time.Millisecond
-	if m.ValueAge > 0 && (!g.age.Exact || age > g.age.Duration) {
-		g.age = Age{Duration: age, Exact: true}
+	if m.ValueAge > 0 && (!reg.age.Exact || age > reg.age.Duration) {
+		reg.age = Age{Duration: age, Exact: true}
 	}
 }
 
-// applyBatch applies the requests one after the other, and returns the last value with its age.
-func (g *register) applyBatch(found Register, age Age) (Register, Age) {
+// applyBatch applies the requests in order, and returns the last value and its age.
+func (reg *register) applyBatch(found Register, age Age) (Register, Age) {
 	next := found
-	for _, q := range g.batch {
+	for _, q := range reg.batch {
 		before := next.Version
 		next, q.outcome = q.change(next, age)
 		if next.Version != before {
 			age = Age{Exact: true}
 		}
 	}
-	next.Name = g.name
+	next.Name = reg.name
 	return next, age
 }
 
-func (r *Replica) startAccept(g *register, next Register, age Age) {
-	for _, q := range g.batch {
+func (r *Replica) startAccept(reg *register, next Register, age Age) {
+	for _, q := range reg.batch {
 		q.proposed = true
 	}
-	g.proposal.StartAccept(&next)
-	g.sentAt = r.now
-	g.proposedChosenAt = unknownTime
+	reg.proposal.StartAccept(&next)
+	reg.sentAt = r.now
+	reg.proposedChosenAt = unknownTime
 	if age.Exact {
-		g.proposedChosenAt = r.now - age.Duration
+		reg.proposedChosenAt = r.now - age.Duration
 	}
-	r.broadcastPaxos(r.currentRequest(g))
+	r.broadcastPaxos(r.currentRequest(reg))
 }
 
-func (r *Replica) onAccepted(g *register, storeID string, m *rpc.PaxosMessage) {
-	if g.proposal.OnAccepted(storeID, m.Ballot) && r.hasWriteQuorum(g, g.proposal.HasResponded) {
-		r.onDecided(g, g.proposal.Ballot, *g.proposal.Value)
+func (r *Replica) onAccepted(reg *register, storeID string, m *rpc.PaxosMessage) {
+	if reg.proposal.OnAccepted(storeID, m.Ballot) && r.hasWriteQuorum(reg, reg.proposal.HasResponded) {
+		r.onDecided(reg, reg.proposal.Ballot, *reg.proposal.Value)
 	}
 }
 
-// onDecided: the value is chosen under the ballot.
-func (r *Replica) onDecided(g *register, ballot BallotNumber, value Register) {
-	closed := rpc.Consensus{ChosenBallots: map[string]BallotNumber{g.name: ballot}}
-	next := r.nextProposer(g)
+// onDecided handles a value that is chosen under a ballot.
+func (r *Replica) onDecided(reg *register, ballot BallotNumber, value Register) {
+	closed := rpc.Consensus{ChosenBallots: map[string]BallotNumber{reg.name: ballot}}
+	next := r.nextProposer(reg)
 	if next != "" {
-		closed.NextProposers = map[string]string{g.name: next}
+		closed.NextProposers = map[string]string{reg.name: next}
 	}
 	r.broadcast(closed)
-	r.learnChosen(g, ballot, value, 0)
-	r.noteClosedBallot(g, r.options.Self.Name, ballot, next)
-	r.closeBallot(g, value)
+	r.learnChosen(reg, ballot, value, 0)
+	r.recordClosedBallot(reg, r.options.Self.Name, ballot, next)
+	r.closeBallot(reg, value)
 }
 
-// closeBallot ends a ballot whose requests have their outcomes.
-func (r *Replica) closeBallot(g *register, value Register) {
-	batch := g.batch
-	g.proposal.Stop()
-	g.batch, g.preemptions, g.retryAt = nil, 0, 0
+// closeBallot ends a ballot and reports the outcomes of its requests.
+func (r *Replica) closeBallot(reg *register, value Register) {
+	batch := reg.batch
+	reg.proposal.Stop()
+	reg.batch, reg.preemptions, reg.retryAt = nil, 0, 0
 	for _, q := range batch {
 		if q.id > 0 {
 			r.emit(RequestDone{RequestID: q.id, Outcome: q.outcome, Register: value})
 		}
 	}
-	if r.registers[g.name] == g { // otherwise it was the epoch register of an epoch that is over now
-		r.startBallot(g)
+	if r.registers[reg.name] == reg { // not the epoch register of an earlier epoch
+		r.startBallot(reg)
 	}
 }
 
-// onPreempted: an acceptor has promised a higher ballot. The requests back off, by more each time, so that two
-// proposers do not preempt each other for ever.
-func (r *Replica) onPreempted(g *register, by BallotNumber) {
-	if !g.ballotUnderWay() || !g.proposal.Ballot.Less(by) {
+// onPreempted stops a ballot after an acceptor has promised a higher one. The requests are retried after a growing
+// random delay, so that two proposers do not preempt each other forever.
+func (r *Replica) onPreempted(reg *register, by BallotNumber) {
+	if !reg.ballotInProgress() || !reg.proposal.Ballot.Less(by) {
 		return
 	}
-	g.proposal.Stop()
-	r.noteOpenBallot(g, unknownProposer, by)
-	g.preemptions++
-	steps := time.Duration(min(g.preemptions, maxBackoffSteps))
-	jitter := hash64(g.round, r.options.Incarnation) % uint64(backoffJitter*steps)
-	g.retryAt = r.now + minBackoff + time.Duration(jitter)
-	g.requeue()
+	reg.proposal.Stop()
+	r.recordOpenBallot(reg, unknownProposer, by)
+	reg.preemptions++
+	steps := time.Duration(min(reg.preemptions, maxBackoffSteps))
+	jitter := hash64(reg.round, r.options.Incarnation) % uint64(backoffJitter*steps)
+	reg.retryAt = r.now + minBackoff + time.Duration(jitter)
+	reg.requeue()
 }
 
-// requeue puts the requests of a ballot back to the front of the queue.
-func (g *register) requeue() {
-	g.queue, g.batch = append(g.batch, g.queue...), nil
+// requeue returns the requests of a ballot to the front of the queue.
+func (reg *register) requeue() {
+	reg.queue, reg.batch = append(reg.batch, reg.queue...), nil
 }
 
-// expireRequests ends the requests whose time is over, and a ballot that nobody waits for any more. Otherwise a request
-// could be committed whose caller has given up: when a partition heals, or when a process wakes with promises in its
-// sockets.
-func (r *Replica) expireRequests(g *register) {
+// expireRequests ends expired requests, and the ballot if none of its requests is left. Otherwise a request could be
+// committed long after its caller has given up, for example when a partition heals or a suspended process resumes.
+func (r *Replica) expireRequests(reg *register) {
 	expired := func(q *request) bool {
 		if !r.isExpired(q) {
 			return false
@@ -246,24 +245,24 @@
 			if q.proposed {
 				outcome = Indeterminate
 			}
-			r.emit(RequestDone{RequestID: q.id, Outcome: outcome, Register: g.committed})
+			r.emit(RequestDone{RequestID: q.id, Outcome: outcome, Register: reg.committed})
 		}
 		return true
 	}
-	g.queue = slices.DeleteFunc(g.queue, expired)
-	g.batch = slices.DeleteFunc(g.batch, expired)
-	if g.ballotUnderWay() && len(g.batch) == 0 {
-		g.proposal.Stop()
+	reg.queue = slices.DeleteFunc(reg.queue, expired)
+	reg.batch = slices.DeleteFunc(reg.batch, expired)
+	if reg.ballotInProgress() && len(reg.batch) == 0 {
+		reg.proposal.Stop()
 	}
 }
 
-// isExpired: without quorum contact nothing would come of a caller's request, and the caller finds another node sooner
-// than it would by waiting.
+// isExpired reports whether a request has timed out. A caller's request also expires when quorum contact is lost: it
+// could not succeed, and the caller reaches another node sooner than it would by waiting.
 func (r *Replica) isExpired(q *request) bool {
 	return r.now >= q.startedAt+RequestTimeout || q.id > 0 && !r.HasQuorum(r.now)
 }
 
-// Constants of hash64 and rendezvousHash: the golden ratio and a multiplier of splitmix64; FNV-1a of 64 bits.
+// Constants of hash64 (from splitmix64) and rendezvousHash (64-bit FNV-1a).
 const (
 	goldenRatio    = 0x9e3779b97f4a7c15
 	splitmixFactor = 0xbf58476d1ce4e5b9
@@ -271,7 +270,7 @@
 	fnvPrime64     = 1099511628211
 )
 
-// hash64 draws a number from two, the same for all that ask.
+// hash64 combines two numbers into a pseudo-random one. It is deterministic, so that all nodes get the same result.
 func hash64(a, b uint64) uint64 {
 	x := a*goldenRatio ^ b
 	x ^= x >> 31
@@ -279,7 +278,7 @@
 	return x ^ x>>29
 }
 
-// rendezvousHash gives each disk a place for each register, the same for all that ask.
+// rendezvousHash orders the disks for a register. The order is the same on all nodes.
 func rendezvousHash(registerName, storeID string) uint64 {
 	h := uint64(fnvOffset64)
 	for _, s := range []string{registerName, "/", storeID} {
--- a/internal/controlplane/consensus/quorumcontact.go
+++ b/internal/controlplane/consensus/quorumcontact.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// QuorumContactTimeout is how long contact with a majority counts, from the sending of the ping that it answered.
+	// QuorumContactTimeout is how long quorum contact lasts, counted from the sending of the ping that a majority
+	// answered.
 	QuorumContactTimeout = 1500 * time.Millisecond
 
 	pingInterval = 400 * time.Millisecond
 	maxOpenPings = 8
 )
 
-// quorumContact is contact with a majority of the voters: pongs to pings of this incarnation, dated by the sending
-// of the ping. So a process that was frozen, and answers that lay in a socket, do not count for what is no longer
-// true.
+// quorumContact tracks contact with a majority of the voters: pongs to pings of this process, dated by the sending of
+// the ping. After the process was suspended, pongs that waited in a socket therefore do not count as recent contact.
 type quorumContact struct {
-	confirmedAt   time.Duration // the sending of the newest ping that a majority answered
+	confirmedAt   time.Duration // when the newest ping that a majority answered was sent
 	pingedAt      time.Duration
-	establishedAt time.Duration // since when there is contact without a gap
-	pings         []ping        // the newest, at most maxOpenPings
+	establishedAt time.Duration // since when contact has been continuous
+	pings         []ping        // the newest maxOpenPings
 }
 
 type ping struct {
@@ -49,7 +49,7 @@
 		r.broadcast(rpc.Consensus{Ping: true, QueryID: id})
 	}
 	for _, p := range c.pings {
-		answered := func(v Voter) bool { return p.responders[v.StoreID] || r.isStaleIdentity(v) }
+		answered := func(v Voter) bool { return p.responders[v.StoreID] || r.isReplacedVoterOfPair(v) }
 		if p.sentAt > c.confirmedAt && r.epoch.HasMajority(answered) {
 			if r.now > c.confirmedAt+QuorumContactTimeout {
 				c.establishedAt = r.now
@@ -59,9 +59,8 @@
 	}
 }
 
-// HasQuorum reports whether a majority of the voters has answered a ping of this incarnation that was sent just now.
-// Without it nothing is decided, nothing is read, and nothing is told as current. Beside another system it takes most
-// of the seeds too.
+// HasQuorum reports whether a majority of the voters has answered a recent ping of this process. Without it, nothing is
+// decided, read or reported as current. If a peer belongs to another cluster, a majority of the seeds is required too.
 func (r *Replica) HasQuorum(now time.Duration) bool {
 	return r.epoch.Number > 0 && now <= r.contact.confirmedAt+QuorumContactTimeout && !r.isOutvoted()
 }
--- a/internal/controlplane/consensus/reads.go
+++ b/internal/controlplane/consensus/reads.go
@@ -4,19 +4,19 @@
 	"time"
 )
 
-// readBallotDelay is how long a read waits for the voters to agree before it becomes a ballot.
+// readBallotDelay is how long a read waits for the voters to agree before it starts a ballot.
 const readBallotDelay = 100 * time.Millisecond
 
-// pendingRead is a read that asks the voters for the ballots that they have accepted. Where enough of them have the
-// same, its value is chosen, and no later one was chosen before the read began. Where they differ, a ballot
-// decides.
+// pendingRead is a linearizable read. It asks the voters for the ballots that they have accepted. If a quorum has
+// accepted the same highest ballot, its value is chosen, and no later value was chosen before the read began. Otherwise
+// a ballot decides.
 type pendingRead struct {
 	id        uint64
 	register  string
 	startedAt time.Duration
 	askedAt   time.Duration
-	queryID   uint64                  // of the first query in this epoch; answers to later ones count too; 0: none
-	answers   map[string]BallotNumber // by store id: the ballot that it has accepted
+	queryID   uint64                  // of the first query in this epoch, 0 if none; answers to later queries count too
+	answers   map[string]BallotNumber // the accepted ballots, by store id
 }
 
 func (r *Replica) onRead(e ReadRequest) {
@@ -29,36 +29,36 @@
 	})
 }
 
-// restart has a read begin anew, in another epoch.
+// restart discards the answers of an earlier epoch.
 func (q *pendingRead) restart() { q.queryID, q.answers = 0, map[string]BallotNumber{} }
 
-// advanceRead moves a read on, and reports whether it is over.
+// advanceRead continues a read. It returns true once the read is answered or replaced by a ballot.
 func (r *Replica) advanceRead(q *pendingRead) bool {
-	g := r.registerFor(q.register)
+	reg := r.registerFor(q.register)
 	if r.now >= q.startedAt+RequestTimeout || !r.HasQuorum(r.now) {
-		r.emit(RequestDone{RequestID: q.id, Outcome: Aborted, Register: g.committed})
+		r.emit(RequestDone{RequestID: q.id, Outcome: Aborted, Register: reg.committed})
 		return true
 	}
 	r.queryForRead(q)
 	if r.IsVoter() {
-		q.answers[r.storeID] = g.storedBallot
+		q.answers[r.storeID] = reg.storedBallot
 	}
 	answered := func(v Voter) bool { _, has := q.answers[v.StoreID]; return has }
 	if !r.epoch.HasMajority(answered) {
 		return false
 	}
-	if r.answerRead(q, g) {
+	if r.answerRead(q, reg) {
 		return true
 	}
 	if r.now < q.startedAt+readBallotDelay {
 		return false
 	}
-	g.queue = append(g.queue, &request{id: q.id, startedAt: q.startedAt, change: keepCommitted})
-	r.startBallot(g)
+	reg.queue = append(reg.queue, &request{id: q.id, startedAt: q.startedAt, change: keepCommitted})
+	r.startBallot(reg)
 	return true
 }
 
-// queryForRead asks all peers for what they have accepted, now and again.
+// queryForRead asks all peers for their accepted ballots, at most once per resendInterval.
 func (r *Replica) queryForRead(q *pendingRead) {
 	if q.queryID > 0 && r.now < q.askedAt+resendInterval {
 		return
@@ -72,22 +72,22 @@
 }
 
 // answerRead answers a read if the answers of the voters suffice.
-func (r *Replica) answerRead(q *pendingRead, g *register) bool {
+func (r *Replica) answerRead(q *pendingRead, reg *register) bool {
 	var highest BallotNumber
 	for _, ballot := range q.answers {
 		if highest.Less(ballot) {
 			highest = ballot
 		}
 	}
-	if highest == (BallotNumber{}) { // a majority has accepted nothing
+	if highest == (BallotNumber{}) { // no voter of a majority has accepted a value
 		r.emit(RequestDone{RequestID: q.id, Outcome: Committed, Register: Register{Name: q.register}})
 		return true
 	}
 	hasHighest := func(v Voter) bool { return q.answers[v.StoreID] == highest }
-	if g.acceptor.Accepted != highest || !r.epoch.IsDurable(r.options.MaxFaults, hasHighest) {
+	if reg.acceptor.Accepted != highest || !r.epoch.IsDurable(r.options.MaxFaults, hasHighest) {
 		return false
 	}
-	r.learnChosen(g, highest, g.acceptor.Value, 0)
-	r.emit(RequestDone{RequestID: q.id, Outcome: Committed, Register: g.acceptor.Value})
+	r.learnChosen(reg, highest, reg.acceptor.Value, 0)
+	r.emit(RequestDone{RequestID: q.id, Outcome: Committed, Register: reg.acceptor.Value})
 	return true
 }
--- a/internal/controlplane/consensus/register.go
+++ b/internal/controlplane/consensus/register.go
@@ -8,131 +8,131 @@
 )
 
 const (
-	// unknownTime is since when a value is committed that was on the disk at the start.
+	// unknownTime is the commit time of a value that was already on disk when the process started.
 	unknownTime = time.Duration(math.MinInt64)
-	// epochShift is where a ballot's round holds the number of its epoch, so that each ballot of an epoch is above all
-	// before it. Otherwise a ballot that was left open in an older epoch could win over a newer one that none of its
-	// voters has met.
+	// epochShift is the position of the epoch number in a ballot's round. It orders all ballots of an epoch after those of
+	// earlier epochs. Otherwise an unfinished ballot of an older epoch could override a newer ballot with other voters.
 	epochShift = 48
-	// finishTimeout is how long a value may be accepted here without being known to be chosen, before this node finishes
-	// the ballot: the one that began it may be gone.
+	// finishTimeout is how long an accepted value may remain undecided before this node finishes the ballot itself, as the
+	// proposer may have failed.
 	finishTimeout = 300 * time.Millisecond
-	// announceDelay is the same until all peers are told what was accepted here: they may find that enough have it.
+	// announceDelay is how long an accepted value may remain undecided before all peers are told of it. They may then find
+	// that a quorum has accepted it.
 	announceDelay = 100 * time.Millisecond
 )
 
-// register is what a node knows of one register.
+// register is the state of one register on this node.
 type register struct {
 	name string
 
-	// Of this disk, as an acceptor.
+	// Acceptor state.
 
-	acceptor      paxos.Acceptor[Register]
-	storedBallot  BallotNumber // the ballot that the disk has accepted
-	writing       bool         // a write of the state is under way
-	dirty         bool         // the state has changed since that write began
-	answers       []pendingAnswer
-	writeFailedAt time.Duration // when the last write failed; 0: it did not
-	learned       bool          // the value came as a ChosenValue: peers are told once it is on the disk
+	acceptor            paxos.Acceptor[Register]
+	storedBallot        BallotNumber    // the accepted ballot that is on disk
+	writing             bool            // a write of the acceptor is in progress
+	dirty               bool            // the acceptor changed since that write began
+	answers             []pendingAnswer // sent after the next write
+	writeFailedAt       time.Duration   // when the last write failed; 0 if it succeeded
+	mustAnnounceLearned bool            // the value was learned; peers are told once it is on disk
 
-	// Of what is chosen.
+	// Learner state.
 
-	chosenBallot BallotNumber  // the newest that is known to be chosen
-	committed    Register      // the value of chosenBallot
-	announced    Version       // of the last ValueCommitted
-	chosenAt     time.Duration // since when the value here is committed, as far as is known
-	// since when it is here, in this incarnation: it has been committed for so long at least
-	receivedAt    time.Duration
-	unconfirmedAt time.Duration // since when it is here and not known to be chosen
-	// the stored ballot that all peers were told of, as nobody said that it is chosen
-	reportedBallot BallotNumber
-	fetchedAt      time.Duration           // when the value was last asked for
-	newerAt        map[string]BallotNumber // by peer: a newer ballot that it has accepted
+	chosenBallot   BallotNumber            // the highest that is known to be chosen
+	committed      Register                // the value of chosenBallot
+	announced      Version                 // of the last ValueCommitted
+	chosenAt       time.Duration           // when the acceptor's value was committed, or unknownTime
+	receivedAt     time.Duration           // when this process received the value: a lower bound of its age
+	unconfirmedAt  time.Duration           // since when the accepted value is not known to be chosen
+	reportedBallot BallotNumber            // the last undecided ballot that was announced to all peers
+	fetchedAt      time.Duration           // when the value was last requested from a peer
+	newerAt        map[string]BallotNumber // the newer ballots that peers have accepted, by peer name
 
-	// Of the ballots that begin here, as a proposer.
+	// Proposer state.
 
 	proposal         paxos.Proposal[*Register]
-	queue            []*request    // that wait for the next ballot
-	batch            []*request    // in the ballot under way
-	round            uint64        // the highest that was seen in this epoch
+	queue            []*request    // requests that wait for the next ballot
+	batch            []*request    // requests of the ballot in progress
+	round            uint64        // the highest seen in this epoch
 	age              Age           // of the highest accepted value among the promises
-	ageBallot        BallotNumber  // whose value that is
+	ageBallot        BallotNumber  // the ballot of that value
 	sentAt           time.Duration // when the current request was last sent
-	retryAt          time.Duration // no ballot begins before
-	preemptions      int           // in a row
-	proposedChosenAt time.Duration // since when the proposed value is committed; unknownTime: unknown
+	retryAt          time.Duration // no ballot begins earlier
+	preemptions      int           // consecutive
+	proposedChosenAt time.Duration // when the proposed value was committed, or unknownTime
 	turns            turns
 }
 
 // hasAccepted reports whether this disk has accepted any value.
-func (g *register) hasAccepted() bool { return g.acceptor.Accepted != (BallotNumber{}) }
+func (reg *register) hasAccepted() bool { return reg.acceptor.Accepted != (BallotNumber{}) }
 
-// isChosen reports whether what this disk has accepted is known to be chosen.
-func (g *register) isChosen() bool { return g.hasAccepted() && g.chosenBallot == g.acceptor.Accepted }
+// isChosen reports whether the accepted value is known to be chosen.
+func (reg *register) isChosen() bool {
+	return reg.hasAccepted() && reg.chosenBallot == reg.acceptor.Accepted
+}
 
-func (g *register) ballotUnderWay() bool { return g.proposal.Phase != paxos.Idle }
+func (reg *register) ballotInProgress() bool { return reg.proposal.Phase != paxos.Idle }
 
-// considerDeadlines names the times at which a tick of the register is urgent.
-func (r *Replica) considerDeadlines(g *register, consider func(time.Duration)) {
-	if len(g.queue) > 0 && !g.ballotUnderWay() {
-		consider(max(g.retryAt, r.turnTime(g)))
+// considerDeadlines passes to consider the times at which the register needs a tick without delay.
+func (r *Replica) considerDeadlines(reg *register, consider func(time.Duration)) {
+	if len(reg.queue) > 0 && !reg.ballotInProgress() {
+		consider(max(reg.retryAt, r.turnTime(reg)))
 	}
-	if !g.isChosen() && g.hasAccepted() && g.reportedBallot != g.storedBallot {
-		consider(g.unconfirmedAt + announceDelay)
+	if !reg.isChosen() && reg.hasAccepted() && reg.reportedBallot != reg.storedBallot {
+		consider(reg.unconfirmedAt + announceDelay)
 	}
 }
 
-// registerFor returns the state of a register, which is made if there is none.
+// registerFor returns the state of a register, and creates it if needed.
 func (r *Replica) registerFor(name string) *register {
-	g := r.registers[name]
-	if g == nil {
-		g = &register{
+	reg := r.registers[name]
+	if reg == nil {
+		reg = &register{
 			name:          name,
 			chosenAt:      unknownTime,
 			unconfirmedAt: r.now,
 			newerAt:       map[string]BallotNumber{},
 		}
-		g.acceptor.Value.Name = name
-		r.registers[name] = g
+		reg.acceptor.Value.Name = name
+		r.registers[name] = reg
 	}
-	return g
+	return reg
 }
 
-// tickRegister does what is due for a register.
-func (r *Replica) tickRegister(g *register) {
-	r.expireRequests(g)
-	r.resendRequest(g)
-	if g.writeFailedAt > 0 && !g.writing && r.now >= g.writeFailedAt+diskRetryInterval {
-		r.write(g)
+// tickRegister performs the work of a register that is due.
+func (r *Replica) tickRegister(reg *register) {
+	r.expireRequests(reg)
+	r.resendRequest(reg)
+	if reg.writeFailedAt > 0 && !reg.writing && r.now >= reg.writeFailedAt+diskRetryInterval {
+		r.write(reg)
 	}
-	r.fetchNewer(g)
-	if g.hasAccepted() && !g.isChosen() {
-		r.checkChosen(g) // at a start, what was reported by then may be enough
-		r.announceAccepted(g)
+	r.fetchNewer(reg)
+	if reg.hasAccepted() && !reg.isChosen() {
+		r.checkChosen(reg) // after a start, the reports received so far may suffice
+		r.announceAccepted(reg)
 	}
-	r.finishIfOpen(g)
-	r.startBallot(g)
+	r.finishIfOpen(reg)
+	r.startBallot(reg)
 }
 
-// finishIfOpen finishes a ballot that was left open, one voter after the other.
-func (r *Replica) finishIfOpen(g *register) {
-	if !g.hasAccepted() || g.isChosen() {
+// finishIfOpen finishes a ballot that was left undecided. The voters try it one after the other, by rank.
+func (r *Replica) finishIfOpen(reg *register) {
+	if !reg.hasAccepted() || reg.isChosen() {
 		return
 	}
-	stagger := time.Duration(r.rankAmongVoters(g.name)) * voterStagger
-	if r.now < g.unconfirmedAt+finishTimeout+stagger {
+	stagger := time.Duration(r.rankAmongVoters(reg.name)) * voterStagger
+	if r.now < reg.unconfirmedAt+finishTimeout+stagger {
 		return
 	}
-	g.unconfirmedAt = r.now
-	isOpenFounding := r.epoch.Number == 0 && g.name == epochRegister // which tryFounding finishes
-	if !isOpenFounding {
-		r.finishOpenProposal(g)
+	reg.unconfirmedAt = r.now
+	isBootstrapBallot := r.epoch.Number == 0 && reg.name == epochRegister
+	if !isBootstrapBallot { // tryBootstrap finishes that one
+		r.finishOpenBallot(reg)
 	}
 }
 
-// reportedAge is how long the value here has been committed, in milliseconds and plus 1; 0: unknown. It is told by
-// steady clocks, which differ between machines in what they show and not in how fast they run.
-func (r *Replica) reportedAge(g *register) uint64 { return r.ageSince(g.chosenAt) }
+// reportedAge returns how long the accepted value has been committed, as sent to peers: in milliseconds plus 1, or 0 if
+// unknown. Ages are exchanged in place of times of day because the clocks of machines may differ.
+func (r *Replica) reportedAge(reg *register) uint64 { return r.ageSince(reg.chosenAt) }
 
 func (r *Replica) ageSince(t time.Duration) uint64 {
 	if t == unknownTime {
@@ -141,20 +141,20 @@
 	return uint64(max(r.now-t, 0)/time.Millisecond) + 1
 }
 
-// noteAge takes over the age that came with a value; same says that the value was here before. Without it an old value
-// would seem young on a node that got it late.
-func (r *Replica) noteAge(g *register, same bool, age uint64) {
+// updateAge takes over the age that arrived with a value. sameValue tells whether the value was already present.
+// Without the age, an old value would seem young on a node that received it late.
+func (r *Replica) updateAge(reg *register, sameValue bool, age uint64) {
 	since := unknownTime
 	if age > 0 {
 		since = r.now - time.Duration(age-1)*time.Millisecond
 	}
-	if !same {
-		g.receivedAt = r.now
+	if !sameValue {
+		reg.receivedAt = r.now
 	}
 	switch {
-	case !same || g.chosenAt == unknownTime:
-		g.chosenAt = since
+	case !sameValue || reg.chosenAt == unknownTime:
+		reg.chosenAt = since
 	case since != unknownTime:
-		g.chosenAt = min(g.chosenAt, since)
+		reg.chosenAt = min(reg.chosenAt, since)
 	}
 }
--- a/internal/controlplane/consensus/replica.go
+++ b/internal/controlplane/consensus/replica.go
@@ -1,55 +1,54 @@
-// Package consensus decides the registers that hold what operators order: the configuration, and which zones are
-// evacuated. It also decides who votes on them.
+// Package consensus replicates the registers of the control plane: the configuration, and the evacuations of each zone.
+// It also decides which disks vote on them.
 //
 // # Model
 //
-// A Replica is the state machine of one control-plane node. It does no I/O and reads no clock: Step is told what
-// happened (Event) and returns what is to be done (Action). The caller writes records, sends messages, and calls
-// Step again with the results, at the latest at NextDeadline. Equal calls give equal actions.
+// A Replica is the state machine of one control-plane node. It does no I/O and reads no clock. Step takes events
+// (Event) and returns the actions (Action) to perform. The caller writes records, sends messages, and calls Step with
+// the results, at the latest at NextDeadline. The same calls return the same actions.
 //
-// Each register stands for itself. Its values are chosen by Paxos ballots (package paxos; CASPaxos, Rystsov 2018):
-// there is no log and no leader, any node may propose at any time, and what a proposal means is a function from the
-// committed value to the next one (ChangeFunc).
+// Registers are independent of each other. Their values are chosen by Paxos ballots (package paxos; CASPaxos, Rystsov
+// 2018). There is no log and no leader: any node may propose at any time. A proposal is a function from the committed
+// value to the next one (ChangeFunc).
 //
-// Voters are disks, told apart by ids that are drawn when a disk is first written. Who votes is itself a register,
-// decided anew for each Epoch by the voters of the epoch before. The first epoch is decided by the disks of the
-// system's first start (bootstraprule.go). A change of voters goes through a joint epoch, in which a quorum needs both
-// the old and the new voters (joint consensus, Ongaro 2014, 4.3).
+// Voters are disks, identified by random ids that are drawn when a disk is first written. The voters of an Epoch decide
+// the next Epoch in a register of its own. The disks of the cluster's first start decide the first one
+// (bootstraprule.go). A change of voters goes through a joint epoch, in which a quorum needs both the old and the new
+// voters (joint consensus, Ongaro 2014, 4.3).
 //
 // # Invariants
 //
-//   - A promise or a vote is on the disk before it is sent (acceptor.go): Persist comes first, the answer follows the
-//     Persisted. This includes the epoch in which it is given.
-//   - A message counts only if it was sent in the receiver's epoch, by a disk that votes in it. A sender that is behind
-//     is told the newer epoch. What was chosen is so in every epoch, and counts from anybody.
-//   - The ballots of a later epoch are above all ballots of earlier ones.
-//   - A joint epoch ends only once every chosen value lies on enough disks of the new voters (joint.go).
-//   - A disk that may have forgotten something is a new one: it gets a new id, learns all that is chosen, and is voted
-//     in.
+//   - A promise or a vote, and the epoch in which it is given, are on disk before it is sent (acceptor.go).
+//   - A message counts only if it was sent in the receiver's epoch, by a disk that votes in it. A sender with an older
+//     epoch is sent the newer one. Chosen values count in every epoch and from any sender.
+//   - All ballots of an epoch are higher than those of earlier epochs.
+//   - A joint epoch is completed only once every chosen value is durable among the new voters (joint.go).
+//   - A disk that may have forgotten votes gets a new id. It becomes a voter again only after it has learned all chosen
+//     values.
 //   - Nothing is decided, read or reported as current without quorum contact (quorumcontact.go).
 //
 // # Files
 //
 //	events.go         events, actions, outcomes
-//	replica.go        the Replica, Step, messages
-//	persistence.go    writes under way
+//	replica.go        Replica, Step, message handling
+//	persistence.go    writes in progress
 //	register.go       the state of one register
-//	acceptor.go       the votes of this disk
-//	proposer.go       requests and the ballots that this node begins
-//	turns.go          when they begin, beside those of other nodes
+//	acceptor.go       acceptor: promises and votes of the local disk
+//	proposer.go       proposer: requests and ballots
+//	turns.go          coordination of concurrent proposers
 //	reads.go          reads without a ballot
-//	replication.go    which disks have accepted what, what is chosen, what is missing where
-//	epochs.go         entering epochs, quorums, proposals for the next one
+//	replication.go    learner: accepted and chosen ballots of all disks
+//	epochs.go         entering epochs, quorums, proposing the next epoch
 //	bootstrap.go      the first epoch
-//	bootstraprule.go  which disks decide it
-//	foreign.go        nodes of another system
+//	bootstraprule.go  quorums for the first epoch
+//	foreign.go        peers of another cluster
 //	joint.go          changes of voters
-//	membership.go     who should vote
-//	shutdown.go       handing over before the process ends
+//	membership.go     choice of the voters
+//	shutdown.go       handover before the process ends
 //	quorumcontact.go  contact with a majority
-//	durablestate.go   records on the disk, those of older versions too
-//	evacuations.go    what proposals of the control plane mean
-//	status.go         the state for operators
+//	durablestate.go   records on disk, including those of older versions
+//	evacuations.go    the changes that the control plane proposes
+//	status.go         state for operators
 package consensus
 
 import (
@@ -60,25 +59,25 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-// never is a time before all others.
+// never is earlier than all other times.
 const never = -time.Hour
 
-// Options make a Replica.
+// Options configures a Replica.
 type Options struct {
 	Self        rpc.Node
-	Incarnation uint64       // of this process, drawn at its start: no two proposers share ballot numbers or query ids
+	Incarnation uint64       // random id of this process, unique among all proposers
 	MaxFaults   int          // machines that may be lost at once
-	Seeds       []string     // the peer addresses of the seeds, as the settings name them now
-	State       DurableState // what the disk holds
+	Seeds       []string     // peer addresses of the seeds in the current settings
+	State       DurableState // read from the disk
 	bugs        injectedBugs
 }
 
-// injectedBugs are planted by tests, which show that they would be noticed; no program sets them.
+// injectedBugs are faults that tests enable to show that they detect them.
 type injectedBugs struct {
-	unorderedEpochs bool // ballots are not ordered by their epochs
+	unorderedEpochs bool // ballots are not ordered by epoch
 	noJointEpoch    bool // voters change without a joint epoch
 	noTurns         bool // proposers do not wait for each other
-	endlessTurns    bool // they never hear that another's ballot is over
+	endlessTurns    bool // proposers ignore that another one's ballot has ended
 }
 
 // peer is another control-plane node.
@@ -87,24 +86,25 @@
 	storeID          string
 	mayHaveLostState bool
 	origin           rpc.Origin
-	foundingID       uint64 // of the system that it belongs to, as it said last; 0: it did not say
+	clusterID        uint64 // of the peer's cluster, by its last message; 0 if unknown
 	connected        bool
 	shuttingDown     bool
-	lastContact      time.Duration           // its last pong
-	connectedAt      time.Duration           // when the connection to it came up
-	accepted         map[string]BallotNumber // by register: what its disk has accepted, as it said in this epoch
-	reportedAt       time.Duration           // when it last said all of it
+	lastContact      time.Duration           // when the last pong arrived
+	connectedAt      time.Duration           // when the connection to the peer was opened
+	accepted         map[string]BallotNumber // accepted ballots that the peer reported in this epoch, by register
+	reportedAt       time.Duration           // when the last complete report arrived
 }
 
-// Replica is one node's part. It belongs to one goroutine. Times are durations since the process began.
+// Replica is the state machine of one node. It is not safe for concurrent use. Times are durations since the process
+// started.
 type Replica struct {
 	options          Options
-	storeID          string     // of the own disk
+	storeID          string     // of the local disk
 	mayHaveLostState bool       // as in PeerIdentified
-	identified       bool       // storeID is on the disk
-	origin           rpc.Origin // of the own disk
-	epoch            Epoch      // the newest that is known to be decided
-	storedEpoch      uint64     // the number of the epoch on the disk
+	identified       bool       // storeID is on disk
+	origin           rpc.Origin // of the local disk
+	epoch            Epoch      // the newest known one
+	storedEpoch      uint64     // the number of the epoch on disk
 	registers        map[string]*register
 	peers            map[string]*peer // by name
 	reads            []*pendingRead
@@ -115,20 +115,20 @@
 
 	writeSeq uint64 // of the last Persist
 	writes   map[uint64]pendingWrite
-	deferred []deferredRequest // Paxos requests that wait for the epoch to be on the disk
-	queryID  uint64            // of the last query or ping; only rises
+	deferred []deferredRequest // Paxos requests that wait until the epoch is on disk
+	queryID  uint64            // of the last query or ping; only increases
 
-	identityTriedAt time.Duration // the last attempt to write the disk's identity; negative: none
-	identityWrites  int           // of its records that are under way
-	identityFailed  bool          // one of them failed
-	epochWrittenAt  time.Duration // the last attempt to write the epoch, or its answer
+	identityTriedAt time.Duration // the last attempt to write the disk's identity; negative if none
+	identityWrites  int           // identity records whose write is in progress
+	identityFailed  bool          // one of those writes failed
+	epochWrittenAt  time.Duration // the last attempt to write the epoch, or its completion
 
-	reportedAt     time.Duration // the last report to all peers of what this disk has
-	lastPeerAt     time.Duration // when the last new peer was identified
-	epochChangedAt time.Duration
-	desired        string // the change of voters that is to be proposed, as a key
-	desiredAt      time.Duration
-	jointScan      *stateScan // nil outside joint epochs
+	reportedAt       time.Duration // the last full state report to all peers
+	lastNewPeerAt    time.Duration // when the last new peer was identified
+	epochChangedAt   time.Duration
+	desiredVotersKey string // the store ids of the voters that should be proposed
+	desiredVotersAt  time.Duration
+	jointScan        *stateScan // nil outside joint epochs
 
 	shuttingDown      bool
 	handedOver        bool
@@ -137,7 +137,7 @@
 	notHandedOver     []string
 }
 
-// New makes a Replica of what its disk holds.
+// New returns a Replica with the state of its disk.
 func New(o Options) *Replica {
 	r := &Replica{
 		options:          o,
@@ -160,51 +160,51 @@
 		r.origin = rpc.Origin{Address: o.Self.Address, Seeds: o.Seeds}
 	}
 	for name, acceptor := range o.State.Acceptors {
-		g := r.registerFor(name)
-		g.acceptor = acceptor
-		g.storedBallot = acceptor.Accepted
-		g.chosenAt = unknownTime
+		reg := r.registerFor(name)
+		reg.acceptor = acceptor
+		reg.storedBallot = acceptor.Accepted
+		reg.chosenAt = unknownTime
 	}
 	return r
 }
 
-// Epoch is the newest one that is known to be decided.
+// Epoch returns the newest epoch that is known to be decided.
 func (r *Replica) Epoch() Epoch { return r.epoch }
 
-// StoreID is the id of the own disk.
+// StoreID returns the id of the local disk.
 func (r *Replica) StoreID() string { return r.storeID }
 
-// MayHaveLostState is what Hello says of the own disk.
+// MayHaveLostState reports whether the local disk may have forgotten an epoch or votes. Hello carries it to peers.
 func (r *Replica) MayHaveLostState() bool { return r.mayHaveLostState && r.epoch.Number == 0 }
 
-// Origin is what the own disk noted at the system's first start.
+// Origin returns what the local disk recorded at the cluster's first start.
 func (r *Replica) Origin() rpc.Origin { return r.origin }
 
-// IsVoter reports whether the own disk votes.
+// IsVoter reports whether the local disk votes.
 func (r *Replica) IsVoter() bool { return r.identified && r.epoch.IsVoter(r.storeID) }
 
-// Accepted is what this disk has accepted of a register, and whether that is known to be chosen.
+// Accepted returns the value that the local disk has accepted for a register, and whether it is known to be chosen.
 func (r *Replica) Accepted(name string) (Register, bool) {
-	if g := r.registers[name]; g != nil {
-		return g.acceptor.Value, g.isChosen()
+	if reg := r.registers[name]; reg != nil {
+		return reg.acceptor.Value, reg.isChosen()
 	}
 	return Register{Name: name}, false
 }
 
-// CommittedValue is the newest value of a register that is known to be chosen; false: none is.
+// CommittedValue returns the newest value of a register that is known to be chosen, or false if there is none.
 func (r *Replica) CommittedValue(name string) (Register, bool) {
-	g := r.registers[name]
-	if g == nil || g.announced == (Version{}) {
+	reg := r.registers[name]
+	if reg == nil || reg.announced == (Version{}) {
 		return Register{Name: name}, false
 	}
-	return g.committed, true
+	return reg.committed, true
 }
 
-// RegisterNames are the registers of which this disk has accepted a value, sorted.
+// RegisterNames returns the registers for which the local disk has accepted a value, sorted.
 func (r *Replica) RegisterNames() []string {
 	var names []string
-	for name, g := range r.registers {
-		if name != epochRegister && g.hasAccepted() {
+	for name, reg := range r.registers {
+		if name != epochRegister && reg.hasAccepted() {
 			names = append(names, name)
 		}
 	}
@@ -212,7 +212,7 @@
 	return names
 }
 
-// Step handles what happened up to now, in its order, and what is due by now.
+// Step handles events in order, and performs the work that is due.
 func (r *Replica) Step(now time.Duration, events ...Event) []Action {
 	r.now, r.actions = now, nil
 	for _, name := range r.sortedRegisters() {
@@ -248,7 +248,7 @@
 	}
 }
 
-// tick does what is due.
+// tick performs the work that is due.
 func (r *Replica) tick() {
 	r.contact.tick(r)
 	for _, name := range r.sortedRegisters() {
@@ -263,17 +263,17 @@
 	r.tickShutdown()
 }
 
-// NextDeadline is when Step is to be called again, even if nothing happens. What is due earlier than the next event but
-// not urgent waits for the caller's regular tick.
+// NextDeadline returns when Step must be called even without an event. Less urgent work waits for the caller's regular
+// tick.
 func (r *Replica) NextDeadline() time.Duration {
 	next := r.now + time.Hour
 	consider := func(t time.Duration) {
-		if t > r.now { // what is past already waits for something else than time
+		if t > r.now { // a deadline in the past waits for an event
 			next = min(next, t)
 		}
 	}
-	for _, g := range r.registers {
-		r.considerDeadlines(g, consider)
+	for _, reg := range r.registers {
+		r.considerDeadlines(reg, consider)
 	}
 	for _, q := range r.reads {
 		consider(q.startedAt + readBallotDelay)
@@ -284,7 +284,7 @@
 
 func (r *Replica) emit(a Action) { r.actions = append(r.actions, a) }
 
-// send sends to a peer, if the connection to it is up.
+// send sends to a peer if its connection is up.
 func (r *Replica) send(to string, c rpc.Consensus) { r.sendMessage(to, &rpc.Message{Consensus: c}) }
 
 func (r *Replica) sendMessage(to string, m *rpc.Message) {
@@ -294,20 +294,21 @@
 	}
 }
 
-// broadcast sends to all peers to which a connection is up.
+// broadcast sends to all connected peers.
 func (r *Replica) broadcast(c rpc.Consensus) {
 	for _, to := range r.connectedPeers() {
 		r.send(to, c)
 	}
 }
 
-// nextQueryID draws the id of a query. Ids rise, so that an answer to a later query counts for an earlier one too.
+// nextQueryID returns the id of a new query. Ids increase, so that the answer to a later query counts for earlier ones
+// too.
 func (r *Replica) nextQueryID() uint64 {
 	r.queryID++
 	return r.queryID
 }
 
-// connectedPeers are the names of the peers to which a connection is up, sorted.
+// connectedPeers returns the names of the connected peers, sorted.
 func (r *Replica) connectedPeers() []string {
 	var names []string
 	for name, p := range r.peers {
@@ -328,7 +329,7 @@
 	if p == nil || p.storeID != e.StoreID {
 		p = &peer{lastContact: r.now, accepted: map[string]BallotNumber{}, reportedAt: never}
 		r.peers[e.Node.Name] = p
-		r.lastPeerAt = r.now
+		r.lastNewPeerAt = r.now
 	}
 	p.Node, p.storeID, p.mayHaveLostState, p.origin = e.Node, e.StoreID, e.MayHaveLostState, e.Origin
 	return p
@@ -337,7 +338,7 @@
 func (r *Replica) onPeerConnected(e PeerConnected) {
 	p := r.onPeerIdentified(PeerIdentified(e))
 	p.connected, p.connectedAt, p.shuttingDown = true, r.now, false
-	// The peer is queried too: what it said before this side knew it was not handled.
+	// The query makes up for messages that were ignored before the peer was known.
 	report := r.stateReport(0)
 	report.QueryState, report.QueryID = true, r.nextQueryID()
 	report.ShuttingDown = r.shuttingDown
@@ -345,20 +346,20 @@
 		report.Epoch = r.epochCopy()
 	}
 	r.send(e.Node.Name, report)
-	r.contact.pingedAt = never // its answer counts at once
+	r.contact.pingedAt = never // ping the new peer at once
 	for _, name := range r.sortedRegisters() {
-		if g := r.registers[name]; g.ballotUnderWay() && r.countsVotesOf(p) {
-			r.sendPaxos(p.Name, r.currentRequest(g))
+		if reg := r.registers[name]; reg.ballotInProgress() && r.countsVotesOf(p) {
+			r.sendPaxos(p.Name, r.currentRequest(reg))
 		}
 	}
 }
 
-// onMessage handles the parts of a message one by one. Chosen values count from anybody; all else only from the peer's
-// current disk, and votes, pongs and answers only in this epoch.
+// onMessage handles the parts of a message. Chosen values count from any sender. Everything else counts only from the
+// peer's current disk, and votes, pongs and query answers also only in the current epoch.
 func (r *Replica) onMessage(from string, m *rpc.Message) {
 	p := r.peers[from]
 	if p == nil {
-		return // its Hello makes it known
+		return // unknown until its Hello arrives
 	}
 	if r.isForeignMessage(p, m) {
 		return
@@ -373,7 +374,7 @@
 	r.onFetch(from, m.FetchRegisters)
 	r.onChosen(p, &m.Consensus)
 	if m.StoreID != p.storeID {
-		return // of the peer's earlier incarnation, whose disk was another one
+		return // sent before the peer changed its disk
 	}
 	r.informOutdated(from, &m.Consensus)
 	r.onAcceptedBallots(p, &m.Consensus)
@@ -402,21 +403,21 @@
 
 func (r *Replica) onFetch(from string, registers []string) {
 	for _, name := range registers {
-		if g := r.registers[name]; g != nil && g.chosenBallot != (BallotNumber{}) && name != epochRegister {
-			r.send(from, r.chosenValue(g))
+		if reg := r.registers[name]; reg != nil && reg.chosenBallot != (BallotNumber{}) && name != epochRegister {
+			r.send(from, r.chosenValue(reg))
 		}
 	}
 }
 
-// informOutdated tells the epoch to a peer that is behind: its votes do not count.
+// informOutdated sends the epoch to a peer with an older one, whose votes do not count.
 func (r *Replica) informOutdated(from string, c *rpc.Consensus) {
-	votesOrAsks := c.Paxos != nil || c.Pong || c.Ping || c.QueryState || c.Complete
-	if c.EpochNumber < r.epoch.Number && votesOrAsks {
+	needsEpoch := c.Paxos != nil || c.Pong || c.Ping || c.QueryState || c.Complete
+	if c.EpochNumber < r.epoch.Number && needsEpoch {
 		r.send(from, rpc.Consensus{Epoch: r.epochCopy()})
 	}
 }
 
-// onStateReport counts the answer to a query for those that wait for one.
+// onStateReport passes the answer to a query on to the reads and the scan that wait for it.
 func (r *Replica) onStateReport(p *peer, c *rpc.Consensus) {
 	isAnswer := c.Complete && !c.QueryState && c.QueryID > 0
 	if !isAnswer || c.QueryID > r.queryID {
@@ -437,10 +438,10 @@
 	return &e
 }
 
-// countsVotesOf reports whether a peer's votes count, in this epoch or at its founding.
+// countsVotesOf reports whether a peer's votes count in this epoch or for the first one.
 func (r *Replica) countsVotesOf(p *peer) bool {
 	if r.epoch.Number == 0 {
-		return !r.foundingRule().seedsDecide() || slices.Contains(r.foundingSeeds(), p.foundingAddress())
+		return !r.bootstrapRule().seedsDecide() || slices.Contains(r.bootstrapSeeds(), p.bootstrapAddress())
 	}
 	return r.epoch.IsVoter(p.storeID)
 }
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -9,101 +9,100 @@
 )
 
 const (
-	antiEntropyInterval = 3 * time.Second        // between two reports of all that this disk has
-	fetchRetryInterval  = 300 * time.Millisecond // of a value that is newer elsewhere
+	antiEntropyInterval = 3 * time.Second        // between two full state reports to all peers
+	fetchRetryInterval  = 300 * time.Millisecond // between two requests for a newer value
 )
 
-// stateReport says what this disk has accepted. A disk without an identity has nothing that counts.
+// stateReport lists the ballots that this disk has accepted. Without an identity the report is empty.
 func (r *Replica) stateReport(queryID uint64) rpc.Consensus {
 	if !r.identified {
 		return rpc.Consensus{}
 	}
 	if r.storedEpoch < r.epoch.Number {
-		// What is answered in this epoch must not be forgotten over a loss of power: until the epoch is on the disk, no
-		// query is answered.
+		// An answer counts in this epoch, and a power loss must not undo that. No query is answered before the epoch is on
+		// disk.
 		queryID = 0
 	}
 	return rpc.Consensus{AcceptedBallots: r.acceptedOnDisk(), Complete: true, QueryID: queryID}
 }
 
-// acceptedOnDisk are the ballots that this disk has accepted.
+// acceptedOnDisk returns the accepted ballots that are on disk, by register.
 func (r *Replica) acceptedOnDisk() map[string]BallotNumber {
 	all := map[string]BallotNumber{}
-	for name, g := range r.registers {
-		if name != epochRegister && g.storedBallot != (BallotNumber{}) {
-			all[name] = g.storedBallot
+	for name, reg := range r.registers {
+		if name != epochRegister && reg.storedBallot != (BallotNumber{}) {
+			all[name] = reg.storedBallot
 		}
 	}
 	return all
 }
 
-// onStored: this disk has a newer ballot. Peers hear of it by the vote itself; otherwise they are told.
-func (r *Replica) onStored(g *register) {
-	if g.name == epochRegister {
+// onStored handles a newer accepted ballot that is on disk. Peers are told of it unless the vote itself tells them.
+func (r *Replica) onStored(reg *register) {
+	if reg.name == epochRegister {
 		return
 	}
-	r.checkChosen(g)
-	if g.learned || !r.IsVoter() {
-		g.learned = false
-		r.broadcastAccepted(g)
+	r.checkChosen(reg)
+	if reg.mustAnnounceLearned || !r.IsVoter() {
+		reg.mustAnnounceLearned = false
+		r.broadcastAccepted(reg)
 	}
 }
 
-func (r *Replica) broadcastAccepted(g *register) {
-	r.broadcast(rpc.Consensus{AcceptedBallots: map[string]BallotNumber{g.name: g.storedBallot}})
+func (r *Replica) broadcastAccepted(reg *register) {
+	r.broadcast(rpc.Consensus{AcceptedBallots: map[string]BallotNumber{reg.name: reg.storedBallot}})
 }
 
-// announceAccepted tells all peers of a ballot that is not known to be chosen. Otherwise a value that its proposer had
-// chosen, and died before it told anybody, would wait for another ballot.
-func (r *Replica) announceAccepted(g *register) {
-	isDue := r.now >= g.unconfirmedAt+announceDelay && g.reportedBallot != g.storedBallot
-	if isDue && g.name != epochRegister && r.IsVoter() {
-		g.reportedBallot = g.storedBallot
-		r.broadcastAccepted(g)
+// announceAccepted tells all peers of an accepted ballot that is not known to be chosen. If its proposer failed after a
+// quorum had accepted the value, this lets the peers find that it is chosen without another ballot.
+func (r *Replica) announceAccepted(reg *register) {
+	isDue := r.now >= reg.unconfirmedAt+announceDelay && reg.reportedBallot != reg.storedBallot
+	if isDue && reg.name != epochRegister && r.IsVoter() {
+		reg.reportedBallot = reg.storedBallot
+		r.broadcastAccepted(reg)
 	}
 }
 
-// onAcceptedBallots notes what a peer's disk has accepted.
+// onAcceptedBallots records what a peer's disk has accepted.
 func (r *Replica) onAcceptedBallots(p *peer, c *rpc.Consensus) {
 	if c.AcceptedBallots == nil && !c.Complete {
 		return
 	}
-	// Only what is said in this epoch is counted: disks must not make up a majority of one epoch by what they had in
-	// another, as they may have accepted something newer since.
+	// Only reports of this epoch are counted. A disk may have accepted a newer ballot since a report of an earlier epoch.
 	thisEpoch := c.EpochNumber == r.epoch.Number
 	if c.Complete && thisEpoch {
 		p.accepted, p.reportedAt = map[string]BallotNumber{}, r.now
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.AcceptedBallots)) {
 		ballot := c.AcceptedBallots[name]
-		g := r.registerFor(name)
-		if g.acceptor.Accepted.Less(ballot) {
-			g.newerAt[p.Name] = ballot
+		reg := r.registerFor(name)
+		if reg.acceptor.Accepted.Less(ballot) {
+			reg.newerAt[p.Name] = ballot
 		}
 		if thisEpoch {
 			p.accepted[name] = ballot
-			r.checkChosen(g)
+			r.checkChosen(reg)
 		}
 	}
 }
 
-// checkChosen finds out whether enough disks have what is accepted here: then it is chosen.
-func (r *Replica) checkChosen(g *register) {
-	if !g.hasAccepted() || g.isChosen() || g.name == epochRegister {
+// checkChosen learns the accepted value if enough disks are known to have accepted the same ballot.
+func (r *Replica) checkChosen(reg *register) {
+	if !reg.hasAccepted() || reg.isChosen() || reg.name == epochRegister {
 		return
 	}
-	ballot := g.acceptor.Accepted
-	has := map[string]bool{r.storeID: g.storedBallot == ballot}
+	ballot := reg.acceptor.Accepted
+	has := map[string]bool{r.storeID: reg.storedBallot == ballot}
 	for _, p := range r.peers {
-		has[p.storeID] = has[p.storeID] || p.accepted[g.name] == ballot
+		has[p.storeID] = has[p.storeID] || p.accepted[reg.name] == ballot
 	}
 	if r.epoch.IsDurable(r.options.MaxFaults, func(v Voter) bool { return has[v.StoreID] }) {
-		r.broadcast(rpc.Consensus{ChosenBallots: map[string]BallotNumber{g.name: ballot}})
-		r.learnChosen(g, ballot, g.acceptor.Value, 0)
+		r.broadcast(rpc.Consensus{ChosenBallots: map[string]BallotNumber{reg.name: ballot}})
+		r.learnChosen(reg, ballot, reg.acceptor.Value, 0)
 	}
 }
 
-// onChosen handles ballots that are chosen, and the values of such.
+// onChosen handles chosen ballots and chosen values that a peer sent.
 func (r *Replica) onChosen(p *peer, c *rpc.Consensus) {
 	for _, name := range slices.Sorted(maps.Keys(c.ChosenBallots)) {
 		ballot := c.ChosenBallots[name]
@@ -111,15 +110,15 @@
 			r.onChosenEpoch(c, ballot)
 			continue
 		}
-		g := r.registerFor(name)
-		r.noteClosedBallot(g, p.Name, ballot, c.NextProposers[name])
+		reg := r.registerFor(name)
+		r.recordClosedBallot(reg, p.Name, ballot, c.NextProposers[name])
 		switch {
-		case g.acceptor.Accepted == ballot:
-			r.learnChosen(g, ballot, g.acceptor.Value, 0)
-		case g.acceptor.Accepted.Less(ballot):
-			g.newerAt[p.Name] = ballot
-			if g.fetchedAt == 0 || r.mayFetch(g) {
-				r.fetch(g, p.Name)
+		case reg.acceptor.Accepted == ballot:
+			r.learnChosen(reg, ballot, reg.acceptor.Value, 0)
+		case reg.acceptor.Accepted.Less(ballot):
+			reg.newerAt[p.Name] = ballot
+			if reg.fetchedAt == 0 || r.mayFetch(reg) {
+				r.fetch(reg, p.Name)
 			}
 		}
 	}
@@ -130,76 +129,77 @@
 	}
 }
 
-// onChosenEpoch: the ballots of the epoch register begin anew with each epoch, so they mean nothing in another one.
+// onChosenEpoch handles a chosen ballot of the epoch register. It is ignored outside the sender's epoch, because each
+// epoch starts the ballots of that register anew.
 func (r *Replica) onChosenEpoch(c *rpc.Consensus, ballot BallotNumber) {
-	g := r.registers[epochRegister]
-	if g != nil && c.EpochNumber == r.epoch.Number && g.acceptor.Accepted == ballot {
-		r.learnChosen(g, ballot, g.acceptor.Value, 0)
+	reg := r.registers[epochRegister]
+	if reg != nil && c.EpochNumber == r.epoch.Number && reg.acceptor.Accepted == ballot {
+		r.learnChosen(reg, ballot, reg.acceptor.Value, 0)
 	}
 }
 
-func (r *Replica) mayFetch(g *register) bool { return r.now >= g.fetchedAt+fetchRetryInterval }
+func (r *Replica) mayFetch(reg *register) bool { return r.now >= reg.fetchedAt+fetchRetryInterval }
 
-func (r *Replica) fetch(g *register, from string) {
-	g.fetchedAt = r.now
-	r.sendMessage(from, &rpc.Message{RegisterUpdate: rpc.RegisterUpdate{FetchRegisters: []string{g.name}}})
+func (r *Replica) fetch(reg *register, from string) {
+	reg.fetchedAt = r.now
+	r.sendMessage(from, &rpc.Message{RegisterUpdate: rpc.RegisterUpdate{FetchRegisters: []string{reg.name}}})
 }
 
-// fetchNewer asks for the value from each peer that has a newer one.
-func (r *Replica) fetchNewer(g *register) {
-	mayFetch := r.mayFetch(g)
-	for _, name := range slices.Sorted(maps.Keys(g.newerAt)) {
+// fetchNewer requests the value from each peer that has accepted a newer one.
+func (r *Replica) fetchNewer(reg *register) {
+	mayFetch := r.mayFetch(reg)
+	for _, name := range slices.Sorted(maps.Keys(reg.newerAt)) {
 		p := r.peers[name]
 		switch {
-		case !g.acceptor.Accepted.Less(g.newerAt[name]): // it is here by now
-			delete(g.newerAt, name)
-		case p == nil || !p.connected: // it says so anew on its next connection
-			delete(g.newerAt, name)
+		case !reg.acceptor.Accepted.Less(reg.newerAt[name]): // received meanwhile
+			delete(reg.newerAt, name)
+		case p == nil || !p.connected: // the peer reports it again on its next connection
+			delete(reg.newerAt, name)
 		case mayFetch:
-			r.fetch(g, name)
+			r.fetch(reg, name)
 		}
 	}
 }
 
-// chosenValue is what is chosen of a register, as it is sent to peers.
-func (r *Replica) chosenValue(g *register) rpc.Consensus {
-	v := rpc.ChosenValue{Ballot: g.chosenBallot, Register: g.committed}
-	if g.acceptor.Value.Version == g.committed.Version {
-		v.ValueAge = r.reportedAge(g)
+// chosenValue returns the chosen value of a register as a message to peers.
+func (r *Replica) chosenValue(reg *register) rpc.Consensus {
+	v := rpc.ChosenValue{Ballot: reg.chosenBallot, Register: reg.committed}
+	if reg.acceptor.Value.Version == reg.committed.Version {
+		v.ValueAge = r.reportedAge(reg)
 	}
 	return rpc.Consensus{ChosenValues: []rpc.ChosenValue{v}}
 }
 
-// learnChosen takes over that a value is chosen under a ballot, and its age if that came with it. A disk that has an
-// older value writes this one.
-func (r *Replica) learnChosen(g *register, ballot BallotNumber, value Register, age uint64) {
-	if g.name == epochRegister {
+// learnChosen learns that a value is chosen under a ballot, with the value's age if it was sent along. If the local
+// acceptor has an older value, the chosen one is written to disk.
+func (r *Replica) learnChosen(reg *register, ballot BallotNumber, value Register, age uint64) {
+	if reg.name == epochRegister {
 		if e, err := decodeEpoch(value.Value); err == nil {
 			r.enterEpoch(e)
 		}
 		return
 	}
-	if !g.chosenBallot.Less(ballot) {
+	if !reg.chosenBallot.Less(ballot) {
 		return
 	}
-	g.chosenBallot, g.committed = ballot, value
-	r.noteClosedBallot(g, unknownProposer, ballot, "")
-	same := g.acceptor.Value.Version == value.Version
-	if g.acceptor.Learn(ballot, value) {
-		r.noteAge(g, same, age)
-		g.learned = true
-		r.write(g)
+	reg.chosenBallot, reg.committed = ballot, value
+	r.recordClosedBallot(reg, unknownProposer, ballot, "")
+	sameValue := reg.acceptor.Value.Version == value.Version
+	if reg.acceptor.Learn(ballot, value) {
+		r.updateAge(reg, sameValue, age)
+		reg.mustAnnounceLearned = true
+		r.write(reg)
 	}
-	if g.announced.Less(value.Version) {
-		g.announced = value.Version
+	if reg.announced.Less(value.Version) {
+		reg.announced = value.Version
 		r.emit(ValueCommitted{value})
 	}
 }
 
-// isCaughtUp reports whether a peer's disk has all that is known here to be chosen.
+// isCaughtUp reports whether a peer's disk has all values that this node knows to be chosen.
 func (r *Replica) isCaughtUp(p *peer) bool {
-	for name, g := range r.registers {
-		if name != epochRegister && p.accepted[name].Less(g.chosenBallot) {
+	for name, reg := range r.registers {
+		if name != epochRegister && p.accepted[name].Less(reg.chosenBallot) {
 			return false
 		}
 	}
--- a/internal/controlplane/consensus/shutdown.go
+++ b/internal/controlplane/consensus/shutdown.go
@@ -7,14 +7,13 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-// handoverInterval is the pause between two queries for what the peers have, and between two copies sent to one of
-// them.
+// handoverInterval is the delay between two queries of the peers' state, and between two copies of a value to one peer.
 const handoverInterval = 300 * time.Millisecond
 
-// ownVote stands in NotHandedOver for the vote of the own disk.
-const ownVote = "its vote"
+// voteNotHandedOver is the entry of NotHandedOver for the vote of the local disk.
+const voteNotHandedOver = "its vote"
 
-// onShutdown begins to hand over.
+// onShutdown begins the handover.
 func (r *Replica) onShutdown() {
 	r.shuttingDown, r.shutdownAt = true, r.now
 	r.queryForHandover()
@@ -24,23 +23,23 @@
 	r.broadcast(rpc.Consensus{ShuttingDown: true, QueryState: true, QueryID: r.nextQueryID()})
 }
 
-// NotHandedOver is what a shutdown has not handed over yet: registers, with the peer that lacks them, and ownVote.
+// NotHandedOver lists what a shutdown still waits for: registers, with the peer that lacks them, and voteNotHandedOver.
 func (r *Replica) NotHandedOver() []string { return r.notHandedOver }
 
-// tickShutdown ends a shutdown once nothing needs this disk: the peers have all that is chosen, and its vote has
-// moved on where that is wanted.
+// tickShutdown completes a shutdown once this disk is no longer needed: the peers have all chosen values, and if the
+// voters should change, this disk no longer votes.
 func (r *Replica) tickShutdown() {
 	if !r.shuttingDown || r.handedOver {
 		return
 	}
 	resend := r.now >= r.handoverQueriedAt+handoverInterval
-	if resend { // while requests go on, what the peers have changes all the time
+	if resend { // concurrent requests change the state of the peers
 		r.handoverQueriedAt = r.now
 		r.queryForHandover()
 	}
 	open := r.transferState(resend)
 	if r.IsVoter() && (r.epoch.IsJoint() || !slices.Equal(r.desiredVoters(), r.epoch.Voters)) {
-		open = append(open, ownVote)
+		open = append(open, voteNotHandedOver)
 	}
 	r.notHandedOver = open
 	if len(open) == 0 {
@@ -49,45 +48,45 @@
 	}
 }
 
-// transferState gives the voters what they lack, and returns what still needs this disk: what is not on all voters to
-// which a connection is up, and on as many of the others as keep it durable.
+// transferState sends the voters the values that they lack, and returns what still needs this disk. A register needs it
+// until all connected voters have the value, and enough voters have it to keep it durable without this disk.
 func (r *Replica) transferState(resend bool) (open []string) {
 	for _, name := range r.sortedRegisters() {
-		g := r.registers[name]
+		reg := r.registers[name]
 		switch {
-		case name == epochRegister || !g.hasAccepted():
-		case !g.isChosen():
-			open = append(open, name) // it is finished as always
+		case name == epochRegister || !reg.hasAccepted():
+		case !reg.isChosen():
+			open = append(open, name)
 		default:
-			open = append(open, r.transferRegister(g, resend)...)
+			open = append(open, r.transferRegister(reg, resend)...)
 		}
 	}
 	return open
 }
 
-func (r *Replica) transferRegister(g *register, resend bool) (open []string) {
-	has := map[string]bool{} // by store id
+func (r *Replica) transferRegister(reg *register, resend bool) (open []string) {
+	onDisk := map[string]bool{} // by store id
 	for _, name := range r.connectedPeers() {
 		p := r.peers[name]
 		reported := p.reportedAt >= r.shutdownAt && p.reportedAt != never
-		has[p.storeID] = reported && !p.accepted[g.name].Less(g.chosenBallot)
-		if has[p.storeID] || !r.epoch.IsVoter(p.storeID) {
+		onDisk[p.storeID] = reported && !p.accepted[reg.name].Less(reg.chosenBallot)
+		if onDisk[p.storeID] || !r.epoch.IsVoter(p.storeID) {
 			continue
 		}
-		open = append(open, g.name+" at "+name)
+		open = append(open, reg.name+" at "+name)
 		if resend && reported {
-			r.send(name, r.chosenValue(g))
+			r.send(name, r.chosenValue(reg))
 		}
 	}
 	for _, set := range [][]Voter{r.epoch.Voters, r.epoch.OldVoters} {
-		if !r.isDurableWithoutSelf(set, has) {
-			open = append(open, g.name)
+		if !r.isDurableWithoutSelf(set, onDisk) {
+			open = append(open, reg.name)
 		}
 	}
 	return open
 }
 
-// isDurableWithoutSelf reports whether enough disks of a set, the own one left out, have a value.
+// isDurableWithoutSelf reports whether a value is durable in a set of voters without counting the local disk.
 func (r *Replica) isDurableWithoutSelf(set []Voter, onDisk map[string]bool) bool {
 	others, count := 0, 0
 	for _, v := range set {
--- a/internal/controlplane/consensus/status.go
+++ b/internal/controlplane/consensus/status.go
@@ -6,62 +6,62 @@
 	"time"
 )
 
-// Status is what a node knows of the control plane, for operators. Its JSON is the answer to core.status, whose keys do
-// not change. Names are in their order.
+// Status is this node's view of the control plane, for operators. Its JSON is the answer to core.status, so the keys
+// must not change. Lists are sorted by name.
 type Status struct {
-	Epoch         uint64           `json:"epoch"`             // 0: there is none yet, or it is not known here
-	Changing      bool             `json:"changing"`          // the epoch is a joint one
+	Epoch         uint64           `json:"epoch"`             // 0: none is decided, or this node does not know it
+	Changing      bool             `json:"changing"`          // the epoch is joint
 	HasQuorum     bool             `json:"inTouch"`           // this node has contact with a majority of the voters
-	IsVoter       bool             `json:"votes"`             // its disk votes
-	ShuttingDown  bool             `json:"leaving"`           // it hands over, and ends
-	NotHandedOver []string         `json:"missing,omitempty"` // what it has not handed over yet
+	IsVoter       bool             `json:"votes"`             // this node's disk votes
+	ShuttingDown  bool             `json:"leaving"`           // this node hands over its state and ends
+	NotHandedOver []string         `json:"missing,omitempty"` // what is not handed over yet
 	Self          MemberStatus     `json:"me"`
 	Voters        []MemberStatus   `json:"voters"`
 	Learners      []MemberStatus   `json:"learners"` // connected nodes that do not vote
 	Registers     []RegisterStatus `json:"registers"`
-	Bootstrap     *BootstrapStatus `json:"founding,omitempty"` // while there is no epoch
-	ForeignPeers  []string         `json:"foreign,omitempty"`  // nodes of a system that was founded independently
+	Bootstrap     *BootstrapStatus `json:"founding,omitempty"` // only while there is no epoch
+	ForeignPeers  []string         `json:"foreign,omitempty"`  // nodes of another cluster
 }
 
-// BootstrapStatus is what a founding has and needs, as far as this node knows the machines.
+// BootstrapStatus is the progress towards the first epoch, as far as this node knows the machines.
 type BootstrapStatus struct {
-	Disks        int  `json:"disks"`           // in touch, from the system's first start, the own one included
-	Needed       int  `json:"needed"`          // of them
-	SeedsOnly    bool `json:"seeds,omitempty"` // only those of the seeds count
-	CanBootstrap bool `json:"enough"`          // they, or all machines that were heard of, are enough
+	Disks        int  `json:"disks"`           // connected and intact, the local one included
+	Needed       int  `json:"needed"`          // how many of them are a quorum
+	SeedsOnly    bool `json:"seeds,omitempty"` // only the disks of seeds count
+	CanBootstrap bool `json:"enough"`          // the connected disks are a quorum
 }
 
-// MemberStatus is a node with its disk, as another node, or itself, sees it.
+// MemberStatus is a node with its disk, as the answering node sees it.
 type MemberStatus struct {
 	Name            string   `json:"name"`
 	Zone            string   `json:"zone"`
 	StoreID         string   `json:"disk"`
 	Responsive      bool     `json:"inTouch"`           // it answers pings
-	InactiveSeconds float64  `json:"silentS,omitempty"` // since its last pong, or the start of this process
-	Replaced        bool     `json:"gone,omitempty"`    // a voter whose machine came back with another disk
+	InactiveSeconds float64  `json:"silentS,omitempty"` // since the last pong, or the start of the answering process
+	Replaced        bool     `json:"gone,omitempty"`    // a voter whose machine returned with another disk
 	ShuttingDown    bool     `json:"leaving,omitempty"`
 	Change          string   `json:"change,omitempty"`  // in a joint epoch: changeIn, changeOut or empty
-	CaughtUp        bool     `json:"whole"`             // its disk has all that is known to be chosen, as it said last
-	Missing         []string `json:"lacks,omitempty"`   // registers of which it lacks the newest value
-	Unconfirmed     []string `json:"unheard,omitempty"` // and those that changed since it last said what it has
+	CaughtUp        bool     `json:"whole"`             // its disk has all values known to be chosen, by its last report
+	Missing         []string `json:"lacks,omitempty"`   // registers whose newest value it lacks
+	Unconfirmed     []string `json:"unheard,omitempty"` // registers that changed since its last report
 }
 
 // Values of MemberStatus.Change.
 const (
-	changeIn  = "in"  // becomes a voter
-	changeOut = "out" // was a voter
+	changeIn  = "in"  // is being added
+	changeOut = "out" // is being removed
 )
 
-// RegisterStatus is the newest value of a register on this node's disk.
+// RegisterStatus is the newest value of a register on the answering node's disk.
 type RegisterStatus struct {
 	Name          string `json:"name"`
 	VersionNumber uint64 `json:"hi"`
 	VersionID     uint64 `json:"lo,string"`
-	Chosen        bool   `json:"chosen"` // known to be decided; otherwise it is found out within a second, given a quorum
-	Disks         int    `json:"disks"`  // voters that are known to have it
+	Chosen        bool   `json:"chosen"` // known to be chosen
+	Disks         int    `json:"disks"`  // voters known to have this value or a newer one
 }
 
-// Status reads the state; it changes nothing.
+// Status returns the state without changing it.
 func (r *Replica) Status(now time.Duration) Status {
 	return Status{
 		Epoch:         r.epoch.Number,
@@ -74,19 +74,19 @@
 		Voters:        r.voterStatuses(now),
 		Learners:      r.learnerStatuses(now),
 		Registers:     r.registerStatuses(),
-		Bootstrap:     r.foundingStatus(),
+		Bootstrap:     r.bootstrapStatus(),
 		ForeignPeers:  r.ForeignPeers(),
 	}
 }
 
-func (r *Replica) foundingStatus() *BootstrapStatus {
+func (r *Replica) bootstrapStatus() *BootstrapStatus {
 	if r.epoch.Number > 0 {
 		return nil
 	}
-	rule, votes := r.foundingRule(), r.foundingVotes(anyStore)
-	s := &BootstrapStatus{Disks: votes.remembering, Needed: rule.needed(), CanBootstrap: r.canFound()}
+	rule, votes := r.bootstrapRule(), r.bootstrapVotes(anyStore)
+	s := &BootstrapStatus{Disks: votes.intact, Needed: rule.needed(), CanBootstrap: r.canBootstrap()}
 	if rule.seedsDecide() {
-		s.Disks, s.SeedsOnly = votes.rememberingSeeds, true
+		s.Disks, s.SeedsOnly = votes.intactSeeds, true
 	}
 	return s
 }
@@ -132,28 +132,28 @@
 func (r *Replica) registerStatuses() []RegisterStatus {
 	all := []RegisterStatus{}
 	for _, name := range r.RegisterNames() {
-		g := r.registers[name]
+		reg := r.registers[name]
 		all = append(all, RegisterStatus{
 			Name:          name,
-			VersionNumber: g.acceptor.Value.Version.Number,
-			VersionID:     g.acceptor.Value.Version.ID,
-			Chosen:        g.isChosen(),
-			Disks:         r.countDisks(g),
+			VersionNumber: reg.acceptor.Value.Version.Number,
+			VersionID:     reg.acceptor.Value.Version.ID,
+			Chosen:        reg.isChosen(),
+			Disks:         r.countDisks(reg),
 		})
 	}
 	return all
 }
 
-// countDisks is the number of voters that are known to have what is accepted here, or something newer.
-func (r *Replica) countDisks(g *register) (disks int) {
+// countDisks returns the number of voters that are known to have the accepted value or a newer one.
+func (r *Replica) countDisks(reg *register) (disks int) {
 	for _, v := range r.epoch.AllVoters() {
 		p := r.peers[v.Name]
 		switch {
 		case v.StoreID == r.storeID:
-			if !g.storedBallot.Less(g.acceptor.Accepted) {
+			if !reg.storedBallot.Less(reg.acceptor.Accepted) {
 				disks++
 			}
-		case p != nil && p.storeID == v.StoreID && !p.accepted[g.name].Less(g.acceptor.Accepted):
+		case p != nil && p.storeID == v.StoreID && !p.accepted[reg.name].Less(reg.acceptor.Accepted):
 			disks++
 		}
 	}
@@ -169,12 +169,12 @@
 		ShuttingDown: r.shuttingDown,
 	}
 	if r.identified {
-		r.noteMissing(&m, r.now, func(name string) BallotNumber { return r.registers[name].storedBallot })
+		r.setMissing(&m, r.now, func(name string) BallotNumber { return r.registers[name].storedBallot })
 	}
 	return m
 }
 
-// peerStatus is that of another node; p is nil if it was not heard of in this incarnation.
+// peerStatus returns the status of another node. p is nil if the peer has not been seen since this process started.
 func (r *Replica) peerStatus(now time.Duration, v Voter, p *peer) MemberStatus {
 	m := MemberStatus{Name: v.Name, Zone: v.Zone, StoreID: v.StoreID}
 	silence := now
@@ -182,7 +182,7 @@
 		m.ShuttingDown, silence = p.shuttingDown, now-p.lastContact
 		m.Responsive = p.connected && silence <= QuorumContactTimeout
 		if p.reportedAt != never {
-			r.noteMissing(&m, p.reportedAt, func(name string) BallotNumber { return p.accepted[name] })
+			r.setMissing(&m, p.reportedAt, func(name string) BallotNumber { return p.accepted[name] })
 		}
 	}
 	if !m.Responsive {
@@ -191,17 +191,17 @@
 	return m
 }
 
-// noteMissing notes what a disk lacks of what is known to be chosen, by what was reported of it at a time.
-func (r *Replica) noteMissing(m *MemberStatus, reportedAt time.Duration, accepted func(name string) BallotNumber) {
+// setMissing sets which chosen values a disk lacks. accepted returns the ballots that the disk reported at reportedAt.
+func (r *Replica) setMissing(m *MemberStatus, reportedAt time.Duration, accepted func(name string) BallotNumber) {
 	for _, name := range r.sortedRegisters() {
-		g := r.registers[name]
-		newest := g.chosenBallot
+		reg := r.registers[name]
+		newest := reg.chosenBallot
 		if m.StoreID == r.storeID {
-			newest = g.newestAnywhere()
+			newest = reg.newestAnywhere()
 		}
 		switch {
 		case name == epochRegister || !accepted(name).Less(newest):
-		case reportedAt < g.unconfirmedAt:
+		case reportedAt < reg.unconfirmedAt:
 			m.Unconfirmed = append(m.Unconfirmed, name)
 		default:
 			m.Missing = append(m.Missing, name)
@@ -210,10 +210,10 @@
 	m.CaughtUp = len(m.Missing)+len(m.Unconfirmed) == 0
 }
 
-// newestAnywhere is the highest ballot that is known to be chosen here, or to be accepted by a peer.
-func (g *register) newestAnywhere() BallotNumber {
-	newest := g.chosenBallot
-	for _, ballot := range g.newerAt {
+// newestAnywhere returns the highest ballot that is known to be chosen, or that a peer has accepted.
+func (reg *register) newestAnywhere() BallotNumber {
+	newest := reg.chosenBallot
+	for _, ballot := range reg.newerAt {
 		if newest.Less(ballot) {
 			newest = ballot
 		}
--- a/internal/controlplane/consensus/turns.go
+++ b/internal/controlplane/consensus/turns.go
@@ -8,40 +8,41 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-// Proposers of one register take turns, so that ballots that begin at several nodes at once do not preempt each other
-// again and again. A proposer waits while it knows of a ballot of another one, and says so. Whoever ends a ballot names
-// the one that has waited the longest; it begins at once, and the others wait on.
+// Turns
 //
-// All of this is a hint: it moves the moment at which a ballot begins and nothing else. Where it is wrong, as messages
-// were lost or a proposer is gone, ballots preempt each other, or begin openBallotTimeout later.
+// The proposers of a register take turns, so that concurrent ballots do not preempt each other repeatedly. A proposer
+// that knows of another one's ballot waits, and announces that it waits. The proposer that ends a ballot names the one
+// that has waited longest, which begins at once while the others wait on.
+//
+// Turns only delay ballots and do not affect safety. If messages are lost or a proposer fails, ballots preempt each
+// other or begin up to openBallotTimeout later.
 
 const (
-	// openBallotTimeout is how long a proposer waits for the ballot of another one, which may be gone.
+	// openBallotTimeout is how long a proposer waits for another one's ballot, as that proposer may have failed.
 	openBallotTimeout = 200 * time.Millisecond
-	// reservationTimeout is the same until the ballot of the proposer whose turn it is begins.
+	// reservationTimeout is how long a proposer waits for the named proposer to begin its ballot.
 	reservationTimeout = 80 * time.Millisecond
-	// turnStagger is the pause between the proposers that begin one after the other where none was named.
+	// turnStagger is the delay between waiting proposers if none was named.
 	turnStagger = 12 * time.Millisecond
-	// waiterTimeout is how long a proposer counts as waiting after it said so.
+	// waiterTimeout is how long an announcement that a proposer waits is valid.
 	waiterTimeout = 500 * time.Millisecond
 )
 
-// unknownProposer is the name of a proposer that an acceptor does not tell.
+// unknownProposer is used when the proposer of a ballot is not known.
 const unknownProposer = ""
 
-// turns is what a proposer of a register knows of the others.
+// turns is what a proposer of a register knows of the other proposers.
 type turns struct {
-	isOpen     bool         // another proposer's ballot is under way, or its turn has come
-	openBallot BallotNumber // that ballot; zero: it has not begun
+	isOpen     bool         // another proposer has a ballot in progress or has the turn
+	openBallot BallotNumber // the ballot in progress; zero if it has not begun
 	openFrom   string       // the name of that proposer, or unknownProposer
 	openAt     time.Duration
-	closed     BallotNumber      // the last that was over
+	closed     BallotNumber      // the last ballot that ended
 	waiters    map[string]waiter // other proposers that wait, by name
-	// what is waited for, of which the others were told that this proposer waits
-	announced openTurn
+	announced  openTurn          // the turn for which this node announced that it waits
 }
 
-// openTurn tells one turn from another.
+// openTurn identifies the turn of another proposer.
 type openTurn struct {
 	ballot BallotNumber
 	from   string
@@ -49,62 +50,63 @@
 
 // waiter is a proposer that waits for its turn.
 type waiter struct {
-	since  time.Duration
-	saidAt time.Duration // when it last said so
+	since       time.Duration
+	announcedAt time.Duration // its last announcement
 }
 
-func (g *register) openTurn() openTurn { return openTurn{g.turns.openBallot, g.turns.openFrom} }
+func (reg *register) openTurn() openTurn { return openTurn{reg.turns.openBallot, reg.turns.openFrom} }
 
-// takesTurns reports whether turns are taken: who votes is decided in an order of its own.
-func (r *Replica) takesTurns(g *register) bool {
-	return g.name != epochRegister && !r.options.bugs.noTurns
+// takesTurns reports whether the proposers of a register take turns. Those of the epoch register are staggered by rank.
+func (r *Replica) takesTurns(reg *register) bool {
+	return reg.name != epochRegister && !r.options.bugs.noTurns
 }
 
-// noteOpenBallot: another proposer's ballot is under way.
-func (r *Replica) noteOpenBallot(g *register, from string, ballot BallotNumber) {
+// recordOpenBallot records that another proposer's ballot is in progress.
+func (r *Replica) recordOpenBallot(reg *register, from string, ballot BallotNumber) {
 	isOwn := ballot.Incarnation == r.options.Incarnation
-	if isOwn || ballot.Less(g.turns.openBallot) || !r.takesTurns(g) {
+	if isOwn || ballot.Less(reg.turns.openBallot) || !r.takesTurns(reg) {
 		return
 	}
-	g.turns.isOpen = true
-	g.turns.openBallot, g.turns.openFrom, g.turns.openAt = ballot, from, r.now
-	delete(g.turns.waiters, from)
+	reg.turns.isOpen = true
+	reg.turns.openBallot, reg.turns.openFrom, reg.turns.openAt = ballot, from, r.now
+	delete(reg.turns.waiters, from)
 }
 
-// noteClosedBallot: a ballot is chosen, so that it and all below it are over. A proposer that says so of an older
-// ballot than its own has found its requests done by that one. next is whose turn it is, if that was said.
-func (r *Replica) noteClosedBallot(g *register, from string, ballot BallotNumber, next string) {
-	isOfOpener := from != unknownProposer && from == g.turns.openFrom
-	isLate := ballot.Less(g.turns.openBallot) || ballot.Less(g.chosenBallot)
-	isKnown := ballot == g.turns.closed && next == "" // its turn may be another's by now
-	if (isLate || isKnown) && !isOfOpener || !r.takesTurns(g) || r.options.bugs.endlessTurns {
+// recordClosedBallot records that a ballot is chosen, so that it and all lower ones have ended. next names the proposer
+// whose turn it is, if known. If the proposer of the open ballot reports a lower one, its open ballot has ended too,
+// because the lower one has completed its requests.
+func (r *Replica) recordClosedBallot(reg *register, from string, ballot BallotNumber, next string) {
+	isFromOpenProposer := from != unknownProposer && from == reg.turns.openFrom
+	isLate := ballot.Less(reg.turns.openBallot) || ballot.Less(reg.chosenBallot)
+	isDuplicate := ballot == reg.turns.closed && next == "" // another proposer may have the turn by now
+	if (isLate || isDuplicate) && !isFromOpenProposer || !r.takesTurns(reg) || r.options.bugs.endlessTurns {
 		return
 	}
-	g.turns.closed = ballot
-	g.turns.isOpen, g.turns.openBallot, g.turns.openFrom = false, BallotNumber{}, ""
-	g.retryAt = 0 // from now on the turns keep proposers apart
-	if g.turns.announced != (openTurn{}) && next == "" && from != r.options.Self.Name {
-		// Whoever ended it had not heard who waits, and may go on itself.
-		g.retryAt = r.now + turnStagger + r.turnDelay(g)
+	reg.turns.closed = ballot
+	reg.turns.isOpen, reg.turns.openBallot, reg.turns.openFrom = false, BallotNumber{}, ""
+	reg.retryAt = 0 // turns replace the backoff
+	if reg.turns.announced != (openTurn{}) && next == "" && from != r.options.Self.Name {
+		// The sender did not know of the waiting proposers, and may begin its next ballot at once.
+		reg.retryAt = r.now + turnStagger + r.turnDelay(reg)
 	}
-	r.reserveTurn(g, next)
+	r.reserveTurn(reg, next)
 }
 
-// nextProposer is whose turn it is after a ballot of this node: who has waited the longest. It is empty if nobody else
-// has waited for longer than this node.
-func (r *Replica) nextProposer(g *register) (next string) {
-	if !r.takesTurns(g) {
+// nextProposer returns the proposer that has waited longest, to take the turn after a ballot of this node. It is empty
+// if this node's own requests have waited longer.
+func (r *Replica) nextProposer(reg *register) (next string) {
+	if !r.takesTurns(reg) {
 		return ""
 	}
 	first := r.now
-	if len(g.queue) > 0 {
-		first = g.queue[0].startedAt
+	if len(reg.queue) > 0 {
+		first = reg.queue[0].startedAt
 	}
-	for _, name := range slices.Sorted(maps.Keys(g.turns.waiters)) {
-		w := g.turns.waiters[name]
+	for _, name := range slices.Sorted(maps.Keys(reg.turns.waiters)) {
+		w := reg.turns.waiters[name]
 		switch {
-		case r.now > w.saidAt+waiterTimeout:
-			delete(g.turns.waiters, name)
+		case r.now > w.announcedAt+waiterTimeout:
+			delete(reg.turns.waiters, name)
 		case w.since < first:
 			next, first = name, w.since
 		}
@@ -112,66 +114,66 @@
 	return next
 }
 
-// reserveTurn: it is a proposer's turn.
-func (r *Replica) reserveTurn(g *register, proposer string) {
+// reserveTurn records that another proposer has the turn.
+func (r *Replica) reserveTurn(reg *register, proposer string) {
 	if proposer == "" || proposer == r.options.Self.Name {
 		return
 	}
-	g.turns.isOpen = true
-	g.turns.openBallot, g.turns.openFrom, g.turns.openAt = BallotNumber{}, proposer, r.now
+	reg.turns.isOpen = true
+	reg.turns.openBallot, reg.turns.openFrom, reg.turns.openAt = BallotNumber{}, proposer, r.now
 }
 
-// onWaiting: a peer's requests wait for their turn.
+// onWaiting handles a peer's announcement that its requests wait for their turn.
 func (r *Replica) onWaiting(from string, registers []string) {
 	for _, name := range registers {
-		g := r.registerFor(name)
-		if !r.takesTurns(g) {
+		reg := r.registerFor(name)
+		if !r.takesTurns(reg) {
 			continue
 		}
-		if g.turns.waiters == nil {
-			g.turns.waiters = map[string]waiter{}
+		if reg.turns.waiters == nil {
+			reg.turns.waiters = map[string]waiter{}
 		}
-		w, isKnown := g.turns.waiters[from]
+		w, isKnown := reg.turns.waiters[from]
 		if !isKnown {
 			w.since = r.now
 		}
-		w.saidAt = r.now
-		g.turns.waiters[from] = w
+		w.announcedAt = r.now
+		reg.turns.waiters[from] = w
 	}
 }
 
-// turnTime is when this node may begin a ballot, by what it knows of other proposers.
-func (r *Replica) turnTime(g *register) time.Duration {
+// turnTime returns when this node may begin a ballot, given what it knows of other proposers.
+func (r *Replica) turnTime(reg *register) time.Duration {
 	switch {
-	case !r.takesTurns(g):
+	case !r.takesTurns(reg):
 		return 0
-	case g.turns.isOpen && g.turns.openBallot == (BallotNumber{}):
-		return g.turns.openAt + reservationTimeout + r.turnDelay(g)
-	case g.turns.isOpen:
-		return g.turns.openAt + openBallotTimeout + r.turnDelay(g)
+	case reg.turns.isOpen && reg.turns.openBallot == (BallotNumber{}):
+		return reg.turns.openAt + reservationTimeout + r.turnDelay(reg)
+	case reg.turns.isOpen:
+		return reg.turns.openAt + openBallotTimeout + r.turnDelay(reg)
 	}
 	return 0
 }
 
-// announceWaiting tells the others, once for each turn that is waited for.
-func (r *Replica) announceWaiting(g *register) {
-	if g.turns.announced != g.openTurn() {
-		g.turns.announced = g.openTurn()
-		r.broadcast(rpc.Consensus{WaitingFor: []string{g.name}})
+// announceWaiting tells all peers, once per turn, that this node waits.
+func (r *Replica) announceWaiting(reg *register) {
+	if reg.turns.announced != reg.openTurn() {
+		reg.turns.announced = reg.openTurn()
+		r.broadcast(rpc.Consensus{WaitingFor: []string{reg.name}})
 	}
 }
 
-// turnDelay is the pause before this node's turn where none was named: each round begins with another voter. Those that
-// are not connected are passed over.
-func (r *Replica) turnDelay(g *register) time.Duration {
+// turnDelay returns the delay of this node among the waiting proposers if none was named. Each round starts with
+// another voter. Voters that are not connected are skipped.
+func (r *Replica) turnDelay(reg *register) time.Duration {
 	voters := r.epoch.Voters
 	if len(voters) == 0 {
 		return 0
 	}
-	first := int(roundOf(g.chosenBallot) % uint64(len(voters)))
+	first := int(roundOf(reg.chosenBallot) % uint64(len(voters)))
 	delay := time.Duration(0)
-	for k := range voters {
-		v := voters[(first+k)%len(voters)]
+	for offset := range voters {
+		v := voters[(first+offset)%len(voters)]
 		if v.StoreID == r.storeID {
 			return delay
 		}
--- a/internal/controlplane/consensus/voterchange_test.go
+++ b/internal/controlplane/consensus/voterchange_test.go
@@ -48,7 +48,7 @@
 			r := pair(t, c.epoch, c.otherDisk)
 			var stale []string
 			for _, v := range c.epoch.AllVoters() {
-				if r.isStaleIdentity(v) {
+				if r.isReplacedVoterOfPair(v) {
 					stale = append(stale, v.StoreID)
 				}
 			}
@@ -76,7 +76,7 @@
 	t.Parallel()
 	r := pair(t, Epoch{Number: 3, Voters: voters(0, 1)}, "d9")
 	r.Step(3*ms, PeerDisconnected{Name: controllerOf(1).Name})
-	if r.isStaleIdentity(voters(1)[0]) {
+	if r.isReplacedVoterOfPair(voters(1)[0]) {
 		t.Error("the identity is stale without a connection")
 	}
 }
--- a/internal/controlplane/consensus/world_test.go
+++ b/internal/controlplane/consensus/world_test.go
@@ -499,7 +499,7 @@
 		}
 	}
 	if newest == 0 { // enough of the disks that decide the founding are left
-		rule := foundingRule{seeds: len(w.seeds), maxFaults: w.faults}
+		rule := bootstrapRule{seeds: len(w.seeds), maxFaults: w.faults}
 		sure, sureSeeds, lost := 0, 0, 1
 		for _, m := range w.machines {
 			var d diskRecord
--- a/internal/controlplane/paxos/paxos.go
+++ b/internal/controlplane/paxos/paxos.go
@@ -1,14 +1,13 @@
-// Package paxos is the agreement on one register, without its network, its disk and its time: what one disk has
-// promised and accepted (Acceptor), and one attempt to have a value chosen (Proposal). Who votes, and how many are
-// a quorum, its users know: consensus for the registers, rollout for its decisions.
+// Package paxos implements the acceptor and proposer state of single-decree Paxos (Lamport, Paxos Made Simple, 2001),
+// without network, disk or clock. Its users decide who votes and what a quorum is.
 //
-// It is single-decree Paxos (Lamport, Paxos Made Simple, 2001), used again and again on the same register as in
-// CASPaxos (Rystsov, 2018). A proposer prepares a ballot at a quorum, and learns from the promises which value may
-// have been chosen under a lower ballot; it changes that value, and has the result accepted by a quorum. A value
-// that a quorum has accepted under one ballot is chosen: every later ballot finds it.
+// The same register is decided repeatedly, as in CASPaxos (Rystsov, 2018): a proposer prepares a ballot at a quorum,
+// learns from the promises the value that may have been chosen under a lower ballot, derives a new value from it, and
+// has the new value accepted by a quorum. A value that a quorum has accepted under one ballot is chosen, and every
+// later ballot finds it.
 //
-// An acceptor's answer may be sent only once the state behind it is on its disk. Otherwise a loss of power would let it
-// break a promise, or forget a value that was chosen with its vote.
+// An acceptor's state must be on its disk before the answer is sent. Otherwise a power loss could make it break a
+// promise, or forget a value that was chosen with its vote.
 package paxos
 
 import "elmfold/internal/gateway/rpc"
@@ -16,14 +15,14 @@
 // BallotNumber is the proposal number of a ballot.
 type BallotNumber = rpc.BallotNumber
 
-// Acceptor is the state of one disk for one register.
+// Acceptor is the state of one acceptor for one register.
 type Acceptor[V any] struct {
-	Promised BallotNumber // no lower ballot is answered any more
-	Accepted BallotNumber // the ballot under which Value was accepted; zero: none was
+	Promised BallotNumber // requests with a lower ballot are rejected
+	Accepted BallotNumber // the ballot of Value; zero if no value was accepted
 	Value    V
 }
 
-// Prepare handles phase 1 of a ballot. It reports false if a higher ballot was promised.
+// Prepare handles a phase 1 request. It returns false if a higher ballot was promised.
 func (a *Acceptor[V]) Prepare(ballot BallotNumber) bool {
 	if ballot.Less(a.Promised) {
 		return false
@@ -32,7 +31,7 @@
 	return true
 }
 
-// Accept handles phase 2 of a ballot. It reports false if a higher ballot was promised.
+// Accept handles a phase 2 request. It returns false if a higher ballot was promised.
 func (a *Acceptor[V]) Accept(ballot BallotNumber, value V) bool {
 	if ballot.Less(a.Promised) {
 		return false
@@ -41,9 +40,9 @@
 	return true
 }
 
-// Learn takes over a value that is known to be chosen under a ballot, and reports whether it was newer than what was
-// accepted. The ballot may lie below what was promised: whoever was promised that has met this value in its quorum, or
-// the value could not have been chosen.
+// Learn stores a value that is known to be chosen under a ballot. It returns false if the accepted value is as new. The
+// ballot may be lower than the promised one: the proposer of the promised ballot has found the chosen value in its own
+// quorum.
 func (a *Acceptor[V]) Learn(ballot BallotNumber, value V) bool {
 	if !a.Accepted.Less(ballot) {
 		return false
@@ -55,36 +54,35 @@
 	return true
 }
 
-// Phase of a Proposal.
+// Phase is the phase of a Proposal.
 type Phase uint8
 
 // Phases of a Proposal.
 const (
-	Idle      Phase = iota // no ballot is under way
-	Preparing              // promises are collected
-	Accepting              // a value is proposed, and votes for it are collected
+	Idle      Phase = iota // no ballot in progress
+	Preparing              // phase 1: collects promises
+	Accepting              // phase 2: collects votes for Value
 )
 
-// Proposal is one ballot at the proposer that began it.
+// Proposal is the proposer state of one ballot.
 type Proposal[V any] struct {
 	Ballot BallotNumber
 	Phase  Phase
-	// Responses are the acceptors that answered in this phase. While Preparing, the value is the ballot that the
-	// acceptor had accepted.
+	// Responses holds the acceptors that answered in this phase, each with the ballot that it has accepted.
 	Responses       map[string]BallotNumber
-	HighestAccepted BallotNumber // of the promises; zero: no acceptor had accepted a value
-	Value           V            // while Preparing, the value of HighestAccepted; while Accepting, what is proposed
+	HighestAccepted BallotNumber // among the promises; zero if no acceptor had accepted a value
+	Value           V            // in phase 1 the value of HighestAccepted, in phase 2 the proposed value
 }
 
-// Begin starts the ballot.
+// Begin starts phase 1 of a ballot.
 func (p *Proposal[V]) Begin(ballot BallotNumber) {
 	*p = Proposal[V]{Ballot: ballot, Phase: Preparing, Responses: map[string]BallotNumber{}}
 }
 
-// Stop ends the ballot: responses no longer count.
+// Stop ends the ballot. Later responses are ignored.
 func (p *Proposal[V]) Stop() { p.Phase, p.Responses = Idle, nil }
 
-// OnPromise counts a promise. It reports false if the promise is not for this ballot, or was counted before.
+// OnPromise counts a promise. It returns false for a duplicate, or if the promise is not for this ballot and phase.
 func (p *Proposal[V]) OnPromise(acceptor string, ballot, accepted BallotNumber, value V) bool {
 	if p.Phase != Preparing || ballot != p.Ballot || p.HasResponded(acceptor) {
 		return false
@@ -96,18 +94,18 @@
 	return true
 }
 
-// HasHighestAccepted reports whether an acceptor has promised, and had accepted the highest ballot itself.
+// HasHighestAccepted reports whether an acceptor has promised and has itself accepted HighestAccepted.
 func (p *Proposal[V]) HasHighestAccepted(acceptor string) bool {
 	accepted, responded := p.Responses[acceptor]
 	return responded && accepted == p.HighestAccepted
 }
 
-// StartAccept goes on to the second phase with a value. If HighestAccepted is not zero the value must be made of Value.
+// StartAccept begins phase 2 with a value. Unless HighestAccepted is zero, the value must be derived from Value.
 func (p *Proposal[V]) StartAccept(value V) {
 	p.Phase, p.Responses, p.Value = Accepting, map[string]BallotNumber{}, value
 }
 
-// OnAccepted counts a vote. It reports false if the vote is not for this ballot, or was counted before.
+// OnAccepted counts a vote. It returns false for a duplicate, or if the vote is not for this ballot and phase.
 func (p *Proposal[V]) OnAccepted(acceptor string, ballot BallotNumber) bool {
 	if p.Phase != Accepting || ballot != p.Ballot || p.HasResponded(acceptor) {
 		return false
--- a/internal/controlplane/paxos/paxos_test.go
+++ b/internal/controlplane/paxos/paxos_test.go
@@ -3,217 +3,250 @@
 import (
 	"cmp"
 	"fmt"
+	"maps"
 	"slices"
 	"testing"
 )
 
-// message is a word between a proposer and an acceptor. Once said it may come at any time, again and again, or never.
+type messageKind uint8
+
+const (
+	prepare messageKind = iota
+	accepted
+	accept
+	promise
+)
+
+// message is a message between a proposer and an acceptor. Once sent, it may be delivered at any time, any number of
+// times, or never.
 type message struct {
-	kind     byte // 'a'sk, 'p'romise, 'o'ffer, 'g' agreed
-	acceptor int
-	ballot   BallotNumber
-	accepted BallotNumber
-	value    int
+	kind           messageKind
+	acceptor       int
+	ballot         BallotNumber
+	acceptedBallot BallotNumber // of a promise
+	value          int
 }
 
-type world struct {
+// injectedBug is a fault that a test adds to the proposer, to show that the model detects it.
+type injectedBug string
+
+const (
+	noBug             injectedBug = ""
+	ignoresHighestBug injectedBug = "proposer ignores the highest accepted value"
+)
+
+const quorum = 2
+
+// model is a system of three acceptors and two proposers, with all messages that were sent.
+type model struct {
 	acceptors [3]Acceptor[int]
 	proposers [2]Proposal[int]
-	begun     [2]int
-	messages  []message                // in their order
-	votes     map[BallotNumber][3]bool // by whom a ballot was accepted
-	offered   map[BallotNumber]int     // its value
+	begun     [2]int // ballots by proposer
+	messages  []message
+	votes     map[BallotNumber][3]bool // the acceptors that accepted each ballot
+	proposed  map[BallotNumber]int     // the value proposed under each ballot
 	chosen    int                      // 0: none
-	flaw      string
+	bug       injectedBug
 }
 
-const voters = "xyz"
+const acceptorNames = "xyz"
 
-func (w *world) clone() *world {
-	c := *w
-	c.messages = slices.Clone(w.messages)
-	c.votes, c.offered = map[BallotNumber][3]bool{}, map[BallotNumber]int{}
-	for b, v := range w.votes {
-		c.votes[b] = v
-	}
-	for b, v := range w.offered {
-		c.offered[b] = v
-	}
+func (m *model) clone() *model {
+	c := *m
+	c.messages = slices.Clone(m.messages)
+	c.votes, c.proposed = maps.Clone(m.votes), maps.Clone(m.proposed)
 	for i := range c.proposers {
-		from := map[string]BallotNumber{}
-		for who, b := range w.proposers[i].Responses {
-			from[who] = b
-		}
-		c.proposers[i].Responses = from
+		responses := map[string]BallotNumber{}
+		maps.Copy(responses, m.proposers[i].Responses)
+		c.proposers[i].Responses = responses
 	}
 	return &c
 }
 
-func (w *world) say(m message) {
-	if !slices.Contains(w.messages, m) {
-		w.messages = append(w.messages, m)
-		slices.SortFunc(w.messages, func(a, b message) int {
-			return cmp.Or(
-				cmp.Compare(a.kind, b.kind),
-				cmp.Compare(a.acceptor, b.acceptor),
-				cmp.Compare(a.ballot.Round, b.ballot.Round),
-				cmp.Compare(a.ballot.Incarnation, b.ballot.Incarnation),
-				cmp.Compare(
-					a.accepted.Round,
-					b.accepted.Round,
-				),
-				cmp.Compare(a.accepted.Incarnation, b.accepted.Incarnation),
-				cmp.Compare(a.value, b.value),
-			)
-		})
+// send keeps the messages sorted, so that equal states have equal keys.
+func (m *model) send(msg message) {
+	if !slices.Contains(m.messages, msg) {
+		m.messages = append(m.messages, msg)
+		slices.SortFunc(m.messages, compareMessages)
 	}
 }
 
-func (w *world) key() string {
-	return fmt.Sprint(w.acceptors, w.proposers[0], w.proposers[1], w.begun, w.messages, w.chosen)
+func compareMessages(a, b message) int {
+	return cmp.Or(
+		cmp.Compare(a.kind, b.kind),
+		cmp.Compare(a.acceptor, b.acceptor),
+		cmp.Compare(a.ballot.Round, b.ballot.Round),
+		cmp.Compare(a.ballot.Incarnation, b.ballot.Incarnation),
+		cmp.Compare(a.acceptedBallot.Round, b.acceptedBallot.Round),
+		cmp.Compare(a.acceptedBallot.Incarnation, b.acceptedBallot.Incarnation),
+		cmp.Compare(a.value, b.value),
+	)
+}
+
+func (m *model) key() string {
+	return fmt.Sprint(m.acceptors, m.proposers[0], m.proposers[1], m.begun, m.messages, m.chosen)
 }
 
-// hear delivers a message; an error says what must not be.
-func (w *world) hear(m message) error {
-	a := &w.acceptors[m.acceptor]
-	who := voters[m.acceptor : m.acceptor+1]
-	p := &w.proposers[m.ballot.Incarnation-1]
-	switch m.kind {
-	case 'a':
-		if a.Prepare(m.ballot) {
-			w.say(message{'p', m.acceptor, m.ballot, a.Accepted, a.Value})
+// deliver handles a message at its receiver. It returns an error if that breaks an invariant.
+func (m *model) deliver(msg message) error {
+	acceptor := &m.acceptors[msg.acceptor]
+	acceptorName := acceptorNames[msg.acceptor : msg.acceptor+1]
+	proposer := &m.proposers[msg.ballot.Incarnation-1]
+	switch msg.kind {
+	case prepare:
+		if acceptor.Prepare(msg.ballot) {
+			m.send(message{promise, msg.acceptor, msg.ballot, acceptor.Accepted, acceptor.Value})
 		}
-	case 'o':
-		if a.Accept(m.ballot, m.value) {
-			v := w.votes[m.ballot]
-			v[m.acceptor] = true
-			w.votes[m.ballot] = v
-			w.say(message{'g', m.acceptor, m.ballot, BallotNumber{}, 0})
-			n := 0
-			for _, has := range v {
-				if has {
-					n++
-				}
-			}
-			if n >= 2 && w.chosen != 0 && w.chosen != m.value {
-				return fmt.Errorf("%d and %d are chosen", w.chosen, m.value)
-			}
-			if n >= 2 {
-				w.chosen = m.value
-			}
+	case promise:
+		isNew := proposer.OnPromise(acceptorName, msg.ballot, msg.acceptedBallot, msg.value)
+		if isNew && len(proposer.Responses) >= quorum {
+			return m.propose(proposer, msg.ballot)
 		}
-	case 'p':
-		if p.OnPromise(who, m.ballot, m.accepted, m.value) && len(p.Responses) >= 2 {
-			value := int(m.ballot.Incarnation) // its own
-			if p.HighestAccepted != (BallotNumber{}) && w.flaw != "own value" {
-				value = p.Value
-			}
-			p.StartAccept(value)
-			if was, there := w.offered[m.ballot]; there && was != value {
-				return fmt.Errorf("ballot %v is offered with %d and %d", m.ballot, was, value)
-			}
-			w.offered[m.ballot] = value
-			for i := range w.acceptors {
-				w.say(message{'o', i, m.ballot, BallotNumber{}, value})
-			}
+	case accept:
+		if acceptor.Accept(msg.ballot, msg.value) {
+			m.send(message{kind: accepted, acceptor: msg.acceptor, ballot: msg.ballot})
+			return m.countVote(msg)
 		}
-	case 'g':
-		if p.OnAccepted(who, m.ballot) && len(p.Responses) >= 2 && w.chosen != p.Value {
-			return fmt.Errorf("%d is thought to be chosen, %d is", p.Value, w.chosen)
+	case accepted:
+		isNew := proposer.OnAccepted(acceptorName, msg.ballot)
+		if isNew && len(proposer.Responses) >= quorum && m.chosen != proposer.Value {
+			return fmt.Errorf("proposer takes %d for chosen, %d is chosen", proposer.Value, m.chosen)
 		}
 	}
 	return nil
 }
 
-// explore visits the states, up to a bound, that 2 proposers with so many ballots and 3 acceptors can come to.
-func explore(ballots [2]int, flaw string, most int) (states int, err error) {
+// propose begins phase 2 of a ballot.
+func (m *model) propose(proposer *Proposal[int], ballot BallotNumber) error {
+	value := int(ballot.Incarnation) // the proposer's own value
+	if proposer.HighestAccepted != (BallotNumber{}) && m.bug != ignoresHighestBug {
+		value = proposer.Value
+	}
+	proposer.StartAccept(value)
+	if previous, has := m.proposed[ballot]; has && previous != value {
+		return fmt.Errorf("ballot %v proposes both %d and %d", ballot, previous, value)
+	}
+	m.proposed[ballot] = value
+	for i := range m.acceptors {
+		m.send(message{kind: accept, acceptor: i, ballot: ballot, value: value})
+	}
+	return nil
+}
+
+// countVote records that an acceptor accepted a ballot, and checks that only one value is ever chosen.
+func (m *model) countVote(msg message) error {
+	votes := m.votes[msg.ballot]
+	votes[msg.acceptor] = true
+	m.votes[msg.ballot] = votes
+	count := 0
+	for _, hasVoted := range votes {
+		if hasVoted {
+			count++
+		}
+	}
+	if count < quorum {
+		return nil
+	}
+	if m.chosen != 0 && m.chosen != msg.value {
+		return fmt.Errorf("both %d and %d are chosen", m.chosen, msg.value)
+	}
+	m.chosen = msg.value
+	return nil
+}
+
+// explore visits, depth first, up to maxStates states that are reachable with a number of ballots per proposer. It
+// stops at the first state that breaks an invariant.
+func explore(ballots [2]int, bug injectedBug, maxStates int) (states int, err error) {
 	visited := map[string]bool{}
-	stack := []*world{{votes: map[BallotNumber][3]bool{}, offered: map[BallotNumber]int{}, flaw: flaw}}
-	for len(stack) > 0 && len(visited) < most {
-		w := stack[len(stack)-1]
+	stack := []*model{{votes: map[BallotNumber][3]bool{}, proposed: map[BallotNumber]int{}, bug: bug}}
+	for len(stack) > 0 && len(visited) < maxStates {
+		current := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		next := func(c *world) {
-			if k := c.key(); !visited[k] {
-				visited[k] = true
-				stack = append(stack, c)
+		push := func(next *model) {
+			if key := next.key(); !visited[key] {
+				visited[key] = true
+				stack = append(stack, next)
 			}
 		}
-		for i := range w.proposers {
-			if w.begun[i] < ballots[i] {
-				c := w.clone()
-				c.begun[i]++
-				b := BallotNumber{Round: uint64(c.begun[i]), Incarnation: uint64(i + 1)}
-				c.proposers[i].Begin(b)
-				for j := range c.acceptors {
-					c.say(message{'a', j, b, BallotNumber{}, 0})
-				}
-				next(c)
+		for i := range current.proposers {
+			if current.begun[i] < ballots[i] {
+				next := current.clone()
+				next.beginBallot(i)
+				push(next)
 			}
 		}
-		for _, m := range w.messages {
-			c := w.clone()
-			if err := c.hear(m); err != nil {
+		for _, msg := range current.messages {
+			next := current.clone()
+			if err := next.deliver(msg); err != nil {
 				return len(visited), err
 			}
-			next(c)
+			push(next)
 		}
 	}
 	return len(visited), nil
 }
 
-// Two proposers and three acceptors, by depth first up to a bound, words that come late, twice, out of order or
-// never: one value is chosen at most.
+func (m *model) beginBallot(proposer int) {
+	m.begun[proposer]++
+	ballot := BallotNumber{Round: uint64(m.begun[proposer]), Incarnation: uint64(proposer + 1)}
+	m.proposers[proposer].Begin(ballot)
+	for i := range m.acceptors {
+		m.send(message{kind: prepare, acceptor: i, ballot: ballot})
+	}
+}
+
+// Guards against two chosen values when messages are delayed, duplicated, reordered or lost.
 func TestInterleavings(t *testing.T) {
-	const most = 5000
-	states, err := explore([2]int{1, 1}, "", most)
+	const maxStates = 5000
+	states, err := explore([2]int{1, 1}, noBug, maxStates)
 	if err != nil {
 		t.Error(err)
 	}
-	t.Logf("2 proposers of one ballot each, 3 acceptors: %d states, CUT there if %d", states, most)
-	for _, flaw := range []string{"own value"} {
-		states, err := explore([2]int{1, 1}, flaw, most)
-		if err == nil {
-			t.Errorf("%s: a flaw that is planted here is not seen", flaw)
-		}
-		t.Logf("%s: after %d states: %v", flaw, states, err)
+	t.Logf("2 proposers with one ballot each, 3 acceptors: %d states; incomplete if %d", states, maxStates)
+	states, err = explore([2]int{1, 1}, ignoresHighestBug, maxStates)
+	if err == nil {
+		t.Errorf("injected bug was not detected: %s", ignoresHighestBug)
 	}
+	t.Logf("%s: after %d states: %v", ignoresHighestBug, states, err)
 }
 
-// A copy of what is chosen may lie below what was promised; it never takes back a newer one.
+// Learn accepts a chosen value below the promised ballot, but never replaces a newer value.
 func TestLearn(t *testing.T) {
 	a := Acceptor[string]{Promised: BallotNumber{Round: 9}, Accepted: BallotNumber{Round: 3}, Value: "three"}
 	if a.Learn(BallotNumber{Round: 3}, "other") || a.Learn(BallotNumber{Round: 2}, "two") || a.Value != "three" {
-		t.Errorf("%+v", a)
+		t.Errorf("replaced by a value that is not newer: %+v", a)
 	}
 	if !a.Learn(BallotNumber{Round: 5}, "five") || a.Value != "five" || a.Promised != (BallotNumber{Round: 9}) {
-		t.Errorf("%+v", a)
+		t.Errorf("newer value below the promised ballot: %+v", a)
 	}
 	if !a.Learn(BallotNumber{Round: 12}, "twelve") || a.Promised != (BallotNumber{Round: 12}) ||
 		a.Prepare(BallotNumber{Round: 11}) ||
 		a.Accept(BallotNumber{Round: 11}, "eleven") {
-		t.Errorf("%+v", a)
+		t.Errorf("value above the promised ballot: %+v", a)
 	}
 	if !a.Accept(BallotNumber{Round: 12}, "twelve") || !a.Prepare(BallotNumber{Round: 12}) {
-		t.Errorf("what is asked again is refused: %+v", a)
+		t.Errorf("repeated request was rejected: %+v", a)
 	}
 }
 
-// What was not asked for, or was counted, does not count.
+// Responses count once, and only for the current ballot and phase.
 func TestProposalCountsOnce(t *testing.T) {
 	var p Proposal[string]
 	b := BallotNumber{Round: 2, Incarnation: 1}
 	if p.OnPromise("x", b, BallotNumber{}, "") || p.OnAccepted("x", b) {
-		t.Error("nothing was begun")
+		t.Error("response counted before the ballot began")
 	}
 	p.Begin(b)
 	if !p.OnPromise("x", b, BallotNumber{Round: 1}, "one") || p.OnPromise("x", b, BallotNumber{Round: 1}, "one") ||
 		p.OnPromise("y", BallotNumber{Round: 1, Incarnation: 1}, BallotNumber{}, "") ||
 		p.OnAccepted("x", b) {
-		t.Errorf("%+v", p)
+		t.Errorf("first promise: %+v", p)
 	}
-	if !p.OnPromise("y", b, BallotNumber{}, "") || !p.HasHighestAccepted("x") || p.HasHighestAccepted("y") || p.HasHighestAccepted("z") ||
-		p.Value != "one" {
-		t.Errorf("%+v", p)
+	if !p.OnPromise("y", b, BallotNumber{}, "") || p.Value != "one" ||
+		!p.HasHighestAccepted("x") ||
+		p.HasHighestAccepted("y") ||
+		p.HasHighestAccepted("z") {
+		t.Errorf("second promise: %+v", p)
 	}
 	p.StartAccept("new")
 	if p.OnPromise("z", b, BallotNumber{Round: 1, Incarnation: 5}, "late") || p.HasResponded("x") ||
@@ -221,9 +254,9 @@
 		p.OnAccepted("x", b) ||
 		!p.HasResponded("x") ||
 		p.Value != "new" {
-		t.Errorf("%+v", p)
+		t.Errorf("phase 2: %+v", p)
 	}
 	if p.Stop(); p.OnAccepted("y", b) {
-		t.Error("it was stopped")
+		t.Error("vote counted after Stop")
 	}
 }
