--- a/internal/proxy/balancer/admission.go
+++ b/internal/proxy/balancer/admission.go
@@ -7,21 +7,20 @@
 )
 
 const (
-	// burstSeconds is the part of a rate limit that may come at once, and minBurst the least that may.
-	burstSeconds = 1.0 / 4
-	minBurst     = 2
+	burstSeconds = 1.0 / 4 // bucket size, in seconds of the rate limit
+	minBurst     = 2       // minimum bucket size, in requests
 )
 
 // rateLimiter is a token bucket.
 type rateLimiter struct {
-	rate      float64 // requests/s; 0: unlimited
+	rate      float64 // requests/s; 0 means unlimited
 	tokens    float64
 	updatedAt time.Duration
 }
 
 func (l *rateLimiter) burst() float64 { return max(l.rate*burstSeconds, minBurst) }
 
-// allow takes a token. If there is none, wait is the time until the next.
+// allow takes a token. If the bucket is empty, wait is the time until the next token.
 func (l *rateLimiter) allow(now time.Duration) (wait time.Duration, ok bool) {
 	if l.rate <= 0 {
 		return 0, true
@@ -35,7 +34,7 @@
 	return 0, true
 }
 
-// SetRateLimit sets the rate limit of a service, in requests/s; 0 is unlimited.
+// SetRateLimit sets the rate limit of a service, in requests/s; 0 means unlimited.
 func (b *Balancer) SetRateLimit(name string, rate float64, now time.Duration) {
 	l := &b.service(name).limiter
 	wasUnlimited := l.rate == 0
@@ -45,8 +44,8 @@
 	}
 }
 
-// Admit handles a request that arrived for a service. One over the rate limit is rejected with RateLimited, and
-// with the time after which it may come again.
+// Admit counts a request for a service and applies the service's rate limit. It returns None, or RateLimited and the
+// time after which the client may retry.
 func (b *Balancer) Admit(now time.Duration, name string) (apierror.Kind, time.Duration) {
 	s := b.service(name)
 	s.requests++
--- a/internal/proxy/balancer/balancer.go
+++ b/internal/proxy/balancer/balancer.go
@@ -1,16 +1,17 @@
-// Package balancer decides for each request of a proxy: whether it is admitted, which endpoint is tried, whether
-// another one may be tried after a failure, and what an endpoint in slow start may be sent.
+// Package balancer makes the load-balancing decisions of a proxy: it admits requests, selects endpoints, limits
+// retries, ejects failing endpoints and limits the traffic to endpoints in slow start.
 //
-// It does no I/O and reads no clock; times are durations since the process began, chance comes in as an argument. A
-// Balancer is not safe for concurrent use: its owner holds one small mutex, never over I/O.
+// The package does no I/O and reads no clock. Times are durations since the start of the process, and callers pass in
+// random numbers. A Balancer is not safe for concurrent use; its owner guards it by a mutex, which it does not hold
+// during I/O.
 //
-//	balancer.go     what is known: services, endpoints, other proxies
-//	admission.go    the rate limit of a service
-//	selection.go    the choice of an endpoint, and load shedding
-//	outlier.go      results of attempts; ejection of endpoints that fail, suspects and their health checks
-//	slowstart.go    which proxy sends to an endpoint that is warming up, and how much
-//	retrybudget.go  whether a request may be tried again
-//	report.go       what is reported to the control plane
+//	balancer.go     state: services, endpoints, other proxies
+//	admission.go    rate limits of services
+//	selection.go    endpoint selection and load shedding
+//	outlier.go      results of attempts, ejection of failing endpoints, suspects and their health checks
+//	slowstart.go    which proxy sends to an endpoint in slow start, and at which rate
+//	retrybudget.go  retry decisions and the retry budget
+//	report.go       load and attempt counts for the control plane
 package balancer
 
 import (
@@ -19,93 +20,93 @@
 	"time"
 )
 
-// Bounds are the figures of the platform's rules that bind all proxies together.
+// Bounds are limits that all proxies of the platform must keep together.
 type Bounds struct {
-	RetryRatio      float64       // retries for each request
-	RetrySlack      float64       // retries in a window beside RetryRatio
-	RetryWindow     time.Duration // over which retries are counted
-	SlowStartExcess float64       // times its slow-start rate that an endpoint may be sent
-	SlowStartSlack  float64       // requests in a second beside SlowStartExcess
+	RetryRatio      float64       // retries per request
+	RetrySlack      float64       // retries per RetryWindow on top of RetryRatio
+	RetryWindow     time.Duration // period over which retries are counted
+	SlowStartExcess float64       // maximum rate to an endpoint in slow start, as a multiple of its slow-start rate
+	SlowStartSlack  float64       // requests per second on top of SlowStartExcess
 }
 
-// Endpoint is what a proxy is told of an endpoint.
+// Endpoint is the state of an endpoint as the control plane and the service registry report it.
 type Endpoint struct {
 	ID, Service, Address, Zone string
-	Capacity                   int           // requests at once
-	Usable                     bool          // listed, ready, and its zone not evacuated
-	WarmupEnd                  time.Duration // until when it is in slow start
+	Capacity                   int           // concurrent requests
+	Usable                     bool          // listed, ready, and in a zone that is not evacuated
+	WarmupEnd                  time.Duration // end of slow start
 }
 
-// ProxyInfo is a proxy that holds a lease.
+// ProxyInfo identifies a proxy that holds a lease.
 type ProxyInfo struct{ Name, Zone string }
 
-// endpoint is an Endpoint with what this proxy has seen of it.
+// endpoint is an Endpoint with this proxy's observations of it.
 type endpoint struct {
 	Endpoint
-	weight   float64 // of the routing table; negative: it does not name the endpoint
+	weight   float64 // in the routing table; negative if the table does not contain the endpoint
 	inFlight int     // requests of this proxy
 
-	// Load of other proxies.
+	// Load that other proxies cause.
 
-	others   float64 // their requests, as last told by a response
-	othersAt time.Duration
+	otherLoad   float64 // requests, as of the endpoint's latest response
+	otherLoadAt time.Duration
 
 	// Outlier ejection and suspects.
 
 	ejectedUntil    time.Duration
-	failures        int  // in a row
-	isSuspect       bool // not to be tried before a health check has passed
-	checking        bool // a health check is under way
-	suspectAt       time.Duration
-	respondedAt     time.Duration // when it last responded
-	unresponsiveAt  time.Duration // when it was last found unresponsive
-	responseLatency time.Duration // mean, of responses while nothing was queued
+	failures        int  // consecutive
+	isSuspect       bool // gets no requests until a health check passes
+	checkInProgress bool
+	suspectSince    time.Duration
+	respondedAt     time.Duration // time of the latest response
+	unresponsiveAt  time.Duration // time when the endpoint's machine was last found unresponsive
+	responseLatency time.Duration // moving average, over successful responses without queueing
 
 	// Slow start.
 
-	warmupSentAt time.Duration // when it was last sent a request while warming up
-	isOwner      bool          // this proxy is the one that sends to it while it is warming up
-	ownerVersion int           // of the proxies by which isOwner was worked out
+	warmupSentAt        time.Duration // time of the latest request during slow start
+	isOwner             bool          // this proxy is the one that sends to the endpoint during slow start
+	ownerProxiesVersion int           // Balancer.proxiesVersion for which isOwner holds
 
-	// Since the last report.
+	// Counts since the last report.
 
 	attempts   float64
 	failed     float64
 	succeeded  float64
-	latencySum time.Duration // of the succeeded
-	queued     bool          // it reported queued requests
+	latencySum time.Duration // of the successful attempts
+	hadQueue   bool          // the endpoint reported queued requests
 }
 
-// service is what is known of a service.
+// service is the state of a service.
 type service struct {
-	endpoints     []*endpoint // sorted by id
-	maxConns      int         // that an endpoint accepts from all proxies; 0: unknown
+	endpoints     []*endpoint // sorted by ID
+	maxConns      int         // connections that an endpoint accepts from all proxies; 0 if unknown
 	slowStart     time.Duration
 	slowStartRate float64       // requests/s
-	latency       time.Duration // mean, of responses of endpoints where nothing was queued
+	latency       time.Duration // moving average, over responses of endpoints without queueing
 	limiter       rateLimiter
 	retries       retryBudget
 
-	// Since the last report.
+	// Counts since the last report.
 
 	requests float64
 	rejected float64
 }
 
-// Balancer is a proxy's.
+// Balancer holds the load-balancing state of one proxy.
 type Balancer struct {
 	name, zone     string
 	bounds         Bounds
 	startedAt      time.Duration
 	services       map[string]*service
-	endpoints      map[string]*endpoint // by id
+	endpoints      map[string]*endpoint // by ID
 	proxies        []ProxyInfo
-	proxiesVersion int // rises with each SetProxies
-	maxProxies     int // the greatest number of proxies that was heard of
+	proxiesVersion int // incremented by SetProxies
+	maxProxies     int // largest number of proxies that SetProxies was called with
 	leaseEnd       time.Duration
 }
 
-// New makes a Balancer that knows no endpoint.
+// New returns a Balancer without endpoints. name and zone are those of the proxy.
 func New(name, zone string, bounds Bounds, now time.Duration) *Balancer {
 	return &Balancer{
 		name:       name,
@@ -128,45 +129,45 @@
 	return s
 }
 
-// ConfigureService sets what the configuration says of a service.
+// ConfigureService applies the configuration of a service.
 func (b *Balancer) ConfigureService(name string, maxConns int, slowStartRate float64, slowStart time.Duration) {
 	s := b.service(name)
 	s.maxConns, s.slowStartRate, s.slowStart = maxConns, slowStartRate, slowStart
 }
 
-// longAgo stands for a time that has never been.
+// longAgo initializes timestamps of events that have not happened yet.
 const longAgo = -time.Hour
 
-// SetEndpoint sets what is known of an endpoint. What this proxy has seen of it stays.
-func (b *Balancer) SetEndpoint(now time.Duration, told Endpoint) {
-	e := b.endpoints[told.ID]
+// SetEndpoint adds or updates an endpoint. An update keeps this proxy's observations of the endpoint.
+func (b *Balancer) SetEndpoint(now time.Duration, info Endpoint) {
+	e := b.endpoints[info.ID]
 	if e == nil {
-		b.addEndpoint(now, told)
+		b.addEndpoint(now, info)
 		return
 	}
-	if e.Zone != told.Zone {
-		e.ownerVersion = 0
+	if e.Zone != info.Zone {
+		e.ownerProxiesVersion = 0
 	}
-	e.Address, e.Zone, e.Capacity = told.Address, told.Zone, told.Capacity
-	e.Usable, e.WarmupEnd = told.Usable, told.WarmupEnd
+	e.Address, e.Zone, e.Capacity = info.Address, info.Zone, info.Capacity
+	e.Usable, e.WarmupEnd = info.Usable, info.WarmupEnd
 }
 
-func (b *Balancer) addEndpoint(now time.Duration, told Endpoint) {
+func (b *Balancer) addEndpoint(now time.Duration, info Endpoint) {
 	e := &endpoint{
-		Endpoint:       told,
+		Endpoint:       info,
 		weight:         -1,
-		othersAt:       longAgo,
+		otherLoadAt:    longAgo,
 		respondedAt:    now,
 		unresponsiveAt: longAgo,
 		warmupSentAt:   longAgo,
 	}
-	b.endpoints[told.ID] = e
-	s := b.service(told.Service)
+	b.endpoints[info.ID] = e
+	s := b.service(info.Service)
 	s.endpoints = append(s.endpoints, e)
 	slices.SortFunc(s.endpoints, func(x, y *endpoint) int { return cmp.Compare(x.ID, y.ID) })
 }
 
-// RemoveEndpoint forgets an endpoint.
+// RemoveEndpoint removes an endpoint and this proxy's observations of it.
 func (b *Balancer) RemoveEndpoint(id string) {
 	e := b.endpoints[id]
 	if e == nil {
@@ -177,7 +178,7 @@
 	s.endpoints = slices.DeleteFunc(s.endpoints, func(o *endpoint) bool { return o == e })
 }
 
-// InFlight is the number of attempts that were picked and have not ended, at endpoints that are known.
+// InFlight returns the number of attempts in progress at all current endpoints.
 func (b *Balancer) InFlight() (n int) {
 	for _, e := range b.endpoints {
 		n += e.inFlight
@@ -185,15 +186,16 @@
 	return n
 }
 
-// SetProxies sets which proxies hold a lease. The greatest number that was ever heard of divides the shared budgets: a
-// proxy that is cut off counts itself among fewer than there are.
+// SetProxies sets the proxies that hold a lease. The shared budgets are divided by the largest number of proxies seen
+// so far, because a partitioned proxy may see fewer proxies than there are.
 func (b *Balancer) SetProxies(all []ProxyInfo) {
 	b.proxies = all
 	b.proxiesVersion++
 	b.maxProxies = max(b.maxProxies, len(all))
 }
 
-// SetWeights sets a service's routing table as the control plane ordered it. With full it is the whole table.
+// SetWeights updates the routing table of a service; weights are keyed by endpoint ID. If full is true, weights
+// replaces the whole table.
 func (b *Balancer) SetWeights(name string, full bool, weights map[string]float64) {
 	for _, e := range b.service(name).endpoints {
 		if w, named := weights[e.ID]; named {
--- a/internal/proxy/balancer/balancer_test.go
+++ b/internal/proxy/balancer/balancer_test.go
@@ -19,112 +19,124 @@
 	SlowStartSlack:  5,
 }
 
-func members(n int) (all []ProxyInfo) {
+func proxyInfos(n int) (all []ProxyInfo) {
 	for i := range n {
 		all = append(all, ProxyInfo{fmt.Sprint("e", i), "a"})
 	}
 	return all
 }
 
-// fleet is carriers that know of one another; each reads its own clock, which begins with its life.
+// fleet simulates several proxies that know each other. Each balancer's clock starts with its process.
 type fleet struct {
-	carriers []*Balancer
-	born     []time.Duration
+	balancers []*Balancer
+	startedAt []time.Duration
 }
 
 func (f *fleet) start(i int, now time.Duration) {
-	f.carriers[i], f.born[i] = New(fmt.Sprint("e", i), "a", bounds, 0), now
+	f.balancers[i], f.startedAt[i] = New(fmt.Sprint("e", i), "a", bounds, 0), now
 }
 
 func newFleet(n int) *fleet {
 	f := &fleet{make([]*Balancer, n), make([]time.Duration, n)}
 	for i := range n {
-		f.start(i, -time.Minute) // they run for a while
-		f.carriers[i].SetProxies(members(n))
+		f.start(i, -time.Minute) // past the ramp of the retry budget
+		f.balancers[i].SetProxies(proxyInfos(n))
 	}
 	return f
 }
 
-// inside counts the instants of [from, to), which are in order.
-func inside(all []time.Duration, from, to time.Duration) float64 {
-	at := func(t time.Duration) int { return sort.Search(len(all), func(i int) bool { return all[i] >= t }) }
-	return float64(at(to) - at(from))
+// countBetween counts the times in [from, to). times is sorted.
+func countBetween(times []time.Duration, from, to time.Duration) float64 {
+	index := func(t time.Duration) int { return sort.Search(len(times), func(i int) bool { return times[i] >= t }) }
+	return float64(index(to) - index(from))
 }
 
-// overBudget is the rule, plainly: wherever the window lies, the arrivals past the first stay under a part of the
-// requests of it, of the one before or of the one half a window before, whichever has the most.
-func overBudget(asked, again []time.Duration) string {
+// budgetViolation describes the first window with too many retries, or returns "". A window may hold RetryRatio times
+// the requests of itself, of the window before, or of the window half a window earlier, whichever are the most, plus
+// RetrySlack.
+func budgetViolation(requests, retries []time.Duration) string {
 	w := bounds.RetryWindow
-	for _, t := range again {
-		n := max(inside(asked, t, t+w), inside(asked, t-w, t), inside(asked, t-w/2, t+w/2))
-		if got, most := inside(again, t, t+w), bounds.RetryRatio*n+bounds.RetrySlack; got > most {
-			return fmt.Sprintf("%v further arrivals in the window from %v, for %v requests: %v are allowed", got, t, n, most)
+	for _, t := range retries {
+		n := max(
+			countBetween(requests, t, t+w),
+			countBetween(requests, t-w, t),
+			countBetween(requests, t-w/2, t+w/2),
+		)
+		if got, limit := countBetween(retries, t, t+w), bounds.RetryRatio*n+bounds.RetrySlack; got > limit {
+			return fmt.Sprintf("%v retries in the window from %v for %v requests, limit %v", got, t, n, limit)
 		}
 	}
 	return ""
 }
 
-// spell is a stretch of a day: how many requests come, and which part of all arrivals fails.
-type spell struct {
+// loadPhase is a period with a constant request rate and failure ratio.
+type loadPhase struct {
 	until  time.Duration
 	rate   float64 // requests/s
-	failed float64
+	failed float64 // fraction of attempts that fail
 }
 
-// day plays spells through a fleet and returns the instants of the requests and of the arrivals past their first.
-// Restarts are drawn for one carrier every so often.
-func (f *fleet) day(r *rand.Rand, spells []spell, restarts time.Duration) (asked, again []time.Duration) {
+// run simulates load phases and returns the times of requests and retries. One random proxy restarts every
+// restartInterval on average; 0 means never.
+func (f *fleet) run(
+	r *rand.Rand,
+	phases []loadPhase,
+	restartInterval time.Duration,
+) (requests, retries []time.Duration) {
 	const tick = 10 * time.Millisecond
-	now, restart := time.Duration(0), restarts
-	for _, s := range spells {
-		for ; now < s.until; now += tick {
-			if restarts > 0 && now >= restart {
-				i := r.IntN(len(f.carriers))
+	now, nextRestart := time.Duration(0), restartInterval
+	for _, phase := range phases {
+		for ; now < phase.until; now += tick {
+			if restartInterval > 0 && now >= nextRestart {
+				i := r.IntN(len(f.balancers))
 				f.start(i, now)
-				f.carriers[i].SetProxies(members(len(f.carriers)))
-				restart += time.Duration(r.Int64N(int64(2 * restarts)))
+				f.balancers[i].SetProxies(proxyInfos(len(f.balancers)))
+				nextRestart += time.Duration(r.Int64N(int64(2 * restartInterval)))
 			}
-			for range int(s.rate*tick.Seconds() + r.Float64()) {
-				i := min(r.IntN(len(f.carriers)), r.IntN(len(f.carriers))) // shares are uneven
-				c, at := f.carriers[i], now-f.born[i]
-				asked = append(asked, now)
-				c.Admit(at, "s")
-				for offered := 1; r.Float64() < s.failed && c.AllowRetry(
-					at,
-					"s",
-					apierror.RejectedByEndpoint,
-					true,
-					offered,
-					4,
-				); offered++ {
-					again = append(again, now)
+			for range int(phase.rate*tick.Seconds() + r.Float64()) {
+				i := min(r.IntN(len(f.balancers)), r.IntN(len(f.balancers))) // uneven shares of the load
+				requests = append(requests, now)
+				for range f.request(r, i, now, phase.failed) {
+					retries = append(retries, now)
 				}
 			}
 		}
 	}
-	return asked, again
+	return requests, retries
+}
+
+// request simulates one request at a proxy and returns the number of its retries.
+func (f *fleet) request(r *rand.Rand, proxy int, now time.Duration, failed float64) (retries int) {
+	b, localNow := f.balancers[proxy], now-f.startedAt[proxy]
+	b.Admit(localNow, "s")
+	for r.Float64() < failed && b.AllowRetry(localNow, "s", apierror.RejectedByEndpoint, true, retries+1, 4) {
+		retries++
+	}
+	return retries
 }
 
-// However requests and failures are spread over time, over carriers and over their lives, the rule is kept.
-func TestBudgetOfAllCarriersTogether(t *testing.T) {
+// Guards the shared retry budget under random load, failures and restarts of proxies.
+func TestSharedRetryBudget(t *testing.T) {
 	failed := 0
 	for seed := range uint64(150) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		f := newFleet([]int{1, 3, 10}[seed%3])
-		var spells []spell
+		var phases []loadPhase
 		for until := time.Duration(0); until < 45*time.Second; {
 			until += time.Second/2 + time.Duration(r.Int64N(int64(7*time.Second)))
-			spells = append(spells, spell{until, []float64{5, 40, 200, 400}[r.IntN(4)], []float64{0, 0.1, 1}[r.IntN(3)]})
+			phases = append(
+				phases,
+				loadPhase{until, []float64{5, 40, 200, 400}[r.IntN(4)], []float64{0, 0.1, 1}[r.IntN(3)]},
+			)
 		}
-		restarts := time.Duration(0)
-		// One carrier after the other, each about twice in the day. A lone one is left out: it forgets the whole fleet's
-		// arrivals when it dies in the middle of a failure.
-		if seed%2 == 1 && len(f.carriers) > 1 {
-			restarts = 20 * time.Second / time.Duration(len(f.carriers))
+		restartInterval := time.Duration(0)
+		// Each proxy restarts about twice. A single proxy does not restart: it would lose the whole fleet's retry counts.
+		if seed%2 == 1 && len(f.balancers) > 1 {
+			restartInterval = 20 * time.Second / time.Duration(len(f.balancers))
 		}
-		if text := overBudget(f.day(r, spells, restarts)); text != "" {
+		if violation := budgetViolation(f.run(r, phases, restartInterval)); violation != "" {
 			if failed++; failed <= 4 {
-				t.Errorf("seed %d, %d carriers: %s", seed, len(f.carriers), text)
+				t.Errorf("seed %d, %d proxies: %s", seed, len(f.balancers), violation)
 			}
 		}
 	}
@@ -133,105 +145,152 @@
 	}
 }
 
-// All fails from one moment on, for longer than a window: the plainest case, wherever in a part of the window it is.
-func TestBudgetWhereAllFailsForLong(t *testing.T) {
+// Guards the retry budget in an outage longer than a retry window, for several offsets of its start within a slot.
+func TestRetryBudgetInLongOutage(t *testing.T) {
 	for begin := 10 * time.Second; begin < 11*time.Second; begin += 250 * time.Millisecond {
-		asked, again := newFleet(
-			3,
-		).day(
-			rand.New(rand.NewPCG(1, 1)),
-			[]spell{{begin, 400, 0}, {begin + 25*time.Second, 400, 1}},
-			0,
-		)
-		if text := overBudget(asked, again); text != "" {
-			t.Errorf("from %v on: %s", begin, text)
+		phases := []loadPhase{{begin, 400, 0}, {begin + 25*time.Second, 400, 1}}
+		requests, retries := newFleet(3).run(rand.New(rand.NewPCG(1, 1)), phases, 0)
+		if violation := budgetViolation(requests, retries); violation != "" {
+			t.Errorf("outage from %v: %s", begin, violation)
 		}
-		if float64(len(again)) < bounds.RetryRatio*float64(len(asked))/3 {
-			t.Errorf("%d further tries for %d requests: hardly any", len(again), len(asked))
+		if float64(len(retries)) < bounds.RetryRatio*float64(len(requests))/3 {
+			t.Errorf("%d retries for %d requests: the budget is hardly used", len(retries), len(requests))
 		}
 	}
 }
 
-// The model sees a carrier that keeps the whole budget for itself.
-func TestBudgetModelSeesTooMuch(t *testing.T) {
+// Checks that budgetViolation detects proxies that each use the whole budget.
+func TestBudgetViolationIsDetected(t *testing.T) {
 	f := newFleet(10)
-	for _, c := range f.carriers {
-		c.maxProxies = 1
+	for _, b := range f.balancers {
+		b.maxProxies = 1
 	}
-	asked, again := f.day(rand.New(rand.NewPCG(1, 1)), []spell{{5 * time.Second, 200, 1}}, 0)
-	if overBudget(asked, again) == "" {
-		t.Error("ten carriers that each use all of the slack are not noticed")
+	requests, retries := f.run(rand.New(rand.NewPCG(1, 1)), []loadPhase{{5 * time.Second, 200, 1}}, 0)
+	if budgetViolation(requests, retries) == "" {
+		t.Error("no violation found though ten proxies each use the whole slack")
 	}
 }
 
-// Two carriers that both hold themselves to be the one that sends to a cold backend stay under the bound together.
-func TestColdBackendWhereMembersDisagree(t *testing.T) {
+// Guards the slow-start bound when two proxies both consider themselves the owner.
+func TestSlowStartBoundWithTwoOwners(t *testing.T) {
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 9))
 		rate := []float64{0.3, 1, 4.1, 12, 40}[r.IntN(5)]
-		pair := []*Balancer{New("e0", "a", bounds, 0), New("e1", "a", bounds, 0)}
-		b := Endpoint{ID: "i", Service: "s", Address: "10.0.0.1:80", Zone: "a", Capacity: 8, Usable: true,
+		balancers := []*Balancer{New("e0", "a", bounds, 0), New("e1", "a", bounds, 0)}
+		warming := Endpoint{ID: "i", Service: "s", Address: "10.0.0.1:80", Zone: "a", Capacity: 8, Usable: true,
 			WarmupEnd: time.Hour}
-		for i, c := range pair {
-			c.ConfigureService("s", 0, rate, time.Hour)
-			c.SetEndpoint(0, b)
-			c.SetProxies(members(2)[i : i+1]) // each has heard of itself alone
-			c.ExtendLease(time.Hour)
+		for i, b := range balancers {
+			b.ConfigureService("s", 0, rate, time.Hour)
+			b.SetEndpoint(0, warming)
+			b.SetProxies(proxyInfos(2)[i : i+1]) // each proxy knows only itself
+			b.ExtendLease(time.Hour)
 		}
 		var sent []time.Duration
 		for now := time.Duration(0); now < 6*time.Second; now += time.Duration(r.Int64N(int64(40 * time.Millisecond))) {
-			c := pair[r.IntN(2)]
+			b := balancers[r.IntN(2)]
 			if r.IntN(10) == 0 {
-				c.SetEndpoint(now, b) // told again
+				b.SetEndpoint(now, warming)
 			}
-			if p, kind := c.Pick(now, Request{Service: "s", TimeToTarget: time.Second}); kind == apierror.None {
-				sent = append(sent, now)
-				c.RecordResult(
-					now,
-					p,
-					Result{Kind: []apierror.Kind{apierror.None, apierror.ResponseTimeout, apierror.MismatchedResponse}[r.IntN(3)]},
-				)
+			selected, kind := b.Pick(now, Request{Service: "s", TimeToTarget: time.Second})
+			if kind != apierror.None {
+				continue
 			}
+			sent = append(sent, now)
+			results := []apierror.Kind{apierror.None, apierror.ResponseTimeout, apierror.MismatchedResponse}
+			b.RecordResult(now, selected, Result{Kind: results[r.IntN(3)]})
 		}
 		for _, from := range sent {
-			if n := inside(sent, from, from+time.Second+1); n > rate*bounds.SlowStartExcess+bounds.SlowStartSlack {
+			n := countBetween(sent, from, from+time.Second+1)
+			if n > rate*bounds.SlowStartExcess+bounds.SlowStartSlack {
 				t.Fatalf("seed %d: %v requests within a second from %v at a rate of %v", seed, n, from, rate)
 			}
 		}
-		if least := min(rate, 4) * 1.5; float64(len(sent)) < least {
+		if minSent := min(rate, 4) * 1.5; float64(len(sent)) < minSent {
 			t.Errorf("seed %d: only %d requests in 6 s at a rate of %v", seed, len(sent), rate)
 		}
 	}
 }
 
-// Only the owner sends to a cold backend, and only while its lease stands.
-func TestColdBackendHasOneOwner(t *testing.T) {
+// Checks that only one proxy sends to an endpoint in slow start, and only while it holds a lease.
+func TestSlowStartHasOneOwner(t *testing.T) {
 	owners := 0
+	request := Request{Service: "s", TimeToTarget: time.Second}
 	for i := range 5 {
-		c := New(fmt.Sprint("e", i), "a", bounds, 0)
-		c.ConfigureService("s", 0, 4, time.Minute)
-		c.SetProxies(members(5))
-		c.SetEndpoint(0, Endpoint{ID: "i", Service: "s", Zone: "a", Capacity: 8, Usable: true, WarmupEnd: time.Minute})
-		if _, kind := c.Pick(time.Second, Request{Service: "s", TimeToTarget: time.Second}); kind == apierror.None {
-			t.Errorf("%s sends without a lease", c.name)
+		b := New(fmt.Sprint("e", i), "a", bounds, 0)
+		b.ConfigureService("s", 0, 4, time.Minute)
+		b.SetProxies(proxyInfos(5))
+		b.SetEndpoint(0, Endpoint{ID: "i", Service: "s", Zone: "a", Capacity: 8, Usable: true, WarmupEnd: time.Minute})
+		if _, kind := b.Pick(time.Second, request); kind == apierror.None {
+			t.Errorf("%s sends without a lease", b.name)
 		}
-		c.ExtendLease(3 * time.Second)
-		if p, kind := c.Pick(2*time.Second, Request{Service: "s", TimeToTarget: time.Second}); kind == apierror.None {
+		b.ExtendLease(3 * time.Second)
+		if selected, kind := b.Pick(2*time.Second, request); kind == apierror.None {
 			owners++
-			c.RecordResult(2*time.Second, p, Result{})
+			b.RecordResult(2*time.Second, selected, Result{})
 		}
-		if _, kind := c.Pick(4*time.Second, Request{Service: "s", TimeToTarget: time.Second}); kind == apierror.None {
-			t.Errorf("%s sends after its lease", c.name)
+		if _, kind := b.Pick(4*time.Second, request); kind == apierror.None {
+			t.Errorf("%s sends after its lease", b.name)
 		}
 	}
 	if owners != 1 {
-		t.Errorf("%d carriers send", owners)
+		t.Errorf("%d proxies send", owners)
 	}
 }
 
-// Over drawn requests: what was tried, may not be used, is in doubt or full is never picked; with room in the own
-// zone nothing leaves it, without any it does; and all that was taken is given back.
-func TestPick(t *testing.T) {
+// pickTest runs random requests against six endpoints in two zones.
+type pickTest struct {
+	*testing.T
+	seed       uint64
+	rand       *rand.Rand
+	now        time.Duration
+	balancer   *Balancer
+	endpoints  []*endpoint
+	inProgress []startedAttempt
+}
+
+type startedAttempt struct {
+	selected  Selection
+	startedAt time.Duration
+}
+
+const pickTestMaxConns = 3 // a share of connShare of 4 connections
+
+func newPickTest(t *testing.T, seed uint64) *pickTest {
+	p := &pickTest{T: t, seed: seed, rand: rand.New(rand.NewPCG(seed, 11)), balancer: New("e0", "a", bounds, 0)}
+	p.balancer.ConfigureService("s", 4, 0, 0)
+	for i := range 6 {
+		e := Endpoint{
+			ID:       fmt.Sprint("i", i),
+			Service:  "s",
+			Address:  fmt.Sprint("10.0.0.", i, ":80"),
+			Zone:     "ab"[i%2 : i%2+1],
+			Capacity: 2 + p.rand.IntN(2),
+			Usable:   p.rand.IntN(4) > 0,
+		}
+		p.balancer.SetEndpoint(0, e)
+		p.endpoints = append(p.endpoints, p.balancer.endpoints[e.ID])
+	}
+	return p
+}
+
+// updateEndpoints changes the state of an endpoint now and then, and passes health checks of some suspects.
+func (p *pickTest) updateEndpoints() {
+	if p.rand.IntN(30) == 0 {
+		e := p.endpoints[p.rand.IntN(6)].Endpoint
+		e.Usable = p.rand.IntN(4) > 0
+		p.balancer.SetEndpoint(p.now, e)
+	}
+	for _, s := range p.balancer.TakeSuspects() {
+		if p.rand.IntN(2) == 0 {
+			p.balancer.HealthCheckPassed(p.now, s, 0)
+		} else {
+			s.endpoint.checkInProgress = false
+		}
+	}
+}
+
+// finishAttempt ends a random attempt with a random result.
+func (p *pickTest) finishAttempt() {
 	kinds := []apierror.Kind{
 		apierror.None,
 		apierror.None,
@@ -245,164 +304,143 @@
 		apierror.ConnectionBroken,
 		apierror.TruncatedResponse,
 	}
-	for seed := range uint64(100) {
-		r := rand.New(rand.NewPCG(seed, 11))
-		s := New("e0", "a", bounds, 0)
-		s.ConfigureService("s", 4, 0, 0) // 3 of 4 connections to each backend
-		var all []*endpoint
-		for i := range 6 {
-			b := Endpoint{
-				ID:       fmt.Sprint("i", i),
-				Service:  "s",
-				Address:  fmt.Sprint("10.0.0.", i, ":80"),
-				Zone:     "ab"[i%2 : i%2+1],
-				Capacity: 2 + r.IntN(2),
-				Usable:   r.IntN(4) > 0,
-			}
-			s.SetEndpoint(0, b)
-			all = append(all, s.endpoints[b.ID])
-		}
-		type try struct {
-			b    Selection
-			from time.Duration
+	i := p.rand.IntN(len(p.inProgress))
+	ended := p.inProgress[i]
+	p.inProgress = slices.Delete(p.inProgress, i, i+1)
+	kind := kinds[p.rand.IntN(len(kinds))]
+	p.balancer.RecordResult(p.now, ended.selected, Result{
+		Kind:         kind,
+		Latency:      p.now - ended.startedAt,
+		Unresponsive: kind == apierror.ConnectFailed && p.rand.IntN(2) == 0,
+	})
+}
+
+// pick selects an endpoint for a random request and checks the choice.
+func (p *pickTest) pick() {
+	var tried []string
+	for range p.rand.IntN(3) {
+		tried = append(tried, fmt.Sprint("i", p.rand.IntN(6)))
+	}
+	sameZone, otherZone := 0, 0 // allowed endpoints below spilloverLoad
+	allowed := make([]bool, len(p.endpoints))
+	for i, e := range p.endpoints {
+		allowed[i] = e.Usable && !e.isSuspect && e.inFlight < pickTestMaxConns && p.now >= e.ejectedUntil &&
+			!slices.Contains(tried, e.ID)
+		switch {
+		case !allowed[i] || e.load(p.now) >= spilloverLoad:
+		case e.Zone == "a":
+			sameZone++
+		default:
+			otherZone++
 		}
-		var open []try
-		now := time.Duration(0)
+	}
+	selected, kind := p.balancer.Pick(p.now, Request{
+		Service:      "s",
+		TimeToTarget: time.Hour,
+		Tried:        tried,
+		Draws:        [2]float64{p.rand.Float64(), p.rand.Float64()},
+	})
+	e := selected.endpoint
+	switch {
+	case e == nil && (sameZone+otherZone > 0 || kind == apierror.None):
+		p.Fatalf("seed %d: no endpoint selected (%v) though %d and %d are below capacity", p.seed, kind, sameZone, otherZone)
+	case e == nil:
+		return
+	case !allowed[slices.Index(p.endpoints, e)]:
+		p.Fatalf("seed %d: selected %+v after trying %v", p.seed, *e, tried)
+	case sameZone == 0 && otherZone > 0 && e.Zone == "a" && e.load(p.now) > spilloverLoad+otherZonePenalty+0.5:
+		p.Fatalf("seed %d: selected %+v though %d of another zone are below capacity", p.seed, *e, otherZone)
+	}
+	p.inProgress = append(p.inProgress, startedAttempt{selected, p.now})
+}
+
+// Checks over random requests that Pick never selects an endpoint that was tried, is not usable, is a suspect or is at
+// its connection limit; that requests spill over to the other zone; and that in-flight counts return to zero.
+func TestPick(t *testing.T) {
+	for seed := range uint64(100) {
+		p := newPickTest(t, seed)
 		for range 400 {
-			now += time.Duration(r.Int64N(int64(60 * time.Millisecond)))
-			if r.IntN(30) == 0 {
-				b := all[r.IntN(6)].Endpoint
-				b.Usable = r.IntN(4) > 0
-				s.SetEndpoint(now, b)
-			}
-			for _, b := range s.TakeSuspects() {
-				if r.IntN(2) == 0 {
-					s.HealthCheckPassed(now, b, 0)
-				} else {
-					b.endpoint.checking = false
-				}
-			}
-			if len(open) > 0 && r.IntN(5) < 3 {
-				i := r.IntN(len(open))
-				o := open[i]
-				open = slices.Delete(open, i, i+1)
-				kind := kinds[r.IntN(len(kinds))]
-				s.RecordResult(
-					now,
-					o.b,
-					Result{Kind: kind, Latency: now - o.from, Unresponsive: kind == apierror.ConnectFailed && r.IntN(2) == 0},
-				)
-				continue
-			}
-			var tried []string
-			for range r.IntN(3) {
-				tried = append(tried, fmt.Sprint("i", r.IntN(6)))
-			}
-			may := func(b *endpoint) bool {
-				return b.Usable && !b.isSuspect && b.inFlight < 3 && now >= b.ejectedUntil && !slices.Contains(tried, b.ID)
-			}
-			home, away := 0, 0 // with room
-			for _, b := range all {
-				if may(b) && b.load(now) < spillLoad {
-					if b.Zone == "a" {
-						home++
-					} else {
-						away++
-					}
-				}
-			}
-			before := make([]bool, len(all))
-			for i, b := range all {
-				before[i] = may(b)
-			}
-			b, kind := s.Pick(
-				now,
-				Request{Service: "s", TimeToTarget: time.Hour, Tried: tried, Draws: [2]float64{r.Float64(), r.Float64()}},
-			)
-			switch {
-			case b.endpoint == nil && (home+away > 0 || kind == apierror.None):
-				t.Fatalf("seed %d: nobody is picked (%v), %d and %d have room", seed, kind, home, away)
-			case b.endpoint == nil:
-				continue
-			case !before[slices.Index(all, b.endpoint)]:
-				t.Fatalf("seed %d: %+v is picked, after %v", seed, *b.endpoint, tried)
-			case home == 0 && away > 0 && b.endpoint.Zone == "a" && b.endpoint.load(now) > spillLoad+otherZonePenalty+0.5:
-				t.Fatalf("seed %d: %+v is picked, %d of another zone have room", seed, *b.endpoint, away)
+			p.now += time.Duration(p.rand.Int64N(int64(60 * time.Millisecond)))
+			p.updateEndpoints()
+			if len(p.inProgress) > 0 && p.rand.IntN(5) < 3 {
+				p.finishAttempt()
+			} else {
+				p.pick()
 			}
-			open = append(open, try{b, now})
 		}
-		for _, o := range open {
-			s.RecordResult(now, o.b, Result{})
+		for _, a := range p.inProgress {
+			p.balancer.RecordResult(p.now, a.selected, Result{})
 		}
-		for _, b := range all {
-			if b.inFlight != 0 {
-				t.Errorf("seed %d: %s is left with %d requests", seed, b.ID, b.inFlight)
+		for _, e := range p.endpoints {
+			if e.inFlight != 0 {
+				t.Errorf("seed %d: %d requests in flight at %s at the end", seed, e.inFlight, e.ID)
 			}
 		}
 	}
 }
 
-// With no word of the zone's controller the own zone is asked until it is nearly full, then the next; full is said
-// at the end.
-func TestPickOwnZoneThenOthersThenFull(t *testing.T) {
-	s := New("e0", "a", bounds, 0)
-	s.ConfigureService("s", 0, 0, 0)
+// Checks the order without a routing table: the proxy's own zone until it is nearly full, then other zones, then
+// EndpointsSaturated.
+func TestPickWithoutRoutingTable(t *testing.T) {
+	b := New("e0", "a", bounds, 0)
+	b.ConfigureService("s", 0, 0, 0)
 	for i, zone := range []string{"a", "a", "b"} {
-		s.SetEndpoint(0, Endpoint{ID: fmt.Sprint("i", i), Service: "s", Zone: zone, Capacity: 4, Usable: true})
+		b.SetEndpoint(0, Endpoint{ID: fmt.Sprint("i", i), Service: "s", Zone: zone, Capacity: 4, Usable: true})
 	}
 	var zones string
 	var kind apierror.Kind
 	for u := 0.05; ; u += 0.37 {
-		b, k := s.Pick(0, Request{Service: "s", Draws: [2]float64{u - float64(int(u)), 0.5}})
+		selected, k := b.Pick(0, Request{Service: "s", Draws: [2]float64{u - float64(int(u)), 0.5}})
 		if kind = k; k != apierror.None {
 			break
 		}
-		zones += b.endpoint.Zone
+		zones += selected.endpoint.Zone
 	}
 	if zones[:6] != "aaaaaa" || !slices.Contains([]byte(zones), 'b') || kind != apierror.EndpointsSaturated {
-		t.Errorf("%s, then %v", zones, kind)
+		t.Errorf("selected zones %s, then %v", zones, kind)
 	}
-	if _, kind := s.Pick(0, Request{Service: "none"}); kind != apierror.NoEndpoint {
-		t.Errorf("a service without backends: %v", kind)
+	if _, kind := b.Pick(0, Request{Service: "none"}); kind != apierror.NoEndpoint {
+		t.Errorf("a service without endpoints: %v", kind)
 	}
 }
 
-// A backend in doubt is handed out once to be proved, and gets no request until it was.
-func TestDoubtIsProvedByOne(t *testing.T) {
-	s := New("e0", "a", bounds, 0)
-	s.SetEndpoint(0, Endpoint{ID: "i", Service: "s", Zone: "a", Capacity: 4, Usable: true})
+// Checks that a suspect is returned for one health check at a time, and gets no request until the check has passed.
+func TestSuspectNeedsHealthCheck(t *testing.T) {
+	b := New("e0", "a", bounds, 0)
+	b.SetEndpoint(0, Endpoint{ID: "i", Service: "s", Zone: "a", Capacity: 4, Usable: true})
 	pick := func(now time.Duration) Selection {
-		b, _ := s.Pick(now, Request{Service: "s", TimeToTarget: time.Second})
-		return b
+		selected, _ := b.Pick(now, Request{Service: "s", TimeToTarget: time.Second})
+		return selected
 	}
-	one, two := pick(0), pick(0)
-	s.RecordResult(time.Second, one, Result{Kind: apierror.ConnectFailed})
-	first, second := s.TakeSuspects(), s.TakeSuspects()
+	failing, succeeding := pick(0), pick(0)
+	b.RecordResult(time.Second, failing, Result{Kind: apierror.ConnectFailed})
+	first, second := b.TakeSuspects(), b.TakeSuspects()
 	if len(first) != 1 || len(second) != 0 {
-		t.Errorf("proved by %d, then by %d", len(first), len(second))
+		t.Errorf("%d suspects, then %d", len(first), len(second))
 	}
-	s.RecordResult(2*time.Second, two, Result{Kind: apierror.None}) // an older one ends; the proof is still under way
+	b.RecordResult(2*time.Second, succeeding, Result{Kind: apierror.None}) // does not end the check in progress
 	if pick(time.Minute).endpoint != nil {
-		t.Error("a request goes to a backend in doubt")
+		t.Error("a suspect was selected")
 	}
-	s.HealthCheckPassed(time.Minute, first[0], 0)
+	b.HealthCheckPassed(time.Minute, first[0], 0)
 	if pick(time.Minute).endpoint == nil {
-		t.Error("nothing goes to it once it is proved")
+		t.Error("the endpoint was not selected after its health check passed")
 	}
 }
 
-// A request that may have run goes on only where it may run again, and none beyond its tries.
-func TestAgain(t *testing.T) {
+// Checks for each error kind that AllowRetry respects idempotency and the maximum number of attempts.
+func TestAllowRetry(t *testing.T) {
 	for _, kind := range apierror.Kinds() {
-		for _, repeatable := range []bool{false, true} {
-			for offered := range 4 {
-				s := newFleet(1).carriers[0]
+		for _, idempotent := range []bool{false, true} {
+			for attempts := range 4 {
+				b := newFleet(1).balancers[0]
 				for range 100 {
-					s.Admit(time.Minute, "s")
+					b.Admit(time.Minute, "s")
 				}
-				got, rule := s.AllowRetry(time.Minute, "s", kind, repeatable, offered, 3), kind.Policy()
-				if want := rule.Retryable && (repeatable || !rule.MayHaveExecuted) && offered < 3; got != want {
-					t.Errorf("%v, repeatable %v, at %d of 3: %v", kind, repeatable, offered, got)
+				got, policy := b.AllowRetry(time.Minute, "s", kind, idempotent, attempts, 3), kind.Policy()
+				want := policy.Retryable && (idempotent || !policy.MayHaveExecuted) && attempts < 3
+				if got != want {
+					t.Errorf("%v, idempotent %v, %d of 3 attempts: %v", kind, idempotent, attempts, got)
 				}
 			}
 		}
--- a/internal/proxy/balancer/outlier.go
+++ b/internal/proxy/balancer/outlier.go
@@ -9,49 +9,51 @@
 )
 
 const (
-	// maxFailures in a row eject an endpoint, for failureEjection, or for timeoutEjection if the last one was a timeout.
+	// maxFailures consecutive failures eject an endpoint for failureEjection, or for timeoutEjection if the last of them
+	// was a timeout.
 	maxFailures     = 3
 	failureEjection = 500 * time.Millisecond
 	timeoutEjection = time.Second
-	// misdirectedEjection is for an endpoint whose address is another's: a report of that comes, or it is removed.
+	// misdirectedEjection ejects an endpoint whose address now belongs to another instance. It lasts until an update of
+	// the address, or the removal of the endpoint, should have arrived.
 	misdirectedEjection = 3 * time.Second
-	// rejectionPause is for an endpoint that rejected a request as it is full.
-	rejectionPause = 150 * time.Millisecond
-	// zoneWindow is how close to each other two machines of a zone must fall silent for the zone to be suspect.
-	zoneWindow = 1500 * time.Millisecond
-	// restartDuration is how long a suspect must be away to come back in slow start.
-	restartDuration = time.Second
-	// latencySmoothing is the weight of the mean so far, at each response.
+	// rejectionEjection ejects an endpoint that rejected a request because it is full.
+	rejectionEjection = 150 * time.Millisecond
+	// zoneFailureWindow is the maximum time between the failures of two machines of a zone that makes the zone suspect.
+	zoneFailureWindow = 1500 * time.Millisecond
+	// minRestartDuration is the minimum time as a suspect after which an endpoint may have restarted.
+	minRestartDuration = time.Second
+	// latencySmoothing is the weight of the previous value in a moving average.
 	latencySmoothing = 0.9
 )
 
-// Result is how an attempt went.
+// Result is the outcome of an attempt.
 type Result struct {
-	Kind       apierror.Kind // None: a response that succeeded
-	Latency    time.Duration // of the attempt
-	Running    int           // requests at the endpoint, as the response told; with Queued
-	Queued     int
-	HasLoad    bool          // Running and Queued were told
-	WarmupLeft time.Duration // of the endpoint's slow start, as the response told
-	HasWarmup  bool          // WarmupLeft was told
-	// Unresponsive says that the endpoint's machine did not react at all, as one without power does.
+	Kind       apierror.Kind // None for a successful response
+	Latency    time.Duration
+	Running    int           // requests that the endpoint executes, as reported in the response
+	Queued     int           // requests that wait at the endpoint, as reported in the response
+	HasLoad    bool          // the response reported Running and Queued
+	WarmupLeft time.Duration // rest of the endpoint's slow start, as reported in the response
+	HasWarmup  bool          // the response reported WarmupLeft
+	// Unresponsive is set if the endpoint's machine did not react at all, as after a power failure.
 	Unresponsive bool
 }
 
-// RecordResult ends an attempt.
+// RecordResult ends the attempt of a Selection.
 func (b *Balancer) RecordResult(now time.Duration, selected Selection, r Result) {
 	e := selected.endpoint
 	e.inFlight--
 	e.attempts++
-	e.recordTold(now, &r)
+	e.recordReportedState(now, &r)
 	if r.Unresponsive {
 		b.suspectMachine(now, e, now-r.Latency)
 	}
 	switch r.Kind {
 	case apierror.None, apierror.EndpointFailed:
 		e.recordResponse(now, b.service(e.Service), &r)
-	case apierror.EndpointsSaturated: // all connections to it are taken
-		e.pause(now, rejectionPause)
+	case apierror.EndpointsSaturated: // all connections to the endpoint are in use
+		e.eject(now, rejectionEjection)
 	case apierror.RejectedByEndpoint:
 		e.recordRejection(now, &r)
 	default:
@@ -59,21 +61,22 @@
 	}
 }
 
-// recordTold notes what the endpoint told of itself.
-func (e *endpoint) recordTold(now time.Duration, r *Result) {
+// recordReportedState updates the endpoint's load and slow start from its response.
+func (e *endpoint) recordReportedState(now time.Duration, r *Result) {
 	if r.HasLoad {
-		e.others, e.othersAt = max(float64(r.Running+r.Queued-e.inFlight-1), 0), now
-		e.queued = e.queued || r.Queued > 0
+		e.otherLoad, e.otherLoadAt = max(float64(r.Running+r.Queued-e.inFlight-1), 0), now
+		e.hadQueue = e.hadQueue || r.Queued > 0
 	}
 	if r.HasWarmup && r.WarmupLeft > 0 {
 		e.WarmupEnd = max(e.WarmupEnd, now+r.WarmupLeft)
 	}
 }
 
-// recordResponse notes a response, also one that says that the endpoint failed: it is there.
+// recordResponse handles a response to an executed request, whether it reports success or failure. Either shows that
+// the endpoint is reachable.
 func (e *endpoint) recordResponse(now time.Duration, s *service, r *Result) {
 	e.respondedAt = now
-	if !e.checking {
+	if !e.checkInProgress {
 		e.isSuspect = false
 	}
 	e.failures, e.ejectedUntil = 0, 0
@@ -97,13 +100,13 @@
 	return time.Duration(latencySmoothing*float64(cmp.Or(mean, latency)) + (1-latencySmoothing)*float64(latency))
 }
 
-// recordRejection notes that the endpoint did not execute the request, as it is full.
+// recordRejection handles a response of a full endpoint that did not execute the request.
 func (e *endpoint) recordRejection(now time.Duration, r *Result) {
 	e.respondedAt = now
-	e.pause(now, rejectionPause)
+	e.eject(now, rejectionEjection)
 	e.failures = 0
-	if !r.HasLoad { // there is no room for a moment
-		e.others, e.othersAt = float64(e.Capacity), now
+	if !r.HasLoad { // assume that the endpoint is at capacity
+		e.otherLoad, e.otherLoadAt = float64(e.Capacity), now
 	}
 }
 
@@ -114,18 +117,18 @@
 		e.suspect(now)
 	case apierror.Misdirected:
 		e.failed++
-		e.pause(now, misdirectedEjection)
+		e.eject(now, misdirectedEjection)
 	case apierror.ResponseTimeout:
 		e.failed++
 		e.ejectAfterFailures(now, timeoutEjection)
 	case apierror.ConnectionBroken, apierror.InvalidResponse, apierror.MismatchedResponse, apierror.TruncatedResponse:
 		e.failed++
 		e.ejectAfterFailures(now, failureEjection)
-	default: // the others are no failures of the endpoint
+	default: // other kinds do not count as failures of the endpoint
 	}
 }
 
-// ejectAfterFailures ejects an endpoint that has failed several times in a row.
+// ejectAfterFailures counts a failure and ejects the endpoint after maxFailures consecutive ones.
 func (e *endpoint) ejectAfterFailures(now, duration time.Duration) {
 	e.failures++
 	if e.failures >= maxFailures {
@@ -133,23 +136,23 @@
 	}
 }
 
-// pause leaves an endpoint alone for a while.
-func (e *endpoint) pause(now, duration time.Duration) {
+// eject counts a failure and ejects the endpoint at once.
+func (e *endpoint) eject(now, duration time.Duration) {
 	e.failures++
 	e.ejectedUntil = max(e.ejectedUntil, now+duration)
 }
 
-// suspect takes an endpoint out until a health check has passed: a connection that comes up beside the requests.
-// Requests do not serve as checks.
+// suspect excludes an endpoint from selection until a health check passes, so that no request is risked to find out
+// whether the endpoint is reachable.
 func (e *endpoint) suspect(now time.Duration) {
 	if !e.isSuspect {
-		e.isSuspect, e.suspectAt = true, now
+		e.isSuspect, e.suspectSince = true, now
 	}
 }
 
-// suspectMachine notes that a machine is unresponsive since a time. Two in a zone at once: it may be the zone, or
-// the way there. Then all endpoints of it that have not responded since are suspects, because a request that must
-// not be repeated is lost at a machine without power.
+// suspectMachine makes an endpoint on an unresponsive machine a suspect. If another machine of the zone became
+// unresponsive at about the same time, the zone or the network path to it may have failed: then all endpoints of the
+// zone that have not responded since become suspects, because a non-idempotent request to a failed machine is lost.
 func (b *Balancer) suspectMachine(now time.Duration, e *endpoint, since time.Duration) {
 	e.unresponsiveAt = now
 	e.suspect(now)
@@ -163,28 +166,30 @@
 	}
 }
 
-// isZoneUnresponsive reports whether another machine of an endpoint's zone was unresponsive just now.
+// isZoneUnresponsive reports whether another machine of an endpoint's zone became unresponsive within
+// zoneFailureWindow.
 func (b *Balancer) isZoneUnresponsive(now time.Duration, e *endpoint) bool {
 	for _, o := range b.endpoints {
 		isOther := o != e && o.Zone == e.Zone && o.Address != e.Address
-		if isOther && now < o.unresponsiveAt+zoneWindow {
+		if isOther && now < o.unresponsiveAt+zoneFailureWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// Suspect is an endpoint that waits for a health check.
+// Suspect is an endpoint that needs a health check.
 type Suspect struct {
 	Address  string
 	endpoint *endpoint
 }
 
-// TakeSuspects returns the suspects that nobody checks yet. Whoever takes them checks them.
+// TakeSuspects returns the suspects without a health check in progress. The caller must check each of them until
+// HealthCheckPassed or until IsStillKnown is false.
 func (b *Balancer) TakeSuspects() (all []Suspect) {
 	for _, e := range b.endpoints {
-		if e.isSuspect && !e.checking {
-			e.checking = true
+		if e.isSuspect && !e.checkInProgress {
+			e.checkInProgress = true
 			all = append(all, Suspect{e.Address, e})
 		}
 	}
@@ -192,18 +197,18 @@
 	return all
 }
 
-// IsStillKnown reports whether a suspect is still known, at that address.
+// IsStillKnown reports whether a suspect has neither been removed nor changed its address.
 func (b *Balancer) IsStillKnown(s Suspect) bool {
 	return b.endpoints[s.endpoint.ID] == s.endpoint && s.endpoint.Address == s.Address
 }
 
-// HealthCheckPassed says that a suspect is there. One that was away for long may be in slow start without anybody
-// having reported it: reportDelay is how long that may take.
+// HealthCheckPassed returns a suspect to selection. An endpoint that was a suspect for longer than minRestartDuration
+// may have restarted. It is treated as in slow start for reportDelay, the time until a report of the restart arrives.
 func (b *Balancer) HealthCheckPassed(now time.Duration, s Suspect, reportDelay time.Duration) {
 	e := s.endpoint
-	if e.isSuspect && now > e.suspectAt+restartDuration {
+	if e.isSuspect && now > e.suspectSince+minRestartDuration {
 		e.WarmupEnd = max(e.WarmupEnd, now+reportDelay)
 	}
-	e.isSuspect, e.checking = false, false
+	e.isSuspect, e.checkInProgress = false, false
 	e.failures, e.ejectedUntil = 0, 0
 }
--- a/internal/proxy/balancer/report.go
+++ b/internal/proxy/balancer/report.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Report is what was received, and how attempts went, since the last report.
+// Report holds the counts since the previous report.
 type Report struct {
-	Services  []ServiceLoad    // sorted by name
-	Endpoints []EndpointReport // sorted by id
+	Services  []ServiceLoad    // sorted by service name
+	Endpoints []EndpointReport // sorted by endpoint ID
 }
 
-// ServiceLoad is what was received for a service.
+// ServiceLoad counts the requests for a service.
 type ServiceLoad struct {
 	Service  string
 	Requests float64
-	Failed   float64 // that were rejected here
+	Failed   float64 // rejected by the rate limit
 }
 
-// EndpointReport is how attempts at an endpoint went.
+// EndpointReport summarizes the attempts at an endpoint.
 type EndpointReport struct {
 	ID       string
 	Attempts float64
 	Failed   float64
-	Latency  time.Duration // mean of those that succeeded
+	Latency  time.Duration // mean, over successful attempts
 	Queued   bool          // the endpoint reported queued requests
 }
 
-// Report returns the report and begins the next.
+// Report returns the counts since the previous call and resets them.
 func (b *Balancer) Report() (r Report) {
 	for name, s := range b.services {
 		if s.requests > 0 {
@@ -47,10 +47,10 @@
 }
 
 func (e *endpoint) takeReport() EndpointReport {
-	report := EndpointReport{ID: e.ID, Attempts: e.attempts, Failed: e.failed, Queued: e.queued}
+	report := EndpointReport{ID: e.ID, Attempts: e.attempts, Failed: e.failed, Queued: e.hadQueue}
 	if e.succeeded > 0 {
 		report.Latency = e.latencySum / time.Duration(e.succeeded)
 	}
-	e.attempts, e.failed, e.succeeded, e.latencySum, e.queued = 0, 0, 0, 0, false
+	e.attempts, e.failed, e.succeeded, e.latencySum, e.hadQueue = 0, 0, 0, 0, false
 	return report
 }
--- a/internal/proxy/balancer/retrybudget.go
+++ b/internal/proxy/balancer/retrybudget.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// windowSlots is the number of parts of a retry window, and ringSlots covers a whole window wherever in a slot it
-	// ends.
-	windowSlots = 10
-	ringSlots   = windowSlots + 1
-	// ratioShare and slackShare are the parts of the shared budget that the proxies use up together.
+	windowSlots = 10              // slots per retry window
+	ringSlots   = windowSlots + 1 // covers a whole window that ends within a slot
+
+	// ratioShare and slackShare are the fractions of RetryRatio and RetrySlack that all proxies together use. The rest
+	// is a safety margin.
 	ratioShare = 0.65
 	slackShare = 0.6
 )
 
-// retryBudget counts the requests and retries of a window, in a ring of slots.
+// retryBudget counts requests and retries over a sliding window, in a ring buffer of slots.
 type retryBudget struct {
 	requests [ringSlots]float64
 	retries  [ringSlots]float64
-	slot     int64 // the newest
+	slot     int64 // number of the newest slot
 }
 
-// advance moves the window on.
+// advance slides the window to now and clears the slots that it enters.
 func (w *retryBudget) advance(now, window time.Duration) {
 	newest := int64(now / (window / windowSlots))
 	for ; w.slot < newest; w.slot++ {
@@ -42,7 +42,8 @@
 
 func (w *retryBudget) countRetry() { w.retries[w.slot%ringSlots]++ }
 
-// totals are the requests and retries of the window. The oldest slot may lie before it, and counts for retries alone.
+// totals returns the requests and retries of the window. The oldest slot may lie partly outside the window, so its
+// retries count and its requests do not.
 func (w *retryBudget) totals() (requests, retries float64) {
 	for i := range ringSlots {
 		requests += w.requests[i]
@@ -51,10 +52,9 @@
 	return requests - w.requests[(w.slot+1)%ringSlots], retries
 }
 
-// AllowRetry reports whether a request may go to another endpoint after a failure: one that was not executed
-// always, one that may have been if its route is idempotent. attempts is the number of endpoints that it was sent
-// to. Each of them after the first draws on the budget that all proxies share; so does the next one, if it is
-// allowed.
+// AllowRetry reports whether a request may be sent to another endpoint after a failure. A request that may have been
+// executed is retried only if it is idempotent. attempts is the number of endpoints that received the request so far.
+// An allowed retry is charged to the retry budget, unless no endpoint has received the request yet.
 func (b *Balancer) AllowRetry(now time.Duration, name string, kind apierror.Kind, idempotent bool,
 	attempts, maxAttempts int) bool {
 	policy := kind.Policy()
@@ -63,15 +63,15 @@
 		return false
 	}
 	if attempts == 0 {
-		return true // it has not arrived anywhere: the next arrival is its first
+		return true // the next attempt is the first one to reach an endpoint, not a retry
 	}
 	w := &b.service(name).retries
 	w.advance(now, b.bounds.RetryWindow)
 	requests, retries := w.totals()
-	// A process may follow one that used up its part just now: the budget grows over one window.
-	grown := min(float64(now-b.startedAt)/float64(b.bounds.RetryWindow), 1)
+	// The process that this one replaced may have just used up its share, so the budget ramps up over one window.
+	ramp := min(float64(now-b.startedAt)/float64(b.bounds.RetryWindow), 1)
 	slack := b.bounds.RetrySlack * slackShare / float64(b.maxProxies)
-	if retries+1 > (b.bounds.RetryRatio*ratioShare*requests+slack)*grown {
+	if retries+1 > (b.bounds.RetryRatio*ratioShare*requests+slack)*ramp {
 		return false
 	}
 	w.countRetry()
--- a/internal/proxy/balancer/selection.go
+++ b/internal/proxy/balancer/selection.go
@@ -10,81 +10,81 @@
 )
 
 const (
-	// spillLoad is the load of the better of two endpoints from which on all others are looked at.
-	spillLoad = 1.0
-	// otherZonePenalty is the load by which an endpoint of another zone must be lower.
+	// spilloverLoad is the load of the better of two drawn endpoints from which on all endpoints are compared.
+	spilloverLoad = 1.0
+	// otherZonePenalty is added to the load of an endpoint in another zone.
 	otherZonePenalty = 0.5
-	// loadCost is the part of a load in what a response is expected to cost while there is room.
-	loadCost = 0.4
-	// minSpeed and maxSpeed bound how much slower an endpoint counts than its service.
-	minSpeed, maxSpeed = 0.5, 3
-	// othersHalfLife is how fast the load of others fades that is not told anew, and queuedHalfLife where requests were
-	// queued: nobody's are responded to sooner than the endpoint can.
-	othersHalfLife = 800 * time.Millisecond
-	queuedHalfLife = 3 * time.Second
-	// queueShare is the part of the time to the latency target that may pass at an endpoint before nothing more is sent
-	// there.
-	queueShare = 0.5
-	// minLoadLimit is the load that an endpoint may have at least, and of which late requests have their part.
+	// loadCostFactor is the weight of the load in the expected cost of a response.
+	loadCostFactor = 0.4
+	// minRelativeLatency and maxRelativeLatency bound the latency of an endpoint relative to its service's.
+	minRelativeLatency, maxRelativeLatency = 0.5, 3
+	// otherLoadHalfLife is the half-life of the load of other proxies since it was reported. queuedHalfLife applies
+	// instead while requests are queued, because an endpoint takes longer to work off a queue.
+	otherLoadHalfLife = 800 * time.Millisecond
+	queuedHalfLife    = 3 * time.Second
+	// queueTimeShare is the fraction of the time left to the latency target that a request may spend at an endpoint.
+	queueTimeShare = 0.5
+	// minLoadLimit and maxLoadLimit bound the load up to which an endpoint gets requests.
 	minLoadLimit = 1.25
 	maxLoadLimit = 8.0
-	// priorityStep is the part of the limit that each priority below the highest gives up, for so many priorities.
+	// priorityStep is the fraction by which each priority below the highest lowers the load limit, down to
+	// maxPriorities steps.
 	priorityStep  = 0.06
 	maxPriorities = 5
-	// defaultLatency stands for the latency of a service before its first response.
+	// defaultLatency is the assumed latency of a service before its first response.
 	defaultLatency = 100 * time.Millisecond
-	// connShare is the part of the connections that an endpoint accepts which the proxies use up together.
+	// connShare is the fraction of an endpoint's connection limit that all proxies together use.
 	connShare = 0.9
 
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = time.Second
-	// A request that found all endpoints saturated should come again after retryDelayShare of its latency target, times
-	// minJitter to minJitter+jitterRange.
+	// retryDelayShare is the mean retry delay as a fraction of the latency target. The delay is multiplied by a random
+	// factor between minJitter and minJitter+jitterRange.
 	retryDelayShare        = 1.0 / 4
 	minJitter, jitterRange = 0.6, 0.8
 )
 
-// Request is what a request needs of an endpoint.
+// Request describes the request for which an endpoint is selected.
 type Request struct {
 	Service      string
-	TimeToTarget time.Duration // left until the latency target; may be negative
-	Tried        []string      // ids of endpoints that it was at before
-	Draws        [2]float64    // drawn from [0,1)
-	Priority     int           // of the request's route, 0 the highest: the others are shed first
+	TimeToTarget time.Duration // time left until the latency target; may be negative
+	Tried        []string      // IDs of endpoints that previous attempts used
+	Draws        [2]float64    // uniform random numbers in [0,1)
+	Priority     int           // priority of the request's route; 0 is the highest, lower ones are shed first
 }
 
 // Selection is the endpoint for an attempt.
 type Selection struct {
 	ID, Address string
-	// MaxConns is how many connections this proxy may have to the endpoint, idle ones included: all of them count there.
+	// MaxConns limits the connections of this proxy to the endpoint, idle ones included.
 	MaxConns int
 	endpoint *endpoint
 }
 
-// Pick chooses an endpoint for a request. The kind is None, or says why there is none. A Selection must be passed to
-// RecordResult.
+// Pick selects an endpoint for a request. The kind is None, or the reason why no endpoint can be selected. The caller
+// must pass each Selection to RecordResult when the attempt ends.
 func (b *Balancer) Pick(now time.Duration, r Request) (Selection, apierror.Kind) {
 	s := b.services[r.Service]
 	if s == nil || len(s.endpoints) == 0 {
 		return Selection{}, apierror.NoEndpoint
 	}
-	c := choice{balancer: b, service: s, now: now, request: &r, maxConns: b.maxConns(s)}
-	best := c.byWeight()
-	if best == nil || best.load(now) >= spillLoad {
-		best = c.leastLoaded()
+	p := picker{balancer: b, service: s, now: now, request: &r, maxConns: b.maxConns(s)}
+	best := p.pickByWeight()
+	if best == nil || best.load(now) >= spilloverLoad {
+		best = p.pickLeastLoaded()
 	}
 	if best == nil || best.load(now) >= s.loadLimit(&r) {
-		return Selection{}, s.unavailable()
+		return Selection{}, s.unavailableKind()
 	}
 	best.inFlight++
 	if now < best.WarmupEnd {
 		best.warmupSentAt = now
 	}
-	return Selection{ID: best.ID, Address: best.Address, MaxConns: c.maxConns, endpoint: best}, apierror.None
+	return Selection{ID: best.ID, Address: best.Address, MaxConns: p.maxConns, endpoint: best}, apierror.None
 }
 
-// unavailable says why no endpoint may be tried.
-func (s *service) unavailable() apierror.Kind {
+// unavailableKind returns the reason why no endpoint can be selected.
+func (s *service) unavailableKind() apierror.Kind {
 	for _, e := range s.endpoints {
 		if e.Usable {
 			return apierror.EndpointsSaturated
@@ -93,8 +93,8 @@
 	return apierror.NoEndpoint
 }
 
-// choice is one Pick.
-type choice struct {
+// picker holds the parameters of one call of Pick.
+type picker struct {
 	balancer *Balancer
 	service  *service
 	now      time.Duration
@@ -102,42 +102,43 @@
 	maxConns int
 }
 
-// allows reports whether an endpoint may be tried now.
-func (c *choice) allows(e *endpoint) bool {
-	return c.balancer.isAvailable(c.now, c.service, e, c.maxConns) && !slices.Contains(c.request.Tried, e.ID)
+// mayTry reports whether the request may be sent to an endpoint now.
+func (p *picker) mayTry(e *endpoint) bool {
+	return p.balancer.isAvailable(p.now, p.service, e, p.maxConns) && !slices.Contains(p.request.Tried, e.ID)
 }
 
-// byWeight draws two endpoints by their weights and returns the one that is expected to respond sooner (Mitzenmacher,
-// The Power of Two Choices, 2001): what is known of loads is outdated, and all that see the same would choose the same
-// best one. It returns nil where none has a weight.
-func (c *choice) byWeight() (best *endpoint) {
+// pickByWeight draws two endpoints by weight and returns the one with the lower expected cost (Mitzenmacher, The Power
+// of Two Choices, 2001). Always choosing the best endpoint would make all proxies choose the same one, since load
+// information is outdated. The result is nil if no available endpoint has a weight.
+func (p *picker) pickByWeight() (best *endpoint) {
 	sum := 0.0
-	for _, e := range c.service.endpoints {
-		if c.allows(e) {
-			sum += c.balancer.weightOf(e)
+	for _, e := range p.service.endpoints {
+		if p.mayTry(e) {
+			sum += p.balancer.weightOf(e)
 		}
 	}
 	if sum <= 0 {
 		return nil
 	}
 	lowest := 0.0
-	for _, draw := range c.request.Draws {
-		e := c.drawn(draw * sum)
+	for _, draw := range p.request.Draws {
+		e := p.endpointAtWeight(draw * sum)
 		if e == nil {
 			continue
 		}
-		if cost := e.cost(c.now, c.service); best == nil || cost < lowest {
+		if cost := e.expectedCost(p.now, p.service); best == nil || cost < lowest {
 			best, lowest = e, cost
 		}
 	}
 	return best
 }
 
-// drawn is the endpoint at which the weights sum to over x; nil where rounding left x over.
-func (c *choice) drawn(x float64) *endpoint {
-	for _, e := range c.service.endpoints {
-		w := c.balancer.weightOf(e)
-		if w <= 0 || !c.allows(e) {
+// endpointAtWeight returns the first endpoint at which the cumulative weight exceeds x, or nil if rounding errors keep
+// it below.
+func (p *picker) endpointAtWeight(x float64) *endpoint {
+	for _, e := range p.service.endpoints {
+		w := p.balancer.weightOf(e)
+		if w <= 0 || !p.mayTry(e) {
 			continue
 		}
 		x -= w
@@ -148,15 +149,16 @@
 	return nil
 }
 
-// leastLoaded is the endpoint with the lowest load, those of the own zone preferred; nil: none may be tried.
-func (c *choice) leastLoaded() (best *endpoint) {
+// pickLeastLoaded returns the endpoint with the lowest load, or nil if none is available. Endpoints of other zones
+// are at a disadvantage of otherZonePenalty.
+func (p *picker) pickLeastLoaded() (best *endpoint) {
 	lowest := 0.0
-	for _, e := range c.service.endpoints {
-		if !c.allows(e) {
+	for _, e := range p.service.endpoints {
+		if !p.mayTry(e) {
 			continue
 		}
-		load := e.load(c.now)
-		if e.Zone != c.balancer.zone {
+		load := e.load(p.now)
+		if e.Zone != p.balancer.zone {
 			load += otherZonePenalty
 		}
 		if best == nil || load < lowest {
@@ -166,16 +168,16 @@
 	return best
 }
 
-// isAvailable reports whether an endpoint may be tried now, by any request.
+// isAvailable reports whether an endpoint accepts requests from this proxy now.
 func (b *Balancer) isAvailable(now time.Duration, s *service, e *endpoint, maxConns int) bool {
 	if !e.Usable || e.isSuspect || now < e.ejectedUntil || e.inFlight >= maxConns {
 		return false
 	}
-	return now >= e.WarmupEnd || b.mayWarmUp(now, s, e)
+	return now >= e.WarmupEnd || b.maySendWarmup(now, s, e)
 }
 
-// weightOf is an endpoint's weight in the routing table. Where the control plane has not named the endpoint, its
-// own zone goes first, by capacity.
+// weightOf returns an endpoint's weight in the routing table. An endpoint that the table does not contain is weighted
+// by its capacity if it is in this proxy's zone, and 0 otherwise.
 func (b *Balancer) weightOf(e *endpoint) float64 {
 	switch {
 	case e.weight >= 0:
@@ -186,7 +188,7 @@
 	return 0
 }
 
-// maxConns is how many connections this proxy may have to an endpoint of a service.
+// maxConns returns this proxy's share of the connections that an endpoint of a service accepts.
 func (b *Balancer) maxConns(s *service) int {
 	if s.maxConns == 0 {
 		return math.MaxInt
@@ -194,39 +196,41 @@
 	return max(int(connShare*float64(s.maxConns)/float64(b.maxProxies)), 1)
 }
 
-// load is the part of an endpoint's capacity that is taken, as far as is known.
+// load estimates the fraction of an endpoint's capacity that is in use. It may exceed 1.
 func (e *endpoint) load(now time.Duration) float64 {
-	halfLife := othersHalfLife
-	if e.others+float64(e.inFlight) > float64(e.Capacity) {
+	halfLife := otherLoadHalfLife
+	if e.otherLoad+float64(e.inFlight) > float64(e.Capacity) {
 		halfLife = queuedHalfLife
 	}
-	fade := math.Exp2(-float64(now-e.othersAt) / float64(halfLife))
-	return (float64(e.inFlight) + e.others*fade) / float64(max(e.Capacity, 1))
+	fade := math.Exp2(-float64(now-e.otherLoadAt) / float64(halfLife))
+	return (float64(e.inFlight) + e.otherLoad*fade) / float64(max(e.Capacity, 1))
 }
 
-// cost is how long a response is expected to take, relative to one of the service's usual endpoints with room: by
-// how fast the endpoint works, as those of a service vary; by how far what is there must be worked off first; and a
-// little by its load, as some become slower when nearly full.
-func (e *endpoint) cost(now time.Duration, s *service) float64 {
-	speed, load := 1.0, e.load(now)
+// expectedCost estimates the duration of a response, relative to a typical endpoint of the service without queueing. It
+// grows with the endpoint's usual latency, with the length of its queue and, to a lesser degree, with its load, because
+// some endpoints slow down when nearly full.
+func (e *endpoint) expectedCost(now time.Duration, s *service) float64 {
+	relativeLatency, load := 1.0, e.load(now)
 	if e.responseLatency > 0 && s.latency > 0 {
-		speed = min(max(float64(e.responseLatency)/float64(s.latency), minSpeed), maxSpeed)
+		relativeLatency = min(max(float64(e.responseLatency)/float64(s.latency), minRelativeLatency), maxRelativeLatency)
 	}
-	return speed*(1+max(load+1/float64(max(e.Capacity, 1))-1, 0)) + loadCost*load
+	loadWithRequest := load + 1/float64(max(e.Capacity, 1))
+	queueing := 1 + max(loadWithRequest-1, 0)
+	return relativeLatency*queueing + loadCostFactor*load
 }
 
-// loadLimit is the load from which on an endpoint gets no more of such requests. Otherwise an overload would have every
-// request served, and each too late: endpoints queue more than they can respond to within the latency target.
+// loadLimit returns the load at which an endpoint gets no more requests like r. Without this limit, an overloaded
+// endpoint would queue more requests than it can serve within the latency target, and all of them would be late.
 func (s *service) loadLimit(r *Request) float64 {
 	latency := cmp.Or(s.latency, defaultLatency)
 	priority := 1 - priorityStep*float64(min(max(r.Priority, 0), maxPriorities))
-	limit := priority * queueShare * float64(r.TimeToTarget) / float64(latency)
+	limit := priority * queueTimeShare * float64(r.TimeToTarget) / float64(latency)
 	return min(max(limit, minLoadLimit), maxLoadLimit)
 }
 
-// RetryDelay is when a request that found all endpoints saturated should come again: soon enough to be served
-// within its latency target, spread by chance, so that those rejected together do not return together. draw is from
-// [0,1).
+// RetryDelay returns the delay after which a client should retry a request that found all endpoints saturated. It is a
+// fraction of the latency target with random jitter, so that clients rejected together do not retry together. draw is a
+// uniform random number in [0,1).
 func RetryDelay(target time.Duration, draw float64) time.Duration {
 	delay := time.Duration(float64(target) * retryDelayShare * (minJitter + jitterRange*draw))
 	return min(max(delay, minRetryDelay), maxRetryDelay)
--- a/internal/proxy/socket/probe.go
+++ b/internal/proxy/socket/probe.go
@@ -1,5 +1,5 @@
-// Package socket looks at TCP connections without reading from them: whether anything waits, and whether the other
-// side is still there.
+// Package socket inspects TCP connections without consuming data: whether unread data is pending and whether the peer
+// has closed the connection.
 package socket
 
 import (
@@ -11,26 +11,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrUnreadData says that bytes wait to be read.
-var ErrUnreadData = errors.New("bytes that nobody has read")
+// ErrUnreadData is returned if a connection has unread data.
+var ErrUnreadData = errors.New("connection has unread data")
 
-// States of a connection (linux/tcp_states.h) in which the other side sends no more.
+// TCP states (linux/tcp_states.h) in which the peer sends no more data.
 const (
 	tcpClose     = 7
 	tcpCloseWait = 8
 )
 
-// Probe looks at one connection. It never waits, also while others read there. It is not safe for concurrent use
-// itself.
+// Probe inspects one connection. Its methods do not block, even while another goroutine reads from the connection. A
+// Probe is not safe for concurrent use.
 type Probe struct {
-	rawConn    syscall.RawConn
-	peekFunc   func(fd uintptr) // peek, bound once: a method value costs an allocation
-	stateFunc  func(fd uintptr)
-	peekBuffer [1]byte
-	result     error
+	rawConn      syscall.RawConn
+	peekFunc     func(fd uintptr) // method value of peek, stored because each evaluation allocates
+	tcpStateFunc func(fd uintptr) // method value of readTCPState
+	peekBuffer   [1]byte
+	result       error
 }
 
-// NewProbe makes a Probe. It is nil, and finds nothing, for a connection that has no descriptor.
+// NewProbe returns a Probe for conn, or nil if conn has no file descriptor. A nil Probe reports an open connection
+// without unread data.
 func NewProbe(conn net.Conn) *Probe {
 	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
@@ -41,35 +42,35 @@
 		return nil
 	}
 	p := &Probe{rawConn: rawConn}
-	p.peekFunc, p.stateFunc = p.peek, p.state
+	p.peekFunc, p.tcpStateFunc = p.peek, p.readTCPState
 	return p
 }
 
-// Peek returns nil if the connection is up and nothing waits there, ErrUnreadData if bytes wait, io.EOF if the other
-// side has closed it and nothing waits before that, and what ended it otherwise.
+// Peek returns nil if the connection is open without unread data, ErrUnreadData if there is unread data, io.EOF if the
+// peer has closed the connection and all data is read, and otherwise the error that ended the connection.
 func (p *Probe) Peek() error {
 	if p == nil {
 		return nil
 	}
-	return p.look(p.peekFunc)
+	return p.control(p.peekFunc)
 }
 
-// HasPeerClosed reports whether the other side has closed or reset the connection, whatever waits before that. Where
-// the kernel does not tell, it has not.
+// HasPeerClosed reports whether the peer has closed or reset the connection, even if unread data is pending. It returns
+// false if the kernel does not provide the TCP state.
 func (p *Probe) HasPeerClosed() bool {
 	if p == nil {
 		return false
 	}
 	err := p.Peek()
 	if errors.Is(err, ErrUnreadData) {
-		err = p.look(p.stateFunc)
+		err = p.control(p.tcpStateFunc)
 	}
 	return err != nil
 }
 
-func (p *Probe) look(f func(fd uintptr)) error {
-	if err := p.rawConn.Control(f); err != nil {
-		return err // it was closed on this side
+func (p *Probe) control(inspect func(fd uintptr)) error {
+	if err := p.rawConn.Control(inspect); err != nil {
+		return err // the connection is closed locally
 	}
 	return p.result
 }
@@ -88,8 +89,8 @@
 	}
 }
 
-// state finds io.EOF where the other side has closed the connection behind what waits.
-func (p *Probe) state(fd uintptr) {
+// readTCPState sets the result to io.EOF if the TCP readTCPState shows that the peer has closed the connection.
+func (p *Probe) readTCPState(fd uintptr) {
 	p.result = nil
 	info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err == nil && (info.State == tcpClose || info.State == tcpCloseWait) {
@@ -97,7 +98,7 @@
 	}
 }
 
-// isNothingToRead reports whether the connection is quiet, or there is no way to see.
+// isNothingToRead reports whether an error of recvfrom means that no data is pending, or that the call is unavailable.
 func isNothingToRead(err error) bool {
 	return errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ENOSYS) ||
 		errors.Is(err, syscall.EPERM)
--- a/internal/proxy/socket/probe_test.go
+++ b/internal/proxy/socket/probe_test.go
@@ -10,58 +10,58 @@
 	"elmfold/internal/fakes/loopback"
 )
 
-func pair(t *testing.T) (here, there *net.TCPConn) {
+func connPair(t *testing.T) (local, peer *net.TCPConn) {
 	t.Helper()
-	there, here, err := loopback.Pair()
+	peer, local, err := loopback.Pair()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _, _ = here.Close(), there.Close() })
-	return here, there
+	t.Cleanup(func() { _, _ = local.Close(), peer.Close() })
+	return local, peer
 }
 
-// until waits for what the kernel will show soon. What it never shows fails the test.
-func until(t *testing.T, what string, shows func() bool) {
+// waitFor waits until the kernel has processed what the peer did.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !shows(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what)
+			t.Fatalf("timeout while waiting for %s", what)
 		}
 	}
 }
 
 func TestProbe(t *testing.T) {
 	for name, linger := range map[string]int{"close": -1, "reset": 0} {
-		here, there := pair(t)
-		p := NewProbe(here)
+		local, peer := connPair(t)
+		p := NewProbe(local)
 		reading := make(chan struct{})
-		go func() { // a reader that waits does not hold it up
+		go func() { // a blocked reader must not block the probe
 			close(reading)
-			_, _ = here.Read(make([]byte, 1))
+			_, _ = local.Read(make([]byte, 1))
 		}()
 		<-reading
 		if err := p.Peek(); err != nil || p.HasPeerClosed() {
-			t.Errorf("quiet: %v, closed %t", err, p.HasPeerClosed())
+			t.Errorf("open connection: %v, closed %t", err, p.HasPeerClosed())
 		}
-		_, _ = there.Write([]byte("abc"))
-		until(t, "bytes do not show", func() bool { return errors.Is(p.Peek(), ErrUnreadData) })
+		_, _ = peer.Write([]byte("abc"))
+		waitFor(t, "unread data", func() bool { return errors.Is(p.Peek(), ErrUnreadData) })
 		if p.HasPeerClosed() {
-			t.Error("bytes are taken for the end")
+			t.Error("an open connection with unread data is reported as closed")
 		}
-		_ = there.SetLinger(linger)
-		_ = there.Close()
-		until(t, name+" does not show behind bytes", p.HasPeerClosed)
+		_ = peer.SetLinger(linger)
+		_ = peer.Close()
+		waitFor(t, name+" behind unread data", p.HasPeerClosed)
 	}
-	here, there := pair(t)
-	_ = there.Close()
-	p := NewProbe(here)
-	until(t, "the end does not show", func() bool { return errors.Is(p.Peek(), io.EOF) })
-	_ = here.Close()
+	local, peer := connPair(t)
+	_ = peer.Close()
+	p := NewProbe(local)
+	waitFor(t, "io.EOF", func() bool { return errors.Is(p.Peek(), io.EOF) })
+	_ = local.Close()
 	if p.Peek() == nil || !p.HasPeerClosed() {
-		t.Error("a connection that was closed here is taken to be up")
+		t.Error("a locally closed connection is reported as open")
 	}
 	var none *Probe
 	if none.Peek() != nil || none.HasPeerClosed() {
-		t.Error("a probe of nothing finds something")
+		t.Error("a nil probe reports an error")
 	}
 }
