--- a/internal/proxy/upstream/attempt.go
+++ b/internal/proxy/upstream/attempt.go
@@ -1,15 +1,15 @@
-// Package upstream makes one attempt of a request at one endpoint, over connections that it owns.
+// Package upstream sends a request to an endpoint once, over pooled HTTP/1.1 connections.
 //
-// Nothing is ever sent twice. http.Transport resends by itself on a stale connection, and hides bytes that come after a
-// response; so the request is written by hand here, and only the response is parsed by net/http. Every error is an
-// *apierror.Error, and its kind says whether the endpoint may have executed the request.
+// The package never retries. http.Transport would resend a request by itself on a stale connection and hide surplus
+// bytes after a response, so this package writes requests itself and uses net/http only to parse responses. Every error
+// is an *apierror.Error; its kind says whether the endpoint may have executed the request.
 //
-//	attempt.go   an attempt: what is sent, whose response it is
-//	request.go   the bytes of a request
-//	sender.go    a request body that is streamed
-//	response.go  the head and body of a response
+//	attempt.go   an attempt: sending the request, matching and checking the response
+//	request.go   encoding of a request
+//	sender.go    streaming of a request body
+//	response.go  reading of a response's head and body
 //	health.go    health checks
-//	pool.go      the connections to all endpoints
+//	pool.go      the connection pool
 //	conn.go      one connection
 package upstream
 
@@ -26,7 +26,7 @@
 	"elmfold/internal/gateway/apierror"
 )
 
-// Header fields that the system and its endpoints use.
+// Header fields of the protocol between proxies and endpoints.
 const (
 	HeaderAttemptID      = "X-Elmfold-Attempt-Id"
 	HeaderTimeBudget     = "X-Elmfold-Time-Budget-Ms"
@@ -38,52 +38,54 @@
 	HeaderInstanceID     = "X-Elmfold-Instance-Id"
 )
 
-// Call is one request for one endpoint. It is not changed.
+// Call is one request to one endpoint. It is not modified.
 type Call struct {
-	Address       string      // "host:port" of the endpoint
-	EndpointID    string      // of the endpoint; "": none is sent
-	Method        string      // as it came
-	RequestTarget string      // the bytes as they came (RFC 9112, 3.2)
-	Host          string      // value of the field Host
-	Header        http.Header // end-to-end fields; those that isOwnField names are not sent
-	AttemptID     string      // as the client sent it; "": none is sent and none is checked
-	Body          []byte      // the buffered part of the body; the whole of it if Stream is nil
-	HasBody       bool        // false: no Content-Length is sent (Stream nil)
-	// Stream is what follows Body, StreamLen its bytes (-1: unknown, sent in chunks). It may be read for a moment after
-	// Do has returned, when the endpoint responded before the end of the body.
-	Stream    io.Reader
+	Address       string // host:port of the endpoint
+	EndpointID    string // sent as HeaderTargetInstance unless empty
+	Method        string
+	RequestTarget string      // sent unchanged (RFC 9112, 3.2)
+	Host          string      // value of the Host field
+	Header        http.Header // end-to-end fields; fields for which isReservedField is true are not sent
+	AttemptID     string      // sent as HeaderAttemptID and required in the response, unless empty
+	Body          []byte      // the buffered part of the body; the whole body if Stream is nil
+	HasBody       bool        // if false and Stream is nil, no Content-Length is sent
+	// Stream is the rest of the body after Body. Do may return before it stops reading Stream, if the endpoint responds
+	// before the end of the body.
+	Stream io.Reader
+	// StreamLen is the length of Stream; -1 means unknown, and the body is sent in chunks.
 	StreamLen int64
-	// MaxConns is how many connections there may be to the address, this one included; with more, one is closed when the
-	// response has come. 0: any number.
+	// MaxConns limits the connections to Address, this one included. If there are more, an idle one is closed after the
+	// response. 0 means no limit.
 	MaxConns int
-	// FinishOnceSent has the attempt go on though its context is cancelled, from when the whole request was sent until the
-	// response flows: the endpoint may be executing what must not be broken off.
+	// FinishOnceSent lets the attempt continue after its context is cancelled, from the time when the whole request is
+	// sent until the response body is streamed, because the endpoint may be executing the request.
 	FinishOnceSent bool
-	// Deadline is that of the whole attempt, the streamed part of the response included; what is left is sent along.
+	// Deadline applies to the whole attempt, including streaming of the response body. The time left is sent as
+	// HeaderTimeBudget.
 	Deadline time.Time
 }
 
-// Load is what an endpoint says of itself, in requests.
+// Load is the load that an endpoint reports, in requests.
 type Load struct{ Running, Queued, Capacity int }
 
-// Response is an endpoint's own response to the call.
+// Response is an endpoint's response to a Call.
 type Response struct {
 	Status int
 	Header http.Header // end-to-end fields, without Content-Length
 	Body   []byte      // the whole body if Rest is nil, otherwise its start
 	// Rest is the remainder of a body longer than Options.MaxBufferedBody. Its errors are io.EOF or an *apierror.Error
-	// (TruncatedResponse, InvalidResponse, ResponseTimeout, ConnectionBroken). Closing it before io.EOF ends the
-	// connection.
+	// (TruncatedResponse, InvalidResponse, ResponseTimeout, ConnectionBroken, AttemptCancelled). Closing it before io.EOF
+	// closes the connection.
 	Rest       io.ReadCloser
-	Length     int64 // of the whole body, -1: unknown; to HEAD what the endpoint said
-	HasSeal    bool
+	Length     int64 // length of the whole body, or -1 if unknown; the Content-Length in a response to HEAD
+	HasSeal    bool  // the response has HeaderServerSeal
 	Load       Load
-	HasLoad    bool          // Load was told
-	WarmupLeft time.Duration // until the endpoint's slow start ends
-	HasWarmup  bool          // WarmupLeft was told
+	HasLoad    bool          // the response reported Load
+	WarmupLeft time.Duration // time left of the endpoint's slow start
+	HasWarmup  bool          // the response reported WarmupLeft
 }
 
-// Close ends what is left of a response that nobody will read. The response may be nil.
+// Close discards the rest of the response. r may be nil.
 func (r *Response) Close() {
 	if r != nil && r.Rest != nil {
 		_ = r.Rest.Close() // never fails
@@ -92,160 +94,159 @@
 
 // attempt is one request on one connection.
 type attempt struct {
-	pool        *Pool
-	ctx         context.Context
-	stopWatch   func() bool // of the watch over ctx; nil: there is none
-	call        *Call
-	conn        *conn
-	sent        atomic.Bool   // the whole request was written
-	flowing     atomic.Bool   // the response flows
-	cancelled   atomic.Bool   // the connection was closed because ctx was cancelled
-	sender      *sender       // nil: Do has written everything itself
-	idleTimeout time.Duration // how long the connection may be idle afterwards
-	outOfStep   bool          // request and response no longer belong together: the connection is not used again
+	pool            *Pool
+	ctx             context.Context
+	stopCancelWatch func() bool // stops calling cancel when ctx is cancelled; nil if ctx is never cancelled
+	call            *Call
+	conn            *persistConn
+	requestSent     atomic.Bool   // the whole request is written
+	streaming       atomic.Bool   // the response body is streamed to the caller
+	cancelled       atomic.Bool   // cancel closed the connection
+	sender          *bodySender   // nil if Do wrote the whole request
+	idleTimeout     time.Duration // for the connection after the attempt
+	desynchronized  bool          // requests and responses on the connection may no longer correspond
 }
 
-// maxSurplus is how many responses to other requests are read past.
-const maxSurplus = 2
+// maxUnmatchedResponses is the maximum number of responses to other requests that an attempt discards.
+const maxUnmatchedResponses = 2
 
-// Errors that stand as causes in the *apierror.Error of an attempt.
+// Causes of an attempt's *apierror.Error.
 var (
-	errMismatched = errors.New("answer to another request")
-	errEncoded    = errors.New("answer with a Content-Encoding")
-	errUnsealed   = errors.New("answer without a seal")
-	errUnbounded  = errors.New("answer without a length")
-	errHead       = errors.New("head of the answer over 64 KB")
-	errInterim    = errors.New("too many 1xx answers")
-	errVersion    = errors.New("no HTTP/1 answer")
+	errMismatched      = errors.New("answer to another request")
+	errContentEncoding = errors.New("answer with a Content-Encoding")
+	errNoSeal          = errors.New("answer without a seal")
+	errNoLength        = errors.New("answer without a length")
+	errHeadTooLong     = errors.New("head of the answer over 64 KB")
+	errTooManyInterim  = errors.New("too many 1xx answers")
+	errNotHTTP1        = errors.New("no HTTP/1 answer")
 )
 
-// Do sends the request once and returns the endpoint's response. The error is an *apierror.Error. The context is the
-// client's: when it is cancelled, the attempt ends at once, also while the response flows; see Call.FinishOnceSent.
+// Do sends a request once and returns the endpoint's response. The error is an *apierror.Error. Cancelling ctx ends the
+// attempt at once, also while the response body is streamed; Call.FinishOnceSent makes an exception.
 //
-// The request was not executed with ConnectFailed, EndpointsSaturated (closed before a byte was written),
-// RejectedByEndpoint, Misdirected, ClientDisconnected, DeadlineExceeded and Malformed (not sent). It may have been with
-// ConnectionBroken, InvalidResponse, MismatchedResponse, TruncatedResponse, ResponseTimeout and AttemptCancelled. With
-// RejectedByEndpoint and Misdirected the Response is there too (status, fields, body if it came whole), to be
-// passed on.
+// The endpoint has not executed the request if the kind is ConnectFailed, EndpointsSaturated (the endpoint closed the
+// connection before a byte was written), RejectedByEndpoint, Misdirected, ClientDisconnected, DeadlineExceeded or
+// Malformed (the call is invalid). It may have executed it if the kind is ConnectionBroken, InvalidResponse,
+// MismatchedResponse, TruncatedResponse, ResponseTimeout or AttemptCancelled. RejectedByEndpoint and Misdirected come
+// with the Response, whose body is empty if it did not arrive completely.
 func (p *Pool) Do(ctx context.Context, c *Call) (*Response, error) {
-	if err := validate(c); err != nil {
+	if err := validateCall(c); err != nil {
 		return nil, apierror.New(apierror.Malformed, c.Address, err)
 	}
-	isNameless := c.AttemptID == ""
-	a, err := p.start(ctx, c, isNameless)
+	needsNewConn := c.AttemptID == ""
+	a, err := p.startAttempt(ctx, c, needsNewConn)
 	if err != nil {
 		return nil, err
 	}
-	return a.receive()
+	return a.receiveResponse()
 }
 
-// start sends the request on a connection; fresh: on a new one.
-func (p *Pool) start(ctx context.Context, c *Call, fresh bool) (*attempt, error) {
-	k, err := p.acquire(ctx, c, fresh)
+// startAttempt sends the request on an idle connection, or on a new one if forceDial is true or none is idle.
+func (p *Pool) startAttempt(ctx context.Context, c *Call, forceDial bool) (*attempt, error) {
+	pc, err := p.acquire(ctx, c, forceDial)
 	if err != nil {
 		return nil, err
 	}
 	left := c.Deadline.Sub(p.options.Now())
-	if left <= 0 { // dialling took it, or this process was suspended meanwhile
-		p.closeConn(k)
+	if left <= 0 { // dialling took too long, or the process was suspended
+		p.closeConn(pc)
 		return nil, apierror.New(apierror.DeadlineExceeded, c.Address, nil)
 	}
-	if ctx.Err() != nil { // nothing was written: the connection serves the next request
-		p.putUnused(k)
+	if ctx.Err() != nil { // nothing was written, so the connection is reusable
+		p.putUnused(pc)
 		return nil, apierror.New(apierror.ClientDisconnected, c.Address, ctx.Err())
 	}
-	k.lastAttemptID = c.AttemptID
-	a := &attempt{pool: p, ctx: ctx, call: c, conn: k}
+	pc.lastAttemptID = c.AttemptID
+	a := &attempt{pool: p, ctx: ctx, call: c, conn: pc}
 	if ctx.Done() != nil {
-		a.stopWatch = context.AfterFunc(ctx, a.cancel)
+		a.stopCancelWatch = context.AfterFunc(ctx, a.cancel)
 	}
 	buf := getBuffer()
 	*buf = appendRequest((*buf)[:0], c, left)
-	written, err := k.Write(*buf)
+	written, err := pc.Write(*buf)
 	putBuffer(buf)
 	if err != nil {
-		a.outOfStep = true
-		if written == 0 { // no byte has left: it was not executed, whatever ended the connection
-			a.end(false)
+		a.desynchronized = true
+		if written == 0 { // the endpoint cannot have executed the request
+			a.releaseConn(false)
 			return nil, p.notSentError(ctx, c.Address, c.Deadline, err)
 		}
-		// Some bytes went out. An endpoint that rejects a request without reading the body ends the connection too; its
-		// response may be waiting, and is better than a guess.
+		// The endpoint may have closed the connection after rejecting the request without reading its body. If so, the
+		// response can still be read.
 		return a, nil
 	}
 	if c.Stream != nil && c.StreamLen != 0 {
-		a.sender = startSender(k.Conn, c.Stream, c.StreamLen, a.noteSent)
+		a.sender = startBodySender(pc.Conn, c.Stream, c.StreamLen, a.markRequestSent)
 	} else {
-		a.noteSent()
+		a.markRequestSent()
 	}
 	return a, nil
 }
 
-// cancel ends the attempt because its client has left, unless it is to finish.
+// cancel closes the connection after ctx is cancelled, unless FinishOnceSent applies.
 func (a *attempt) cancel() {
-	if a.call.FinishOnceSent && a.sent.Load() && !a.flowing.Load() {
+	if a.call.FinishOnceSent && a.requestSent.Load() && !a.streaming.Load() {
 		return
 	}
 	a.cancelled.Store(true)
-	_ = a.conn.Close() // whoever reads or writes there sees it
+	_ = a.conn.Close() // unblocks reads and writes
 }
 
-// noteSent notes that the whole request was written.
-func (a *attempt) noteSent() { a.sent.Store(true) }
+func (a *attempt) markRequestSent() { a.requestSent.Store(true) }
 
-// noteFlowing notes that the response flows from here on: without its client, nobody takes it.
-func (a *attempt) noteFlowing() {
-	a.flowing.Store(true)
-	if errors.Is(a.ctx.Err(), context.Canceled) { // cancel may have left it to finish
+// markStreaming records that the response body is streamed from now on, which ends the effect of FinishOnceSent.
+func (a *attempt) markStreaming() {
+	a.streaming.Store(true)
+	if errors.Is(a.ctx.Err(), context.Canceled) { // cancel may have been ignored before
 		a.cancel()
 	}
 }
 
-// receive waits for the response to this call, and reads past those to others.
-func (a *attempt) receive() (*Response, error) {
-	for surplus := 0; ; surplus++ {
+// receiveResponse returns the response to the call. It discards responses to earlier requests on the connection.
+func (a *attempt) receiveResponse() (*Response, error) {
+	for unmatched := 0; ; unmatched++ {
 		resp, err := a.readHead()
 		if err != nil {
 			return nil, err
 		}
-		if a.isOwn(resp) {
-			return a.accept(resp)
+		if a.answersCall(resp) {
+			return a.acceptResponse(resp)
 		}
-		if surplus == maxSurplus || !a.skipResponse(resp) {
+		if unmatched == maxUnmatchedResponses || !a.discardResponse(resp) {
 			return nil, a.fail(apierror.MismatchedResponse, errMismatched)
 		}
 	}
 }
 
-// isOwn reports whether a response is to this call. A rejection without an id is this call's only where the
-// connection has carried no other request: otherwise it may be a late response to that one, and says nothing about
-// this call, which may well be executing.
-func (a *attempt) isOwn(resp *http.Response) bool {
+// answersCall reports whether a response belongs to the call. A rejection without an attempt ID belongs to the call
+// only on an unused connection. Otherwise it may be a late response to an earlier request, while the endpoint executes
+// this one.
+func (a *attempt) answersCall(resp *http.Response) bool {
 	id := resp.Header.Get(HeaderAttemptID)
 	if a.call.AttemptID == "" || id == a.call.AttemptID {
 		return true
 	}
-	return id == "" && isRejection(resp) && !isSuccess(resp) && !a.conn.carriedOther
+	return id == "" && isRejection(resp) && !isSuccess(resp) && !a.conn.usedBefore
 }
 
-// isRejection reports whether a response says that the request was not executed.
+// isRejection reports whether a response says that the endpoint did not execute the request.
 func isRejection(resp *http.Response) bool {
 	return resp.StatusCode == http.StatusMisdirectedRequest || len(resp.Header[HeaderNotExecuted]) > 0
 }
 
 func isSuccess(resp *http.Response) bool { return resp.StatusCode/100 == 2 }
 
-// accept checks the own response and reads its body.
-func (a *attempt) accept(resp *http.Response) (*Response, error) {
+// acceptResponse validates the response to the call and reads its body.
+func (a *attempt) acceptResponse(resp *http.Response) (*Response, error) {
 	switch {
 	case isRejection(resp):
-		return a.receiveRejection(resp)
+		return a.acceptRejection(resp)
 	case len(resp.Header["Content-Encoding"]) > 0:
-		return nil, a.fail(apierror.InvalidResponse, errEncoded)
+		return nil, a.fail(apierror.InvalidResponse, errContentEncoding)
 	case isSuccess(resp) && len(resp.Header[HeaderServerSeal]) == 0:
-		return nil, a.fail(apierror.MismatchedResponse, errUnsealed)
-	case isSuccess(resp) && isUnbounded(resp, a.call.Method):
-		return nil, a.fail(apierror.TruncatedResponse, errUnbounded) // its end cannot be told from a break
+		return nil, a.fail(apierror.MismatchedResponse, errNoSeal)
+	case isSuccess(resp) && isCloseDelimited(resp, a.call.Method):
+		return nil, a.fail(apierror.TruncatedResponse, errNoLength) // a truncated body would look complete
 	}
 	r := a.newResponse(resp)
 	body, whole, err := a.readBody(resp)
@@ -255,102 +256,105 @@
 	r.Body = body
 	if !whole {
 		r.Rest = &bodyReader{attempt: a, response: resp}
-		a.noteFlowing()
+		a.markStreaming()
 		return r, nil
 	}
 	if a.call.Method != http.MethodHead {
 		r.Length = int64(len(body))
 	}
-	a.release(resp)
+	a.releaseAfterResponse(resp)
 	return r, nil
 }
 
-// rejectionBodyWait is how long the body of a rejection is waited for.
-const rejectionBodyWait = 50 * time.Millisecond
+// rejectionBodyTimeout limits the wait for the body of a rejection.
+const rejectionBodyTimeout = 50 * time.Millisecond
 
-// receiveRejection is the response of an endpoint that did not execute the request. The head says so; a body that does
-// not come, or not at once, does not change that and is not waited for: a rejection is to be told at once.
-func (a *attempt) receiveRejection(resp *http.Response) (*Response, error) {
+// acceptRejection returns the response of an endpoint that did not execute the request. The head alone decides that.
+// The body is read only if it arrives quickly, so that it does not delay a retry.
+func (a *attempt) acceptRejection(resp *http.Response) (*Response, error) {
 	kind := apierror.RejectedByEndpoint
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		kind = apierror.Misdirected
 	}
 	r, rejection := a.newResponse(resp), apierror.New(kind, a.call.Address, nil)
 	isBuffered := resp.ContentLength >= 0 && int64(a.conn.reader.Buffered()) >= resp.ContentLength
-	if soon := time.Now().Add(rejectionBodyWait); !isBuffered && soon.Before(a.call.Deadline) {
+	if soon := time.Now().Add(rejectionBodyTimeout); !isBuffered && soon.Before(a.call.Deadline) {
 		_ = a.conn.SetReadDeadline(soon) // fails only on a closed connection
 	}
 	body, whole, err := a.readBody(resp)
 	switch {
-	case err != nil: // which has ended the connection
+	case err != nil: // readBody has closed the connection
 		r.Length = 0
 	case !whole:
 		r.Length = 0
-		a.end(false)
+		a.releaseConn(false)
 	default:
 		r.Body = body
 		if a.call.Method != http.MethodHead {
 			r.Length = int64(len(body))
 		}
-		a.release(resp)
+		a.releaseAfterResponse(resp)
 	}
 	return r, rejection
 }
 
-// fail ends the connection and returns an error of a request that may have been executed. What failed because the
-// client left is no failure of the endpoint.
+// fail closes the connection and returns an error for a request that the endpoint may have executed. If the context was
+// cancelled, the kind is AttemptCancelled, which does not count as a failure of the endpoint.
 func (a *attempt) fail(kind apierror.Kind, cause error) *apierror.Error {
-	a.end(false)
+	a.releaseConn(false)
 	if a.cancelled.Load() {
 		kind, cause = apierror.AttemptCancelled, a.ctx.Err()
 	}
 	return apierror.New(kind, a.call.Address, cause)
 }
 
-// readFailure says why reading stopped: onEnd is the kind if it was the connection's end.
-func (a *attempt) readFailure(onEnd apierror.Kind, err error) *apierror.Error {
+// failRead closes the connection and returns the error for a failed read. kindOnClose is the kind of the error if the
+// endpoint closed or reset the connection.
+func (a *attempt) failRead(kindOnClose apierror.Kind, err error) *apierror.Error {
 	readErr := a.conn.readErr
 	switch {
-	case readErr == nil || errors.Is(readErr, errHead): // the bytes were there and made no sense
+	case readErr == nil || errors.Is(readErr, errHeadTooLong): // data arrived but is not valid
 		return a.fail(apierror.InvalidResponse, err)
 	case errors.Is(readErr, os.ErrDeadlineExceeded) || errors.Is(a.ctx.Err(), context.DeadlineExceeded):
 		return a.fail(apierror.ResponseTimeout, err)
-	case a.sender.streamFailure() != nil: // the client's body broke off, and with it the connection
-		return a.fail(apierror.AttemptCancelled, a.sender.streamFailure())
+	case a.sender.streamError() != nil: // the client's body is incomplete, so the sender closed the connection
+		return a.fail(apierror.AttemptCancelled, a.sender.streamError())
 	}
-	return a.fail(onEnd, readErr)
+	return a.fail(kindOnClose, readErr)
 }
 
-// release gives the connection back after a whole response, if both sides agree on where it stands.
-func (a *attempt) release(resp *http.Response) {
-	isNamed := a.call.AttemptID != "" || a.conn.carriedNameless
-	inStep := !a.outOfStep && a.conn.reader.Buffered() == 0 && a.sender.isDone()
+// releaseAfterResponse releases the connection after a complete response. The connection is reusable only if a late
+// response can be told from the next request's response, which needs an attempt ID or a health check's response.
+func (a *attempt) releaseAfterResponse(resp *http.Response) {
+	isIdentifiable := a.call.AttemptID != "" || a.conn.servedHealthCheck
+	isSynchronized := !a.desynchronized && a.conn.reader.Buffered() == 0 && a.sender.isDone()
 	staysOpen := !resp.Close && resp.ProtoAtLeast(1, 1)
-	a.end(inStep && staysOpen && isNamed)
+	a.releaseConn(isSynchronized && staysOpen && isIdentifiable)
 }
 
-// end parts with the connection; it is called once for each attempt.
-func (a *attempt) end(reusable bool) {
-	if a.stopWatch != nil && !a.stopWatch() {
-		reusable = false // the client left meanwhile: the connection may be being closed
+// releaseConn returns the connection to the pool if it is reusable, and closes it otherwise. It is called exactly once
+// per attempt.
+func (a *attempt) releaseConn(reusable bool) {
+	if a.stopCancelWatch != nil && !a.stopCancelWatch() {
+		reusable = false // cancel has started and may close the connection
 	}
 	if !reusable {
 		a.pool.closeConn(a.conn)
 		return
 	}
-	a.conn.carriedOther = true
-	a.conn.carriedHead = a.conn.carriedHead || a.call.Method == http.MethodHead
-	a.pool.putIdle(a.conn, a.idleTimeout, a.call.MaxConns)
+	a.conn.usedBefore = true
+	a.conn.servedHEAD = a.conn.servedHEAD || a.call.Method == http.MethodHead
+	a.pool.putIdleConn(a.conn, a.idleTimeout, a.call.MaxConns)
 }
 
-// bodyReader is the part of a response body that is streamed.
+// bodyReader streams the rest of a response body.
 type bodyReader struct {
 	attempt  *attempt
 	response *http.Response
-	err      error // how it ended
+	err      error // result of all further reads
 }
 
-// Read reads on. The connection is given back at io.EOF.
+// Read releases the connection at io.EOF.
 func (b *bodyReader) Read(buf []byte) (int, error) {
 	if b.err != nil {
 		return 0, b.err
@@ -359,18 +363,18 @@
 	switch {
 	case err == io.EOF:
 		b.err = io.EOF
-		b.attempt.release(b.response)
+		b.attempt.releaseAfterResponse(b.response)
 	case err != nil:
-		b.err = b.attempt.readFailure(apierror.TruncatedResponse, err)
+		b.err = b.attempt.failRead(apierror.TruncatedResponse, err)
 	}
 	return n, b.err
 }
 
-// Close ends the connection, unless the body was read to its end.
+// Close closes the connection unless the body was read to its end.
 func (b *bodyReader) Close() error {
 	if b.err == nil {
 		b.err = net.ErrClosed
-		b.attempt.end(false)
+		b.attempt.releaseConn(false)
 	}
 	return nil
 }
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -9,65 +9,65 @@
 )
 
 const (
-	readBufferBytes = 4 << 10
-	unlimitedHead   = -1 // in conn.headBudget
+	readBufferBytes    = 4 << 10
+	unlimitedHeadBytes = -1 // value of persistConn.headBytesLeft outside heads
 )
 
-// conn is a connection, owned by one attempt at a time or by the idle list of its host.
-type conn struct {
+// persistConn is a connection to an endpoint. It is used by one attempt, or is in the idle list of its host.
+type persistConn struct {
 	net.Conn
-	reader     *bufio.Reader // over the conn itself
+	reader     *bufio.Reader // reads from the persistConn
 	probe      *socket.Probe
 	address    string
-	generation int       // of its host when it was dialled
-	idleUntil  time.Time // when it is to be closed, if idle
+	generation int       // host.generation when the connection was dialled
+	idleUntil  time.Time // the connection is not reused after this time
 
-	// What it has carried.
+	// Earlier requests on the connection.
 
-	lastAttemptID   string // of the last request
-	carriedOther    bool   // a request before the one that is under way
-	carriedHead     bool   // a HEAD among those, whose surplus response would have no end that can be found
-	carriedNameless bool   // a request without an id
+	lastAttemptID     string // of the latest request, the current one included
+	usedBefore        bool   // a request was completed
+	servedHEAD        bool   // a HEAD request was completed; the end of a late response to it cannot be found
+	servedHealthCheck bool   // a health check was sent, the current request included
 
-	// Of the response that is being read.
+	// Response that is being read.
 
-	headBudget    int   // bytes that may still be read for a head, or unlimitedHead
-	receivedBytes bool  // bytes of it have come
-	readErr       error // what ended reading
+	headBytesLeft int   // limit for the rest of the head, or unlimitedHeadBytes
+	receivedBytes bool  // some bytes of the response have arrived
+	readErr       error // error that Read returned, if any
 }
 
-func newConn(netConn net.Conn, address string, generation int) *conn {
-	k := &conn{
-		Conn:       netConn,
-		probe:      socket.NewProbe(netConn),
-		address:    address,
-		generation: generation,
-		headBudget: unlimitedHead,
+func newPersistConn(netConn net.Conn, address string, generation int) *persistConn {
+	pc := &persistConn{
+		Conn:          netConn,
+		probe:         socket.NewProbe(netConn),
+		address:       address,
+		generation:    generation,
+		headBytesLeft: unlimitedHeadBytes,
 	}
-	k.reader = bufio.NewReaderSize(k, readBufferBytes)
-	return k
+	pc.reader = bufio.NewReaderSize(pc, readBufferBytes)
+	return pc
 }
 
-// Read is what reader fills itself from. It bounds heads and remembers what ended the connection.
-func (k *conn) Read(b []byte) (int, error) {
-	if k.headBudget >= 0 && len(b) > k.headBudget {
-		b = b[:k.headBudget]
-		if k.headBudget == 0 {
-			k.readErr = errHead
-			return 0, errHead
+// Read is called by reader. It enforces the limit on heads and records errors.
+func (pc *persistConn) Read(b []byte) (int, error) {
+	if pc.headBytesLeft >= 0 && len(b) > pc.headBytesLeft {
+		b = b[:pc.headBytesLeft]
+		if pc.headBytesLeft == 0 {
+			pc.readErr = errHeadTooLong
+			return 0, errHeadTooLong
 		}
 	}
-	n, err := k.Conn.Read(b)
-	if k.headBudget >= 0 {
-		k.headBudget -= n
+	n, err := pc.Conn.Read(b)
+	if pc.headBytesLeft >= 0 {
+		pc.headBytesLeft -= n
 	}
-	k.receivedBytes = k.receivedBytes || n > 0
+	pc.receivedBytes = pc.receivedBytes || n > 0
 	if err != nil {
-		k.readErr = err
+		pc.readErr = err
 	}
 	return n, err
 }
 
-// checkQuiet returns nil if the connection is up and nothing waits on it. Nothing has been written yet when it is
-// checked, so giving up one that is not quiet is no retry.
-func (k *conn) checkQuiet() error { return k.probe.Peek() }
+// checkUsable returns nil if the connection is open and has no unread data. It is called before the request is written,
+// so replacing an unusable connection does not send the request twice.
+func (pc *persistConn) checkUsable() error { return pc.probe.Peek() }
--- a/internal/proxy/upstream/health.go
+++ b/internal/proxy/upstream/health.go
@@ -10,27 +10,27 @@
 
 // HealthStatus is an endpoint's response to a health check.
 type HealthStatus struct {
-	OK         bool          // it responded 200
-	EndpointID string        // "": it gave none
-	WarmupLeft time.Duration // until its slow start ends
-	HasWarmup  bool          // WarmupLeft was told
+	OK         bool          // the status is 200
+	EndpointID string        // value of HeaderInstanceID; may be empty
+	WarmupLeft time.Duration // time left of the endpoint's slow start
+	HasWarmup  bool          // the response reported WarmupLeft
 	Load       Load
-	HasLoad    bool // Load was told
+	HasLoad    bool // the response reported Load
 }
 
-// CheckHealth checks an endpoint: GET path, without an id. An *apierror.Error (as of Do) says that no response came; a
-// response other than 200, a rejection included, is a CheckHealth that is not OK.
+// CheckHealth sends GET path to an endpoint, without an attempt ID. The error is an *apierror.Error as of Do and means
+// that there was no response. A response other than 200, a rejection included, is returned with OK false.
 func (p *Pool) CheckHealth(ctx context.Context, address, path string, deadline time.Time) (HealthStatus, error) {
 	c := &Call{Address: address, Method: http.MethodGet, RequestTarget: path, Host: address, Deadline: deadline}
-	if err := validate(c); err != nil {
+	if err := validateCall(c); err != nil {
 		return HealthStatus{}, apierror.New(apierror.Malformed, address, err)
 	}
-	a, err := p.start(ctx, c, false)
+	a, err := p.startAttempt(ctx, c, false)
 	if err != nil {
 		return HealthStatus{}, err
 	}
-	a.conn.carriedNameless = true
-	for surplus := 0; ; surplus++ {
+	a.conn.servedHealthCheck = true
+	for unmatched := 0; ; unmatched++ {
 		resp, err := a.readHead()
 		if err != nil {
 			return HealthStatus{}, err
@@ -39,7 +39,7 @@
 		if isHealth {
 			return a.acceptHealth(resp)
 		}
-		if surplus == maxSurplus || !a.skipResponse(resp) { // it was the late response to a request
+		if unmatched == maxUnmatchedResponses || !a.discardResponse(resp) { // a late response to an earlier request
 			return HealthStatus{}, a.fail(apierror.MismatchedResponse, errMismatched)
 		}
 	}
@@ -53,9 +53,9 @@
 		return HealthStatus{}, err
 	}
 	if whole {
-		a.release(resp)
+		a.releaseAfterResponse(resp)
 	} else {
-		a.end(false)
+		a.releaseConn(false)
 	}
 	return HealthStatus{
 		OK:         r.Status == http.StatusOK,
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -20,24 +20,24 @@
 	defaultMaxBufferedBody = 64 << 10
 	defaultMaxIdleConns    = 8
 	defaultIdleTimeout     = 8 * time.Second
-	// idleMargin is the least time before the announced end of an idle connection at which it is given up, because a
-	// request that crosses its close may have been executed for all that can be known.
+	// idleMargin is the minimum time by which an idle connection is closed before the timeout that the endpoint
+	// announced. If the endpoint closed it during a request, the request might have been executed.
 	idleMargin = 700 * time.Millisecond
 )
 
-// Options of a Pool. Zero values stand for the defaults.
+// Options configures a Pool. Zero values mean the defaults.
 type Options struct {
 	// Dial connects to an endpoint. Default: TCP over IPv4.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 	// Now is the clock. Default: time.Now.
 	Now func() time.Time
-	// DialTimeout bounds connecting. Default: 250 ms.
+	// DialTimeout limits the time to connect. Default: 250 ms.
 	DialTimeout time.Duration
-	// MaxBufferedBody is how many bytes of a body are read before Do returns. Default: 64 KiB.
+	// MaxBufferedBody is the maximum number of body bytes that Do reads before it returns. Default: 64 KiB.
 	MaxBufferedBody int
-	// MaxIdleConns is how many idle connections an endpoint may have. Default: 8.
+	// MaxIdleConns is the maximum number of idle connections per address. Default: 8.
 	MaxIdleConns int
-	// IdleTimeout is how long a connection may be idle if the endpoint announces nothing. Default: 8 s.
+	// IdleTimeout applies to idle connections if the endpoint announces no timeout. Default: 8 s.
 	IdleTimeout time.Duration
 }
 
@@ -62,29 +62,29 @@
 	}
 }
 
-// Pool owns the connections to all endpoints. It is safe for concurrent use and has no goroutine of its own.
+// Pool manages the connections to all endpoints. It is safe for concurrent use and starts no background goroutine.
 type Pool struct {
 	options Options
 	mu      sync.Mutex
 	hosts   map[string]*host // by address
 }
 
-// host is an endpoint's address.
+// host holds the connections to one address.
 type host struct {
-	idle       []*conn // the one used last at the end
-	connCount  int     // busy ones and those coming up included
-	generation int     // rises with CloseIdle: connections of an earlier one do not come back
+	idle       []*persistConn // in order of last use
+	connCount  int            // idle, in use, or being dialled
+	generation int            // incremented by CloseIdle; connections of earlier generations are not reused
 }
 
-// New makes an empty Pool.
+// New returns an empty Pool.
 func New(o Options) *Pool {
 	o.setDefaults()
 	return &Pool{options: o, hosts: map[string]*host{}}
 }
 
-// acquire finds a quiet idle connection or dials. fresh: dial in any case, because a request without an id cannot tell
-// its response from the late one to an earlier request.
-func (p *Pool) acquire(ctx context.Context, c *Call, fresh bool) (*conn, error) {
+// acquire returns a usable idle connection or dials a new one. With forceDial it always dials: a request without an
+// attempt ID cannot tell its response from a late one to an earlier request.
+func (p *Pool) acquire(ctx context.Context, c *Call, forceDial bool) (*persistConn, error) {
 	now := p.options.Now()
 	if !now.Before(c.Deadline) {
 		return nil, apierror.New(apierror.DeadlineExceeded, c.Address, nil)
@@ -92,47 +92,49 @@
 	if err := ctx.Err(); err != nil {
 		return nil, apierror.New(apierror.ClientDisconnected, c.Address, err)
 	}
-	if !fresh {
-		if k := p.reuse(c, now); k != nil {
-			return k, nil
+	if !forceDial {
+		if pc := p.reuseIdleConn(c, now); pc != nil {
+			return pc, nil
 		}
 	}
-	k, err := p.dial(ctx, c.Address, c.Deadline)
+	pc, err := p.dial(ctx, c.Address, c.Deadline)
 	if err != nil {
 		return nil, err
 	}
-	// An endpoint resets connections beyond its maxConns at once. Seen here, the request is known not to be executed.
-	if err := k.checkQuiet(); err != nil {
-		p.closeConn(k)
+	// An endpoint at its connection limit resets new connections at once. Detected before the request is written, this
+	// shows that the request was not executed.
+	if err := pc.checkUsable(); err != nil {
+		p.closeConn(pc)
 		if errors.Is(err, socket.ErrUnreadData) {
 			return nil, apierror.New(apierror.ConnectFailed, c.Address, err)
 		}
 		return nil, apierror.New(apierror.EndpointsSaturated, c.Address, err)
 	}
-	return k, nil
+	return pc, nil
 }
 
-// reuse takes an idle connection that is fit for a call, and closes those that are not; nil: there is none.
-func (p *Pool) reuse(c *Call, now time.Time) *conn {
+// reuseIdleConn returns an idle connection that is usable for a call, or nil. It closes the unusable ones that it
+// finds.
+func (p *Pool) reuseIdleConn(c *Call, now time.Time) *persistConn {
 	for {
-		k := p.popIdle(c.Address)
-		if k == nil {
+		pc := p.popIdleConn(c.Address)
+		if pc == nil {
 			return nil
 		}
-		// A second attempt with the same id must not meet a surplus response to the first: the id would not show it.
-		mayMeetOwnID := k.lastAttemptID != "" && k.lastAttemptID == c.AttemptID
-		if now.Before(k.idleUntil) && !mayMeetOwnID {
-			_ = k.SetDeadline(c.Deadline) // before the check: the last attempt's deadline may have passed
-			if k.checkQuiet() == nil {
-				return k
+		// A late response to an earlier attempt with the same ID would be taken for this call's response.
+		isSameAttemptID := pc.lastAttemptID != "" && pc.lastAttemptID == c.AttemptID
+		if now.Before(pc.idleUntil) && !isSameAttemptID {
+			_ = pc.SetDeadline(c.Deadline) // the previous attempt's deadline may have passed
+			if pc.checkUsable() == nil {
+				return pc
 			}
 		}
-		p.closeConn(k)
+		p.closeConn(pc)
 	}
 }
 
-func (p *Pool) dial(ctx context.Context, address string, deadline time.Time) (*conn, error) {
-	generation := p.countDial(address)
+func (p *Pool) dial(ctx context.Context, address string, deadline time.Time) (*persistConn, error) {
+	generation := p.addConn(address)
 	end := p.options.Now().Add(p.options.DialTimeout)
 	if end.After(deadline) {
 		end = deadline
@@ -141,17 +143,17 @@
 	netConn, err := p.options.Dial(dialCtx, address)
 	cancel()
 	if err != nil {
-		p.noteClosed(address)
+		p.removeConn(address)
 		return nil, p.notSentError(ctx, address, deadline, err)
 	}
-	k := newConn(netConn, address, generation)
-	k.idleUntil = p.options.Now().Add(p.options.IdleTimeout) // unless a response announces another time
-	_ = k.SetDeadline(deadline)                              // fails only on a closed connection
-	return k, nil
+	pc := newPersistConn(netConn, address, generation)
+	pc.idleUntil = p.options.Now().Add(p.options.IdleTimeout) // until a response announces another timeout
+	_ = pc.SetDeadline(deadline)                              // fails only on a closed connection
+	return pc, nil
 }
 
-// countDial counts a connection that is coming up, and returns the generation of its host.
-func (p *Pool) countDial(address string) (generation int) {
+// addConn counts a connection that is being dialled and returns the generation of its host.
+func (p *Pool) addConn(address string) (generation int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.hosts[address]
@@ -163,18 +165,17 @@
 	return h.generation
 }
 
-// Connect brings up a connection that the next request can use: it shows that an endpoint's machine is there without
-// putting a request at risk.
+// Connect opens an idle connection. It tests whether an endpoint is reachable without risking a request.
 func (p *Pool) Connect(ctx context.Context, address string) error {
-	k, err := p.dial(ctx, address, p.options.Now().Add(p.options.DialTimeout+time.Millisecond))
+	pc, err := p.dial(ctx, address, p.options.Now().Add(p.options.DialTimeout+time.Millisecond))
 	if err == nil {
-		p.putIdle(k, p.options.IdleTimeout, 0)
+		p.putIdleConn(pc, p.options.IdleTimeout, 0)
 	}
 	return err
 }
 
-// notSentError is the error of a request of which no byte was written. A client that left is no failure of the
-// endpoint.
+// notSentError returns the error for a request of which no byte was written. If the context was cancelled, the kind is
+// ClientDisconnected, which does not count as a failure of the endpoint.
 func (p *Pool) notSentError(ctx context.Context, address string, deadline time.Time, err error) *apierror.Error {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
@@ -185,8 +186,8 @@
 	return apierror.New(apierror.ConnectFailed, address, err)
 }
 
-// popIdle takes the idle connection that was used last; nil: there is none.
-func (p *Pool) popIdle(address string) *conn {
+// popIdleConn removes and returns the most recently used idle connection, or nil.
+func (p *Pool) popIdleConn(address string) *persistConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.hosts[address]
@@ -194,67 +195,68 @@
 		return nil
 	}
 	last := len(h.idle) - 1
-	k := h.idle[last]
+	pc := h.idle[last]
 	h.idle[last] = nil
 	h.idle = h.idle[:last]
-	return k
+	return pc
 }
 
-// putIdle takes a connection back for some time, in place of the oldest idle one if there are too many.
-func (p *Pool) putIdle(k *conn, idleTimeout time.Duration, maxConns int) {
-	k.idleUntil = p.options.Now().Add(idleTimeout)
-	if surplus := p.addIdle(k, idleTimeout, maxConns); surplus != nil {
-		_ = surplus.Close() // what it carried is done
+// putIdleConn returns a connection to the pool, or closes it if it must not be reused. If there are too many, it closes
+// the least recently used idle one.
+func (p *Pool) putIdleConn(pc *persistConn, idleTimeout time.Duration, maxConns int) {
+	pc.idleUntil = p.options.Now().Add(idleTimeout)
+	if evicted := p.storeIdle(pc, idleTimeout, maxConns); evicted != nil {
+		_ = evicted.Close() // the connection is idle
 	}
 }
 
-// putUnused gives back a connection on which nothing was written since it was acquired. It may be idle for as long as
-// before.
-func (p *Pool) putUnused(k *conn) { p.putIdle(k, k.idleUntil.Sub(p.options.Now()), 0) }
+// putUnused returns an acquired connection on which nothing was written. Its idle timeout does not start anew.
+func (p *Pool) putUnused(pc *persistConn) { p.putIdleConn(pc, pc.idleUntil.Sub(p.options.Now()), 0) }
 
-// addIdle returns the connection that is to be closed, if any. That one is counted off under the same lock: two
-// attempts that end at once must not both find one connection too many.
-func (p *Pool) addIdle(k *conn, idleTimeout time.Duration, maxConns int) (surplus *conn) {
+// storeIdle adds a connection to the idle list and returns the connection to close, if any: the least recently used one
+// if there are too many, or the connection itself if it must not be reused. It removes that connection from the count
+// under the same lock, so that two attempts that end at once do not both close a connection.
+func (p *Pool) storeIdle(pc *persistConn, idleTimeout time.Duration, maxConns int) (evicted *persistConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[k.address]
-	surplus = k
-	if idleTimeout > 0 && k.generation == h.generation {
-		h.idle = append(h.idle, k)
-		surplus = nil
+	h := p.hosts[pc.address]
+	evicted = pc
+	if idleTimeout > 0 && pc.generation == h.generation {
+		h.idle = append(h.idle, pc)
+		evicted = nil
 		tooMany := len(h.idle) > p.options.MaxIdleConns || maxConns > 0 && h.connCount > maxConns
 		if tooMany {
-			surplus = h.idle[0]
+			evicted = h.idle[0]
 			h.idle = append(h.idle[:0], h.idle[1:]...)
 		}
 	}
-	if surplus != nil {
-		p.countClosed(k.address, h)
+	if evicted != nil {
+		p.removeConnLocked(pc.address, h)
 	}
-	return surplus
+	return evicted
 }
 
-// closeConn closes a connection that is on no list.
-func (p *Pool) closeConn(k *conn) {
-	_ = k.Close() // nothing on it is wanted any more
-	p.noteClosed(k.address)
+// closeConn closes a connection that is not in an idle list.
+func (p *Pool) closeConn(pc *persistConn) {
+	_ = pc.Close() // nothing is left to do about an error
+	p.removeConn(pc.address)
 }
 
-func (p *Pool) noteClosed(address string) {
+func (p *Pool) removeConn(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.countClosed(address, p.hosts[address])
+	p.removeConnLocked(address, p.hosts[address])
 }
 
-// countClosed counts a connection off; the lock is held.
-func (p *Pool) countClosed(address string, h *host) {
+// removeConnLocked removes a closed connection from the count. The caller holds p.mu.
+func (p *Pool) removeConnLocked(address string, h *host) {
 	h.connCount--
 	if h.connCount == 0 {
 		delete(p.hosts, address)
 	}
 }
 
-// OpenConns is the number of connections to an address: idle, busy and coming up.
+// OpenConns returns the number of connections to an address: idle, in use, or being dialled.
 func (p *Pool) OpenConns(address string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -264,7 +266,7 @@
 	return 0
 }
 
-// TotalConns is the number of connections to all addresses: idle, busy and coming up.
+// TotalConns returns the number of connections to all addresses: idle, in use, or being dialled.
 func (p *Pool) TotalConns() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -274,7 +276,7 @@
 	return n
 }
 
-// IdleConns is the number of idle connections to an address.
+// IdleConns returns the number of idle connections to an address.
 func (p *Pool) IdleConns(address string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -284,37 +286,37 @@
 	return 0
 }
 
-// CloseIdle closes the idle connections to an address, and the busy ones as they come back.
+// CloseIdle closes the idle connections to an address at once, and those in use or being dialled after their attempts.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
-	var idle []*conn
+	var idle []*persistConn
 	if h := p.hosts[address]; h != nil {
 		idle, h.idle = h.idle, nil
 		h.generation++
 	}
 	p.mu.Unlock()
-	for _, k := range idle {
-		p.closeConn(k)
+	for _, pc := range idle {
+		p.closeConn(pc)
 	}
 }
 
-// PruneIdle closes the idle connections whose time is up, before the other side does. Call it about once a second.
+// PruneIdle closes idle connections whose timeout has expired. It should be called about once a second.
 func (p *Pool) PruneIdle(now time.Time) {
-	for _, k := range p.takeExpired(now) {
-		p.closeConn(k)
+	for _, pc := range p.takeExpired(now) {
+		p.closeConn(pc)
 	}
 }
 
-func (p *Pool) takeExpired(now time.Time) (expired []*conn) {
+func (p *Pool) takeExpired(now time.Time) (expired []*persistConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, h := range p.hosts {
 		kept := h.idle[:0]
-		for _, k := range h.idle {
-			if now.Before(k.idleUntil) {
-				kept = append(kept, k)
+		for _, pc := range h.idle {
+			if now.Before(pc.idleUntil) {
+				kept = append(kept, pc)
 			} else {
-				expired = append(expired, k)
+				expired = append(expired, pc)
 			}
 		}
 		clear(h.idle[len(kept):])
@@ -323,21 +325,21 @@
 	return expired
 }
 
-// idleTimeout is how long a connection may be idle: what the endpoint announces, less idleMargin or a quarter. 0:
-// not at all.
-func (p *Pool) idleTimeout(h http.Header) time.Duration {
+// parseIdleTimeout returns the idle timeout of a connection from the response header: the timeout that the endpoint
+// announces in Keep-Alive less a margin, or Options.IdleTimeout. 0 means that the connection must not be reused.
+func (p *Pool) parseIdleTimeout(h http.Header) time.Duration {
 	for _, value := range h["Keep-Alive"] {
 		for part := range strings.SplitSeq(value, ",") {
 			name, text, ok := strings.Cut(strings.TrimSpace(part), "=")
 			if ok && strings.EqualFold(name, "timeout") {
-				return p.announcedTimeout(strings.Trim(text, `" `))
+				return p.announcedIdleTimeout(strings.Trim(text, `" `))
 			}
 		}
 	}
 	return p.options.IdleTimeout
 }
 
-func (p *Pool) announcedTimeout(text string) time.Duration {
+func (p *Pool) announcedIdleTimeout(text string) time.Duration {
 	seconds, err := strconv.ParseUint(text, 10, 20)
 	switch {
 	case errors.Is(err, strconv.ErrRange):
@@ -349,14 +351,14 @@
 	return max(0, announced-max(idleMargin, announced/4))
 }
 
-// A machine without power says nothing at all. Bytes that stay unacknowledged end the connection, and so does a
-// keep-alive probe without an answer while a request is executing there; the kernel's own limits are minutes and
-// hours. An idempotent request can then still be served elsewhere. Without these options the attempt's deadline
-// still holds, so an error is no reason to fail.
+// TCP options that detect an endpoint whose machine has lost power. The connection fails after data stays
+// unacknowledged, or after a keep-alive probe stays unanswered; the kernel's defaults are minutes to hours. An
+// idempotent request can then be retried in time. If the options cannot be set, the attempt's deadline still applies,
+// so errors are ignored.
 const (
 	unacknowledgedTimeout = 800 * time.Millisecond
 	keepAliveInterval     = time.Second
-	// tcpUserTimeout is TCP_USER_TIMEOUT (RFC 5482), which package syscall lacks.
+	// tcpUserTimeout is TCP_USER_TIMEOUT (RFC 5482), which package syscall does not define.
 	tcpUserTimeout = 18
 )
 
--- a/internal/proxy/upstream/request.go
+++ b/internal/proxy/upstream/request.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// maxPooledBuffer bounds the buffers that are used again.
+// maxPooledBuffer is the maximum capacity of a buffer that is reused, in bytes.
 const maxPooledBuffer = 128 << 10
 
-// requestBuffers hold heads with small bodies.
+// requestBuffers holds buffers for request heads and buffered bodies.
 var requestBuffers = sync.Pool{New: func() any {
 	b := make([]byte, 0, readBufferBytes)
 	return &b
 }}
 
 func getBuffer() *[]byte {
-	return requestBuffers.Get().(*[]byte) //nolint:forcetypeassert // the pool holds nothing else
+	return requestBuffers.Get().(*[]byte) //nolint:forcetypeassert // the pool holds only *[]byte
 }
 
 func putBuffer(b *[]byte) {
@@ -28,17 +28,17 @@
 	}
 }
 
-// validate refuses what would be two requests for the endpoint.
-func validate(c *Call) error {
+// validateCall rejects values that would break the framing of the request and so allow request smuggling.
+func validateCall(c *Call) error {
 	for _, s := range [...]string{c.Method, c.RequestTarget, c.Host, c.AttemptID, c.EndpointID} {
 		for i := range len(s) {
 			if s[i] <= ' ' || s[i] == 0x7f {
-				return errors.New("a blank or control byte in the request's head")
+				return errors.New("space or control character in the request head")
 			}
 		}
 	}
 	if c.Method == "" || c.RequestTarget == "" {
-		return errors.New("no method or no request-target")
+		return errors.New("empty method or request target")
 	}
 	return validateHeader(c.Header)
 }
@@ -46,18 +46,18 @@
 func validateHeader(h http.Header) error {
 	for name, values := range h {
 		if strings.ContainsAny(name, "\r\n: ") {
-			return errors.New("no field name: " + strconv.Quote(name))
+			return errors.New("invalid header field name " + strconv.Quote(name))
 		}
 		for _, v := range values {
 			if strings.ContainsAny(v, "\r\n\x00") {
-				return errors.New("a line break in field " + name)
+				return errors.New("line break or NUL in header field " + name)
 			}
 		}
 	}
 	return nil
 }
 
-// appendRequest appends the head and the buffered part of the body, so that they go out in one write.
+// appendRequest appends the head and the buffered part of the body, to be sent in one write.
 func appendRequest(b []byte, c *Call, left time.Duration) []byte {
 	b = append(b, c.Method...)
 	b = append(b, ' ')
@@ -74,7 +74,7 @@
 	b = strconv.AppendInt(b, max(1, left.Milliseconds()), 10)
 	b = append(b, "\r\n"...)
 	for name, values := range c.Header {
-		if isOwnField(name) {
+		if isReservedField(name) {
 			continue
 		}
 		for _, v := range values {
@@ -84,9 +84,9 @@
 	return appendBody(b, c)
 }
 
-// isOwnField names the fields that are written here, a second one of which would change what the request is, and
-// Expect, which the client's own connection has answered.
-func isOwnField(name string) bool {
+// isReservedField reports whether a header field is not copied from the call: this package sets the field itself, or,
+// for Expect, the proxy has already answered it on the client's connection.
+func isReservedField(name string) bool {
 	switch name {
 	case "Host", "Content-Length", "Transfer-Encoding", "Connection", "Expect",
 		HeaderAttemptID, HeaderTargetInstance, HeaderTimeBudget:
@@ -95,7 +95,7 @@
 	return false
 }
 
-// appendBody ends the head with the fields that frame the body, and appends its buffered part.
+// appendBody appends the fields that frame the body, the end of the head, and the buffered part of the body.
 func appendBody(b []byte, c *Call) []byte {
 	switch {
 	case c.Stream != nil && c.StreamLen < 0:
--- a/internal/proxy/upstream/response.go
+++ b/internal/proxy/upstream/response.go
@@ -13,66 +13,67 @@
 
 const (
 	maxHeadBytes     = 64 << 10
-	maxInterim       = 16  // responses with a 1xx status before the final one
-	maxWarmupMillis  = 1e9 // what is told beyond it is not believed
+	maxInterim       = 16  // 1xx responses before the final one
+	maxWarmupMillis  = 1e9 // larger values are ignored as invalid
 	minFinalStatus   = 200
 	minInterimStatus = 100
 )
 
-// What http.ReadResponse needs to know: whether the response has a body.
+// Requests passed to http.ReadResponse, which uses the method to decide whether the response has a body.
 var (
 	getRequest  = &http.Request{Method: http.MethodGet}
 	headRequest = &http.Request{Method: http.MethodHead}
 )
 
-// readHead reads the head of the next final response. Its error has ended the connection.
+// readHead reads the head of the next final response. On an error it closes the connection.
 func (a *attempt) readHead() (*http.Response, error) {
-	k, request := a.conn, getRequest
+	pc, request := a.conn, getRequest
 	if a.call.Method == http.MethodHead {
 		request = headRequest
 	}
 	for range maxInterim {
-		k.headBudget, k.readErr, k.receivedBytes = maxHeadBytes, nil, k.reader.Buffered() > 0
-		resp, err := http.ReadResponse(k.reader, request)
-		k.headBudget = unlimitedHead
+		pc.headBytesLeft, pc.readErr, pc.receivedBytes = maxHeadBytes, nil, pc.reader.Buffered() > 0
+		resp, err := http.ReadResponse(pc.reader, request)
+		pc.headBytesLeft = unlimitedHeadBytes
 		switch {
-		case err != nil && !k.receivedBytes:
-			return nil, a.readFailure(apierror.ConnectionBroken, err)
+		case err != nil && !pc.receivedBytes:
+			return nil, a.failRead(apierror.ConnectionBroken, err)
 		case err != nil:
-			return nil, a.readFailure(apierror.TruncatedResponse, err)
+			return nil, a.failRead(apierror.TruncatedResponse, err)
 		case !isHTTP1(resp):
-			return nil, a.fail(apierror.InvalidResponse, errVersion)
+			return nil, a.fail(apierror.InvalidResponse, errNotHTTP1)
 		case resp.StatusCode >= minFinalStatus:
 			return resp, nil
 		}
 	}
-	return nil, a.fail(apierror.InvalidResponse, errInterim)
+	return nil, a.fail(apierror.InvalidResponse, errTooManyInterim)
 }
 
-// isHTTP1 reports whether a response, final or interim, may be one to a request of this package. Nobody has asked for
-// another protocol: after 101 no response would come.
+// isHTTP1 reports whether a response, final or interim, is valid in HTTP/1. 101 is not, because this package never
+// requests a protocol upgrade.
 func isHTTP1(resp *http.Response) bool {
 	return resp.ProtoMajor == 1 && resp.StatusCode >= minInterimStatus &&
 		resp.StatusCode != http.StatusSwitchingProtocols
 }
 
-// skipResponse reads past a response to another request, whole. It reports false if its end cannot be found,
-// because that request or this one was a HEAD, or it says no length. The connection is out of step from then on.
-func (a *attempt) skipResponse(resp *http.Response) bool {
-	a.outOfStep = true
-	if a.call.Method == http.MethodHead || a.conn.carriedHead || isUnbounded(resp, "") {
+// discardResponse reads and discards a response to another request. It returns false if the end of the response cannot
+// be found, because either request was a HEAD or the response is delimited by the end of the connection.
+func (a *attempt) discardResponse(resp *http.Response) bool {
+	a.desynchronized = true
+	if a.call.Method == http.MethodHead || a.conn.servedHEAD || isCloseDelimited(resp, "") {
 		return false
 	}
 	_, err := io.Copy(io.Discard, resp.Body)
 	return err == nil
 }
 
-// isUnbounded reports whether only the end of the connection ends the body.
-func isUnbounded(resp *http.Response, method string) bool {
+// isCloseDelimited reports whether the end of the connection delimits the body (RFC 9112, 6.3).
+func isCloseDelimited(resp *http.Response, method string) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && method != http.MethodHead
 }
 
-// readBody reads what is buffered of the body; whole is false if there is more. Its error has ended the connection.
+// readBody reads up to MaxBufferedBody bytes of the body, and one more to detect a longer body; whole is false if there
+// is more to read. On an error it closes the connection.
 func (a *attempt) readBody(resp *http.Response) (body []byte, whole bool, err error) {
 	maxBytes := a.pool.options.MaxBufferedBody
 	if resp.Body == http.NoBody || a.call.Method == http.MethodHead {
@@ -81,11 +82,10 @@
 	if n := resp.ContentLength; n >= 0 && n <= int64(maxBytes) {
 		body = make([]byte, n)
 		if _, err = io.ReadFull(resp.Body, body); err != nil {
-			return nil, false, a.readFailure(apierror.TruncatedResponse, err)
+			return nil, false, a.failRead(apierror.TruncatedResponse, err)
 		}
 		return body, true, nil
 	}
-	// One byte more than is buffered tells a body of just that length from a longer one.
 	limit := maxBytes + 1
 	body = make([]byte, 0, min(limit, readBufferBytes))
 	if resp.ContentLength > 0 {
@@ -97,17 +97,17 @@
 		}
 		n, err := resp.Body.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
-		if err == io.EOF { // itself: one that is wrapped is a connection that broke before the end
+		if err == io.EOF { // a wrapped io.EOF means a truncated body
 			return body, true, nil
 		}
 		if err != nil {
-			return nil, false, a.readFailure(apierror.TruncatedResponse, err)
+			return nil, false, a.failRead(apierror.TruncatedResponse, err)
 		}
 	}
 	return body, false, nil
 }
 
-// newResponse takes over the head, all but the fields of the connection.
+// newResponse returns a Response with the head of resp, without hop-by-hop fields. It takes over resp.Header.
 func (a *attempt) newResponse(resp *http.Response) *Response {
 	h := resp.Header
 	r := &Response{
@@ -118,7 +118,7 @@
 	}
 	r.Load, r.HasLoad = parseLoad(h.Get(HeaderServerLoad))
 	r.WarmupLeft, r.HasWarmup = parseWarmup(h[HeaderWarmup])
-	a.idleTimeout = a.pool.idleTimeout(h)
+	a.idleTimeout = a.pool.parseIdleTimeout(h)
 	StripHopByHop(h)
 	delete(h, "Content-Length")
 	return r
@@ -129,13 +129,13 @@
 		return 0, false
 	}
 	ms, err := strconv.ParseFloat(values[0], 64)
-	if inRange := ms >= 0 && ms < maxWarmupMillis; err != nil || !inRange { // NaN is out of range too
+	if inRange := ms >= 0 && ms < maxWarmupMillis; err != nil || !inRange { // NaN fails inRange
 		return 0, false
 	}
 	return time.Duration(ms * float64(time.Millisecond)), true
 }
 
-// parseLoad reads "running,queued,capacity".
+// parseLoad parses "running,queued,capacity".
 func parseLoad(s string) (l Load, ok bool) {
 	running, rest, ok1 := strings.Cut(s, ",")
 	queued, capacity, ok2 := strings.Cut(rest, ",")
@@ -155,7 +155,7 @@
 	return l, true
 }
 
-// hopByHopHeaders concern one connection only (RFC 9110, 7.6.1).
+// hopByHopHeaders lists the fields that apply to a single connection (RFC 9110, 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection",
 	"Keep-Alive",
@@ -169,7 +169,7 @@
 	"Upgrade",
 }
 
-// StripHopByHop removes the fields that concern only one connection, those that Connection names included.
+// StripHopByHop removes the hop-by-hop fields from h, including those that the Connection field lists.
 func StripHopByHop(h http.Header) {
 	for _, value := range h["Connection"] {
 		for value != "" {
--- a/internal/proxy/upstream/sender.go
+++ b/internal/proxy/upstream/sender.go
@@ -7,30 +7,30 @@
 
 const (
 	senderBufferBytes = 32 << 10
-	chunkPrefixBytes  = 8 // six hexadecimal digits and a line end
-	chunkSuffixBytes  = 2 // a line end
+	chunkPrefixBytes  = 8 // six hexadecimal digits and CRLF
+	chunkSuffixBytes  = 2 // CRLF
 	lastChunk         = "0\r\n\r\n"
 )
 
-// sender writes a stream beside the reading of the response: an endpoint may respond, or reject the request, before it
-// has read all. A nil sender had nothing to write.
-type sender struct {
-	done      chan struct{} // closed at the end; the errors are set before
-	onSent    func()        // called once all is written
-	streamErr error         // the stream broke off
-	writeErr  error         // the connection did
+// bodySender writes a streamed request body while the response is read, because an endpoint may respond before it has
+// read the whole body. A nil bodySender is done.
+type bodySender struct {
+	done      chan struct{} // closed when the sender stops; the errors are set before
+	onSent    func()        // called after the whole body is written
+	streamErr error         // error of reading the stream
+	writeErr  error         // error of writing to the connection
 }
 
-// startSender begins to write a stream. length is its bytes; negative: unknown, sent in chunks. onSent is called once
-// all is written.
-func startSender(to net.Conn, stream io.Reader, length int64, onSent func()) *sender {
-	s := &sender{done: make(chan struct{}), onSent: onSent}
+// startBodySender starts to write a stream of the given length. A negative length means that it is unknown, and the
+// body is sent in chunks.
+func startBodySender(to net.Conn, stream io.Reader, length int64, onSent func()) *bodySender {
+	s := &bodySender{done: make(chan struct{}), onSent: onSent}
 	go s.run(to, stream, length)
 	return s
 }
 
-// isDone reports whether all has been written.
-func (s *sender) isDone() bool {
+// isDone reports whether the whole body is written.
+func (s *bodySender) isDone() bool {
 	if s == nil {
 		return true
 	}
@@ -42,8 +42,8 @@
 	}
 }
 
-// streamFailure is how the stream broke off, nil if it has not.
-func (s *sender) streamFailure() error {
+// streamError returns the error of reading the stream, or nil if there is none so far.
+func (s *bodySender) streamError() error {
 	if s == nil {
 		return nil
 	}
@@ -55,26 +55,25 @@
 	}
 }
 
-// run writes the stream. The endpoint must see that a body broke off, and the end of the connection is the only way to
-// say so. When the endpoint takes no more, its response may still be read.
-func (s *sender) run(to net.Conn, stream io.Reader, length int64) {
+// run writes the stream. If the stream fails, it closes the connection, so that the endpoint detects the truncated
+// body. If a write fails, it leaves the connection open, because the endpoint's response may still be readable.
+func (s *bodySender) run(to net.Conn, stream io.Reader, length int64) {
 	if length < 0 {
 		s.copyChunked(to, stream)
 	} else {
 		s.copyBytes(to, stream, length)
 	}
-	brokeOff := s.streamErr != nil
-	if !brokeOff && s.writeErr == nil {
+	if s.streamErr == nil && s.writeErr == nil {
 		s.onSent()
 	}
 	close(s.done)
-	if brokeOff {
-		_ = to.Close() // whatever it says, nothing more is sent
+	if s.streamErr != nil {
+		_ = to.Close() // fails only if the connection is closed already
 	}
 }
 
-// copyBytes copies by hand: io.Copy would ask the kernel to splice where it can.
-func (s *sender) copyBytes(to net.Conn, stream io.Reader, left int64) {
+// copyBytes copies length bytes without io.Copy, which would try to use splice.
+func (s *bodySender) copyBytes(to net.Conn, stream io.Reader, left int64) {
 	buf := make([]byte, senderBufferBytes)
 	for left > 0 && s.writeErr == nil {
 		n, err := stream.Read(buf[:min(int64(len(buf)), left)])
@@ -92,7 +91,7 @@
 	}
 }
 
-func (s *sender) copyChunked(to net.Conn, stream io.Reader) {
+func (s *bodySender) copyChunked(to net.Conn, stream io.Reader) {
 	buf := make([]byte, senderBufferBytes)
 	for s.writeErr == nil {
 		n, err := stream.Read(buf[chunkPrefixBytes : len(buf)-chunkSuffixBytes])
@@ -112,7 +111,7 @@
 	}
 }
 
-// frameChunk writes the frame of a chunk of n bytes that stands behind the prefix of buf.
+// frameChunk adds the prefix and suffix of a chunk to n bytes of data at buf[chunkPrefixBytes:].
 func frameChunk(buf []byte, n int) []byte {
 	const hexDigits = "0123456789abcdef"
 	size := n
