--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -13,57 +13,58 @@
 )
 
 const (
-	// maxBufferedBody is how much of a request's body is buffered, so that it can be sent again.
-	maxBufferedBody = 128 << 10
-	firstBodyBuffer = 4096
+	// maxBufferedBody is the largest request body, in bytes, that is buffered whole and can therefore be sent again.
+	maxBufferedBody   = 128 << 10
+	initialBodyBuffer = 4096
 )
 
-// requestBody is the body of a client's request: buffered whole, or its start buffered and the rest streamed.
+// requestBody is the body of a client request. Of a body longer than maxBufferedBody, the start is buffered and the
+// rest is streamed.
 type requestBody struct {
 	buffered     []byte  // nil: there is no body
-	isComplete   bool    // buffered is all of it
-	stream       *upload // what follows buffered; nil: nothing that is wanted
-	streamLength int64   // its bytes; negative: unknown
+	isComplete   bool    // buffered holds the whole body
+	stream       *upload // the part after buffered; nil: there is none to forward
+	streamLength int64   // bytes in stream; negative: unknown
 }
 
-// stallTime is how long the endpoint of a streamed body may take for a part of it until the client's connection is read
-// ahead: only then does it show that the client leaves meanwhile.
-const stallTime = 50 * time.Millisecond
+// uploadStallTimeout is how long an endpoint may leave a streamed body unread before the proxy reads ahead on the
+// client's connection. A disconnect of the client is detected only while something reads that connection.
+const uploadStallTimeout = 50 * time.Millisecond
 
-// errClientDisconnected ends a body whose client has left: what is still there of it is not passed on.
-var errClientDisconnected = errors.New("the client has left")
+// errClientDisconnected ends a streamed body whose client has disconnected.
+var errClientDisconnected = errors.New("client disconnected")
 
-// upload is the streamed part of a body. Its reader may be active when the response is there.
+// upload is the streamed part of a request body. The upstream connection may still read it when the response arrives.
 type upload struct {
 	io.Reader
-	conn  *clientConn   // nil: the request came by none of this package
-	probe *socket.Probe // of conn
-	stall *time.Timer   // fires when nobody has read on for stallTime
-	done  atomic.Bool   // it was read to its end
-	left  int64         // bytes that its length promises; negative: unknown
+	conn       *clientConn   // nil: the connection was not accepted by this package
+	probe      *socket.Probe // of conn
+	stallTimer *time.Timer   // fires uploadStallTimeout after the last read
+	done       atomic.Bool   // the body was read to its end
+	remaining  int64         // unread bytes of the declared length; negative: unknown
 }
 
-// Read notes the end of the stream. The client's leaving shows here before the last of what it sent is passed on: with
-// that, the endpoint would begin to work.
+// Read checks for a client disconnect before it returns data, because an endpoint starts to work on a request once the
+// last bytes of its body arrive.
 func (u *upload) Read(b []byte) (int, error) {
-	u.stall.Stop()
+	u.stallTimer.Stop()
 	n, err := u.Reader.Read(b)
 	if u.probe.HasPeerClosed() {
 		u.conn.onDisconnect()
 		return 0, errClientDisconnected
 	}
-	if u.left >= 0 {
-		u.left -= int64(n)
+	if u.remaining >= 0 {
+		u.remaining -= int64(n)
 	}
-	isEnd := err == io.EOF || u.left == 0
+	isEnd := err == io.EOF || u.remaining == 0
 	u.done.Store(isEnd)
 	if err == nil && !isEnd {
-		u.stall.Reset(stallTime)
+		u.stallTimer.Reset(uploadStallTimeout)
 	}
 	return n, err
 }
 
-// bufferBody reads the body, whole up to maxBufferedBody.
+// bufferBody buffers up to maxBufferedBody of the body and sets up streaming of the rest.
 func (q *clientRequest) bufferBody() apierror.Kind {
 	r := q.request
 	q.body.isComplete = r.ContentLength == 0 || r.Body == nil || r.Body == http.NoBody
@@ -72,7 +73,7 @@
 	}
 	reader := http.MaxBytesReader(nil, r.Body, q.config.Limits.BodyBytes)
 	control := http.NewResponseController(q.writer)
-	_ = control.SetReadDeadline(q.deadline) // fails only on a closed connection, which the reader shows
+	_ = control.SetReadDeadline(q.deadline) // fails only on a closed connection, where reading fails too
 	var err error
 	q.body.buffered, q.body.isComplete, err = readUpTo(reader, maxBufferedBody, r.ContentLength)
 	var tooLarge *http.MaxBytesError
@@ -92,14 +93,14 @@
 	return apierror.Malformed
 }
 
-// readUpTo reads until maxBytes are there or the reader ends; isComplete says that it ended. length is what the
-// reader is expected to have; negative: unknown.
+// readUpTo reads until it has maxBytes or the reader ends; isComplete reports that the reader ended. length is the
+// expected length; negative: unknown.
 func readUpTo(reader io.Reader, maxBytes int, length int64) (buf []byte, isComplete bool, err error) {
 	expected := maxBytes
 	if length >= 0 && length <= int64(maxBytes) {
 		expected = int(length)
 	}
-	buf = make([]byte, 0, min(expected, firstBodyBuffer))
+	buf = make([]byte, 0, min(expected, initialBodyBuffer))
 	for len(buf) < maxBytes {
 		if len(buf) == cap(buf) {
 			buf = append(buf, 0)[:len(buf)]
@@ -116,25 +117,25 @@
 	return buf, false, nil
 }
 
-// streamRest has what follows the buffered part streamed.
+// streamRest sets up streaming of the body from reader.
 func (q *clientRequest) streamRest(reader io.Reader) {
 	b := &q.body
 	b.streamLength = -1
 	if length := q.request.ContentLength; length >= 0 {
 		b.streamLength = length - int64(len(b.buffered))
 	}
-	u := &upload{Reader: reader, conn: q.conn, left: b.streamLength}
+	u := &upload{Reader: reader, conn: q.conn, remaining: b.streamLength}
 	if u.conn == nil {
-		u.stall = time.AfterFunc(stallTime, func() {})
+		u.stallTimer = time.AfterFunc(uploadStallTimeout, func() {})
 	} else {
 		u.probe = socket.NewProbe(u.conn.Conn)
-		u.stall = time.AfterFunc(stallTime, u.conn.ahead.begin)
+		u.stallTimer = time.AfterFunc(uploadStallTimeout, u.conn.ahead.start)
 	}
 	b.stream = u
 	u.done.Store(b.streamLength == 0)
 }
 
-// isRead reports whether the client's body was read to its end.
-func (q *clientRequest) isRead() bool {
+// isBodyRead reports whether the client's body was read to its end.
+func (q *clientRequest) isBodyRead() bool {
 	return q.body.isComplete || q.request.ContentLength == 0 || q.body.stream != nil && q.body.stream.done.Load()
 }
--- a/internal/proxy/clients.go
+++ b/internal/proxy/clients.go
@@ -15,75 +15,75 @@
 )
 
 const (
-	// Limits of a client's connection before a configuration is known.
+	// Timeouts of client connections while no configuration is known.
 	initialHeaderTimeout = 3 * time.Second
 	initialIdleTimeout   = 15 * time.Second
-	// maxServerHeaderBytes is above what any configuration allows: parseHead holds to that.
+	// maxServerHeaderBytes exceeds the limit of any valid configuration; parseHead enforces the configured one.
 	maxServerHeaderBytes = 1 << 20
 )
 
-// connPhase is what a client's connection is doing.
+// connPhase is the state of a client connection.
 type connPhase int32
 
 const (
-	phaseHeader connPhase = iota // from the first byte that is awaited to the end of the header
-	phaseActive                  // a request is handled
-	phaseIdle                    // between requests
+	phaseHeader connPhase = iota // waiting for the first byte of a request, or reading its header
+	phaseActive                  // handling a request
+	phaseIdle                    // waiting between requests
 )
 
-// clientConn bounds how long a client may take or stay idle, by the limits that are committed when it begins to:
-// http.Server's own fields cannot change while connections are open. The server sets no deadline (the zero time) at
-// three moments: when it waits for the next request, when that begins, and when it ends reading in the background.
+// clientConn is a client connection whose read deadlines follow the current configuration: the timeouts of http.Server
+// cannot change while connections are open. The server clears the deadline when it starts to wait for the next request,
+// when that request begins, and when it ends a background read. SetReadDeadline then sets the deadline of the phase.
 //
-// Embedding the interface hides ReadFrom of the net.TCPConn underneath: the platform has no sendfile or splice.
+// Embedding the net.Conn interface hides net.TCPConn.ReadFrom: the platform has no sendfile or splice.
 type clientConn struct {
 	net.Conn
 	proxy  *Proxy
 	ahead  readAhead
-	probe  *socket.Probe      // of the goroutine that handles a request
-	ctx    context.Context    // of all its requests: it ends when the client is seen to leave
-	cancel context.CancelFunc // ends ctx
-	// forwarding is the request that is to be told when the client is seen to leave; nil: none is.
-	forwarding atomic.Pointer[forwarding]
-	phase      atomic.Int32 // a connPhase
-	closed     atomic.Bool
+	probe  *socket.Probe      // used by the goroutine that handles a request
+	ctx    context.Context    // of all requests on the connection; canceled when the client disconnects
+	cancel context.CancelFunc // cancels ctx
+	// inFlight is the request to notify when the client disconnects; nil: none.
+	inFlight atomic.Pointer[forwardedRequest]
+	phase    atomic.Int32 // a connPhase
+	closed   atomic.Bool
 }
 
 func newClientConn(netConn net.Conn, p *Proxy) *clientConn {
 	c := &clientConn{Conn: netConn, proxy: p, probe: socket.NewProbe(netConn)}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
-	c.ahead.conn, c.ahead.onDisconnect, c.ahead.total = netConn, c.onDisconnect, &p.readAheadBytes
+	c.ahead.conn, c.ahead.onDisconnect, c.ahead.totalBuffered = netConn, c.onDisconnect, &p.readAheadBytes
 	return c
 }
 
-// backgroundReadBytes is how much http.Server asks for when it looks for the end of a connection during a request.
+// backgroundReadBytes is the size of the reads with which http.Server watches a connection during a request.
 const backgroundReadBytes = 1
 
-// Read reads what was read ahead first. With the byte that a read in the background gets, http.Server stops looking for
-// the end of the connection: from there on it is read ahead. An end that any reader meets is the client's leaving; a
-// deadline is none, while http.Server cancels the contexts of its requests after that too.
+// Read returns the bytes that were read ahead first. Once a background read returns a byte, http.Server stops watching
+// the connection, so Read starts to read ahead. An error counts as a disconnect of the client unless it is a timeout;
+// http.Server cancels the contexts of requests after a timeout too, so these contexts are not used.
 func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.ahead.read(b)
 	if err != nil && !isTimeout(err) {
 		c.onDisconnect()
 	}
 	if n == backgroundReadBytes && len(b) == backgroundReadBytes {
-		c.ahead.begin()
+		c.ahead.start()
 	}
 	return n, err
 }
 
-// onDisconnect is called when the client is seen to leave, and may be called again.
+// onDisconnect is called when a disconnect of the client is detected, possibly more than once.
 func (c *clientConn) onDisconnect() {
 	c.cancel()
-	if f := c.forwarding.Swap(nil); f != nil {
+	if f := c.inFlight.Swap(nil); f != nil {
 		c.proxy.onClientDisconnect(f)
 	}
 }
 
 func (c *clientConn) setPhase(phase connPhase) { c.phase.Store(int32(phase)) }
 
-// SetReadDeadline sets the deadline of the phase in place of no deadline.
+// SetReadDeadline replaces the zero time with the deadline of the current phase.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	if t.IsZero() {
 		t = c.phaseDeadline()
@@ -107,47 +107,47 @@
 	return time.Time{}
 }
 
-// Close counts the connection off, once.
+// Close closes the connection and, on the first call, removes it from the connection count.
 func (c *clientConn) Close() error {
 	if c.closed.CompareAndSwap(false, true) {
-		c.proxy.clients.Add(-1)
+		c.proxy.clientConns.Add(-1)
 		c.ahead.release()
 		c.onDisconnect()
 	}
 	return c.Conn.Close()
 }
 
-// clientListener accepts as many connections as the process may have.
+// clientListener limits the number of open client connections.
 type clientListener struct {
 	net.Listener
 	proxy *Proxy
 }
 
-// Accept closes connections beyond the limit at once.
+// Accept closes connections over the limit at once.
 func (l clientListener) Accept() (net.Conn, error) {
 	for {
 		netConn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if l.proxy.clients.Add(1) > l.proxy.maxClients {
-			l.proxy.clients.Add(-1)
+		if l.proxy.clientConns.Add(1) > l.proxy.maxClientConns {
+			l.proxy.clientConns.Add(-1)
 			_ = netConn.Close() // nothing was read from it
 			continue
 		}
 		c := newClientConn(netConn, l.proxy)
-		_ = c.SetReadDeadline(time.Time{}) // the server sets none before the first request
+		_ = c.SetReadDeadline(time.Time{}) // http.Server sets no deadline before the first request
 		return c, nil
 	}
 }
 
-// Serve handles clients' connections until Shutdown.
+// Serve handles client connections until Shutdown.
 func (p *Proxy) Serve(l net.Listener) error {
 	return p.server.Serve(clientListener{l, p})
 }
 
-// newServer makes the server of clients' connections. Every path and method is handled as it came; nothing is
-// cleaned or redirected.
+// newServer returns the HTTP server for clients. Requests of every method and path reach handle unchanged: no path is
+// cleaned and no client redirected.
 func (p *Proxy) newServer() *http.Server {
 	mux := chi.NewRouter()
 	mux.NotFound(p.handle)
@@ -157,20 +157,20 @@
 		MaxHeaderBytes:               maxServerHeaderBytes,
 		DisableGeneralOptionsHandler: true,
 		ErrorLog:                     p.log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
-		ConnState:                    followPhase,
-		ConnContext:                  withClientConn,
+		ConnState:                    updatePhase,
+		ConnContext:                  contextWithConn,
 	}
 }
 
-// connKey is the key of a request's *clientConn in its context.
+// connKey is the context key for the *clientConn of a request.
 type connKey struct{}
 
-// withClientConn lets the requests of a connection find it.
-func withClientConn(ctx context.Context, netConn net.Conn) context.Context {
+// contextWithConn stores the connection in the context of its requests.
+func contextWithConn(ctx context.Context, netConn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, netConn)
 }
 
-func followPhase(netConn net.Conn, state http.ConnState) {
+func updatePhase(netConn net.Conn, state http.ConnState) {
 	c, ok := netConn.(*clientConn)
 	if !ok {
 		return
--- a/internal/proxy/configuration.go
+++ b/internal/proxy/configuration.go
@@ -11,7 +11,7 @@
 	"elmfold/internal/proxy/balancer"
 )
 
-// fetchRetryInterval is when a configuration that did not come is fetched from another node.
+// fetchRetryInterval is how long the proxy waits for a requested configuration before it asks another node.
 const fetchRetryInterval = 400 * time.Millisecond
 
 func (p *Proxy) onRegisterUpdate(now time.Duration, n *node, u *rpc.RegisterUpdate) {
@@ -31,15 +31,16 @@
 	p.fetchConfiguration(now)
 }
 
-// applyConfiguration takes over a committed configuration. What was once in use here never gives way to an older one,
-// whoever says so; of two bodies under one version, all keep the same.
+// applyConfiguration applies a committed configuration that is newer than the current one. The proxy never returns to
+// an older version, whichever node reports it as committed. Versions are totally ordered, so all proxies settle on the
+// same one.
 func (p *Proxy) applyConfiguration(now time.Duration, n *node, r rpc.Register) {
 	trusted := mayTrustCommitted(now, p.firstMessageAt, p.config.Load() != nil, n.quorum.lost)
 	if !trusted || !p.configVersion.Less(r.Version) {
 		return
 	}
 	next, err := routeconfig.Parse(r.Value)
-	if err != nil { // it was checked before it was proposed
+	if err != nil { // the control plane validates a configuration before it proposes it
 		p.log.Error("committed configuration cannot be parsed", logfield.Error, err)
 		return
 	}
@@ -48,8 +49,7 @@
 			b.ConfigureService(s.Name, s.MaxConns, s.SlowStartRate, s.SlowStart)
 		}
 	})
-	// A proxy that has just started may know that a zone has recovered before it knows for how long its endpoints are in
-	// slow start.
+	// A newly started proxy may learn that a zone has recovered before it knows the slow-start duration of its services.
 	for _, e := range p.endpoints {
 		if _, recovered := p.recoveredZones[e.Zone]; recovered {
 			p.updateBalancer(now, e)
@@ -60,7 +60,7 @@
 	p.log.Info("configuration applied", logfield.Version, next.Version)
 }
 
-// applyEvacuation takes over whether a zone is evacuated.
+// applyEvacuation applies a committed value that says whether a zone is evacuated.
 func (p *Proxy) applyEvacuation(now time.Duration, zone string, r rpc.Register) {
 	if !p.evacuations[zone].Version.Less(r.Version) {
 		return
@@ -73,7 +73,7 @@
 	case wasEvacuated:
 		p.recoveredZones[zone] = now
 	default:
-		p.recoveredZones[zone] = now - p.sinceOrder(r)
+		p.recoveredZones[zone] = now - p.evacuationAge(r)
 	}
 	for _, e := range p.endpoints {
 		if e.Zone == zone {
@@ -82,10 +82,10 @@
 	}
 }
 
-// sinceOrder is how long ago an evacuation was ordered. A proxy that has just started has not seen the zone
-// evacuated, whose endpoints may have gone into slow start since. The order's version is the time of day, a hint
-// that is enough here.
-func (p *Proxy) sinceOrder(r rpc.Register) time.Duration {
+// evacuationAge returns how long ago the register of a zone was written. A newly started proxy has not seen the zone
+// evacuated, but endpoints of the zone may still be in slow start. The version number is the wall-clock time of the
+// write, which is accurate enough here.
+func (p *Proxy) evacuationAge(r rpc.Register) time.Duration {
 	ms := p.options.Clock.Now().UnixMilli() - int64(r.Version.Number)
 	return max(time.Duration(ms)*time.Millisecond, 0)
 }
@@ -94,13 +94,12 @@
 	return consensus.IsEvacuated(p.evacuations[zone].Value)
 }
 
-// fetchConfiguration fetches the newest committed configuration, from one of the nodes that said that it is: with
-// quorum contact, the nearest, and another one each time that no answer came. The nearest one may be cut off from
-// the others, and have only an older one.
+// fetchConfiguration requests the newest committed configuration from a node that reported it as committed. Each retry
+// asks another node: the nearest one may be partitioned from its peers and have only an older version.
 func (p *Proxy) fetchConfiguration(now time.Duration) {
-	p.noteWantedVersion(now)
-	waits := p.fetchedAt >= 0 && now < p.fetchedAt+fetchRetryInterval
-	if !p.configVersion.Less(p.wantedVersion) || waits {
+	p.updateWantedVersion(now)
+	isWaiting := p.fetchedAt >= 0 && now < p.fetchedAt+fetchRetryInterval
+	if !p.configVersion.Less(p.wantedVersion) || isWaiting {
 		return
 	}
 	var best *node
@@ -121,7 +120,8 @@
 	}
 }
 
-func (p *Proxy) noteWantedVersion(now time.Duration) {
+// updateWantedVersion sets the wanted version to the newest one that a trusted node reports as committed.
+func (p *Proxy) updateWantedVersion(now time.Duration) {
 	for _, n := range p.nodes {
 		trusted := mayTrustCommitted(now, p.firstMessageAt, p.config.Load() != nil, n.quorum.lost)
 		if !trusted || !p.wantedVersion.Less(n.committed) {
@@ -134,7 +134,8 @@
 	}
 }
 
-// isPreferredTo reports whether a node is rather to be asked than another: with quorum contact first, then of the zone.
+// isPreferredTo reports whether to request a configuration from n rather than from other: nodes with quorum contact
+// come first, then nodes of the given zone.
 func (n *node) isPreferredTo(other *node, zone string) bool {
 	if n.quorum.lost != other.quorum.lost {
 		return !n.quorum.lost
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -18,53 +18,55 @@
 // after that. Each row is a wait in which a client may leave.
 
 const (
-	longWork = 3 * time.Second
-	// noticeTime is more than a client's close and the end of the attempt are under way.
-	noticeTime = 20 * time.Millisecond
+	longWork       = 3 * time.Second
+	megabyteLimits = `"maxHeaderBytes":2000,"maxBodyBytes":1000000`
+	uploadLimits   = `"maxHeaderBytes":2000,"maxBodyBytes":9000000`
+	// disconnectLatency is more than a client's close and the end of the attempt are under way.
+	disconnectLatency = 20 * time.Millisecond
 )
 
 // workLog is what the endpoints of a test saw of their work.
 type workLog struct {
-	mu    sync.Mutex
-	begun map[string]time.Time
-	cut   map[string]time.Time // when the connection ended before the work
-	done  map[string]bool      // worked at to its end
+	mu          sync.Mutex
+	started     map[string]time.Time
+	interrupted map[string]time.Time // when the connection ended before the work
+	finished    map[string]bool      // worked at to its end
 }
 
 func newWorkLog() *workLog {
-	return &workLog{begun: map[string]time.Time{}, cut: map[string]time.Time{}, done: map[string]bool{}}
+	return &workLog{started: map[string]time.Time{}, interrupted: map[string]time.Time{}, finished: map[string]bool{}}
 }
 
-func (l *workLog) note(f func()) {
+func (l *workLog) withLock(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
 }
 
 // work is done for a while, unless the connection ends: then it is cut, as most endpoints drop such a request.
-func (l *workLog) work(s *stage, span time.Duration, before ...act) act {
-	return s.works(func(c net.Conn, r seen) error {
-		l.note(func() { l.begun[r.id] = time.Now() })
-		if err := then(before...)(c, r); err != nil {
+func (l *workLog) work(s *harness, span time.Duration, before ...respondFunc) respondFunc {
+	return s.countExecutions(func(c net.Conn, r receivedRequest) error {
+		l.withLock(func() { l.started[r.id] = time.Now() })
+		if err := inSequence(before...)(c, r); err != nil {
 			return err
 		}
 		_ = c.SetReadDeadline(time.Now().Add(span))
 		_, err := c.Read(make([]byte, 1))
 		if netErr, ok := err.(net.Error); !ok || !netErr.Timeout() { //nolint:errorlint // as Read returns it
-			l.note(func() { l.cut[r.id] = time.Now() })
+			l.withLock(func() { l.interrupted[r.id] = time.Now() })
 			return io.ErrClosedPipe
 		}
 		_ = c.SetReadDeadline(time.Time{})
-		l.note(func() { l.done[r.id] = true })
-		return own(c, r)
+		l.withLock(func() { l.finished[r.id] = true })
+		return respondWithID(c, r)
 	})
 }
 
-// figure is one of the proxy's own.
-func (s *stage) figure(t *testing.T, name string) int {
+// metric is one of the proxy's own.
+func (s *harness) metric(t *testing.T, name string) int {
 	t.Helper()
 	w := httptest.NewRecorder()
-	s.carrier.Metrics().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
+	s.proxy.Metrics().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	found := regexp.MustCompile(`(?m)^` + name + ` (\d+)$`).FindStringSubmatch(w.Body.String())
 	if found == nil {
 		t.Fatalf("there is no figure %s in\n%s", name, w.Body)
@@ -76,36 +78,36 @@
 	return n
 }
 
-// onStage plays a test and holds it against the invariants.
-func onStage(t *testing.T, f func(t *testing.T, s *stage, l *workLog)) {
+// runDisconnectTest plays a test and holds it against the invariants.
+func runDisconnectTest(t *testing.T, f func(t *testing.T, s *harness, l *workLog)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := enter(1)
+		s := newHarness(1)
 		time.Sleep(5*time.Second + 100*time.Millisecond)
 		f(t, s, newWorkLog())
 		time.Sleep(10 * time.Second)
-		if n := s.figure(t, "elmfold_attempts_in_flight"); n != 0 {
+		if n := s.metric(t, "elmfold_attempts_in_flight"); n != 0 {
 			t.Errorf("%d attempts hold a place at an endpoint, and nobody asks", n)
 		}
-		s.sound(t)
-		_ = s.end()
+		s.checkInvariants(t)
+		_ = s.stop()
 	})
 }
 
-// departure is one row: what is sent, and what must hold once the client has left.
-type departure struct {
-	name   string
-	send   func(k *caller, s *stage) (id string) // the request that is looked at
-	reset  bool                                  // the client resets its connection
-	before []act                                 // what the endpoint says first
-	runsOn bool                                  // it may be executed once only: it is worked at to its end
-	behind bool                                  // a second request waits behind it, and must never arrive
+// disconnectCase is one row: what is sent, and what must hold once the client has left.
+type disconnectCase struct {
+	name       string
+	send       func(k *rawClient, s *harness) (id string) // the request that is looked at
+	reset      bool                                       // the client resets its connection
+	beforeWork []respondFunc                              // what the endpoint says first
+	mustFinish bool                                       // it may be executed once only: it is worked at to its end
+	pipelined  bool                                       // a second request waits behind it, and must never arrive
 }
 
-func simple(method, path, more, body string) func(k *caller, s *stage) string {
-	return func(k *caller, s *stage) string {
-		id := s.id()
-		k.send(head(method, path, id, more))
+func sendRequest(method, path, more, body string) func(k *rawClient, s *harness) string {
+	return func(k *rawClient, s *harness) string {
+		id := s.nextID()
+		k.send(requestHead(method, path, id, more))
 		if body != "" {
 			k.send(body)
 		}
@@ -113,14 +115,14 @@
 	}
 }
 
-// playDeparture lets a client leave while an endpoint works.
-func playDeparture(t *testing.T, row departure) {
-	onStage(t, func(t *testing.T, s *stage, l *workLog) {
-		s.cores[0].has(conf{version: 1, limits: `"maxHeaderBytes":2000,"maxBodyBytes":1000000`, routes: both("alpha")})
-		s.backend("alpha", "north", l.work(s, longWork, row.before...))
-		k := s.caller(t)
+// runDisconnectCase lets a client leave while an endpoint works.
+func runDisconnectCase(t *testing.T, row disconnectCase) {
+	runDisconnectTest(t, func(t *testing.T, s *harness, l *workLog) {
+		s.nodes[0].commitConfig(testConfig{version: 1, limits: megabyteLimits, routes: bothRoutes("alpha")})
+		s.addEndpoint("alpha", "north", l.work(s, longWork, row.beforeWork...))
+		k := s.newRawClient(t)
 		id := row.send(k, s)
-		behind := fmt.Sprintf("t%d", s.asked)
+		behind := fmt.Sprintf("t%d", s.requestCount)
 		time.Sleep(200 * time.Millisecond)
 		if row.reset {
 			s.net.Reset("10.0.9.1")
@@ -130,76 +132,76 @@
 		time.Sleep(longWork + time.Second)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if l.begun[id].IsZero() {
+		if l.started[id].IsZero() {
 			t.Fatalf("the request did not arrive")
 		}
-		cutAt, isCut := l.cut[id]
+		cutAt, isCut := l.interrupted[id]
 		switch {
-		case row.runsOn && !l.done[id]:
+		case row.mustFinish && !l.finished[id]:
 			t.Errorf("a request that may be executed once only was broken off")
-		case !row.runsOn && !isCut:
-			t.Errorf("the endpoint worked on for a client that had left: %v", l.done[id])
-		case !row.runsOn && cutAt.Sub(left) > noticeTime:
+		case !row.mustFinish && !isCut:
+			t.Errorf("the endpoint worked on for a client that had left: %v", l.finished[id])
+		case !row.mustFinish && cutAt.Sub(left) > disconnectLatency:
 			t.Errorf("the endpoint worked on for %v", cutAt.Sub(left))
 		}
-		if row.behind && !l.begun[behind].IsZero() {
-			t.Errorf("the request behind it arrived %v after the client had left", l.begun[behind].Sub(left))
+		if row.pipelined && !l.started[behind].IsZero() {
+			t.Errorf("the request behind it arrived %v after the client had left", l.started[behind].Sub(left))
 		}
-		if n := s.figure(t, "elmfold_client_disconnects_total"); n != 1 {
+		if n := s.metric(t, "elmfold_client_disconnects_total"); n != 1 {
 			t.Errorf("%d clients were seen to leave", n)
 		}
 	})
 }
 
-func playDepartures(t *testing.T, rows []departure) {
+func runDisconnectCases(t *testing.T, rows []disconnectCase) {
 	for _, row := range rows {
-		t.Run(row.name, func(t *testing.T) { playDeparture(t, row) })
+		t.Run(row.name, func(t *testing.T) { runDisconnectCase(t, row) })
 	}
 }
 
-func TestClientLeaves(t *testing.T) {
-	t.Run("during work", testLeavesDuringWork)
-	t.Run("behind unread bytes", testLeavesBehindUnreadBytes)
-	t.Run("during a stalled upload", testLeavesDuringStalledUpload)
-	t.Run("before the attempt", testLeavesBeforeTheAttempt)
+func TestClientDisconnect(t *testing.T) {
+	t.Run("during work", testDisconnectDuringWork)
+	t.Run("behind unread bytes", testDisconnectBehindUnreadBytes)
+	t.Run("during a stalled upload", testDisconnectDuringStalledUpload)
+	t.Run("before the attempt", testDisconnectBeforeAttempt)
 }
 
 // A client leaves while an endpoint is at work, and nothing of it is unread.
-func testLeavesDuringWork(t *testing.T) {
+func testDisconnectDuringWork(t *testing.T) {
 	const flows = "HTTP/1.1 200 OK\r\nX-Elmfold-Attempt-Id: ID\r\nX-Elmfold-Server-Seal: s\r\n" +
 		"Content-Length: 200000\r\n\r\n"
-	playDepartures(t, []departure{
-		{name: "before the head", send: simple("GET", "/alpha/", "", "")},
-		{name: "by a reset", send: simple("GET", "/alpha/", "", ""), reset: true},
-		{name: "with a body", send: simple("PUT", "/alpha/", "Content-Length: 2\n", "hi")},
+	runDisconnectCases(t, []disconnectCase{
+		{name: "before the head", send: sendRequest("GET", "/alpha/", "", "")},
+		{name: "by a reset", send: sendRequest("GET", "/alpha/", "", ""), reset: true},
+		{name: "with a body", send: sendRequest("PUT", "/alpha/", "Content-Length: 2\n", "hi")},
 		{
 			name: "with a body over what is buffered",
-			send: simple("PUT", "/alpha/", "Content-Length: 200000\n", strings.Repeat("x", 200000)),
+			send: sendRequest("PUT", "/alpha/", "Content-Length: 200000\n", strings.Repeat("x", 200000)),
 		},
-		{name: "with a body in chunks", send: simple("PUT", "/alpha/", chunks+"\n", "2\nhi\n0\n\n")},
+		{name: "with a body in chunks", send: sendRequest("PUT", "/alpha/", chunkedEncoding+"\n", "2\nhi\n0\n\n")},
 		{
-			name: "in the middle of the head", send: simple("GET", "/alpha/", "", ""),
-			before: []act{raw(flows[:40])},
+			name: "in the middle of the head", send: sendRequest("GET", "/alpha/", "", ""),
+			beforeWork: []respondFunc{respondRaw(flows[:40])},
 		},
 		{
-			name: "in the middle of a body that is buffered", send: simple("GET", "/alpha/", "", ""),
-			before: []act{raw(flows + strings.Repeat("x", 1000))},
+			name: "in the middle of a body that is buffered", send: sendRequest("GET", "/alpha/", "", ""),
+			beforeWork: []respondFunc{respondRaw(flows + strings.Repeat("x", 1000))},
 		},
 		{
-			name: "in the middle of a body that flows", send: simple("GET", "/alpha/", "", ""),
-			before: []act{raw(flows + strings.Repeat("x", 150000))},
+			name: "in the middle of a body that flows", send: sendRequest("GET", "/alpha/", "", ""),
+			beforeWork: []respondFunc{respondRaw(flows + strings.Repeat("x", 150000))},
 		},
-		{name: "once only", send: simple("POST", "/alpha!/", "Content-Length: 2\n", "hi"), runsOn: true},
-		{name: "once only, by a reset", send: simple("POST", "/alpha!/", "", ""), reset: true, runsOn: true},
+		{name: "once only", send: sendRequest("POST", "/alpha!/", "Content-Length: 2\n", "hi"), mustFinish: true},
+		{name: "once only, by a reset", send: sendRequest("POST", "/alpha!/", "", ""), reset: true, mustFinish: true},
 	})
 }
 
 // A client leaves behind bytes that nobody has read: net/http stops watching a connection with the first of them.
-func testLeavesBehindUnreadBytes(t *testing.T) {
-	pipelined := func(method, path string, segments bool) func(k *caller, s *stage) string {
-		return func(k *caller, s *stage) string {
-			id := s.id()
-			first, second := head(method, path, id, ""), head("GET", "/alpha/", s.id(), "")
+func testDisconnectBehindUnreadBytes(t *testing.T) {
+	pipelined := func(method, path string, segments bool) func(k *rawClient, s *harness) string {
+		return func(k *rawClient, s *harness) string {
+			id := s.nextID()
+			first, second := requestHead(method, path, id, ""), requestHead("GET", "/alpha/", s.nextID(), "")
 			if !segments {
 				k.send(first + second)
 				return id
@@ -210,31 +212,31 @@
 			return id
 		}
 	}
-	playDepartures(t, []departure{
-		{name: "a request behind it", send: pipelined("GET", "/alpha/", true), behind: true},
-		{name: "in one segment", send: pipelined("GET", "/alpha/", false), behind: true},
-		{name: "once only", send: pipelined("POST", "/alpha!/", true), runsOn: true, behind: true},
-		{name: "once only, in one segment", send: pipelined("POST", "/alpha!/", false), runsOn: true, behind: true},
-		{name: "once only, with bodies", send: func(k *caller, s *stage) string {
-			id := s.id()
-			k.send(head("POST", "/alpha!/", id, "Content-Length: 300\n") + strings.Repeat("b", 300))
+	runDisconnectCases(t, []disconnectCase{
+		{name: "a request behind it", send: pipelined("GET", "/alpha/", true), pipelined: true},
+		{name: "in one segment", send: pipelined("GET", "/alpha/", false), pipelined: true},
+		{name: "once only", send: pipelined("POST", "/alpha!/", true), mustFinish: true, pipelined: true},
+		{name: "once only, in one segment", send: pipelined("POST", "/alpha!/", false), mustFinish: true, pipelined: true},
+		{name: "once only, with bodies", send: func(k *rawClient, s *harness) string {
+			id := s.nextID()
+			k.send(requestHead("POST", "/alpha!/", id, "Content-Length: 300\n") + strings.Repeat("b", 300))
 			time.Sleep(10 * time.Millisecond)
-			k.send(head("POST", "/alpha!/", s.id(), "Content-Length: 300\n") + strings.Repeat("b", 300))
+			k.send(requestHead("POST", "/alpha!/", s.nextID(), "Content-Length: 300\n") + strings.Repeat("b", 300))
 			return id
-		}, runsOn: true, behind: true},
-		{name: "half of a request", send: func(k *caller, s *stage) string {
-			id := s.id()
-			k.send(head("GET", "/alpha/", id, ""))
+		}, mustFinish: true, pipelined: true},
+		{name: "half of a request", send: func(k *rawClient, s *harness) string {
+			id := s.nextID()
+			k.send(requestHead("GET", "/alpha/", id, ""))
 			time.Sleep(50 * time.Millisecond)
 			k.send("GET /alpha/ HT")
 			return id
 		}},
-		{name: "many requests", send: func(k *caller, s *stage) string {
-			id := s.id()
-			k.send(head("GET", "/alpha/", id, ""))
+		{name: "many requests", send: func(k *rawClient, s *harness) string {
+			id := s.nextID()
+			k.send(requestHead("GET", "/alpha/", id, ""))
 			time.Sleep(50 * time.Millisecond)
 			for range 100 {
-				k.send(head("GET", "/alpha/", "behind", "X-Fill: "+strings.Repeat("x", 300)+"\n"))
+				k.send(requestHead("GET", "/alpha/", "behind", "X-Fill: "+strings.Repeat("x", 300)+"\n"))
 			}
 			return id
 		}},
@@ -242,25 +244,25 @@
 }
 
 // A client leaves while a body flows to an endpoint that does not read it.
-func testLeavesDuringStalledUpload(t *testing.T) {
+func testDisconnectDuringStalledUpload(t *testing.T) {
 	for _, path := range []string{"/alpha/", "/alpha!/"} {
 		t.Run(path, func(t *testing.T) {
-			onStage(t, func(t *testing.T, s *stage, _ *workLog) {
-				s.cores[0].has(conf{version: 1, limits: `"maxHeaderBytes":2000,"maxBodyBytes":9000000`, routes: both("alpha")})
-				stalled := s.backend("alpha", "north", ok)
+			runDisconnectTest(t, func(t *testing.T, s *harness, _ *workLog) {
+				s.nodes[0].commitConfig(testConfig{version: 1, limits: uploadLimits, routes: bothRoutes("alpha")})
+				stalled := s.addEndpoint("alpha", "north", respondOK)
 				s.mu.Lock()
-				s.eager[stalled.ID] = func(net.Conn, seen) error {
+				s.beforeBody[stalled.ID] = func(net.Conn, receivedRequest) error {
 					time.Sleep(4 * time.Second)
 					return io.ErrClosedPipe
 				}
 				s.mu.Unlock()
-				k, id := s.caller(t), s.id()
-				k.send(head("PUT", path, id, "Content-Length: 9000000\n"))
+				k, id := s.newRawClient(t), s.nextID()
+				k.send(requestHead("PUT", path, id, "Content-Length: 9000000\n"))
 				k.send(strings.Repeat("x", 340000)) // more than the endpoint's window
 				time.Sleep(200 * time.Millisecond)
 				_ = k.conn.Close()
 				time.Sleep(500 * time.Millisecond)
-				if n := s.figure(t, "elmfold_attempts_in_flight"); n != 0 {
+				if n := s.metric(t, "elmfold_attempts_in_flight"); n != 0 {
 					t.Errorf("the attempt goes on for a client that has left")
 				}
 			})
@@ -269,35 +271,35 @@
 }
 
 // A client leaves before anything of its request was sent: nothing is sent any more, whatever its kind.
-func testLeavesBeforeTheAttempt(t *testing.T) {
+func testDisconnectBeforeAttempt(t *testing.T) {
 	for _, path := range []string{"/alpha/", "/alpha!/"} {
 		t.Run("while a connection comes up "+path, func(t *testing.T) {
-			onStage(t, func(t *testing.T, s *stage, _ *workLog) {
-				s.cores[0].has(conf{version: 1, routes: both("alpha")})
-				north := s.backend("alpha", "north", s.works(own))
-				s.backend("alpha", "south", s.works(own))
+			runDisconnectTest(t, func(t *testing.T, s *harness, _ *workLog) {
+				s.nodes[0].commitConfig(testConfig{version: 1, routes: bothRoutes("alpha")})
+				north := s.addEndpoint("alpha", "north", s.countExecutions(respondWithID))
+				s.addEndpoint("alpha", "south", s.countExecutions(respondWithID))
 				s.mu.Lock()
-				s.slow[north.Address] = true // a dial is given up after 250 ms
+				s.slowDials[north.Address] = true // a dial is given up after 250 ms
 				s.mu.Unlock()
-				k, id := s.caller(t), s.id()
-				k.send(head("GET", path, id, ""))
+				k, id := s.newRawClient(t), s.nextID()
+				k.send(requestHead("GET", path, id, ""))
 				time.Sleep(100 * time.Millisecond)
 				_ = k.conn.Close()
-				time.Sleep(noticeTime)
-				if n := s.figure(t, "elmfold_attempts_in_flight"); n != 0 {
+				time.Sleep(disconnectLatency)
+				if n := s.metric(t, "elmfold_attempts_in_flight"); n != 0 {
 					t.Errorf("the dial goes on for a client that has left")
 				}
 				time.Sleep(time.Second)
-				if fate := s.fate(id); fate != "came to nobody, ran 0" {
+				if fate := s.deliverySummary(id); fate != "came to nobody, ran 0" {
 					t.Errorf("a request reached an endpoint after its client had left: %s", fate)
 				}
-				k, id = s.caller(t), s.id() // and the endpoint is not taken for a bad one
+				k, id = s.newRawClient(t), s.nextID() // and the endpoint is not taken for a bad one
 				s.mu.Lock()
-				s.slow[north.Address] = false
+				s.slowDials[north.Address] = false
 				s.mu.Unlock()
-				k.send(head("GET", "/alpha/", id, ""))
-				k.hears(id, "GET")
-				if fate := s.fate(id); fate != "came to north, ran 1" {
+				k.send(requestHead("GET", "/alpha/", id, ""))
+				k.receive(id, "GET")
+				if fate := s.deliverySummary(id); fate != "came to north, ran 1" {
 					t.Errorf("the next request: %s", fate)
 				}
 			})
@@ -307,19 +309,19 @@
 
 // A kept connection is answered however long it has rested. Guards against a time to write that was set for the answer
 // before: the next one was cut off by it, and the client heard nothing.
-func TestKeptConnectionIsAnswered(t *testing.T) {
-	onStage(t, func(t *testing.T, s *stage, l *workLog) {
-		s.cores[0].has(conf{version: 1, routes: both("alpha")})
-		s.backend("alpha", "north", l.work(s, time.Millisecond))
+func TestIdleConnectionIsServed(t *testing.T) {
+	runDisconnectTest(t, func(t *testing.T, s *harness, l *workLog) {
+		s.nodes[0].commitConfig(testConfig{version: 1, routes: bothRoutes("alpha")})
+		s.addEndpoint("alpha", "north", l.work(s, time.Millisecond))
 		for _, second := range []string{"/none/", "/alpha/"} {
-			k := s.caller(t)
-			id := s.id()
-			k.send(head("GET", "/alpha/", id, ""))
-			k.hears(id, "GET")
+			k := s.newRawClient(t)
+			id := s.nextID()
+			k.send(requestHead("GET", "/alpha/", id, ""))
+			k.receive(id, "GET")
 			time.Sleep(12 * time.Second)
-			id = s.id()
-			k.send(head("GET", second, id, ""))
-			if heard := k.hears(id, "GET"); heard == "closed" || heard == "nothing" {
+			id = s.nextID()
+			k.send(requestHead("GET", second, id, ""))
+			if heard := k.receive(id, "GET"); heard == "closed" || heard == "nothing" {
 				t.Errorf("%s on a kept connection: %s", second, heard)
 			}
 			_ = k.conn.Close()
@@ -329,21 +331,21 @@
 
 // Guards against an endpoint that is taken for a bad one because clients left in the middle of their bodies: three
 // broken connections in a row would eject it.
-func TestBrokenUploadsAreNotTheEndpoints(t *testing.T) {
-	onStage(t, func(t *testing.T, s *stage, l *workLog) {
-		s.cores[0].has(conf{version: 1, limits: `"maxHeaderBytes":2000,"maxBodyBytes":1000000`, routes: both("alpha")})
-		s.backend("alpha", "north", l.work(s, time.Millisecond))
-		s.backend("alpha", "south", l.work(s, time.Millisecond))
+func TestBrokenUploadsDoNotEjectEndpoint(t *testing.T) {
+	runDisconnectTest(t, func(t *testing.T, s *harness, l *workLog) {
+		s.nodes[0].commitConfig(testConfig{version: 1, limits: megabyteLimits, routes: bothRoutes("alpha")})
+		s.addEndpoint("alpha", "north", l.work(s, time.Millisecond))
+		s.addEndpoint("alpha", "south", l.work(s, time.Millisecond))
 		for range 4 {
-			k := s.caller(t)
-			k.send(head("POST", "/alpha!/", s.id(), "Content-Length: 400000\n") + strings.Repeat("x", 200000))
+			k := s.newRawClient(t)
+			k.send(requestHead("POST", "/alpha!/", s.nextID(), "Content-Length: 400000\n") + strings.Repeat("x", 200000))
 			time.Sleep(100 * time.Millisecond)
 			_ = k.conn.Close()
 			time.Sleep(10 * time.Millisecond)
 		}
-		k, id := s.caller(t), s.id()
-		k.send(head("GET", "/alpha/", id, ""))
-		if heard, fate := k.hears(id, "GET"), s.fate(id); fate != "came to north, ran 1" {
+		k, id := s.newRawClient(t), s.nextID()
+		k.send(requestHead("GET", "/alpha/", id, ""))
+		if heard, fate := k.receive(id, "GET"), s.deliverySummary(id); fate != "came to north, ran 1" {
 			t.Errorf("the next request: %s; %s", fate, heard)
 		}
 	})
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// missedHeartbeats is how many heartbeat intervals an endpoint may be live at no node before it is not used.
+	// missedHeartbeats is the number of heartbeat intervals after which an endpoint without a live report is not used.
 	missedHeartbeats = 4
-	// tombstoneTTL is how long an endpoint that is gone is remembered, so that an older report does not bring it back.
+	// tombstoneTTL is how long a terminated endpoint is remembered, so that a delayed report does not bring it back.
 	tombstoneTTL = 90 * time.Second
 )
 
-// endpointState is what nodes have reported of an endpoint.
+// endpointState combines the reports of all nodes about an endpoint.
 type endpointState struct {
 	rpc.Endpoint
-	liveAt        map[string]bool // names of nodes that receive its heartbeats
-	unconfirmedAt time.Duration   // since when there is none
+	liveAt        map[string]bool // names of the nodes that receive its heartbeats
+	unconfirmedAt time.Duration   // when liveAt last became empty
 	warmupEnd     time.Duration
-	goneAt        time.Duration // 0: it is not gone
-	reportedAt    time.Duration // the last report of it
+	goneAt        time.Duration // 0: it has not terminated
+	reportedAt    time.Duration // time of the last report
 }
 
 // onEndpoint handles a node's report of an endpoint.
@@ -49,13 +49,13 @@
 	p.updateBalancer(now, e)
 }
 
-// update takes over a report that is not outdated. The state only moves on.
+// update merges a report unless it is outdated. The lifecycle state only advances.
 func (e *endpointState) update(reported rpc.Endpoint) {
 	if reported.Seq < e.Seq && reported.State <= e.State {
 		return
 	}
 	state := e.State
-	if e.Service != "" && reported.Service == "" { // a report of its end names no more than its id
+	if e.Service != "" && reported.Service == "" { // a report of termination may hold the id only
 		reported.Service, reported.Address, reported.Zone = e.Service, e.Address, e.Zone
 		reported.Capacity = e.Capacity
 	}
@@ -64,7 +64,7 @@
 	e.State = max(reported.State, state)
 }
 
-// setNotLive notes that an endpoint is not live at a node.
+// setNotLive records that a node does not receive the endpoint's heartbeats.
 func (p *Proxy) setNotLive(now time.Duration, e *endpointState, node string) {
 	if !e.liveAt[node] {
 		return
@@ -75,10 +75,10 @@
 	}
 }
 
-// updateBalancer gives the balancer what is known of an endpoint.
+// updateBalancer passes the state of an endpoint to the balancer.
 func (p *Proxy) updateBalancer(now time.Duration, e *endpointState) {
 	if e.Service == "" {
-		return // only its end was reported
+		return // only its termination was reported
 	}
 	if e.State == rpc.Gone {
 		p.withBalancer(func(b *balancer.Balancer) { b.RemoveEndpoint(e.ID) })
@@ -103,15 +103,15 @@
 	})
 }
 
-// isUnconfirmed reports whether an endpoint is live nowhere, though a node is there that has listened for long enough.
-// While nodes are away, or have just started, their silence says nothing.
+// isUnconfirmed reports whether no node receives the endpoint's heartbeats although a node has been connected for long
+// enough. Nodes that are disconnected or have just started are no evidence of a missing heartbeat.
 func (p *Proxy) isUnconfirmed(now time.Duration, e *endpointState) bool {
 	timeout := missedHeartbeats * p.options.Settings.HeartbeatInterval.Duration()
 	if now < e.unconfirmedAt+timeout {
 		return false
 	}
 	for name := range e.liveAt {
-		// Where a node is gone, its report no longer counts once others have had the time to receive the heartbeats.
+		// The report of a disconnected node stops counting once other nodes have had time to receive the heartbeats.
 		if n := p.nodes[name]; n == nil || n.conn != nil || now < n.disconnectedAt+timeout {
 			return false
 		}
@@ -124,7 +124,7 @@
 	return false
 }
 
-// expireEndpoints forgets endpoints that are gone, and no longer uses those that are unconfirmed.
+// expireEndpoints disables unconfirmed endpoints, and removes them and terminated ones after tombstoneTTL.
 func (p *Proxy) expireEndpoints(now time.Duration) {
 	for id, e := range p.endpoints {
 		switch {
@@ -134,7 +134,7 @@
 			}
 		case p.isUnconfirmed(now, e):
 			p.updateBalancer(now, e)
-			if now > max(e.unconfirmedAt, e.reportedAt)+tombstoneTTL { // it ended without saying so
+			if now > max(e.unconfirmedAt, e.reportedAt)+tombstoneTTL { // it stopped without deregistering
 				p.withBalancer(func(b *balancer.Balancer) { b.RemoveEndpoint(id) })
 				delete(p.endpoints, id)
 			}
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -13,59 +13,59 @@
 	"elmfold/internal/proxy/upstream"
 )
 
-// maxConnectFailures is the number of endpoints that could not be reached, beside those that the request was sent to.
+// maxConnectFailures limits the failed connections per request. They do not count towards the route's attempts.
 const maxConnectFailures = 4
 
-// forwarding is a request on its way from endpoint to endpoint.
-type forwarding struct {
+// forwardedRequest is the state of a request across its attempts.
+type forwardedRequest struct {
 	*clientRequest
 	call            upstream.Call
 	tried           []string // ids of endpoints
-	attempts        int      // endpoints that it was sent to
-	connectFailures int      // endpoints that could not be reached
-	mayHaveExecuted bool     // any of them may have executed it
+	attempts        int      // failed attempts, without connectFailures
+	connectFailures int      // attempts for which no connection came up
+	mayHaveExecuted bool     // an endpoint may have executed the request
 
-	// Of disconnect.go.
+	// Client disconnects; see disconnect.go.
 
-	done           atomic.Bool  // it is not forwarded any more
-	stopWatch      func() bool  // of the watch over a context; nil: the client's connection tells
-	disconnectedAt atomic.Int64 // a time since the start, in ns, at which the client was seen to leave; 0: it was not
+	done           atomic.Bool  // forwarding has ended
+	stopWatch      func() bool  // stops the watch on the context; nil: the clientConn reports the disconnect
+	disconnectedAt atomic.Int64 // when the disconnect was detected, in ns since the start of the proxy; 0: it was not
 
-	// Of the last attempt.
+	// Result of the last attempt.
 
 	response *upstream.Response // nil: none
 	kind     apierror.Kind
 }
 
-// forward tries endpoints until one responds or none may be tried, and answers the client.
+// forward tries endpoints until one responds or no more may be tried, and sends the response to the client.
 func (p *Proxy) forward(q *clientRequest) {
-	f := &forwarding{clientRequest: q, call: newCall(q)}
+	f := &forwardedRequest{clientRequest: q, call: newUpstreamCall(q)}
 	p.watchDisconnect(f)
 	defer p.unwatchDisconnect(f)
 	for p.attempt(f) {
 		f.response.Close()
 		if f.response != nil && f.response.Rest != nil {
-			f.response = nil // what was streamed has been let go
+			f.response = nil // a streamed response cannot be passed on after Close
 		}
 	}
-	p.answer(f)
+	p.respondToClient(f)
 	f.response.Close()
 }
 
-// newCall is the request as it is sent to endpoints, but for the endpoint itself.
-func newCall(q *clientRequest) upstream.Call {
+// newUpstreamCall returns the request as it is sent to every endpoint, without the endpoint's address.
+func newUpstreamCall(q *clientRequest) upstream.Call {
 	r := q.request
 	call := upstream.Call{
 		Method:        r.Method,
 		RequestTarget: q.target,
 		Host:          r.Host,
-		Header:        r.Header, // whose fields that are not passed on are removed, or skipped as it is written
+		Header:        r.Header, // the hop-by-hop fields are removed below, others are skipped on writing
 		AttemptID:     r.Header.Get(upstream.HeaderAttemptID),
 		Body:          q.body.buffered,
 		HasBody:       q.body.buffered != nil || r.ContentLength == 0 && r.Header.Get("Content-Length") != "",
 		StreamLen:     q.body.streamLength,
 		Deadline:      q.deadline,
-		// Once it is sent, an endpoint may be executing it, and another attempt of the client cannot make up for it.
+		// An endpoint may already execute a non-idempotent request, and the client cannot safely send it again.
 		FinishOnceSent: !q.route.Idempotent,
 	}
 	if q.body.stream != nil {
@@ -75,8 +75,8 @@
 	return call
 }
 
-// attempt makes one attempt, and reports whether another is to be made.
-func (p *Proxy) attempt(f *forwarding) bool {
+// attempt makes one attempt and reports whether to make another.
+func (p *Proxy) attempt(f *forwardedRequest) bool {
 	if !p.options.Clock.Now().Before(f.deadline) {
 		f.kind = apierror.DeadlineExceeded
 		if f.mayHaveExecuted {
@@ -84,30 +84,30 @@
 		}
 		return false
 	}
-	if p.mayNotBegin(f) {
-		f.noteNoEndpoint(apierror.ClientDisconnected)
+	if p.probeDisconnect(f) {
+		f.recordNoEndpoint(apierror.ClientDisconnected)
 		return false
 	}
-	selected, kind := p.pick(f)
+	selected, kind := p.pickEndpoint(f)
 	if kind != apierror.None {
-		f.noteNoEndpoint(kind)
+		f.recordNoEndpoint(kind)
 		return false
 	}
 	f.call.Address, f.call.EndpointID, f.call.MaxConns = selected.Address, selected.ID, selected.MaxConns
 	begunAt := p.options.Clock.Now()
 	response, err := p.pool.Do(f.context(), &f.call)
-	result := resultOf(response, err, p.options.Clock.Now().Sub(begunAt))
-	p.metrics.noteAttempt(result.Kind)
-	p.endAttempt(selected, result)
+	result := attemptResult(response, err, p.options.Clock.Now().Sub(begunAt))
+	p.metrics.countAttempt(result.Kind)
+	p.finishAttempt(selected, result)
 	f.response, f.kind = response, result.Kind
 	if f.kind == apierror.None {
 		return false
 	}
-	f.noteFailure()
+	f.recordFailure()
 	return f.connectFailures < maxConnectFailures && p.allowRetry(f)
 }
 
-func (p *Proxy) pick(f *forwarding) (selected balancer.Selection, kind apierror.Kind) {
+func (p *Proxy) pickEndpoint(f *forwardedRequest) (selected balancer.Selection, kind apierror.Kind) {
 	request := balancer.Request{
 		Service:      f.service,
 		TimeToTarget: f.route.LatencyTarget - p.options.Clock.Now().Sub(f.arrivedAt),
@@ -119,16 +119,16 @@
 	return selected, kind
 }
 
-// noteNoEndpoint notes why no endpoint may be tried, unless an earlier attempt says more.
-func (f *forwarding) noteNoEndpoint(kind apierror.Kind) {
-	onlyUnsent := !f.mayHaveExecuted && f.attempts == 0 && f.kind != apierror.ConnectFailed
-	if f.kind == apierror.None || onlyUnsent {
+// recordNoEndpoint records why no endpoint may be tried, unless the failure of an earlier attempt is more specific.
+func (f *forwardedRequest) recordNoEndpoint(kind apierror.Kind) {
+	wasNeverSent := !f.mayHaveExecuted && f.attempts == 0 && f.kind != apierror.ConnectFailed
+	if f.kind == apierror.None || wasNeverSent {
 		f.kind = kind
 	}
 }
 
-// noteFailure notes the endpoint that was tried.
-func (f *forwarding) noteFailure() {
+// recordFailure records a failed attempt at the current endpoint.
+func (f *forwardedRequest) recordFailure() {
 	f.tried = append(f.tried, f.call.EndpointID)
 	if f.kind == apierror.ConnectFailed {
 		f.connectFailures++
@@ -138,9 +138,9 @@
 	f.mayHaveExecuted = f.mayHaveExecuted || f.kind.Policy().MayHaveExecuted
 }
 
-// allowRetry reports whether another endpoint may be tried. A retry for a client that has gone would draw on the budget
-// for nobody, and a body that was streamed cannot be sent again.
-func (p *Proxy) allowRetry(f *forwarding) (allowed bool) {
+// allowRetry reports whether another endpoint may be tried. A retry for a disconnected client would waste the retry
+// budget, and a streamed body cannot be sent again.
+func (p *Proxy) allowRetry(f *forwardedRequest) (allowed bool) {
 	if f.hasDisconnected() || f.body.stream != nil {
 		return false
 	}
@@ -150,8 +150,9 @@
 	return allowed
 }
 
-// endAttempt notes the result of an attempt, and has endpoints checked that became suspect by it.
-func (p *Proxy) endAttempt(selected balancer.Selection, result balancer.Result) {
+// finishAttempt reports the result of an attempt to the balancer and starts health checks of endpoints that became
+// suspect.
+func (p *Proxy) finishAttempt(selected balancer.Selection, result balancer.Result) {
 	var suspects []balancer.Suspect
 	p.withBalancer(func(b *balancer.Balancer) {
 		b.RecordResult(p.now(), selected, result)
@@ -164,23 +165,23 @@
 	}
 }
 
-// resultOf is the result of an attempt for the balancer. Its kind is that of the failure.
-func resultOf(response *upstream.Response, err error, latency time.Duration) balancer.Result {
+// attemptResult converts the outcome of an attempt to a result for the balancer.
+func attemptResult(response *upstream.Response, err error, latency time.Duration) balancer.Result {
 	result := balancer.Result{Latency: latency}
 	if response != nil {
 		result.Running, result.Queued, result.HasLoad = response.Load.Running, response.Load.Queued, response.HasLoad
 		result.WarmupLeft, result.HasWarmup = response.WarmupLeft, response.HasWarmup
 	}
-	var known *apierror.Error
+	var apiErr *apierror.Error
 	switch {
-	case errors.As(err, &known):
+	case errors.As(err, &apiErr):
 		var netErr net.Error
-		isTimeout := errors.As(known.Cause, &netErr) && netErr.Timeout()
-		result.Kind = known.Kind
-		result.Unresponsive = known.Kind != apierror.ResponseTimeout && isTimeout
+		isTimeout := errors.As(apiErr.Cause, &netErr) && netErr.Timeout()
+		result.Kind = apiErr.Kind
+		result.Unresponsive = apiErr.Kind != apierror.ResponseTimeout && isTimeout
 	case err != nil:
 		result.Kind = apierror.ConnectionBroken
-	case isServerError(response.Status) || promisesNotExecuted(response.Status):
+	case isServerError(response.Status) || signalsNotExecuted(response.Status):
 		result.Kind = apierror.EndpointFailed
 	}
 	return result
@@ -188,9 +189,9 @@
 
 func isServerError(status int) bool { return status >= http.StatusInternalServerError }
 
-// promisesNotExecuted reports whether a status promises that the request was not executed. From an endpoint that
-// has not said so by HeaderNotExecuted the promise means nothing.
-func promisesNotExecuted(status int) bool {
+// signalsNotExecuted reports whether a client may conclude from the status that the request was not executed. An
+// endpoint guarantees that only with HeaderNotExecuted.
+func signalsNotExecuted(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout,
 		http.StatusMisdirectedRequest,
@@ -201,19 +202,19 @@
 	return false
 }
 
-// answer gives the client the response of the last endpoint, or the proxy's own.
-func (p *Proxy) answer(f *forwarding) {
-	isEndpoints := f.response != nil && (f.kind == apierror.None || f.kind == apierror.EndpointFailed)
+// respondToClient sends the response of the last endpoint, or an error of the proxy's own.
+func (p *Proxy) respondToClient(f *forwardedRequest) {
+	hasEndpointResponse := f.response != nil && (f.kind == apierror.None || f.kind == apierror.EndpointFailed)
 	switch {
-	case isEndpoints && !promisesNotExecuted(f.response.Status):
+	case hasEndpointResponse && !signalsNotExecuted(f.response.Status):
 		p.respond(f.clientRequest, f.response)
-	case isEndpoints: // passed on, it would be a promise of this proxy
-		p.refuse(f.clientRequest, apierror.EndpointFailed, 0)
-	case f.mayHaveExecuted && !f.kind.Policy().MayHaveExecuted: // an earlier endpoint may have: nothing can be promised
-		p.refuse(f.clientRequest, apierror.ConnectionBroken, 0)
+	case hasEndpointResponse: // the client would take the status for a guarantee of the proxy
+		p.respondError(f.clientRequest, apierror.EndpointFailed, 0)
+	case f.mayHaveExecuted && !f.kind.Policy().MayHaveExecuted: // an earlier endpoint may have executed it
+		p.respondError(f.clientRequest, apierror.ConnectionBroken, 0)
 	case f.kind == apierror.EndpointsSaturated:
-		p.refuse(f.clientRequest, f.kind, balancer.RetryDelay(f.route.LatencyTarget, rand.Float64()))
+		p.respondError(f.clientRequest, f.kind, balancer.RetryDelay(f.route.LatencyTarget, rand.Float64()))
 	default:
-		p.refuse(f.clientRequest, f.kind, 0)
+		p.respondError(f.clientRequest, f.kind, 0)
 	}
 }
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -13,50 +13,50 @@
 )
 
 const (
-	// maxTimeBudget is the greatest time budget of a client that is believed.
+	// maxTimeBudget is the upper limit of a time budget; a client's longer one is ignored.
 	maxTimeBudget = 10 * time.Minute
-	// Bytes of a head beside names and values: of the request line and of each field.
+	// Bytes that the request line and each field add to a head beside their names and values.
 	requestLineBytes = 20
 	fieldBytes       = 4
 )
 
-// clientRequest is a request of a client on its way.
+// clientRequest is a request from a client and what the proxy has determined about it.
 type clientRequest struct {
 	writer    http.ResponseWriter
 	request   *http.Request
-	conn      *clientConn // nil: the request came by a connection of another package
+	conn      *clientConn // nil: the connection was not accepted by this package
 	arrivedAt time.Time
-	config    *routeconfig.Config // that it is handled by; nil: none is known
+	config    *routeconfig.Config // the configuration in use; nil: none is known
 	route     *routeconfig.Route
 	service   string
-	target    string // the request-target, from the path on
+	target    string // the request-target from the path on
 	deadline  time.Time
 	body      requestBody
 }
 
-// handle takes a request from the client to an endpoint and the response back.
+// handle forwards a client's request to an endpoint and returns the response.
 func (p *Proxy) handle(w http.ResponseWriter, r *http.Request) {
 	conn, _ := r.Context().Value(connKey{}).(*clientConn)
 	q := &clientRequest{writer: w, request: r, conn: conn, arrivedAt: p.options.Clock.Now(), config: p.config.Load()}
-	if q.hasDisconnected() { // behind another request on the connection
-		p.refuse(q, apierror.ClientDisconnected, 0)
+	if q.hasDisconnected() { // while a pipelined request was handled before this one
+		p.respondError(q, apierror.ClientDisconnected, 0)
 		return
 	}
 	if q.config == nil {
-		p.refuse(q, apierror.NotReady, 0)
+		p.respondError(q, apierror.NotReady, 0)
 		return
 	}
 	if kind := q.parseHead(); kind != apierror.None {
-		p.refuse(q, kind, 0)
+		p.respondError(q, kind, 0)
 		return
 	}
 	q.service = p.splits.service(q.config, q.route)
 	if kind, retryAfter := p.admit(q); kind != apierror.None {
-		p.refuse(q, kind, retryAfter)
+		p.respondError(q, kind, retryAfter)
 		return
 	}
 	if kind := q.bufferBody(); kind != apierror.None {
-		p.refuse(q, kind, 0)
+		p.respondError(q, kind, 0)
 		return
 	}
 	p.forward(q)
@@ -67,7 +67,7 @@
 	return kind, retryAfter
 }
 
-// parseHead finds the route and the deadline by the request's head.
+// parseHead checks the head and sets the target, route and deadline of the request.
 func (q *clientRequest) parseHead() apierror.Kind {
 	limits := q.config.Limits
 	switch {
@@ -99,8 +99,8 @@
 	return size
 }
 
-// originForm is a request-target from the path on: in the absolute form (RFC 9112, 3.2.2) the path begins after the
-// authority.
+// originForm returns the request-target from the path on. In absolute form (RFC 9112, section 3.2.2) the path follows
+// the authority.
 func originForm(target string) string {
 	if rest, isAbsolute := strings.CutPrefix(target, "http://"); isAbsolute {
 		if i := strings.IndexByte(rest, '/'); i >= 0 {
@@ -110,11 +110,11 @@
 	return target
 }
 
-// timeout is the route's, or the client's time budget if that is shorter.
+// timeout returns the route's timeout, or the client's time budget if that is shorter.
 func (q *clientRequest) timeout() time.Duration {
 	text := q.request.Header.Get(upstream.HeaderTimeBudget)
 	ms, err := strconv.ParseFloat(text, 64)
-	isBudget := err == nil && ms > 0 && ms < maxTimeBudget.Seconds()*1000 // not so for NaN
+	isBudget := err == nil && ms > 0 && ms < maxTimeBudget.Seconds()*1000 // false for NaN
 	if text == "" || !isBudget {
 		return q.route.Timeout
 	}
--- a/internal/proxy/healthchecks.go
+++ b/internal/proxy/healthchecks.go
@@ -8,27 +8,28 @@
 )
 
 const (
-	// healthCheckStep is the first pause between two health checks, by which each further one grows, up to
-	// maxHealthCheckPause. After manyHealthChecks the endpoint may be gone without a word, and is checked rarely.
-	healthCheckStep     = 100 * time.Millisecond
-	maxHealthCheckPause = 700 * time.Millisecond
-	manyHealthChecks    = 25
-	rareHealthCheck     = 5 * time.Second
-	// warmupReportDelay is how long after its heartbeat an endpoint's report that it is in slow start takes to come here.
+	// healthCheckStep is the first pause between two health checks and the increase of each further one, up to
+	// maxHealthCheckPause. After frequentHealthChecks, slowHealthCheckInterval applies: the endpoint may have stopped
+	// without deregistering.
+	healthCheckStep         = 100 * time.Millisecond
+	maxHealthCheckPause     = 700 * time.Millisecond
+	frequentHealthChecks    = 25
+	slowHealthCheckInterval = 5 * time.Second
+	// warmupReportDelay is the time from an endpoint's heartbeat until the proxy hears that the endpoint is in slow start.
 	warmupReportDelay = 300 * time.Millisecond
 )
 
-// checkHealth brings up a connection to a suspect endpoint, again and again until one does or the endpoint is gone.
+// checkHealth connects to a suspect endpoint until a connection comes up or the endpoint is removed.
 func (p *Proxy) checkHealth(suspect balancer.Suspect) {
-	p.pool.CloseIdle(suspect.Address) // the idle connections are as suspect
+	p.pool.CloseIdle(suspect.Address) // existing connections are suspect too
 	for checks := 1; ; checks++ {
 		err := p.pool.Connect(context.Background(), suspect.Address)
-		if isKnown := p.endHealthCheck(suspect, err == nil); !isKnown || err == nil {
+		if isKnown := p.recordHealthCheck(suspect, err == nil); !isKnown || err == nil {
 			return
 		}
 		pause := min(healthCheckStep*time.Duration(checks), maxHealthCheckPause)
-		if checks > manyHealthChecks {
-			pause = rareHealthCheck
+		if checks > frequentHealthChecks {
+			pause = slowHealthCheckInterval
 		}
 		select {
 		case <-p.options.Clock.After(pause):
@@ -38,8 +39,8 @@
 	}
 }
 
-// endHealthCheck notes a health check, and reports whether the endpoint is still known.
-func (p *Proxy) endHealthCheck(suspect balancer.Suspect, passed bool) (isKnown bool) {
+// recordHealthCheck records the result of a health check and reports whether the endpoint is still known.
+func (p *Proxy) recordHealthCheck(suspect balancer.Suspect, passed bool) (isKnown bool) {
 	reportDelay := p.options.Settings.HeartbeatInterval.Duration() + warmupReportDelay
 	p.withBalancer(func(b *balancer.Balancer) {
 		isKnown = b.IsStillKnown(suspect)
--- a/internal/proxy/leases.go
+++ b/internal/proxy/leases.go
@@ -12,15 +12,15 @@
 
 const (
 	renewInterval = time.Second
-	// latencyUnit is that of rpc.EndpointReport.
+	// latencyUnit is the unit of the latency in rpc.EndpointReport.
 	latencyUnit = 100 * time.Microsecond
 )
 
-// renewLease renews the lease at a node. With report, the node that steers this proxy gets its load report.
-func (p *Proxy) renewLease(n *node, report bool) {
+// renewLease renews the lease at a node. With withReport, the routing node also gets the load report.
+func (p *Proxy) renewLease(n *node, withReport bool) {
 	m := &rpc.Message{Lease: rpc.Lease{RenewLease: p.lastRenewal}}
 	n.renewals.record(m.RenewLease, p.now())
-	if report && n.info.Name == p.steeringNode {
+	if withReport && n.info.Name == p.routingNode {
 		m.LoadReport = p.loadReport()
 	}
 	n.conn.Send(m)
@@ -45,7 +45,7 @@
 	return report
 }
 
-// onProxies handles which proxies hold a lease at a node.
+// onProxies updates which proxies hold a lease at a node.
 func (p *Proxy) onProxies(n *node, m *rpc.Message) {
 	if m.Hello != nil {
 		for _, other := range m.Proxies {
@@ -63,7 +63,7 @@
 	}
 }
 
-// updateProxies gives the balancer all proxies that hold a lease at any connected node.
+// updateProxies passes all proxies that hold a lease at any connected node to the balancer.
 func (p *Proxy) updateProxies() {
 	known := map[string]balancer.ProxyInfo{}
 	for _, n := range p.nodes {
@@ -85,8 +85,8 @@
 	p.withBalancer(func(b *balancer.Balancer) { b.SetProxies(all) })
 }
 
-// extendLease: this proxy holds a lease if most voters have renewed it. It ends by this clock before theirs gives
-// it away.
+// extendLease extends the proxy's lease if a majority of the voters has renewed it. By the proxy's clock, the lease
+// ends before the voters let another proxy take it over.
 func (p *Proxy) extendLease() {
 	renewedAt := map[string]time.Duration{}
 	for name, n := range p.nodes {
@@ -99,9 +99,9 @@
 	}
 }
 
-// releaseLeases gives the leases back.
+// releaseLeases stops the renewals and releases the leases at all connected nodes.
 func (p *Proxy) releaseLeases() {
-	p.leasesReleased = true // the tick renews none from here on
+	p.leasesReleased = true // tick renews no lease after this
 	for _, n := range p.sortedNodes() {
 		if n.conn != nil {
 			n.conn.Send(&rpc.Message{ProxyChanges: rpc.ProxyChanges{ReleaseLease: true}})
@@ -109,20 +109,20 @@
 	}
 }
 
-// onTables handles the answer to a renewal, and routing tables. It reports false if the connection was closed
-// because the tables are outdated.
+// onTables handles lease renewals and routing tables. It returns false if it closed the connection because of outdated
+// tables.
 func (p *Proxy) onTables(now time.Duration, n *node, m *rpc.Message) bool {
 	sentAt, known := n.renewals.sentTime(m.LeaseRenewed)
 	if m.RoutingTables == nil && known {
 		n.renewedAt = max(n.renewedAt, sentAt)
 		p.extendLease()
 	}
-	if len(m.RoutingTables) == 0 || n.info.Name != p.steeringNode {
+	if len(m.RoutingTables) == 0 || n.info.Name != p.routingNode {
 		return true
 	}
 	if !known || now > sentAt+maxTableAge {
-		// They were worked out before the node was suspended, or its connection held up. Changes would be lost with them:
-		// on the next connection they come whole.
+		// The tables were computed before the node was suspended or the connection stalled. Dropping them may lose
+		// incremental changes, so the proxy reconnects and gets full tables.
 		p.log.Warn("outdated routing tables dropped", logfield.Node, n.info.Name)
 		n.conn.Close()
 		return false
--- a/internal/proxy/main.go
+++ b/internal/proxy/main.go
@@ -18,8 +18,8 @@
 
 const (
 	programName = "elmfold-proxy"
-	about       = "The gateway's proxy: it takes clients' requests to backends and the answers back."
-	// shutdownReserve is kept of the grace period for what comes after the requests are done.
+	about       = "The gateway's proxy: it forwards client requests to backends and returns their responses."
+	// shutdownReserve is the part of the grace period that remains for the exit after the last request has ended.
 	shutdownReserve = 300 * time.Millisecond
 
 	readinessHeaderTimeout = 5 * time.Second
@@ -31,7 +31,7 @@
 	return cli.Program{Name: programName, About: about, Out: out, Err: errs, Run: run}.Main(args)
 }
 
-// run serves until a signal ends the program.
+// run serves until a signal stops the program.
 func run(settings *bootconfig.Settings, options cli.Options) error {
 	buffer, log := logbuffer.New(settings.Name, os.Stderr, time.Now, options.Verbose)
 	defer buffer.Flush()
@@ -64,7 +64,7 @@
 		if !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
-		<-stopped // Shutdown made Serve return, and waits for the requests under way
+		<-stopped // Serve returns when Shutdown begins; Shutdown waits for the requests in flight
 	case <-stopped:
 	}
 	return nil
@@ -76,11 +76,10 @@
 		ReadHeaderTimeout: readinessHeaderTimeout,
 		IdleTimeout:       readinessIdleTimeout,
 	}
-	_ = server.Serve(listener) // lasts as long as the process; a platform that finds no answer takes it out of service
+	_ = server.Serve(listener) // returns only on failure; the platform then sees failing probes
 }
 
-// Reload takes over settings that were changed while the program runs: new seeds are dialled, the rest waits for a
-// restart.
+// Reload applies changed settings at run time: the proxy connects to new seed nodes. Other changes need a restart.
 func (p *Proxy) Reload(next *bootconfig.Settings) {
 	p.queue.Do(func() { p.dialer.ConnectAll(next.SeedPeerAddresses()) })
 }
--- a/internal/proxy/messages.go
+++ b/internal/proxy/messages.go
@@ -7,38 +7,38 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-// node is what is known of a control-plane node.
+// node is the state of a control-plane node as seen by the proxy.
 type node struct {
 	info            rpc.Node
-	conn            *rpc.Conn // nil: none is up
+	conn            *rpc.Conn // nil: not connected
 	incarnation     uint64
 	connectedAt     time.Duration
 	disconnectedAt  time.Duration
 	quorum          quorumStatus
-	endpointsSynced bool // it knows of endpoints what its peers know
+	endpointsSynced bool // it has the endpoints of its peers
 
-	// Of registers.
+	// Registers.
 
-	hasReported bool                   // it votes, and had quorum contact when it said what it stores
-	stored      map[string]rpc.Version // by register: what it stored then
-	committed   rpc.Version            // the newest configuration that it said to be committed
-	fetches     int                    // how often it was asked for the wanted configuration
+	hasReported bool                   // it is a voter and had quorum contact when it reported stored
+	stored      map[string]rpc.Version // stored versions by register
+	committed   rpc.Version            // newest configuration version reported as committed
+	fetches     int                    // requests for the wanted configuration
 
-	// Of leases.
+	// Leases.
 
-	proxies   map[string]rpc.ProxyInfo // that hold a lease there
+	proxies   map[string]rpc.ProxyInfo // proxies that hold a lease at the node, by name
 	renewals  renewalTimes
-	renewedAt time.Duration // the sending of the newest renewal that was answered; negative: none was
+	renewedAt time.Duration // when the newest acknowledged renewal was sent; negative: none was acknowledged
 }
 
-// onMessage handles a message on the current connection to a node, part by part.
+// onMessage handles a message on the current connection to a node.
 func (p *Proxy) onMessage(name string, conn *rpc.Conn, m *rpc.Message) {
 	now := p.now()
 	if m.Hello != nil {
 		p.onConnected(now, conn, m.Hello)
 	}
 	n := p.nodes[name]
-	if m.Hello != nil || m.StoredVersions != nil || m.LeaseRenewed > 0 { // the messages that say it
+	if m.Hello != nil || m.StoredVersions != nil || m.LeaseRenewed > 0 { // the messages that carry NoQuorum
 		n.quorum.update(now, m.NoQuorum)
 	}
 	n.endpointsSynced = n.endpointsSynced || m.EndpointsSynced
@@ -58,7 +58,7 @@
 	p.checkReady(now)
 }
 
-// onConnected begins anew with a node: its first message says all that it knows.
+// onConnected replaces the state of a node: the first message on a connection holds the node's whole state.
 func (p *Proxy) onConnected(now time.Duration, conn *rpc.Conn, hello *rpc.Hello) {
 	name := hello.Node.Name
 	previous := p.nodes[name]
@@ -70,22 +70,23 @@
 		renewedAt:   -1,
 		proxies:     map[string]rpc.ProxyInfo{},
 	}
-	if previous != nil && previous.incarnation == n.incarnation { // its connection alone was lost
+	if previous != nil && previous.incarnation == n.incarnation { // same process, new connection
 		n.quorum = previous.quorum
 	} else {
 		n.quorum.changedAt = now
 	}
 	p.nodes[name] = n
-	p.noteFirstMessage(now)
-	for _, e := range p.endpoints { // its first message says anew which endpoints are live there
+	p.recordFirstMessage(now)
+	for _, e := range p.endpoints { // the message lists again which are live
 		p.setNotLive(now, e, name)
 	}
 	p.log.Info("connected to node", logfield.Node, name)
 	p.renewLease(n, false)
 }
 
-// noteFirstMessage has what counts only after maxStartupWait looked at as soon as that is over.
-func (p *Proxy) noteFirstMessage(now time.Duration) {
+// recordFirstMessage records when the first message of any node came and schedules the checks that pass only after
+// maxStartupWait.
+func (p *Proxy) recordFirstMessage(now time.Duration) {
 	if p.firstMessageAt >= 0 {
 		return
 	}
@@ -110,7 +111,7 @@
 	}
 }
 
-// onEpoch takes over a newer epoch.
+// onEpoch adopts a newer epoch and connects to its voters.
 func (p *Proxy) onEpoch(e *rpc.Epoch) {
 	if e == nil || e.Number <= p.epoch.Number {
 		return
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -8,14 +8,14 @@
 	"elmfold/internal/proxy/balancer"
 )
 
-// proxyMetrics are the figures that a proxy keeps of itself. docs/operate/gateway.md lists them.
+// proxyMetrics are the metrics of a proxy, listed in docs/operate/gateway.md.
 type proxyMetrics struct {
 	registry metrics.Registry
-	// clientDisconnects are clients that left while their request was forwarded.
+	// clientDisconnects counts clients that disconnected while their request was forwarded.
 	clientDisconnects *metrics.Counter
-	// attemptsCancelled are attempts that ended, or did not begin, because the client left.
+	// attemptsCancelled counts attempts that ended because the client disconnected.
 	attemptsCancelled *metrics.Counter
-	// overdueRequests and lateAttempts count violations of what disconnect.go states.
+	// overdueRequests and lateAttempts count violations of the invariants in disconnect.go.
 	overdueRequests *metrics.Counter
 	lateAttempts    *metrics.Counter
 }
@@ -32,7 +32,7 @@
 		"Invariant, 0: idempotent requests still forwarded 500 ms after their client was seen to leave.")
 	m.lateAttempts = r.NewCounter("elmfold_late_attempts_total",
 		"Invariant, 0: attempts begun over 100 ms after their client was seen to leave.")
-	r.NewGauge("elmfold_client_connections", "Connections of clients.", p.clients.Load)
+	r.NewGauge("elmfold_client_connections", "Connections of clients.", p.clientConns.Load)
 	r.NewGauge("elmfold_attempts_in_flight", "Attempts that hold a place at an endpoint.", p.attemptsInFlight)
 	r.NewGauge("elmfold_read_ahead_bytes", "Bytes of clients that are held before anybody wants them.",
 		p.readAheadBytes.Load)
@@ -42,8 +42,8 @@
 	return m
 }
 
-// noteAttempt counts the end of an attempt.
-func (m *proxyMetrics) noteAttempt(kind apierror.Kind) {
+// countAttempt counts an attempt by the kind of its result.
+func (m *proxyMetrics) countAttempt(kind apierror.Kind) {
 	if kind == apierror.ClientDisconnected || kind == apierror.AttemptCancelled {
 		m.attemptsCancelled.Add()
 	}
@@ -54,10 +54,10 @@
 	return n
 }
 
-// Metrics shows the figures.
+// Metrics returns the handler that exports the metrics.
 func (p *Proxy) Metrics() http.Handler { return &p.metrics.registry }
 
-// Violations is how often an invariant of disconnect.go did not hold. It is 0 unless this package has a fault.
+// Violations returns how often an invariant of disconnect.go was violated. Any value but 0 is a defect of this package.
 func (p *Proxy) Violations() uint64 {
 	return p.metrics.overdueRequests.Value() + p.metrics.lateAttempts.Value()
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,45 +1,48 @@
-// Package proxy is the data plane of the gateway: it takes requests from clients, sends each to an endpoint and returns
-// the response, by what the control-plane nodes tell it.
+// Package proxy is the data plane of the gateway: it forwards client requests to endpoints and returns their responses,
+// as configured by the control-plane nodes.
 //
-// # The way of a request
+// # Life of a request
 //
-//  1. [clientListener] accepts the connection, if the process may have one more. [clientConn] bounds how long the
-//     client may take, by the limits of the committed configuration.
-//  2. http.Server reads the head and calls [Proxy.handle]. Every path and method comes there as it is: nothing is
-//     cleaned or redirected.
-//  3. parseHead checks the head against the limits, finds the route and its service, and sets the deadline.
-//  4. balancer.Admit holds the request to the rate limit of the service.
-//  5. bufferBody reads the body, up to 128 KiB; what is longer is streamed.
-//  6. [Proxy.forward] tries endpoints. For each attempt, balancer.Pick chooses one, upstream.Pool.Do sends the request
-//     once, balancer.RecordResult notes the result, and balancer.AllowRetry decides about another attempt.
-//  7. [Proxy.respond] returns the endpoint's response, or [Proxy.refuse] one of the proxy's own, by the table in
-//     package apierror.
+//  1. [clientListener] accepts the connection unless the limit of client connections is reached. [clientConn] enforces
+//     the timeouts of the committed configuration.
+//  2. http.Server reads the head and calls [Proxy.handle]. Every path and method arrives unchanged: no path is cleaned
+//     and no client redirected.
+//  3. parseHead checks the head against the limits, and sets the route and the deadline. trafficSplits.service selects
+//     a service of the route.
+//  4. balancer.Admit applies the rate limit of the service.
+//  5. bufferBody buffers the body up to 128 KiB; the rest of a longer one is streamed.
+//  6. [Proxy.forward] tries endpoints. For each attempt, balancer.Pick selects an endpoint, upstream.Pool.Do sends the
+//     request once, balancer.RecordResult records the result, and balancer.AllowRetry decides about another attempt.
+//  7. [Proxy.respond] sends the endpoint's response, or [Proxy.respondError] an error of the proxy's own, according to
+//     the table in package apierror.
 //
-// A request waits for endpoints, for the client, and for the balancer's mutex, which is never held over I/O. It never
-// waits for a control-plane node: a proxy that reaches none goes on with what it knows.
+// A request waits for endpoints, for the client, and for the balancer's mutex, which is never held during I/O. It never
+// waits for a control-plane node: a proxy without connected nodes continues with the state it has.
 //
-// # What the control plane tells
+// # Control-plane state
 //
-// One goroutine, the owner (Proxy.Run), handles what nodes tell through a queue of commands. Requests read the
-// committed configuration by one atomic pointer.
+// One goroutine, the control loop ([Proxy.Run]), handles the messages of control-plane nodes, which arrive through a
+// command queue. Requests read the committed configuration through an atomic pointer.
+//
+// # Files
 //
 //	main.go          the program
-//	proxy.go         the Proxy, its owner and its ticks
-//	messages.go      messages of control-plane nodes, part by part
-//	configuration.go committed registers: which to fetch, which to apply
-//	endpoints.go     endpoints, by the reports of all nodes
-//	leases.go        leases, renewals and load reports
-//	quorum.go        which node's word counts, and which one steers
-//	readiness.go     when the proxy is ready, and its shutdown
-//	clients.go       clients' connections
+//	proxy.go         Proxy, its control loop and its periodic work
+//	messages.go      messages and connections of control-plane nodes
+//	configuration.go committed registers: configuration and zone evacuations
+//	endpoints.go     endpoint state from the reports of all nodes
+//	leases.go        leases, load reports and routing tables
+//	quorum.go        quorum contact of nodes, and selection of the routing node
+//	readiness.go     readiness and graceful shutdown
+//	clients.go       client connections
 //	handler.go       a request from its head to its response
-//	trafficsplit.go  which service of a route takes a request
+//	trafficsplit.go  distribution of a route's requests over its services
 //	body.go          request bodies
-//	readahead.go     how a client's leaving shows behind bytes that nobody has read
-//	disconnect.go    clients that leave before their response
-//	metrics.go       the figures that the process keeps of itself
+//	readahead.go     detection of a client disconnect behind unread bytes
+//	disconnect.go    cancellation of requests whose client has disconnected
+//	metrics.go       metrics of the process
 //	forward.go       attempts and retries
-//	respond.go       responses
+//	respond.go       responses to clients
 //	healthchecks.go  health checks of suspect endpoints
 package proxy
 
@@ -66,22 +69,22 @@
 
 const (
 	commandQueueCapacity = 1024
-	// connTimeout is when a connection to a node is closed on which nothing arrives: renewals are answered each second.
+	// connTimeout is the idle time after which a connection to a node is closed; a node answers a renewal each second.
 	connTimeout       = 3 * time.Second
 	dialRetryInterval = 250 * time.Millisecond
-	// defaultMaxClients is the number of clients' connections where the settings do not limit descriptors, and
-	// clientShare their part of the descriptors otherwise, in tenths: the rest are for endpoints and nodes.
-	defaultMaxClients = 2400
-	clientShare       = 6
+	// defaultMaxClientConns limits client connections if the settings do not limit file descriptors. Otherwise,
+	// clientConnTenths tenths of the descriptors are for clients; the rest are for endpoints and nodes.
+	defaultMaxClientConns = 2400
+	clientConnTenths      = 6
 )
 
-// Names of registers. They are stored, and sent by the control plane, so they do not change.
+// Names of registers. They are part of the stored data and of the protocol, and must not change.
 const (
 	configRegister     = "charter" // the configuration
-	zoneRegisterPrefix = "zone/"   // before the name of a zone: its evacuations
+	zoneRegisterPrefix = "zone/"   // prefix of a zone's name: whether the zone is evacuated
 )
 
-// Options make a Proxy.
+// Options configure a Proxy.
 type Options struct {
 	Settings *bootconfig.Settings
 	Log      hclog.Logger
@@ -102,36 +105,36 @@
 	server      *http.Server
 	metrics     *proxyMetrics
 
-	config     atomic.Pointer[routeconfig.Config] // committed; nil: none is known yet
-	splits     trafficSplits
-	ready      atomic.Bool
-	stopping   atomic.Bool
-	clients    atomic.Int64 // clients' connections
-	maxClients int64
-	// readAheadBytes are held for all clients' connections.
+	config         atomic.Pointer[routeconfig.Config] // nil: none has been applied yet
+	splits         trafficSplits
+	ready          atomic.Bool
+	stopping       atomic.Bool
+	clientConns    atomic.Int64 // number of open client connections
+	maxClientConns int64
+	// readAheadBytes is the number of bytes buffered for all client connections.
 	readAheadBytes atomic.Int64
 
 	balancerMu sync.Mutex
 	balancer   *balancer.Balancer
 
-	// The fields below belong to the owner.
+	// The fields below are used by the control loop alone.
 
 	dialer         *session.Dialer
 	nodes          map[string]*node          // control-plane nodes, by name
-	epoch          rpc.Epoch                 // who votes there: the newest that was heard of
+	epoch          rpc.Epoch                 // the newest epoch reported: which nodes vote
 	endpoints      map[string]*endpointState // by id
 	evacuations    map[string]rpc.Register   // by zone
-	recoveredZones map[string]time.Duration  // when the evacuation of a zone was finished
+	recoveredZones map[string]time.Duration  // when the evacuation of a zone ended
 	configVersion  rpc.Version               // of config
-	wantedVersion  rpc.Version               // the newest configuration that is committed somewhere
-	fetchedAt      time.Duration             // when it was last fetched; negative: it was not
+	wantedVersion  rpc.Version               // the newest configuration version reported as committed
+	fetchedAt      time.Duration             // when it was last requested; negative: not yet
 	lastRenewal    uint64
 	leasesReleased bool
-	steeringNode   string        // the node whose routing tables are followed; "": none yet
-	firstMessageAt time.Duration // of any node; negative: none came yet
+	routingNode    string        // the node whose routing tables are applied; "": none yet
+	firstMessageAt time.Duration // when the first message of any node came; negative: none has
 }
 
-// New makes a Proxy. Run and Serve start it.
+// New returns a Proxy. Run and Serve start it.
 func New(o Options) *Proxy {
 	settings := o.Settings
 	o.Upstream.Now = o.Clock.Now
@@ -139,11 +142,11 @@
 		options:        o,
 		log:            o.Log,
 		self:           rpc.Node{Name: settings.Name, Zone: settings.Zone, Address: settings.OwnPeerAddress()},
-		incarnation:    rand.Uint64() | 1, // 0 stands for none
+		incarnation:    rand.Uint64() | 1, // 0 means none
 		startedAt:      o.Clock.Now(),
 		queue:          session.NewCommandQueue(commandQueueCapacity),
 		pool:           upstream.New(o.Upstream),
-		maxClients:     defaultMaxClients,
+		maxClientConns: defaultMaxClientConns,
 		balancer:       balancer.New(settings.Name, settings.Zone, balancerBounds(&settings.Bounds), 0),
 		nodes:          map[string]*node{},
 		endpoints:      map[string]*endpointState{},
@@ -152,8 +155,8 @@
 		lastRenewal:    1,
 		firstMessageAt: -1,
 	}
-	if maxFDs := int64(settings.Limits.MaxFDs); maxFDs*clientShare/10 > 0 {
-		p.maxClients = maxFDs * clientShare / 10
+	if maxFDs := int64(settings.Limits.MaxFDs); maxFDs*clientConnTenths/10 > 0 {
+		p.maxClientConns = maxFDs * clientConnTenths / 10
 	}
 	p.metrics = p.newMetrics()
 	p.server = p.newServer()
@@ -182,7 +185,7 @@
 	}
 }
 
-// Run is the owner of what nodes tell. It serves until Shutdown.
+// Run is the control loop. It returns after Shutdown.
 func (p *Proxy) Run() {
 	p.dialer.ConnectAll(p.options.Settings.SeedPeerAddresses())
 	ticker := p.options.Clock.NewTicker(renewInterval)
@@ -198,23 +201,23 @@
 	}
 }
 
-// now is the steady time since the start.
+// now returns the monotonic time since the start.
 func (p *Proxy) now() time.Duration { return p.options.Clock.Now().Sub(p.startedAt) }
 
-// withBalancer lets f use the balancer. A panic in it must not leave the lock behind: net/http goes on serving
-// after one.
+// withBalancer calls f with the balancer locked. It unlocks also when f panics, because net/http recovers from a panic
+// in a handler and continues to serve.
 func (p *Proxy) withBalancer(f func(b *balancer.Balancer)) {
 	p.balancerMu.Lock()
 	defer p.balancerMu.Unlock()
 	f(p.balancer)
 }
 
-// tick renews the leases and looks at what time has changed.
+// tick renews the leases and does the periodic work.
 func (p *Proxy) tick() {
 	now := p.now()
 	p.lastRenewal++
 	p.pool.PruneIdle(p.options.Clock.Now())
-	p.chooseSteering(now)
+	p.updateRoutingNode(now)
 	for _, n := range p.sortedNodes() {
 		if n.conn != nil && !p.leasesReleased {
 			p.renewLease(n, true)
@@ -225,7 +228,7 @@
 	p.checkReady(now)
 }
 
-// sortedNodes are the known nodes, sorted by name.
+// sortedNodes returns the known nodes, sorted by name.
 func (p *Proxy) sortedNodes() []*node {
 	all := make([]*node, 0, len(p.nodes))
 	for _, n := range p.nodes {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -32,30 +32,31 @@
 	"elmfold/internal/simulation"
 )
 
-// stage is one carrier between scripted controllers, backends and clients, and the transcript of what each of them saw.
-type stage struct {
-	net     *simulation.Net
-	hosts   []*simulation.Host
-	carrier *proxy.Proxy
-	cores   []*core
-	mu      sync.Mutex
-	out     strings.Builder
-	lives   int // backends
-	asked   int // requests
-
-	came  map[string][]string // the backends where a request arrived whole, by its id
-	ran   map[string]int      // how often one was worked at
-	eager map[string]act      // what a backend does before it has read the body, by its id
-	slow  map[string]bool     // addresses where a connection comes up after the dialler has given it up
-}
-
-// enter starts a carrier in the zone "north" and its controllers, the first of which is in that zone too.
-func enter(cores int) *stage {
-	s := &stage{
-		came:  map[string][]string{},
-		ran:   map[string]int{},
-		eager: map[string]act{},
-		slow:  map[string]bool{},
+// harness is one carrier between scripted controllers, backends and clients, and the transcript of what each of them
+// saw.
+type harness struct {
+	net           *simulation.Net
+	hosts         []*simulation.Host
+	proxy         *proxy.Proxy
+	nodes         []*fakeNode
+	mu            sync.Mutex
+	transcript    strings.Builder
+	endpointCount int // backends
+	requestCount  int // requests
+
+	receivedBy map[string][]string    // the backends where a request arrived whole, by its id
+	executions map[string]int         // how often one was worked at
+	beforeBody map[string]respondFunc // what a backend does before it has read the body, by its id
+	slowDials  map[string]bool        // addresses where a connection comes up after the dialler has given it up
+}
+
+// newHarness starts a carrier in the zone "north" and its controllers, the first of which is in that zone too.
+func newHarness(cores int) *harness {
+	s := &harness{
+		receivedBy: map[string][]string{},
+		executions: map[string]int{},
+		beforeBody: map[string]respondFunc{},
+		slowDials:  map[string]bool{},
 		net: simulation.NewNet(func(from, to string) time.Duration {
 			// Nothing of two controllers is under way for equally long, so that its order is always the same.
 			return 200*time.Microsecond + 10*time.Microsecond*time.Duration(from[len(from)-1]+to[len(to)-1]-2*'0')
@@ -68,14 +69,15 @@
 	for i := range cores {
 		ip := fmt.Sprintf("10.0.0.%d", 10+i)
 		set.Seeds = append(set.Seeds, ip+":8544")
-		s.cores = append(s.cores, &core{s: s, all: true, settled: true, answers: true, life: 1, who: rpc.Node{
-			Name: fmt.Sprintf("core-%d", i), Zone: []string{"north", "south"}[i%2], Address: ip + ":7540"}})
+		s.nodes = append(s.nodes, &fakeNode{s: s, complete: true, endpointsSynced: true, servesConfig: true,
+			incarnation: 1, info: rpc.Node{
+				Name: fmt.Sprintf("core-%d", i), Zone: []string{"north", "south"}[i%2], Address: ip + ":7540"}})
 	}
-	for _, k := range s.cores {
-		k.begin()
+	for _, k := range s.nodes {
+		k.listen()
 	}
 	host := s.host("10.0.0.100")
-	s.carrier = proxy.New(proxy.Options{Settings: &set, Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(),
+	s.proxy = proxy.New(proxy.Options{Settings: &set, Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(),
 		Dial: func(address string) (net.Conn, error) {
 			ctx, cancel := context.WithTimeout(context.Background(), 350*time.Millisecond)
 			defer cancel()
@@ -84,7 +86,7 @@
 		Upstream: upstream.Options{Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			conn, err := host.Dial(ctx, address, 0)
 			s.mu.Lock()
-			slow := s.slow[address]
+			slow := s.slowDials[address]
 			s.mu.Unlock()
 			if err == nil && slow {
 				<-ctx.Done()
@@ -97,53 +99,53 @@
 	if err != nil {
 		panic(err)
 	}
-	go s.carrier.Run()
-	go func() { _ = s.carrier.Serve(front) }()
+	go s.proxy.Run()
+	go func() { _ = s.proxy.Serve(front) }()
 	return s
 }
 
-func (s *stage) host(ip string) *simulation.Host {
+func (s *harness) host(ip string) *simulation.Host {
 	s.hosts = append(s.hosts, s.net.Host(ip))
 	return s.hosts[len(s.hosts)-1]
 }
 
-// end stops all of it and returns the transcript.
-func (s *stage) end() string {
-	s.carrier.Shutdown(0)
+// stop stops all of it and returns the transcript.
+func (s *harness) stop() string {
+	s.proxy.Shutdown(0)
 	for _, h := range s.hosts {
 		h.Kill()
 	}
 	time.Sleep(10 * time.Second)
-	return s.out.String()
+	return s.transcript.String()
 }
 
-func (s *stage) note(format string, v ...any) {
+func (s *harness) logf(format string, v ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fmt.Fprintf(&s.out, format+"\n", v...)
-}
-
-// core is a scripted controller.
-type core struct {
-	s            *stage
-	who          rpc.Node
-	mu           sync.Mutex
-	line         *rpc.Conn
-	charter      rpc.Register
-	backends     []rpc.Endpoint
-	held         map[string]rpc.Version // beside the configuration
-	all, settled bool
-	answers      bool // it gives the configuration when it is asked
-	apart        bool // it says that it has no contact with a majority
-	life         uint64
-	epoch        *rpc.Epoch // nil: all that were begun vote
-	renewed      uint64     // the last renewal
-	steers       int        // renewals, one after the other, that wanted its tables
-	hellos       int        // lines
-}
-
-func (k *core) begin() {
-	l, err := k.s.host(strings.TrimSuffix(k.who.Address, ":7540")).Listen(k.who.Address)
+	fmt.Fprintf(&s.transcript, format+"\n", v...)
+}
+
+// fakeNode is a scripted controller.
+type fakeNode struct {
+	s                         *harness
+	info                      rpc.Node
+	mu                        sync.Mutex
+	conn                      *rpc.Conn
+	config                    rpc.Register
+	endpoints                 []rpc.Endpoint
+	stored                    map[string]rpc.Version // beside the configuration
+	complete, endpointsSynced bool
+	servesConfig              bool // it gives the configuration when it is asked
+	quorumLost                bool // it says that it has no contact with a majority
+	incarnation               uint64
+	epoch                     *rpc.Epoch // nil: all that were begun vote
+	lastRenewal               uint64     // the last renewal
+	tableRequests             int        // renewals, one after the other, that wanted its tables
+	connections               int        // lines
+}
+
+func (k *fakeNode) listen() {
+	l, err := k.s.host(strings.TrimSuffix(k.info.Address, ":7540")).Listen(k.info.Address)
 	if err != nil {
 		panic(err)
 	}
@@ -158,7 +160,7 @@
 	}()
 }
 
-func (k *core) serve(line *rpc.Conn) {
+func (k *fakeNode) serve(line *rpc.Conn) {
 	defer line.Close()
 	for {
 		m, err := line.Receive(0)
@@ -167,59 +169,59 @@
 		}
 		k.mu.Lock()
 		if m.Hello != nil {
-			k.hellos++
+			k.connections++
 			epoch := &rpc.Epoch{Number: 1}
-			for _, other := range k.s.cores {
-				epoch.Voters = append(epoch.Voters, rpc.Voter{Node: other.who, StoreID: "disk of " + other.who.Name})
+			for _, other := range k.s.nodes {
+				epoch.Voters = append(epoch.Voters, rpc.Voter{Node: other.info, StoreID: "disk of " + other.info.Name})
 			}
 			if k.epoch != nil {
 				epoch = k.epoch
 			}
 			first := &rpc.Message{
-				Hello:          &rpc.Hello{Node: k.who, Incarnation: k.life},
-				Consensus:      rpc.Consensus{Epoch: epoch, Complete: k.all && !k.apart},
-				NoQuorum:       k.apart,
-				EndpointUpdate: rpc.EndpointUpdate{EndpointsSynced: k.settled, Endpoints: k.backends},
+				Hello:          &rpc.Hello{Node: k.info, Incarnation: k.incarnation},
+				Consensus:      rpc.Consensus{Epoch: epoch, Complete: k.complete && !k.quorumLost},
+				NoQuorum:       k.quorumLost,
+				EndpointUpdate: rpc.EndpointUpdate{EndpointsSynced: k.endpointsSynced, Endpoints: k.endpoints},
 				RegisterUpdate: rpc.RegisterUpdate{
 					StoredVersions:    map[string]rpc.Version{},
 					CommittedVersions: map[string]rpc.Version{},
 				},
 				Lease: rpc.Lease{Proxies: []rpc.ProxyInfo{{Name: "edge-0", Zone: "north"}}},
 			}
-			for name, stamp := range k.held {
+			for name, stamp := range k.stored {
 				first.StoredVersions[name] = stamp
 			}
-			if k.charter.Value != nil {
-				first.StoredVersions["charter"], first.CommittedVersions["charter"] = k.charter.Version, k.charter.Version
+			if k.config.Value != nil {
+				first.StoredVersions["charter"], first.CommittedVersions["charter"] = k.config.Version, k.config.Version
 			}
 			line.Send(first)
-			k.line = line
+			k.conn = line
 		}
 		if m.RenewLease > 0 {
-			line.Send(&rpc.Message{Lease: rpc.Lease{LeaseRenewed: m.RenewLease}, NoQuorum: k.apart})
-			if k.renewed = m.RenewLease; m.WantTables {
-				k.steers++
+			line.Send(&rpc.Message{Lease: rpc.Lease{LeaseRenewed: m.RenewLease}, NoQuorum: k.quorumLost})
+			if k.lastRenewal = m.RenewLease; m.WantTables {
+				k.tableRequests++
 			} else {
-				k.steers = 0
+				k.tableRequests = 0
 			}
 		}
 		for _, name := range m.FetchRegisters {
-			if !k.answers {
-				k.s.note("    %s is asked for the %s and says nothing", k.who.Name, name)
+			if !k.servesConfig {
+				k.s.logf("    %s is asked for the %s and says nothing", k.info.Name, name)
 				continue
 			}
-			k.s.note("    %s is asked for the %s and has version %d", k.who.Name, name, k.charter.Version.Number)
-			line.Send(offer(k.charter))
+			k.s.logf("    %s is asked for the %s and has version %d", k.info.Name, name, k.config.Version.Number)
+			line.Send(committedValue(k.config))
 		}
 		if m.ReleaseLease {
-			k.s.note("    %s is given the lease back", k.who.Name)
+			k.s.logf("    %s is given the lease back", k.info.Name)
 		}
 		k.mu.Unlock()
 	}
 }
 
-// offer is the word that a value is in force.
-func offer(r rpc.Register) *rpc.Message {
+// committedValue is the word that a value is in force.
+func committedValue(r rpc.Register) *rpc.Message {
 	return &rpc.Message{
 		RegisterUpdate: rpc.RegisterUpdate{
 			CommittedValues:   []rpc.Register{r},
@@ -228,43 +230,43 @@
 	}
 }
 
-// tell says something to the carrier, which has acted on it when this returns.
-func (k *core) tell(m *rpc.Message) {
+// send says something to the carrier, which has acted on it when this returns.
+func (k *fakeNode) send(m *rpc.Message) {
 	k.mu.Lock()
 	if m.RoutingTables != nil && m.LeaseRenewed == 0 { // as they say it: the renewal that they were worked out after
-		m.LeaseRenewed, m.NoQuorum = k.renewed, k.apart
+		m.LeaseRenewed, m.NoQuorum = k.lastRenewal, k.quorumLost
 	}
-	if k.line != nil {
-		k.line.Send(m)
+	if k.conn != nil {
+		k.conn.Send(m)
 	}
 	k.mu.Unlock()
 	time.Sleep(100 * time.Millisecond)
 }
 
-func (k *core) word(b ...rpc.Endpoint) {
-	k.tell(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{Endpoints: b}})
+func (k *fakeNode) sendEndpoints(b ...rpc.Endpoint) {
+	k.send(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{Endpoints: b}})
 }
 
-// has lets a controller have a configuration in force, and say so.
-func (k *core) has(c conf) {
+// commitConfig lets a controller have a configuration in force, and say so.
+func (k *fakeNode) commitConfig(c testConfig) {
 	k.mu.Lock()
-	k.charter = c.register()
+	k.config = c.register()
 	k.mu.Unlock()
-	k.tell(
+	k.send(
 		&rpc.Message{
-			RegisterUpdate: rpc.RegisterUpdate{CommittedVersions: map[string]rpc.Version{"charter": k.charter.Version}},
+			RegisterUpdate: rpc.RegisterUpdate{CommittedVersions: map[string]rpc.Version{"charter": k.config.Version}},
 		},
 	)
 }
 
-// conf is a configuration: routes "KIND PREFIX SERVICE" of the host a.example.
-type conf struct {
+// testConfig is a configuration: routes "KIND PREFIX SERVICE" of the host a.example.
+type testConfig struct {
 	version uint32
 	limits  string
 	routes  []string
 }
 
-func (c conf) register() rpc.Register {
+func (c testConfig) register() rpc.Register {
 	var rules, pools []string
 	for i, r := range c.routes {
 		f := strings.Fields(r)
@@ -283,23 +285,23 @@
 			c.version, c.limits, strings.Join(rules, ","), strings.Join(pools, ","))}
 }
 
-// both are a repeatable and an unrepeatable route of a service.
-func both(service string) []string {
+// bothRoutes are a repeatable and an unrepeatable route of a service.
+func bothRoutes(service string) []string {
 	return []string{"safe /" + service + "/ " + service, "unsafe /" + service + "!/ " + service}
 }
 
-// seen is a request as it arrived at a backend.
-type seen struct{ id, method string }
+// receivedRequest is a request as it arrived at a backend.
+type receivedRequest struct{ id, method string }
 
-// act is what a backend does with a request on its connection; after an error it closes that.
-type act func(c net.Conn, r seen) error
+// respondFunc is what a backend does with a request on its connection; after an error it closes that.
+type respondFunc func(c net.Conn, r receivedRequest) error
 
-// say answers with a status, fields and a body of some length; the seal and the id are added.
-func say(status int, fields string, body string) act {
+// respond answers with a status, fields and a body of some length; the seal and the id are added.
+func respond(status int, fields string, body string) respondFunc {
 	if fields != "" {
 		fields += "\r\n"
 	}
-	return func(c net.Conn, r seen) error {
+	return func(c net.Conn, r receivedRequest) error {
 		head := fmt.Sprintf("HTTP/1.1 %d Some Words\r\nX-Elmfold-Attempt-Id: %s\r\nX-Elmfold-Server-Seal: s.%s\r\n%s"+
 			"Content-Length: %d\r\n\r\n", status, r.id, r.id, fields, len(body))
 		if r.method != "HEAD" {
@@ -310,41 +312,41 @@
 	}
 }
 
-var ok = say(200, "", "fine")
+var respondOK = respond(200, "", "fine")
 
-// raw sends bytes; cut does so and closes the connection.
-func raw(text string) act {
-	return func(c net.Conn, r seen) error {
+// respondRaw sends bytes; cut does so and closes the connection.
+func respondRaw(text string) respondFunc {
+	return func(c net.Conn, r receivedRequest) error {
 		_, err := io.WriteString(c, strings.ReplaceAll(text, "ID", r.id))
 		return err
 	}
 }
 
-func cut(text string) act {
-	return func(c net.Conn, r seen) error {
-		_ = raw(text)(c, r)
+func respondAndClose(text string) respondFunc {
+	return func(c net.Conn, r receivedRequest) error {
+		_ = respondRaw(text)(c, r)
 		return io.ErrClosedPipe
 	}
 }
 
-func late(span time.Duration, then act) act {
-	return func(c net.Conn, r seen) error {
+func afterDelay(span time.Duration, then respondFunc) respondFunc {
+	return func(c net.Conn, r receivedRequest) error {
 		time.Sleep(span)
 		return then(c, r)
 	}
 }
 
-// nobody: the address refuses connections.
-var nobody act
+// refuseConnections: the address refuses connections.
+var refuseConnections respondFunc
 
-// backend starts one that does this with each request, and lets all controllers tell of it. Of those of a service, one
-// in the north is asked first, those of the south one after the other.
-func (s *stage) backend(service, zone string, do act) rpc.Endpoint {
-	s.lives++
+// addEndpoint starts one that does this with each request, and lets all controllers tell of it. Of those of a service,
+// one in the north is asked first, those of the south one after the other.
+func (s *harness) addEndpoint(service, zone string, do respondFunc) rpc.Endpoint {
+	s.endpointCount++
 	b := rpc.Endpoint{ID: fmt.Sprintf("%s-%s", service, zone), Service: service, Zone: strings.TrimRight(zone, "12"),
-		Capacity: 4, Seq: 1, Address: fmt.Sprintf("10.0.1.%d:8080", s.lives), Live: true}
+		Capacity: 4, Seq: 1, Address: fmt.Sprintf("10.0.1.%d:8080", s.endpointCount), Live: true}
 	if do != nil {
-		l, err := s.host(fmt.Sprintf("10.0.1.%d", s.lives)).Listen(b.Address)
+		l, err := s.host(fmt.Sprintf("10.0.1.%d", s.endpointCount)).Listen(b.Address)
 		if err != nil {
 			panic(err)
 		}
@@ -358,17 +360,17 @@
 			}
 		}()
 	}
-	for _, k := range s.cores {
+	for _, k := range s.nodes {
 		k.mu.Lock()
-		k.backends = append(k.backends, b)
+		k.endpoints = append(k.endpoints, b)
 		k.mu.Unlock()
-		k.word(b)
+		k.sendEndpoints(b)
 	}
 	return b
 }
 
 // serve reads requests by hand: what arrived is shown as it came, but for the order of its fields, which is free.
-func (s *stage) serve(c net.Conn, id string, do act) {
+func (s *harness) serve(c net.Conn, id string, do respondFunc) {
 	defer func() { _ = c.Close() }()
 	br := bufio.NewReader(c)
 	for {
@@ -377,7 +379,7 @@
 			return
 		}
 		var fields []string
-		r := seen{method: strings.Fields(line)[0]}
+		r := receivedRequest{method: strings.Fields(line)[0]}
 		length, chunked := 0, false
 		for {
 			f, err := br.ReadString('\n')
@@ -398,28 +400,28 @@
 			}
 		}
 		slices.Sort(fields)
-		s.note("    %s < %s | %s", id, strings.TrimSpace(line), strings.Join(fields, " | "))
+		s.logf("    %s < %s | %s", id, strings.TrimSpace(line), strings.Join(fields, " | "))
 		s.mu.Lock()
-		eager := s.eager[id]
+		eager := s.beforeBody[id]
 		s.mu.Unlock()
 		if eager != nil && eager(c, r) != nil {
 			return
 		}
 		body, end := make([]byte, length), ""
 		if _, err = io.ReadFull(br, body); chunked {
-			body, err = io.ReadAll(unchunked(br))
+			body, err = io.ReadAll(newChunkedReader(br))
 		}
 		if err != nil {
 			end = ", then it ends"
 		}
 		if length > 0 || chunked {
-			s.note("        %s%s", short(body), end)
+			s.logf("        %s%s", summarizeBody(body), end)
 		}
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		s.came[r.id] = append(s.came[r.id], id)
+		s.receivedBy[r.id] = append(s.receivedBy[r.id], id)
 		s.mu.Unlock()
 		if do(c, r) != nil {
 			return
@@ -427,20 +429,20 @@
 	}
 }
 
-// unchunked reads a chunked body to its end, the empty trailer too.
-func unchunked(br *bufio.Reader) io.Reader {
+// newChunkedReader reads a chunked body to its end, the empty trailer too.
+func newChunkedReader(br *bufio.Reader) io.Reader {
 	resp, err := http.ReadResponse(bufio.NewReader(io.MultiReader(
-		strings.NewReader("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"), oneByOne{br})), nil)
+		strings.NewReader("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"), byteReader{br})), nil)
 	if err != nil {
 		panic(err)
 	}
 	return resp.Body
 }
 
-// oneByOne hands out a byte at a time, so that no reader on top of it takes bytes of what follows.
-type oneByOne struct{ br *bufio.Reader }
+// byteReader hands out a byte at a time, so that no reader on top of it takes bytes of what follows.
+type byteReader struct{ br *bufio.Reader }
 
-func (o oneByOne) Read(b []byte) (int, error) {
+func (o byteReader) Read(b []byte) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
 	}
@@ -452,8 +454,8 @@
 	return 1, nil
 }
 
-// short is a body in the transcript.
-func short(b []byte) string {
+// summarizeBody is a body in the transcript.
+func summarizeBody(b []byte) string {
 	if len(b) <= 60 {
 		return fmt.Sprintf("%q", b)
 	}
@@ -462,30 +464,31 @@
 	return fmt.Sprintf("%d bytes, sum %08x", len(b), h.Sum32())
 }
 
-// client is one connection of a client.
-type client struct {
-	s    *stage
+// transcriptClient is one connection of a transcriptClient.
+type transcriptClient struct {
+	s    *harness
 	conn net.Conn
 	br   *bufio.Reader
 }
 
-func (s *stage) client() *client {
+func (s *harness) newTranscriptClient() *transcriptClient {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	conn, err := s.host("10.0.9.1").Dial(ctx, "10.0.0.100:8548", 0)
 	if err != nil {
-		s.note("client: no connection comes up")
+		s.logf("client: no connection comes up")
 		return nil
 	}
-	return &client{s: s, conn: conn, br: bufio.NewReader(conn)}
+	return &transcriptClient{s: s, conn: conn, br: bufio.NewReader(conn)}
 }
 
 var (
-	date = regexp.MustCompile(`Date: [^\r]*\r\n`)
+	dateHeader = regexp.MustCompile(`Date: [^\r]*\r\n`)
 )
 
-// ask sends a request whose lines are given, and writes down what comes back; parts are sent 300 ms after one another.
-func (c *client) ask(lines string, parts ...string) {
+// request sends a request whose lines are given, and writes down what comes back; parts are sent 300 ms after one
+// another.
+func (c *transcriptClient) request(lines string, parts ...string) {
 	if c == nil {
 		return
 	}
@@ -495,16 +498,16 @@
 		lines += "\r\nHost: a.example"
 	}
 	if !strings.Contains(lines, "Attempt-Id") {
-		c.s.asked++
-		lines += fmt.Sprintf("\r\nX-Elmfold-Attempt-Id: t%d", c.s.asked)
+		c.s.requestCount++
+		lines += fmt.Sprintf("\r\nX-Elmfold-Attempt-Id: t%d", c.s.requestCount)
 	}
 	shown := strings.ReplaceAll(lines, "\r\n", " | ")
 	if len(shown) > 400 {
 		shown = fmt.Sprintf("%s... (%d bytes)", shown[:120], len(shown))
 	}
-	c.s.note("client > %s", shown)
+	c.s.logf("client > %s", shown)
 	if _, err := io.WriteString(c.conn, lines+"\r\n\r\n"); err != nil {
-		c.s.note("client < broken off")
+		c.s.logf("client < broken off")
 		return
 	}
 	go func() {
@@ -515,132 +518,132 @@
 			_, _ = io.WriteString(c.conn, p)
 		}
 	}()
-	c.answer(method)
+	c.readResponse(method)
 }
 
-func (c *client) answer(method string) {
+func (c *transcriptClient) readResponse(method string) {
 	_ = c.conn.SetReadDeadline(time.Now().Add(30 * time.Second)) // what is never answered fails the test, not its run
 	var head bytes.Buffer
 	for !bytes.HasSuffix(head.Bytes(), []byte("\r\n\r\n")) {
 		line, err := c.br.ReadString('\n')
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.s.note("client < nothing within 30 s\n")
+			c.s.logf("client < nothing within 30 s\n")
 			return
 		}
 		if err != nil {
-			c.s.note("client < closed%s\n", map[bool]string{true: " within the head"}[head.Len() > 0])
+			c.s.logf("client < closed%s\n", map[bool]string{true: " within the head"}[head.Len() > 0])
 			return
 		}
 		head.WriteString(line)
 	}
-	text := date.ReplaceAllString(strings.TrimSuffix(head.String(), "\r\n\r\n")+"\r\n", "")
-	c.s.note("client < %s", strings.ReplaceAll(strings.TrimSuffix(text, "\r\n"), "\r\n", " | "))
-	resp, err := http.ReadResponse(bufio.NewReader(io.MultiReader(&head, oneByOne{c.br})), &http.Request{Method: method})
+	text := dateHeader.ReplaceAllString(strings.TrimSuffix(head.String(), "\r\n\r\n")+"\r\n", "")
+	c.s.logf("client < %s", strings.ReplaceAll(strings.TrimSuffix(text, "\r\n"), "\r\n", " | "))
+	resp, err := http.ReadResponse(bufio.NewReader(io.MultiReader(&head, byteReader{c.br})), &http.Request{Method: method})
 	if err != nil {
-		c.s.note("        %v\n", err)
+		c.s.logf("        %v\n", err)
 		return
 	}
 	body, err := io.ReadAll(resp.Body)
 	switch {
 	case err != nil:
-		c.s.note("        %s, then it breaks off: %v\n", short(body), err)
+		c.s.logf("        %s, then it breaks off: %v\n", summarizeBody(body), err)
 	case len(body) > 0:
-		c.s.note("        %s\n", short(body))
+		c.s.logf("        %s\n", summarizeBody(body))
 	default:
-		c.s.note("")
+		c.s.logf("")
 	}
 }
 
-// ask does so on a connection of its own.
-func (s *stage) ask(lines string, parts ...string) {
-	if c := s.client(); c != nil {
-		c.ask(lines, parts...)
+// request does so on a connection of its own.
+func (s *harness) request(lines string, parts ...string) {
+	if c := s.newTranscriptClient(); c != nil {
+		c.request(lines, parts...)
 		_ = c.conn.Close()
 	}
 }
 
-func (s *stage) part(format string, v ...any) { s.note("-- "+format, v...) }
+func (s *harness) section(format string, v ...any) { s.logf("-- "+format, v...) }
 
-// play is one transcript; the virtual seconds before it let the carrier's share of further tries grow.
-func play(t *testing.T, cores int, f func(s *stage)) {
+// runTranscript is one transcript; the virtual seconds before it let the carrier's share of further tries grow.
+func runTranscript(t *testing.T, cores int, f func(s *harness)) {
 	t.Helper()
 	var out string
 	synctest.Test(t, func(*testing.T) {
-		s := enter(cores)
+		s := newHarness(cores)
 		time.Sleep(5*time.Second + 100*time.Millisecond)
 		f(s)
-		out = s.end()
-		s.sound(t)
+		out = s.stop()
+		s.checkInvariants(t)
 	})
 	autogold.Equal(t, out)
 }
 
-// sound holds the proxy against the invariants that it checks itself.
-func (s *stage) sound(t *testing.T) {
+// checkInvariants holds the proxy against the invariants that it checks itself.
+func (s *harness) checkInvariants(t *testing.T) {
 	t.Helper()
-	if n := s.carrier.Violations(); n != 0 {
+	if n := s.proxy.Violations(); n != 0 {
 		t.Errorf("the proxy counts %d violations of its invariants", n)
 	}
 }
 
-const chunks = "Transfer-Encoding: chunked"
+const chunkedEncoding = "Transfer-Encoding: chunked"
 
-func chunked(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
+func encodeChunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
 // From the client's bytes to the backend's and back. Guards against a request that is changed on its way (UNASKED): a
 // path that is cleaned, a query that is parsed, a body under another length; against fields of one connection that
 // leak into another; and against limits that do not hold.
 func TestPassesOn(t *testing.T) {
-	play(t, 1, func(s *stage) {
-		s.part("no configuration is known")
-		s.ask("GET /alpha/ HTTP/1.1")
-		c := conf{version: 1, routes: both("alpha")}
-		s.cores[0].has(c)
-		s.part("no backend is known")
-		s.ask("GET /alpha/ HTTP/1.1")
-		s.backend("alpha", "north", ok)
-		s.part("routes")
-		s.ask("GET /alpha/x HTTP/1.1")
-		s.ask("GET /alpha HTTP/1.1")
-		s.ask("GET /alpha/ HTTP/1.1 | Host: b.example")
-		s.ask("GET /alpha/ HTTP/1.1 | Host: A.Example:8080")
-		s.ask("GET http://a.example/alpha/absolute?q HTTP/1.1")
-		s.ask("OPTIONS * HTTP/1.1")
-		s.part("the target's bytes")
+	runTranscript(t, 1, func(s *harness) {
+		s.section("no configuration is known")
+		s.request("GET /alpha/ HTTP/1.1")
+		c := testConfig{version: 1, routes: bothRoutes("alpha")}
+		s.nodes[0].commitConfig(c)
+		s.section("no backend is known")
+		s.request("GET /alpha/ HTTP/1.1")
+		s.addEndpoint("alpha", "north", respondOK)
+		s.section("routes")
+		s.request("GET /alpha/x HTTP/1.1")
+		s.request("GET /alpha HTTP/1.1")
+		s.request("GET /alpha/ HTTP/1.1 | Host: b.example")
+		s.request("GET /alpha/ HTTP/1.1 | Host: A.Example:8080")
+		s.request("GET http://a.example/alpha/absolute?q HTTP/1.1")
+		s.request("OPTIONS * HTTP/1.1")
+		s.section("the target's bytes")
 		for _, target := range []string{"//a//b/", "a%2fb%2Fc%20d", "./../x/.", "a;b=c;d?e;f", "?", "??a=b&a=b&&=%zz&+",
 			"x?u=http://a/b#c", `q"<>|^`} {
-			s.ask("GET /alpha/" + strings.ReplaceAll(target, "|", "%7C") + " HTTP/1.1")
-		}
-		s.part("fields of one connection, and those of the system itself")
-		s.ask("GET /alpha/ HTTP/1.1 | Connection: close, X-One | X-One: 1 | X-Two: 2 | X-Two: again | Keep-Alive: timeout=9" +
-			" | TE: trailers | Proxy-Connection: keep-alive | Proxy-Authorization: secret | Cookie: a=b" +
-			" | Accept-Encoding: identity | X-Elmfold-Target-Instance: i-other")
-		s.ask("GET /alpha/ HTTP/1.1 | Upgrade: websocket | Connection: Upgrade")
-		s.part("bodies")
-		s.ask("POST /alpha!/ HTTP/1.1 | Content-Length: 5", "hello")
-		s.ask("POST /alpha!/ HTTP/1.1 | Content-Length: 0")
-		s.ask("DELETE /alpha!/ HTTP/1.1")
-		s.ask("POST /alpha!/ HTTP/1.1 | "+chunks, chunked("hello ")+chunked("world"), "0\r\n\r\n")
-		s.ask("PATCH /alpha!/ HTTP/1.1 | Content-Type: text/odd | Content-Length: 100000",
+			s.request("GET /alpha/" + strings.ReplaceAll(target, "|", "%7C") + " HTTP/1.1")
+		}
+		s.section("fields of one connection, and those of the system itself")
+		s.request("GET /alpha/ HTTP/1.1 | Connection: close, X-One | X-One: 1 | X-Two: 2 | X-Two: again" +
+			" | Keep-Alive: timeout=9 | TE: trailers | Proxy-Connection: keep-alive | Proxy-Authorization: secret" +
+			" | Cookie: a=b | Accept-Encoding: identity | X-Elmfold-Target-Instance: i-other")
+		s.request("GET /alpha/ HTTP/1.1 | Upgrade: websocket | Connection: Upgrade")
+		s.section("bodies")
+		s.request("POST /alpha!/ HTTP/1.1 | Content-Length: 5", "hello")
+		s.request("POST /alpha!/ HTTP/1.1 | Content-Length: 0")
+		s.request("DELETE /alpha!/ HTTP/1.1")
+		s.request("POST /alpha!/ HTTP/1.1 | "+chunkedEncoding, encodeChunk("hello ")+encodeChunk("world"), "0\r\n\r\n")
+		s.request("PATCH /alpha!/ HTTP/1.1 | Content-Type: text/odd | Content-Length: 100000",
 			strings.Repeat("0123456789", 10000))
-		s.ask("GET /alpha/ HTTP/1.1 | Content-Length: 3", "abc")
-		s.ask("HEAD /alpha/ HTTP/1.1")
-		s.part("limits")
-		s.ask("POST /alpha!/ HTTP/1.1 | Content-Length: 100001", strings.Repeat("x", 100001))
-		s.ask("POST /alpha!/ HTTP/1.1 | "+chunks, chunked(strings.Repeat("x", 100001)))
-		s.ask("GET /alpha/ HTTP/1.1 | X-Long: " + strings.Repeat("x", 1000))
+		s.request("GET /alpha/ HTTP/1.1 | Content-Length: 3", "abc")
+		s.request("HEAD /alpha/ HTTP/1.1")
+		s.section("limits")
+		s.request("POST /alpha!/ HTTP/1.1 | Content-Length: 100001", strings.Repeat("x", 100001))
+		s.request("POST /alpha!/ HTTP/1.1 | "+chunkedEncoding, encodeChunk(strings.Repeat("x", 100001)))
+		s.request("GET /alpha/ HTTP/1.1 | X-Long: " + strings.Repeat("x", 1000))
 		c.version, c.limits = 2, `"maxHeaderBytes":2000,"maxBodyBytes":400000`
-		s.cores[0].has(c)
-		s.part("a configuration with others: the body is more than is held, and flows")
-		s.ask("GET /alpha/ HTTP/1.1 | X-Long: " + strings.Repeat("x", 1000))
-		s.ask("POST /alpha!/ HTTP/1.1 | Content-Length: 400000", strings.Repeat("0123456789", 40000))
-		s.ask("POST /alpha!/ HTTP/1.1 | "+chunks, chunked(strings.Repeat("0123456789", 39000)), "0\r\n\r\n")
-		s.part("the time: less by what has passed, and never more than the route's")
-		s.ask("GET /alpha/ HTTP/1.1 | X-Elmfold-Time-Budget-Ms: 800")
-		s.ask("POST /alpha!/ HTTP/1.1 | X-Elmfold-Time-Budget-Ms: 800 | Content-Length: 3", "a", "bc")
-		s.ask("POST /alpha!/ HTTP/1.1 | X-Elmfold-Time-Budget-Ms: 500 | Content-Length: 3", "a", "b", "c")
+		s.nodes[0].commitConfig(c)
+		s.section("a configuration with others: the body is more than is held, and flows")
+		s.request("GET /alpha/ HTTP/1.1 | X-Long: " + strings.Repeat("x", 1000))
+		s.request("POST /alpha!/ HTTP/1.1 | Content-Length: 400000", strings.Repeat("0123456789", 40000))
+		s.request("POST /alpha!/ HTTP/1.1 | "+chunkedEncoding, encodeChunk(strings.Repeat("0123456789", 39000)), "0\r\n\r\n")
+		s.section("the time: less by what has passed, and never more than the route's")
+		s.request("GET /alpha/ HTTP/1.1 | X-Elmfold-Time-Budget-Ms: 800")
+		s.request("POST /alpha!/ HTTP/1.1 | X-Elmfold-Time-Budget-Ms: 800 | Content-Length: 3", "a", "bc")
+		s.request("POST /alpha!/ HTTP/1.1 | X-Elmfold-Time-Budget-Ms: 500 | Content-Length: 3", "a", "b", "c")
 		for _, odd := range []string{"60000", "0.7", "-5", "soon"} {
-			s.ask("GET /alpha/ HTTP/1.1 | X-Elmfold-Time-Budget-Ms: " + odd)
+			s.request("GET /alpha/ HTTP/1.1 | X-Elmfold-Time-Budget-Ms: " + odd)
 		}
 	})
 }
@@ -649,60 +652,60 @@
 // (TWICE) or being promised not to have run (REFUSED), and against one that may be repeated being lost for nothing.
 func TestFurtherTries(t *testing.T) {
 	const answer = "HTTP/1.1 200 OK\r\nX-Elmfold-Attempt-Id: ID\r\nX-Elmfold-Server-Seal: s\r\n"
-	failed, busy := say(500, "", "it failed"), say(503, "", "busy")
-	turned := say(503, "X-Elmfold-Not-Executed: full", "full")
+	failed, busy := respond(500, "", "it failed"), respond(503, "", "busy")
+	turned := respond(503, "X-Elmfold-Not-Executed: full", "full")
 	cases := []struct {
 		name          string
-		first, second act
+		first, second respondFunc
 		kinds         string
 	}{
-		{"an answer that is cut short", cut(answer + "Content-Length: 50\r\n\r\nhalf"), ok, "su"},
-		{"no answer", cut(""), ok, "su"},
-		{"no answer, after some time", late(200*time.Millisecond, cut("")), ok, "s"},
-		{"bytes that are no answer", raw("What?\r\n\r\n"), ok, "su"},
+		{"an answer that is cut short", respondAndClose(answer + "Content-Length: 50\r\n\r\nhalf"), respondOK, "su"},
+		{"no answer", respondAndClose(""), respondOK, "su"},
+		{"no answer, after some time", afterDelay(200*time.Millisecond, respondAndClose("")), respondOK, "s"},
+		{"bytes that are no answer", respondRaw("What?\r\n\r\n"), respondOK, "su"},
 		{"an answer to another request",
-			cut(strings.Replace(answer, "ID", "other", 1) + "Content-Length: 2\r\n\r\nno"), ok, "su"},
+			respondAndClose(strings.Replace(answer, "ID", "other", 1) + "Content-Length: 2\r\n\r\nno"), respondOK, "su"},
 		{"a success without a seal",
-			raw("HTTP/1.1 200 OK\r\nX-Elmfold-Attempt-Id: ID\r\nContent-Length: 2\r\n\r\nno"), ok, "su"},
-		{"a Content-Encoding", say(200, "Content-Encoding: gzip", "zipped"), ok, "su"},
-		{"the backend's own 500", failed, ok, "su"},
+			respondRaw("HTTP/1.1 200 OK\r\nX-Elmfold-Attempt-Id: ID\r\nContent-Length: 2\r\n\r\nno"), respondOK, "su"},
+		{"a Content-Encoding", respond(200, "Content-Encoding: gzip", "zipped"), respondOK, "su"},
+		{"the backend's own 500", failed, respondOK, "su"},
 		{"the backend's own 500, twice", failed, failed, "s"},
-		{"its own 503 without a word that it did not run", busy, ok, "su"},
+		{"its own 503 without a word that it did not run", busy, respondOK, "su"},
 		{"its own 503 and no other", busy, busy, "s"},
-		{"its own 429", say(429, "Retry-After: 3", "slower"), ok, "su"},
-		{"a word that it did not run", turned, ok, "su"},
+		{"its own 429", respond(429, "Retry-After: 3", "slower"), respondOK, "su"},
+		{"a word that it did not run", turned, respondOK, "su"},
 		{"the same twice", turned, turned, "su"},
-		{"421", say(421, "", "not me"), ok, "su"},
-		{"nobody listens", nobody, ok, "su"},
-		{"nobody listens at either", nobody, nobody, "u"},
-		{"nobody listens, and the next breaks off", nobody, cut(""), "u"},
-		{"one breaks off, and nobody listens at the next", cut(""), nobody, "s"},
-		{"one breaks off, and the next did not run it", cut(""), turned, "s"},
-		{"one did not run it, and the next breaks off", turned, cut(""), "u"},
-		{"404 of its own", say(404, "", "not here"), ok, "u"},
-	}
-	play(t, 1, func(s *stage) {
-		c := conf{version: 1}
+		{"421", respond(421, "", "not me"), respondOK, "su"},
+		{"nobody listens", refuseConnections, respondOK, "su"},
+		{"nobody listens at either", refuseConnections, refuseConnections, "u"},
+		{"nobody listens, and the next breaks off", refuseConnections, respondAndClose(""), "u"},
+		{"one breaks off, and nobody listens at the next", respondAndClose(""), refuseConnections, "s"},
+		{"one breaks off, and the next did not run it", respondAndClose(""), turned, "s"},
+		{"one did not run it, and the next breaks off", turned, respondAndClose(""), "u"},
+		{"404 of its own", respond(404, "", "not here"), respondOK, "u"},
+	}
+	runTranscript(t, 1, func(s *harness) {
+		c := testConfig{version: 1}
 		for i := range cases {
-			c.routes = append(c.routes, both(fmt.Sprintf("c%d", i))...)
-			c.routes = append(c.routes, both(fmt.Sprintf("c%du", i))...)
+			c.routes = append(c.routes, bothRoutes(fmt.Sprintf("c%d", i))...)
+			c.routes = append(c.routes, bothRoutes(fmt.Sprintf("c%du", i))...)
 		}
-		s.cores[0].has(c)
+		s.nodes[0].commitConfig(c)
 		for i, k := range cases {
 			for _, kind := range k.kinds {
 				service := fmt.Sprintf("c%d", i)
 				if kind == 's' {
-					s.part("%s; repeatable", k.name)
-					s.backend(service, "north", k.first)
-					s.backend(service, "south", k.second)
-					s.ask("GET /" + service + "/ HTTP/1.1 | X-Elmfold-Time-Budget-Ms: 4000")
+					s.section("%s; repeatable", k.name)
+					s.addEndpoint(service, "north", k.first)
+					s.addEndpoint(service, "south", k.second)
+					s.request("GET /" + service + "/ HTTP/1.1 | X-Elmfold-Time-Budget-Ms: 4000")
 					continue
 				}
 				service += "u" // what was met by the one above stays out of it
-				s.part("%s; once only", k.name)
-				s.backend(service, "north", k.first)
-				s.backend(service, "south", k.second)
-				s.ask("POST /"+service+"!/ HTTP/1.1 | Content-Length: 2", "hi")
+				s.section("%s; once only", k.name)
+				s.addEndpoint(service, "north", k.first)
+				s.addEndpoint(service, "south", k.second)
+				s.request("POST /"+service+"!/ HTTP/1.1 | Content-Length: 2", "hi")
 			}
 		}
 	})
@@ -713,94 +716,96 @@
 func TestAnswers(t *testing.T) {
 	large := strings.Repeat("0123456789", 20000)
 	const head = "HTTP/1.1 200 OK\r\nX-Elmfold-Attempt-Id: ID\r\nX-Elmfold-Server-Seal: s\r\n"
-	pieces := strings.Repeat(chunked(large[:50000]), 4)
-	play(t, 1, func(s *stage) {
-		c := conf{version: 1}
+	pieces := strings.Repeat(encodeChunk(large[:50000]), 4)
+	runTranscript(t, 1, func(s *harness) {
+		c := testConfig{version: 1}
 		acts := []struct {
 			name string
-			do   act
+			do   respondFunc
 		}{
-			{"fields of the connection", say(201, "Connection: close, X-One\r\nX-One: 1\r\nX-Two: 2\r\n"+
+			{"fields of the connection", respond(201, "Connection: close, X-One\r\nX-One: 1\r\nX-Two: 2\r\n"+
 				"Set-Cookie: a\r\nSet-Cookie: b\r\nKeep-Alive: timeout=2\r\nServer: s", "made")},
-			{"no content", raw("HTTP/1.1 204 No Content\r\nX-Elmfold-Attempt-Id: ID\r\nX-Elmfold-Server-Seal: s\r\n\r\n")},
-			{"chunks", raw(head + "Transfer-Encoding: chunked\r\n\r\n" + chunked("one ") + chunked("two") + "0\r\n\r\n")},
-			{"a large body", say(200, "", large)},
-			{"a large body in chunks", raw(head + "Transfer-Encoding: chunked\r\n\r\n" + pieces + "0\r\n\r\n")},
-			{"a large body that breaks off", cut(head + "Content-Length: 200000\r\n\r\n" + large[:150000])},
-			{"a large body in chunks that breaks off", cut(head + "Transfer-Encoding: chunked\r\n\r\n" + pieces)},
-			{"no length at all", cut(head + "\r\nall until the end")},
-			{"a redirection", say(302, "Location: http://b.example/", "")},
-			{"nothing in time", late(7*time.Second, ok)},
+			{"no content",
+				respondRaw("HTTP/1.1 204 No Content\r\nX-Elmfold-Attempt-Id: ID\r\nX-Elmfold-Server-Seal: s\r\n\r\n")},
+			{"chunks",
+				respondRaw(head + "Transfer-Encoding: chunked\r\n\r\n" + encodeChunk("one ") + encodeChunk("two") + "0\r\n\r\n")},
+			{"a large body", respond(200, "", large)},
+			{"a large body in chunks", respondRaw(head + "Transfer-Encoding: chunked\r\n\r\n" + pieces + "0\r\n\r\n")},
+			{"a large body that breaks off", respondAndClose(head + "Content-Length: 200000\r\n\r\n" + large[:150000])},
+			{"a large body in chunks that breaks off", respondAndClose(head + "Transfer-Encoding: chunked\r\n\r\n" + pieces)},
+			{"no length at all", respondAndClose(head + "\r\nall until the end")},
+			{"a redirection", respond(302, "Location: http://b.example/", "")},
+			{"nothing in time", afterDelay(7*time.Second, respondOK)},
 		}
 		for i := range acts {
 			c.routes = append(c.routes, "unsafe "+fmt.Sprintf("/a%d/ a%d", i, i))
 		}
-		s.cores[0].has(c)
+		s.nodes[0].commitConfig(c)
 		for i, a := range acts {
-			s.part("%s", a.name)
-			s.backend(fmt.Sprintf("a%d", i), "north", a.do)
-			s.ask(fmt.Sprintf("GET /a%d/ HTTP/1.1", i))
-		}
-		s.part("one connection for several requests, until it was idle for too long")
-		k := s.client()
-		k.ask("GET /a8/ HTTP/1.1")
-		k.ask("GET /none/ HTTP/1.1")
-		k.ask("GET /a3/ HTTP/1.1")
+			s.section("%s", a.name)
+			s.addEndpoint(fmt.Sprintf("a%d", i), "north", a.do)
+			s.request(fmt.Sprintf("GET /a%d/ HTTP/1.1", i))
+		}
+		s.section("one connection for several requests, until it was idle for too long")
+		k := s.newTranscriptClient()
+		k.request("GET /a8/ HTTP/1.1")
+		k.request("GET /none/ HTTP/1.1")
+		k.request("GET /a3/ HTTP/1.1")
 		began := time.Now()
-		k.answer("GET")
-		s.note("it was closed after %v", time.Since(began).Round(time.Second))
-		s.part("a head that does not end")
-		k = s.client()
+		k.readResponse("GET")
+		s.logf("it was closed after %v", time.Since(began).Round(time.Second))
+		s.section("a head that does not end")
+		k = s.newTranscriptClient()
 		began = time.Now()
 		_, _ = io.WriteString(k.conn, "GET /a8/ HTTP/1.1\r\nHost:")
-		k.answer("GET")
-		s.note("it was closed after %v", time.Since(began).Round(time.Second))
+		k.readResponse("GET")
+		s.logf("it was closed after %v", time.Since(began).Round(time.Second))
 		c.version, c.limits = 2, `"idleTimeoutS":2`
-		s.cores[0].has(c)
-		s.part("the idle time is short: nothing is said of it")
-		s.ask("GET /a8/ HTTP/1.1")
+		s.nodes[0].commitConfig(c)
+		s.section("the idle time is short: nothing is said of it")
+		s.request("GET /a8/ HTTP/1.1")
 	})
 }
 
 // What controllers say holds from that moment. Guards against requests to a backend that leaves (DRAIN) or whose zone
 // is emptied (EVAC), against late words that bring one back, and against a level that does not hold.
 func TestWords(t *testing.T) {
-	play(t, 1, func(s *stage) {
-		k := s.cores[0]
-		k.has(conf{version: 1, routes: append(both("alpha"), both("beta")...)})
-		b := s.backend("alpha", "north", ok)
-		ask := func() { s.ask("GET /alpha/ HTTP/1.1") }
+	runTranscript(t, 1, func(s *harness) {
+		k := s.nodes[0]
+		k.commitConfig(testConfig{version: 1, routes: append(bothRoutes("alpha"), bothRoutes("beta")...)})
+		b := s.addEndpoint("alpha", "north", respondOK)
+		ask := func() { s.request("GET /alpha/ HTTP/1.1") }
 		ask()
-		s.backend("alpha", "south", ok)
-		s.part("the one of the own zone first")
+		s.addEndpoint("alpha", "south", respondOK)
+		s.section("the one of the own zone first")
 		ask()
-		s.part("it drains")
+		s.section("it drains")
 		b.Seq, b.State = 5, rpc.Draining
-		k.word(b)
+		k.sendEndpoints(b)
 		ask()
-		s.part("late words that it is ready")
+		s.section("late words that it is ready")
 		late := b
 		late.Seq, late.State = 4, rpc.Ready
-		k.word(late)
+		k.sendEndpoints(late)
 		ask()
 		late.Seq = 6
-		k.word(late)
+		k.sendEndpoints(late)
 		ask()
-		s.part("a new life at its address")
-		k.word(rpc.Endpoint{ID: b.ID, State: rpc.Gone})
+		s.section("a new life at its address")
+		k.sendEndpoints(rpc.Endpoint{ID: b.ID, State: rpc.Gone})
 		b.ID, b.Seq, b.State = "alpha-new", 1, rpc.Ready
-		k.word(b)
+		k.sendEndpoints(b)
 		ask()
 
 		evacuate := func(zone, value string, stamp uint64) {
-			k.tell(offer(rpc.Register{Name: "zone/" + zone, Version: rpc.Version{Number: stamp}, Value: []byte(value)}))
+			k.send(committedValue(rpc.Register{Name: "zone/" + zone, Version: rpc.Version{Number: stamp}, Value: []byte(value)}))
 		}
-		s.part("the north is evacuated")
+		s.section("the north is evacuated")
 		evacuate("north", "1b", 10)
 		ask()
-		s.part("an older order, and one that is not in force")
+		s.section("an older order, and one that is not in force")
 		evacuate("north", "0f", 9)
-		k.tell(
+		k.send(
 			&rpc.Message{
 				RegisterUpdate: rpc.RegisterUpdate{
 					CommittedValues: []rpc.Register{{Name: "zone/north", Version: rpc.Version{Number: 11},
@@ -809,104 +814,105 @@
 			},
 		)
 		ask()
-		s.part("the south too")
+		s.section("the south too")
 		evacuate("south", "1b", 10)
 		ask()
-		s.part("the north is taken back")
+		s.section("the north is taken back")
 		evacuate("north", "0f", 12)
 		ask()
 
-		s.part("weights and a level of the controller that steers")
-		one := s.backend("beta", "north1", ok)
-		two := s.backend("beta", "north2", ok)
-		k.tell(&rpc.Message{RoutingTables: []rpc.RoutingTable{{Service: "beta", Full: true,
+		s.section("weights and a level of the controller that steers")
+		one := s.addEndpoint("beta", "north1", respondOK)
+		two := s.addEndpoint("beta", "north2", respondOK)
+		k.send(&rpc.Message{RoutingTables: []rpc.RoutingTable{{Service: "beta", Full: true,
 			Weights: map[string]float64{one.ID: 0, two.ID: 1}}}})
 		for range 3 {
-			s.ask("GET /beta/ HTTP/1.1")
+			s.request("GET /beta/ HTTP/1.1")
 		}
-		k.tell(&rpc.Message{RoutingTables: []rpc.RoutingTable{{Service: "beta", Limited: true, RateLimit: 2}}})
+		k.send(&rpc.Message{RoutingTables: []rpc.RoutingTable{{Service: "beta", Limited: true, RateLimit: 2}}})
 		for range 4 {
-			s.ask("GET /beta/ HTTP/1.1")
+			s.request("GET /beta/ HTTP/1.1")
 		}
 		time.Sleep(time.Second)
-		s.part("a second later")
-		s.ask("GET /beta/ HTTP/1.1")
+		s.section("a second later")
+		s.request("GET /beta/ HTTP/1.1")
 	})
 }
 
 // Guards against a carrier that asks the nearest controller alone for a configuration that this one does not have, or
 // does not give (CONFIG), and against one that goes back to what is older.
 func TestConfigurationFromOthers(t *testing.T) {
-	play(t, 2, func(s *stage) {
-		near, far := s.cores[0], s.cores[1]
-		first, second, third := conf{version: 1, routes: both("alpha")}, conf{version: 2, routes: both("beta")},
-			conf{version: 3, routes: append(both("alpha"), both("beta")...)}
-		s.backend("alpha", "north", ok)
-		s.backend("beta", "north", ok)
+	runTranscript(t, 2, func(s *harness) {
+		near, far := s.nodes[0], s.nodes[1]
+		first := testConfig{version: 1, routes: bothRoutes("alpha")}
+		second := testConfig{version: 2, routes: bothRoutes("beta")}
+		third := testConfig{version: 3, routes: append(bothRoutes("alpha"), bothRoutes("beta")...)}
+		s.addEndpoint("alpha", "north", respondOK)
+		s.addEndpoint("beta", "north", respondOK)
 		ask := func() {
-			s.ask("GET /alpha/ HTTP/1.1")
-			s.ask("GET /beta/ HTTP/1.1")
+			s.request("GET /alpha/ HTTP/1.1")
+			s.request("GET /beta/ HTTP/1.1")
 		}
-		s.part("both have the first: the near one is asked")
-		far.has(first)
-		near.has(first)
+		s.section("both have the first: the near one is asked")
+		far.commitConfig(first)
+		near.commitConfig(first)
 		ask()
-		s.part("the far one has the second")
-		far.has(second)
+		s.section("the far one has the second")
+		far.commitConfig(second)
 		ask()
-		s.part("the near one says again that it has the first")
-		near.has(first)
-		near.tell(offer(first.register()))
+		s.section("the near one says again that it has the first")
+		near.commitConfig(first)
+		near.send(committedValue(first.register()))
 		ask()
-		s.part("both have the third, and the near one does not give it")
-		near.answers = false
-		near.has(third)
-		far.has(third)
+		s.section("both have the third, and the near one does not give it")
+		near.servesConfig = false
+		near.commitConfig(third)
+		far.commitConfig(third)
 		time.Sleep(2 * time.Second)
 		ask()
-		s.part("a value that is not in force, and one in force that cannot be read")
-		wrong := conf{version: 4, routes: both("alpha")}.register()
-		far.tell(&rpc.Message{RegisterUpdate: rpc.RegisterUpdate{CommittedValues: []rpc.Register{wrong}}})
+		s.section("a value that is not in force, and one in force that cannot be read")
+		wrong := testConfig{version: 4, routes: bothRoutes("alpha")}.register()
+		far.send(&rpc.Message{RegisterUpdate: rpc.RegisterUpdate{CommittedValues: []rpc.Register{wrong}}})
 		wrong.Value = []byte("{")
-		far.tell(offer(wrong))
-		s.ask("GET /beta/ HTTP/1.1")
+		far.send(committedValue(wrong))
+		s.request("GET /beta/ HTTP/1.1")
 	})
 }
 
 // The carrier's own beginning and end. Guards against clients that are sent to one that knows too little yet, or that
 // were not told to go elsewhere before its end, and against a request that is at work being cut (LOST).
 func TestReadiness(t *testing.T) {
-	play(t, 3, func(s *stage) {
+	runTranscript(t, 3, func(s *harness) {
 		ready := func() {
 			w := httptest.NewRecorder()
-			s.carrier.Readiness().ServeHTTP(w, httptest.NewRequest("GET", "http://10.0.0.100:8542/v1/readiness", nil))
-			s.note("readiness %d", w.Code)
+			s.proxy.Readiness().ServeHTTP(w, httptest.NewRequest("GET", "http://10.0.0.100:8542/v1/readiness", nil))
+			s.logf("readiness %d", w.Code)
 		}
-		s.part("controllers are there, and nothing is in force")
+		s.section("controllers are there, and nothing is in force")
 		ready()
-		s.part("something is")
-		s.backend("alpha", "north", late(time.Second, ok))
-		s.cores[0].has(conf{version: 1, routes: both("alpha")})
+		s.section("something is")
+		s.addEndpoint("alpha", "north", afterDelay(time.Second, respondOK))
+		s.nodes[0].commitConfig(testConfig{version: 1, routes: bothRoutes("alpha")})
 		ready()
-		s.part("a client on a connection that stays")
-		k := s.client()
-		k.ask("GET /alpha/ HTTP/1.1")
+		s.section("a client on a connection that stays")
+		k := s.newTranscriptClient()
+		k.request("GET /alpha/ HTTP/1.1")
 		ended := make(chan struct{})
 		go func() {
-			s.carrier.Shutdown(5 * time.Second)
+			s.proxy.Shutdown(5 * time.Second)
 			close(ended)
 		}()
 		time.Sleep(10 * time.Millisecond)
-		s.part("the end begins")
+		s.section("the end begins")
 		ready()
-		k.ask("GET /alpha/ HTTP/1.1")
-		k.ask("GET /alpha/ HTTP/1.1")
-		s.ask("GET /none/ HTTP/1.1")
+		k.request("GET /alpha/ HTTP/1.1")
+		k.request("GET /alpha/ HTTP/1.1")
+		s.request("GET /none/ HTTP/1.1")
 		time.Sleep(time.Second)
-		s.part("one at work when connections are no longer taken, which ends well")
-		s.ask("GET /alpha/ HTTP/1.1")
+		s.section("one at work when connections are no longer taken, which ends well")
+		s.request("GET /alpha/ HTTP/1.1")
 		<-ended
-		s.ask("GET /alpha/ HTTP/1.1")
+		s.request("GET /alpha/ HTTP/1.1")
 	})
 }
 
@@ -915,28 +921,29 @@
 func TestNotReadyTooSoon(t *testing.T) {
 	var out string
 	synctest.Test(t, func(*testing.T) {
-		s := enter(3)
-		first := conf{version: 1, routes: both("alpha")}
-		for i, k := range s.cores {
+		s := newHarness(3)
+		first := testConfig{version: 1, routes: bothRoutes("alpha")}
+		for i, k := range s.nodes {
 			k.mu.Lock()
-			k.charter = first.register()
-			k.held = map[string]rpc.Version{"zone/south": {Number: 7}}
-			k.settled = i == 0
+			k.config = first.register()
+			k.stored = map[string]rpc.Version{"zone/south": {Number: 7}}
+			k.endpointsSynced = i == 0
 			k.mu.Unlock()
 		}
 		at := func(name string) {
 			w := httptest.NewRecorder()
-			s.carrier.Readiness().ServeHTTP(w, httptest.NewRequest("GET", "http://10.0.0.100:8542/v1/readiness", nil))
-			s.note("%d  %s", w.Code, name)
+			s.proxy.Readiness().ServeHTTP(w, httptest.NewRequest("GET", "http://10.0.0.100:8542/v1/readiness", nil))
+			s.logf("%d  %s", w.Code, name)
 		}
 		at("before any word")
 		time.Sleep(300 * time.Millisecond)
 		at("one of three knows the backends")
-		s.cores[1].tell(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{EndpointsSynced: true}})
+		s.nodes[1].send(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{EndpointsSynced: true}})
 		at("two do, and hold an evacuation that has not come here")
-		s.cores[1].tell(offer(rpc.Register{Name: "zone/south", Version: rpc.Version{Number: 7}, Value: []byte("1b")}))
+		evacuation := rpc.Register{Name: "zone/south", Version: rpc.Version{Number: 7}, Value: []byte("1b")}
+		s.nodes[1].send(committedValue(evacuation))
 		at("it has")
-		out = s.end()
+		out = s.stop()
 	})
 	autogold.Equal(t, out)
 }
@@ -945,55 +952,55 @@
 // the head, and no deadline bounds that reading.
 func TestRefusalDoesNotWaitForTheBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := enter(1)
+		s := newHarness(1)
 		time.Sleep(5 * time.Second)
-		s.cores[0].has(conf{version: 1, routes: both("alpha")})
+		s.nodes[0].commitConfig(testConfig{version: 1, routes: bothRoutes("alpha")})
 		for _, lines := range []string{
-			"POST /none/ HTTP/1.1 | Content-Length: 5",             // 404
-			"POST /alpha!/ HTTP/1.1 | Content-Length: 100001",      // 413
-			"POST /alpha!/ HTTP/1.1 | " + chunks + " | Upgrade: x", // 400
+			"POST /none/ HTTP/1.1 | Content-Length: 5",                      // 404
+			"POST /alpha!/ HTTP/1.1 | Content-Length: 100001",               // 413
+			"POST /alpha!/ HTTP/1.1 | " + chunkedEncoding + " | Upgrade: x", // 400
 		} {
 			began := time.Now()
-			s.ask(lines, "x")
+			s.request(lines, "x")
 			if took := time.Since(began); took > time.Second {
 				t.Errorf("%s: no answer within %v", lines, took)
 			}
 		}
-		k := s.client()
-		k.ask("POST /none/ HTTP/1.1 | Content-Length: 5", "x")
+		k := s.newTranscriptClient()
+		k.request("POST /none/ HTTP/1.1 | Content-Length: 5", "x")
 		began := time.Now()
 		_ = k.conn.SetReadDeadline(time.Now().Add(10 * time.Minute))
 		_, err := k.br.ReadByte()
 		t.Logf("after %v more: %v", time.Since(began), err)
-		_ = s.end()
+		_ = s.stop()
 	})
 }
 
 // Guards against a second request hidden in the first: what has two lengths, odd framing or odd line ends is refused or
 // goes on in one framing of ours, and a backend never sees more requests than clients sent.
 func TestNothingIsSmuggled(t *testing.T) {
-	play(t, 1, func(s *stage) {
-		s.cores[0].has(conf{version: 1, routes: both("alpha")})
-		s.backend("alpha", "north", ok)
+	runTranscript(t, 1, func(s *harness) {
+		s.nodes[0].commitConfig(testConfig{version: 1, routes: bothRoutes("alpha")})
+		s.addEndpoint("alpha", "north", respondOK)
 		for _, c := range []struct{ name, lines, body string }{
-			{"a length and chunks", "POST /alpha!/ HTTP/1.1 | Content-Length: 4 | " + chunks, "3\r\nabc\r\n0\r\n\r\n"},
+			{"a length and chunks", "POST /alpha!/ HTTP/1.1 | Content-Length: 4 | " + chunkedEncoding, "3\r\nabc\r\n0\r\n\r\n"},
 			{"two lengths", "POST /alpha!/ HTTP/1.1 | Content-Length: 3 | Content-Length: 30", "abc"},
 			{"the same length twice", "POST /alpha!/ HTTP/1.1 | Content-Length: 3 | Content-Length: 3", "abc"},
 			{"a length with a sign", "POST /alpha!/ HTTP/1.1 | Content-Length: +3", "abc"},
 			{"a blank before the colon", "POST /alpha!/ HTTP/1.1 | Content-Length : 3", "abc"},
 			{"another coding behind", "POST /alpha!/ HTTP/1.1 | Transfer-Encoding: chunked, identity", "3\r\nabc\r\n0\r\n\r\n"},
 			{"a coding in disguise", "POST /alpha!/ HTTP/1.1 | Transfer-Encoding: xchunked", "3\r\nabc\r\n0\r\n\r\n"},
-			{"a chunk's size that is none", "POST /alpha!/ HTTP/1.1 | " + chunks, "0x3\r\nabc\r\n0\r\n\r\n"},
+			{"a chunk's size that is none", "POST /alpha!/ HTTP/1.1 | " + chunkedEncoding, "0x3\r\nabc\r\n0\r\n\r\n"},
 			{"a field that is folded", "GET /alpha/ HTTP/1.1 | X-One: 1\r\n Content-Length: 3", ""},
 			{"a line that ends in CR alone", "GET /alpha/ HTTP/1.1 | X-One: 1\rX-Two: 2", ""},
 			{"a blank in the target", "GET /alpha/ /alpha/two HTTP/1.1", ""},
 			{"a control byte in the target", "GET /alpha/\x01 HTTP/1.1", ""},
 		} {
-			s.part(c.name)
+			s.section(c.name)
 			if c.body == "" {
-				s.ask(c.lines)
+				s.request(c.lines)
 			} else {
-				s.ask(c.lines, c.body)
+				s.request(c.lines, c.body)
 			}
 		}
 	})
--- a/internal/proxy/quorum.go
+++ b/internal/proxy/quorum.go
@@ -10,27 +10,26 @@
 	"elmfold/internal/proxy/balancer"
 )
 
-// What of the control plane's messages counts here. A node without quorum contact has no contact with a majority of
-// the voters: what it says was committed once, and may be outdated. Each node says so with its first message, with
-// each answer to a renewal, and when that changes.
+// A node without quorum contact has no contact with a majority of the voters: what it reports as committed may be
+// outdated. Each node states its quorum contact in its first message, in each answer to a renewal, and when it changes.
 
 const (
-	// maxSteeringOutage is how long the node that steers may be without quorum contact before another is turned to.
-	maxSteeringOutage = 2500 * time.Millisecond
-	// minQuorumContact is how long a node must have quorum contact before it is turned to.
+	// maxRoutingNodeOutage is how long the routing node may be without quorum contact before the proxy selects another.
+	maxRoutingNodeOutage = 2500 * time.Millisecond
+	// minQuorumContact is how long a node must have had quorum contact before it is selected as the routing node.
 	minQuorumContact = 3 * time.Second
-	// maxTableAge is how long ago the renewal may have been sent that routing tables were worked out after.
+	// maxTableAge is the largest time between sending a renewal and receiving routing tables that were computed after it.
 	maxTableAge = 3 * time.Second
-	// maxStartupWait is how long after the first message of any node a proxy waits for nodes with quorum contact.
+	// maxStartupWait is how long after the first message of any node the proxy waits for nodes with quorum contact.
 	maxStartupWait = 3 * time.Second
-	// rememberedRenewals is the number of renewals whose sending is remembered.
+	// rememberedRenewals is the number of renewals whose send times are kept.
 	rememberedRenewals = 8
 )
 
-// quorumStatus is what an incarnation of a node says of its quorum contact.
+// quorumStatus is the quorum contact of an incarnation of a node.
 type quorumStatus struct {
 	lost      bool
-	changedAt time.Duration // when lost last changed; at first, the node's first message
+	changedAt time.Duration // when lost last changed; at first, the time of the node's first message
 }
 
 func (q *quorumStatus) update(now time.Duration, lost bool) {
@@ -39,47 +38,49 @@
 	}
 }
 
-// isSteady reports whether the node may steer: with quorum contact, and for long enough if it does not steer already.
-func (q *quorumStatus) isSteady(now time.Duration, steers bool) bool {
-	if steers {
-		return !q.lost || now <= q.changedAt+maxSteeringOutage
+// isSteady reports whether the node's quorum contact is stable enough for the routing node. The current routing node
+// may lose it for a while; any other must have had it for some time.
+func (q *quorumStatus) isSteady(now time.Duration, isRoutingNode bool) bool {
+	if isRoutingNode {
+		return !q.lost || now <= q.changedAt+maxRoutingNodeOutage
 	}
 	return !q.lost && now >= q.changedAt+minQuorumContact
 }
 
-// chooseSteering turns to the node that is to steer.
-func (p *Proxy) chooseSteering(now time.Duration) {
-	var connected []steeringCandidate
+// updateRoutingNode selects the routing node among the connected nodes.
+func (p *Proxy) updateRoutingNode(now time.Duration) {
+	var connected []routingCandidate
 	for _, n := range p.sortedNodes() {
 		if n.conn != nil {
 			name := n.info.Name
-			steady := n.quorum.isSteady(now, name == p.steeringNode)
-			connected = append(connected, steeringCandidate{name, n.info.Zone, steady})
+			steady := n.quorum.isSteady(now, name == p.routingNode)
+			connected = append(connected, routingCandidate{name, n.info.Zone, steady})
 		}
 	}
-	if best := chooseSteeringNode(p.self.Zone, connected); best != "" && best != p.steeringNode {
-		p.steeringNode = best
-		p.log.Info("steering node selected", logfield.Node, best)
+	if best := chooseRoutingNode(p.self.Zone, connected); best != "" && best != p.routingNode {
+		p.routingNode = best
+		p.log.Info("routing node selected", logfield.Node, best)
 	}
 }
 
-// steeringCandidate is a connected node.
-type steeringCandidate struct {
+// routingCandidate is a connected node that may become the routing node.
+type routingCandidate struct {
 	name, zone string
 	steady     bool
 }
 
-// Bits of the rank of a candidate: those that decide first are the highest.
+// Bits of a candidate's rank, highest priority first.
 const (
 	steadyBit   = 1 << 63
 	ownZoneBit  = 1 << 62
-	hashedShift = 2 // bits of the hash that give way to them
+	hashedShift = 2 // clears these bits in the hash
 )
 
-// chooseSteeringNode is the node that steers a proxy of a zone: one with quorum contact before one without, then
-// that of the own zone, then by rendezvous hashing, so that all proxies of a zone turn to the same. Where no node
-// has quorum contact one without steers, as its tables are no worse than none. It is "" if there are no candidates.
-func chooseSteeringNode(zone string, candidates []steeringCandidate) string {
+// chooseRoutingNode returns the name of the routing node for the proxies of a zone: a node with steady quorum contact
+// before one without, then a node of the same zone, then by rendezvous hashing, so that all proxies of a zone choose
+// the same node. If no node has quorum contact, outdated routing tables are better than none. It returns "" without
+// candidates.
+func chooseRoutingNode(zone string, candidates []routingCandidate) string {
 	best, highest := "", uint64(0)
 	for _, c := range candidates {
 		rank := balancer.RendezvousHash(c.name, zone) >> hashedShift
@@ -96,7 +97,7 @@
 	return best
 }
 
-// renewalTimes are when renewals were sent on a connection, by their numbers, which rise by one.
+// renewalTimes are the send times of the newest renewals on a connection. Renewals are numbered consecutively.
 type renewalTimes struct {
 	sentAt [rememberedRenewals]time.Duration
 	newest uint64
@@ -106,7 +107,7 @@
 	r.sentAt[number%rememberedRenewals], r.newest = now, number
 }
 
-// sentTime is when a renewal was sent; false: it was not sent on this connection, or too long ago.
+// sentTime returns when a renewal was sent, and false if it was not sent on this connection or is no longer remembered.
 func (r *renewalTimes) sentTime(number uint64) (time.Duration, bool) {
 	isRemembered := number > 0 && number <= r.newest && number+rememberedRenewals > r.newest
 	if !isRemembered || r.sentAt[number%rememberedRenewals] == 0 {
@@ -115,11 +116,11 @@
 	return r.sentAt[number%rememberedRenewals], true
 }
 
-// leaseEnd is until when this proxy may rely on its lease: LeaseUseDuration from the newest time whose renewals, or
-// later ones, a majority of the voters has answered, in a joint epoch of both sets. renewedAt is the sending of the
-// newest renewal that a node answered, by its name. Whether the nodes have contact with one another does not
-// matter: a lease is between a proxy and each node, and the majorities of two proxies share a node that lists both.
-// It reports false if no majority has answered.
+// leaseEnd returns until when the proxy may use its lease, and false if no majority has acknowledged a renewal.
+// renewedAt is, by node name, the send time of the newest renewal that the node acknowledged. The lease lasts
+// LeaseUseDuration from the newest time t for which a majority of the voters has acknowledged a renewal sent at t or
+// later; a joint epoch needs a majority of both sets. Contact between the nodes is not required: the majorities of any
+// two proxies share a node, and that node knows of both leases.
 func leaseEnd(e rpc.Epoch, renewedAt map[string]time.Duration) (time.Duration, bool) {
 	times := make([]time.Duration, 0, len(renewedAt))
 	for _, t := range renewedAt {
@@ -139,10 +140,9 @@
 	return 0, false
 }
 
-// mayTrustCommitted reports whether a node's message that a configuration is committed is to be acted on. A proxy
-// that has one only moves on, so whatever is newer is welcome. One that has none waits for a node with quorum
-// contact, until maxStartupWait after the first message of any: then the newest that was once committed is better
-// than none.
+// mayTrustCommitted reports whether the proxy acts on a node's report that a configuration is committed. A proxy that
+// has a configuration accepts any newer one. A proxy without one waits for a node with quorum contact, up to
+// maxStartupWait after the first message of any node; after that, the newest one once committed is better than none.
 func mayTrustCommitted(now, firstMessageAt time.Duration, hasConfig, quorumLost bool) bool {
 	waitedLongEnough := firstMessageAt >= 0 && now > firstMessageAt+maxStartupWait
 	return hasConfig || !quorumLost || waitedLongEnough
--- a/internal/proxy/quorum_test.go
+++ b/internal/proxy/quorum_test.go
@@ -12,7 +12,7 @@
 const s = time.Second
 
 // Guards against a carrier that turns to another controller at each short trouble, or stays with one that is cut off.
-func TestTouch(t *testing.T) {
+func TestQuorumStatus(t *testing.T) {
 	k := quorumStatus{changedAt: 1 * s}
 	for i, step := range []struct {
 		now           time.Duration
@@ -41,41 +41,41 @@
 
 // In touch before apart, the own zone, then the same for all carriers of a zone; nobody in touch is no reason to be
 // steered by nobody.
-func TestSteerer(t *testing.T) {
-	north, south, west := steeringCandidate{
+func TestChooseRoutingNode(t *testing.T) {
+	north, south, west := routingCandidate{
 		"core-0",
 		"north",
 		true,
-	}, steeringCandidate{
+	}, routingCandidate{
 		"core-1",
 		"south",
 		true,
-	}, steeringCandidate{
+	}, routingCandidate{
 		"core-2",
 		"west",
 		true,
 	}
-	apart := func(c steeringCandidate) steeringCandidate { c.steady = false; return c }
-	other := chooseSteeringNode("north", []steeringCandidate{south, west})
+	apart := func(c routingCandidate) routingCandidate { c.steady = false; return c }
+	other := chooseRoutingNode("north", []routingCandidate{south, west})
 	for i, k := range []struct {
-		all  []steeringCandidate
+		all  []routingCandidate
 		want string
 	}{
 		{nil, ""},
-		{[]steeringCandidate{south, north, west}, "core-0"},
-		{[]steeringCandidate{west, south}, other},
-		{[]steeringCandidate{apart(north), south, west}, other},
-		{[]steeringCandidate{apart(north), apart(south), west}, "core-2"},
-		{[]steeringCandidate{apart(north), apart(south), apart(west)}, "core-0"},
-		{[]steeringCandidate{apart(west), apart(south)}, other},
+		{[]routingCandidate{south, north, west}, "core-0"},
+		{[]routingCandidate{west, south}, other},
+		{[]routingCandidate{apart(north), south, west}, other},
+		{[]routingCandidate{apart(north), apart(south), west}, "core-2"},
+		{[]routingCandidate{apart(north), apart(south), apart(west)}, "core-0"},
+		{[]routingCandidate{apart(west), apart(south)}, other},
 	} {
-		if got := chooseSteeringNode("north", k.all); got != k.want {
+		if got := chooseRoutingNode("north", k.all); got != k.want {
 			t.Errorf("%d: %q, want %q", i, got, k.want)
 		}
 	}
 	zones := map[string]int{}
 	for i := range 60 { // zones without a controller of their own spread over those that are there
-		zones[chooseSteeringNode(fmt.Sprint("zone-", i), []steeringCandidate{north, south, west})]++
+		zones[chooseRoutingNode(fmt.Sprint("zone-", i), []routingCandidate{north, south, west})]++
 	}
 	for name, n := range zones {
 		if n < 8 {
@@ -86,7 +86,7 @@
 
 // The renewal that tables were worked out after dates them: one of another line, one that was never sent and one that
 // is forgotten date nothing.
-func TestSentTimes(t *testing.T) {
+func TestRenewalTimes(t *testing.T) {
 	var k renewalTimes
 	if _, ok := k.sentTime(1); ok {
 		t.Error("dated by what was not sent")
@@ -115,7 +115,7 @@
 
 // Who may send to a cold backend. Guards against two carriers that both hold the right by majorities which do not meet
 // (FAILBACK): no majority of one set counts while the other one does too.
-func TestRight(t *testing.T) {
+func TestLeaseEnd(t *testing.T) {
 	plain := rpc.Epoch{Number: 3, Voters: voters("a", "b", "c")}
 	joint := rpc.Epoch{Number: 4, Voters: voters("b", "c", "d"), OldVoters: voters("a", "b", "c")}
 	moved := rpc.Epoch{Number: 4, Voters: voters("d", "e", "f"), OldVoters: voters("a", "b", "c")}
@@ -147,7 +147,7 @@
 }
 
 // Whose word that a configuration is in force counts.
-func TestCounts(t *testing.T) {
+func TestMayTrustCommitted(t *testing.T) {
 	for i, k := range []struct {
 		now, first       time.Duration
 		has, apart, want bool
@@ -166,7 +166,7 @@
 }
 
 // Who is asked for a configuration: one in touch, then one of the zone.
-func TestNearer(t *testing.T) {
+func TestIsPreferredTo(t *testing.T) {
 	of := func(zone string, apart bool) *node {
 		return &node{info: rpc.Node{Zone: zone}, quorum: quorumStatus{lost: apart}}
 	}
--- a/internal/proxy/readahead.go
+++ b/internal/proxy/readahead.go
@@ -9,59 +9,59 @@
 	"elmfold/internal/proxy/socket"
 )
 
-// http.Server sees that a client leaves by a read in the background, which begins when the body of the request has
-// been read, and ends with the first byte that comes: of a request that the client sends before the answer
-// (pipelining). While a body flows, only its reader sees the end. What follows closes both gaps: bytes are read ahead
-// for as long as nobody else reads, so that the end of the connection shows behind them.
+// http.Server detects a client disconnect by a background read. That read starts once the request body has been read,
+// and ends with the first byte of a pipelined request. During an upload, only the reader of the body detects a
+// disconnect. readAhead covers the rest: it reads the connection while nobody else does, so that the end of the
+// connection is found behind unread bytes.
 
 const (
-	// maxReadAhead is how many bytes of a connection are held before anybody wants them, and maxTotalReadAhead of all
-	// connections. Behind more, only the kernel can tell that the client has left.
+	// maxReadAhead limits the bytes buffered per connection, and maxTotalReadAhead those of all connections. Beyond these
+	// limits, the proxy polls the kernel for the end of the connection.
 	maxReadAhead      = 1 << 20
 	maxTotalReadAhead = 16 << 20
 	readAheadChunk    = 4 << 10
-	// peerStateInterval is how often the kernel is asked.
+	// peerStateInterval is the interval of these polls.
 	peerStateInterval = 100 * time.Millisecond
 )
 
-// aLongTimeAgo is a deadline that ends a read at once.
+// aLongTimeAgo is a deadline that interrupts a read at once.
 var aLongTimeAgo = time.Unix(1, 0)
 
-// readAhead reads a connection while nobody else does. At any moment one goroutine reads the connection: the caller of
-// read, or the one that begin started.
+// readAhead reads a connection while nobody else does. At most one goroutine reads the connection at a time: the caller
+// of read, or the one that start creates.
 type readAhead struct {
-	conn         net.Conn
-	onDisconnect func()        // called when the client was seen to leave; more than once at times
-	total        *atomic.Int64 // bytes that are held, of all connections
+	conn          net.Conn
+	onDisconnect  func()        // may be called more than once
+	totalBuffered *atomic.Int64 // buffered bytes of all connections
 
 	mu       sync.Mutex
 	deadline time.Time     // for reads; zero: none
-	reading  bool          // a caller of read is at it
-	done     chan struct{} // closed when the goroutine of begin ends; nil: there is none
-	stopping chan struct{} // closed when it is to end
+	reading  bool          // a caller of read is reading the connection
+	done     chan struct{} // closed when the goroutine of start ends; nil: there is none
+	stopping chan struct{} // closed when that goroutine has to end
 	buffered []byte
-	err      error // that ended reading
-	released bool  // nothing is held any more
+	err      error // the error that ended reading
+	released bool  // the connection was closed, and nothing more is buffered
 }
 
-// begin reads ahead until read is called. It does nothing where somebody reads already, or all has been read.
-func (r *readAhead) begin() {
+// start reads ahead until read is called. It does nothing if the connection is being read already or has ended.
+func (r *readAhead) start() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.reading || r.done != nil || r.err != nil {
 		return
 	}
 	r.done, r.stopping = make(chan struct{}), make(chan struct{})
-	go r.run(r.done, r.stopping)
+	go r.readLoop(r.done, r.stopping)
 }
 
-// read reads for a caller: first what was read ahead.
+// read stops reading ahead. It returns buffered bytes, or reads the connection if there are none.
 func (r *readAhead) read(b []byte) (int, error) {
 	r.stop()
 	r.mu.Lock()
 	if len(r.buffered) > 0 || r.err != nil {
 		defer r.mu.Unlock()
-		return r.take(b)
+		return r.takeBuffered(b)
 	}
 	r.reading = true
 	r.mu.Unlock()
@@ -72,13 +72,13 @@
 	return n, err
 }
 
-// take gives what was read ahead, then the error that ended it; the lock is held.
-func (r *readAhead) take(b []byte) (int, error) {
+// takeBuffered returns buffered bytes, then the error that ended reading. The caller holds the lock.
+func (r *readAhead) takeBuffered(b []byte) (int, error) {
 	if len(r.buffered) == 0 {
 		return 0, r.err
 	}
 	n := copy(b, r.buffered)
-	r.total.Add(-int64(n))
+	r.totalBuffered.Add(-int64(n))
 	r.buffered = r.buffered[n:]
 	if len(r.buffered) == 0 {
 		r.buffered = nil
@@ -86,7 +86,7 @@
 	return n, nil
 }
 
-// stop ends reading ahead, and returns when it has ended.
+// stop interrupts reading ahead and waits until it has ended.
 func (r *readAhead) stop() {
 	r.mu.Lock()
 	done := r.done
@@ -104,18 +104,18 @@
 	_ = r.conn.SetReadDeadline(r.deadline)
 }
 
-// setDeadline sets the deadline for reads. One that passes ends reading ahead, but is no end of the connection.
+// setDeadline sets the deadline for reads. A deadline that passes stops reading ahead, but is not a disconnect.
 func (r *readAhead) setDeadline(t time.Time) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.deadline = t
 	if r.isStopping() {
-		return nil // stop sets it
+		return nil // stop sets the deadline
 	}
 	return r.conn.SetReadDeadline(t)
 }
 
-// isStopping reports whether stop is under way; the lock is held.
+// isStopping reports whether stop is in progress. The caller holds the lock.
 func (r *readAhead) isStopping() bool {
 	if r.done == nil {
 		return false
@@ -128,29 +128,29 @@
 	}
 }
 
-// run is the goroutine of begin.
-func (r *readAhead) run(done, stopping chan struct{}) {
+// readLoop reads ahead until the deadline passes, the connection ends or the buffer is full.
+func (r *readAhead) readLoop(done, stopping chan struct{}) {
 	defer close(done)
 	chunk := make([]byte, readAheadChunk)
 	for {
 		n, err := r.conn.Read(chunk)
-		hasLeft := err != nil && !isTimeout(err)
-		isFull := r.hold(chunk[:n], hasLeft, err)
+		isDisconnect := err != nil && !isTimeout(err)
+		isFull := r.bufferChunk(chunk[:n], isDisconnect, err)
 		switch {
-		case hasLeft:
+		case isDisconnect:
 			r.onDisconnect()
 			return
 		case err != nil:
 			return
 		case isFull:
-			r.pollPeer(stopping)
+			r.pollPeerClosed(stopping)
 			return
 		}
 	}
 }
 
-// hold keeps what was read, and the error if it is the end. It reports whether no more may be held.
-func (r *readAhead) hold(b []byte, isEnd bool, err error) (isFull bool) {
+// bufferChunk buffers bytes, and the error if it ended the connection. It reports whether the buffer is full.
+func (r *readAhead) bufferChunk(b []byte, isEnd bool, err error) (isFull bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.released {
@@ -160,26 +160,26 @@
 	if isEnd {
 		r.err = err
 	}
-	return r.total.Add(int64(len(b))) >= maxTotalReadAhead || len(r.buffered) >= maxReadAhead
+	return r.totalBuffered.Add(int64(len(b))) >= maxTotalReadAhead || len(r.buffered) >= maxReadAhead
 }
 
-// release forgets what is held, of a connection that was closed.
+// release drops the buffer of a closed connection.
 func (r *readAhead) release() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.total.Add(-int64(len(r.buffered)))
+	r.totalBuffered.Add(-int64(len(r.buffered)))
 	r.buffered, r.released = nil, true
 }
 
-// isTimeout reports whether an error of a connection's Read is a deadline that passed. Each request meets one, as
-// http.Server ends its read in the background so: errors.As took a twentieth of the processor time of all of it.
+// isTimeout reports whether a Read of a connection failed because its deadline passed. http.Server ends its background
+// read that way in each request, so a type assertion is used: errors.As is too slow here.
 func isTimeout(err error) bool {
 	netErr, ok := err.(net.Error) //nolint:errorlint // as Read returns it
 	return ok && netErr.Timeout()
 }
 
-// pollPeer looks whether the client has closed its side, until stopping is closed.
-func (r *readAhead) pollPeer(stopping <-chan struct{}) {
+// pollPeerClosed polls until the client closes its side of the connection or stopping is closed.
+func (r *readAhead) pollPeerClosed(stopping <-chan struct{}) {
 	probe := socket.NewProbe(r.conn)
 	ticker := time.NewTicker(peerStateInterval)
 	defer ticker.Stop()
--- a/internal/proxy/readahead_test.go
+++ b/internal/proxy/readahead_test.go
@@ -13,8 +13,8 @@
 	"elmfold/internal/fakes/loopback"
 )
 
-// sockets are the ends of a connection: real ones, as only the kernel knows what lies behind unread bytes.
-func sockets(t *testing.T) (client, server *net.TCPConn) {
+// newTCPPair are the ends of a connection: real ones, as only the kernel knows what lies behind unread bytes.
+func newTCPPair(t *testing.T) (client, server *net.TCPConn) {
 	t.Helper()
 	client, server, err := loopback.Pair()
 	if err != nil {
@@ -24,8 +24,9 @@
 	return client, server
 }
 
-// leaves waits until the client is seen to leave. A run in which it never is fails after many times what it takes.
-func leaves(t *testing.T, left <-chan struct{}) {
+// waitForDisconnect waits until the client is seen to leave. A run in which it never is fails after many times what it
+// takes.
+func waitForDisconnect(t *testing.T, left <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-left:
@@ -36,30 +37,30 @@
 
 func newReadAhead(conn net.Conn) (r *readAhead, left chan struct{}) {
 	left = make(chan struct{}, 8)
-	return &readAhead{conn: conn, onDisconnect: func() { left <- struct{}{} }, total: &atomic.Int64{}}, left
+	return &readAhead{conn: conn, onDisconnect: func() { left <- struct{}{} }, totalBuffered: &atomic.Int64{}}, left
 }
 
 // Guards against a client that leaves behind more than is read ahead, by a close and by a reset.
-func TestLeavesBehindMoreThanIsReadAhead(t *testing.T) {
+func TestDisconnectBehindFullReadAhead(t *testing.T) {
 	for _, linger := range []int{-1, 0} {
-		client, server := sockets(t)
+		client, server := newTCPPair(t)
 		r, left := newReadAhead(server)
 		if _, err := client.Write(bytes.Repeat([]byte("x"), 2*readAheadChunk)); err != nil {
 			t.Fatal(err)
 		}
-		r.total.Store(maxTotalReadAhead) // others hold all that may be
-		r.begin()
+		r.totalBuffered.Store(maxTotalReadAhead) // others hold all that may be
+		r.start()
 		_ = client.SetLinger(linger)
 		_ = client.Close()
-		leaves(t, left)
+		waitForDisconnect(t, left)
 		r.stop()
 	}
 }
 
 // What was read ahead comes once, in order, then what follows, then the end. Guards against bytes that two readers
 // share.
-func TestReadsAheadInOrder(t *testing.T) {
-	client, server := sockets(t)
+func TestReadAheadKeepsOrder(t *testing.T) {
+	client, server := newTCPPair(t)
 	r, left := newReadAhead(server)
 	want := make([]byte, 5*maxReadAhead)
 	for i := range want {
@@ -75,7 +76,7 @@
 	}()
 	var got []byte
 	for buf := make([]byte, 700); ; {
-		r.begin()
+		r.start()
 		n, err := r.read(buf)
 		got = append(got, buf[:n]...)
 		if err != nil {
@@ -96,16 +97,16 @@
 }
 
 // A deadline is a reader's own: it ends no reading ahead for good, and is no end of the connection.
-func TestDeadlineIsNoEnd(t *testing.T) {
-	client, server := sockets(t)
+func TestDeadlineIsNotDisconnect(t *testing.T) {
+	client, server := newTCPPair(t)
 	r, left := newReadAhead(server)
-	r.begin()
+	r.start()
 	_ = r.setDeadline(aLongTimeAgo)
 	if _, err := r.read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("read: %v", err)
 	}
 	_ = r.setDeadline(time.Time{})
-	r.begin()
+	r.start()
 	if _, err := client.Write([]byte("a")); err != nil {
 		t.Fatal(err)
 	}
@@ -116,9 +117,9 @@
 	if len(left) > 0 {
 		t.Error("a deadline was taken for the client's leaving")
 	}
-	r.begin()
+	r.start()
 	_ = client.Close()
-	leaves(t, left)
+	waitForDisconnect(t, left)
 	if _, err := r.read(b); err != io.EOF { //nolint:errorlint // as Read returns it
 		t.Errorf("after the end: %v", err)
 	}
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -14,12 +14,12 @@
 
 const (
 	readinessPath = "/v1/readiness"
-	// maxNotice is how long new requests are served after the proxy says that it is not ready: the platform asks each
-	// second, and takes a proxy out after two answers other than 200.
-	maxNotice = 2500 * time.Millisecond
+	// maxDrainDelay is how long the proxy still accepts connections after its readiness probe starts to fail. The platform
+	// probes each second, and removes the proxy after two failures.
+	maxDrainDelay = 2500 * time.Millisecond
 )
 
-// Readiness answers the platform's readiness probe: 200 or 503.
+// Readiness returns the handler of the platform's readiness probe, which answers 200 or 503.
 func (p *Proxy) Readiness() http.Handler {
 	mux := chi.NewRouter()
 	mux.Get(readinessPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -30,31 +30,31 @@
 	return mux
 }
 
-// checkReady makes this proxy ready once it has read from a majority of the voters, and applied what they store. It
-// stays ready, whether nodes are there or not.
+// checkReady makes the proxy ready once a majority of the voters has reported its registers and the proxy has applied
+// them, or after maxStartupWait. A ready proxy stays ready even if it loses all nodes.
 func (p *Proxy) checkReady(now time.Duration) {
 	config := p.config.Load()
 	if p.ready.Load() || config == nil {
 		return
 	}
-	read, isBehind := map[string]bool{}, false
+	reported, isBehind := map[string]bool{}, false
 	for _, v := range p.epoch.AllVoters() {
 		n := p.nodes[v.Name]
 		if n == nil || n.conn == nil || !n.endpointsSynced || !n.hasReported {
 			continue
 		}
-		read[v.StoreID] = true
+		reported[v.StoreID] = true
 		isBehind = isBehind || p.isBehind(n)
 	}
-	hasReadQuorum := p.epoch.HasMajority(func(v rpc.Voter) bool { return read[v.StoreID] })
+	hasReadQuorum := p.epoch.HasMajority(func(v rpc.Voter) bool { return reported[v.StoreID] })
 	if hasReadQuorum && !isBehind || now > p.firstMessageAt+maxStartupWait {
 		p.ready.Store(true)
-		p.log.Info("ready", logfield.SyncedFrom, len(read), logfield.Version, config.Version,
+		p.log.Info("ready", logfield.SyncedFrom, len(reported), logfield.Version, config.Version,
 			logfield.Endpoints, len(p.endpoints))
 	}
 }
 
-// isBehind reports whether a node stores something newer than what is applied here: it may be committed.
+// isBehind reports whether a node stores a newer register version, possibly committed, than the proxy has applied.
 func (p *Proxy) isBehind(n *node) bool {
 	for name, stored := range n.stored {
 		applied := p.configVersion
@@ -68,15 +68,16 @@
 	return false
 }
 
-// Shutdown ends the proxy gracefully, within a time: it is not ready from now on; new connections are served until the
-// platform has seen that, and responses say that the connection closes; then requests under way end, and the process.
+// Shutdown stops the proxy gracefully within the timeout. It fails the readiness probe and accepts connections until
+// the platform has noticed, with responses that close the connection. Then it releases the leases and waits for the
+// requests in flight.
 func (p *Proxy) Shutdown(timeout time.Duration) {
 	p.stopping.Store(true)
 	begunAt := p.options.Clock.Now()
-	<-p.options.Clock.After(min(maxNotice, timeout/2))
+	<-p.options.Clock.After(min(maxDrainDelay, timeout/2))
 	p.queue.Do(p.releaseLeases)
 	ctx, cancel := context.WithTimeout(context.Background(), timeout-p.options.Clock.Now().Sub(begunAt))
 	defer cancel()
-	_ = p.server.Shutdown(ctx) // what has not ended in time ends with the process
+	_ = p.server.Shutdown(ctx) // requests that exceed the timeout end with the process
 	p.queue.Stop()
 }
--- a/internal/proxy/respond.go
+++ b/internal/proxy/respond.go
@@ -13,47 +13,48 @@
 
 const (
 	copyBufferBytes = 32 << 10
-	// writeGrace is how much longer a client may take to read a response than the request could last.
+	// writeGrace is how long after the request's deadline a client may take to read the response.
 	writeGrace = 2 * time.Second
-	// unreadBodyWait is how long a response waits for a body that nobody wants, so that the connection may stay, and
-	// maxUnreadBody how many bytes of it are read for that.
-	unreadBodyWait = 5 * time.Millisecond
-	maxUnreadBody  = 256 << 10
-	// lingerDuration is how long a connection is read on after a response that was there before the end of the body, so
-	// that the response arrives.
-	lingerDuration = 300 * time.Millisecond
-	// minKeepAlive is the idle timeout from which on it is announced to clients, less one second.
+	// unreadBodyTimeout is how long a response waits for the rest of an unused request body, so that the connection can be
+	// kept alive, and maxUnreadBody is how many bytes of it are discarded.
+	unreadBodyTimeout = 5 * time.Millisecond
+	maxUnreadBody     = 256 << 10
+	// lingerTimeout is how long the proxy keeps reading after an early response, so that a reset of the connection does
+	// not destroy the response.
+	lingerTimeout = 300 * time.Millisecond
+	// minKeepAlive is the idle timeout above which responses announce one: the timeout less one second.
 	minKeepAlive = 2 * time.Second
 )
 
-// respond passes on an endpoint's response as it is.
+// respond sends an endpoint's response to the client.
 func (p *Proxy) respond(q *clientRequest, response *upstream.Response) {
 	h := q.writer.Header()
 	for name, values := range response.Header {
 		h[name] = values
 	}
 	if h["Content-Type"] == nil {
-		h["Content-Type"] = nil // net/http guesses none
+		h["Content-Type"] = nil // stops net/http from guessing one
 	}
 	if response.Length >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(response.Length, 10))
 	}
 	p.setKeepAlive(h, q)
-	if q.prepareEarly(h) {
+	if q.prepareEarlyResponse(h) {
 		defer q.linger()
 	}
-	// A client that does not read must not hold the response for ever.
+	// Bounds the response to a client that does not read it.
 	_ = http.NewResponseController(q.writer).SetWriteDeadline(q.deadline.Add(writeGrace))
 	q.writer.WriteHeader(response.Status)
 	if len(response.Body) > 0 {
-		_, _ = q.writer.Write(response.Body) // a client that has gone wants no more
+		_, _ = q.writer.Write(response.Body) // a write error means that the client has disconnected
 	}
 	if response.Rest != nil {
 		copyRest(q.writer, response.Rest)
 	}
 }
 
-// copyRest streams a body. What is cut short on either side must not look complete, so it aborts the connection.
+// copyRest streams a response body. It aborts the client's connection if either side breaks off, so that a truncated
+// body does not look complete.
 func copyRest(w io.Writer, rest io.ReadCloser) {
 	defer func() { _ = rest.Close() }()
 	buf := make([]byte, copyBufferBytes)
@@ -64,7 +65,7 @@
 				panic(http.ErrAbortHandler)
 			}
 		}
-		if err == io.EOF { // itself: one that is wrapped is a connection that broke before the end
+		if err == io.EOF { // not errors.Is: a wrapped io.EOF is a connection that broke off
 			return
 		}
 		if err != nil {
@@ -73,28 +74,28 @@
 	}
 }
 
-// prepareEarly prepares a response that is there before the client's body was read to its end, and reports whether
-// it is one. net/http would read what is left before it writes the head: a client that takes its time would hold
-// the response up, and of a streamed body it would take bytes away from the endpoint. So the response goes out
-// first, and the connection ends: no byte of the body may be taken for a next request.
-func (q *clientRequest) prepareEarly(h http.Header) bool {
-	if q.isRead() || q.discardRest() {
+// prepareEarlyResponse prepares a response that is sent before the request body was read to its end, and reports
+// whether it is one. By default, net/http reads the rest of the body before it writes the response head: a slow client
+// would delay the response, and the endpoint would miss bytes of a streamed body. So the response is sent first, and
+// the connection is closed so that no byte of the body is parsed as a next request.
+func (q *clientRequest) prepareEarlyResponse(h http.Header) bool {
+	if q.isBodyRead() || q.discardRest() {
 		return false
 	}
-	_ = http.NewResponseController(q.writer).EnableFullDuplex() // HTTP/1 always can
+	_ = http.NewResponseController(q.writer).EnableFullDuplex() // always supported for HTTP/1
 	h.Set("Connection", "close")
 	h.Del("Keep-Alive")
 	return true
 }
 
-// discardRest reads the rest of a short body, which most clients send in one packet with the head. It reports whether
-// that was all.
+// discardRest discards the rest of a short body, which most clients send in one packet with the head. It reports
+// whether the body has been read to its end.
 func (q *clientRequest) discardRest() bool {
 	if q.body.stream != nil || q.request.Header.Get("Expect") != "" {
 		return false
 	}
 	control := http.NewResponseController(q.writer)
-	_ = control.SetReadDeadline(time.Now().Add(unreadBodyWait))
+	_ = control.SetReadDeadline(time.Now().Add(unreadBodyTimeout))
 	if _, err := io.CopyN(io.Discard, q.request.Body, maxUnreadBody); !errors.Is(err, io.EOF) {
 		return false
 	}
@@ -102,12 +103,12 @@
 	return true
 }
 
-// linger bounds what is still read from a client whose response was there before the end of its body.
+// linger limits how long net/http keeps reading the request body after an early response.
 func (q *clientRequest) linger() {
-	_ = http.NewResponseController(q.writer).SetReadDeadline(time.Now().Add(lingerDuration))
+	_ = http.NewResponseController(q.writer).SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
-// setKeepAlive says how long the connection stays.
+// setKeepAlive sets the Connection or Keep-Alive field of a response.
 func (p *Proxy) setKeepAlive(h http.Header, q *clientRequest) {
 	if p.stopping.Load() || q.hasDisconnected() {
 		h.Set("Connection", "close")
@@ -119,8 +120,8 @@
 	}
 }
 
-// refuse answers by the table of kinds. retryAfter goes before the kind's own; 0: there is none.
-func (p *Proxy) refuse(q *clientRequest, kind apierror.Kind, retryAfter time.Duration) {
+// respondError sends the response that the table of error kinds prescribes. A retryAfter above 0 overrides the table's.
+func (p *Proxy) respondError(q *clientRequest, kind apierror.Kind, retryAfter time.Duration) {
 	policy := kind.Policy()
 	if retryAfter <= 0 {
 		retryAfter = policy.RetryAfter
@@ -130,12 +131,12 @@
 		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
 	p.setKeepAlive(h, q)
-	if q.prepareEarly(h) {
+	if q.prepareEarlyResponse(h) {
 		q.linger()
 	}
 	text := kind.String() + "\n"
 	h.Set("Content-Type", "text/plain")
 	h.Set("Content-Length", strconv.Itoa(len(text)))
 	q.writer.WriteHeader(policy.Status)
-	_, _ = io.WriteString(q.writer, text) // a client that has gone wants no more
+	_, _ = io.WriteString(q.writer, text) // a write error means that the client has disconnected
 }
--- a/internal/proxy/trafficsplit.go
+++ b/internal/proxy/trafficsplit.go
@@ -8,27 +8,30 @@
 	"elmfold/internal/gateway/routeconfig"
 )
 
-// goldenRatio is the step of a sequence in [0,1) whose first n members, for each n, lie about as evenly as n points can
-// (Kronecker's sequence). Drawn by chance, a part of 300 requests would stray from its weight by 0.03 and more.
+// goldenRatio is the step of a low-discrepancy sequence in [0,1) (Kronecker's sequence). Its first n members are spread
+// nearly evenly for every n, so even a few requests match the weights closely. With random draws, the share among 300
+// requests would deviate by 0.03 or more.
 const goldenRatio = 0.6180339887498949
 
-// trafficSplits spread the requests of each route over its services by their weights. It is safe for concurrent use.
+// trafficSplits distributes the requests of each route over its services by their weights. It is safe for concurrent
+// use.
 type trafficSplits struct {
 	mu     sync.Mutex
-	config *routeconfig.Config // that the routes are of
+	config *routeconfig.Config // the configuration of the routes in next
 	next   map[*routeconfig.Route]float64
 }
 
-// service is the service of the next request of a route.
+// service returns the service for the next request of a route.
 func (t *trafficSplits) service(config *routeconfig.Config, route *routeconfig.Route) string {
 	if len(route.Services) == 1 {
 		return route.Services[0].Service
 	}
-	return route.PickService(t.draw(config, route))
+	return route.PickService(t.nextPosition(config, route))
 }
 
-// draw is the next member of the route's sequence. It begins anywhere, so that proxies do not go in step.
-func (t *trafficSplits) draw(config *routeconfig.Config, route *routeconfig.Route) float64 {
+// nextPosition returns the next member of the route's sequence. The sequence starts at a random position, so that the
+// proxies are not in step.
+func (t *trafficSplits) nextPosition(config *routeconfig.Config, route *routeconfig.Route) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.config != config {
--- a/internal/proxy/trafficsplit_test.go
+++ b/internal/proxy/trafficsplit_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestTrafficSplitFollowsTheConfiguration(t *testing.T) {
+func TestTrafficSplitResetsWithConfiguration(t *testing.T) {
 	var splits trafficSplits
 	route := &routeconfig.Route{Services: []routeconfig.WeightedService{
 		{Service: "a", Weight: 0.5}, {Service: "b", Weight: 0.5}}}
