--- a/internal/proxy/configuration.go
+++ b/internal/proxy/configuration.go
@@ -25,7 +25,7 @@
 			p.applyEvacuation(now, zone, r)
 		}
 	}
-	if v, told := u.CommittedVersions[configRegister]; told && n.committed.Less(v) {
+	if v, isReported := u.CommittedVersions[configRegister]; isReported && n.committed.Less(v) {
 		n.committed = v
 	}
 	p.fetchConfiguration(now)
@@ -73,7 +73,7 @@
 	case wasEvacuated:
 		p.recoveredZones[zone] = now
 	default:
-		p.recoveredZones[zone] = now - p.evacuationAge(r)
+		p.recoveredZones[zone] = now - p.registerAge(r)
 	}
 	for _, e := range p.endpoints {
 		if e.Zone == zone {
@@ -82,10 +82,10 @@
 	}
 }
 
-// evacuationAge returns how long ago the register of a zone was written. A newly started proxy has not seen the zone
-// evacuated, but endpoints of the zone may still be in slow start. The version number is the wall-clock time of the
-// write, which is accurate enough here.
-func (p *Proxy) evacuationAge(r rpc.Register) time.Duration {
+// registerAge returns how long ago a zone's register was written. A newly started proxy has not observed the end of an
+// evacuation, but the zone's endpoints may still be in slow start after it. The version number is the wall-clock time
+// of the write, which is accurate enough here.
+func (p *Proxy) registerAge(r rpc.Register) time.Duration {
 	ms := p.options.Clock.Now().UnixMilli() - int64(r.Version.Number)
 	return max(time.Duration(ms)*time.Millisecond, 0)
 }
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// missedHeartbeats is the number of heartbeat intervals after which an endpoint without a live report is not used.
+	// missedHeartbeats is the number of heartbeat intervals after which an endpoint is no longer used if no node reports
+	// it as live.
 	missedHeartbeats = 4
 	// tombstoneTTL is how long a terminated endpoint is remembered, so that a delayed report does not bring it back.
 	tombstoneTTL = 90 * time.Second
--- a/internal/proxy/messages.go
+++ b/internal/proxy/messages.go
@@ -35,7 +35,7 @@
 func (p *Proxy) onMessage(name string, conn *rpc.Conn, m *rpc.Message) {
 	now := p.now()
 	if m.Hello != nil {
-		p.onConnected(now, conn, m.Hello)
+		p.onNodeConnected(now, conn, m.Hello)
 	}
 	n := p.nodes[name]
 	if m.Hello != nil || m.StoredVersions != nil || m.LeaseRenewed > 0 { // the messages that carry NoQuorum
@@ -58,8 +58,8 @@
 	p.checkReady(now)
 }
 
-// onConnected replaces the state of a node: the first message on a connection holds the node's whole state.
-func (p *Proxy) onConnected(now time.Duration, conn *rpc.Conn, hello *rpc.Hello) {
+// onNodeConnected replaces the state of a node: the first message on a connection holds the node's whole state.
+func (p *Proxy) onNodeConnected(now time.Duration, conn *rpc.Conn, hello *rpc.Hello) {
 	name := hello.Node.Name
 	previous := p.nodes[name]
 	n := &node{
@@ -99,7 +99,7 @@
 	})
 }
 
-func (p *Proxy) onDisconnect(name string, _ *rpc.Conn) {
+func (p *Proxy) onNodeDisconnected(name string, _ *rpc.Conn) {
 	n := p.nodes[name]
 	n.conn, n.disconnectedAt = nil, p.now()
 	p.log.Info("disconnected from node", logfield.Node, name)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -81,7 +81,7 @@
 // Names of registers. They are part of the stored data and of the protocol, and must not change.
 const (
 	configRegister     = "charter" // the configuration
-	zoneRegisterPrefix = "zone/"   // prefix of a zone's name: whether the zone is evacuated
+	zoneRegisterPrefix = "zone/"   // followed by the name of a zone: whether the zone is evacuated
 )
 
 // Options configure a Proxy.
@@ -90,7 +90,7 @@
 	Log      hclog.Logger
 	Clock    clockwork.Clock
 	Dial     func(address string) (net.Conn, error) // to control-plane nodes
-	Upstream upstream.Options                       // how endpoints are dialled
+	Upstream upstream.Options                       // for connections to endpoints
 }
 
 // Proxy is one data-plane process.
@@ -121,13 +121,13 @@
 
 	dialer         *session.Dialer
 	nodes          map[string]*node          // control-plane nodes, by name
-	epoch          rpc.Epoch                 // the newest epoch reported: which nodes vote
+	epoch          rpc.Epoch                 // the newest epoch reported, which determines the voters
 	endpoints      map[string]*endpointState // by id
 	evacuations    map[string]rpc.Register   // by zone
 	recoveredZones map[string]time.Duration  // when the evacuation of a zone ended
 	configVersion  rpc.Version               // of config
 	wantedVersion  rpc.Version               // the newest configuration version reported as committed
-	fetchedAt      time.Duration             // when it was last requested; negative: not yet
+	fetchedAt      time.Duration             // when wantedVersion was last requested; negative: not yet
 	lastRenewal    uint64
 	leasesReleased bool
 	routingNode    string        // the node whose routing tables are applied; "": none yet
@@ -170,7 +170,7 @@
 			return &rpc.Message{Hello: &rpc.Hello{Node: p.self, Incarnation: p.incarnation, IsProxy: true}}
 		},
 		OnMessage:    p.onMessage,
-		OnDisconnect: p.onDisconnect,
+		OnDisconnect: p.onNodeDisconnected,
 	}
 	return p
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -32,52 +32,51 @@
 	"elmfold/internal/simulation"
 )
 
-// harness is one carrier between scripted controllers, backends and clients, and the transcript of what each of them
-// saw.
-type harness struct {
+// scenario is a proxy between scripted nodes, endpoints and clients, with a transcript of what each of them receives.
+type scenario struct {
 	net           *simulation.Net
 	hosts         []*simulation.Host
 	proxy         *proxy.Proxy
 	nodes         []*fakeNode
 	mu            sync.Mutex
 	transcript    strings.Builder
-	endpointCount int // backends
-	requestCount  int // requests
+	endpointCount int
+	requestCount  int
 
-	receivedBy map[string][]string    // the backends where a request arrived whole, by its id
-	executions map[string]int         // how often one was worked at
-	beforeBody map[string]respondFunc // what a backend does before it has read the body, by its id
-	slowDials  map[string]bool        // addresses where a connection comes up after the dialler has given it up
+	receivedBy map[string][]string    // ids of the endpoints that received a whole request, by request id
+	executions map[string]int         // number of executions, by request id
+	beforeBody map[string]respondFunc // what an endpoint does before it reads a body, by endpoint id
+	slowDials  map[string]bool        // addresses to which a connection comes up only after the dialer has given up
 }
 
-// newHarness starts a carrier in the zone "north" and its controllers, the first of which is in that zone too.
-func newHarness(cores int) *harness {
-	s := &harness{
+// newScenario starts control-plane nodes, the first of which is in the zone "north", and a proxy in that zone.
+func newScenario(nodeCount int) *scenario {
+	s := &scenario{
 		receivedBy: map[string][]string{},
 		executions: map[string]int{},
 		beforeBody: map[string]respondFunc{},
 		slowDials:  map[string]bool{},
 		net: simulation.NewNet(func(from, to string) time.Duration {
-			// Nothing of two controllers is under way for equally long, so that its order is always the same.
+			// Each pair of hosts has its own latency, so that the messages of different nodes always arrive in the same order.
 			return 200*time.Microsecond + 10*time.Microsecond*time.Duration(from[len(from)-1]+to[len(to)-1]-2*'0')
 		}),
 	}
-	set := bootconfig.Default()
-	set.Name, set.IP, set.Zone = "edge-0", "10.0.0.100", "north"
-	set.Zones = map[string]string{"north": "land", "south": "land"}
-	set.PortRange, set.FaultBudget.Machines = [2]int{7540, 7555}, (cores-1)/2
-	for i := range cores {
+	settings := bootconfig.Default()
+	settings.Name, settings.IP, settings.Zone = "edge-0", "10.0.0.100", "north"
+	settings.Zones = map[string]string{"north": "land", "south": "land"}
+	settings.PortRange, settings.FaultBudget.Machines = [2]int{7540, 7555}, (nodeCount-1)/2
+	for i := range nodeCount {
 		ip := fmt.Sprintf("10.0.0.%d", 10+i)
-		set.Seeds = append(set.Seeds, ip+":8544")
+		settings.Seeds = append(settings.Seeds, ip+":8544")
 		s.nodes = append(s.nodes, &fakeNode{s: s, complete: true, endpointsSynced: true, servesConfig: true,
 			incarnation: 1, info: rpc.Node{
 				Name: fmt.Sprintf("core-%d", i), Zone: []string{"north", "south"}[i%2], Address: ip + ":7540"}})
 	}
-	for _, k := range s.nodes {
-		k.listen()
+	for _, node := range s.nodes {
+		node.listen()
 	}
 	host := s.host("10.0.0.100")
-	s.proxy = proxy.New(proxy.Options{Settings: &set, Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(),
+	s.proxy = proxy.New(proxy.Options{Settings: &settings, Log: hclog.NewNullLogger(), Clock: clockwork.NewRealClock(),
 		Dial: func(address string) (net.Conn, error) {
 			ctx, cancel := context.WithTimeout(context.Background(), 350*time.Millisecond)
 			defer cancel()
@@ -95,22 +94,22 @@
 			}
 			return conn, err
 		}}})
-	front, err := host.Listen("10.0.0.100:8548")
+	listener, err := host.Listen("10.0.0.100:8548")
 	if err != nil {
 		panic(err)
 	}
 	go s.proxy.Run()
-	go func() { _ = s.proxy.Serve(front) }()
+	go func() { _ = s.proxy.Serve(listener) }()
 	return s
 }
 
-func (s *harness) host(ip string) *simulation.Host {
+func (s *scenario) host(ip string) *simulation.Host {
 	s.hosts = append(s.hosts, s.net.Host(ip))
 	return s.hosts[len(s.hosts)-1]
 }
 
-// stop stops all of it and returns the transcript.
-func (s *harness) stop() string {
+// stop ends the proxy and all hosts, and returns the transcript.
+func (s *scenario) stop() string {
 	s.proxy.Shutdown(0)
 	for _, h := range s.hosts {
 		h.Kill()
@@ -119,33 +118,33 @@
 	return s.transcript.String()
 }
 
-func (s *harness) logf(format string, v ...any) {
+func (s *scenario) logf(format string, v ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fmt.Fprintf(&s.transcript, format+"\n", v...)
 }
 
-// fakeNode is a scripted controller.
+// fakeNode is a scripted control-plane node.
 type fakeNode struct {
-	s                         *harness
+	s                         *scenario
 	info                      rpc.Node
 	mu                        sync.Mutex
 	conn                      *rpc.Conn
 	config                    rpc.Register
 	endpoints                 []rpc.Endpoint
-	stored                    map[string]rpc.Version // beside the configuration
+	stored                    map[string]rpc.Version // registers it stores besides the configuration
 	complete, endpointsSynced bool
-	servesConfig              bool // it gives the configuration when it is asked
-	quorumLost                bool // it says that it has no contact with a majority
+	servesConfig              bool // it responds to a request for the configuration
+	quorumLost                bool // it reports that it has no quorum contact
 	incarnation               uint64
-	epoch                     *rpc.Epoch // nil: all that were begun vote
-	lastRenewal               uint64     // the last renewal
-	tableRequests             int        // renewals, one after the other, that wanted its tables
-	connections               int        // lines
+	epoch                     *rpc.Epoch // nil: all nodes are voters
+	lastRenewal               uint64     // number of the last renewal received
+	tableRequests             int        // consecutive renewals that requested routing tables
+	connections               int
 }
 
-func (k *fakeNode) listen() {
-	l, err := k.s.host(strings.TrimSuffix(k.info.Address, ":7540")).Listen(k.info.Address)
+func (n *fakeNode) listen() {
+	l, err := n.s.host(strings.TrimSuffix(n.info.Address, ":7540")).Listen(n.info.Address)
 	if err != nil {
 		panic(err)
 	}
@@ -155,72 +154,72 @@
 			if err != nil {
 				return
 			}
-			go k.serve(rpc.NewConn(conn))
+			go n.serve(rpc.NewConn(conn))
 		}
 	}()
 }
 
-func (k *fakeNode) serve(line *rpc.Conn) {
-	defer line.Close()
+func (n *fakeNode) serve(conn *rpc.Conn) {
+	defer conn.Close()
 	for {
-		m, err := line.Receive(0)
+		m, err := conn.Receive(0)
 		if err != nil {
 			return
 		}
-		k.mu.Lock()
+		n.mu.Lock()
 		if m.Hello != nil {
-			k.connections++
+			n.connections++
 			epoch := &rpc.Epoch{Number: 1}
-			for _, other := range k.s.nodes {
-				epoch.Voters = append(epoch.Voters, rpc.Voter{Node: other.info, StoreID: "disk of " + other.info.Name})
+			for _, other := range n.s.nodes {
+				epoch.Voters = append(epoch.Voters, rpc.Voter{Node: other.info, StoreID: "store of " + other.info.Name})
 			}
-			if k.epoch != nil {
-				epoch = k.epoch
+			if n.epoch != nil {
+				epoch = n.epoch
 			}
 			first := &rpc.Message{
-				Hello:          &rpc.Hello{Node: k.info, Incarnation: k.incarnation},
-				Consensus:      rpc.Consensus{Epoch: epoch, Complete: k.complete && !k.quorumLost},
-				NoQuorum:       k.quorumLost,
-				EndpointUpdate: rpc.EndpointUpdate{EndpointsSynced: k.endpointsSynced, Endpoints: k.endpoints},
+				Hello:          &rpc.Hello{Node: n.info, Incarnation: n.incarnation},
+				Consensus:      rpc.Consensus{Epoch: epoch, Complete: n.complete && !n.quorumLost},
+				NoQuorum:       n.quorumLost,
+				EndpointUpdate: rpc.EndpointUpdate{EndpointsSynced: n.endpointsSynced, Endpoints: n.endpoints},
 				RegisterUpdate: rpc.RegisterUpdate{
 					StoredVersions:    map[string]rpc.Version{},
 					CommittedVersions: map[string]rpc.Version{},
 				},
 				Lease: rpc.Lease{Proxies: []rpc.ProxyInfo{{Name: "edge-0", Zone: "north"}}},
 			}
-			for name, stamp := range k.stored {
-				first.StoredVersions[name] = stamp
+			for name, version := range n.stored {
+				first.StoredVersions[name] = version
 			}
-			if k.config.Value != nil {
-				first.StoredVersions["charter"], first.CommittedVersions["charter"] = k.config.Version, k.config.Version
+			if n.config.Value != nil {
+				first.StoredVersions["charter"], first.CommittedVersions["charter"] = n.config.Version, n.config.Version
 			}
-			line.Send(first)
-			k.conn = line
+			conn.Send(first)
+			n.conn = conn
 		}
 		if m.RenewLease > 0 {
-			line.Send(&rpc.Message{Lease: rpc.Lease{LeaseRenewed: m.RenewLease}, NoQuorum: k.quorumLost})
-			if k.lastRenewal = m.RenewLease; m.WantTables {
-				k.tableRequests++
+			conn.Send(&rpc.Message{Lease: rpc.Lease{LeaseRenewed: m.RenewLease}, NoQuorum: n.quorumLost})
+			if n.lastRenewal = m.RenewLease; m.WantTables {
+				n.tableRequests++
 			} else {
-				k.tableRequests = 0
+				n.tableRequests = 0
 			}
 		}
 		for _, name := range m.FetchRegisters {
-			if !k.servesConfig {
-				k.s.logf("    %s is asked for the %s and says nothing", k.info.Name, name)
+			if !n.servesConfig {
+				n.s.logf("    %s is asked for the %s and says nothing", n.info.Name, name)
 				continue
 			}
-			k.s.logf("    %s is asked for the %s and has version %d", k.info.Name, name, k.config.Version.Number)
-			line.Send(committedValue(k.config))
+			n.s.logf("    %s is asked for the %s and has version %d", n.info.Name, name, n.config.Version.Number)
+			conn.Send(committedValue(n.config))
 		}
 		if m.ReleaseLease {
-			k.s.logf("    %s is given the lease back", k.info.Name)
+			n.s.logf("    %s is given the lease back", n.info.Name)
 		}
-		k.mu.Unlock()
+		n.mu.Unlock()
 	}
 }
 
-// committedValue is the word that a value is in force.
+// committedValue returns a message that says that a register value is committed.
 func committedValue(r rpc.Register) *rpc.Message {
 	return &rpc.Message{
 		RegisterUpdate: rpc.RegisterUpdate{
@@ -230,36 +229,36 @@
 	}
 }
 
-// send says something to the carrier, which has acted on it when this returns.
-func (k *fakeNode) send(m *rpc.Message) {
-	k.mu.Lock()
-	if m.RoutingTables != nil && m.LeaseRenewed == 0 { // as they say it: the renewal that they were worked out after
-		m.LeaseRenewed, m.NoQuorum = k.lastRenewal, k.quorumLost
+// send sends a message to the proxy and waits until the proxy has handled it.
+func (n *fakeNode) send(m *rpc.Message) {
+	n.mu.Lock()
+	if m.RoutingTables != nil && m.LeaseRenewed == 0 { // as nodes do: the renewal after which the tables were computed
+		m.LeaseRenewed, m.NoQuorum = n.lastRenewal, n.quorumLost
 	}
-	if k.conn != nil {
-		k.conn.Send(m)
+	if n.conn != nil {
+		n.conn.Send(m)
 	}
-	k.mu.Unlock()
+	n.mu.Unlock()
 	time.Sleep(100 * time.Millisecond)
 }
 
-func (k *fakeNode) sendEndpoints(b ...rpc.Endpoint) {
-	k.send(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{Endpoints: b}})
+func (n *fakeNode) sendEndpoints(endpoints ...rpc.Endpoint) {
+	n.send(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{Endpoints: endpoints}})
 }
 
-// commitConfig lets a controller have a configuration in force, and say so.
-func (k *fakeNode) commitConfig(c testConfig) {
-	k.mu.Lock()
-	k.config = c.register()
-	k.mu.Unlock()
-	k.send(
+// commitConfig sets the committed configuration of a node, and reports its version to the proxy.
+func (n *fakeNode) commitConfig(c testConfig) {
+	n.mu.Lock()
+	n.config = c.register()
+	n.mu.Unlock()
+	n.send(
 		&rpc.Message{
-			RegisterUpdate: rpc.RegisterUpdate{CommittedVersions: map[string]rpc.Version{"charter": k.config.Version}},
+			RegisterUpdate: rpc.RegisterUpdate{CommittedVersions: map[string]rpc.Version{"charter": n.config.Version}},
 		},
 	)
 }
 
-// testConfig is a configuration: routes "KIND PREFIX SERVICE" of the host a.example.
+// testConfig is a configuration for the host a.example. Each route is "KIND PREFIX SERVICE".
 type testConfig struct {
 	version uint32
 	limits  string
@@ -285,18 +284,18 @@
 			c.version, c.limits, strings.Join(rules, ","), strings.Join(pools, ","))}
 }
 
-// bothRoutes are a repeatable and an unrepeatable route of a service.
+// bothRoutes returns an idempotent and a non-idempotent route of a service.
 func bothRoutes(service string) []string {
 	return []string{"safe /" + service + "/ " + service, "unsafe /" + service + "!/ " + service}
 }
 
-// receivedRequest is a request as it arrived at a backend.
+// receivedRequest is a request as an endpoint received it.
 type receivedRequest struct{ id, method string }
 
-// respondFunc is what a backend does with a request on its connection; after an error it closes that.
+// respondFunc handles a request on an endpoint's connection. An error closes the connection.
 type respondFunc func(c net.Conn, r receivedRequest) error
 
-// respond answers with a status, fields and a body of some length; the seal and the id are added.
+// respond responds with a status, header fields and a body. It adds the attempt id and the server seal.
 func respond(status int, fields string, body string) respondFunc {
 	if fields != "" {
 		fields += "\r\n"
@@ -314,7 +313,7 @@
 
 var respondOK = respond(200, "", "fine")
 
-// respondRaw sends bytes; cut does so and closes the connection.
+// respondRaw writes text, in which ID stands for the attempt id.
 func respondRaw(text string) respondFunc {
 	return func(c net.Conn, r receivedRequest) error {
 		_, err := io.WriteString(c, strings.ReplaceAll(text, "ID", r.id))
@@ -322,6 +321,7 @@
 	}
 }
 
+// respondAndClose writes text like respondRaw and closes the connection.
 func respondAndClose(text string) respondFunc {
 	return func(c net.Conn, r receivedRequest) error {
 		_ = respondRaw(text)(c, r)
@@ -336,17 +336,17 @@
 	}
 }
 
-// refuseConnections: the address refuses connections.
+// refuseConnections stands for an endpoint at whose address nothing listens.
 var refuseConnections respondFunc
 
-// addEndpoint starts one that does this with each request, and lets all controllers tell of it. Of those of a service,
-// one in the north is asked first, those of the south one after the other.
-func (s *harness) addEndpoint(service, zone string, do respondFunc) rpc.Endpoint {
+// addEndpoint starts an endpoint that handles each request with do, and reports it from all nodes. The proxy prefers
+// the endpoint of a service in the north; those in the south follow in turn.
+func (s *scenario) addEndpoint(service, zone string, do respondFunc) rpc.Endpoint {
 	s.endpointCount++
-	b := rpc.Endpoint{ID: fmt.Sprintf("%s-%s", service, zone), Service: service, Zone: strings.TrimRight(zone, "12"),
+	endpoint := rpc.Endpoint{ID: service + "-" + zone, Service: service, Zone: strings.TrimRight(zone, "12"),
 		Capacity: 4, Seq: 1, Address: fmt.Sprintf("10.0.1.%d:8080", s.endpointCount), Live: true}
 	if do != nil {
-		l, err := s.host(fmt.Sprintf("10.0.1.%d", s.endpointCount)).Listen(b.Address)
+		l, err := s.host(fmt.Sprintf("10.0.1.%d", s.endpointCount)).Listen(endpoint.Address)
 		if err != nil {
 			panic(err)
 		}
@@ -356,21 +356,22 @@
 				if err != nil {
 					return
 				}
-				go s.serve(c, b.ID, do)
+				go s.serve(c, endpoint.ID, do)
 			}
 		}()
 	}
-	for _, k := range s.nodes {
-		k.mu.Lock()
-		k.endpoints = append(k.endpoints, b)
-		k.mu.Unlock()
-		k.sendEndpoints(b)
+	for _, node := range s.nodes {
+		node.mu.Lock()
+		node.endpoints = append(node.endpoints, endpoint)
+		node.mu.Unlock()
+		node.sendEndpoints(endpoint)
 	}
-	return b
+	return endpoint
 }
 
-// serve reads requests by hand: what arrived is shown as it came, but for the order of its fields, which is free.
-func (s *harness) serve(c net.Conn, id string, do respondFunc) {
+// serve parses requests without net/http, so that the transcript shows them as they arrived. Only their header fields
+// are sorted, because their order is arbitrary.
+func (s *scenario) serve(c net.Conn, id string, do respondFunc) {
 	defer func() { _ = c.Close() }()
 	br := bufio.NewReader(c)
 	for {
@@ -402,9 +403,9 @@
 		slices.Sort(fields)
 		s.logf("    %s < %s | %s", id, strings.TrimSpace(line), strings.Join(fields, " | "))
 		s.mu.Lock()
-		eager := s.beforeBody[id]
+		beforeBody := s.beforeBody[id]
 		s.mu.Unlock()
-		if eager != nil && eager(c, r) != nil {
+		if beforeBody != nil && beforeBody(c, r) != nil {
 			return
 		}
 		body, end := make([]byte, length), ""
@@ -429,7 +430,7 @@
 	}
 }
 
-// newChunkedReader reads a chunked body to its end, the empty trailer too.
+// newChunkedReader returns a reader of a chunked body, which also consumes the empty trailer.
 func newChunkedReader(br *bufio.Reader) io.Reader {
 	resp, err := http.ReadResponse(bufio.NewReader(io.MultiReader(
 		strings.NewReader("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"), byteReader{br})), nil)
@@ -439,7 +440,7 @@
 	return resp.Body
 }
 
-// byteReader hands out a byte at a time, so that no reader on top of it takes bytes of what follows.
+// byteReader returns one byte per read, so that a buffered reader on top of it takes no bytes of what follows.
 type byteReader struct{ br *bufio.Reader }
 
 func (o byteReader) Read(b []byte) (int, error) {
@@ -454,7 +455,7 @@
 	return 1, nil
 }
 
-// summarizeBody is a body in the transcript.
+// summarizeBody formats a body for the transcript.
 func summarizeBody(b []byte) string {
 	if len(b) <= 60 {
 		return fmt.Sprintf("%q", b)
@@ -464,14 +465,14 @@
 	return fmt.Sprintf("%d bytes, sum %08x", len(b), h.Sum32())
 }
 
-// transcriptClient is one connection of a transcriptClient.
+// transcriptClient is a client connection whose traffic is part of the transcript.
 type transcriptClient struct {
-	s    *harness
+	s    *scenario
 	conn net.Conn
 	br   *bufio.Reader
 }
 
-func (s *harness) newTranscriptClient() *transcriptClient {
+func (s *scenario) newTranscriptClient() *transcriptClient {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	conn, err := s.host("10.0.9.1").Dial(ctx, "10.0.0.100:8548", 0)
@@ -482,12 +483,10 @@
 	return &transcriptClient{s: s, conn: conn, br: bufio.NewReader(conn)}
 }
 
-var (
-	dateHeader = regexp.MustCompile(`Date: [^\r]*\r\n`)
-)
+var dateHeader = regexp.MustCompile(`Date: [^\r]*\r\n`)
 
-// request sends a request whose lines are given, and writes down what comes back; parts are sent 300 ms after one
-// another.
+// request sends a request and records the response. " | " separates the lines of its head; the parts of the body are
+// sent 300 ms after one another.
 func (c *transcriptClient) request(lines string, parts ...string) {
 	if c == nil {
 		return
@@ -522,7 +521,7 @@
 }
 
 func (c *transcriptClient) readResponse(method string) {
-	_ = c.conn.SetReadDeadline(time.Now().Add(30 * time.Second)) // what is never answered fails the test, not its run
+	_ = c.conn.SetReadDeadline(time.Now().Add(30 * time.Second)) // a missing response must not block the test
 	var head bytes.Buffer
 	for !bytes.HasSuffix(head.Bytes(), []byte("\r\n\r\n")) {
 		line, err := c.br.ReadString('\n')
@@ -554,22 +553,24 @@
 	}
 }
 
-// request does so on a connection of its own.
-func (s *harness) request(lines string, parts ...string) {
+// request sends a request on a new connection.
+func (s *scenario) request(lines string, parts ...string) {
 	if c := s.newTranscriptClient(); c != nil {
 		c.request(lines, parts...)
 		_ = c.conn.Close()
 	}
 }
 
-func (s *harness) section(format string, v ...any) { s.logf("-- "+format, v...) }
+// section starts a section of the transcript.
+func (s *scenario) section(format string, v ...any) { s.logf("-- "+format, v...) }
 
-// runTranscript is one transcript; the virtual seconds before it let the carrier's share of further tries grow.
-func runTranscript(t *testing.T, cores int, f func(s *harness)) {
+// runTranscript compares the transcript of a scenario with the golden file. It waits first, so that the proxy's retry
+// budget grows.
+func runTranscript(t *testing.T, nodeCount int, f func(s *scenario)) {
 	t.Helper()
 	var out string
 	synctest.Test(t, func(*testing.T) {
-		s := newHarness(cores)
+		s := newScenario(nodeCount)
 		time.Sleep(5*time.Second + 100*time.Millisecond)
 		f(s)
 		out = s.stop()
@@ -578,8 +579,8 @@
 	autogold.Equal(t, out)
 }
 
-// checkInvariants holds the proxy against the invariants that it checks itself.
-func (s *harness) checkInvariants(t *testing.T) {
+// checkInvariants checks the invariants of which the proxy counts violations.
+func (s *scenario) checkInvariants(t *testing.T) {
 	t.Helper()
 	if n := s.proxy.Violations(); n != 0 {
 		t.Errorf("the proxy counts %d violations of its invariants", n)
@@ -590,11 +591,10 @@
 
 func encodeChunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// From the client's bytes to the backend's and back. Guards against a request that is changed on its way (UNASKED): a
-// path that is cleaned, a query that is parsed, a body under another length; against fields of one connection that
-// leak into another; and against limits that do not hold.
+// Guards against a request that is changed on its way (a cleaned path, a parsed query, another body length), against
+// connection-specific fields that are passed on, and against limits that are not enforced.
 func TestPassesOn(t *testing.T) {
-	runTranscript(t, 1, func(s *harness) {
+	runTranscript(t, 1, func(s *scenario) {
 		s.section("no configuration is known")
 		s.request("GET /alpha/ HTTP/1.1")
 		c := testConfig{version: 1, routes: bothRoutes("alpha")}
@@ -648,12 +648,12 @@
 	})
 }
 
-// What becomes of a request that fails at a backend. Guards against a request that may run once only being sent again
-// (TWICE) or being promised not to have run (REFUSED), and against one that may be repeated being lost for nothing.
+// Guards against a non-idempotent request that is sent again, or whose response wrongly signals that it was not
+// executed, and against an idempotent request that fails without a retry.
 func TestFurtherTries(t *testing.T) {
 	const answer = "HTTP/1.1 200 OK\r\nX-Elmfold-Attempt-Id: ID\r\nX-Elmfold-Server-Seal: s\r\n"
 	failed, busy := respond(500, "", "it failed"), respond(503, "", "busy")
-	turned := respond(503, "X-Elmfold-Not-Executed: full", "full")
+	notExecuted := respond(503, "X-Elmfold-Not-Executed: full", "full")
 	cases := []struct {
 		name          string
 		first, second respondFunc
@@ -673,53 +673,53 @@
 		{"its own 503 without a word that it did not run", busy, respondOK, "su"},
 		{"its own 503 and no other", busy, busy, "s"},
 		{"its own 429", respond(429, "Retry-After: 3", "slower"), respondOK, "su"},
-		{"a word that it did not run", turned, respondOK, "su"},
-		{"the same twice", turned, turned, "su"},
+		{"a word that it did not run", notExecuted, respondOK, "su"},
+		{"the same twice", notExecuted, notExecuted, "su"},
 		{"421", respond(421, "", "not me"), respondOK, "su"},
 		{"nobody listens", refuseConnections, respondOK, "su"},
 		{"nobody listens at either", refuseConnections, refuseConnections, "u"},
 		{"nobody listens, and the next breaks off", refuseConnections, respondAndClose(""), "u"},
 		{"one breaks off, and nobody listens at the next", respondAndClose(""), refuseConnections, "s"},
-		{"one breaks off, and the next did not run it", respondAndClose(""), turned, "s"},
-		{"one did not run it, and the next breaks off", turned, respondAndClose(""), "u"},
+		{"one breaks off, and the next did not run it", respondAndClose(""), notExecuted, "s"},
+		{"one did not run it, and the next breaks off", notExecuted, respondAndClose(""), "u"},
 		{"404 of its own", respond(404, "", "not here"), respondOK, "u"},
 	}
-	runTranscript(t, 1, func(s *harness) {
+	runTranscript(t, 1, func(s *scenario) {
 		c := testConfig{version: 1}
 		for i := range cases {
 			c.routes = append(c.routes, bothRoutes(fmt.Sprintf("c%d", i))...)
 			c.routes = append(c.routes, bothRoutes(fmt.Sprintf("c%du", i))...)
 		}
 		s.nodes[0].commitConfig(c)
-		for i, k := range cases {
-			for _, kind := range k.kinds {
+		for i, test := range cases {
+			for _, kind := range test.kinds {
 				service := fmt.Sprintf("c%d", i)
 				if kind == 's' {
-					s.section("%s; repeatable", k.name)
-					s.addEndpoint(service, "north", k.first)
-					s.addEndpoint(service, "south", k.second)
+					s.section("%s; repeatable", test.name)
+					s.addEndpoint(service, "north", test.first)
+					s.addEndpoint(service, "south", test.second)
 					s.request("GET /" + service + "/ HTTP/1.1 | X-Elmfold-Time-Budget-Ms: 4000")
 					continue
 				}
-				service += "u" // what was met by the one above stays out of it
-				s.section("%s; once only", k.name)
-				s.addEndpoint(service, "north", k.first)
-				s.addEndpoint(service, "south", k.second)
+				service += "u" // the failures above must not affect it
+				s.section("%s; once only", test.name)
+				s.addEndpoint(service, "north", test.first)
+				s.addEndpoint(service, "south", test.second)
 				s.request("POST /"+service+"!/ HTTP/1.1 | Content-Length: 2", "hi")
 			}
 		}
 	})
 }
 
-// Answers. Guards against one that was cut short looking whole (MIXED), against fields of the backend's connection
-// reaching the client, and against a client that is told nothing of how long its connection stays.
+// Guards against a truncated response that looks complete, against an endpoint's connection-specific fields that reach
+// the client, and against a client that is not told the idle timeout of its connection.
 func TestAnswers(t *testing.T) {
 	large := strings.Repeat("0123456789", 20000)
 	const head = "HTTP/1.1 200 OK\r\nX-Elmfold-Attempt-Id: ID\r\nX-Elmfold-Server-Seal: s\r\n"
 	pieces := strings.Repeat(encodeChunk(large[:50000]), 4)
-	runTranscript(t, 1, func(s *harness) {
+	runTranscript(t, 1, func(s *scenario) {
 		c := testConfig{version: 1}
-		acts := []struct {
+		tests := []struct {
 			name string
 			do   respondFunc
 		}{
@@ -737,28 +737,28 @@
 			{"a redirection", respond(302, "Location: http://b.example/", "")},
 			{"nothing in time", afterDelay(7*time.Second, respondOK)},
 		}
-		for i := range acts {
+		for i := range tests {
 			c.routes = append(c.routes, "unsafe "+fmt.Sprintf("/a%d/ a%d", i, i))
 		}
 		s.nodes[0].commitConfig(c)
-		for i, a := range acts {
-			s.section("%s", a.name)
-			s.addEndpoint(fmt.Sprintf("a%d", i), "north", a.do)
+		for i, test := range tests {
+			s.section("%s", test.name)
+			s.addEndpoint(fmt.Sprintf("a%d", i), "north", test.do)
 			s.request(fmt.Sprintf("GET /a%d/ HTTP/1.1", i))
 		}
 		s.section("one connection for several requests, until it was idle for too long")
-		k := s.newTranscriptClient()
-		k.request("GET /a8/ HTTP/1.1")
-		k.request("GET /none/ HTTP/1.1")
-		k.request("GET /a3/ HTTP/1.1")
+		client := s.newTranscriptClient()
+		client.request("GET /a8/ HTTP/1.1")
+		client.request("GET /none/ HTTP/1.1")
+		client.request("GET /a3/ HTTP/1.1")
 		began := time.Now()
-		k.readResponse("GET")
+		client.readResponse("GET")
 		s.logf("it was closed after %v", time.Since(began).Round(time.Second))
 		s.section("a head that does not end")
-		k = s.newTranscriptClient()
+		client = s.newTranscriptClient()
 		began = time.Now()
-		_, _ = io.WriteString(k.conn, "GET /a8/ HTTP/1.1\r\nHost:")
-		k.readResponse("GET")
+		_, _ = io.WriteString(client.conn, "GET /a8/ HTTP/1.1\r\nHost:")
+		client.readResponse("GET")
 		s.logf("it was closed after %v", time.Since(began).Round(time.Second))
 		c.version, c.limits = 2, `"idleTimeoutS":2`
 		s.nodes[0].commitConfig(c)
@@ -767,45 +767,46 @@
 	})
 }
 
-// What controllers say holds from that moment. Guards against requests to a backend that leaves (DRAIN) or whose zone
-// is emptied (EVAC), against late words that bring one back, and against a level that does not hold.
+// Guards against requests to a draining endpoint or an evacuated zone, against delayed reports that bring an endpoint
+// back, and against a rate limit that is not enforced.
 func TestWords(t *testing.T) {
-	runTranscript(t, 1, func(s *harness) {
-		k := s.nodes[0]
-		k.commitConfig(testConfig{version: 1, routes: append(bothRoutes("alpha"), bothRoutes("beta")...)})
+	runTranscript(t, 1, func(s *scenario) {
+		node := s.nodes[0]
+		node.commitConfig(testConfig{version: 1, routes: append(bothRoutes("alpha"), bothRoutes("beta")...)})
 		b := s.addEndpoint("alpha", "north", respondOK)
-		ask := func() { s.request("GET /alpha/ HTTP/1.1") }
-		ask()
+		get := func() { s.request("GET /alpha/ HTTP/1.1") }
+		get()
 		s.addEndpoint("alpha", "south", respondOK)
 		s.section("the one of the own zone first")
-		ask()
+		get()
 		s.section("it drains")
 		b.Seq, b.State = 5, rpc.Draining
-		k.sendEndpoints(b)
-		ask()
+		node.sendEndpoints(b)
+		get()
 		s.section("late words that it is ready")
-		late := b
-		late.Seq, late.State = 4, rpc.Ready
-		k.sendEndpoints(late)
-		ask()
-		late.Seq = 6
-		k.sendEndpoints(late)
-		ask()
+		delayed := b
+		delayed.Seq, delayed.State = 4, rpc.Ready
+		node.sendEndpoints(delayed)
+		get()
+		delayed.Seq = 6
+		node.sendEndpoints(delayed)
+		get()
 		s.section("a new life at its address")
-		k.sendEndpoints(rpc.Endpoint{ID: b.ID, State: rpc.Gone})
+		node.sendEndpoints(rpc.Endpoint{ID: b.ID, State: rpc.Gone})
 		b.ID, b.Seq, b.State = "alpha-new", 1, rpc.Ready
-		k.sendEndpoints(b)
-		ask()
+		node.sendEndpoints(b)
+		get()
 
-		evacuate := func(zone, value string, stamp uint64) {
-			k.send(committedValue(rpc.Register{Name: "zone/" + zone, Version: rpc.Version{Number: stamp}, Value: []byte(value)}))
+		evacuate := func(zone, value string, number uint64) {
+			version := rpc.Version{Number: number}
+			node.send(committedValue(rpc.Register{Name: "zone/" + zone, Version: version, Value: []byte(value)}))
 		}
 		s.section("the north is evacuated")
 		evacuate("north", "1b", 10)
-		ask()
+		get()
 		s.section("an older order, and one that is not in force")
 		evacuate("north", "0f", 9)
-		k.send(
+		node.send(
 			&rpc.Message{
 				RegisterUpdate: rpc.RegisterUpdate{
 					CommittedValues: []rpc.Register{{Name: "zone/north", Version: rpc.Version{Number: 11},
@@ -813,23 +814,23 @@
 				},
 			},
 		)
-		ask()
+		get()
 		s.section("the south too")
 		evacuate("south", "1b", 10)
-		ask()
+		get()
 		s.section("the north is taken back")
 		evacuate("north", "0f", 12)
-		ask()
+		get()
 
 		s.section("weights and a level of the controller that steers")
 		one := s.addEndpoint("beta", "north1", respondOK)
 		two := s.addEndpoint("beta", "north2", respondOK)
-		k.send(&rpc.Message{RoutingTables: []rpc.RoutingTable{{Service: "beta", Full: true,
+		node.send(&rpc.Message{RoutingTables: []rpc.RoutingTable{{Service: "beta", Full: true,
 			Weights: map[string]float64{one.ID: 0, two.ID: 1}}}})
 		for range 3 {
 			s.request("GET /beta/ HTTP/1.1")
 		}
-		k.send(&rpc.Message{RoutingTables: []rpc.RoutingTable{{Service: "beta", Limited: true, RateLimit: 2}}})
+		node.send(&rpc.Message{RoutingTables: []rpc.RoutingTable{{Service: "beta", Limited: true, RateLimit: 2}}})
 		for range 4 {
 			s.request("GET /beta/ HTTP/1.1")
 		}
@@ -839,64 +840,64 @@
 	})
 }
 
-// Guards against a carrier that asks the nearest controller alone for a configuration that this one does not have, or
-// does not give (CONFIG), and against one that goes back to what is older.
+// Guards against a proxy that requests a configuration only from the nearest node, which may not have it or not
+// respond, and against a return to an older configuration.
 func TestConfigurationFromOthers(t *testing.T) {
-	runTranscript(t, 2, func(s *harness) {
+	runTranscript(t, 2, func(s *scenario) {
 		near, far := s.nodes[0], s.nodes[1]
 		first := testConfig{version: 1, routes: bothRoutes("alpha")}
 		second := testConfig{version: 2, routes: bothRoutes("beta")}
 		third := testConfig{version: 3, routes: append(bothRoutes("alpha"), bothRoutes("beta")...)}
 		s.addEndpoint("alpha", "north", respondOK)
 		s.addEndpoint("beta", "north", respondOK)
-		ask := func() {
+		get := func() {
 			s.request("GET /alpha/ HTTP/1.1")
 			s.request("GET /beta/ HTTP/1.1")
 		}
 		s.section("both have the first: the near one is asked")
 		far.commitConfig(first)
 		near.commitConfig(first)
-		ask()
+		get()
 		s.section("the far one has the second")
 		far.commitConfig(second)
-		ask()
+		get()
 		s.section("the near one says again that it has the first")
 		near.commitConfig(first)
 		near.send(committedValue(first.register()))
-		ask()
+		get()
 		s.section("both have the third, and the near one does not give it")
 		near.servesConfig = false
 		near.commitConfig(third)
 		far.commitConfig(third)
 		time.Sleep(2 * time.Second)
-		ask()
+		get()
 		s.section("a value that is not in force, and one in force that cannot be read")
-		wrong := testConfig{version: 4, routes: bothRoutes("alpha")}.register()
-		far.send(&rpc.Message{RegisterUpdate: rpc.RegisterUpdate{CommittedValues: []rpc.Register{wrong}}})
-		wrong.Value = []byte("{")
-		far.send(committedValue(wrong))
+		fourth := testConfig{version: 4, routes: bothRoutes("alpha")}.register()
+		far.send(&rpc.Message{RegisterUpdate: rpc.RegisterUpdate{CommittedValues: []rpc.Register{fourth}}})
+		fourth.Value = []byte("{")
+		far.send(committedValue(fourth))
 		s.request("GET /beta/ HTTP/1.1")
 	})
 }
 
-// The carrier's own beginning and end. Guards against clients that are sent to one that knows too little yet, or that
-// were not told to go elsewhere before its end, and against a request that is at work being cut (LOST).
+// Guards against clients that are routed to a proxy without the state it needs, or to one that is about to stop, and
+// against requests in flight that are cut off by the shutdown.
 func TestReadiness(t *testing.T) {
-	runTranscript(t, 3, func(s *harness) {
-		ready := func() {
+	runTranscript(t, 3, func(s *scenario) {
+		logReadiness := func() {
 			w := httptest.NewRecorder()
 			s.proxy.Readiness().ServeHTTP(w, httptest.NewRequest("GET", "http://10.0.0.100:8542/v1/readiness", nil))
 			s.logf("readiness %d", w.Code)
 		}
 		s.section("controllers are there, and nothing is in force")
-		ready()
+		logReadiness()
 		s.section("something is")
 		s.addEndpoint("alpha", "north", afterDelay(time.Second, respondOK))
 		s.nodes[0].commitConfig(testConfig{version: 1, routes: bothRoutes("alpha")})
-		ready()
+		logReadiness()
 		s.section("a client on a connection that stays")
-		k := s.newTranscriptClient()
-		k.request("GET /alpha/ HTTP/1.1")
+		client := s.newTranscriptClient()
+		client.request("GET /alpha/ HTTP/1.1")
 		ended := make(chan struct{})
 		go func() {
 			s.proxy.Shutdown(5 * time.Second)
@@ -904,9 +905,9 @@
 		}()
 		time.Sleep(10 * time.Millisecond)
 		s.section("the end begins")
-		ready()
-		k.request("GET /alpha/ HTTP/1.1")
-		k.request("GET /alpha/ HTTP/1.1")
+		logReadiness()
+		client.request("GET /alpha/ HTTP/1.1")
+		client.request("GET /alpha/ HTTP/1.1")
 		s.request("GET /none/ HTTP/1.1")
 		time.Sleep(time.Second)
 		s.section("one at work when connections are no longer taken, which ends well")
@@ -916,43 +917,43 @@
 	})
 }
 
-// A new life. Guards against one that calls itself ready while a controller holds something that may be in force and
-// has not come here yet, or while too few of them were read.
+// Guards against a proxy that is ready although a node stores a register value, possibly committed, that the proxy has
+// not applied, or before a majority of the voters has reported.
 func TestNotReadyTooSoon(t *testing.T) {
 	var out string
 	synctest.Test(t, func(*testing.T) {
-		s := newHarness(3)
+		s := newScenario(3)
 		first := testConfig{version: 1, routes: bothRoutes("alpha")}
-		for i, k := range s.nodes {
-			k.mu.Lock()
-			k.config = first.register()
-			k.stored = map[string]rpc.Version{"zone/south": {Number: 7}}
-			k.endpointsSynced = i == 0
-			k.mu.Unlock()
-		}
-		at := func(name string) {
+		for i, node := range s.nodes {
+			node.mu.Lock()
+			node.config = first.register()
+			node.stored = map[string]rpc.Version{"zone/south": {Number: 7}}
+			node.endpointsSynced = i == 0
+			node.mu.Unlock()
+		}
+		observe := func(name string) {
 			w := httptest.NewRecorder()
 			s.proxy.Readiness().ServeHTTP(w, httptest.NewRequest("GET", "http://10.0.0.100:8542/v1/readiness", nil))
 			s.logf("%d  %s", w.Code, name)
 		}
-		at("before any word")
+		observe("before any word")
 		time.Sleep(300 * time.Millisecond)
-		at("one of three knows the backends")
+		observe("one of three knows the backends")
 		s.nodes[1].send(&rpc.Message{EndpointUpdate: rpc.EndpointUpdate{EndpointsSynced: true}})
-		at("two do, and hold an evacuation that has not come here")
+		observe("two do, and hold an evacuation that has not come here")
 		evacuation := rpc.Register{Name: "zone/south", Version: rpc.Version{Number: 7}, Value: []byte("1b")}
 		s.nodes[1].send(committedValue(evacuation))
-		at("it has")
+		observe("it has")
 		out = s.stop()
 	})
 	autogold.Equal(t, out)
 }
 
-// Guards against a refusal that waits for a body which nobody wants: net/http reads up to 256 KB of it before it writes
-// the head, and no deadline bounds that reading.
-func TestRefusalDoesNotWaitForTheBody(t *testing.T) {
+// Guards against an error response that waits for the rest of the request body: net/http reads up to 256 KB of it
+// before it writes the response head, without a deadline.
+func TestErrorResponseDoesNotWaitForBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newHarness(1)
+		s := newScenario(1)
 		time.Sleep(5 * time.Second)
 		s.nodes[0].commitConfig(testConfig{version: 1, routes: bothRoutes("alpha")})
 		for _, lines := range []string{
@@ -963,23 +964,23 @@
 			began := time.Now()
 			s.request(lines, "x")
 			if took := time.Since(began); took > time.Second {
-				t.Errorf("%s: no answer within %v", lines, took)
+				t.Errorf("%s: the response took %v", lines, took)
 			}
 		}
-		k := s.newTranscriptClient()
-		k.request("POST /none/ HTTP/1.1 | Content-Length: 5", "x")
+		client := s.newTranscriptClient()
+		client.request("POST /none/ HTTP/1.1 | Content-Length: 5", "x")
 		began := time.Now()
-		_ = k.conn.SetReadDeadline(time.Now().Add(10 * time.Minute))
-		_, err := k.br.ReadByte()
+		_ = client.conn.SetReadDeadline(time.Now().Add(10 * time.Minute))
+		_, err := client.br.ReadByte()
 		t.Logf("after %v more: %v", time.Since(began), err)
 		_ = s.stop()
 	})
 }
 
-// Guards against a second request hidden in the first: what has two lengths, odd framing or odd line ends is refused or
-// goes on in one framing of ours, and a backend never sees more requests than clients sent.
+// Guards against request smuggling: a request with ambiguous length, framing or line ends is rejected or forwarded with
+// the proxy's own framing, and an endpoint never receives more requests than clients sent.
 func TestNothingIsSmuggled(t *testing.T) {
-	runTranscript(t, 1, func(s *harness) {
+	runTranscript(t, 1, func(s *scenario) {
 		s.nodes[0].commitConfig(testConfig{version: 1, routes: bothRoutes("alpha")})
 		s.addEndpoint("alpha", "north", respondOK)
 		for _, c := range []struct{ name, lines, body string }{
--- a/internal/proxy/quorum.go
+++ b/internal/proxy/quorum.go
@@ -71,9 +71,9 @@
 
 // Bits of a candidate's rank, highest priority first.
 const (
-	steadyBit   = 1 << 63
-	ownZoneBit  = 1 << 62
-	hashedShift = 2 // clears these bits in the hash
+	steadyBit  = 1 << 63
+	ownZoneBit = 1 << 62
+	hashShift  = 2 // clears these bits in the hash
 )
 
 // chooseRoutingNode returns the name of the routing node for the proxies of a zone: a node with steady quorum contact
@@ -83,7 +83,7 @@
 func chooseRoutingNode(zone string, candidates []routingCandidate) string {
 	best, highest := "", uint64(0)
 	for _, c := range candidates {
-		rank := balancer.RendezvousHash(c.name, zone) >> hashedShift
+		rank := balancer.RendezvousHash(c.name, zone) >> hashShift
 		if c.zone == zone {
 			rank |= ownZoneBit
 		}
--- a/internal/proxy/readahead_test.go
+++ b/internal/proxy/readahead_test.go
@@ -13,7 +13,7 @@
 	"elmfold/internal/fakes/loopback"
 )
 
-// newTCPPair are the ends of a connection: real ones, as only the kernel knows what lies behind unread bytes.
+// newTCPPair returns both ends of a real TCP connection: only the kernel knows what follows unread bytes.
 func newTCPPair(t *testing.T) (client, server *net.TCPConn) {
 	t.Helper()
 	client, server, err := loopback.Pair()
@@ -24,44 +24,44 @@
 	return client, server
 }
 
-// waitForDisconnect waits until the client is seen to leave. A run in which it never is fails after many times what it
-// takes.
-func waitForDisconnect(t *testing.T, left <-chan struct{}) {
+// waitForDisconnect waits until the disconnect of the client is detected. The timeout is far longer than that takes.
+func waitForDisconnect(t *testing.T, disconnected <-chan struct{}) {
 	t.Helper()
 	select {
-	case <-left:
+	case <-disconnected:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the client is not seen to leave")
+		t.Fatal("the disconnect of the client is not detected")
 	}
 }
 
-func newReadAhead(conn net.Conn) (r *readAhead, left chan struct{}) {
-	left = make(chan struct{}, 8)
-	return &readAhead{conn: conn, onDisconnect: func() { left <- struct{}{} }, totalBuffered: &atomic.Int64{}}, left
+func newReadAhead(conn net.Conn) (r *readAhead, disconnected chan struct{}) {
+	disconnected = make(chan struct{}, 8)
+	onDisconnect := func() { disconnected <- struct{}{} }
+	return &readAhead{conn: conn, onDisconnect: onDisconnect, totalBuffered: &atomic.Int64{}}, disconnected
 }
 
-// Guards against a client that leaves behind more than is read ahead, by a close and by a reset.
+// Guards against missing a close or a reset behind more bytes than are read ahead.
 func TestDisconnectBehindFullReadAhead(t *testing.T) {
 	for _, linger := range []int{-1, 0} {
 		client, server := newTCPPair(t)
-		r, left := newReadAhead(server)
+		r, disconnected := newReadAhead(server)
 		if _, err := client.Write(bytes.Repeat([]byte("x"), 2*readAheadChunk)); err != nil {
 			t.Fatal(err)
 		}
-		r.totalBuffered.Store(maxTotalReadAhead) // others hold all that may be
+		r.totalBuffered.Store(maxTotalReadAhead) // other connections use up the limit
 		r.start()
 		_ = client.SetLinger(linger)
 		_ = client.Close()
-		waitForDisconnect(t, left)
+		waitForDisconnect(t, disconnected)
 		r.stop()
 	}
 }
 
-// What was read ahead comes once, in order, then what follows, then the end. Guards against bytes that two readers
-// share.
+// Bytes that were read ahead are returned once and in order, then the following ones, then the end. Guards against two
+// goroutines that read the connection at the same time.
 func TestReadAheadKeepsOrder(t *testing.T) {
 	client, server := newTCPPair(t)
-	r, left := newReadAhead(server)
+	r, disconnected := newReadAhead(server)
 	want := make([]byte, 5*maxReadAhead)
 	for i := range want {
 		want[i] = byte(i * i >> 5)
@@ -87,19 +87,19 @@
 		}
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%d bytes came of %d, or others", len(got), len(want))
+		t.Errorf("got %d bytes, want %d with the same content", len(got), len(want))
 	}
 	select {
-	case <-left:
+	case <-disconnected:
 	default:
-		t.Log("the end was read by the caller itself")
+		t.Log("the caller of read reached the end before the read-ahead did")
 	}
 }
 
-// A deadline is a reader's own: it ends no reading ahead for good, and is no end of the connection.
+// A deadline that passes is not a disconnect, and reading ahead can start again after it.
 func TestDeadlineIsNotDisconnect(t *testing.T) {
 	client, server := newTCPPair(t)
-	r, left := newReadAhead(server)
+	r, disconnected := newReadAhead(server)
 	r.start()
 	_ = r.setDeadline(aLongTimeAgo)
 	if _, err := r.read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -114,12 +114,12 @@
 	if n, err := r.read(b); err != nil || n != 1 || b[0] != 'a' {
 		t.Fatalf("read %q: %v", b[:n], err)
 	}
-	if len(left) > 0 {
-		t.Error("a deadline was taken for the client's leaving")
+	if len(disconnected) > 0 {
+		t.Error("a passed deadline was taken for a disconnect")
 	}
 	r.start()
 	_ = client.Close()
-	waitForDisconnect(t, left)
+	waitForDisconnect(t, disconnected)
 	if _, err := r.read(b); err != io.EOF { //nolint:errorlint // as Read returns it
 		t.Errorf("after the end: %v", err)
 	}
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -30,8 +30,8 @@
 	return mux
 }
 
-// checkReady makes the proxy ready once a majority of the voters has reported its registers and the proxy has applied
-// them, or after maxStartupWait. A ready proxy stays ready even if it loses all nodes.
+// checkReady makes the proxy ready once it has a configuration and has applied what a majority of the voters stores.
+// After maxStartupWait, a configuration is enough. A ready proxy stays ready even if it loses all nodes.
 func (p *Proxy) checkReady(now time.Duration) {
 	config := p.config.Load()
 	if p.ready.Load() || config == nil {
--- a/internal/proxy/trafficsplit_test.go
+++ b/internal/proxy/trafficsplit_test.go
@@ -7,14 +7,14 @@
 	"elmfold/internal/gateway/routeconfig"
 )
 
-// Guards against parts of a split that stray from their weights, also in short times and at many proxies together.
+// Guards against shares that deviate from their weights, even over few requests at each of many proxies.
 func TestTrafficSplit(t *testing.T) {
 	config := &routeconfig.Config{}
 	route := &routeconfig.Route{Services: []routeconfig.WeightedService{
 		{Service: "a", Weight: 0.7}, {Service: "b", Weight: 0.2}, {Service: "c", Weight: 0.1}}}
 	other := &routeconfig.Route{Services: []routeconfig.WeightedService{
 		{Service: "a", Weight: 0.5}, {Service: "b", Weight: 0.5}}}
-	const proxies, requests = 10, 20 // of each
+	const proxies, requests = 10, 20 // per proxy
 	counts := map[string]int{}
 	for range proxies {
 		var splits trafficSplits
@@ -38,10 +38,10 @@
 	splits.service(&routeconfig.Config{Version: 1}, route)
 	splits.service(&routeconfig.Config{Version: 2}, &routeconfig.Route{Services: route.Services})
 	if len(splits.next) != 1 {
-		t.Errorf("%d routes are kept, also of a configuration that is gone", len(splits.next))
+		t.Errorf("%d routes are kept, want only those of the current configuration", len(splits.next))
 	}
 	single := &routeconfig.Route{Services: []routeconfig.WeightedService{{Service: "a", Weight: 1}}}
 	if splits.service(&routeconfig.Config{}, single) != "a" || splits.config.Version != 2 {
-		t.Error("a route with one service is drawn for")
+		t.Error("a route with one service uses the sequence")
 	}
 }
