--- a/internal/controller/aggregation/told.go
+++ b/internal/controller/aggregation/aggregation.go
@@ -27,22 +27,22 @@
 // Report is what was met at a backend: tries, how many of them voided, and ms that the answers of the others took
 // in all.
 type Report struct {
-	Backend string  `cbor:"1,keyasint"`
-	Tries   float64 `cbor:"2,keyasint"`
-	Failed  float64 `cbor:"3,keyasint"`
-	Spent   float64 `cbor:"4,keyasint"`
+	Backend        string  `cbor:"1,keyasint"`
+	Attempts       float64 `cbor:"2,keyasint"`
+	Failed         float64 `cbor:"3,keyasint"`
+	TotalLatencyMS float64 `cbor:"4,keyasint"`
 }
 
-// Sums are words of several origins. Age is how old they are on the mean.
-type Sums struct {
+// Summary is words of several origins. Age is how old they are on the mean.
+type Summary struct {
 	Reports []Report      `cbor:"1,keyasint"`
 	Age     time.Duration `cbor:"2,keyasint"`
 	Origins int           `cbor:"3,keyasint"`
-	Uses    []Use         `cbor:"4,keyasint"` // that come to their proxies
+	Usage   []Usage       `cbor:"4,keyasint"` // that come to their proxies
 }
 
-// Use is how many txns/s of a product come to the proxies of a zone.
-type Use struct {
+// Usage is how many txns/s of a product come to the proxies of a zone.
+type Usage struct {
 	Product string  `cbor:"1,keyasint"`
 	Zone    string  `cbor:"2,keyasint"`
 	Txns    float64 `cbor:"3,keyasint"`
@@ -59,24 +59,34 @@
 	askPart        = 0.6
 )
 
-// On is what goes on to the children.
-func (a Request) On() Request {
+// ForChildren is what goes on to the children.
+func (a Request) ForChildren() Request {
 	return Request{min(max(time.Duration(askPart*float64(a.Timeout)), 0), RequestTimeout)}
 }
 
-// Up goes to the parent: what came together since the number before.
-type Up struct {
-	Number      uint64 `cbor:"1,keyasint"`
-	Sums        Sums   `cbor:"2,keyasint"`
-	Incarnation uint64 `cbor:"3,keyasint"` // of the one that sends it: numbers begin anew with each
+// Partial goes to the parent: what came together since the number before.
+type Partial struct {
+	Seq         uint64  `cbor:"1,keyasint"`
+	Summary     Summary `cbor:"2,keyasint"`
+	Incarnation uint64  `cbor:"3,keyasint"` // of the one that sends it: numbers begin anew with each
 }
 
-// Down comes from the parent: a total of the root, in which what the child sent up to Counted is contained.
-type Down struct {
-	Root    string `cbor:"1,keyasint"`
-	Number  uint64 `cbor:"2,keyasint"` // of the root
-	Counted uint64 `cbor:"3,keyasint"`
-	Sums    Sums   `cbor:"4,keyasint"`
+// Total comes from the parent: a total of the root, in which what the child sent up to Counted is contained.
+type Total struct {
+	Root         string  `cbor:"1,keyasint"`
+	Seq          uint64  `cbor:"2,keyasint"` // of the root
+	IncludedUpTo uint64  `cbor:"3,keyasint"`
+	Summary      Summary `cbor:"4,keyasint"`
+}
+
+// plus returns the sum of two reports on the same backend.
+func (r Report) plus(other Report) Report {
+	return Report{
+		Backend:        r.Backend,
+		Attempts:       r.Attempts + other.Attempts,
+		Failed:         r.Failed + other.Failed,
+		TotalLatencyMS: r.TotalLatencyMS + other.TotalLatencyMS,
+	}
 }
 
 // heap is what is open at a node; born is the sum of tries times the moments at which they were met.
@@ -94,8 +104,9 @@
 		return
 	}
 	was := h.reports[w.Backend]
-	h.reports[w.Backend] = Report{w.Backend, was.Tries + w.Tries, was.Failed + w.Failed, was.Spent + w.Spent}
-	h.born, h.tries = h.born+w.Tries*at, h.tries+w.Tries
+	was.Backend = w.Backend
+	h.reports[w.Backend] = was.plus(w)
+	h.born, h.tries = h.born+w.Attempts*at, h.tries+w.Attempts
 }
 
 func (h *heap) list() (all []Report) {
@@ -114,7 +125,7 @@
 	open        []Report // since the last fold
 	age         time.Duration
 	origins     int
-	uses        []Use
+	uses        []Usage
 	notified    bool // since the last fold
 }
 
@@ -133,7 +144,7 @@
 	parent      string // empty: it is the root
 	below       []string
 	own         heap
-	uses        []Use
+	uses        []Usage
 	children    map[string]*child
 	number      uint64
 	unsure      []fold // oldest first
@@ -146,10 +157,10 @@
 	return &Node{self: self, incarnation: life, children: map[string]*child{}}
 }
 
-// Place gives the parent and the children of a member among all of them: by a hash of the names, so that no zone and no
-// naming decides who carries more. A parent comes before its children in that order, at whoever's view: so words
-// never go round.
-func Place(self string, members []string) (parent string, children []string) {
+// TreePosition returns the parent and the children of a member. The order of the members is that of a hash of their
+// names, so position is independent of zones and naming. A parent always precedes its children in that order, so
+// messages cannot loop even if members have different views.
+func TreePosition(self string, members []string) (parent string, children []string) {
 	all := slices.Clone(members)
 	if !slices.Contains(all, self) {
 		all = append(all, self)
@@ -165,9 +176,9 @@
 	return parent, all[min(at*fanOut+1, len(all)):min(at*fanOut+1+fanOut, len(all))]
 }
 
-// Members says who is there, this one included or not. What went up to a former parent counts as having been added.
-func (n *Node) Members(all []string) {
-	parent, below := Place(n.self, all)
+// SetMembers says who is there, this one included or not. What went up to a former parent counts as having been added.
+func (n *Node) SetMembers(all []string) {
+	parent, below := TreePosition(n.self, all)
 	if n.below = below; parent != n.parent {
 		n.parent, n.unsure = parent, nil
 		n.root, n.total = "", 0
@@ -185,18 +196,18 @@
 // Children are the instances that a total is sent on to.
 func (n *Node) Children() []string { return n.below }
 
-// Met takes what the own proxies met.
-func (n *Node) Met(w Report, now time.Duration) {
+// Record takes what the own proxies met.
+func (n *Node) Record(w Report, now time.Duration) {
 	if w, ok := sound(w); ok {
 		n.own.add(w, now.Seconds())
 	}
 }
 
-// Uses says what comes to the own proxies.
-func (n *Node) Uses(all []Use) { n.uses = addUses(nil, all, 1) }
+// SetUsage says what comes to the own proxies.
+func (n *Node) SetUsage(all []Usage) { n.uses = addUses(nil, all, 1) }
 
 // addUses adds up by product and zone, in their order; part is 1 or, to take away, -1.
-func addUses(to, more []Use, part float64) []Use {
+func addUses(to, more []Usage, part float64) []Usage {
 	sum := map[[2]string]float64{}
 	for _, u := range to {
 		sum[[2]string{u.Product, u.Zone}] += u.Txns
@@ -206,19 +217,19 @@
 			sum[at] = max(sum[at]+part*u.Txns, 0)
 		}
 	}
-	all := make([]Use, 0, len(sum))
+	all := make([]Usage, 0, len(sum))
 	for at, txns := range sum {
-		all = append(all, Use{at[0], at[1], txns})
+		all = append(all, Usage{at[0], at[1], txns})
 	}
 	slices.SortFunc(
 		all,
-		func(a, b Use) int { return cmp.Or(cmp.Compare(a.Product, b.Product), cmp.Compare(a.Zone, b.Zone)) },
+		func(a, b Usage) int { return cmp.Or(cmp.Compare(a.Product, b.Product), cmp.Compare(a.Zone, b.Zone)) },
 	)
 	return all
 }
 
-// Ready says whether all below have told since the last turn.
-func (n *Node) Ready() bool {
+// HasAllPartials says whether all below have told since the last turn.
+func (n *Node) HasAllPartials() bool {
 	return !slices.ContainsFunc(
 		n.below,
 		func(name string) bool { return n.children[name] == nil || !n.children[name].notified },
@@ -227,16 +238,17 @@
 
 // sound bounds a word to what can be.
 func sound(w Report) (Report, bool) {
-	if !(w.Tries > 0) || !(w.Failed >= 0) || !(w.Spent >= 0) || w.Tries > 1e9 || w.Backend == "" || len(w.Backend) > 256 {
+	isNumber := w.Attempts > 0 && w.Failed >= 0 && w.TotalLatencyMS >= 0 // false for NaN
+	if !isNumber || w.Attempts > 1e9 || w.Backend == "" || len(w.Backend) > 256 {
 		return w, false
 	}
-	w.Failed = min(w.Failed, w.Tries)
-	w.Spent = min(w.Spent, (w.Tries-w.Failed)*mostSpent)
+	w.Failed = min(w.Failed, w.Attempts)
+	w.TotalLatencyMS = min(w.TotalLatencyMS, (w.Attempts-w.Failed)*mostSpent)
 	return w, true
 }
 
-// Handle takes a child's word; false for one that was taken already.
-func (n *Node) Handle(from string, up Up, now time.Duration) bool {
+// HandlePartial takes a child's word; false for one that was taken already.
+func (n *Node) HandlePartial(from string, up Partial, now time.Duration) bool {
 	c := n.children[from]
 	if c == nil {
 		c = &child{}
@@ -245,39 +257,39 @@
 	if up.Incarnation != c.incarnation {
 		c.incarnation, c.last = up.Incarnation, 0
 	}
-	if up.Number <= c.last || from == n.self {
+	if up.Seq <= c.last || from == n.self {
 		return false
 	}
-	c.last, c.at, c.notified = up.Number, now, true
-	if up.Sums.Age < 0 || up.Sums.Age > mostAge || len(up.Sums.Reports) > maxReports {
+	c.last, c.at, c.notified = up.Seq, now, true
+	if up.Summary.Age < 0 || up.Summary.Age > mostAge || len(up.Summary.Reports) > maxReports {
 		return true
 	}
-	for _, w := range up.Sums.Reports {
+	for _, w := range up.Summary.Reports {
 		if w, ok := sound(w); ok {
 			c.open = append(c.open, w)
 		}
 	}
-	c.age, c.origins, c.uses = up.Sums.Age, min(max(up.Sums.Origins, 1), 1<<16), addUses(nil, up.Sums.Uses, 1)
+	c.age, c.origins, c.uses = up.Summary.Age, min(max(up.Summary.Origins, 1), 1<<16), addUses(nil, up.Summary.Usage, 1)
 	return true
 }
 
 // perOrigin is how many tries a child tells of for each of its origins since the last fold.
 func (c *child) perOrigin() (all float64) {
 	for _, w := range c.open {
-		all += w.Tries
+		all += w.Attempts
 	}
 	return all / float64(max(c.origins, 1))
 }
 
 // fold closes what is open, as one word.
-func (n *Node) fold(now time.Duration) Sums {
+func (n *Node) fold(now time.Duration) Summary {
 	f := fold{number: n.number + 1, at: now, own: n.own.reports, counts: map[string]uint64{}}
 	all := heap{}
 	for _, w := range n.own.list() {
 		all.add(w, 0)
 	}
 	all.born = n.own.born
-	s := Sums{Origins: 1, Uses: n.uses}
+	s := Summary{Origins: 1, Usage: n.uses}
 	names := make([]string, 0, len(n.children))
 	for name := range n.children {
 		names = append(names, name)
@@ -296,13 +308,13 @@
 		if now-c.at > mostAge {
 			continue // it is gone, and its use with it
 		}
-		s.Origins, s.Uses = s.Origins+c.origins, addUses(s.Uses, c.uses, 1)
+		s.Origins, s.Usage = s.Origins+c.origins, addUses(s.Usage, c.uses, 1)
 		scale := 1.0
 		if others := (sum - rates[name]) / float64(len(names)); others > 0 && rates[name] > mostPart*others {
 			scale = mostPart * others / rates[name]
 		}
 		for _, w := range c.open {
-			all.add(Report{w.Backend, w.Tries * scale, w.Failed * scale, w.Spent * scale}, (c.at - c.age).Seconds())
+			all.add(Report{w.Backend, w.Attempts * scale, w.Failed * scale, w.TotalLatencyMS * scale}, (c.at - c.age).Seconds())
 		}
 		c.open, c.notified = nil, false
 	}
@@ -318,50 +330,52 @@
 	return s
 }
 
-// Turn closes what came since the last one: a word for the parent, or, at the root, a total as Take gives it.
-func (n *Node) Turn(now time.Duration) (up *Up, total *Sums, on map[string]Down) {
+// Flush closes what came since the last one: a word for the parent, or, at the root, a total as Take gives it.
+func (n *Node) Flush(now time.Duration) (up *Partial, total *Summary, on map[string]Total) {
 	s := n.fold(now)
 	if n.parent != "" {
-		return &Up{Number: n.number, Sums: s, Incarnation: n.incarnation}, nil, nil
+		return &Partial{Seq: n.number, Summary: s, Incarnation: n.incarnation}, nil, nil
 	}
-	total, on = n.Take(
+	total, on = n.HandleTotal(
 		"",
-		Down{Root: n.self + "@" + strconv.FormatUint(n.incarnation, 36), Number: n.number, Counted: n.number, Sums: s},
+		Total{Root: n.self + "@" + strconv.FormatUint(n.incarnation, 36), Seq: n.number, IncludedUpTo: n.number, Summary: s},
 		now,
 	)
 	return nil, total, on
 }
 
-// Take takes a total that came from a member, the parent: what the others met, and what goes on to each child.
+// HandleTotal takes a total that came from a member, the parent: what the others met, and what goes on to each child.
 // Nil for one that is not the parent's, or was taken already. It is at least as old as what of this node is in it.
-func (n *Node) Take(from string, d Down, now time.Duration) (others *Sums, on map[string]Down) {
-	if from != n.parent || d.Root == n.root && d.Number <= n.total || d.Sums.Age < 0 || len(d.Sums.Reports) > maxReports {
+func (n *Node) HandleTotal(from string, d Total, now time.Duration) (others *Summary, on map[string]Total) {
+	isRepeated := d.Root == n.root && d.Seq <= n.total
+	if from != n.parent || isRepeated || d.Summary.Age < 0 || len(d.Summary.Reports) > maxReports {
 		return nil, nil
 	}
-	n.root, n.total = d.Root, d.Number
+	n.root, n.total = d.Root, d.Seq
 	own, counts := map[string]Report{}, map[string]uint64{}
-	for len(n.unsure) > 0 && n.unsure[0].number <= d.Counted {
+	for len(n.unsure) > 0 && n.unsure[0].number <= d.IncludedUpTo {
 		f := n.unsure[0]
 		n.unsure = n.unsure[1:]
-		d.Sums.Age = max(d.Sums.Age, now-f.at)
+		d.Summary.Age = max(d.Summary.Age, now-f.at)
 		for id, w := range f.own {
 			was := own[id]
-			own[id] = Report{id, was.Tries + w.Tries, was.Failed + w.Failed, was.Spent + w.Spent}
+			was.Backend = id
+			own[id] = was.plus(w)
 		}
 		for name, last := range f.counts {
 			counts[name] = last
 		}
 	}
-	on = map[string]Down{}
+	on = map[string]Total{}
 	for _, name := range n.below {
-		on[name] = Down{Root: d.Root, Number: d.Number, Counted: counts[name], Sums: d.Sums}
+		on[name] = Total{Root: d.Root, Seq: d.Seq, IncludedUpTo: counts[name], Summary: d.Summary}
 	}
-	others = &Sums{Age: d.Sums.Age, Origins: d.Sums.Origins, Uses: addUses(d.Sums.Uses, n.uses, -1)}
-	for _, w := range d.Sums.Reports {
+	others = &Summary{Age: d.Summary.Age, Origins: d.Summary.Origins, Usage: addUses(d.Summary.Usage, n.uses, -1)}
+	for _, w := range d.Summary.Reports {
 		o := own[w.Backend]
-		w.Tries, w.Failed, w.Spent = w.Tries-o.Tries, w.Failed-o.Failed, w.Spent-o.Spent
-		if w.Failed = max(w.Failed, 0); w.Tries > 1e-6 {
-			if w, ok := sound(Report{w.Backend, w.Tries, w.Failed, max(w.Spent, 0)}); ok {
+		w.Attempts, w.Failed, w.TotalLatencyMS = w.Attempts-o.Attempts, w.Failed-o.Failed, w.TotalLatencyMS-o.TotalLatencyMS
+		if w.Failed = max(w.Failed, 0); w.Attempts > 1e-6 {
+			if w, ok := sound(Report{w.Backend, w.Attempts, w.Failed, max(w.TotalLatencyMS, 0)}); ok {
 				others.Reports = append(others.Reports, w)
 			}
 		}
--- a/internal/controller/aggregation/told_test.go
+++ b/internal/controller/aggregation/aggregation_test.go
@@ -37,7 +37,7 @@
 
 func (f *fleet) members() {
 	for _, n := range f.nodes {
-		n.Members(f.names)
+		n.SetMembers(f.names)
 	}
 }
 
@@ -54,10 +54,10 @@
 	slices.SortFunc(order, func(a, b string) int { return depth(b) - depth(a) })
 	for _, name := range order {
 		n := f.nodes[name]
-		up, total, on := n.Turn(f.now)
+		up, total, on := n.Flush(f.now)
 		if up != nil && (f.lose == nil || !f.lose(name, n.Parent())) {
-			f.nodes[n.Parent()].Handle(name, *up, f.now)
-			if f.nodes[n.Parent()].Handle(name, *up, f.now) {
+			f.nodes[n.Parent()].HandlePartial(name, *up, f.now)
+			if f.nodes[n.Parent()].HandlePartial(name, *up, f.now) {
 				panic("a word was taken twice")
 			}
 		}
@@ -65,21 +65,21 @@
 	}
 }
 
-func (f *fleet) down(name string, total *Sums, on map[string]Down) {
+func (f *fleet) down(name string, total *Summary, on map[string]Total) {
 	if total == nil {
 		return
 	}
 	for _, w := range total.Reports {
-		f.heard[name][w.Backend] += w.Tries
+		f.heard[name][w.Backend] += w.Attempts
 	}
 	f.age = max(f.age, total.Age)
 	for to, d := range on {
 		if f.lose != nil && f.lose(name, to) {
 			continue
 		}
-		t, further := f.nodes[to].Take(name, d, f.now)
+		t, further := f.nodes[to].HandleTotal(name, d, f.now)
 		f.down(to, t, further)
-		if again, _ := f.nodes[to].Take(name, d, f.now); again != nil {
+		if again, _ := f.nodes[to].HandleTotal(name, d, f.now); again != nil {
 			panic("a total was taken twice")
 		}
 	}
@@ -95,7 +95,7 @@
 		for range 6 {
 			for _, name := range f.names {
 				id, tries := fmt.Sprint("s-", chance.IntN(5)), float64(1+chance.IntN(4))
-				f.nodes[name].Met(Report{Backend: id, Tries: tries, Spent: 40 * tries}, f.now)
+				f.nodes[name].Record(Report{Backend: id, Attempts: tries, TotalLatencyMS: 40 * tries}, f.now)
 				if own[name] == nil {
 					own[name] = map[string]float64{}
 				}
@@ -127,7 +127,7 @@
 		met := 0.0
 		meets := func() {
 			for _, name := range f.names {
-				f.nodes[name].Met(Report{Backend: "s", Tries: 1}, f.now)
+				f.nodes[name].Record(Report{Backend: "s", Attempts: 1}, f.now)
 				met++
 			}
 		}
@@ -180,12 +180,12 @@
 		}
 	}
 	for _, name := range f.names {
-		f.nodes[name].Met(Report{Backend: "s", Tries: 10, Spent: 400}, f.now)
+		f.nodes[name].Record(Report{Backend: "s", Attempts: 10, TotalLatencyMS: 400}, f.now)
 	}
-	f.nodes[liar].Met(Report{Backend: "s", Tries: 1e8, Failed: 2e8, Spent: -1}, f.now)
-	f.nodes[liar].Met(Report{Backend: "s", Tries: 1e8, Failed: 2e8, Spent: 1e12}, f.now)
-	f.nodes[liar].Met(Report{Backend: "", Tries: 5}, f.now)
-	f.nodes[liar].Met(Report{Backend: "s", Tries: math.NaN()}, f.now)
+	f.nodes[liar].Record(Report{Backend: "s", Attempts: 1e8, Failed: 2e8, TotalLatencyMS: -1}, f.now)
+	f.nodes[liar].Record(Report{Backend: "s", Attempts: 1e8, Failed: 2e8, TotalLatencyMS: 1e12}, f.now)
+	f.nodes[liar].Record(Report{Backend: "", Attempts: 5}, f.now)
+	f.nodes[liar].Record(Report{Backend: "s", Attempts: math.NaN()}, f.now)
 	f.wave()
 	for _, name := range f.names {
 		if name != liar && f.heard[name]["s"] > 230+mostPart*10*3 {
@@ -196,7 +196,7 @@
 	f.members()
 	before := f.heard["n3"]["s"]
 	for _, name := range f.names {
-		f.nodes[name].Met(Report{Backend: "s", Tries: 1}, f.now)
+		f.nodes[name].Record(Report{Backend: "s", Attempts: 1}, f.now)
 	}
 	f.wave()
 	if got := f.heard["n3"]["s"] - before; got != 11 {
--- a/internal/controller/command/member.go
+++ b/internal/controller/command/member.go
@@ -63,8 +63,8 @@
 	}
 	p := &fleet{Fleet: all, sheet: sheet}
 	if o.Sums {
-		totals := make(chan aggregation.Sums, 1) // what is newest replaces what is stale: who tells never waits for the desk
-		p.Sums = all.Tell(func(s aggregation.Sums) {
+		totals := make(chan aggregation.Summary, 1) // holds the newest total, so that the sender never blocks
+		p.Sums = all.Tell(func(s aggregation.Summary) {
 			select {
 			case <-totals:
 			default:
@@ -177,7 +177,7 @@
 const unheard = 5 * time.Second
 
 // handOn gives totals to the desk; it says when they begin and when they stay away.
-func handOn(totals <-chan aggregation.Sums, hear func(eventloop.Command), log *logrus.Entry) {
+func handOn(totals <-chan aggregation.Summary, hear func(eventloop.Command), log *logrus.Entry) {
 	for heard := false; ; {
 		select {
 		case s := <-totals:
@@ -200,16 +200,16 @@
 }
 
 // remoteSumsOf is a total as the desk takes it.
-func remoteSumsOf(s aggregation.Sums) eventloop.RemoteSums {
+func remoteSumsOf(s aggregation.Summary) eventloop.RemoteSums {
 	said := eventloop.RemoteSums{Age: policy.Time(s.Age * time.Duration(policy.Second) / time.Second)}
 	for _, w := range s.Reports {
-		h := textproto.BackendReport{Backend: w.Backend, Attempts: w.Tries, Failed: w.Failed}
-		if good := w.Tries - w.Failed; good > 0 {
-			h.Latency = policy.Time(w.Spent / good * float64(policy.Second) / 1000)
+		h := textproto.BackendReport{Backend: w.Backend, Attempts: w.Attempts, Failed: w.Failed}
+		if good := w.Attempts - w.Failed; good > 0 {
+			h.Latency = policy.Time(w.TotalLatencyMS / good * float64(policy.Second) / 1000)
 		}
 		said.Reports = append(said.Reports, h)
 	}
-	for _, u := range s.Uses {
+	for _, u := range s.Usage {
 		said.Uses = append(said.Uses, eventloop.ZoneUse(u))
 	}
 	return said
--- a/internal/controller/config/launch.go
+++ b/internal/controller/config/launch.go
@@ -178,8 +178,8 @@
 	if _, _, err := net.SplitHostPort(s.Discovery); err != nil {
 		t.fail("discovery", err)
 	}
-	if len(s.Names.Products) > flatsettings.MostProducts {
-		t.fail("settings.Classes", fmt.Errorf("more than %d", flatsettings.MostProducts))
+	if len(s.Names.Products) > flatsettings.MaxProducts {
+		t.fail("settings.Classes", fmt.Errorf("more than %d", flatsettings.MaxProducts))
 	}
 	t.above("settings.Specifics.ProxyCount", 0)
 	if t.at("settings.Specifics.ProxyCount") == nil {
@@ -203,7 +203,7 @@
 	}
 	flat := map[string]string{}
 	flatten(flat, "", t.at("settings"))
-	if s.Deployment, err = flatsettings.Read(flat); err != nil {
+	if s.Deployment, err = flatsettings.Decode(flat); err != nil {
 		return Sheet{}, err
 	}
 	// By its name: controllers that start in one instant do not all act in the same instants for good.
--- a/internal/controller/eventloop/eventloop_test.go
+++ b/internal/controller/eventloop/eventloop_test.go
@@ -160,7 +160,7 @@
 			textproto.UsageReport{Proxy: 1, Product: "x"},
 			errProduct,
 		}, {source, textproto.UsageReport{Proxy: 9, Product: "look"}, errProxy},
-		{source, textproto.UsageReport{Proxy: 3, Product: "look"}, nil}, {stream, textproto.Ack{Proxy: 1, Number: 77}, nil},
+		{source, textproto.UsageReport{Proxy: 3, Product: "look"}, nil}, {stream, textproto.Ack{Proxy: 1, Marker: 77}, nil},
 	} {
 		c.from.faults = nil
 		d.Handle(Command{c.from, c.said})
@@ -274,7 +274,7 @@
 	}
 	d.heard()
 	for _, number := range []int{9, 9, 12} { // each mark is answered once
-		d.Handle(Command{brings, textproto.Ack{Proxy: 0, Number: number}})
+		d.Handle(Command{brings, textproto.Ack{Proxy: 0, Marker: number}})
 	}
 	if got := d.heard(); len(got) != 1 {
 		t.Errorf("answers to marks: %+v", got)
@@ -415,7 +415,7 @@
 			d.Step(now)
 			for p, l := range proxies {
 				if l != nil && len(l.sent) > 0 {
-					d.Handle(Command{l, textproto.Ack{Proxy: p, Number: mark(l)}})
+					d.Handle(Command{l, textproto.Ack{Proxy: p, Marker: mark(l)}})
 				}
 			}
 		}
@@ -615,7 +615,7 @@
 			}
 			answers = slices.DeleteFunc(answers, func(a answer) bool {
 				if a.step <= step {
-					d.Handle(Command{proxies[a.proxy], textproto.Ack{Proxy: a.proxy, Number: a.number}})
+					d.Handle(Command{proxies[a.proxy], textproto.Ack{Proxy: a.proxy, Marker: a.number}})
 				}
 				return a.step <= step
 			})
--- a/internal/controller/eventloop/many_test.go
+++ b/internal/controller/eventloop/many_test.go
@@ -103,7 +103,7 @@
 			f.d.Handle(Command{s, textproto.UsageReport{Proxy: i, Product: k, Txns: float64(i % 7), Period: policy.Second}})
 		}
 		for _, m := range f.d.proxies[i].pendingMarkers {
-			f.d.Handle(Command{s, textproto.Ack{Proxy: i, Number: m}})
+			f.d.Handle(Command{s, textproto.Ack{Proxy: i, Marker: m}})
 		}
 		s.sent = nil
 	}
--- a/internal/controller/eventloop/reports.go
+++ b/internal/controller/eventloop/reports.go
@@ -28,9 +28,9 @@
 	if p == nil {
 		return err
 	}
-	if at := slices.Index(p.pendingMarkers, m.Number); at >= 0 {
+	if at := slices.Index(p.pendingMarkers, m.Marker); at >= 0 {
 		p.pendingMarkers = slices.Delete(p.pendingMarkers, at, at+1)
-		d.events = append(d.events, policy.MarkerAcked{Proxy: m.Proxy, Number: m.Number})
+		d.events = append(d.events, policy.MarkerAcked{Proxy: m.Proxy, Number: m.Marker})
 	}
 	return nil
 }
--- a/internal/controller/eventloop/snapshot_test.go
+++ b/internal/controller/eventloop/snapshot_test.go
@@ -44,7 +44,7 @@
 		}
 		d.Handle(Command{l, textproto.UsageReport{Proxy: 0, Product: "look", Txns: 33, Period: policy.Second}})
 		for _, m := range d.proxies[0].pendingMarkers {
-			d.Handle(Command{l, textproto.Ack{Proxy: 0, Number: m}})
+			d.Handle(Command{l, textproto.Ack{Proxy: 0, Marker: m}})
 		}
 		now += policy.Second
 		d.Step(now)
--- a/internal/controller/flatsettings/deployment.go
+++ b/internal/controller/flatsettings/deployment.go
@@ -91,11 +91,11 @@
 // Names are the words for places on sockets, in the order in which the settings list them.
 type Names struct{ Products, Zones, Kinds []string }
 
-// MostProducts is the width of a mask of products.
-const MostProducts = 16
+// MaxProducts is the width of a mask of products.
+const MaxProducts = 16
 
-// Split takes a text of key=value lines apart.
-func Split(text string) (map[string]string, error) {
+// ParseLines takes a text of key=value lines apart.
+func ParseLines(text string) (map[string]string, error) {
 	flat := map[string]string{}
 	for _, line := range strings.Split(text, "\n") {
 		line = strings.TrimRight(line, "\r")
@@ -111,8 +111,8 @@
 	return flat, nil
 }
 
-// Read decodes the flat keys; unknown ones are read past.
-func Read(flat map[string]string) (policy.Deployment, error) {
+// Decode decodes the flat keys; unknown ones are read past.
+func Decode(flat map[string]string) (policy.Deployment, error) {
 	p := &pairs{text: flat}
 	zones, kinds := p.list("Zones"), p.list("Shapes")
 	d := policy.Deployment{
@@ -146,7 +146,7 @@
 		d.Gauges = append(d.Gauges, gauge)
 	}
 	own := p.list("Specifics.ClassOwnZone")
-	for i := range p.count("Classes.count", MostProducts) {
+	for i := range p.count("Classes.count", MaxProducts) {
 		at := fmt.Sprintf("Classes.%d.", i)
 		pr := policy.Product{
 			Revenue:   p.number(at+"Credit", 0),
--- a/internal/controller/membership/member_test.go
+++ b/internal/controller/membership/member_test.go
@@ -46,11 +46,11 @@
 				first = f.Addr()
 			}
 			fleets = append(fleets, f)
-			sums = append(sums, f.Tell(func(s aggregation.Sums) {
+			sums = append(sums, f.Tell(func(s aggregation.Summary) {
 				mu.Lock()
 				defer mu.Unlock()
 				for _, w := range s.Reports {
-					heard[i] += w.Tries
+					heard[i] += w.Attempts
 				}
 			}))
 		}
--- a/internal/controller/membership/sums.go
+++ b/internal/controller/membership/sums.go
@@ -27,7 +27,7 @@
 // Sums tells on what the own proxies met and are asked for, and hears what the others' did.
 type Sums struct {
 	fleet *Fleet
-	tell  func(aggregation.Sums) // must not wait
+	tell  func(aggregation.Summary) // must not wait
 	began time.Time
 	stop  context.CancelFunc
 	done  sync.WaitGroup
@@ -45,7 +45,7 @@
 }
 
 // Tell begins to tell sums on; others' totals go to tell.
-func (f *Fleet) Tell(tell func(aggregation.Sums)) *Sums {
+func (f *Fleet) Tell(tell func(aggregation.Summary)) *Sums {
 	s := &Sums{
 		fleet: f,
 		tell:  tell,
@@ -60,13 +60,13 @@
 		}
 	})
 	f.Handle(kindUp, func(from string, body []byte) {
-		var up aggregation.Up
+		var up aggregation.Partial
 		if cbor.Unmarshal(body, &up) == nil {
 			s.handle(from, up)
 		}
 	})
 	f.Handle(kindDown, func(from string, body []byte) {
-		var d aggregation.Down
+		var d aggregation.Total
 		if cbor.Unmarshal(body, &d) == nil {
 			s.take(from, d)
 		}
@@ -78,7 +78,7 @@
 		for _, p := range all {
 			names = append(names, p.Name)
 		}
-		s.node.Members(names)
+		s.node.SetMembers(names)
 	})
 	var ctx context.Context
 	ctx, s.stop = context.WithCancel(context.Background())
@@ -113,12 +113,12 @@
 func (s *Sums) Met(backend string, tries, voided float64, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.node.Met(
+	s.node.Record(
 		aggregation.Report{
-			Backend: backend,
-			Tries:   tries,
-			Failed:  voided,
-			Spent:   float64(took) / float64(time.Millisecond) * (tries - voided),
+			Backend:        backend,
+			Attempts:       tries,
+			Failed:         voided,
+			TotalLatencyMS: float64(took) / float64(time.Millisecond) * (tries - voided),
 		},
 		s.now(),
 	)
@@ -168,9 +168,9 @@
 	s.turn++
 	s.waits = s.turn
 	for _, name := range s.node.Children() {
-		out = append(out, s.to(name, kindRequest, a.On()))
+		out = append(out, s.to(name, kindRequest, a.ForChildren()))
 	}
-	if s.node.Ready() {
+	if s.node.HasAllPartials() {
 		out = append(out, s.answer()...)
 		return
 	}
@@ -186,19 +186,19 @@
 	})
 }
 
-func (s *Sums) handle(from string, up aggregation.Up) {
+func (s *Sums) handle(from string, up aggregation.Partial) {
 	s.mu.Lock()
 	var out reportList
-	if s.node.Handle(from, up, s.now()) && s.waits > 0 && s.node.Ready() {
+	if s.node.HandlePartial(from, up, s.now()) && s.waits > 0 && s.node.HasAllPartials() {
 		out = s.answer()
 	}
 	s.mu.Unlock()
 	out.send()
 }
 
-func (s *Sums) take(from string, d aggregation.Down) {
+func (s *Sums) take(from string, d aggregation.Total) {
 	s.mu.Lock()
-	out := s.down(s.node.Take(from, d, s.now()))
+	out := s.down(s.node.HandleTotal(from, d, s.now()))
 	s.mu.Unlock()
 	out.send()
 }
@@ -206,20 +206,20 @@
 // answer closes a turn; the mutex is held.
 func (s *Sums) answer() (out reportList) {
 	s.waits = 0
-	all := make([]aggregation.Use, 0, len(s.uses))
+	all := make([]aggregation.Usage, 0, len(s.uses))
 	for at, txns := range s.uses {
-		all = append(all, aggregation.Use{Product: at.product, Zone: at.zone, Txns: txns})
+		all = append(all, aggregation.Usage{Product: at.product, Zone: at.zone, Txns: txns})
 	}
-	slices.SortFunc(all, func(a, b aggregation.Use) int { return cmp.Compare(a.Txns, b.Txns) })
-	s.node.Uses(all)
-	up, total, on := s.node.Turn(s.now())
+	slices.SortFunc(all, func(a, b aggregation.Usage) int { return cmp.Compare(a.Txns, b.Txns) })
+	s.node.SetUsage(all)
+	up, total, on := s.node.Flush(s.now())
 	if up != nil {
 		out = append(out, s.to(s.node.Parent(), kindUp, *up))
 	}
 	return append(out, s.down(total, on)...)
 }
 
-func (s *Sums) down(total *aggregation.Sums, on map[string]aggregation.Down) (out reportList) {
+func (s *Sums) down(total *aggregation.Summary, on map[string]aggregation.Total) (out reportList) {
 	if total == nil {
 		return nil
 	}
--- a/internal/controller/pubsub/hub.go
+++ b/internal/controller/pubsub/hub.go
@@ -224,7 +224,7 @@
 	case session.Answered:
 		if s := h.streams[o.Topic]; s != nil {
 			at, _ := proxyOf(o.Topic)
-			h.handler(eventloop.Command{From: s, Message: textproto.Ack{Proxy: at, Number: o.Mark}})
+			h.handler(eventloop.Command{From: s, Message: textproto.Ack{Proxy: at, Marker: o.Mark}})
 		}
 	}
 }
@@ -429,9 +429,9 @@
 			Product: said.Product,
 			Txns:    said.Txns,
 			Failed:  said.Failed,
-			Period:  textproto.Millis(said.Millis),
+			Period:  textproto.DurationFromMillis(said.Millis),
 		}
-		if err := u.Check(); err != nil {
+		if err := u.Validate(); err != nil {
 			return err
 		}
 		h.tell(publish{c.hello.Topic, u})
@@ -445,9 +445,9 @@
 			Backend:  said.Backend,
 			Attempts: said.Tries,
 			Failed:   said.Failed,
-			Latency:  textproto.Millis(said.Took),
+			Latency:  textproto.DurationFromMillis(said.Took),
 		}
-		if err := e.Check(textproto.Millis(said.Millis)); err != nil {
+		if err := e.Validate(textproto.DurationFromMillis(said.Millis)); err != nil {
 			return err
 		}
 		h.handler(eventloop.Command{From: c.from, Message: e})
--- a/internal/controller/server/stream.go
+++ b/internal/controller/server/stream.go
@@ -419,7 +419,7 @@
 	opened := c.opened.Load()
 	switch said.(type) {
 	case nil:
-		if errors.Is(err, textproto.ErrGarbage) {
+		if errors.Is(err, textproto.ErrNotMessage) {
 			return ending(Garbage)
 		}
 		if !opened {
--- a/internal/controller/server/stream_test.go
+++ b/internal/controller/server/stream_test.go
@@ -99,9 +99,9 @@
 	want := []any{
 		textproto.Source{Zone: "a"},
 		textproto.UsageReport{Proxy: 1, Product: "r", Txns: 2, Failed: 3, Period: 10000},
-		textproto.Ack{Proxy: 1, Number: 5},
-		textproto.Ack{Proxy: 1, Number: 5},
-		textproto.Ack{Proxy: 1, Number: 5},
+		textproto.Ack{Proxy: 1, Marker: 5},
+		textproto.Ack{Proxy: 1, Marker: 5},
+		textproto.Ack{Proxy: 1, Marker: 5},
 	}
 	for _, w := range want {
 		if got := (<-h.heard).said; !reflect.DeepEqual(got, w) {
--- a/internal/controller/textproto/textproto.go
+++ b/internal/controller/textproto/textproto.go
@@ -31,7 +31,7 @@
 }
 
 // Ack answers a mark.
-type Ack struct{ Proxy, Number int }
+type Ack struct{ Proxy, Marker int }
 
 // UsageReport sums the txns of a product that came to a proxy.
 type UsageReport struct {
@@ -59,8 +59,8 @@
 	maxKindLength = 16
 )
 
-// ErrGarbage says that a line is no message; its sender is of no further use.
-var ErrGarbage = errors.New("no message")
+// ErrNotMessage says that a line is no message; its sender is of no further use.
+var ErrNotMessage = errors.New("no message")
 
 var (
 	errMissing = errors.New("missing")
@@ -138,8 +138,8 @@
 	return f.figure("total", most), f.figure("errors", most), counting
 }
 
-// Millis is a span that is given in ms; one that cannot be is below 0.
-func Millis(ms float64) policy.Time {
+// DurationFromMillis is a span that is given in ms; one that cannot be is below 0.
+func DurationFromMillis(ms float64) policy.Time {
 	t := math.Round(ms * float64(policy.Second) / 1000)
 	if math.IsNaN(t) || t < 0 || t > float64(maxSpan) {
 		return -1
@@ -153,16 +153,16 @@
 	return counting > 0 && all >= 0 && all <= most && voided >= 0 && voided <= most
 }
 
-// Check holds sums that did not come as text to the same bounds.
-func (u UsageReport) Check() error {
+// Validate holds sums that did not come as text to the same bounds.
+func (u UsageReport) Validate() error {
 	if u.Product == "" || !isPlausible(u.Txns, u.Failed, u.Period) {
 		return fmt.Errorf("use of %.40q %w", u.Product, errFigure)
 	}
 	return nil
 }
 
-// Check holds sums that did not come as text to the same bounds.
-func (h BackendReport) Check(counting policy.Time) error {
+// Validate holds sums that did not come as text to the same bounds.
+func (h BackendReport) Validate(counting policy.Time) error {
 	if h.Backend == "" || !isPlausible(h.Attempts, h.Failed, counting) || h.Failed > h.Attempts || h.Latency < 0 {
 		return fmt.Errorf("tries at %.40q %w", h.Backend, errFigure)
 	}
@@ -210,7 +210,7 @@
 // be: of a message with one at fault nothing counts.
 func Parse(line []byte) (any, error) {
 	if !isMessage(line) {
-		return nil, fmt.Errorf("%w: %.40q", ErrGarbage, line)
+		return nil, fmt.Errorf("%w: %.40q", ErrNotMessage, line)
 	}
 	kind, rest, _ := bytes.Cut(line, []byte(" "))
 	f := &fields{line: rest}
@@ -225,7 +225,7 @@
 			Fresh: f.number("cold", 1) == 1}
 	case "ACK":
 		f.duration("latency")
-		said = Ack{Proxy: f.number("node", maxIndex), Number: f.number("nonce", maxIndex)}
+		said = Ack{Proxy: f.number("node", maxIndex), Marker: f.number("nonce", maxIndex)}
 	case "RATE":
 		// What fails may have come in an earlier span: there can be more of it.
 		all, failed, counting := f.sums()
--- a/internal/controller/textproto/textproto_test.go
+++ b/internal/controller/textproto/textproto_test.go
@@ -22,7 +22,7 @@
 			Zone: "a", Backend: "s", Attempts: 2, Failed: 2},
 		"SUBSCRIBE node=17 locality=a w=21.5 cold=1":      Subscribe{Proxy: 17, Zone: "a", Rate: 21.5, Fresh: true},
 		"SUBSCRIBE cold=0  locality=a later=x w=0 node=0": Subscribe{Zone: "a"},
-		"ACK node=17 nonce=905 latency=310.4":             Ack{Proxy: 17, Number: 905},
+		"ACK node=17 nonce=905 latency=310.4":             Ack{Proxy: 17, Marker: 905},
 		"RATE node=17 route=lookup total=0 errors=1 interval=1": UsageReport{
 			Proxy:   17,
 			Product: "lookup",
@@ -52,7 +52,7 @@
 	} {
 		got, err := Parse([]byte(text))
 		if bad, ok := want.(bool); ok {
-			if got != nil || err == nil || errors.Is(err, ErrGarbage) != bad {
+			if got != nil || err == nil || errors.Is(err, ErrNotMessage) != bad {
 				t.Errorf("%q read as %+v, error %v", text, got, err)
 			}
 		} else if !reflect.DeepEqual(got, want) || err != nil {
--- a/internal/emulator/emu.go
+++ b/internal/emulator/emu.go
@@ -152,13 +152,13 @@
 	Bare    int                // txns that found no line
 	// tries at what drains or is gone, longer than the grace after joined proxies' controllers were told
 	Late     int
-	Backlog  float64                         // the most lines that waited in a channel
-	Hung     map[string]bool                 // backends that take txns and say nothing
-	Notes    []string                        // of the controllers
-	Parted   func(i, j int) bool             // controllers that cannot reach each other; nil: none
-	Twist    func(i int, up *aggregation.Up) // what a controller tells in place of the truth; nil: all tell the truth
-	Spoken   []int                           // bytes that each controller told and heard
-	Moved    int                             // messages to proxies
+	Backlog  float64                              // the most lines that waited in a channel
+	Hung     map[string]bool                      // backends that take txns and say nothing
+	Notes    []string                             // of the controllers
+	Parted   func(i, j int) bool                  // controllers that cannot reach each other; nil: none
+	Twist    func(i int, up *aggregation.Partial) // what a controller tells in place of the truth; nil: all tell the truth
+	Spoken   []int                                // bytes that each controller told and heard
+	Moved    int                                  // messages to proxies
 	chance   *rand.Rand
 	agenda   agenda
 	seq      int
@@ -769,7 +769,7 @@
 			s := p.stream
 			p.w.after(3*ms, func() {
 				if p.stream == s && s != nil {
-					s.c.loop.Handle(eventloop.Command{From: s, Message: textproto.Ack{Proxy: p.i, Number: n}})
+					s.c.loop.Handle(eventloop.Command{From: s, Message: textproto.Ack{Proxy: p.i, Marker: n}})
 				}
 			})
 		}
--- a/internal/emulator/spread.go
+++ b/internal/emulator/spread.go
@@ -111,19 +111,19 @@
 			}
 		})
 	case "liar":
-		w.Twist = func(i int, up *aggregation.Up) {
-			for k := range up.Sums.Reports {
-				x := &up.Sums.Reports[k]
+		w.Twist = func(i int, up *aggregation.Partial) {
+			for k := range up.Summary.Reports {
+				x := &up.Summary.Reports[k]
 				switch { // in turn: twice the truth, zeros, negative, a backend that is not there
 				case i != 3:
-				case up.Number%4 == 0:
-					x.Tries, x.Failed, x.Spent = 2*x.Tries, 2*x.Failed, 2*x.Spent
-				case up.Number%4 == 1:
-					x.Tries, x.Failed, x.Spent = 0, 0, 0
-				case up.Number%4 == 2:
-					x.Tries, x.Failed, x.Spent = -x.Tries, -x.Failed, -x.Spent
+				case up.Seq%4 == 0:
+					x.Attempts, x.Failed, x.TotalLatencyMS = 2*x.Attempts, 2*x.Failed, 2*x.TotalLatencyMS
+				case up.Seq%4 == 1:
+					x.Attempts, x.Failed, x.TotalLatencyMS = 0, 0, 0
+				case up.Seq%4 == 2:
+					x.Attempts, x.Failed, x.TotalLatencyMS = -x.Attempts, -x.Failed, -x.TotalLatencyMS
 				default:
-					x.Backend, x.Tries, x.Failed = "nowhere", 1e6, 1e6
+					x.Backend, x.Attempts, x.Failed = "nowhere", 1e6, 1e6
 				}
 			}
 		}
--- a/internal/emulator/told.go
+++ b/internal/emulator/told.go
@@ -48,7 +48,7 @@
 	w, epoch := c.w, c.epoch
 	c.node, c.waits = aggregation.New(c.name(), uint64(w.Now)), false
 	clear(c.used)
-	c.node.Members(w.reached(c))
+	c.node.SetMembers(w.reached(c))
 	var again func()
 	again = func() {
 		if c.epoch == epoch && !c.down {
@@ -67,9 +67,9 @@
 	c.turns++
 	turn := c.turns
 	for _, name := range c.node.Children() {
-		w.pass(c, name, a, func(to *controller) { to.asked(a.On()) })
+		w.pass(c, name, a, func(to *controller) { to.asked(a.ForChildren()) })
 	}
-	if c.waits = true; c.node.Ready() {
+	if c.waits = true; c.node.HasAllPartials() {
 		c.tell()
 		return
 	}
@@ -84,14 +84,14 @@
 func (c *controller) tell() {
 	w := c.w
 	c.waits = false
-	c.node.Uses(c.uses())
-	up, total, on := c.node.Turn(clock(w.Now))
+	c.node.SetUsage(c.uses())
+	up, total, on := c.node.Flush(clock(w.Now))
 	if up != nil {
 		if w.Twist != nil {
 			w.Twist(c.at(), up)
 		}
 		w.pass(c, c.node.Parent(), up, func(to *controller) {
-			if to.node.Handle(c.name(), *up, clock(w.Now)); to.waits && to.node.Ready() {
+			if to.node.HandlePartial(c.name(), *up, clock(w.Now)); to.waits && to.node.HasAllPartials() {
 				to.tell()
 			}
 		})
@@ -113,7 +113,7 @@
 func (w *World) tellMembers() {
 	for _, c := range w.control {
 		if c.node != nil && !c.down {
-			c.node.Members(w.reached(c))
+			c.node.SetMembers(w.reached(c))
 		}
 	}
 }
@@ -144,18 +144,18 @@
 }
 
 // onTotals hands a total to the desk and to the children.
-func (c *controller) onTotals(total *aggregation.Sums, on map[string]aggregation.Down) {
+func (c *controller) onTotals(total *aggregation.Summary, on map[string]aggregation.Total) {
 	if total == nil {
 		return
 	}
 	said := eventloop.RemoteSums{Age: Time(total.Age * time.Duration(second) / time.Second)}
-	for _, u := range total.Uses {
+	for _, u := range total.Usage {
 		said.Uses = append(said.Uses, eventloop.ZoneUse(u))
 	}
 	for _, x := range total.Reports {
-		h := textproto.BackendReport{Backend: x.Backend, Attempts: x.Tries, Failed: x.Failed}
-		if good := x.Tries - x.Failed; good > 0 {
-			h.Latency = Time(x.Spent / good * float64(ms))
+		h := textproto.BackendReport{Backend: x.Backend, Attempts: x.Attempts, Failed: x.Failed}
+		if good := x.Attempts - x.Failed; good > 0 {
+			h.Latency = Time(x.TotalLatencyMS / good * float64(ms))
 		}
 		said.Reports = append(said.Reports, h)
 	}
@@ -163,19 +163,19 @@
 	for _, name := range c.node.Children() {
 		d := on[name]
 		c.w.pass(c, name, d, func(to *controller) {
-			to.onTotals(to.node.Take(c.name(), d, clock(c.w.Now)))
+			to.onTotals(to.node.HandleTotal(c.name(), d, clock(c.w.Now)))
 		})
 	}
 }
 
 func (c *controller) met(h textproto.BackendReport) {
 	if c.node != nil {
-		c.node.Met(
+		c.node.Record(
 			aggregation.Report{
-				Backend: h.Backend,
-				Tries:   h.Attempts,
-				Failed:  h.Failed,
-				Spent:   float64(h.Latency) / float64(ms) * (h.Attempts - h.Failed),
+				Backend:        h.Backend,
+				Attempts:       h.Attempts,
+				Failed:         h.Failed,
+				TotalLatencyMS: float64(h.Latency) / float64(ms) * (h.Attempts - h.Failed),
 			},
 			clock(c.w.Now),
 		)
@@ -195,12 +195,12 @@
 }
 
 // uses are those of the proxies that are joined.
-func (c *controller) uses() (all []aggregation.Use) {
+func (c *controller) uses() (all []aggregation.Usage) {
 	for at, txns := range c.used {
 		if p := c.w.proxies[at[0]]; p.stream != nil && p.stream.c == c {
-			all = append(all, aggregation.Use{Product: c.w.Products[at[1]].Name, Zone: c.w.zone(p.zone), Txns: txns})
+			all = append(all, aggregation.Usage{Product: c.w.Products[at[1]].Name, Zone: c.w.zone(p.zone), Txns: txns})
 		}
 	}
-	slices.SortFunc(all, func(a, b aggregation.Use) int { return cmp.Compare(a.Txns, b.Txns) }) // sums to the bit
+	slices.SortFunc(all, func(a, b aggregation.Usage) int { return cmp.Compare(a.Txns, b.Txns) }) // sums to the bit
 	return all
 }
--- a/internal/emulator/topics.go
+++ b/internal/emulator/topics.go
@@ -85,7 +85,7 @@
 			}
 		case session.Answered:
 			if t := c.owners[o.Topic]; t != nil {
-				c.loop.Handle(eventloop.Command{From: t, Message: textproto.Ack{Proxy: t.proxy, Number: o.Mark}})
+				c.loop.Handle(eventloop.Command{From: t, Message: textproto.Ack{Proxy: t.proxy, Marker: o.Mark}})
 			}
 		case session.Send:
 			w.after(3*ms+c.delay(float64(messageOverhead+len(o.Sets))), func() { w.deliver(c, o) })
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -211,11 +211,11 @@
 		if c.short {
 			return rec, errShort
 		}
-		flat, err := flatsettings.Split(string(text))
+		flat, err := flatsettings.ParseLines(string(text))
 		if err != nil {
 			return rec, err
 		}
-		dep, err := flatsettings.Read(flat)
+		dep, err := flatsettings.Decode(flat)
 		d.doors[inst] = &door{index: map[address]int{}, proxyAt: map[uint16]int{}, products: len(dep.Products)}
 		rec.Event = Launch{Deployment: dep}
 		return rec, err
