--- a/internal/controlplane/consensus/acceptor.go
+++ b/internal/controlplane/consensus/acceptor.go
@@ -47,7 +47,7 @@
 	}
 	r.recordOpenBallot(reg, to, m.Ballot)
 	reg.answers = append(reg.answers, pendingAnswer{to, answer})
-	r.write(reg)
+	r.writeRegister(reg)
 }
 
 // mayVote reports whether the local acceptor answers requests about a register. A disk without an identity may have
@@ -119,8 +119,9 @@
 	r.send(to, rpc.Consensus{Paxos: []rpc.PaxosMessage{m}})
 }
 
-// write persists the acceptor's state. Each register has one write in progress; changes meanwhile share the next one.
-func (r *Replica) write(reg *register) {
+// writeRegister persists the acceptor's state. A register has at most one write in progress; changes that are made
+// meanwhile share the next write.
+func (r *Replica) writeRegister(reg *register) {
 	if r.registers[reg.name] != reg {
 		return // the epoch register of an earlier epoch must not be stored as that of the current epoch
 	}
@@ -151,7 +152,7 @@
 		r.onRegisterStored(reg, w)
 	}
 	if reg.dirty {
-		r.write(reg)
+		r.writeRegister(reg)
 	}
 }
 
@@ -159,7 +160,7 @@
 	reg.writeFailedAt = 0
 	if reg.storedBallot.Less(w.accepted) {
 		reg.storedBallot = w.accepted
-		r.onStored(reg)
+		r.onNewStoredBallot(reg)
 	}
 	// A vote must not count before its epoch is on disk.
 	if w.inEpoch != r.epoch.Number || r.storedEpoch != w.inEpoch {
--- a/internal/controlplane/consensus/durablestate.go
+++ b/internal/controlplane/consensus/durablestate.go
@@ -89,15 +89,15 @@
 }
 
 func (s *DurableState) load(records map[string][]byte) error {
-	var d diskRecord
-	if err := cbor.Unmarshal(records[recordDisk], &d); err != nil {
+	var disk diskRecord
+	if err := cbor.Unmarshal(records[recordDisk], &disk); err != nil {
 		return &RecordError{recordDisk, err}
 	}
-	s.StoreID, s.MayHaveLostState, s.Identified = d.ID, !d.FirstStart, true
-	s.Origin = d.Origin
-	if text := records[recordEpoch]; len(text) > 0 {
+	s.StoreID, s.MayHaveLostState, s.Identified = disk.ID, !disk.FirstStart, true
+	s.Origin = disk.Origin
+	if data := records[recordEpoch]; len(data) > 0 {
 		var err error
-		if s.Epoch, err = decodeEpoch(text); err != nil {
+		if s.Epoch, err = decodeEpoch(data); err != nil {
 			return &RecordError{recordEpoch, err}
 		}
 	}
@@ -106,15 +106,15 @@
 		if !isRegister || len(records[name]) == 0 {
 			continue
 		}
-		var a registerRecord
-		if err := cbor.Unmarshal(records[name], &a); err != nil {
+		var record registerRecord
+		if err := cbor.Unmarshal(records[name], &record); err != nil {
 			return &RecordError{name, err}
 		}
-		if registerName != epochRegister || a.EpochNumber == s.Epoch.Number {
+		if registerName != epochRegister || record.EpochNumber == s.Epoch.Number {
 			s.Acceptors[registerName] = paxos.Acceptor[Register]{
-				Promised: a.Promised,
-				Accepted: a.Accepted,
-				Value:    a.Value,
+				Promised: record.Promised,
+				Accepted: record.Accepted,
+				Value:    record.Value,
 			}
 		}
 	}
@@ -134,10 +134,10 @@
 		voters = append(voters, Voter{Node: n, StoreID: legacyStoreID(n.Name)})
 	}
 	s.Epoch = Epoch{Number: 1, Voters: sortVoters(voters), InitialSize: len(nodes)}
-	for name, text := range records {
+	for name, data := range records {
 		registerName, isRegister := strings.CutPrefix(name, legacyRegisterPrefix)
-		if isRegister && len(text) >= legacyVersionBytes {
-			s.Acceptors[registerName] = decodeLegacyRegister(registerName, text)
+		if isRegister && len(data) >= legacyVersionBytes {
+			s.Acceptors[registerName] = decodeLegacyRegister(registerName, data)
 		}
 	}
 	return nil
@@ -146,8 +146,8 @@
 func legacyStoreID(nodeName string) string { return "first:" + nodeName }
 
 // decodeLegacyRegister uses the version of the value as its ballot, because both order the values in the same way.
-func decodeLegacyRegister(name string, text []byte) paxos.Acceptor[Register] {
-	high, low := binary.BigEndian.Uint64(text), binary.BigEndian.Uint64(text[8:])
+func decodeLegacyRegister(name string, data []byte) paxos.Acceptor[Register] {
+	high, low := binary.BigEndian.Uint64(data), binary.BigEndian.Uint64(data[8:])
 	ballot := BallotNumber{Round: high, Incarnation: low}
 	return paxos.Acceptor[Register]{
 		Promised: ballot,
@@ -155,7 +155,7 @@
 		Value: Register{
 			Name:    name,
 			Version: Version{Number: high, ID: low},
-			Value:   text[legacyVersionBytes:],
+			Value:   data[legacyVersionBytes:],
 		},
 	}
 }
--- a/internal/controlplane/consensus/register.go
+++ b/internal/controlplane/consensus/register.go
@@ -103,7 +103,7 @@
 	r.expireRequests(reg)
 	r.resendRequest(reg)
 	if reg.writeFailedAt > 0 && !reg.writing && r.now >= reg.writeFailedAt+diskRetryInterval {
-		r.write(reg)
+		r.writeRegister(reg)
 	}
 	r.fetchNewer(reg)
 	if reg.hasAccepted() && !reg.isChosen() {
--- a/internal/controlplane/consensus/replica.go
+++ b/internal/controlplane/consensus/replica.go
@@ -354,8 +354,9 @@
 	}
 }
 
-// onMessage handles the parts of a message. Chosen values count from any sender. Everything else counts only from the
-// peer's current disk, and votes, pongs and query answers also only in the current epoch.
+// onMessage handles the parts of a message. Epochs, queries and chosen values are handled even if the sender's disk was
+// replaced since. Reports of accepted ballots count only from the peer's current disk, and votes, pongs and query
+// answers also only in the current epoch.
 func (r *Replica) onMessage(from string, m *rpc.Message) {
 	p := r.peers[from]
 	if p == nil {
@@ -374,7 +375,7 @@
 	r.onFetch(from, m.FetchRegisters)
 	r.onChosen(p, &m.Consensus)
 	if m.StoreID != p.storeID {
-		return // sent before the peer changed its disk
+		return // sent by a former disk of the peer
 	}
 	r.informOutdated(from, &m.Consensus)
 	r.onAcceptedBallots(p, &m.Consensus)
--- a/internal/controlplane/consensus/replication.go
+++ b/internal/controlplane/consensus/replication.go
@@ -37,8 +37,9 @@
 	return all
 }
 
-// onStored handles a newer accepted ballot that is on disk. Peers are told of it unless the vote itself tells them.
-func (r *Replica) onStored(reg *register) {
+// onNewStoredBallot handles a newer accepted ballot that is on disk. Peers are told of it unless the vote itself tells
+// them.
+func (r *Replica) onNewStoredBallot(reg *register) {
 	if reg.name == epochRegister {
 		return
 	}
@@ -188,7 +189,7 @@
 	if reg.acceptor.Learn(ballot, value) {
 		r.updateAge(reg, sameValue, age)
 		reg.mustAnnounceLearned = true
-		r.write(reg)
+		r.writeRegister(reg)
 	}
 	if reg.announced.Less(value.Version) {
 		reg.announced = value.Version
--- a/internal/controlplane/consensus/shutdown.go
+++ b/internal/controlplane/consensus/shutdown.go
@@ -37,12 +37,12 @@
 		r.handoverQueriedAt = r.now
 		r.queryForHandover()
 	}
-	open := r.transferState(resend)
+	pending := r.transferState(resend)
 	if r.IsVoter() && (r.epoch.IsJoint() || !slices.Equal(r.desiredVoters(), r.epoch.Voters)) {
-		open = append(open, voteNotHandedOver)
+		pending = append(pending, voteNotHandedOver)
 	}
-	r.notHandedOver = open
-	if len(open) == 0 {
+	r.notHandedOver = pending
+	if len(pending) == 0 {
 		r.handedOver = true
 		r.emit(HandedOver{})
 	}
@@ -50,21 +50,21 @@
 
 // transferState sends the voters the values that they lack, and returns what still needs this disk. A register needs it
 // until all connected voters have the value, and enough voters have it to keep it durable without this disk.
-func (r *Replica) transferState(resend bool) (open []string) {
+func (r *Replica) transferState(resend bool) (pending []string) {
 	for _, name := range r.sortedRegisters() {
 		reg := r.registers[name]
 		switch {
 		case name == epochRegister || !reg.hasAccepted():
 		case !reg.isChosen():
-			open = append(open, name)
+			pending = append(pending, name)
 		default:
-			open = append(open, r.transferRegister(reg, resend)...)
+			pending = append(pending, r.transferRegister(reg, resend)...)
 		}
 	}
-	return open
+	return pending
 }
 
-func (r *Replica) transferRegister(reg *register, resend bool) (open []string) {
+func (r *Replica) transferRegister(reg *register, resend bool) (pending []string) {
 	onDisk := map[string]bool{} // by store id
 	for _, name := range r.connectedPeers() {
 		p := r.peers[name]
@@ -73,17 +73,17 @@
 		if onDisk[p.storeID] || !r.epoch.IsVoter(p.storeID) {
 			continue
 		}
-		open = append(open, reg.name+" at "+name)
+		pending = append(pending, reg.name+" at "+name)
 		if resend && reported {
 			r.send(name, r.chosenValue(reg))
 		}
 	}
 	for _, set := range [][]Voter{r.epoch.Voters, r.epoch.OldVoters} {
 		if !r.isDurableWithoutSelf(set, onDisk) {
-			open = append(open, reg.name)
+			pending = append(pending, reg.name)
 		}
 	}
-	return open
+	return pending
 }
 
 // isDurableWithoutSelf reports whether a value is durable in a set of voters without counting the local disk.
--- a/internal/controlplane/paxos/paxos.go
+++ b/internal/controlplane/paxos/paxos.go
@@ -40,9 +40,8 @@
 	return true
 }
 
-// Learn stores a value that is known to be chosen under a ballot. It returns false if the accepted value is as new. The
-// ballot may be lower than the promised one: the proposer of the promised ballot has found the chosen value in its own
-// quorum.
+// Learn stores a value that is known to be chosen under a ballot. It returns false if the accepted ballot is at least
+// as high. The promised ballot may be higher: its proposer has found the chosen value in its own quorum.
 func (a *Acceptor[V]) Learn(ballot BallotNumber, value V) bool {
 	if !a.Accepted.Less(ballot) {
 		return false
