--- a/internal/controlplane/steering/tables_test.go
+++ b/internal/controlplane/steering/tables_test.go
@@ -14,8 +14,9 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-// drawnDay plays minutes of drawn endpoints, proxies, loads and targets, and returns the digest of all routing tables.
-func drawnDay(seed uint64) string {
+// playScenario plays four minutes of random endpoints, proxies, loads and targets and returns a digest of all routing
+// tables.
+func playScenario(seed uint64) string {
 	r := rand.New(rand.NewPCG(seed, 7))
 	zones := []string{"a", "b", "c"}[:1+r.IntN(3)]
 	zone := func() string { return zones[r.IntN(len(zones))] }
@@ -73,8 +74,9 @@
 			var loads []rpc.ServiceLoad
 			var reports []rpc.EndpointReport
 			for i := range r.IntN(3) {
-				came := float64(r.IntN(200))
-				loads = append(loads, rpc.ServiceLoad{Service: fmt.Sprint("s", i), Requests: came, Failed: came * r.Float64() / 2})
+				arrived := float64(r.IntN(200))
+				load := rpc.ServiceLoad{Service: fmt.Sprint("s", i), Requests: arrived, Failed: arrived * r.Float64() / 2}
+				loads = append(loads, load)
 			}
 			for _, e := range endpoints {
 				n := float64(r.IntN(30))
@@ -98,8 +100,8 @@
 	return fmt.Sprintf("%d tables %x", tables, sum.Sum(nil)[:12])
 }
 
-// Drawn days give the routing tables that they gave with d330930, which wrote the golden file: a change of names or of
-// shape must not change what is decided.
+// testdata/tables-d330930.txt holds digests recorded at commit d330930. They guard against unintended changes of
+// routing tables.
 func TestTablesStayTheSame(t *testing.T) {
 	text, err := os.ReadFile("testdata/tables-d330930.txt")
 	if err != nil {
@@ -107,8 +109,8 @@
 	}
 	want := strings.Split(strings.TrimSpace(string(text)), "\n")
 	for seed, line := range want {
-		if got := drawnDay(uint64(seed)); got != line {
-			t.Errorf("seed %d: %s, with d330930 %s", seed, got, line)
+		if got := playScenario(uint64(seed)); got != line {
+			t.Errorf("seed %d: %s, recorded %s", seed, got, line)
 		}
 	}
 	if len(want) != 60 {
--- a/internal/policy/steps_test.go
+++ b/internal/policy/golden_test.go
@@ -11,11 +11,10 @@
 	"testing"
 )
 
-// The orders of drawn days, step for step, are those of d330930: a change of names or of shape changes none of them.
-// testdata/steps.txt was written with the decisions of d330930; each line is a day, its steps and the digest of all its
-// orders. POLICY_DAYS=n plays n days and prints one digest of all.
+// testdata/steps.txt holds a digest of all orders of random scenarios, recorded at commit d330930, one per line. It
+// guards against unintended changes of decisions. POLICY_DAYS=n plays n scenarios and logs a single digest.
 
-const recordedDays = 24
+const recordedScenarios = 24
 
 func TestStepsStayTheSame(t *testing.T) {
 	if text := os.Getenv("POLICY_DAYS"); text != "" {
@@ -25,11 +24,11 @@
 		}
 		steps, sum := 0, fnv.New64a()
 		for seed := range n {
-			day := drawnDay(uint64(seed))
-			steps += day.steps
-			_, _ = fmt.Fprintln(sum, day)
+			result := playScenario(uint64(seed))
+			steps += result.steps
+			_, _ = fmt.Fprintln(sum, result)
 		}
-		t.Logf("%d days, %d steps, digest %016x", n, steps, sum.Sum64())
+		t.Logf("%d scenarios, %d steps, digest %016x", n, steps, sum.Sum64())
 		return
 	}
 	text, err := os.ReadFile("testdata/steps.txt")
@@ -37,66 +36,66 @@
 		t.Fatal(err)
 	}
 	want := strings.Split(strings.TrimSpace(string(text)), "\n")
-	if len(want) != recordedDays {
-		t.Fatalf("%d days are recorded, want %d", len(want), recordedDays)
+	if len(want) != recordedScenarios {
+		t.Fatalf("%d scenarios are recorded, want %d", len(want), recordedScenarios)
 	}
 	for seed, line := range want {
-		if got := fmt.Sprint(drawnDay(uint64(seed))); got != line {
+		if got := fmt.Sprint(playScenario(uint64(seed))); got != line {
 			t.Errorf("seed %d: %s, want %s", seed, got, line)
 		}
 	}
 }
 
-type playedDay struct {
+type scenarioResult struct {
 	seed          uint64
 	steps, orders int
 	digest        uint64
 }
 
-func (d playedDay) String() string {
+func (d scenarioResult) String() string {
 	return fmt.Sprintf("day %d: %d steps, %d orders, %016x", d.seed, d.steps, d.orders, d.digest)
 }
 
-// drawnDay plays 300 s of a drawn deployment: reports that come or not, lists that change, fail and lie, proxies that
-// come and go, overload, what other controllers tell, confinement, channels that are slow, figures of an earlier start.
-func drawnDay(seed uint64) playedDay {
-	d := dayDraw{rand: rand.New(rand.NewPCG(seed, 7)), played: playedDay{seed: seed}, sum: fnv.New64a()}
-	d.drawDeployment()
+// playScenario plays 300 s of a random deployment: missing reports, wrong and failing lists, reconnecting proxies,
+// overload, remote reports, restrictions, slow channels and restored estimates.
+func playScenario(seed uint64) scenarioResult {
+	d := scenario{rand: rand.New(rand.NewPCG(seed, 7)), result: scenarioResult{seed: seed}, sum: fnv.New64a()}
+	d.setRandomDeployment()
 	d.a = New(d.deployment)
 	d.begin()
 	for d.now < 300*Second {
 		d.now += Time(d.rand.IntN(int(Second/2))) + 1
-		d.draw()
+		d.addEvents()
 		d.step()
 	}
-	d.played.digest = d.sum.Sum64()
-	return d.played
+	d.result.digest = d.sum.Sum64()
+	return d.result
 }
 
-type dayDraw struct {
-	rand               *rand.Rand
-	played             playedDay
-	sum                hash.Hash64
-	deployment         Deployment
-	a                  *Assigner
-	now                Time
-	events             []Event
-	backends, proxies  int
-	rush               float64
-	wakes              []dueWake
-	slowChannel, quiet bool
-	tellsOthers, cells bool
-	unanswered         []int
+type scenario struct {
+	rand                        *rand.Rand
+	result                      scenarioResult
+	sum                         hash.Hash64
+	deployment                  Deployment
+	a                           *Assigner
+	now                         Time
+	events                      []Event
+	backends, proxies           int
+	loadFactor                  float64
+	timers                      []pendingTimer
+	slowChannel, fewReports     bool
+	remoteReports, restrictions bool
+	openMarkers                 []int
 }
 
-type dueWake struct {
+type pendingTimer struct {
 	at   Time
 	name uint32
 }
 
-func (d *dayDraw) chance(p float64) bool { return d.rand.Float64() < p }
+func (d *scenario) chance(p float64) bool { return d.rand.Float64() < p }
 
-func (d *dayDraw) drawDeployment() {
+func (d *scenario) setRandomDeployment() {
 	zones := 1 + d.rand.IntN(4)
 	d.backends, d.proxies = 4+d.rand.IntN(40), 2+d.rand.IntN(24)
 	products := []Product{{Revenue: 1, SLA: 8000}}
@@ -127,16 +126,16 @@
 	if d.chance(0.5) {
 		d.deployment.FirstTick = Time(1 + d.rand.IntN(int(Second)))
 	}
-	d.rush, d.slowChannel, d.tellsOthers, d.cells = 1, d.chance(0.3), d.chance(0.4), d.chance(0.4)
-	d.quiet = d.chance(0.2)
+	d.loadFactor, d.slowChannel, d.remoteReports, d.restrictions = 1, d.chance(0.3), d.chance(0.4), d.chance(0.4)
+	d.fewReports = d.chance(0.2)
 }
 
-func (d *dayDraw) entry(b int, status Status) Entry {
+func (d *scenario) entry(b int, status Status) Entry {
 	zones := max(d.deployment.Zones, 1)
 	return Entry{Backend: b, Zone: b % zones, Kind: b / zones % 2, Status: status, Weight: 1 + float64(b%4)}
 }
 
-func (d *dayDraw) begin() {
+func (d *scenario) begin() {
 	if d.chance(0.3) {
 		for p := range d.proxies {
 			d.add(
@@ -165,49 +164,49 @@
 	}
 	for p := range d.proxies {
 		if d.chance(0.8) {
-			d.join(p)
+			d.connect(p)
 		}
 	}
 }
 
-func (d *dayDraw) add(e ...Event) { d.events = append(d.events, e...) }
+func (d *scenario) add(e ...Event) { d.events = append(d.events, e...) }
 
-func (d *dayDraw) join(p int) {
+func (d *scenario) connect(p int) {
 	zone, rate := p%d.deployment.Zones, 30*d.rand.Float64()
 	d.add(ProxyConnected{Proxy: p, Zone: zone, Rate: rate, HasPeerTables: d.chance(0.5)})
 }
 
-// draw adds what happens until this step.
-func (d *dayDraw) draw() {
-	due := d.wakes[:0]
-	for _, w := range d.wakes {
-		if w.at <= d.now {
-			d.add(TimerFired{Name: w.name})
+// addEvents adds the events up to this step.
+func (d *scenario) addEvents() {
+	pending := d.timers[:0]
+	for _, timer := range d.timers {
+		if timer.at <= d.now {
+			d.add(TimerFired{Name: timer.name})
 			continue
 		}
-		due = append(due, w)
+		pending = append(pending, timer)
 	}
-	d.wakes = due
+	d.timers = pending
 	if d.chance(0.03) {
-		d.rush = []float64{0.3, 1, 1, 2, 6}[d.rand.IntN(5)]
+		d.loadFactor = []float64{0.3, 1, 1, 2, 6}[d.rand.IntN(5)]
 	}
-	if !d.quiet || d.chance(0.1) {
-		d.reports()
+	if !d.fewReports || d.chance(0.1) {
+		d.addReports()
 	}
 	if d.chance(0.2) {
-		d.change()
+		d.addChange()
 	}
-	d.answerFences()
+	d.ackMarkers()
 }
 
-func (d *dayDraw) reports() {
+func (d *scenario) addReports() {
 	for p := range d.proxies {
 		if !d.chance(0.3) {
 			continue
 		}
 		for k := range d.deployment.Products {
 			if d.chance(0.9) {
-				txns := float64(d.rand.IntN(30)) * d.rush
+				txns := float64(d.rand.IntN(30)) * d.loadFactor
 				d.add(UsageReport{Proxy: p, Product: k, Txns: txns, Failed: txns * 0.1 * d.rand.Float64(),
 					Period: Time(1 + d.rand.IntN(int(2*Second)))})
 			}
@@ -217,19 +216,20 @@
 		if !d.chance(0.4) {
 			continue
 		}
-		tries := float64(d.rand.IntN(40))
-		slow := 1 + d.rush*d.rush*d.rand.Float64()
+		attempts := float64(d.rand.IntN(40))
+		slow := 1 + d.loadFactor*d.loadFactor*d.rand.Float64()
 		if b%7 == int(d.now/(40*Second))%7 {
 			slow *= 4
 		}
-		h := BackendReport{Backend: b, Attempts: tries, Failed: float64(d.rand.IntN(3)), Latency: Time(400 + 700*slow)}
-		if d.tellsOthers && d.chance(0.5) {
-			d.add(RemoteReport{BackendReport: h, Age: Time(d.rand.IntN(int(5 * Second)))})
+		failed := float64(d.rand.IntN(3))
+		report := BackendReport{Backend: b, Attempts: attempts, Failed: failed, Latency: Time(400 + 700*slow)}
+		if d.remoteReports && d.chance(0.5) {
+			d.add(RemoteReport{BackendReport: report, Age: Time(d.rand.IntN(int(5 * Second)))})
 			continue
 		}
-		d.add(h)
+		d.add(report)
 	}
-	if d.tellsOthers && d.chance(0.3) {
+	if d.remoteReports && d.chance(0.3) {
 		uses := make([][]float64, len(d.deployment.Products))
 		for k := range uses {
 			for range d.deployment.Zones {
@@ -245,7 +245,7 @@
 	}
 }
 
-func (d *dayDraw) change() {
+func (d *scenario) addChange() {
 	b, p := d.rand.IntN(d.backends), d.rand.IntN(d.proxies)
 	switch d.rand.IntN(12) {
 	case 0, 1:
@@ -269,20 +269,20 @@
 	case 7, 8:
 		d.add(ProxyDisconnected{Proxy: p})
 		if d.chance(0.7) {
-			d.join(p)
+			d.connect(p)
 		}
 	case 9:
-		d.join(p)
+		d.connect(p)
 	case 10:
-		if d.cells {
-			d.confine(p)
+		if d.restrictions {
+			d.restrict(p)
 		}
 	case 11:
 		d.add(ListUpdate{Kind: ListChange, Entries: []Entry{{Backend: b, Status: Gone}}}, IndexReleased{Backend: b})
 	}
 }
 
-func (d *dayDraw) confine(p int) {
+func (d *scenario) restrict(p int) {
 	e := ProxyRestricted{Proxy: p, Restricted: d.chance(0.7), NoRetries: d.chance(0.3)}
 	if d.chance(0.5) {
 		e.MaxRate = 40 * d.rand.Float64()
@@ -295,10 +295,10 @@
 	d.add(e)
 }
 
-// answerFences has some proxies say that a batch has reached them.
-func (d *dayDraw) answerFences() {
+// ackMarkers acknowledges open markers for most proxies.
+func (d *scenario) ackMarkers() {
 	var open []int
-	for _, number := range d.unanswered {
+	for _, number := range d.openMarkers {
 		if d.slowChannel && d.chance(0.7) {
 			open = append(open, number)
 			continue
@@ -309,22 +309,22 @@
 			}
 		}
 	}
-	d.unanswered = open
+	d.openMarkers = open
 }
 
-func (d *dayDraw) step() {
+func (d *scenario) step() {
 	orders := d.a.Step(d.now, d.events)
 	d.events = nil
-	d.played.steps++
-	d.played.orders += len(orders)
+	d.result.steps++
+	d.result.orders += len(orders)
 	for _, o := range orders {
-		d.note(o)
+		d.addToDigest(o)
 	}
 }
 
-// note takes an order into the digest by its kind's number and its figures, whatever these are called.
-func (d *dayDraw) note(o Order) {
-	write := func(kind int, figures ...any) { _, _ = fmt.Fprintln(d.sum, append([]any{d.now, kind}, figures...)...) }
+// addToDigest adds an order's values under a fixed number, independently of Go names.
+func (d *scenario) addToDigest(o Order) {
+	write := func(kind int, values ...any) { _, _ = fmt.Fprintln(d.sum, append([]any{d.now, kind}, values...)...) }
 	switch o := o.(type) {
 	case SetWeight:
 		write(1, o.Table, o.Backend, o.Weight)
@@ -338,10 +338,10 @@
 		write(5, o.Table, o.RateLimit, uint8(o.Retries), o.Products)
 	case Marker:
 		write(6, o.Number, o.All)
-		d.unanswered = append(d.unanswered, o.Number)
+		d.openMarkers = append(d.openMarkers, o.Number)
 	case SetTimer:
 		write(7, o.Delay, o.Name)
-		d.wakes = append(d.wakes, dueWake{d.now + o.Delay, o.Name})
+		d.timers = append(d.timers, pendingTimer{d.now + o.Delay, o.Name})
 	case Probe:
 		write(8, o.Backend)
 	case WatchList:
--- a/internal/policy/helper_test.go
+++ b/internal/policy/helper_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// deployment has two zones and three products: free, at home only, and in zone 0 only.
-func deployment() Deployment {
+// testDeployment has two zones and three products: unrestricted, own zone only, and zone 0 only.
+func testDeployment() Deployment {
 	return Deployment{
 		Products: []Product{
 			{Revenue: 2, SLA: 8000},
@@ -24,28 +24,28 @@
 	}
 }
 
-// rig drives an Assigner and keeps what its proxies would hold.
-type rig struct {
-	t      *testing.T
-	d      Deployment
-	a      *Assigner
-	now    Time
-	tables map[int]map[int]float64
-	gates  map[[2]int]Admission // by table and product
-	uses   map[[2]int]int       // table by proxy and product
-	out    map[int]bool         // withdrawn backends
-	count  int                  // orders to proxies in the last step
+// harness drives an Assigner and tracks the tables that its proxies hold.
+type harness struct {
+	t           *testing.T
+	deployment  Deployment
+	assigner    *Assigner
+	now         Time
+	tables      map[int]map[int]float64
+	admissions  map[[2]int]Admission // by table and product
+	assigned    map[[2]int]int       // table by proxy and product
+	withdrawn   map[int]bool         // backends
+	tableOrders int                  // orders to proxies in the last step
 }
 
-func newRig(t *testing.T, d Deployment) *rig {
-	return &rig{t: t, d: d, a: New(d), now: 1000 * Second, tables: map[int]map[int]float64{},
-		gates: map[[2]int]Admission{}, uses: map[[2]int]int{}, out: map[int]bool{}}
+func newHarness(t *testing.T, d Deployment) *harness {
+	return &harness{t: t, deployment: d, assigner: New(d), now: 1000 * Second, tables: map[int]map[int]float64{},
+		admissions: map[[2]int]Admission{}, assigned: map[[2]int]int{}, withdrawn: map[int]bool{}}
 }
 
-// step carries out the orders that the events lead to; a fence is answered by the next step.
-func (r *rig) step(events ...Event) []Order {
-	r.count = 0
-	orders := r.a.Step(r.now, events)
+// step runs a step and applies its orders to the proxies. Markers are acknowledged by tick.
+func (r *harness) step(events ...Event) []Order {
+	r.tableOrders = 0
+	orders := r.assigner.Step(r.now, events)
 	for _, o := range orders {
 		switch o := o.(type) {
 		case SetWeight:
@@ -53,63 +53,69 @@
 				r.tables[o.Table] = map[int]float64{}
 			}
 			r.tables[o.Table][o.Backend] = o.Weight
-			r.count++
+			r.tableOrders++
 		case ClearTable:
 			delete(r.tables, o.Table)
 		case Withdraw:
-			r.out[o.Backend] = o.Withdrawn
+			r.withdrawn[o.Backend] = o.Withdrawn
 		case Admission:
-			for k := range r.d.Products {
+			for k := range r.deployment.Products {
 				if o.Products&(1<<k) != 0 {
-					r.gates[[2]int{o.Table, k}] = o
+					r.admissions[[2]int{o.Table, k}] = o
 				}
 			}
-			r.count++
+			r.tableOrders++
 		case AssignTable:
-			for k := range r.d.Products {
+			for k := range r.deployment.Products {
 				if o.Products&(1<<k) != 0 {
-					r.uses[[2]int{o.Proxy, k}] = o.Table
+					r.assigned[[2]int{o.Proxy, k}] = o.Table
 				}
 			}
-			r.count++
+			r.tableOrders++
 		}
 	}
 	return orders
 }
 
-// second lets a second pass, with reports that come before the tick.
-func (r *rig) second(reports ...Event) []Order {
+// tick advances by a second and runs a tick after the given reports.
+func (r *harness) tick(reports ...Event) []Order {
 	r.now += Second
-	return r.step(append(reports, MarkerAcked{Number: r.a.batch}, TimerFired{})...)
+	return r.step(append(reports, MarkerAcked{Number: r.assigner.batch}, TimerFired{})...)
 }
 
-// weight is the weight of a proxy's line for a product, none while the backend is withdrawn.
-func (r *rig) weight(proxy, product, backend int) float64 {
-	if r.out[backend] {
+// weight returns the weight of a backend in a proxy's table, 0 if it is withdrawn.
+func (r *harness) weight(proxy, product, backend int) float64 {
+	if r.withdrawn[backend] {
 		return 0
 	}
-	return r.tables[r.uses[[2]int{proxy, product}]][backend]
+	return r.tables[r.assigned[[2]int{proxy, product}]][backend]
 }
 
-func (r *rig) gate(proxy, product int) Admission {
-	return r.gates[[2]int{r.uses[[2]int{proxy, product}], product}]
+func (r *harness) admission(proxy, product int) Admission {
+	return r.admissions[[2]int{r.assigned[[2]int{proxy, product}], product}]
 }
 
-// start lists four warm backends, two a zone, and joins a proxy in each zone.
-func start(t *testing.T, d Deployment) *rig {
-	r := newRig(t, d)
-	r.step(ListUpdate{Kind: ListCached, Entries: []Entry{ready(0, 0), ready(1, 0), ready(2, 1), ready(3, 1)}},
+// startHarness lists two backends in each of two zones and connects a proxy in each.
+func startHarness(t *testing.T, d Deployment) *harness {
+	r := newHarness(t, d)
+	r.step(twoPerZone(),
 		ProxyConnected{Proxy: 0, Zone: 0, Rate: 50}, ProxyConnected{Proxy: 1, Zone: 1, Rate: 50})
 	return r
 }
 
-func ready(b, zone int) Entry { return Entry{Backend: b, Zone: zone, Status: Ready, Weight: 1} }
+// twoPerZone lists two ready backends in each of two zones.
+func twoPerZone() ListUpdate {
+	entries := []Entry{readyEntry(0, 0), readyEntry(1, 0), readyEntry(2, 1), readyEntry(3, 1)}
+	return ListUpdate{Kind: ListCached, Entries: entries}
+}
+
+func readyEntry(b, zone int) Entry { return Entry{Backend: b, Zone: zone, Status: Ready, Weight: 1} }
 
-// reports are a second of tries at four backends and of use at two proxies.
-func reports(rate float64, voided []float64, took Time) []Event {
+// secondOfReports returns a second's reports of four backends and two proxies.
+func secondOfReports(rate float64, failed []float64, latency Time) []Event {
 	var e []Event
-	for b, v := range voided {
-		e = append(e, BackendReport{Backend: b, Attempts: 30, Failed: 30 * v, Latency: took})
+	for b, v := range failed {
+		e = append(e, BackendReport{Backend: b, Attempts: 30, Failed: 30 * v, Latency: latency})
 	}
 	for p := range 2 {
 		for k := range 3 {
@@ -119,4 +125,4 @@
 	return e
 }
 
-var calm = []float64{0, 0, 0, 0}
+var noFailures = []float64{0, 0, 0, 0}
--- a/internal/policy/model_test.go
+++ b/internal/policy/model_test.go
@@ -8,91 +8,95 @@
 	"testing/quick"
 )
 
-// model is the rules in their plainest form, kept beside the module: what a proxy may hold, and what it must.
+// model states invariants of the installed tables, independently of the implementation.
 type model struct {
-	d       Deployment
-	entries map[int]Entry
-	in      map[int]int // zone of each joined proxy
-	lines   float64     // ordered since the last fence that was answered
+	deployment Deployment
+	entries    map[int]Entry
+	connected  map[int]int // zone by proxy
+	lines      float64     // sent since the last acknowledged marker
 }
 
-func (m *model) may(product, zone, backend int) bool {
+// isAllowed reports whether a product at a proxy in a zone may use a backend.
+func (m *model) isAllowed(product, zone, backend int) bool {
 	e, known := m.entries[backend]
-	p := m.d.Products[product]
+	p := m.deployment.Products[product]
 	return known && e.Status == Ready && (!p.OwnZone || e.Zone == zone) &&
 		(p.OnlyZones == nil || slices.Contains(p.OnlyZones, e.Zone))
 }
 
-// check says what the state that a rig reached breaks.
-func (m *model) check(r *rig) string {
-	for p, zone := range m.in {
-		for k := range m.d.Products {
-			table, bound := r.uses[[2]int{p, k}]
-			if !bound {
-				return "a joined proxy is on no table"
+// check returns the violated invariant, or "".
+func (m *model) check(r *harness) string {
+	for p, zone := range m.connected {
+		for k := range m.deployment.Products {
+			table, isAssigned := r.assigned[[2]int{p, k}]
+			if !isAssigned {
+				return "a connected proxy has no table"
 			}
-			lines, might := 0, false
+			lines, isPossible := 0, false
 			for b, w := range r.tables[table] {
-				if w == 0 || r.out[b] {
+				if w == 0 || r.withdrawn[b] {
 					continue
 				}
 				lines++
-				if math.IsNaN(w) || math.IsInf(w, 0) || w < 0 || !m.may(k, zone, b) {
-					return "a weight that is none, or a line to a backend that drains, is gone or is not allowed"
+				if math.IsNaN(w) || math.IsInf(w, 0) || w < 0 || !m.isAllowed(k, zone, b) {
+					return "an invalid weight, or a line to a backend that is draining, gone or not allowed"
 				}
-				if e := m.entries[b]; e.StartedAt > 0 && m.cold(r.now, e) < 1 && m.heavy(r, table, b, m.cold(r.now, e)) {
-					return "a cold backend has more than its part"
+				e := m.entries[b]
+				capacity := m.warmupCapacity(r.now, e)
+				if e.StartedAt > 0 && capacity < 1 && m.isTooHeavy(r, table, b, capacity) {
+					return "a backend in slow start has too much weight"
 				}
 			}
 			for b := range m.entries {
-				might = might || m.may(k, zone, b)
+				isPossible = isPossible || m.isAllowed(k, zone, b)
 			}
-			if might && lines == 0 {
-				return "a proxy is left without a backend"
+			if isPossible && lines == 0 {
+				return "a proxy has no usable backend"
 			}
-			g := r.gates[[2]int{table, k}]
+			g := r.admissions[[2]int{table, k}]
 			if g.RateLimit < 0 || math.IsNaN(g.RateLimit) || math.IsInf(g.RateLimit, 0) {
-				return "a level that is no level"
+				return "an invalid rate limit"
 			}
-			if g.Retries > RetryUnexecuted { // only after proof that the first try never ran
-				return "a txn may take effect twice"
+			if g.Retries > RetryUnexecuted { // others may execute a txn twice
+				return "a txn may be executed twice"
 			}
 		}
 	}
-	if m.lines > m.d.MaxQueuedLines {
-		return "too many lines wait"
+	if m.lines > m.deployment.MaxQueuedLines {
+		return "too many lines are queued"
 	}
 	return ""
 }
 
-// cold is the part that a backend must be able to do for sure at an age.
-func (m *model) cold(now Time, e Entry) float64 {
-	return min(1, m.d.WarmupCapacity+(1-m.d.WarmupCapacity)*float64(now-e.StartedAt)/float64(m.d.WarmupTime))
+// warmupCapacity returns the fraction of its capacity that a backend in slow start is guaranteed to have.
+func (m *model) warmupCapacity(now Time, e Entry) float64 {
+	initial, age := m.deployment.WarmupCapacity, float64(now-e.StartedAt)
+	return min(1, initial+(1-initial)*age/float64(m.deployment.WarmupTime))
 }
 
-// slack is what two lines may differ by before either is worth a change.
-const slack = (1 + minChange) / (1 - minChange)
+// changeTolerance is the largest ratio between two weights whose changes are not worth sending.
+const changeTolerance = (1 + minChange) / (1 - minChange)
 
-// heavy says whether a cold backend's line outweighs its part of the heaviest warm line of its zone.
-func (m *model) heavy(r *rig, table, cold int, part float64) bool {
+// isTooHeavy reports whether a backend in slow start outweighs its share of the heaviest warm backend in its zone.
+func (m *model) isTooHeavy(r *harness, table, restarted int, fraction float64) bool {
 	most := 0.0
 	for b, w := range r.tables[table] {
-		if e := m.entries[b]; !r.out[b] && e.Zone == m.entries[cold].Zone && e.StartedAt == 0 && e.Weight > 0 {
+		if e := m.entries[b]; !r.withdrawn[b] && e.Zone == m.entries[restarted].Zone && e.StartedAt == 0 && e.Weight > 0 {
 			most = max(most, w/e.Weight)
 		}
 	}
-	return most > 0 && r.tables[table][cold] > most*part*m.entries[cold].Weight/minDerating*slack
+	return most > 0 && r.tables[table][restarted] > most*fraction*m.entries[restarted].Weight/minDerating*changeTolerance
 }
 
-// TestModel drives the module with generated days: lists, restarts, joins, breaks, late and odd reports.
+// TestModel checks the invariants under random lists, restarts, connections, and late and invalid reports.
 func TestModel(t *testing.T) {
-	day := func(seed int64, proxies, backends, ticks int) bool {
+	play := func(seed int64, proxies, backends, ticks int) bool {
 		rnd := rand.New(rand.NewSource(seed))
-		d := deployment()
+		d := testDeployment()
 		d.Proxies, d.LinesPerSecond, d.MaxQueuedLines = proxies, float64(750*proxies), float64(1500*proxies)
-		d.MinConns = 200 // binds where there are many proxies
-		r := newRig(t, d)
-		m := &model{d: d, entries: map[int]Entry{}, in: map[int]int{}}
+		d.MinConns = 200 // limits subsets if there are many proxies
+		r := newHarness(t, d)
+		m := &model{deployment: d, entries: map[int]Entry{}, connected: map[int]int{}}
 		list := func(kind ListKind, n int) ListUpdate {
 			l := ListUpdate{Kind: kind}
 			named := map[int]bool{}
@@ -114,11 +118,11 @@
 					e.StartedAt = r.now - Time(rnd.Intn(int(2*Second)))
 				}
 				if e.Status == Ready && e.StartedAt == 0 {
-					e.StartedAt = m.entries[b].StartedAt // a start stays known
+					e.StartedAt = m.entries[b].StartedAt // the start time stays known
 				}
 				l.Entries = append(l.Entries, e)
 				if rnd.Intn(9) == 0 {
-					l.Entries = append(l.Entries, e) // twice
+					l.Entries = append(l.Entries, e) // duplicate entry
 				}
 				m.entries[b] = e
 			}
@@ -135,16 +139,16 @@
 		events := []Event{list(ListCached, 4*backends)}
 		for range ticks {
 			for p := range proxies {
-				if _, joined := m.in[p]; !joined && rnd.Intn(4) == 0 {
-					m.in[p] = p % 2
+				if _, joined := m.connected[p]; !joined && rnd.Intn(4) == 0 {
+					m.connected[p] = p % 2
 					events = append(events, ProxyConnected{Proxy: p, Zone: p % 2, Rate: rnd.Float64() * 100})
 				} else if joined && rnd.Intn(30) == 0 {
-					delete(m.in, p)
+					delete(m.connected, p)
 					for k := range d.Products {
-						delete(r.uses, [2]int{p, k})
+						delete(r.assigned, [2]int{p, k})
 					}
 					events = append(events, ProxyDisconnected{Proxy: p})
-				} else { // also late and negative sums, of backends that are unknown and of proxies that left
+				} else { // also late and negative counts, unknown backends and disconnected proxies
 					events = append(events, UsageReport{Proxy: p, Product: rnd.Intn(3), Txns: float64(rnd.Intn(220) - 20),
 						Failed: float64(rnd.Intn(50)), Period: Time(rnd.Intn(4)) * Second / 2}, BackendReport{
 						Backend: rnd.Intn(backends + 1), Attempts: float64(rnd.Intn(110) - 10), Failed: float64(rnd.Intn(120)),
@@ -157,13 +161,13 @@
 				events = append(events, list(ListFull, rnd.Intn(backends)))
 			}
 			r.now += Second
-			events = append(events, MarkerAcked{Number: r.a.batch}, TimerFired{})
+			events = append(events, MarkerAcked{Number: r.assigner.batch}, TimerFired{})
 			m.lines = 0
 			perProxy := map[int]float64{}
 			for _, o := range r.step(events...) {
 				switch o := o.(type) {
 				case SetWeight:
-					perProxy[o.Table/len(r.a.groups)]++
+					perProxy[o.Table/len(r.assigner.groups)]++
 				case AssignTable:
 					perProxy[o.Proxy] += 1 + float64(len(r.tables[o.Table]))
 				}
@@ -171,18 +175,18 @@
 			for _, n := range perProxy {
 				m.lines += n + d.MessageOverhead + 1
 			}
-			if broken := m.check(r); broken != "" {
-				t.Logf("seed %d at %v: %s\n%v\n%v", seed, r.now, broken, r.tables, m.entries)
+			if violation := m.check(r); violation != "" {
+				t.Logf("seed %d at %v: %s\n%v\n%v", seed, r.now, violation, r.tables, m.entries)
 				return false
 			}
 			events = nil
 		}
 		return true
 	}
-	if !day(1, 300, 60, 20) {
-		t.Error("at 300 proxies")
+	if !play(1, 300, 60, 20) {
+		t.Error("failed with 300 proxies")
 	}
-	small := func(seed int64) bool { return day(seed, 4, 8, 150) }
+	small := func(seed int64) bool { return play(seed, 4, 8, 150) }
 	if err := quick.Check(small, &quick.Config{MaxCount: 60, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Error(err)
 	}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -105,8 +105,8 @@
 // Step processes the events since the previous step and returns the orders to execute.
 func (a *Assigner) Step(now Time, events []Event) []Order {
 	tick := a.handleEvents(now, events)
-	if a.needsFollow && (tick || !a.started) {
-		a.needsFollow = false
+	if a.needsWatch && (tick || !a.started) {
+		a.needsWatch = false
 		a.emit(WatchList{Enabled: true})
 	}
 	if tick || !a.started {
--- a/internal/policy/reports.go
+++ b/internal/policy/reports.go
@@ -7,7 +7,7 @@
 
 func (a *Assigner) onList(e ListUpdate) {
 	if e.Kind == ListFailed {
-		a.needsFollow = a.conf.ListOnRequest
+		a.needsWatch = a.conf.ListOnRequest
 		return
 	}
 	a.urgent = true
--- a/internal/policy/day_test.go
+++ b/internal/policy/simulation_test.go
@@ -6,7 +6,8 @@
 	"math/rand"
 )
 
-func dayOf(seed int64) Deployment {
+// simulationDeployment returns a deployment with restricted products and a tight channel.
+func simulationDeployment(seed int64) Deployment {
 	return Deployment{
 		Products: []Product{
 			{Revenue: 1, SLA: 8000},
@@ -36,9 +37,9 @@
 	}
 }
 
-// playDay plays a day drawn from a seed and gives a fingerprint of all orders.
-func playDay(seed int64, step func(Time, []Event) []Order) string {
-	chance := rand.New(rand.NewSource(seed))
+// simulate runs step against 200 s of events from a seed and returns a digest of all orders.
+func simulate(seed int64, step func(Time, []Event) []Order) string {
+	random := rand.New(rand.NewSource(seed))
 	sum := fnv.New64a()
 	var events []Event
 	for b := range 30 {
@@ -53,10 +54,10 @@
 	for p := range 14 {
 		events = append(events, ProxyConnected{Proxy: p, Zone: p % 3, Rate: 10, HasPeerTables: p%2 == 0})
 	}
-	for now, wake := Time(0), Second; now < 200*Second; now += Second / 4 {
-		if now >= wake {
-			events, wake = append(events, TimerFired{Name: 0}), now+Second
-			rush := 1 + 2*float64(now/(40*Second)%2)
+	for now, nextTick := Time(0), Second; now < 200*Second; now += Second / 4 {
+		if now >= nextTick {
+			events, nextTick = append(events, TimerFired{Name: 0}), now+Second
+			loadFactor := 1 + 2*float64(now/(40*Second)%2)
 			for p := range 14 {
 				for k := range 3 {
 					events = append(
@@ -64,8 +65,8 @@
 						UsageReport{
 							Proxy:   p,
 							Product: k,
-							Txns:    float64(chance.Intn(20)) * rush,
-							Failed:  float64(chance.Intn(3)),
+							Txns:    float64(random.Intn(20)) * loadFactor,
+							Failed:  float64(random.Intn(3)),
 							Period:  Second,
 						},
 					)
@@ -77,13 +78,13 @@
 					BackendReport{
 						Backend:  b,
 						Attempts: 20,
-						Failed:   float64(chance.Intn(4)),
-						Latency:  Time(500 + chance.Intn(int(2000*rush))),
+						Failed:   float64(random.Intn(4)),
+						Latency:  Time(500 + random.Intn(int(2000*loadFactor))),
 					},
 				)
 			}
 		}
-		switch b, p := chance.Intn(30), chance.Intn(14); chance.Intn(24) {
+		switch b, p := random.Intn(30), random.Intn(14); random.Intn(24) {
 		case 0:
 			events = append(
 				events,
@@ -110,10 +111,10 @@
 		events = nil
 		_, _ = fmt.Fprint(sum, now, orders)
 		for _, o := range orders {
-			if f, ok := o.(Marker); ok {
+			if marker, ok := o.(Marker); ok {
 				for p := range 14 {
-					if chance.Intn(10) > 0 {
-						events = append(events, MarkerAcked{Proxy: p, Number: f.Number})
+					if random.Intn(10) > 0 {
+						events = append(events, MarkerAcked{Proxy: p, Number: marker.Number})
 					}
 				}
 			}
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -93,7 +93,7 @@
 	orders       []Order // of this step
 	started      bool
 	urgent       bool // decide in this step without waiting for the tick
-	needsFollow  bool // request the list at the next tick
+	needsWatch   bool // request the list at the next tick
 	retryPending bool // a timer is set to retry changes that had no room
 
 	groups    []group
@@ -149,7 +149,7 @@
 
 // New creates an Assigner without any state but its deployment.
 func New(d Deployment) *Assigner {
-	a := &Assigner{conf: d, needsFollow: d.ListOnRequest, uncapped: make([]bool, len(d.Products))}
+	a := &Assigner{conf: d, needsWatch: d.ListOnRequest, uncapped: make([]bool, len(d.Products))}
 	for k, p := range d.Products {
 		placement := fmt.Sprint(!p.OwnZone, p.OnlyZones, p.OnlyKinds)
 		g := slices.IndexFunc(a.groups, func(g group) bool { return g.placement == placement })
