--- a/internal/proxy/datapath_test.go
+++ b/internal/proxy/datapath_test.go
@@ -166,7 +166,7 @@
 // Failures at an endpoint and on its connections, for idempotent and non-idempotent requests.
 func TestDataPathBackend(t *testing.T) {
 	const fields = "X-Elmfold-Attempt-Id: ID\r\nX-Elmfold-Server-Seal: s\r\n"
-	const begin = "HTTP/1.1 200 OK\r\n" + fields
+	const head = "HTTP/1.1 200 OK\r\n" + fields
 	otherResponse := func(status string) respondFunc { // a complete response to another request
 		return respondRaw(
 			"HTTP/1.1 " + status +
@@ -183,8 +183,8 @@
 			do     respondFunc
 		}{
 			{"silence before the head", false, "", neverRespond},
-			{"silence in the middle of the head", false, "", inSequence(respondRaw(begin[:40]), neverRespond)},
-			{"silence after the head", false, "", inSequence(respondRaw(begin+"Content-Length: 9\r\n\r\nfo"), neverRespond)},
+			{"silence in the middle of the head", false, "", inSequence(respondRaw(head[:40]), neverRespond)},
+			{"silence after the head", false, "", inSequence(respondRaw(head+"Content-Length: 9\r\n\r\nfo"), neverRespond)},
 			{"reset after the last byte was sent", false, "", s.resetConnections},
 			{"reset after the first byte was received", false, "",
 				inSequence(respondRaw("H"), afterDelay(time.Millisecond, s.resetConnections))},
@@ -192,10 +192,10 @@
 				"reset in the middle of the body",
 				false,
 				"",
-				inSequence(respondRaw(begin+"Content-Length: 9\r\n\r\nfo"), afterDelay(time.Millisecond, s.resetConnections)),
+				inSequence(respondRaw(head+"Content-Length: 9\r\n\r\nfo"), afterDelay(time.Millisecond, s.resetConnections)),
 			},
 			{"reset in the middle of a body that flows", false, "",
-				inSequence(respondRaw(begin+"Content-Length: 200000\r\n\r\n"+strings.Repeat("x", 150000)),
+				inSequence(respondRaw(head+"Content-Length: 200000\r\n\r\n"+strings.Repeat("x", 150000)),
 					afterDelay(time.Millisecond, s.resetConnections))},
 			{"another's answer, then its own", true, "", inSequence(otherResponse("200 OK"), respondWithID)},
 			{"another's answer, then silence", true, "", inSequence(otherResponse("200 OK"), neverRespond)},
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -34,7 +34,7 @@
 	// Result of the last attempt.
 
 	response *upstream.Response // nil: none
-	kind     apierror.Kind
+	kind     apierror.Kind      // of its failure
 }
 
 // forward tries endpoints until one responds or no more may be tried, and sends the response to the client.
@@ -94,9 +94,9 @@
 		return false
 	}
 	f.call.Address, f.call.EndpointID, f.call.MaxConns = selected.Address, selected.ID, selected.MaxConns
-	begunAt := p.options.Clock.Now()
+	startedAt := p.options.Clock.Now()
 	response, err := p.pool.Do(f.context(), &f.call)
-	result := attemptResult(response, err, p.options.Clock.Now().Sub(begunAt))
+	result := attemptResult(response, err, p.options.Clock.Now().Sub(startedAt))
 	p.metrics.countAttempt(result.Kind)
 	p.finishAttempt(selected, result)
 	f.response, f.kind = response, result.Kind
--- a/internal/proxy/healthchecks.go
+++ b/internal/proxy/healthchecks.go
@@ -15,7 +15,8 @@
 	maxHealthCheckPause     = 700 * time.Millisecond
 	frequentHealthChecks    = 25
 	slowHealthCheckInterval = 5 * time.Second
-	// warmupReportDelay is the time from an endpoint's heartbeat until the proxy hears that the endpoint is in slow start.
+	// warmupReportDelay is the time from an endpoint's heartbeat until the proxy learns that the endpoint is in slow
+	// start.
 	warmupReportDelay = 300 * time.Millisecond
 )
 
--- a/internal/proxy/leases.go
+++ b/internal/proxy/leases.go
@@ -85,8 +85,8 @@
 	p.withBalancer(func(b *balancer.Balancer) { b.SetProxies(all) })
 }
 
-// extendLease extends the proxy's lease if a majority of the voters has renewed it. By the proxy's clock, the lease
-// ends before the voters let another proxy take it over.
+// extendLease extends the proxy's lease if a majority of the voters has renewed it. The proxy stops using the lease
+// before the voters expire it.
 func (p *Proxy) extendLease() {
 	renewedAt := map[string]time.Duration{}
 	for name, n := range p.nodes {
--- a/internal/proxy/quorum.go
+++ b/internal/proxy/quorum.go
@@ -129,11 +129,11 @@
 	slices.Sort(times)
 	slices.Reverse(times)
 	for _, t := range times {
-		answered := func(v rpc.Voter) bool {
+		acknowledged := func(v rpc.Voter) bool {
 			renewed, ok := renewedAt[v.Name]
 			return ok && renewed >= t
 		}
-		if e.HasMajority(answered) {
+		if e.HasMajority(acknowledged) {
 			return t + registry.LeaseUseDuration, true
 		}
 	}
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -73,10 +73,10 @@
 // requests in flight.
 func (p *Proxy) Shutdown(timeout time.Duration) {
 	p.stopping.Store(true)
-	begunAt := p.options.Clock.Now()
+	startedAt := p.options.Clock.Now()
 	<-p.options.Clock.After(min(maxDrainDelay, timeout/2))
 	p.queue.Do(p.releaseLeases)
-	ctx, cancel := context.WithTimeout(context.Background(), timeout-p.options.Clock.Now().Sub(begunAt))
+	ctx, cancel := context.WithTimeout(context.Background(), timeout-p.options.Clock.Now().Sub(startedAt))
 	defer cancel()
 	_ = p.server.Shutdown(ctx) // requests that exceed the timeout end with the process
 	p.queue.Stop()
--- a/internal/proxy/trafficsplit.go
+++ b/internal/proxy/trafficsplit.go
@@ -37,10 +37,10 @@
 	if t.config != config {
 		t.config, t.next = config, map[*routeconfig.Route]float64{}
 	}
-	u, begun := t.next[route]
-	if !begun {
-		u = rand.Float64()
+	position, isStarted := t.next[route]
+	if !isStarted {
+		position = rand.Float64()
 	}
-	_, t.next[route] = math.Modf(u + goldenRatio)
-	return u
+	_, t.next[route] = math.Modf(position + goldenRatio)
+	return position
 }
