--- a/internal/proxy/configuration.go
+++ b/internal/proxy/configuration.go
@@ -83,8 +83,8 @@
 }
 
 // registerAge returns how long ago a zone's register was written. A newly started proxy has not observed the end of an
-// evacuation, but the zone's endpoints may still be in slow start after it. The version number is the wall-clock time
-// of the write, which is accurate enough here.
+// evacuation, but the zone's endpoints may still be in slow start after it. The version number is derived from the
+// wall-clock time of the write, which is accurate enough here.
 func (p *Proxy) registerAge(r rpc.Register) time.Duration {
 	ms := p.options.Clock.Now().UnixMilli() - int64(r.Version.Number)
 	return max(time.Duration(ms)*time.Millisecond, 0)
