--- a/internal/proxy/upstream/attempt_test.go
+++ b/internal/proxy/upstream/attempt_test.go
@@ -21,17 +21,17 @@
 	"elmfold/internal/gateway/apierror"
 )
 
-// side is the backend's end of one connection.
-type side struct {
+// endpointConn is the endpoint's side of a connection.
+type endpointConn struct {
 	net.Conn
-	br *bufio.Reader
-	n  int // of the connection, from 1
+	reader *bufio.Reader
+	number int // 1 for the first connection of the pool
 }
 
-// request reads one request and gives its bytes; "" at the connection's end.
-func (s *side) request() string {
+// readRequest reads a request and returns its bytes, or "" at the end of the connection.
+func (s *endpointConn) readRequest() string {
 	var raw bytes.Buffer
-	r, err := http.ReadRequest(bufio.NewReader(io.TeeReader(oneByte{s.br}, &raw)))
+	r, err := http.ReadRequest(bufio.NewReader(io.TeeReader(oneByteReader{s.reader}, &raw)))
 	if err != nil {
 		return ""
 	}
@@ -41,147 +41,152 @@
 	return raw.String()
 }
 
-// oneByte keeps ReadRequest's buffer from taking more than the request.
-type oneByte struct{ io.Reader }
+// oneByteReader prevents http.ReadRequest from buffering bytes after the request.
+type oneByteReader struct{ io.Reader }
 
-func (o oneByte) Read(b []byte) (int, error) { return o.Reader.Read(b[:min(1, len(b))]) }
+func (o oneByteReader) Read(b []byte) (int, error) { return o.Reader.Read(b[:min(1, len(b))]) }
 
-func (s *side) say(text string) { _, _ = io.WriteString(s, strings.ReplaceAll(text, "\n", "\r\n")) }
+func (s *endpointConn) send(text string) {
+	_, _ = io.WriteString(s, strings.ReplaceAll(text, "\n", "\r\n"))
+}
 
-// backend is a Pool whose connections each run the script at their other end, over net.Pipe.
-func backend(o Options, script func(s *side)) *Pool {
+// newTestPool returns a Pool that connects over net.Pipe. serve runs at the endpoint's side of each connection, which
+// is closed when serve returns.
+func newTestPool(o Options, serve func(s *endpointConn)) *Pool {
 	var dials atomic.Int32
 	o.Dial = func(context.Context, string) (net.Conn, error) {
-		a, b := net.Pipe()
-		n := int(dials.Add(1))
+		local, remote := net.Pipe()
+		number := int(dials.Add(1))
 		go func() {
-			defer func() { _ = b.Close() }()
-			script(&side{b, bufio.NewReader(b), n})
+			defer func() { _ = remote.Close() }()
+			serve(&endpointConn{remote, bufio.NewReader(remote), number})
 		}()
-		return a, nil
+		return local, nil
 	}
 	return New(o)
 }
 
-func get(id string) *Call {
+func newTestCall(id string) *Call {
 	return &Call{Address: "b:1", EndpointID: "i-1", Method: "GET", RequestTarget: "/a", Host: "h.example", AttemptID: id,
 		Deadline: time.Now().Add(5 * time.Second)}
 }
 
-func kind(err error) apierror.Kind {
-	var f *apierror.Error
-	if err != nil && !errors.As(err, &f) {
-		panic(err)
-	}
-	if f == nil {
+func errorKind(err error) apierror.Kind {
+	if err == nil {
 		return apierror.None
 	}
-	return f.Kind
+	var apiErr *apierror.Error
+	if !errors.As(err, &apiErr) {
+		panic(err)
+	}
+	return apiErr.Kind
 }
 
+// Responses and parts of them. The attempt ID of newTestCall("me") is "me".
 const (
-	ok  = "HTTP/1.1 200 OK\nX-Elmfold-Attempt-Id: me\nX-Elmfold-Server-Seal: s\n"
-	old = "HTTP/1.1 200 OK\nX-Elmfold-Attempt-Id: before\nX-Elmfold-Server-Seal: s\nContent-Length: 3\n\nold"
-	no  = "X-Elmfold-Not-Executed: full\nContent-Length: 2\n\nno"
+	okHead        = "HTTP/1.1 200 OK\nX-Elmfold-Attempt-Id: me\nX-Elmfold-Server-Seal: s\n"
+	lateResponse  = "HTTP/1.1 200 OK\nX-Elmfold-Attempt-Id: before\nX-Elmfold-Server-Seal: s\nContent-Length: 3\n\nold"
+	rejectionTail = "X-Elmfold-Not-Executed: full\nContent-Length: 2\n\nno"
 )
 
-// Every way to answer, what comes of it, and whether the connection is used again.
-func TestAnswers(t *testing.T) {
+// Checks for each kind of response what Do returns and whether the connection is reused.
+func TestResponses(t *testing.T) {
 	var out strings.Builder
-	for _, c := range []struct{ name, say string }{ // "|" at the end: the backend closes
-		{"whole", ok + "Content-Length: 3\n\nabc"},
-		{"in chunks", ok + "Transfer-Encoding: chunked\n\n3\nabc\n2\nde\n0\nX-T: 1\n\n"},
+	for _, c := range []struct{ name, response string }{ // a final "|" means that the endpoint closes the connection
+		{"whole", okHead + "Content-Length: 3\n\nabc"},
+		{"in chunks", okHead + "Transfer-Encoding: chunked\n\n3\nabc\n2\nde\n0\nX-T: 1\n\n"},
 		{"no body", "HTTP/1.1 204 No\nX-Elmfold-Attempt-Id: me\nX-Elmfold-Server-Seal: s\n\n"},
-		{"fields of the connection", ok + "Connection: keep-alive, x-one\nX-One: 1\nKeep-Alive: timeout=4\nUpgrade: u\n" +
+		{"fields of the connection", okHead + "Connection: keep-alive, x-one\nX-One: 1\nKeep-Alive: timeout=4\nUpgrade: u\n" +
 			"Proxy-Authenticate: p\nX-Two: 2\nContent-Length: 1\n\na"},
-		{"load and cold", ok + "X-Elmfold-Server-Load: 3, 0,8\nX-Elmfold-Cold-Ms: 1500\nContent-Length: 1\n\na"},
+		{"load and cold", okHead + "X-Elmfold-Server-Load: 3, 0,8\nX-Elmfold-Cold-Ms: 1500\nContent-Length: 1\n\na"},
 		{"its own failure", "HTTP/1.1 500 E\nX-Elmfold-Attempt-Id: me\nContent-Length: 1\n\ne"},
-		{"says close", ok + "Connection: close\nContent-Length: 1\n\na"},
-		{"HTTP/1.0", strings.Replace(ok, "1.1", "1.0", 1) + "Connection: keep-alive\nContent-Length: 1\n\na"},
-		{"bytes after it", ok + "Content-Length: 1\n\nab"},
-		{"1xx first", "HTTP/1.1 103 Early\nLink: l\n\n" + ok + "Content-Length: 1\n\na"},
-		{"surplus first", old + ok + "Content-Length: 1\n\na"},
-		{"surplus in chunks", strings.Replace(old, "Content-Length: 3\n\n", "Transfer-Encoding: chunked\n\n3\n", 1) +
-			"\n0\n\n" + ok + "Content-Length: 1\n\na"},
-		{"surplus refusal", "HTTP/1.1 503 F\nX-Elmfold-Attempt-Id: before\n" + no + ok + "Content-Length: 1\n\na"},
-		{"surplus thrice", old + old + old},
-		{"surplus only", old + "|"},
+		{"says close", okHead + "Connection: close\nContent-Length: 1\n\na"},
+		{"HTTP/1.0", strings.Replace(okHead, "1.1", "1.0", 1) + "Connection: keep-alive\nContent-Length: 1\n\na"},
+		{"bytes after it", okHead + "Content-Length: 1\n\nab"},
+		{"1xx first", "HTTP/1.1 103 Early\nLink: l\n\n" + okHead + "Content-Length: 1\n\na"},
+		{"surplus first", lateResponse + okHead + "Content-Length: 1\n\na"},
+		{"surplus in chunks", strings.Replace(lateResponse, "Content-Length: 3\n\n", "Transfer-Encoding: chunked\n\n3\n", 1) +
+			"\n0\n\n" + okHead + "Content-Length: 1\n\na"},
+		{"surplus refusal", "HTTP/1.1 503 F\nX-Elmfold-Attempt-Id: before\n" + rejectionTail +
+			okHead + "Content-Length: 1\n\na"},
+		{"surplus thrice", lateResponse + lateResponse + lateResponse},
+		{"surplus only", lateResponse + "|"},
 		{"no id", "HTTP/1.1 200 OK\nX-Elmfold-Server-Seal: s\nContent-Length: 1\n\na|"},
-		{"refused", "HTTP/1.1 503 F\nX-Elmfold-Attempt-Id: me\nRetry-After: 0.2\n" + no},
-		{"refused without an id", "HTTP/1.1 400 B\n" + no},
+		{"refused", "HTTP/1.1 503 F\nX-Elmfold-Attempt-Id: me\nRetry-After: 0.2\n" + rejectionTail},
+		{"refused without an id", "HTTP/1.1 400 B\n" + rejectionTail},
 		{"refused, body stalls", "HTTP/1.1 429 F\nX-Elmfold-Attempt-Id: me\n" +
 			"X-Elmfold-Not-Executed: 1\nContent-Length: 9\n\nno"},
-		{"misdirected", "HTTP/1.1 421 M\nX-Elmfold-Attempt-Id: me\n" + no},
+		{"misdirected", "HTTP/1.1 421 M\nX-Elmfold-Attempt-Id: me\n" + rejectionTail},
 		{"misdirected, bare", "HTTP/1.1 421 M\nContent-Length: 0\n\n"},
 		{"unsealed", "HTTP/1.1 200 OK\nX-Elmfold-Attempt-Id: me\nContent-Length: 1\n\na"},
-		{"encoded", ok + "Content-Encoding: gzip\nContent-Length: 1\n\na"},
-		{"2xx without length", ok + "Connection: close\n\nabc|"},
+		{"encoded", okHead + "Content-Encoding: gzip\nContent-Length: 1\n\na"},
+		{"2xx without length", okHead + "Connection: close\n\nabc|"},
 		{"500 without length", "HTTP/1.1 500 E\nX-Elmfold-Attempt-Id: me\n\nabc|"},
 		{"silent end", "|"},
-		{"cut in head", ok + "Content-Le|"},
-		{"cut in length", ok + "Content-Length: 5\n\nabc|"},
-		{"cut in chunk", ok + "Transfer-Encoding: chunked\n\n5\nabc|"},
-		{"cut between chunks", ok + "Transfer-Encoding: chunked\n\n3\nabc\n|"},
-		{"cut before last line", ok + "Transfer-Encoding: chunked\n\n3\nabc\n0\n|"},
+		{"cut in head", okHead + "Content-Le|"},
+		{"cut in length", okHead + "Content-Length: 5\n\nabc|"},
+		{"cut in chunk", okHead + "Transfer-Encoding: chunked\n\n5\nabc|"},
+		{"cut between chunks", okHead + "Transfer-Encoding: chunked\n\n3\nabc\n|"},
+		{"cut before last line", okHead + "Transfer-Encoding: chunked\n\n3\nabc\n0\n|"},
 		{"no answer", "SSH-2.0-x\n\n"},
-		{"no chunk", ok + "Transfer-Encoding: chunked\n\nzz\nabc\n"},
-		{"two lengths", ok + "Content-Length: 1\nContent-Length: 2\n\na"},
-		{"endless head", ok + "X-A: " + strings.Repeat("a", maxHeadBytes)},
+		{"no chunk", okHead + "Transfer-Encoding: chunked\n\nzz\nabc\n"},
+		{"two lengths", okHead + "Content-Length: 1\nContent-Length: 2\n\na"},
+		{"endless head", okHead + "X-A: " + strings.Repeat("a", maxHeadBytes)},
 		{"silence", ""},
-		{"stalls in the body", ok + "Content-Length: 5\n\nabc"},
+		{"stalls in the body", okHead + "Content-Length: 5\n\nabc"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			p := backend(Options{}, func(s *side) {
-				for s.request() != "" {
-					said, end := strings.CutSuffix(c.say, "|")
-					if s.say(said); end {
+			p := newTestPool(Options{}, func(s *endpointConn) {
+				for s.readRequest() != "" {
+					response, closes := strings.CutSuffix(c.response, "|")
+					if s.send(response); closes {
 						return
 					}
 				}
 			})
-			from := time.Now()
-			a, err := p.Do(t.Context(), get("me"))
+			startedAt := time.Now()
+			resp, err := p.Do(t.Context(), newTestCall("me"))
 			fmt.Fprintf(&out, "%s: ", c.name)
 			if err != nil {
 				fmt.Fprintf(&out, "%v; ", err)
 			}
-			if a != nil {
-				delete(a.Header, HeaderAttemptID)
-				delete(a.Header, HeaderServerSeal)
-				fmt.Fprintf(&out, "%d %q %d %v", a.Status, a.Body, a.Length, a.Header)
-				if a.HasLoad || a.HasWarmup {
-					fmt.Fprint(&out, " ", a.Load, a.WarmupLeft)
+			if resp != nil {
+				delete(resp.Header, HeaderAttemptID)
+				delete(resp.Header, HeaderServerSeal)
+				fmt.Fprintf(&out, "%d %q %d %v", resp.Status, resp.Body, resp.Length, resp.Header)
+				if resp.HasLoad || resp.HasWarmup {
+					fmt.Fprint(&out, " ", resp.Load, resp.WarmupLeft)
 				}
 				fmt.Fprint(&out, "; ")
 			}
 			fmt.Fprintf(&out, "idle %d of %d", p.IdleConns("b:1"), p.OpenConns("b:1"))
-			if d := time.Since(from); d > 0 {
+			if d := time.Since(startedAt); d > 0 {
 				fmt.Fprint(&out, " after ", d)
 			}
 			fmt.Fprintln(&out)
 			p.CloseIdle("b:1")
 		})
 	}
-	autogold.Equal(t, out.String())
+	autogold.Equal(t, out.String(), autogold.Name("TestAnswers"))
 }
 
-// What goes out: the bytes of the target as they came, in one write with a small body.
+// Checks the bytes of requests: the request target is sent unchanged, and a small body in the same write as the head.
 func TestRequestBytes(t *testing.T) {
 	var out strings.Builder
 	synctest.Test(t, func(t *testing.T) {
-		p := backend(Options{}, func(s *side) {
+		p := newTestPool(Options{}, func(s *endpointConn) {
 			for {
-				r := s.request()
-				if r == "" {
+				request := s.readRequest()
+				if request == "" {
 					return
 				}
-				out.WriteString(strings.ReplaceAll(r, "\r\n", "\n") + "----\n")
-				s.say(ok + "Content-Length: 0\n\n")
+				out.WriteString(strings.ReplaceAll(request, "\r\n", "\n") + "----\n")
+				s.send(okHead + "Content-Length: 0\n\n")
 			}
 		})
-		send := func(change func(c *Call)) {
-			c := get("me")
-			change(c)
+		send := func(modify func(c *Call)) {
+			c := newTestCall("me")
+			modify(c)
 			if _, err := p.Do(t.Context(), c); err != nil {
 				t.Fatal(err)
 			}
@@ -197,11 +202,11 @@
 		})
 		send(func(c *Call) { c.EndpointID, c.Deadline = "", time.Now().Add(time.Microsecond) })
 		send(func(c *Call) { c.AttemptID = "" })
-		for _, bad := range []string{"/a b", "/a\r\nX: y", ""} {
-			c := get("me")
-			c.RequestTarget = bad
-			if _, err := p.Do(t.Context(), c); kind(err) != apierror.Malformed {
-				t.Errorf("%q: %v", bad, err)
+		for _, target := range []string{"/a b", "/a\r\nX: y", ""} {
+			c := newTestCall("me")
+			c.RequestTarget = target
+			if _, err := p.Do(t.Context(), c); errorKind(err) != apierror.Malformed {
+				t.Errorf("%q: %v", target, err)
 			}
 		}
 		p.CloseIdle("b:1")
@@ -209,45 +214,46 @@
 	autogold.Equal(t, out.String())
 }
 
-// An idle connection that dies under a GET: the request has arrived once and isn't sent again.
-func TestDiesUnderRequest(t *testing.T) {
+// Guards against resending a request after the endpoint closed a reused connection.
+func TestConnectionClosedDuringRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		arrived := 0
-		p := backend(Options{}, func(s *side) {
-			for s.request() != "" {
-				if arrived++; arrived == 2 {
+		received := 0
+		p := newTestPool(Options{}, func(s *endpointConn) {
+			for s.readRequest() != "" {
+				if received++; received == 2 {
 					return
 				}
-				s.say(ok + "Content-Length: 1\n\na")
+				s.send(okHead + "Content-Length: 1\n\na")
 			}
 		})
-		if _, err := p.Do(t.Context(), get("me")); err != nil {
+		if _, err := p.Do(t.Context(), newTestCall("me")); err != nil {
 			t.Fatal(err)
 		}
-		c := get("me2")
-		if _, err := p.Do(t.Context(), c); kind(err) != apierror.ConnectionBroken || arrived != 2 || p.OpenConns("b:1") != 0 {
-			t.Fatalf("%v, %d arrivals, %d open", err, arrived, p.OpenConns("b:1"))
+		_, err := p.Do(t.Context(), newTestCall("me2"))
+		if errorKind(err) != apierror.ConnectionBroken || received != 2 || p.OpenConns("b:1") != 0 {
+			t.Fatalf("%v, %d requests received, %d open", err, received, p.OpenConns("b:1"))
 		}
 	})
 }
 
-// A connection that ends before a byte was taken has carried nothing; after the first byte nobody knows.
-func TestFirstByte(t *testing.T) {
+// Checks that a request counts as not executed only if the endpoint read none of its bytes.
+func TestConnectionClosedBeforeFirstByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for taken, want := range []apierror.Kind{apierror.ConnectFailed, apierror.ConnectionBroken} {
-			p := backend(Options{}, func(s *side) { _, _ = io.ReadFull(s.Conn, make([]byte, taken)) })
-			if _, err := p.Do(t.Context(), get("me")); kind(err) != want || p.OpenConns("b:1") != 0 {
-				t.Errorf("%d bytes taken: %v, %d open", taken, err, p.OpenConns("b:1"))
+		for bytesRead, want := range []apierror.Kind{apierror.ConnectFailed, apierror.ConnectionBroken} {
+			p := newTestPool(Options{}, func(s *endpointConn) { _, _ = io.ReadFull(s.Conn, make([]byte, bytesRead)) })
+			if _, err := p.Do(t.Context(), newTestCall("me")); errorKind(err) != want || p.OpenConns("b:1") != 0 {
+				t.Errorf("%d bytes read: %v, %d open", bytesRead, err, p.OpenConns("b:1"))
 			}
 		}
 	})
 }
 
-// readable waits until the connection has something to tell: bytes, its end or a reset.
-func readable(t *testing.T, nc net.Conn) {
-	tcp, ok := nc.(*net.TCPConn)
+// waitReadable waits until the connection has unread data, or the peer has closed or reset it.
+func waitReadable(t *testing.T, conn net.Conn) {
+	t.Helper()
+	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
-		t.Fatalf("%T is no TCP connection", nc)
+		t.Fatalf("%T is not a TCP connection", conn)
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
@@ -259,241 +265,238 @@
 	})
 }
 
-// An idle connection that was closed, or on which a surplus answer waits, is left for a fresh one; a fresh one that is
-// turned away at once has carried nothing.
-func TestLooksBeforeUse(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+// Checks that an idle connection is replaced if the endpoint has closed or reset it or has sent a surplus response, and
+// that a new connection that the endpoint closes at once counts as EndpointsSaturated.
+func TestUnusableIdleConnIsReplaced(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = l.Close() }()
-	addr := l.Addr().String()
-	var mine net.Conn
-	refuse, theirs := false, make(chan *side, 1)
+	defer func() { _ = listener.Close() }()
+	addr := listener.Addr().String()
+	var local net.Conn // of the latest dial
+	closeAtOnce, accepted := false, make(chan *endpointConn, 1)
 	p := New(Options{Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		var err error
-		if mine, err = dialTCP(ctx, addr); err != nil {
+		if local, err = dialTCP(ctx, addr); err != nil {
 			return nil, err
 		}
-		nc, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if refuse {
-			_ = nc.Close()
-			readable(t, mine)
-			return mine, nil
+		if closeAtOnce {
+			_ = conn.Close()
+			waitReadable(t, local)
+			return local, nil
 		}
-		s := &side{Conn: nc, br: bufio.NewReader(nc)}
+		s := &endpointConn{Conn: conn, reader: bufio.NewReader(conn)}
 		go func() {
-			for r := s.request(); r != ""; r = s.request() {
+			for r := s.readRequest(); r != ""; r = s.readRequest() {
 				id := r[strings.Index(r, HeaderAttemptID)+len(HeaderAttemptID)+2:][:1]
-				s.say(strings.Replace(ok, "me", id, 1) + "Content-Length: 1\n\n" + id)
+				s.send(strings.Replace(okHead, "me", id, 1) + "Content-Length: 1\n\n" + id)
 			}
-			_ = nc.Close()
+			_ = conn.Close()
 		}()
-		theirs <- s
-		return mine, nil
+		accepted <- s
+		return local, nil
 	}})
 	do := func(id string) (*Response, error) {
-		c := get(id)
+		c := newTestCall(id)
 		c.Address = addr
 		return p.Do(t.Context(), c)
 	}
-	for i, spoil := range []func(s *side){
-		func(s *side) { _ = s.Close() },
-		func(s *side) {
+	for i, makeUnusable := range []func(s *endpointConn){
+		func(s *endpointConn) { _ = s.Close() },
+		func(s *endpointConn) {
 			if tcp, ok := s.Conn.(*net.TCPConn); ok {
 				_ = tcp.SetLinger(0)
 			}
 			_ = s.Close()
 		},
-		func(s *side) { s.say(strings.Replace(old, "before", "d", 1)) },
+		func(s *endpointConn) { s.send(strings.Replace(lateResponse, "before", "d", 1)) },
 	} {
 		if _, err := do("a"); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := do("b"); err != nil || len(theirs) != 1 { // on the same connection
-			t.Fatal(err, len(theirs))
+		if _, err := do("b"); err != nil || len(accepted) != 1 { // on the same connection
+			t.Fatal(err, len(accepted))
 		}
-		spoil(<-theirs)
-		readable(t, mine)
-		if a, err := do("d"); err != nil || string(a.Body) != "d" || p.OpenConns(addr) != 1 {
-			t.Fatalf("%d: %v, %v, %d open", i, a, err, p.OpenConns(addr))
+		makeUnusable(<-accepted)
+		waitReadable(t, local)
+		if resp, err := do("d"); err != nil || string(resp.Body) != "d" || p.OpenConns(addr) != 1 {
+			t.Fatalf("%d: %v, %v, %d open", i, resp, err, p.OpenConns(addr))
 		}
-		<-theirs
+		<-accepted
 		p.CloseIdle(addr)
 	}
-	refuse = true
-	if _, err := do("a"); kind(err) != apierror.EndpointsSaturated || p.OpenConns(addr) != 0 {
+	closeAtOnce = true
+	if _, err := do("a"); errorKind(err) != apierror.EndpointsSaturated || p.OpenConns(addr) != 0 {
 		t.Fatal(err)
 	}
-	_ = l.Close()
-	if _, err := do("a"); kind(err) != apierror.ConnectFailed || p.OpenConns(addr) != 0 {
+	_ = listener.Close()
+	if _, err := do("a"); errorKind(err) != apierror.ConnectFailed || p.OpenConns(addr) != 0 {
 		t.Fatal(err)
 	}
 }
 
-// A client that goes away, or the deadline, ends the connection at once, in whatever phase.
-func TestEnds(t *testing.T) {
+// Checks that cancellation closes the connection at once in each phase of an attempt, and that nothing is sent after
+// cancellation or the deadline.
+func TestCancellationAndDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var ended time.Time
-		say := ""
-		p := backend(Options{}, func(s *side) {
-			s.request()
-			s.say(say)
-			_, _ = io.Copy(io.Discard, s.br)
-			ended = time.Now()
+		var closedAt time.Time
+		response := ""
+		p := newTestPool(Options{}, func(s *endpointConn) {
+			s.readRequest()
+			s.send(response)
+			_, _ = io.Copy(io.Discard, s.reader)
+			closedAt = time.Now()
 		})
-		for _, say = range []string{"", ok + "Content-Le", ok + "Content-Length: 9\n\nabc"} {
+		for _, response = range []string{"", okHead + "Content-Le", okHead + "Content-Length: 9\n\nabc"} {
 			ctx, cancel := context.WithCancel(t.Context())
-			from := time.Now()
+			startedAt := time.Now()
 			time.AfterFunc(time.Second, cancel)
-			_, err := p.Do(ctx, get("me"))
+			_, err := p.Do(ctx, newTestCall("me"))
 			synctest.Wait()
-			if kind(err) != apierror.AttemptCancelled || !errors.Is(err, context.Canceled) || ended.Sub(from) != time.Second {
-				t.Errorf("%q: %v after %v", say, err, ended.Sub(from))
+			if errorKind(err) != apierror.AttemptCancelled || !errors.Is(err, context.Canceled) ||
+				closedAt.Sub(startedAt) != time.Second {
+				t.Errorf("%q: %v after %v", response, err, closedAt.Sub(startedAt))
 			}
-			_, err = p.Do(ctx, get("me"))
-			if kind(err) != apierror.ClientDisconnected {
-				t.Errorf("offered for one who is gone: %v", err)
+			_, err = p.Do(ctx, newTestCall("me"))
+			if errorKind(err) != apierror.ClientDisconnected {
+				t.Errorf("call with a cancelled context: %v", err)
 			}
 		}
-		c := get("me")
+		c := newTestCall("me")
 		c.Deadline = time.Now()
-		if _, err := p.Do(t.Context(), c); kind(err) != apierror.DeadlineExceeded || p.OpenConns("b:1") != 0 {
+		if _, err := p.Do(t.Context(), c); errorKind(err) != apierror.DeadlineExceeded || p.OpenConns("b:1") != 0 {
 			t.Error(err)
 		}
 	})
 }
 
-// A large body flows, whatever its framing; its connection is idle after its end only, and a break shows as one.
-func TestLargeBody(t *testing.T) {
+// Checks a large response body with each framing: its connection becomes idle only at the end, and truncation is
+// reported.
+func TestStreamedResponseBody(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 20<<10)
-	framed := []string{fmt.Sprintf("Content-Length: %d\n\n%s", len(body), body),
+	framedBodies := []string{fmt.Sprintf("Content-Length: %d\n\n%s", len(body), body),
 		fmt.Sprintf("Transfer-Encoding: chunked\n\n%x\n%s\n0\n\n", len(body), body)}
 	synctest.Test(t, func(t *testing.T) {
-		for i, whole := range framed {
-			for _, cut := range []int{-1, 70 << 10, 1 << 10} {
-				p := backend(Options{}, func(s *side) {
-					s.request()
-					if cut >= 0 {
-						s.say(ok + whole[:cut])
+		for i, framedBody := range framedBodies {
+			for _, truncateAt := range []int{-1, 70 << 10, 1 << 10} { // -1: the body is complete
+				p := newTestPool(Options{}, func(s *endpointConn) {
+					s.readRequest()
+					if truncateAt >= 0 {
+						s.send(okHead + framedBody[:truncateAt])
 						return
 					}
-					s.say(ok + whole)
-					s.request()
+					s.send(okHead + framedBody)
+					s.readRequest()
 				})
-				a, err := p.Do(t.Context(), get("me"))
-				if cut >= 0 && cut < 64<<10 {
-					if kind(err) != apierror.TruncatedResponse {
+				resp, err := p.Do(t.Context(), newTestCall("me"))
+				if truncateAt >= 0 && truncateAt < 64<<10 {
+					if errorKind(err) != apierror.TruncatedResponse {
 						t.Error(err)
 					}
 					continue
 				}
-				if err != nil || a.Rest == nil || len(a.Body) < 64<<10 || p.IdleConns("b:1") != 0 {
-					t.Fatal(a, err)
+				if err != nil || resp.Rest == nil || len(resp.Body) < 64<<10 || p.IdleConns("b:1") != 0 {
+					t.Fatal(resp, err)
 				}
-				got, err := io.ReadAll(a.Rest)
-				_ = a.Rest.Close()
+				got, err := io.ReadAll(resp.Rest)
+				_ = resp.Rest.Close()
 				switch {
-				case cut < 0 && (err != nil || string(a.Body)+string(got) != body || p.IdleConns("b:1") != 1):
-					t.Errorf("%d: %v, %d bytes, idle %d", i, err, len(a.Body)+len(got), p.IdleConns("b:1"))
-				case cut >= 0 && (kind(err) != apierror.TruncatedResponse || p.OpenConns("b:1") != 0):
+				case truncateAt < 0 && (err != nil || string(resp.Body)+string(got) != body || p.IdleConns("b:1") != 1):
+					t.Errorf("%d: %v, %d bytes, idle %d", i, err, len(resp.Body)+len(got), p.IdleConns("b:1"))
+				case truncateAt >= 0 && (errorKind(err) != apierror.TruncatedResponse || p.OpenConns("b:1") != 0):
 					t.Errorf("%d: %v", i, err)
 				}
 				p.CloseIdle("b:1")
 			}
 		}
-		p := backend(Options{}, func(s *side) { s.request(); s.say(ok + framed[0]) })
-		a, err := p.Do(t.Context(), get("me"))
+		p := newTestPool(Options{}, func(s *endpointConn) { s.readRequest(); s.send(okHead + framedBodies[0]) })
+		resp, err := p.Do(t.Context(), newTestCall("me"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = a.Rest.Close()
+		_ = resp.Rest.Close()
 		if p.OpenConns("b:1") != 0 {
-			t.Error("left open")
+			t.Error("the connection is still open after Close")
 		}
 	})
 }
 
-// A stream is written beside the reading: a refusal before its end is heard, and a stream that breaks off ends the
-// connection, so that the backend can't take it for whole.
-func TestStreamOut(t *testing.T) {
+// Checks that a rejection before the end of a streamed request is returned, and that a failing stream closes the
+// connection, so that the endpoint detects the truncated body.
+func TestStreamedRequestBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := backend(Options{}, func(s *side) {
-			if _, err := http.ReadRequest(s.br); err == nil && s.n == 1 {
-				s.say("HTTP/1.1 503 F\nX-Elmfold-Attempt-Id: me\n" + no)
+		p := newTestPool(Options{}, func(s *endpointConn) {
+			if _, err := http.ReadRequest(s.reader); err == nil && s.number == 1 {
+				s.send("HTTP/1.1 503 F\nX-Elmfold-Attempt-Id: me\n" + rejectionTail)
 			}
-			_, _ = io.Copy(io.Discard, s.br)
+			_, _ = io.Copy(io.Discard, s.reader)
 		})
 		r, w := io.Pipe()
-		c := get("me")
+		c := newTestCall("me")
 		c.Method, c.Stream, c.StreamLen = "POST", r, -1
-		if a, err := p.Do(
-			t.Context(),
-			c,
-		); kind(err) != apierror.RejectedByEndpoint || string(a.Body) != "no" ||
-			p.OpenConns("b:1") != 0 {
-			t.Error(a, err)
+		resp, err := p.Do(t.Context(), c)
+		if errorKind(err) != apierror.RejectedByEndpoint || string(resp.Body) != "no" || p.OpenConns("b:1") != 0 {
+			t.Error(resp, err)
 		}
 		_ = w.Close()
-		gone := errors.New("client gone")
-		c.Stream, c.StreamLen = io.MultiReader(strings.NewReader("abc"), failing{gone}), 9
-		if _, err := p.Do(
-			t.Context(),
-			c,
-		); kind(err) != apierror.AttemptCancelled || !errors.Is(err, gone) ||
-			p.OpenConns("b:1") != 0 {
+		streamErr := errors.New("client disconnected")
+		c.Stream, c.StreamLen = io.MultiReader(strings.NewReader("abc"), failingReader{streamErr}), 9
+		_, err = p.Do(t.Context(), c)
+		if errorKind(err) != apierror.AttemptCancelled || !errors.Is(err, streamErr) || p.OpenConns("b:1") != 0 {
 			t.Error(err)
 		}
 	})
 }
 
-type failing struct{ error }
+type failingReader struct{ err error }
 
-func (f failing) Read([]byte) (int, error) { return 0, f.error }
+func (f failingReader) Read([]byte) (int, error) { return 0, f.err }
 
-// How long connections are kept, how many, and when no more.
-func TestIdle(t *testing.T) {
+// Checks the idle timeout for each Keep-Alive value, the limit on idle connections, and CloseIdle during attempts.
+func TestIdleTimeoutAndLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		keep := make(map[string]time.Duration)
-		for _, v := range []string{"", "timeout=1", "timeout=2", "max=5, timeout=20", "timeout=0", "timeout=x"} {
-			p := backend(Options{}, func(s *side) {
-				s.request()
-				s.say(ok + "Keep-Alive: " + v + "\nContent-Length: 0\n\n")
-				s.request()
+		idleTimes := make(map[string]time.Duration)
+		for _, keepAlive := range []string{"", "timeout=1", "timeout=2", "max=5, timeout=20", "timeout=0", "timeout=x"} {
+			p := newTestPool(Options{}, func(s *endpointConn) {
+				s.readRequest()
+				s.send(okHead + "Keep-Alive: " + keepAlive + "\nContent-Length: 0\n\n")
+				s.readRequest()
 			})
-			if _, err := p.Do(t.Context(), get("me")); err != nil {
+			if _, err := p.Do(t.Context(), newTestCall("me")); err != nil {
 				t.Fatal(err)
 			}
-			from := time.Now()
+			idleSince := time.Now()
 			for p.IdleConns("b:1") > 0 {
-				time.Sleep(50 * time.Millisecond) // virtual
+				time.Sleep(50 * time.Millisecond)
 				p.PruneIdle(time.Now())
 			}
-			if keep[v] = time.Since(from); p.OpenConns("b:1") != 0 {
-				t.Error("left open")
+			if idleTimes[keepAlive] = time.Since(idleSince); p.OpenConns("b:1") != 0 {
+				t.Errorf("%q: the connection is still open", keepAlive)
 			}
 		}
 		want := "map[:8s max=5, timeout=20:15s timeout=0:0s timeout=1:300ms timeout=2:1.3s timeout=x:0s]"
-		if got := fmt.Sprint(keep); got != want {
+		if got := fmt.Sprint(idleTimes); got != want {
 			t.Errorf("got %s\nwant %s", got, want)
 		}
 		release := make(chan bool)
-		p := backend(Options{MaxIdleConns: 2}, func(s *side) {
-			for s.request() != "" {
+		p := newTestPool(Options{MaxIdleConns: 2}, func(s *endpointConn) {
+			for s.readRequest() != "" {
 				<-release
-				s.say(ok + "Content-Length: 0\n\n")
+				s.send(okHead + "Content-Length: 0\n\n")
 			}
 		})
-		three := func(amid func()) {
+		doThreeCalls := func(whileInProgress func()) {
 			done := make(chan error)
 			for range 3 {
-				go func() { _, err := p.Do(t.Context(), get("me")); done <- err }()
+				go func() { _, err := p.Do(t.Context(), newTestCall("me")); done <- err }()
 			}
 			synctest.Wait()
-			amid()
+			whileInProgress()
 			for range 3 {
 				release <- true
 				if err := <-done; err != nil {
@@ -501,81 +504,82 @@
 				}
 			}
 		}
-		if three(func() {}); p.IdleConns("b:1") != 2 || p.OpenConns("b:1") != 2 {
+		if doThreeCalls(func() {}); p.IdleConns("b:1") != 2 || p.OpenConns("b:1") != 2 {
 			t.Errorf("idle %d of %d", p.IdleConns("b:1"), p.OpenConns("b:1"))
 		}
-		if three(func() { p.CloseIdle("b:1") }); p.OpenConns("b:1") != 0 {
-			t.Errorf("%d came back", p.OpenConns("b:1"))
+		if doThreeCalls(func() { p.CloseIdle("b:1") }); p.OpenConns("b:1") != 0 {
+			t.Errorf("%d connections are open after CloseIdle", p.OpenConns("b:1"))
 		}
 	})
 }
 
-// Health answers; and what it leaves behind on the connection is no refusal of the next request.
-func TestHealth(t *testing.T) {
+// Checks health checks, and that a late response to a health check is not taken for a rejection of the next request.
+func TestCheckHealth(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		says := []string{
-			old + "HTTP/1.1 200 OK\nX-Elmfold-Instance-Id: i-1\nX-Elmfold-Server-Load: 3,0,8\n" +
+		responses := []string{
+			lateResponse + "HTTP/1.1 200 OK\nX-Elmfold-Instance-Id: i-1\nX-Elmfold-Server-Load: 3,0,8\n" +
 				"X-Elmfold-Cold-Ms: 250\nContent-Length: 0\n\n",
 			"HTTP/1.1 200 OK\nX-Elmfold-Instance-Id: i-1\nContent-Length: 0\n\n",
-			"HTTP/1.1 503 F\n" + no + ok + "Content-Length: 1\n\na",
-			"HTTP/1.1 503 F\n" + no,
+			"HTTP/1.1 503 F\n" + rejectionTail + okHead + "Content-Length: 1\n\na",
+			"HTTP/1.1 503 F\n" + rejectionTail,
 			"|",
 		}
-		p := backend(Options{}, func(s *side) {
-			for s.request() != "" {
-				said := says[0]
-				says = says[1:]
-				if said == "|" {
+		p := newTestPool(Options{}, func(s *endpointConn) {
+			for s.readRequest() != "" {
+				response := responses[0]
+				responses = responses[1:]
+				if response == "|" {
 					return
 				}
-				s.say(said)
+				s.send(response)
 			}
 		})
-		health := func() (HealthStatus, error) {
+		checkHealth := func() (HealthStatus, error) {
 			return p.CheckHealth(t.Context(), "b:1", "/health", time.Now().Add(time.Second))
 		}
 		want := HealthStatus{OK: true, EndpointID: "i-1", WarmupLeft: 250 * time.Millisecond, HasWarmup: true,
 			Load: Load{3, 0, 8}, HasLoad: true}
-		if h, err := health(); h != want || err != nil || p.OpenConns("b:1") != 0 {
+		if h, err := checkHealth(); h != want || err != nil || p.OpenConns("b:1") != 0 {
 			t.Error(h, err)
 		}
-		if h, err := health(); !h.OK || err != nil || p.IdleConns("b:1") != 1 {
+		if h, err := checkHealth(); !h.OK || err != nil || p.IdleConns("b:1") != 1 {
 			t.Error(h, err)
 		}
-		if a, err := p.Do(t.Context(), get("me")); err != nil || string(a.Body) != "a" || p.OpenConns("b:1") != 0 {
-			t.Error(a, err)
+		resp, err := p.Do(t.Context(), newTestCall("me"))
+		if err != nil || string(resp.Body) != "a" || p.OpenConns("b:1") != 0 {
+			t.Error(resp, err)
 		}
-		if h, err := health(); h.OK || err != nil {
+		if h, err := checkHealth(); h.OK || err != nil {
 			t.Error(h, err)
 		}
-		if h, err := health(); h.OK || kind(err) != apierror.ConnectionBroken {
+		if h, err := checkHealth(); h.OK || errorKind(err) != apierror.ConnectionBroken {
 			t.Error(h, err)
 		}
 	})
 }
 
-// A Do over loopback, beside the same bytes written and read without anything else.
+// Compares Do with plain writes and reads of the same bytes over loopback.
 func BenchmarkDo(b *testing.B) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer func() { _ = l.Close() }()
-	answer := []byte(strings.ReplaceAll(ok+"Content-Length: 512\n\n", "\n", "\r\n") + strings.Repeat("x", 512))
+	defer func() { _ = listener.Close() }()
+	response := []byte(strings.ReplaceAll(okHead+"Content-Length: 512\n\n", "\n", "\r\n") + strings.Repeat("x", 512))
 	go func() {
 		for {
-			nc, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
 				buf := make([]byte, 4096)
 				for {
-					if n, err := nc.Read(buf); err != nil || !bytes.HasSuffix(buf[:n], []byte("\r\n\r\n")) {
-						_ = nc.Close()
+					if n, err := conn.Read(buf); err != nil || !bytes.HasSuffix(buf[:n], []byte("\r\n\r\n")) {
+						_ = conn.Close()
 						return
 					}
-					_, _ = nc.Write(answer)
+					_, _ = conn.Write(response)
 				}
 			}()
 		}
@@ -583,15 +587,15 @@
 	p := New(Options{})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	c := get("me")
-	c.Address, c.Header = l.Addr().String(), http.Header{"Accept": {"*/*"}, "User-Agent": {"u"}}
+	c := newTestCall("me")
+	c.Address, c.Header = listener.Addr().String(), http.Header{"Accept": {"*/*"}, "User-Agent": {"u"}}
 	b.Run("do", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
 			c.Deadline = time.Now().Add(time.Second)
 			p.mu.Lock()
 			if h := p.hosts[c.Address]; h != nil && len(h.idle) > 0 {
-				h.idle[0].lastAttemptID = "" // the same id each time spares the backend its parsing
+				h.idle[0].lastAttemptID = "" // allows reuse of the connection with the same attempt ID
 			}
 			p.mu.Unlock()
 			if _, err := p.Do(ctx, c); err != nil {
@@ -600,74 +604,75 @@
 		}
 	})
 	b.Run("bare", func(b *testing.B) {
-		nc, err := net.Dial("tcp4", c.Address)
+		conn, err := net.Dial("tcp4", c.Address)
 		if err != nil {
 			b.Fatal(err)
 		}
-		defer func() { _ = nc.Close() }()
-		req, buf := appendRequest(nil, c, time.Second), make([]byte, 4096)
+		defer func() { _ = conn.Close() }()
+		request, buf := appendRequest(nil, c, time.Second), make([]byte, 4096)
 		for b.Loop() {
-			_, _ = nc.Write(req)
-			if _, err := io.ReadFull(nc, buf[:len(answer)]); err != nil {
+			_, _ = conn.Write(request)
+			if _, err := io.ReadFull(conn, buf[:len(response)]); err != nil {
 				b.Fatal(err)
 			}
 		}
 	})
 }
 
-// A call that is to finish once it was sent ends with its client before that, and again when its response flows: then
-// also where the last of the request is written after that.
+// Checks that a call with FinishOnceSent survives cancellation only while the request is sent and the response body is
+// not yet streamed.
 func TestFinishOnceSent(t *testing.T) {
-	const flows = ok + "Content-Length: 90000\n\n"
+	streamedResponse := okHead + "Content-Length: 90000\n\n" + strings.Repeat("x", 80000)
 	for _, c := range []struct {
-		name         string
-		stream       bool // a part of the request is written late
-		say          string
-		want         apierror.Kind
-		breaksInFlow bool
+		name                string
+		isStreamed          bool // the last byte of the request is sent with a delay
+		response            string
+		want                apierror.Kind
+		isCutWhileStreaming bool
 	}{
-		{name: "sent", say: right},
-		{name: "not sent", stream: true, want: apierror.AttemptCancelled},
-		{name: "it flows", say: flows + strings.Repeat("x", 80000), breaksInFlow: true},
-		{name: "it flows before all is sent", stream: true, say: flows + strings.Repeat("x", 80000), breaksInFlow: true},
+		{name: "request sent", response: okResponse},
+		{name: "request not sent", isStreamed: true, want: apierror.AttemptCancelled},
+		{name: "response streaming", response: streamedResponse, isCutWhileStreaming: true},
+		{name: "response streaming before request sent", isStreamed: true, response: streamedResponse,
+			isCutWhileStreaming: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := backend(Options{}, func(s *side) {
-					if c.stream {
-						go func() { _, _ = io.Copy(io.Discard, s.br) }()
+				p := newTestPool(Options{}, func(s *endpointConn) {
+					if c.isStreamed {
+						go func() { _, _ = io.Copy(io.Discard, s.reader) }()
 						time.Sleep(time.Second / 2)
-					} else if s.request() == "" {
+					} else if s.readRequest() == "" {
 						return
 					}
-					if c.name == "sent" {
+					if c.name == "request sent" {
 						time.Sleep(2 * time.Second)
 					}
-					s.say(c.say)
+					s.send(c.response)
 					time.Sleep(10 * time.Second)
 				})
-				call := get("me")
+				call := newTestCall("me")
 				call.FinishOnceSent, call.Deadline = true, time.Now().Add(20*time.Second)
-				if c.stream {
-					call.Method, call.Stream, call.StreamLen = "POST", slow{time.Second * 3 / 4}, 1
+				if c.isStreamed {
+					call.Method, call.Stream, call.StreamLen = "POST", slowReader{time.Second * 3 / 4}, 1
 					if c.want != apierror.None {
-						call.Stream = slow{time.Minute}
+						call.Stream = slowReader{time.Minute}
 					}
 				}
 				ctx, cancel := context.WithCancel(t.Context())
 				time.AfterFunc(time.Second, cancel)
-				from := time.Now()
-				a, err := p.Do(ctx, call)
-				if kind(err) != c.want {
-					t.Fatalf("%v after %v", err, time.Since(from))
+				startedAt := time.Now()
+				resp, err := p.Do(ctx, call)
+				if errorKind(err) != c.want {
+					t.Fatalf("%v after %v", err, time.Since(startedAt))
 				}
-				if c.breaksInFlow {
-					_, err := io.Copy(io.Discard, a.Rest)
-					if kind(err) != apierror.AttemptCancelled || time.Since(from) != time.Second {
-						t.Errorf("the response flows until %v after %v", err, time.Since(from))
+				if c.isCutWhileStreaming {
+					_, err := io.Copy(io.Discard, resp.Rest)
+					if errorKind(err) != apierror.AttemptCancelled || time.Since(startedAt) != time.Second {
+						t.Errorf("the response body ends with %v after %v", err, time.Since(startedAt))
 					}
 				}
-				a.Close()
+				resp.Close()
 				p.CloseIdle("b:1")
 				time.Sleep(2 * time.Minute)
 			})
@@ -675,10 +680,10 @@
 	}
 }
 
-// slow gives one byte after a time.
-type slow struct{ after time.Duration }
+// slowReader returns one byte after a delay.
+type slowReader struct{ delay time.Duration }
 
-func (s slow) Read(b []byte) (int, error) {
-	time.Sleep(s.after)
+func (s slowReader) Read(b []byte) (int, error) {
+	time.Sleep(s.delay)
 	return copy(b, "x"), nil
 }
