--- a/internal/proxy/balancer/balancer.go
+++ b/internal/proxy/balancer/balancer.go
@@ -83,7 +83,7 @@
 	maxConns      int         // connections that an endpoint accepts from all proxies; 0 if unknown
 	slowStart     time.Duration
 	slowStartRate float64       // requests/s
-	latency       time.Duration // moving average, over responses of endpoints without queueing
+	latency       time.Duration // moving average, over responses without queueing and responses that lower it
 	limiter       rateLimiter
 	retries       retryBudget
 
--- a/internal/proxy/balancer/outlier.go
+++ b/internal/proxy/balancer/outlier.go
@@ -47,7 +47,7 @@
 	e.attempts++
 	e.recordReportedState(now, &r)
 	if r.Unresponsive {
-		b.suspectMachine(now, e, now-r.Latency)
+		b.markMachineSuspect(now, e, now-r.Latency)
 	}
 	switch r.Kind {
 	case apierror.None, apierror.EndpointFailed:
@@ -85,7 +85,7 @@
 	if succeeded && !hasQueue {
 		e.responseLatency = smooth(e.responseLatency, r.Latency)
 	}
-	if knownIdle := r.HasLoad && r.Queued == 0; knownIdle || s.latency == 0 || r.Latency < s.latency {
+	if hasNoQueue := r.HasLoad && r.Queued == 0; hasNoQueue || s.latency == 0 || r.Latency < s.latency {
 		s.latency = smooth(s.latency, r.Latency)
 	}
 	if succeeded {
@@ -96,6 +96,7 @@
 	}
 }
 
+// smooth returns the moving average after another latency. A mean of 0 means that there is none yet.
 func smooth(mean, latency time.Duration) time.Duration {
 	return time.Duration(latencySmoothing*float64(cmp.Or(mean, latency)) + (1-latencySmoothing)*float64(latency))
 }
@@ -114,7 +115,7 @@
 	switch kind {
 	case apierror.ConnectFailed:
 		e.failed++
-		e.suspect(now)
+		e.markSuspect(now)
 	case apierror.Misdirected:
 		e.failed++
 		e.eject(now, misdirectedEjection)
@@ -142,26 +143,26 @@
 	e.ejectedUntil = max(e.ejectedUntil, now+duration)
 }
 
-// suspect excludes an endpoint from selection until a health check passes, so that no request is risked to find out
+// markSuspect excludes an endpoint from selection until a health check passes, so that no request is risked to find out
 // whether the endpoint is reachable.
-func (e *endpoint) suspect(now time.Duration) {
+func (e *endpoint) markSuspect(now time.Duration) {
 	if !e.isSuspect {
 		e.isSuspect, e.suspectSince = true, now
 	}
 }
 
-// suspectMachine makes an endpoint on an unresponsive machine a suspect. If another machine of the zone became
+// markMachineSuspect makes an endpoint on an unresponsive machine a suspect. If another machine of the zone became
 // unresponsive at about the same time, the zone or the network path to it may have failed: then all endpoints of the
 // zone that have not responded since become suspects, because a non-idempotent request to a failed machine is lost.
-func (b *Balancer) suspectMachine(now time.Duration, e *endpoint, since time.Duration) {
+func (b *Balancer) markMachineSuspect(now time.Duration, e *endpoint, since time.Duration) {
 	e.unresponsiveAt = now
-	e.suspect(now)
+	e.markSuspect(now)
 	if !b.isZoneUnresponsive(now, e) {
 		return
 	}
-	for _, o := range b.endpoints {
-		if o.Zone == e.Zone && o.respondedAt < since {
-			o.suspect(now)
+	for _, other := range b.endpoints {
+		if other.Zone == e.Zone && other.respondedAt < since {
+			other.markSuspect(now)
 		}
 	}
 }
@@ -169,9 +170,9 @@
 // isZoneUnresponsive reports whether another machine of an endpoint's zone became unresponsive within
 // zoneFailureWindow.
 func (b *Balancer) isZoneUnresponsive(now time.Duration, e *endpoint) bool {
-	for _, o := range b.endpoints {
-		isOther := o != e && o.Zone == e.Zone && o.Address != e.Address
-		if isOther && now < o.unresponsiveAt+zoneFailureWindow {
+	for _, other := range b.endpoints {
+		isOtherMachine := other != e && other.Zone == e.Zone && other.Address != e.Address
+		if isOtherMachine && now < other.unresponsiveAt+zoneFailureWindow {
 			return true
 		}
 	}
--- a/internal/proxy/balancer/selection.go
+++ b/internal/proxy/balancer/selection.go
@@ -202,8 +202,8 @@
 	if e.otherLoad+float64(e.inFlight) > float64(e.Capacity) {
 		halfLife = queuedHalfLife
 	}
-	fade := math.Exp2(-float64(now-e.otherLoadAt) / float64(halfLife))
-	return (float64(e.inFlight) + e.otherLoad*fade) / float64(max(e.Capacity, 1))
+	decay := math.Exp2(-float64(now-e.otherLoadAt) / float64(halfLife))
+	return (float64(e.inFlight) + e.otherLoad*decay) / float64(max(e.Capacity, 1))
 }
 
 // expectedCost estimates the duration of a response, relative to a typical endpoint of the service without queueing. It
--- a/internal/proxy/upstream/attempt.go
+++ b/internal/proxy/upstream/attempt.go
@@ -219,8 +219,8 @@
 }
 
 // answersCall reports whether a response belongs to the call. A rejection without an attempt ID belongs to the call
-// only on an unused connection. Otherwise it may be a late response to an earlier request, while the endpoint executes
-// this one.
+// only if it is the first request on the connection. Otherwise the rejection may be a late response to an earlier
+// request, while the endpoint executes this one.
 func (a *attempt) answersCall(resp *http.Response) bool {
 	id := resp.Header.Get(HeaderAttemptID)
 	if a.call.AttemptID == "" || id == a.call.AttemptID {
@@ -278,8 +278,8 @@
 	}
 	r, rejection := a.newResponse(resp), apierror.New(kind, a.call.Address, nil)
 	isBuffered := resp.ContentLength >= 0 && int64(a.conn.reader.Buffered()) >= resp.ContentLength
-	if soon := time.Now().Add(rejectionBodyTimeout); !isBuffered && soon.Before(a.call.Deadline) {
-		_ = a.conn.SetReadDeadline(soon) // fails only on a closed connection
+	if bodyDeadline := time.Now().Add(rejectionBodyTimeout); !isBuffered && bodyDeadline.Before(a.call.Deadline) {
+		_ = a.conn.SetReadDeadline(bodyDeadline) // fails only on a closed connection
 	}
 	body, whole, err := a.readBody(resp)
 	switch {
@@ -323,8 +323,9 @@
 	return a.fail(kindOnClose, readErr)
 }
 
-// releaseAfterResponse releases the connection after a complete response. The connection is reusable only if a late
-// response can be told from the next request's response, which needs an attempt ID or a health check's response.
+// releaseAfterResponse releases the connection after a complete response. The connection is reusable only if both sides
+// agree on its state, and if the request has an attempt ID or is a health check: a late response to any other request
+// could not be recognized.
 func (a *attempt) releaseAfterResponse(resp *http.Response) {
 	isIdentifiable := a.call.AttemptID != "" || a.conn.servedHealthCheck
 	isSynchronized := !a.desynchronized && a.conn.reader.Buffered() == 0 && a.sender.isDone()
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -25,7 +25,7 @@
 	// Earlier requests on the connection.
 
 	lastAttemptID     string // of the latest request, the current one included
-	usedBefore        bool   // a request was completed
+	usedBefore        bool   // an earlier request was completed
 	servedHEAD        bool   // a HEAD request was completed; the end of a late response to it cannot be found
 	servedHealthCheck bool   // a health check was sent, the current request included
 
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -21,7 +21,7 @@
 	defaultMaxIdleConns    = 8
 	defaultIdleTimeout     = 8 * time.Second
 	// idleMargin is the minimum time by which an idle connection is closed before the timeout that the endpoint
-	// announced. If the endpoint closed it during a request, the request might have been executed.
+	// announced. A request that crosses the endpoint's close may or may not be executed.
 	idleMargin = 700 * time.Millisecond
 )
 
@@ -113,8 +113,7 @@
 	return pc, nil
 }
 
-// reuseIdleConn returns an idle connection that is usable for a call, or nil. It closes the unusable ones that it
-// finds.
+// reuseIdleConn returns an idle connection that is usable for a call, or nil. It closes unusable ones on the way.
 func (p *Pool) reuseIdleConn(c *Call, now time.Time) *persistConn {
 	for {
 		pc := p.popIdleConn(c.Address)
--- a/internal/proxy/upstream/response.go
+++ b/internal/proxy/upstream/response.go
@@ -49,15 +49,16 @@
 	return nil, a.fail(apierror.InvalidResponse, errTooManyInterim)
 }
 
-// isHTTP1 reports whether a response, final or interim, is valid in HTTP/1. 101 is not, because this package never
-// requests a protocol upgrade.
+// isHTTP1 reports whether a final or interim response belongs to plain HTTP/1. 101 does not, because it announces
+// another protocol, which this package never requests.
 func isHTTP1(resp *http.Response) bool {
 	return resp.ProtoMajor == 1 && resp.StatusCode >= minInterimStatus &&
 		resp.StatusCode != http.StatusSwitchingProtocols
 }
 
 // discardResponse reads and discards a response to another request. It returns false if the end of the response cannot
-// be found, because either request was a HEAD or the response is delimited by the end of the connection.
+// be found, because the current or an earlier request was a HEAD, or because the end of the connection delimits the
+// response.
 func (a *attempt) discardResponse(resp *http.Response) bool {
 	a.desynchronized = true
 	if a.call.Method == http.MethodHead || a.conn.servedHEAD || isCloseDelimited(resp, "") {
