--- a/internal/controlplane/steering/adapter.go
+++ b/internal/controlplane/steering/adapter.go
@@ -56,7 +56,7 @@
 	now          time.Duration
 	services     map[string]*service
 	serviceNames []string                  // sorted
-	endpoints    map[string]*knownEndpoint // by id
+	endpoints    map[string]*knownEndpoint // by ID
 	proxies      map[string]*proxy         // by name
 	proxyIndex   []*proxy                  // by index in policy
 	leases       []float64                 // by zone: number of proxies that hold a lease
--- a/internal/controlplane/steering/service.go
+++ b/internal/controlplane/steering/service.go
@@ -53,7 +53,7 @@
 	tables  []tableState // by table number in policy
 
 	latency    float64 // smoothed seconds per response
-	spillsOver bool    // other zones may take a zone's excess
+	spillsOver bool    // other zones may serve a zone's excess
 }
 
 // timer is a pending policy.SetTimer.
--- a/internal/controlplane/steering/spillover.go
+++ b/internal/controlplane/steering/spillover.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// spillStart is the utilization of a zone above which other zones may take its excess, and spillStop that below which
-	// they no longer do.
+	// spillStart is the utilization of a zone above which other zones may serve its excess; spillStop is the utilization
+	// below which they stop.
 	spillStart, spillStop = 0.85, 0.7
 	// fairStart and fairStop are the same thresholds for a zone's capacity relative to its fair share.
 	fairStart, fairStop = 0.5, 0.6
--- a/internal/policy/aggregates.go
+++ b/internal/policy/aggregates.go
@@ -45,7 +45,7 @@
 	return demand, sum
 }
 
-// demandFor returns a proxy's demand in a zone, given the full subset size.
+// demandFor returns a proxy's demand in a zone; size is the subset size without spillover.
 func (a *Assigner) demandFor(p *proxy, zone int, size float64) (demand zoneDemand) {
 	for g, group := range a.groups {
 		fraction := a.spillover[g][p.zone][zone]
--- a/internal/policy/channel.go
+++ b/internal/policy/channel.go
@@ -55,7 +55,7 @@
 		urgency := urgencyLow
 		switch {
 		case w == 0 && withdrawn:
-			c.extraLines++ // readmitting the backend after its last line is removed
+			c.extraLines++ // cost of readmitting the backend after its last line is removed
 			urgency = ifElse(a.backends.status[b] == Gone, urgencyLow, urgencyDerate)
 		case w > 0 && stranded:
 			urgency = urgencyCritical
@@ -146,8 +146,8 @@
 	return true
 }
 
-// compareProxies orders proxies for service: those with a rate limit of their own last, before them those on a peer's
-// tables, and by falling rate within each class.
+// compareProxies sorts proxies by priority: those without tables, then those on a peer's tables, then those with a
+// MaxRate, each class by falling rate.
 func compareProxies(p, q *proxy) int {
 	return cmp.Or(
 		cmp.Compare(ifElse(p.maxRate > 0, 1, 0), ifElse(q.maxRate > 0, 1, 0)),
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -21,7 +21,7 @@
 	busyThreshold       = 0.9         // rate over its limit above which a proxy is busy
 	idleMargin          = 0.2         // fraction above its rate that an idle proxy keeps
 	minLimit            = 1.0         // lower bound of a proxy's limit while the total suffices for all
-	unlimited           = 1e6         // stands for no limit
+	unlimited           = 1e6         // rate limit that means no limit
 	poissonMargin       = 0.5         // largest raise of a limit for random arrivals
 	admitFraction       = 0.95        // fraction of random arrivals that a limit admits
 	warmupAdmitFraction = 0.99        // the same with a backend in slow start, while reports are rare
--- a/internal/policy/reports.go
+++ b/internal/policy/reports.go
@@ -21,7 +21,7 @@
 		isListed, isNamed := listed[b]
 		isMissing := !isListed && (isNamed || e.Kind != ListChange)
 		// Without HonorRemovals a backend that is dropped from the list stays in use until attempts fail too, because a
-		// faulty list is indistinguishable from a crash.
+		// faulty list and a crash look alike.
 		switch {
 		case isMissing && (a.conf.HonorRemovals || status != Ready):
 			backends.status[b], backends.goneAt[b] = Gone, ifElse(status == Gone, backends.goneAt[b], a.now)
--- a/internal/policy/samples.go
+++ b/internal/policy/samples.go
@@ -54,15 +54,14 @@
 	backends.evaluated[b] = backends.attempts[b]
 }
 
-// samples are the reports of all backends. The latency and failed slices hold the values by backend, 0 where there are
-// too few attempts. Each backend contributes one sample to a median: with equal strength, or by weight and number of
-// attempts while reports are rare.
+// samples holds the reports of all backends. Each backend contributes one sample to a median, normally of equal
+// strength, but depending on its weight and its attempts while reports are rare.
 type samples struct {
-	failed, latency                            []float64
-	failedSamples, latencySamples, nextSamples []sample // nextSamples: predicted latency of the next txn
-	failedUnderated                            []sample // failing fraction, weighted as if no backend were derated
-	intervals                                  []sample // seconds between reports
-	strength                                   float64  // sum over failedSamples
+	failed, latency                            []float64 // by backend; 0 if it has too few attempts
+	failedSamples, latencySamples, nextSamples []sample  // nextSamples: predicted latency of the next txn
+	failedUnderated                            []sample  // failing fraction, weighted as if no backend were derated
+	intervals                                  []sample  // seconds between reports
+	strength                                   float64   // sum over failedSamples
 }
 
 func (a *Assigner) collectSamples() (s samples) {
@@ -77,6 +76,7 @@
 	return s
 }
 
+// collectFailures adds a backend's failing fraction and its report interval.
 func (a *Assigner) collectFailures(s *samples, b int, attempts float64) {
 	failed, strength := a.backends.failed[b]/attempts, a.sampleStrength(b, attempts)
 	underated := strength
@@ -91,6 +91,7 @@
 	}
 }
 
+// collectLatency adds a backend's mean latency, and the latency predicted for its next txn.
 func (a *Assigner) collectLatency(s *samples, b int, attempts float64) {
 	if a.backends.succeeded[b] <= 0 {
 		return
--- a/internal/policy/spillover.go
+++ b/internal/policy/spillover.go
@@ -17,36 +17,36 @@
 	}
 }
 
-// spillGroup distributes a group's demand over the zones' room and subtracts it from the room.
+// spillGroup distributes a group's demand over the zones' free capacity, room, and subtracts it from that.
 func (a *Assigner) spillGroup(g int, room, demand []float64) {
 	group := &a.groups[g]
 	weight, allWeight, _ := a.capacityOf(group.open)
-	away, to, excess, free := make([]float64, a.conf.Zones), make([]float64, a.conf.Zones), 0.0, 0.0
+	spilled, target, excess, free := make([]float64, a.conf.Zones), make([]float64, a.conf.Zones), 0.0, 0.0
 	for z, d := range demand {
-		switch over := d - max(room[z], 0); {
+		switch surplus := d - max(room[z], 0); {
 		case group.class.OwnZone:
 		case weight[z] == 0:
-			away[z] = 1
-		case over > minSpillover*d:
-			away[z] = over / d
+			spilled[z] = 1
+		case surplus > minSpillover*d:
+			spilled[z] = surplus / d
 		}
-		room[z] -= d * (1 - away[z])
-		if excess += d * away[z]; weight[z] > 0 {
+		room[z] -= d * (1 - spilled[z])
+		if excess += d * spilled[z]; weight[z] > 0 {
 			free += max(room[z], 0)
 		}
 	}
-	for z := range to { // distributes the excess by free room, or by weight if there is none
-		if to[z] = weight[z] / max(allWeight, 1e-9); weight[z] > 0 && free > 0 {
-			to[z] = max(room[z], 0) / free
+	for z := range target { // distributes the excess by free room, or by weight if there is none
+		if target[z] = weight[z] / max(allWeight, 1e-9); weight[z] > 0 && free > 0 {
+			target[z] = max(room[z], 0) / free
 		}
-		room[z] -= excess * to[z]
+		room[z] -= excess * target[z]
 	}
 	for z, old := range a.spillover[g] {
 		row := make([]float64, a.conf.Zones)
-		row[z] = 1 - away[z]
-		changed := (away[z] == 1) != (old[z] == 0)
+		row[z] = 1 - spilled[z]
+		changed := (spilled[z] == 1) != (old[z] == 0)
 		for y := range row {
-			row[y] += away[z] * to[y]
+			row[y] += spilled[z] * target[y]
 			changed = changed || math.Abs(row[y]-old[y]) >= minSpillover
 		}
 		if changed {
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -129,7 +129,7 @@
 	overloaded, responsesFast bool
 	medianLatency             float64
 	medianFailed              float64 // failing fraction at the median backend
-	failureRisk               float64 // the same or that without derating, whichever is higher
+	failureRisk               float64 // the higher of medianFailed and the same without derating
 	rareReports               bool    // see rareReportInterval
 	evaluatedAt               Time
 	reportSpan                float64 // mean seconds covered by a usage report in the last tick with any
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -201,7 +201,7 @@
 type Withdraw struct {
 	Backend   int
 	Withdrawn bool
-	Deferred  bool // proxies on a peer's tables are told with their first table only
+	Deferred  bool // for proxies on a peer's tables, delayed until their first table from this controller
 }
 
 // RetryMode says when a proxy may retry at another backend.
