--- a/internal/controlplane/rollout/coordinator.go
+++ b/internal/controlplane/rollout/coordinator.go
@@ -1,15 +1,16 @@
-// Package rollout decides on changes in stages: which proxies prepare a version, whether enough have confirmed it, and
-// the one decision, to commit or to halt it, that the voters agree on. It does no I/O and reads no clock: Step is told
-// what happened and returns what is to be done. Rules and states: docs/notes/stages.md. It is not wired in yet.
+// Package rollout rolls out configuration versions in stages: it selects the proxies that prepare a version, counts
+// their confirmations, and decides once among the voters whether to commit or to halt the version. It does no I/O and
+// reads no clock: Step takes events and returns actions. Rules and states: docs/notes/stages.md. No other package uses
+// it yet.
 //
-// The decision is single-decree Paxos for each version (package paxos). A plain register cannot decide: of two
-// nodes that write different decisions both may be told before one of them is overwritten.
+// Each version's decision is one instance of single-decree Paxos (package paxos). A register that is overwritten would
+// not do: two nodes that write different decisions could both be told that their write succeeded.
 //
 //	events.go       events, actions, the plan
-//	coordinator.go  the part of a control-plane node
-//	progress.go     its stages: who has confirmed what
-//	decision.go     its ballots
-//	participant.go  the part of a proxy
+//	coordinator.go  state and event handling of a control-plane node
+//	progress.go     stages and confirmations
+//	decision.go     ballots
+//	participant.go  state and event handling of a proxy
 package rollout
 
 import (
@@ -21,10 +22,10 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-// unset stands for a time that is not known.
+// unset is the value of a time that has not been set.
 const unset = time.Duration(-1)
 
-// measurement is the sum of what proxies have measured.
+// measurement sums the measurements of several proxies.
 type measurement struct{ attempts, failed, latencyMS, addedMS float64 }
 
 func (m *measurement) add(o Measured) {
@@ -45,31 +46,31 @@
 	notReadable bool
 }
 
-// trackedVersion is what a node knows of a version.
+// trackedVersion is a node's state of one version.
 type trackedVersion struct {
 	Vote
-	digest    uint64 // of the body that is rolled out
+	digest    uint64 // of the body that is being rolled out
 	stored    bool
-	recoverAt time.Duration // when a ballot asks what was accepted, as whoever began it may be gone; unset: none does
+	recoverAt time.Duration // when this node starts a ballot to find an accepted value; unset: no value was accepted
 
-	// Of the stages.
+	// Progress through the stages.
 
-	stage          int // len(Plan.Stages): all are passed
+	stage          int // index in Plan.Stages; its length after the last stage
 	stageStartedAt time.Duration
-	confirmedAt    time.Duration           // since when the stage has enough confirmations; unset: it has not
-	askedToPrepare map[string]uint64       // by proxy: the incarnation that was asked, or has prepared it
+	confirmedAt    time.Duration           // start of the soak time; unset while confirmations are missing
+	askedToPrepare map[string]uint64       // by proxy: the incarnation that was asked, or that has confirmed
 	confirmations  map[string]confirmation // by proxy
 	endedProxies   int
-	withVersion    measurement // of proxies that have prepared it
-	withoutVersion measurement
+	withVersion    measurement // of proxies that have prepared the version
+	withoutVersion measurement // of all other proxies
 	haltReason     Reason
 
-	// Of the ballot that this node has begun.
+	// The last ballot that this node started.
 
 	proposal paxos.Proposal[Decision]
-	retryAt  time.Duration
-	wantedAt time.Duration // since when this node has a decision to propose; unset: it has none
-	maxRound uint64
+	retryAt  time.Duration // earliest start of the next ballot
+	wantedAt time.Duration // when this node first had a decision to propose; unset: it has none
+	maxRound uint64        // highest round seen in any ballot
 }
 
 func newTrackedVersion(version uint64) *trackedVersion {
@@ -83,25 +84,25 @@
 	}
 }
 
-// pendingAnswer is an acceptor's answer that waits for the disk to have what it says.
+// pendingAnswer is an acceptor's answer that is sent once the state it reports is durable.
 type pendingAnswer struct {
-	seq     uint64 // of the Persist
+	seq     uint64 // of the Persist action
 	to      string
 	message Message
 }
 
-// Options make a Coordinator.
+// Options configure a Coordinator.
 type Options struct {
 	Self        string
-	Incarnation uint64 // differs from that of every other node, and of this node's earlier processes
+	Incarnation uint64 // unique among all processes of all nodes
 	Voters      []string
 	MaxFaults   int
 	Plan        Plan
-	IsVoter     bool   // the disk has never lost state
-	Disk        []Vote // what it holds
+	IsVoter     bool   // whether the disk has never lost state
+	Disk        []Vote // the records on the disk
 }
 
-// Coordinator is the part of one control-plane node. It belongs to one goroutine.
+// Coordinator is the state machine of one control-plane node. It is not safe for concurrent use.
 type Coordinator struct {
 	self        string
 	incarnation uint64
@@ -110,22 +111,22 @@
 	plan        Plan
 	isVoter     bool
 
-	connected  map[string]bool  // peers
+	connected  map[string]bool  // by peer
 	leases     map[string]lease // by proxy
 	versions   map[uint64]*trackedVersion
-	committed  Target        // the greatest version that is known to be committed
-	closedUpTo uint64        // no ballots are answered up to this version
-	listenEnd  time.Duration // nothing is counted before
+	committed  Target        // the greatest version known to be committed
+	closedUpTo uint64        // ballots for versions up to this one are not answered
+	listenEnd  time.Duration // no stage advances before
 	now        time.Duration
 	actions    []Action
 
-	seq         uint64 // of the last Persist
+	seq         uint64 // of the last Persist action
 	answers     []pendingAnswer
-	obsolete    []uint64 // versions whose records the one of the committed version replaces
-	obsoleteSeq uint64   // the Persist of that one
+	obsolete    []uint64 // versions whose records may be dropped once the committed version's record is durable
+	obsoleteSeq uint64   // of the Persist action of the committed version
 }
 
-// New makes a Coordinator.
+// New returns a Coordinator that starts from the records in o.Disk.
 func New(o Options) *Coordinator {
 	c := &Coordinator{
 		self:        o.Self,
@@ -162,13 +163,14 @@
 	}
 }
 
-// Quorums are how many voters must promise a ballot, and how many must accept its value. Any two such sets meet.
+// Quorums returns how many voters must promise a ballot and how many must accept its value. Every set of the one size
+// intersects every set of the other.
 func (c *Coordinator) Quorums() (promises, votes int) {
 	votes = rpc.QuorumSize(len(c.voters), c.maxFaults)
 	return len(c.voters) - votes + 1, votes
 }
 
-// Committed is the greatest version that is known to be committed.
+// Committed returns the greatest version known to be committed.
 func (c *Coordinator) Committed() Target { return c.committed }
 
 func (c *Coordinator) version(number uint64) *trackedVersion {
@@ -182,20 +184,20 @@
 
 func (c *Coordinator) sortedVersions() []uint64 { return slices.Sorted(maps.Keys(c.versions)) }
 
-// Step handles what happened up to now, a steady time, and what is due by now.
+// Step handles the events and everything that is due at now, which is a monotonic time.
 func (c *Coordinator) Step(now time.Duration, events ...Event) []Action {
 	c.now, c.actions = now, nil
 	if c.listenEnd == unset {
 		c.listenEnd = now + c.plan.ListenDuration
 	}
 	if c.seq == 0 {
-		c.dropObsolete() // what an earlier process had not come to
+		c.dropObsolete() // left over from an earlier process
 	}
 	for _, e := range events {
 		c.handle(e)
 	}
 	for _, number := range c.sortedVersions() {
-		if v := c.versions[number]; v != nil { // otherwise it was dropped in this step
+		if v := c.versions[number]; v != nil { // nil: dropped earlier in this loop
 			c.advance(v)
 			c.startBallot(v)
 		}
@@ -250,7 +252,7 @@
 	if v.Decided || v.stored && t.Digest <= v.digest {
 		return
 	}
-	if v.stored { // what proxies were told of another body under this version counts for nothing
+	if v.stored { // another body: requests for the former one do not count
 		clear(v.askedToPrepare)
 	}
 	v.stored, v.digest = true, t.Digest
@@ -258,16 +260,16 @@
 }
 
 func (c *Coordinator) onLeaseGranted(e LeaseGranted) {
-	if held, has := c.leases[e.Proxy]; has && held.incarnation != e.Incarnation {
+	if held, ok := c.leases[e.Proxy]; ok && held.incarnation != e.Incarnation {
 		c.endLease(e.Proxy, false)
 	}
 	c.leases[e.Proxy] = lease{e.Zone, e.Incarnation}
 }
 
-// endLease ends a lease: what that incarnation confirmed no longer counts.
+// endLease removes a lease and the confirmations of its holder.
 func (c *Coordinator) endLease(proxy string, returned bool) {
-	held, has := c.leases[proxy]
-	if !has {
+	held, ok := c.leases[proxy]
+	if !ok {
 		return
 	}
 	delete(c.leases, proxy)
@@ -282,8 +284,8 @@
 	}
 }
 
-// onConfirmed keeps a confirmation also of a body that is not rolled out here: another node may have asked for it. It
-// counts if its digest is the one here.
+// onConfirmed records a confirmation even if this node has not stored the body: another node may have asked for it.
+// isConfirmed compares the digests.
 func (c *Coordinator) onConfirmed(e Confirmed) {
 	isCurrent := c.leases[e.Proxy].incarnation == e.Incarnation
 	if !isCurrent || e.Version <= c.committed.Version {
@@ -296,7 +298,7 @@
 
 func (c *Coordinator) onMeasured(e Measured) {
 	for _, v := range c.versions {
-		if confirmed, has := v.confirmations[e.Proxy]; has && !confirmed.notReadable {
+		if confirmed, ok := v.confirmations[e.Proxy]; ok && !confirmed.notReadable {
 			v.withVersion.add(e)
 		} else {
 			v.withoutVersion.add(e)
--- a/internal/controlplane/rollout/decision.go
+++ b/internal/controlplane/rollout/decision.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// ballotRetryInterval is when a ballot without an end gives way to the next, plus up to as much again by name and
-	// round, so that one of several proposers gets through.
+	// ballotRetryInterval is the minimum time between two ballots of a node. A jitter of up to the same length is added,
+	// so that one of several proposers succeeds.
 	ballotRetryInterval = 300 * time.Millisecond
-	// voterStagger is the pause between the first ballots of the nodes, in the order of their rank.
+	// voterStagger is the delay between the first ballots of nodes of successive rank.
 	voterStagger = 100 * time.Millisecond
 )
 
@@ -22,7 +22,7 @@
 	}
 }
 
-// broadcast sends a message to all voters, this node included.
+// broadcast sends a message to all voters, including this node.
 func (c *Coordinator) broadcast(m Message) {
 	for _, voter := range c.voters {
 		if voter != c.self {
@@ -48,7 +48,7 @@
 	return c.seq
 }
 
-// onPersisted sends the answers that waited for a record. A disk that failed answers nothing; whoever asked asks again.
+// onPersisted sends the answers that waited for a record. If the write failed, no answer is sent; the proposer retries.
 func (c *Coordinator) onPersisted(e Persisted) {
 	var ready []pendingAnswer
 	c.answers = slices.DeleteFunc(c.answers, func(a pendingAnswer) bool {
@@ -65,8 +65,8 @@
 	}
 }
 
-// dropSuperseded lets go of the versions below the committed one. Their records stay until that one's is on the disk: a
-// disk without either would vote anew on what it has voted on.
+// dropSuperseded removes the versions below the committed one. Their records stay until the committed version's record
+// is durable: without any of these records, this node could vote again on a version that is closed.
 func (c *Coordinator) dropSuperseded() {
 	for _, number := range c.sortedVersions() {
 		if number < c.committed.Version {
@@ -84,7 +84,7 @@
 }
 
 func (c *Coordinator) onMessage(from string, m Message) {
-	if m.Version < c.committed.Version { // closed for good, as a higher one is committed
+	if m.Version < c.committed.Version { // closed: a higher version is committed
 		if m.Kind == PrepareRequest || m.Kind == AcceptRequest {
 			c.sendAnswer(from, Message{
 				Kind:    DecidedNotice,
@@ -110,14 +110,14 @@
 		}
 	case PreemptedResponse:
 		if v.proposal.Phase != paxos.Idle && v.proposal.Ballot.Less(m.Ballot) {
-			v.proposal.Stop() // the next ballot waits: two that preempt each other at once would do so for ever
+			v.proposal.Stop() // without a delay, two proposers could preempt each other forever
 		}
 	case DecidedNotice:
 		c.onDecided(v, m.Value)
 	}
 }
 
-// answerAsAcceptor handles a request to this disk. A promise or a vote is sent once it is on the disk.
+// answerAsAcceptor handles a prepare or accept request. A promise or a vote is sent once it is durable.
 func (c *Coordinator) answerAsAcceptor(from string, v *trackedVersion, m Message) {
 	if v.Decided {
 		c.sendAnswer(from, Message{Kind: DecidedNotice, Version: v.Version, Value: v.Value})
@@ -125,7 +125,7 @@
 	}
 	mayVote := c.isVoter && v.Version > c.closedUpTo && slices.Contains(c.voters, c.self)
 	if !mayVote {
-		return // it may have forgotten what it promised
+		return // this node may have lost a promise that it made
 	}
 	answer := Message{Version: v.Version, Ballot: m.Ballot}
 	switch {
@@ -144,7 +144,7 @@
 	c.answers = append(c.answers, pendingAnswer{c.persist(v), from, answer})
 }
 
-// startBallot begins a ballot, where there is something to be decided or to be found out.
+// startBallot starts a ballot if this node has a decision to propose, or an accepted value to recover.
 func (c *Coordinator) startBallot(v *trackedVersion) {
 	if v.Decided || v.Version <= c.committed.Version || c.now < v.retryAt {
 		return
@@ -154,7 +154,7 @@
 		return
 	}
 	if promises, _ := c.Quorums(); c.reachableVoters() < promises {
-		return // nothing would come of it but higher rounds
+		return // the ballot could not succeed
 	}
 	v.maxRound++
 	v.proposal.Begin(BallotNumber{Round: v.maxRound, Incarnation: c.incarnation})
@@ -163,8 +163,8 @@
 	c.broadcast(Message{Kind: PrepareRequest, Version: v.Version, Ballot: v.proposal.Ballot})
 }
 
-// mayPropose reports whether this node has a decision to propose, and it is its turn. All nodes see the last
-// confirmation at about the same time: one proposal is enough, the others are for its death.
+// mayPropose reports whether this node has a decision to propose and its delay has passed. All nodes reach the same
+// decision at about the same time; nodes of higher rank propose only if those of lower rank have not succeeded.
 func (c *Coordinator) mayPropose(v *trackedVersion) bool {
 	if c.ownDecision(v).isZero() {
 		v.wantedAt = unset
@@ -176,7 +176,7 @@
 	return c.now >= v.wantedAt+time.Duration(c.rankAmongVoters(v.Version))*voterStagger
 }
 
-// rankAmongVoters is the number of connected voters that come before this node.
+// rankAmongVoters returns the number of connected voters that precede this node.
 func (c *Coordinator) rankAmongVoters(version uint64) (rank int) {
 	isVoter := slices.Contains(c.voters, c.self)
 	own := rendezvousHash(version, c.self)
@@ -188,7 +188,7 @@
 	return rank
 }
 
-// reachableVoters is the number of connected voters, this node included.
+// reachableVoters returns the number of connected voters, including this node.
 func (c *Coordinator) reachableVoters() (n int) {
 	for _, voter := range c.voters {
 		if voter == c.self || c.connected[voter] {
@@ -198,8 +198,8 @@
 	return n
 }
 
-// onPromise goes on with the value of the highest ballot that was accepted. The node's own decision counts only where
-// there is none.
+// onPromise starts phase 2 once enough voters have promised. The proposed value is that of the highest accepted ballot,
+// or this node's own decision if no value was accepted.
 func (c *Coordinator) onPromise(v *trackedVersion) {
 	if promises, _ := c.Quorums(); len(v.proposal.Responses) < promises {
 		return
@@ -217,14 +217,14 @@
 	c.broadcast(Message{Kind: AcceptRequest, Version: v.Version, Ballot: v.proposal.Ballot, Value: value})
 }
 
-// onDecided takes over the decision, once.
+// onDecided applies the first decision it gets for a version and ignores further ones.
 func (c *Coordinator) onDecided(v *trackedVersion, d Decision) {
 	if v.Decided {
 		return
 	}
 	v.proposal.Stop()
 	v.Decided, v.Value, v.recoverAt = true, d, unset
-	seq := c.persist(v) // nobody waits for it: the records of the ballots are enough to find the decision again
+	seq := c.persist(v) // no answer waits for this record: the decision can be recovered from the votes
 	c.emit(VersionDecided{v.Version, d})
 	for _, to := range slices.Sorted(maps.Keys(c.connected)) {
 		c.send(to, Message{Kind: DecidedNotice, Version: v.Version, Value: d})
--- a/internal/controlplane/rollout/events.go
+++ b/internal/controlplane/rollout/events.go
@@ -6,24 +6,24 @@
 	"elmfold/internal/controlplane/paxos"
 )
 
-// BallotNumber orders the ballots of a version.
+// BallotNumber identifies and orders the ballots for a version.
 type BallotNumber = paxos.BallotNumber
 
-// Target is a version with the digest of its body.
+// Target identifies a version by its number and the digest of its body.
 type Target struct{ Version, Digest uint64 }
 
-// Reason of a halt.
+// Reason is the reason why a version is halted.
 type Reason uint8
 
-// Reasons of a halt.
+// Reasons to halt a version.
 const (
 	NoReason         Reason = iota
-	TooFewConfirmed         // within the timeout of a stage
-	Unhealthy               // proxies with it fail more, or are slower, than those without it
-	ProxiesEnded            // too many proxies ended that were told to prepare it
-	NotReadable             // proxies cannot read it
+	TooFewConfirmed         // a stage timed out without enough confirmations
+	Unhealthy               // proxies with the version fail more or are slower than those without it
+	ProxiesEnded            // too many proxies ended after they were asked to prepare the version
+	NotReadable             // too many proxies cannot compile the body
 	Superseded              // a higher version is stored
-	HaltedByOperator        // it was ordered
+	HaltedByOperator        // an operator requested it
 )
 
 func (r Reason) String() string {
@@ -46,24 +46,24 @@
 	return "unknown"
 }
 
-// Decision ends a version: it is committed, or halted for a Reason. The zero Decision stands for none.
+// Decision is the outcome of a version: committed, or halted for a Reason. The zero Decision means that there is none.
 type Decision struct {
 	Committed bool
-	Digest    uint64 // of what is committed
-	Reason    Reason // of a halt
+	Digest    uint64 // of the committed body
+	Reason    Reason // of a halted version
 }
 
 func (d Decision) isZero() bool { return d == Decision{} }
 
-// Vote is what a disk holds of a version: one record.
+// Vote is the record that a voter stores for a version.
 type Vote struct {
 	Version uint64
 	paxos.Acceptor[Decision]
-	Decided bool // Value is the decision
-	Closed  bool // this disk has lost state, and answers no ballot for this version or any below
+	Decided bool // whether Value is the decision
+	Closed  bool // whether this voter lost its state and may not answer ballots for this version or lower ones
 }
 
-// Kind of a Message.
+// Kind is the kind of a Message.
 type Kind uint8
 
 // Kinds of messages between control-plane nodes.
@@ -72,7 +72,7 @@
 	PromiseResponse                   // phase 1b
 	AcceptRequest                     // phase 2a
 	AcceptedResponse                  // phase 2b
-	PreemptedResponse                 // a higher ballot was promised; Ballot is that one
+	PreemptedResponse                 // Ballot is the higher ballot that was promised
 	DecidedNotice                     // Value is the decision
 )
 
@@ -81,32 +81,32 @@
 	Kind     Kind
 	Version  uint64
 	Ballot   BallotNumber
-	Accepted BallotNumber // PromiseResponse: the ballot of Value
+	Accepted BallotNumber // in a PromiseResponse, the ballot in which Value was accepted
 	Value    Decision
 }
 
-// Event is what Coordinator.Step or Participant.Step is told: one of the structs below that have isEvent.
+// Event is an input of Coordinator.Step or Participant.Step.
 type Event interface{ isEvent() }
 
-// BodyStored says that the body of a version is durable on the voters' disks. No ballot for it begins before.
+// BodyStored reports that the body of a version is durable on the voters' disks. No ballot for it starts earlier.
 type BodyStored struct{ Target }
 
-// LeaseGranted says that a proxy holds a lease. An incarnation that held it before has ended.
+// LeaseGranted reports that a proxy holds a lease. Any other incarnation that held it has ended.
 type LeaseGranted struct {
 	Proxy, Zone string
 	Incarnation uint64 // not 0
 }
 
-// LeaseEnded says that a proxy's lease expired, or was returned in order.
+// LeaseEnded reports that a proxy's lease expired, or that the proxy returned it when it shut down.
 type LeaseEnded struct {
 	Proxy    string
 	Returned bool
 }
 
-// ProxyConnected says that a proxy has a new connection: it is told all that concerns it.
+// ProxyConnected reports a new connection from a proxy. The current commands are sent to it again.
 type ProxyConnected struct{ Proxy string }
 
-// Confirmed says that a proxy has prepared a version, or cannot read it.
+// Confirmed reports that a proxy has prepared a version, or cannot compile its body.
 type Confirmed struct {
 	Proxy       string
 	Incarnation uint64
@@ -114,56 +114,56 @@
 	NotReadable bool
 }
 
-// Measured is what a proxy has seen since its last report.
+// Measured reports the traffic of a proxy since its last report.
 type Measured struct {
 	Proxy     string
 	Attempts  float64
-	Failed    float64 // of the Attempts
-	LatencyMS float64 // sum, of the responses
-	AddedMS   float64 // sum, of what the proxy itself added
+	Failed    float64 // part of Attempts
+	LatencyMS float64 // sum of the response times
+	AddedMS   float64 // sum of the time that the proxy itself added
 }
 
-// HaltRequested is an operator's order to halt a version.
+// HaltRequested reports that an operator wants a version to be halted.
 type HaltRequested struct{ Version uint64 }
 
-// PeerConnected says that the connection to another control-plane node is up.
+// PeerConnected reports that a connection to another control-plane node is established.
 type PeerConnected struct{ Peer string }
 
-// PeerDisconnected says that it broke.
+// PeerDisconnected reports that the connection to another control-plane node is closed.
 type PeerDisconnected struct{ Peer string }
 
-// MessageReceived is a message of another control-plane node.
+// MessageReceived is a message from another control-plane node.
 type MessageReceived struct {
 	From string
 	Message
 }
 
-// Persisted answers a Persist.
+// Persisted reports the result of a Persist action.
 type Persisted struct {
 	Seq uint64
 	Err error
 }
 
-// CaughtUp says that this disk, which had lost state, has read all up to a version; it votes on later ones. It must be
-// marked as complete only after the record that this causes is written.
+// CaughtUp reports that this node lost its state and has since read everything up to a version. It votes on later
+// versions. The caller may mark the disk as complete only after the record of the resulting Persist action is durable.
 type CaughtUp struct{ UpTo uint64 }
 
-// Resumed says that this process was suspended: what it knows of leases is outdated.
+// Resumed reports that this process was suspended, so that its view of leases may be outdated.
 type Resumed struct{}
 
-// CommandReceived is a command of a control-plane node to a proxy.
+// CommandReceived is a command from a control-plane node to this proxy.
 type CommandReceived struct {
 	Command Command
 	Target
 }
 
-// ControllerConnected says that a proxy's connection to a control-plane node is new.
+// ControllerConnected reports a new connection from this proxy to a control-plane node.
 type ControllerConnected struct{ Name string }
 
-// BodyReceived says that a proxy has fetched the body of a version.
+// BodyReceived reports that this proxy has fetched the body of a version.
 type BodyReceived struct{ Target }
 
-// CompileDone says that a body was checked and compiled, or cannot be.
+// CompileDone reports the result of a Compile action.
 type CompileDone struct {
 	Target
 	Err error
@@ -187,55 +187,56 @@
 func (BodyReceived) isEvent()        {}
 func (CompileDone) isEvent()         {}
 
-// Action is what a Step asks its caller to do: one of the structs below that have isAction.
+// Action is an output of Coordinator.Step or Participant.Step that the caller carries out.
 type Action interface{ isAction() }
 
-// Persist is a record that replaces the one of its version. Records of one version are written in their order.
+// Persist writes the record of a version and replaces the former one. Records of one version are written in order. The
+// caller answers with Persisted.
 type Persist struct {
 	Seq uint64
 	Vote
 }
 
-// Drop ends the record of a version.
+// Drop deletes the record of a version.
 type Drop struct{ Version uint64 }
 
-// Send is a message to another control-plane node.
+// Send sends a message to another control-plane node.
 type Send struct {
 	To string
 	Message
 }
 
-// Command is what a proxy is told of a version.
+// Command tells a proxy what to do with a version.
 type Command uint8
 
 // Commands to proxies.
 const (
-	CommandPrepare  Command = iota + 1 // fetch, check and compile it, and confirm
-	CommandActivate                    // serve it
-	CommandDiscard                     // it is halted, or superseded
+	CommandPrepare  Command = iota + 1 // fetch, check and compile the body, then confirm
+	CommandActivate                    // serve the version
+	CommandDiscard                     // remove the version, which is halted
 )
 
-// SendCommand is a command for a proxy, or for all that are connected (""). It is lost with the connection, and
-// sent anew at ProxyConnected.
+// SendCommand sends a command to a proxy, or to all connected proxies if Proxy is empty. Commands are lost with the
+// connection and sent again after ProxyConnected.
 type SendCommand struct {
 	Proxy   string
 	Command Command
 	Target
 }
 
-// VersionDecided tells the decision on a version, once.
+// VersionDecided reports the decision on a version. It is emitted once for each version.
 type VersionDecided struct {
 	Version uint64
 	Decision
 }
 
-// Fetch asks for a body.
+// Fetch requests the body of a version. The caller answers with BodyReceived.
 type Fetch struct{ Target }
 
-// Compile asks for a body to be checked and compiled. CompileDone answers it.
+// Compile checks and compiles a body. The caller answers with CompileDone.
 type Compile struct{ Target }
 
-// SendConfirmation is for a control-plane node, or for all that are connected ("").
+// SendConfirmation sends a confirmation to a control-plane node, or to all connected ones if To is empty.
 type SendConfirmation struct {
 	To          string
 	Incarnation uint64
@@ -243,13 +244,13 @@
 	NotReadable bool
 }
 
-// Activate has requests that begin from now on served by a version.
+// Activate makes a version serve all requests that start from now on.
 type Activate struct{ Target }
 
-// Discard lets a prepared version go.
+// Discard releases a version that is not active.
 type Discard struct{ Target }
 
-// FreshnessChanged says whether a proxy may call itself ready, as far as its version goes.
+// FreshnessChanged reports whether the active version is recent enough for the proxy to report itself as ready.
 type FreshnessChanged struct{ Fresh bool }
 
 func (Persist) isAction()          {}
@@ -264,22 +265,23 @@
 func (Discard) isAction()          {}
 func (FreshnessChanged) isAction() {}
 
-// Stage of a Plan. Asked are Proxies of each of Zones zones; 0: all.
+// Stage is one stage of a Plan.
 type Stage struct {
-	Proxies, Zones int
-	MinShare       float64       // of those asked in each zone that must confirm; the number is rounded up
-	MinTotal       int           // confirmations in all zones, at least 1
-	Soak           time.Duration // from enough confirmations to the next stage
-	Timeout        time.Duration // without enough confirmations for so long the version is halted
+	Proxies  int           // number of proxies in each zone that are asked to prepare the version; 0: all
+	Zones    int           // number of zones; 0: all
+	MinShare float64       // share of the asked proxies in each zone that must confirm, rounded up to whole proxies
+	MinTotal int           // confirmations needed in all zones together, at least 1
+	Soak     time.Duration // between enough confirmations and the next stage
+	Timeout  time.Duration // the version is halted if the stage lacks confirmations for this long
 }
 
-// Plan is how versions are rolled out.
+// Plan sets how versions are rolled out.
 type Plan struct {
 	Stages            []Stage
-	ListenDuration    time.Duration // a node that starts counts nothing before; a lease's duration
-	MaxEnded          int           // so many ended proxies halt a version; 0: none does
-	MaxNotReadable    int           // so many proxies that cannot read it halt a version; 0: none does
-	MinAttempts       float64       // on both sides, from which on they are compared; 0: never
-	MaxExtraFailures  float64       // share of failures over that of proxies without the version
-	MaxExtraLatencyMS float64       // mean, of responses and of what is added, over that of proxies without it
+	ListenDuration    time.Duration // a starting node learns leases for this long before it counts; a lease's duration
+	MaxEnded          int           // number of ended proxies that halts a version; 0: no limit
+	MaxNotReadable    int           // number of proxies that cannot compile a version that halts it; 0: no limit
+	MinAttempts       float64       // attempts with and without the version before they are compared; 0: never compared
+	MaxExtraFailures  float64       // excess of the failure ratio over that of proxies without the version
+	MaxExtraLatencyMS float64       // excess of the mean latency, or of the mean added time, over theirs
 }
--- a/internal/controlplane/rollout/participant.go
+++ b/internal/controlplane/rollout/participant.go
@@ -6,47 +6,49 @@
 	"time"
 )
 
+// fetchRetryInterval is the time after which a body that has not arrived is requested again.
 const fetchRetryInterval = 400 * time.Millisecond
 
-// State of a version at a proxy.
+// State is the state of a version at a proxy.
 type State uint8
 
-// States of a version at a proxy. It passes through them in their order, or is discarded.
+// States of a version at a proxy. Proposed leads to Fetched, and Fetched to Prepared or Unreadable.
 const (
 	Proposed   State = iota + 1 // its body is being fetched
 	Fetched                     // its body is being checked and compiled
-	Prepared                    // it could be activated
+	Prepared                    // it can be activated
 	Unreadable                  // its body cannot be compiled
 )
 
 type versionState struct {
 	digest    uint64
 	state     State
-	fetchedAt time.Duration // when the body was last asked for
+	fetchedAt time.Duration // when the body was last requested
 }
 
-// Participant is the part of one proxy. It never goes back to an earlier version. It belongs to one goroutine.
+// Participant is the state machine of one proxy. It never activates a version lower than the active one. It is not safe
+// for concurrent use.
 type Participant struct {
 	incarnation  uint64
 	staleTimeout time.Duration
 	active       Target
-	committed    Target        // the greatest version that it was told to activate
-	behindAt     time.Duration // since when committed is not active
+	committed    Target        // the greatest version that a control-plane node told it to activate
+	behindAt     time.Duration // since when the active version is behind committed
 	stale        bool
 	versions     map[uint64]*versionState
 	actions      []Action
 }
 
-// NewParticipant makes a Participant that serves nothing. staleTimeout is how long it may be told to activate a version
-// that it cannot get before it is no longer fresh.
+// NewParticipant returns a Participant without an active version. It becomes stale when a committed version is not
+// active within staleTimeout.
 func NewParticipant(incarnation uint64, staleTimeout time.Duration) *Participant {
 	return &Participant{incarnation: incarnation, staleTimeout: staleTimeout, versions: map[uint64]*versionState{}}
 }
 
-// Active is what is served.
+// Active returns the version that is served.
 func (p *Participant) Active() Target { return p.active }
 
-// Step handles what happened up to now, and what is due by now.
+// Step handles the events and everything that is due at now, which is a monotonic time.
 func (p *Participant) Step(now time.Duration, events ...Event) []Action {
 	p.actions = nil
 	for _, e := range events {
@@ -97,7 +99,7 @@
 	case CommandActivate:
 		p.onActivate(now, e.Target)
 	case CommandDiscard:
-		if e.Version > p.committed.Version { // what is committed cannot be halted, whoever says so
+		if e.Version > p.committed.Version { // a committed version cannot be discarded
 			p.discard(e.Version)
 		}
 	}
@@ -105,7 +107,7 @@
 
 func (p *Participant) onActivate(now time.Duration, t Target) {
 	if t.Version > p.committed.Version {
-		if p.active.Version == p.committed.Version { // otherwise it is behind already
+		if p.active.Version == p.committed.Version { // otherwise the proxy is already behind
 			p.behindAt = now
 		}
 		p.committed = t
@@ -129,7 +131,8 @@
 	p.activateIfReady()
 }
 
-// fetch has a version fetched. Of two bodies the committed one is prepared, otherwise the one with the greater digest.
+// fetch requests the body of a version unless it is already known. If two bodies have the same version, the committed
+// one is prepared, or the one with the greater digest while neither is committed.
 func (p *Participant) fetch(now time.Duration, t Target, isCommitted bool) {
 	v := p.versions[t.Version]
 	if v == nil || v.digest != t.Digest && (isCommitted || v.digest < t.Digest) {
@@ -139,12 +142,13 @@
 		return
 	}
 	if isCommitted && v.state == Unreadable {
-		v.state, v.fetchedAt = Proposed, now // others can read it: what came here may have been damaged
+		v.state, v.fetchedAt = Proposed, now // other proxies can read the body: the copy here may be damaged
 		return
 	}
 	p.confirm("", t.Version, v)
 }
 
+// confirm sends the result of preparing a version, if there is one; to is empty for all connected control-plane nodes.
 func (p *Participant) confirm(to string, number uint64, v *versionState) {
 	if v.state == Prepared || v.state == Unreadable {
 		p.emit(SendConfirmation{to, p.incarnation, Target{number, v.digest}, v.state == Unreadable})
@@ -158,7 +162,7 @@
 	}
 }
 
-// activateIfReady activates the committed version if it is prepared.
+// activateIfReady activates the committed version if it is prepared, and discards lower ones.
 func (p *Participant) activateIfReady() {
 	v := p.versions[p.committed.Version]
 	isReady := v != nil && v.state == Prepared && v.digest == p.committed.Digest
--- a/internal/controlplane/rollout/progress.go
+++ b/internal/controlplane/rollout/progress.go
@@ -8,25 +8,27 @@
 	"slices"
 )
 
-// shareTolerance absorbs the rounding of a share of a whole number.
+// shareTolerance absorbs floating-point error in the product of a share and a count.
 const shareTolerance = 1e-9
 
-// hashMultiplier is that of the finalizer of rrmxmx.
+// hashMultiplier is the constant of the rrmxmx mixing function.
 const hashMultiplier = 0xd6e8feb86659fd93
 
-// rendezvousHash orders names for a version: another one goes first each time, the same on all nodes.
+// rendezvousHash gives the position of a name in the order for a version. The order differs between versions and is the
+// same on all nodes.
 func rendezvousHash(version uint64, name string) uint64 {
 	h := fnv.New64a()
 	for i := range 8 {
-		_, _ = h.Write([]byte{byte(version >> (8 * i))}) // never fails
+		_, _ = h.Write([]byte{byte(version >> (8 * i))}) // a hash.Hash never returns an error
 	}
 	_, _ = h.Write([]byte(name))
 	x := h.Sum64()
-	x ^= x >> 32 // FNV leaves the upper bits of short names alike
+	x ^= x >> 32 // the upper bits of FNV hashes of short names hardly differ
 	x *= hashMultiplier
 	return x ^ x>>32
 }
 
+// byRank sorts names in place by their rendezvous hash and returns them.
 func byRank(version uint64, names []string) []string {
 	slices.SortFunc(names, func(a, b string) int {
 		return cmp.Or(cmp.Compare(rendezvousHash(version, a), rendezvousHash(version, b)), cmp.Compare(a, b))
@@ -34,7 +36,7 @@
 	return names
 }
 
-// leasesByZone are the proxies with a lease by zone, and the zones in the order in which they are asked.
+// leasesByZone returns the proxies with a lease by zone, and the zones in the order in which stages include them.
 func (c *Coordinator) leasesByZone(version uint64) (zones []string, proxies map[string][]string) {
 	proxies = map[string][]string{}
 	for _, name := range slices.Sorted(maps.Keys(c.leases)) {
@@ -44,58 +46,68 @@
 	return byRank(version, slices.Collect(maps.Keys(proxies))), proxies
 }
 
-// isConfirmed reports whether a proxy's confirmation counts: it holds a lease under the incarnation that confirmed, and
-// it confirmed this body.
+// isConfirmed reports whether a proxy's confirmation counts: it is for the body that is being rolled out, and the
+// incarnation that sent it holds the lease.
 func (c *Coordinator) isConfirmed(v *trackedVersion, proxy string) bool {
 	held, hasLease := c.leases[proxy]
-	confirmed, has := v.confirmations[proxy]
-	return hasLease && has && !confirmed.notReadable && confirmed.incarnation == held.incarnation &&
+	confirmed, ok := v.confirmations[proxy]
+	return hasLease && ok && !confirmed.notReadable && confirmed.incarnation == held.incarnation &&
 		confirmed.digest == v.digest
 }
 
-// isStageConfirmed reports whether a stage has its confirmations. With tellMissing, those proxies of the stage that
-// were not told yet are told to prepare the version.
-func (c *Coordinator) isStageConfirmed(v *trackedVersion, stage Stage, tellMissing bool) bool {
+// stageZone is a zone of a stage: its proxies with a lease, and how many of them the stage asks.
+type stageZone struct {
+	names  []string
+	wanted int
+}
+
+func (c *Coordinator) stageZones(v *trackedVersion, stage Stage) []stageZone {
 	zones, proxies := c.leasesByZone(v.Version)
 	if stage.Zones > 0 {
 		zones = zones[:min(stage.Zones, len(zones))]
 	}
-	total, enough := 0, true
+	result := make([]stageZone, 0, len(zones))
 	for _, zone := range zones {
 		names := proxies[zone]
 		wanted := len(names)
 		if stage.Proxies > 0 {
 			wanted = min(wanted, stage.Proxies)
 		}
+		result = append(result, stageZone{names, wanted})
+	}
+	return result
+}
+
+// isStageConfirmed reports whether a stage has enough confirmations in each of its zones and in total.
+func (c *Coordinator) isStageConfirmed(v *trackedVersion, stage Stage, zones []stageZone) bool {
+	total, enough := 0, true
+	for _, zone := range zones {
 		confirmed := 0
-		for _, name := range names {
+		for _, name := range zone.names {
 			if c.isConfirmed(v, name) {
 				confirmed++
 			}
 		}
-		if tellMissing {
-			c.askToPrepare(v, names, wanted)
-		}
 		total += confirmed
-		enough = enough && confirmed >= int(math.Ceil(stage.MinShare*float64(wanted)-shareTolerance))
+		enough = enough && confirmed >= int(math.Ceil(stage.MinShare*float64(zone.wanted)-shareTolerance))
 	}
 	return enough && total >= max(stage.MinTotal, 1)
 }
 
-// askToPrepare tells further proxies of a zone, until so many are told.
-func (c *Coordinator) askToPrepare(v *trackedVersion, names []string, wanted int) {
+// askToPrepare sends prepare commands to further proxies of a zone until the wanted number has been asked.
+func (c *Coordinator) askToPrepare(v *trackedVersion, zone stageZone) {
 	asked := 0
-	for _, name := range names {
+	for _, name := range zone.names {
 		if v.askedToPrepare[name] == c.leases[name].incarnation {
 			asked++
 		}
 	}
-	if asked >= wanted {
+	if asked >= zone.wanted {
 		return
 	}
-	for _, name := range byRank(v.Version, names) {
+	for _, name := range byRank(v.Version, zone.names) {
 		incarnation := c.leases[name].incarnation
-		if asked < wanted && v.askedToPrepare[name] != incarnation {
+		if asked < zone.wanted && v.askedToPrepare[name] != incarnation {
 			asked++
 			v.askedToPrepare[name] = incarnation
 			c.sendCommand(name, CommandPrepare, Target{v.Version, v.digest})
@@ -103,7 +115,7 @@
 	}
 }
 
-// advance moves a version through its stages, or finds a reason to halt it.
+// advance moves a version through its stages, or sets the reason to halt it.
 func (c *Coordinator) advance(v *trackedVersion) {
 	if !v.stored || v.Decided || v.Version <= c.committed.Version || v.haltReason != NoReason {
 		return
@@ -124,9 +136,13 @@
 	}
 }
 
-// passStage reports whether a version goes on to the next stage.
+// passStage asks the proxies of a stage to prepare the version, and reports whether the version has passed the stage.
 func (c *Coordinator) passStage(v *trackedVersion, stage Stage) bool {
-	if !c.isStageConfirmed(v, stage, true) {
+	zones := c.stageZones(v, stage)
+	for _, zone := range zones {
+		c.askToPrepare(v, zone)
+	}
+	if !c.isStageConfirmed(v, stage, zones) {
 		v.confirmedAt = unset
 		if c.now >= v.stageStartedAt+stage.Timeout {
 			v.haltReason = TooFewConfirmed
@@ -144,7 +160,7 @@
 	return true
 }
 
-// isSuperseded reports whether a higher version is stored, and not halted.
+// isSuperseded reports whether a higher version is stored and has not been halted.
 func (c *Coordinator) isSuperseded(v *trackedVersion) bool {
 	for number, other := range c.versions {
 		isHalted := other.Decided && !other.Value.Committed
@@ -155,7 +171,7 @@
 	return false
 }
 
-// harmReason is what a version does to the proxies that were told of it.
+// harmReason returns the reason to halt a version that harms the proxies that prepare it, or NoReason.
 func (c *Coordinator) harmReason(v *trackedVersion) Reason {
 	notReadable := 0
 	for _, confirmed := range v.confirmations {
@@ -174,7 +190,7 @@
 	return NoReason
 }
 
-// isUnhealthy compares proxies with a version to those without it.
+// isUnhealthy reports whether proxies with a version fail more or are slower than those without it.
 func (p *Plan) isUnhealthy(with, without *measurement) bool {
 	if p.MinAttempts == 0 || with.attempts < p.MinAttempts || without.attempts < p.MinAttempts {
 		return false
@@ -185,7 +201,8 @@
 	return fails || isSlow || addsMore
 }
 
-// ownDecision is what this node would have decided, as of now: its counts may have changed since its ballot began.
+// ownDecision returns the decision that this node proposes, or the zero Decision. The confirmations are counted anew,
+// as they may have changed since the ballot started.
 func (c *Coordinator) ownDecision(v *trackedVersion) Decision {
 	if v.haltReason != NoReason {
 		return Decision{Reason: v.haltReason}
@@ -194,10 +211,11 @@
 	if !v.stored || c.now < c.listenEnd || v.stage < len(stages) || len(stages) == 0 {
 		return Decision{}
 	}
-	if c.isStageConfirmed(v, stages[len(stages)-1], false) {
+	last := stages[len(stages)-1]
+	if c.isStageConfirmed(v, last, c.stageZones(v, last)) {
 		return Decision{Committed: true, Digest: v.digest}
 	}
-	// It has lost confirmations between the last count and the ballot: back to the last stage.
+	// Confirmations were lost after the last stage had passed: repeat that stage.
 	v.stage, v.stageStartedAt, v.confirmedAt = len(stages)-1, c.now, unset
 	return Decision{}
 }
