--- a/internal/controller/aggregation/aggregation.go
+++ b/internal/controller/aggregation/aggregation.go
@@ -1,12 +1,13 @@
-// Package aggregation adds up what the controllers of a fleet met at each backend, over a tree that each of them
-// works out alone from the same names: a node sends what it and those below it met to one parent, with a number,
-// and the root's total comes back down. So each origin's word counts once, and what a process sends and hears does
-// not grow with the number of processes. Nothing here reads a clock or a socket. docs/notes/spread.md weighs the
-// other ways.
+// Package aggregation sums, over a tree of controllers, what the proxies of a fleet measured at each backend. Every
+// controller derives the same tree from the same member names. A node sends the sum of its own measurements and those
+// of its children to its parent as a numbered partial; the total of the root is sent back down the tree. Each
+// measurement counts once, and the traffic of a process does not grow with the number of processes. The package reads
+// no clock and no socket. Alternatives: docs/notes/spread.md.
 package aggregation
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 	"strconv"
 	"time"
@@ -15,67 +16,76 @@
 )
 
 const (
-	fanOut     = 8                // children of a node
-	maxReports = 4096             // backends of a message; what is more is dropped
-	mostSpent  = 60 * 1000.0      // ms that a try can have taken
-	mostPart   = 8.0              // multiple of what the others tell for each origin that one may tell
-	mostAge    = 15 * time.Second // older sums say nothing
-	mostUses   = 1024             // pairs of a product and a zone
-	mostUnsure = 64               // folds whose way back is awaited
+	fanOut               = 8 // children of a node
+	maxReports           = 4096
+	maxUsage             = 1024             // pairs of a product and a zone
+	maxPending           = 64               // flushes that have not come back in a total
+	maxAge               = 15 * time.Second // of a partial
+	maxLatencyMS         = 60 * 1000.0      // mean of a report
+	maxAttempts          = 1e9              // of a report
+	maxTxns              = 1e9              // of a Usage, exclusive
+	maxBackendNameLength = 256
+	maxOrigins           = 1 << 16 // of a partial
+	// maxAttemptsRatio limits the attempts per origin of a child, as a multiple of the mean of the other nodes.
+	maxAttemptsRatio = 8.0
+	// minAttempts is the smallest number of attempts that is not a rounding error after a subtraction.
+	minAttempts = 1e-6
 )
 
-// Report is what was met at a backend: tries, how many of them voided, and ms that the answers of the others took
-// in all.
+// Report sums the attempts at a backend.
 type Report struct {
 	Backend        string  `cbor:"1,keyasint"`
 	Attempts       float64 `cbor:"2,keyasint"`
-	Failed         float64 `cbor:"3,keyasint"`
-	TotalLatencyMS float64 `cbor:"4,keyasint"`
+	Failed         float64 `cbor:"3,keyasint"` // part of Attempts
+	TotalLatencyMS float64 `cbor:"4,keyasint"` // of the attempts that did not fail
 }
 
-// Summary is words of several origins. Age is how old they are on the mean.
+// Summary holds the sums of several origins, which are the controllers that measured.
 type Summary struct {
 	Reports []Report      `cbor:"1,keyasint"`
-	Age     time.Duration `cbor:"2,keyasint"`
+	Age     time.Duration `cbor:"2,keyasint"` // mean, weighted by attempts
 	Origins int           `cbor:"3,keyasint"`
-	Usage   []Usage       `cbor:"4,keyasint"` // that come to their proxies
+	Usage   []Usage       `cbor:"4,keyasint"` // of the proxies of the origins
 }
 
-// Usage is how many txns/s of a product come to the proxies of a zone.
+// Usage is the rate of transactions of a product that arrive at the proxies of a zone.
 type Usage struct {
 	Product string  `cbor:"1,keyasint"`
 	Zone    string  `cbor:"2,keyasint"`
-	Txns    float64 `cbor:"3,keyasint"`
+	Txns    float64 `cbor:"3,keyasint"` // per second
 }
 
-// Request goes down the tree: who hears it tells its parent what it has, within the span if it has to wait for others.
+// Request asks a node for a partial and is forwarded down the tree. The node answers when all its children have, or
+// after Timeout.
 type Request struct {
 	Timeout time.Duration `cbor:"1,keyasint"`
 }
 
-// RequestTimeout is the span that a root gives; each further one down has a part of it.
 const (
+	// RequestTimeout is the timeout that a root sets.
 	RequestTimeout = 400 * time.Millisecond
-	askPart        = 0.6
+	// timeoutShare is the part of its own timeout that a node gives its children.
+	timeoutShare = 0.6
 )
 
-// ForChildren is what goes on to the children.
-func (a Request) ForChildren() Request {
-	return Request{min(max(time.Duration(askPart*float64(a.Timeout)), 0), RequestTimeout)}
+// ForChildren returns the request to forward to the children.
+func (r Request) ForChildren() Request {
+	timeout := time.Duration(timeoutShare * float64(r.Timeout))
+	return Request{min(max(timeout, 0), RequestTimeout)}
 }
 
-// Partial goes to the parent: what came together since the number before.
+// Partial is sent to the parent and sums everything since the former partial.
 type Partial struct {
 	Seq         uint64  `cbor:"1,keyasint"`
 	Summary     Summary `cbor:"2,keyasint"`
-	Incarnation uint64  `cbor:"3,keyasint"` // of the one that sends it: numbers begin anew with each
+	Incarnation uint64  `cbor:"3,keyasint"` // of the sender; Seq restarts with each incarnation
 }
 
-// Total comes from the parent: a total of the root, in which what the child sent up to Counted is contained.
+// Total is sent to a child and holds the total of the root.
 type Total struct {
-	Root         string  `cbor:"1,keyasint"`
-	Seq          uint64  `cbor:"2,keyasint"` // of the root
-	IncludedUpTo uint64  `cbor:"3,keyasint"`
+	Root         string  `cbor:"1,keyasint"` // name and incarnation
+	Seq          uint64  `cbor:"2,keyasint"` // assigned by the root
+	IncludedUpTo uint64  `cbor:"3,keyasint"` // the child's partials up to this Seq are included
 	Summary      Summary `cbor:"4,keyasint"`
 }
 
@@ -89,77 +99,109 @@
 	}
 }
 
-// heap is what is open at a node; born is the sum of tries times the moments at which they were met.
-type heap struct {
-	reports map[string]Report
-	born    float64
-	tries   float64
+func (r Report) scaledBy(factor float64) Report {
+	return Report{r.Backend, r.Attempts * factor, r.Failed * factor, r.TotalLatencyMS * factor}
 }
 
-func (h *heap) add(w Report, at float64) {
-	if h.reports == nil {
-		h.reports = map[string]Report{}
+// sanitized bounds a report to plausible values; it returns false for a report without meaning.
+func (r Report) sanitized() (Report, bool) {
+	isNumber := r.Attempts > 0 && r.Failed >= 0 && r.TotalLatencyMS >= 0 // false for NaN
+	if !isNumber || r.Attempts > maxAttempts || r.Backend == "" || len(r.Backend) > maxBackendNameLength {
+		return r, false
 	}
-	if _, there := h.reports[w.Backend]; !there && len(h.reports) >= maxReports {
+	r.Failed = min(r.Failed, r.Attempts)
+	r.TotalLatencyMS = min(r.TotalLatencyMS, (r.Attempts-r.Failed)*maxLatencyMS)
+	return r, true
+}
+
+// accumulator sums reports by backend.
+type accumulator struct {
+	reports     map[string]Report
+	attempts    float64
+	weightedSec float64 // sum of the attempts times the seconds at which they were measured
+}
+
+func (a *accumulator) add(r Report, atSec float64) {
+	if a.reports == nil {
+		a.reports = map[string]Report{}
+	}
+	former, exists := a.reports[r.Backend]
+	if !exists && len(a.reports) >= maxReports {
 		return
 	}
-	was := h.reports[w.Backend]
-	was.Backend = w.Backend
-	h.reports[w.Backend] = was.plus(w)
-	h.born, h.tries = h.born+w.Attempts*at, h.tries+w.Attempts
+	former.Backend = r.Backend
+	a.reports[r.Backend] = former.plus(r)
+	a.attempts += r.Attempts
+	a.weightedSec += r.Attempts * atSec
 }
 
-func (h *heap) list() (all []Report) {
-	for _, w := range h.reports {
-		all = append(all, w)
+func (a *accumulator) sorted() (all []Report) {
+	for _, r := range a.reports {
+		all = append(all, r)
 	}
 	slices.SortFunc(all, func(a, b Report) int { return cmp.Compare(a.Backend, b.Backend) })
 	return all
 }
 
-// child is what a node has of another one below it.
+// meanAge returns the mean age of the attempts.
+func (a *accumulator) meanAge(now time.Duration) time.Duration {
+	if a.attempts > 0 {
+		return max(time.Duration((now.Seconds()-a.weightedSec/a.attempts)*float64(time.Second)), 0)
+	}
+	return 0
+}
+
+// child is a node's state of one of its children.
 type child struct {
 	incarnation uint64
-	last        uint64 // number taken
-	at          time.Duration
-	open        []Report // since the last fold
+	lastSeq     uint64
+	receivedAt  time.Duration
+	reports     []Report // since the last flush
 	age         time.Duration
 	origins     int
-	uses        []Usage
-	notified    bool // since the last fold
+	usage       []Usage
+	hasReported bool // since the last flush
+}
+
+// attemptsPerOrigin returns the attempts since the last flush for each origin of a child.
+func (c *child) attemptsPerOrigin() (sum float64) {
+	for _, r := range c.reports {
+		sum += r.Attempts
+	}
+	return sum / float64(max(c.origins, 1))
 }
 
-// fold is what a node sent up, until it comes back in a total.
-type fold struct {
-	number uint64
-	at     time.Duration
-	own    map[string]Report
-	counts map[string]uint64 // by child: its folds up to that are in it
+// pendingFlush is the node's own part of a partial that has not come back in a total.
+type pendingFlush struct {
+	seq      uint64
+	at       time.Duration
+	own      map[string]Report
+	childSeq map[string]uint64 // by child: its partials up to this Seq are included
 }
 
-// Node is one controller's place in the tree.
+// Node is the state of one controller in the tree. It is not safe for concurrent use.
 type Node struct {
 	self        string
 	incarnation uint64
-	parent      string // empty: it is the root
-	below       []string
-	own         heap
-	uses        []Usage
+	parent      string // empty at the root
+	childNames  []string
+	own         accumulator
+	usage       []Usage
 	children    map[string]*child
-	number      uint64
-	unsure      []fold // oldest first
-	root        string
-	total       uint64 // number of the last one taken
+	seq         uint64
+	pending     []pendingFlush // oldest first
+	root        string         // of the last total
+	totalSeq    uint64         // of the last total
 }
 
-// New makes a Node that knows of nobody else; its life is another one at each start of the process.
-func New(self string, life uint64) *Node {
-	return &Node{self: self, incarnation: life, children: map[string]*child{}}
+// New returns a Node without other members. The incarnation differs at each start of the process.
+func New(self string, incarnation uint64) *Node {
+	return &Node{self: self, incarnation: incarnation, children: map[string]*child{}}
 }
 
-// TreePosition returns the parent and the children of a member. The order of the members is that of a hash of their
-// names, so position is independent of zones and naming. A parent always precedes its children in that order, so
-// messages cannot loop even if members have different views.
+// TreePosition returns the parent and the children of a member. The members are ordered by a hash of their names, so
+// the position does not depend on zones or naming. A parent precedes its children in this order, so messages cannot
+// loop even if members have different views of the membership.
 func TreePosition(self string, members []string) (parent string, children []string) {
 	all := slices.Clone(members)
 	if !slices.Contains(all, self) {
@@ -169,216 +211,222 @@
 		return cmp.Or(cmp.Compare(xxh3.HashString(a), xxh3.HashString(b)), cmp.Compare(a, b))
 	})
 	all = slices.Compact(all)
-	at := slices.Index(all, self)
-	if at > 0 {
-		parent = all[(at-1)/fanOut]
+	index := slices.Index(all, self)
+	if index > 0 {
+		parent = all[(index-1)/fanOut]
 	}
-	return parent, all[min(at*fanOut+1, len(all)):min(at*fanOut+1+fanOut, len(all))]
+	first := index*fanOut + 1
+	return parent, all[min(first, len(all)):min(first+fanOut, len(all))]
 }
 
-// SetMembers says who is there, this one included or not. What went up to a former parent counts as having been added.
+// SetMembers sets the members of the tree, with or without this one. Partials sent to a former parent count as included
+// in a total.
 func (n *Node) SetMembers(all []string) {
-	parent, below := TreePosition(n.self, all)
-	if n.below = below; parent != n.parent {
-		n.parent, n.unsure = parent, nil
-		n.root, n.total = "", 0
+	parent, children := TreePosition(n.self, all)
+	n.childNames = children
+	if parent != n.parent {
+		n.parent, n.pending = parent, nil
+		n.root, n.totalSeq = "", 0
 	}
-	for name := range n.children { // what it told stands; what it numbered anew must not be read past
-		if !slices.Contains(all, name) && !slices.Contains(below, name) && len(n.children[name].open) == 0 {
+	for name, c := range n.children {
+		isMember := slices.Contains(all, name) || slices.Contains(children, name)
+		if !isMember && len(c.reports) == 0 { // reports of a former member are still flushed
 			delete(n.children, name)
 		}
 	}
 }
 
-// Parent is the instance that Fold sends to; none at the root.
+// Parent returns the receiver of this node's partials; it is empty at the root.
 func (n *Node) Parent() string { return n.parent }
 
-// Children are the instances that a total is sent on to.
-func (n *Node) Children() []string { return n.below }
+// Children returns the receivers of totals.
+func (n *Node) Children() []string { return n.childNames }
 
-// Record takes what the own proxies met.
-func (n *Node) Record(w Report, now time.Duration) {
-	if w, ok := sound(w); ok {
-		n.own.add(w, now.Seconds())
+// Record adds a measurement of this controller's own proxies.
+func (n *Node) Record(r Report, now time.Duration) {
+	if r, ok := r.sanitized(); ok {
+		n.own.add(r, now.Seconds())
 	}
 }
 
-// SetUsage says what comes to the own proxies.
-func (n *Node) SetUsage(all []Usage) { n.uses = addUses(nil, all, 1) }
+// SetUsage sets the usage of this controller's own proxies.
+func (n *Node) SetUsage(all []Usage) { n.usage = combineUsage(nil, all, 1) }
 
-// addUses adds up by product and zone, in their order; part is 1 or, to take away, -1.
-func addUses(to, more []Usage, part float64) []Usage {
-	sum := map[[2]string]float64{}
-	for _, u := range to {
-		sum[[2]string{u.Product, u.Zone}] += u.Txns
+// combineUsage adds more to usage, by product and zone; a sign of -1 subtracts it.
+func combineUsage(usage, more []Usage, sign float64) []Usage {
+	type key struct{ product, zone string }
+	sums := map[key]float64{}
+	for _, u := range usage {
+		sums[key{u.Product, u.Zone}] += u.Txns
 	}
 	for _, u := range more {
-		if at := [2]string{u.Product, u.Zone}; u.Txns >= 0 && u.Txns < 1e9 && len(sum) < mostUses {
-			sum[at] = max(sum[at]+part*u.Txns, 0)
+		if u.Txns >= 0 && u.Txns < maxTxns && len(sums) < maxUsage {
+			k := key{u.Product, u.Zone}
+			sums[k] = max(sums[k]+sign*u.Txns, 0)
 		}
 	}
-	all := make([]Usage, 0, len(sum))
-	for at, txns := range sum {
-		all = append(all, Usage{at[0], at[1], txns})
+	all := make([]Usage, 0, len(sums))
+	for k, txns := range sums {
+		all = append(all, Usage{k.product, k.zone, txns})
 	}
-	slices.SortFunc(
-		all,
-		func(a, b Usage) int { return cmp.Or(cmp.Compare(a.Product, b.Product), cmp.Compare(a.Zone, b.Zone)) },
-	)
+	slices.SortFunc(all, func(a, b Usage) int {
+		return cmp.Or(cmp.Compare(a.Product, b.Product), cmp.Compare(a.Zone, b.Zone))
+	})
 	return all
 }
 
-// HasAllPartials says whether all below have told since the last turn.
+// HasAllPartials reports whether all children have sent a partial since the last flush.
 func (n *Node) HasAllPartials() bool {
-	return !slices.ContainsFunc(
-		n.below,
-		func(name string) bool { return n.children[name] == nil || !n.children[name].notified },
-	)
-}
-
-// sound bounds a word to what can be.
-func sound(w Report) (Report, bool) {
-	isNumber := w.Attempts > 0 && w.Failed >= 0 && w.TotalLatencyMS >= 0 // false for NaN
-	if !isNumber || w.Attempts > 1e9 || w.Backend == "" || len(w.Backend) > 256 {
-		return w, false
-	}
-	w.Failed = min(w.Failed, w.Attempts)
-	w.TotalLatencyMS = min(w.TotalLatencyMS, (w.Attempts-w.Failed)*mostSpent)
-	return w, true
+	return !slices.ContainsFunc(n.childNames, func(name string) bool {
+		return n.children[name] == nil || !n.children[name].hasReported
+	})
 }
 
-// HandlePartial takes a child's word; false for one that was taken already.
-func (n *Node) HandlePartial(from string, up Partial, now time.Duration) bool {
+// HandlePartial takes a partial from a child; it returns false for a duplicate.
+func (n *Node) HandlePartial(from string, p Partial, now time.Duration) bool {
 	c := n.children[from]
 	if c == nil {
 		c = &child{}
 		n.children[from] = c
 	}
-	if up.Incarnation != c.incarnation {
-		c.incarnation, c.last = up.Incarnation, 0
+	if p.Incarnation != c.incarnation {
+		c.incarnation, c.lastSeq = p.Incarnation, 0
 	}
-	if up.Seq <= c.last || from == n.self {
+	if p.Seq <= c.lastSeq || from == n.self {
 		return false
 	}
-	c.last, c.at, c.notified = up.Seq, now, true
-	if up.Summary.Age < 0 || up.Summary.Age > mostAge || len(up.Summary.Reports) > maxReports {
+	c.lastSeq, c.receivedAt, c.hasReported = p.Seq, now, true
+	if p.Summary.Age < 0 || p.Summary.Age > maxAge || len(p.Summary.Reports) > maxReports {
 		return true
 	}
-	for _, w := range up.Summary.Reports {
-		if w, ok := sound(w); ok {
-			c.open = append(c.open, w)
+	for _, r := range p.Summary.Reports {
+		if r, ok := r.sanitized(); ok {
+			c.reports = append(c.reports, r)
 		}
 	}
-	c.age, c.origins, c.uses = up.Summary.Age, min(max(up.Summary.Origins, 1), 1<<16), addUses(nil, up.Summary.Usage, 1)
+	c.age = p.Summary.Age
+	c.origins = min(max(p.Summary.Origins, 1), maxOrigins)
+	c.usage = combineUsage(nil, p.Summary.Usage, 1)
 	return true
 }
 
-// perOrigin is how many tries a child tells of for each of its origins since the last fold.
-func (c *child) perOrigin() (all float64) {
-	for _, w := range c.open {
-		all += w.Attempts
+// reportScales returns the factor by which the reports of each child are scaled. A child whose attempts per origin far
+// exceed the mean of the others is scaled down, so that false reports cannot outweigh true ones.
+func (n *Node) reportScales(names []string) map[string]float64 {
+	rates, sum := map[string]float64{}, n.own.attempts
+	for _, name := range names {
+		rates[name] = n.children[name].attemptsPerOrigin()
+		sum += rates[name]
 	}
-	return all / float64(max(c.origins, 1))
+	scales := map[string]float64{}
+	for _, name := range names {
+		scales[name] = 1
+		others := (sum - rates[name]) / float64(len(names))
+		if others > 0 && rates[name] > maxAttemptsRatio*others {
+			scales[name] = maxAttemptsRatio * others / rates[name]
+		}
+	}
+	return scales
 }
 
-// fold closes what is open, as one word.
-func (n *Node) fold(now time.Duration) Summary {
-	f := fold{number: n.number + 1, at: now, own: n.own.reports, counts: map[string]uint64{}}
-	all := heap{}
-	for _, w := range n.own.list() {
-		all.add(w, 0)
-	}
-	all.born = n.own.born
-	s := Summary{Origins: 1, Usage: n.uses}
-	names := make([]string, 0, len(n.children))
-	for name := range n.children {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	// One that tells far more for each of its origins than the others do is scaled down, all of its words alike: a true
-	// one loses weight only, a false one cannot drown the others.
-	rates, sum := map[string]float64{}, n.own.tries
-	for _, name := range names {
-		rates[name] = n.children[name].perOrigin()
-		sum += rates[name]
+// summarize returns the sums since the last flush and starts the next period.
+func (n *Node) summarize(now time.Duration) Summary {
+	n.seq++
+	flush := pendingFlush{seq: n.seq, at: now, own: n.own.reports, childSeq: map[string]uint64{}}
+	sums := accumulator{}
+	for _, r := range n.own.sorted() {
+		sums.add(r, 0)
 	}
+	sums.weightedSec = n.own.weightedSec
+	s := Summary{Origins: 1, Usage: n.usage}
+	names := slices.Sorted(maps.Keys(n.children))
+	scales := n.reportScales(names)
 	for _, name := range names {
 		c := n.children[name]
-		f.counts[name] = c.last
-		if now-c.at > mostAge {
-			continue // it is gone, and its use with it
+		flush.childSeq[name] = c.lastSeq
+		if now-c.receivedAt > maxAge {
+			continue // the child is gone
 		}
-		s.Origins, s.Usage = s.Origins+c.origins, addUses(s.Usage, c.uses, 1)
-		scale := 1.0
-		if others := (sum - rates[name]) / float64(len(names)); others > 0 && rates[name] > mostPart*others {
-			scale = mostPart * others / rates[name]
+		s.Origins += c.origins
+		s.Usage = combineUsage(s.Usage, c.usage, 1)
+		measuredAt := (c.receivedAt - c.age).Seconds()
+		for _, r := range c.reports {
+			sums.add(r.scaledBy(scales[name]), measuredAt)
 		}
-		for _, w := range c.open {
-			all.add(Report{w.Backend, w.Attempts * scale, w.Failed * scale, w.TotalLatencyMS * scale}, (c.at - c.age).Seconds())
-		}
-		c.open, c.notified = nil, false
-	}
-	if s.Reports = all.list(); all.tries > 0 {
-		s.Age = max(time.Duration((now.Seconds()-all.born/all.tries)*float64(time.Second)), 0)
+		c.reports, c.hasReported = nil, false
 	}
-	n.number++
-	n.own = heap{}
-	n.unsure = append(n.unsure, f)
-	if len(n.unsure) > mostUnsure {
-		n.unsure = n.unsure[1:]
+	s.Reports, s.Age = sums.sorted(), sums.meanAge(now)
+	n.own = accumulator{}
+	n.pending = append(n.pending, flush)
+	if len(n.pending) > maxPending {
+		n.pending = n.pending[1:]
 	}
 	return s
 }
 
-// Flush closes what came since the last one: a word for the parent, or, at the root, a total as Take gives it.
-func (n *Node) Flush(now time.Duration) (up *Partial, total *Summary, on map[string]Total) {
-	s := n.fold(now)
+// Flush ends the period since the last flush. It returns a partial for the parent or, at the root, what HandleTotal
+// returns for the new total.
+func (n *Node) Flush(now time.Duration) (partial *Partial, others *Summary, forChildren map[string]Total) {
+	s := n.summarize(now)
 	if n.parent != "" {
-		return &Partial{Seq: n.number, Summary: s, Incarnation: n.incarnation}, nil, nil
+		return &Partial{Seq: n.seq, Summary: s, Incarnation: n.incarnation}, nil, nil
 	}
-	total, on = n.HandleTotal(
-		"",
-		Total{Root: n.self + "@" + strconv.FormatUint(n.incarnation, 36), Seq: n.number, IncludedUpTo: n.number, Summary: s},
-		now,
-	)
-	return nil, total, on
+	root := n.self + "@" + strconv.FormatUint(n.incarnation, 36)
+	others, forChildren = n.HandleTotal("", Total{Root: root, Seq: n.seq, IncludedUpTo: n.seq, Summary: s}, now)
+	return nil, others, forChildren
 }
 
-// HandleTotal takes a total that came from a member, the parent: what the others met, and what goes on to each child.
-// Nil for one that is not the parent's, or was taken already. It is at least as old as what of this node is in it.
-func (n *Node) HandleTotal(from string, d Total, now time.Duration) (others *Summary, on map[string]Total) {
-	isRepeated := d.Root == n.root && d.Seq <= n.total
-	if from != n.parent || isRepeated || d.Summary.Age < 0 || len(d.Summary.Reports) > maxReports {
+// HandleTotal takes a total from the parent. It returns what the other controllers measured, and the total for each
+// child. Both are nil if the total is a duplicate or its sender is not the parent. The age of the result is at least
+// that of this node's own part.
+func (n *Node) HandleTotal(from string, t Total, now time.Duration) (others *Summary, forChildren map[string]Total) {
+	isDuplicate := t.Root == n.root && t.Seq <= n.totalSeq
+	if from != n.parent || isDuplicate || t.Summary.Age < 0 || len(t.Summary.Reports) > maxReports {
 		return nil, nil
 	}
-	n.root, n.total = d.Root, d.Seq
-	own, counts := map[string]Report{}, map[string]uint64{}
-	for len(n.unsure) > 0 && n.unsure[0].number <= d.IncludedUpTo {
-		f := n.unsure[0]
-		n.unsure = n.unsure[1:]
-		d.Summary.Age = max(d.Summary.Age, now-f.at)
-		for id, w := range f.own {
-			was := own[id]
-			was.Backend = id
-			own[id] = was.plus(w)
-		}
-		for name, last := range f.counts {
-			counts[name] = last
-		}
+	n.root, n.totalSeq = t.Root, t.Seq
+	own, childSeq, oldest := n.takeIncluded(t.IncludedUpTo, now)
+	t.Summary.Age = max(t.Summary.Age, oldest)
+	forChildren = map[string]Total{}
+	for _, name := range n.childNames {
+		forChildren[name] = Total{Root: t.Root, Seq: t.Seq, IncludedUpTo: childSeq[name], Summary: t.Summary}
 	}
-	on = map[string]Total{}
-	for _, name := range n.below {
-		on[name] = Total{Root: d.Root, Seq: d.Seq, IncludedUpTo: counts[name], Summary: d.Summary}
+	others = &Summary{Age: t.Summary.Age, Origins: t.Summary.Origins, Usage: combineUsage(t.Summary.Usage, n.usage, -1)}
+	for _, r := range t.Summary.Reports {
+		if r, ok := r.without(own[r.Backend]); ok {
+			others.Reports = append(others.Reports, r)
+		}
 	}
-	others = &Summary{Age: d.Summary.Age, Origins: d.Summary.Origins, Usage: addUses(d.Summary.Usage, n.uses, -1)}
-	for _, w := range d.Summary.Reports {
-		o := own[w.Backend]
-		w.Attempts, w.Failed, w.TotalLatencyMS = w.Attempts-o.Attempts, w.Failed-o.Failed, w.TotalLatencyMS-o.TotalLatencyMS
-		if w.Failed = max(w.Failed, 0); w.Attempts > 1e-6 {
-			if w, ok := sound(Report{w.Backend, w.Attempts, w.Failed, max(w.TotalLatencyMS, 0)}); ok {
-				others.Reports = append(others.Reports, w)
-			}
+	return others, forChildren
+}
+
+// takeIncluded removes the pending flushes up to a Seq. It returns the sum of this node's own reports in them, the
+// children's Seq up to which partials are included, and the age of the oldest flush.
+func (n *Node) takeIncluded(upTo uint64, now time.Duration) (
+	own map[string]Report, childSeq map[string]uint64, oldest time.Duration,
+) {
+	own, childSeq = map[string]Report{}, map[string]uint64{}
+	for len(n.pending) > 0 && n.pending[0].seq <= upTo {
+		flush := n.pending[0]
+		n.pending = n.pending[1:]
+		oldest = max(oldest, now-flush.at)
+		for backend, r := range flush.own {
+			sum := own[backend]
+			sum.Backend = backend
+			own[backend] = sum.plus(r)
 		}
+		maps.Copy(childSeq, flush.childSeq)
 	}
-	return others, on
+	return own, childSeq, oldest
+}
+
+// without subtracts this node's own part from a report; it returns false if nothing is left.
+func (r Report) without(own Report) (Report, bool) {
+	rest, ok := Report{
+		Backend:        r.Backend,
+		Attempts:       r.Attempts - own.Attempts,
+		Failed:         max(r.Failed-own.Failed, 0),
+		TotalLatencyMS: max(r.TotalLatencyMS-own.TotalLatencyMS, 0),
+	}.sanitized()
+	return rest, ok && rest.Attempts > minAttempts
 }
--- a/internal/controller/aggregation/aggregation_test.go
+++ b/internal/controller/aggregation/aggregation_test.go
@@ -9,134 +9,132 @@
 	"time"
 )
 
-// fleet passes words between nodes; a model beside it keeps what each origin met and in which total it must stand.
+// fleet delivers messages between nodes and records what each node receives.
 type fleet struct {
-	nodes map[string]*Node
-	names []string
-	now   time.Duration
-	heard map[string]map[string]float64 // tries told to a node, by backend
-	age   time.Duration                 // the oldest total
-	lose  func(from, to string) bool
+	nodes    map[string]*Node
+	names    []string
+	now      time.Duration
+	received map[string]map[string]float64 // by node: attempts of the others, by backend
+	maxAge   time.Duration                 // of all totals
+	drops    func(from, to string) bool    // nil: no message is lost
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{nodes: map[string]*Node{}, heard: map[string]map[string]float64{}}
+	f := &fleet{nodes: map[string]*Node{}, received: map[string]map[string]float64{}}
 	for i := range n {
-		f.add(fmt.Sprint("n", i), 1)
+		name := fmt.Sprint("n", i)
+		f.names = append(f.names, name)
+		f.nodes[name], f.received[name] = New(name, 1), map[string]float64{}
 	}
-	f.members()
+	f.updateMembers()
 	return f
 }
 
-func (f *fleet) add(name string, first uint64) {
-	if f.nodes[name] == nil {
-		f.names = append(f.names, name)
+func (f *fleet) updateMembers() {
+	for _, n := range f.nodes {
+		n.SetMembers(f.names)
 	}
-	f.nodes[name], f.heard[name] = New(name, first), map[string]float64{}
 }
 
-func (f *fleet) members() {
-	for _, n := range f.nodes {
-		n.SetMembers(f.names)
+func (f *fleet) depth(name string) (depth int) {
+	for f.nodes[name].Parent() != "" && depth < len(f.names) {
+		name = f.nodes[name].Parent()
+		depth++
 	}
+	return depth
 }
 
-// wave lets all tell, children before parents, twice: what is doubled must count once.
-func (f *fleet) wave() {
+// runRound flushes all nodes, children before parents. Every message is delivered twice.
+func (f *fleet) runRound() {
 	f.now += time.Second
 	order := slices.Clone(f.names)
-	depth := func(name string) (d int) {
-		for f.nodes[name].Parent() != "" && d < len(f.names) {
-			name, d = f.nodes[name].Parent(), d+1
-		}
-		return d
-	}
-	slices.SortFunc(order, func(a, b string) int { return depth(b) - depth(a) })
+	slices.SortFunc(order, func(a, b string) int { return f.depth(b) - f.depth(a) })
 	for _, name := range order {
 		n := f.nodes[name]
-		up, total, on := n.Flush(f.now)
-		if up != nil && (f.lose == nil || !f.lose(name, n.Parent())) {
-			f.nodes[n.Parent()].HandlePartial(name, *up, f.now)
-			if f.nodes[n.Parent()].HandlePartial(name, *up, f.now) {
-				panic("a word was taken twice")
+		partial, others, forChildren := n.Flush(f.now)
+		if partial != nil && (f.drops == nil || !f.drops(name, n.Parent())) {
+			f.nodes[n.Parent()].HandlePartial(name, *partial, f.now)
+			if f.nodes[n.Parent()].HandlePartial(name, *partial, f.now) {
+				panic("a duplicate partial was accepted")
 			}
 		}
-		f.down(name, total, on)
+		f.deliverTotal(name, others, forChildren)
 	}
 }
 
-func (f *fleet) down(name string, total *Summary, on map[string]Total) {
-	if total == nil {
+func (f *fleet) deliverTotal(name string, others *Summary, forChildren map[string]Total) {
+	if others == nil {
 		return
 	}
-	for _, w := range total.Reports {
-		f.heard[name][w.Backend] += w.Attempts
+	for _, r := range others.Reports {
+		f.received[name][r.Backend] += r.Attempts
 	}
-	f.age = max(f.age, total.Age)
-	for to, d := range on {
-		if f.lose != nil && f.lose(name, to) {
+	f.maxAge = max(f.maxAge, others.Age)
+	for child, t := range forChildren {
+		if f.drops != nil && f.drops(name, child) {
 			continue
 		}
-		t, further := f.nodes[to].HandleTotal(name, d, f.now)
-		f.down(to, t, further)
-		if again, _ := f.nodes[to].HandleTotal(name, d, f.now); again != nil {
-			panic("a total was taken twice")
+		childOthers, further := f.nodes[child].HandleTotal(name, t, f.now)
+		f.deliverTotal(child, childOthers, further)
+		if again, _ := f.nodes[child].HandleTotal(name, t, f.now); again != nil {
+			panic("a duplicate total was accepted")
 		}
 	}
 }
 
-// Each origin's word counts once at everybody else and never at itself, at any number of nodes, while words come twice.
-func TestEachWordOnce(t *testing.T) {
+// Each measurement counts once at every other node and never at its origin, although every message arrives twice.
+func TestMeasurementsCountOnce(t *testing.T) {
 	for _, n := range []int{1, 2, 9, 10, 74, 240} {
 		f := newFleet(n)
 		own := map[string]map[string]float64{}
 		all := map[string]float64{}
-		chance := rand.New(rand.NewPCG(uint64(n), 1))
+		random := rand.New(rand.NewPCG(uint64(n), 1))
 		for range 6 {
 			for _, name := range f.names {
-				id, tries := fmt.Sprint("s-", chance.IntN(5)), float64(1+chance.IntN(4))
-				f.nodes[name].Record(Report{Backend: id, Attempts: tries, TotalLatencyMS: 40 * tries}, f.now)
+				backend, attempts := fmt.Sprint("s-", random.IntN(5)), float64(1+random.IntN(4))
+				f.nodes[name].Record(Report{Backend: backend, Attempts: attempts, TotalLatencyMS: 40 * attempts}, f.now)
 				if own[name] == nil {
 					own[name] = map[string]float64{}
 				}
-				own[name][id] += tries
-				all[id] += tries
+				own[name][backend] += attempts
+				all[backend] += attempts
 			}
-			f.wave()
+			f.runRound()
 		}
-		f.wave()
+		f.runRound()
 		for _, name := range f.names {
-			for id, sum := range all {
-				if got, want := f.heard[name][id], sum-own[name][id]; math.Abs(got-want) > 1e-6 {
-					t.Fatalf("%d nodes: %s heard of %v tries at %s, the others met %v", n, name, got, id, want)
+			for backend, sum := range all {
+				got, want := f.received[name][backend], sum-own[name][backend]
+				if math.Abs(got-want) > 1e-6 {
+					t.Fatalf("%d nodes: %s received %v attempts at %s, want %v", n, name, got, backend, want)
 				}
 			}
 		}
-		if f.age > 1500*time.Millisecond {
-			t.Errorf("%d nodes: a total was %v old", n, f.age)
+		if f.maxAge > 1500*time.Millisecond {
+			t.Errorf("%d nodes: the age of a total was %v", n, f.maxAge)
 		}
 	}
 }
 
-// Half of the nodes die, come again under their names, and links lose words: nobody ever hears of more than was
-// met, and once all is calm again nothing is missing of what is met then.
-func TestDeathsAndLosses(t *testing.T) {
+// Half of the nodes restart under their former names while messages are lost: no node receives more attempts than were
+// recorded, and once no more messages are lost every node receives all of them.
+func TestRestartsAndMessageLoss(t *testing.T) {
 	for seed := range uint64(20) {
-		chance := rand.New(rand.NewPCG(seed, 2))
+		random := rand.New(rand.NewPCG(seed, 2))
 		f := newFleet(40)
-		met := 0.0
-		meets := func() {
+		recorded := 0.0
+		recordAtAll := func() {
 			for _, name := range f.names {
 				f.nodes[name].Record(Report{Backend: "s", Attempts: 1}, f.now)
-				met++
+				recorded++
 			}
 		}
-		f.lose = func(string, string) bool { return chance.IntN(4) == 0 }
+		f.drops = func(string, string) bool { return random.IntN(4) == 0 }
 		for round := range 12 {
-			meets()
+			recordAtAll()
 			if round == 4 {
 				f.names = f.names[:20]
-				f.members()
+				f.updateMembers()
 			}
 			if round == 8 {
 				for i := 20; i < 40; i++ {
@@ -144,62 +142,61 @@
 					f.names = append(f.names, name)
 					f.nodes[name] = New(name, uint64(1000+round))
 				}
-				f.members()
+				f.updateMembers()
 			}
-			f.wave()
+			f.runRound()
 		}
 		for _, name := range f.names {
-			if got := f.heard[name]["s"]; got > met {
-				t.Fatalf("seed %d: %s heard of %v tries, %v were met", seed, name, got, met)
+			if got := f.received[name]["s"]; got > recorded {
+				t.Fatalf("seed %d: %s received %v attempts, %v were recorded", seed, name, got, recorded)
 			}
 		}
-		f.lose = nil
-		f.wave()
+		f.drops = nil
+		f.runRound()
 		before := map[string]float64{}
 		for _, name := range f.names {
-			before[name] = f.heard[name]["s"]
+			before[name] = f.received[name]["s"]
 		}
-		meets()
-		f.wave()
+		recordAtAll()
+		f.runRound()
 		for _, name := range f.names {
-			if got := f.heard[name]["s"] - before[name]; math.Abs(got-39) > 1e-6 {
-				t.Fatalf("seed %d: %s heard of %v tries of 39", seed, name, got)
+			if got := f.received[name]["s"] - before[name]; math.Abs(got-39) > 1e-6 {
+				t.Fatalf("seed %d: %s received %v of 39 attempts", seed, name, got)
 			}
 		}
 	}
 }
 
-// One that tells nonsense is bounded to what the others tell, several times, and cannot say what cannot be; halves that
-// are cut off from each other each go on with what they have.
-func TestNonsenseAndHalves(t *testing.T) {
+// The weight of a node that sends implausible values is bounded. Partitions each continue with their own sums.
+func TestImplausibleReportsAndPartition(t *testing.T) {
 	f := newFleet(24)
-	liar := f.names[0]
-	for _, name := range f.names { // a leaf, so that it has a parent that is not it
-		if len(f.nodes[name].Children()) == 0 {
-			liar = name
+	faulty := f.names[0]
+	for _, name := range f.names {
+		if len(f.nodes[name].Children()) == 0 { // a leaf, whose parent is another node
+			faulty = name
 		}
 	}
 	for _, name := range f.names {
 		f.nodes[name].Record(Report{Backend: "s", Attempts: 10, TotalLatencyMS: 400}, f.now)
 	}
-	f.nodes[liar].Record(Report{Backend: "s", Attempts: 1e8, Failed: 2e8, TotalLatencyMS: -1}, f.now)
-	f.nodes[liar].Record(Report{Backend: "s", Attempts: 1e8, Failed: 2e8, TotalLatencyMS: 1e12}, f.now)
-	f.nodes[liar].Record(Report{Backend: "", Attempts: 5}, f.now)
-	f.nodes[liar].Record(Report{Backend: "s", Attempts: math.NaN()}, f.now)
-	f.wave()
+	f.nodes[faulty].Record(Report{Backend: "s", Attempts: 1e8, Failed: 2e8, TotalLatencyMS: -1}, f.now)
+	f.nodes[faulty].Record(Report{Backend: "s", Attempts: 1e8, Failed: 2e8, TotalLatencyMS: 1e12}, f.now)
+	f.nodes[faulty].Record(Report{Backend: "", Attempts: 5}, f.now)
+	f.nodes[faulty].Record(Report{Backend: "s", Attempts: math.NaN()}, f.now)
+	f.runRound()
 	for _, name := range f.names {
-		if name != liar && f.heard[name]["s"] > 230+mostPart*10*3 {
-			t.Fatalf("%s heard of %v tries", name, f.heard[name]["s"])
+		if name != faulty && f.received[name]["s"] > 230+maxAttemptsRatio*10*3 {
+			t.Fatalf("%s received %v attempts", name, f.received[name]["s"])
 		}
 	}
 	f.names = f.names[:12]
-	f.members()
-	before := f.heard["n3"]["s"]
+	f.updateMembers()
+	before := f.received["n3"]["s"]
 	for _, name := range f.names {
 		f.nodes[name].Record(Report{Backend: "s", Attempts: 1}, f.now)
 	}
-	f.wave()
-	if got := f.heard["n3"]["s"] - before; got != 11 {
-		t.Errorf("a half of 12 heard of %v tries of 11", got)
+	f.runRound()
+	if got := f.received["n3"]["s"] - before; got != 11 {
+		t.Errorf("a partition of 12 nodes received %v of 11 attempts", got)
 	}
 }
