--- a/internal/bench/jobs/edits.go
+++ b/internal/bench/jobs/edits.go
@@ -356,9 +356,9 @@
 	defer one.Close()
 	defer other.Close()
 	for range 50 {
-		var mine, its struct{ Knows jobs.Versions }
+		var mine, its struct{ Knows jobs.VersionVector }
 		if one.Ask("jobs sizes", nil, &mine) == nil && other.Ask("jobs sizes", nil, &its) == nil &&
-			its.Knows.Cover(mine.Knows) {
+			its.Knows.Dominates(mine.Knows) {
 			return true
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -375,7 +375,7 @@
 	}
 	return fleet.Until("all know the same", func() (bool, error) {
 		var first, s struct {
-			Knows jobs.Versions
+			Knows jobs.VersionVector
 			Sum   uint64
 		}
 		for i, c := range clients {
@@ -385,7 +385,7 @@
 			}
 			if i == 0 {
 				first = s
-			} else if s.Sum != first.Sum || !s.Knows.Cover(first.Knows) || !first.Knows.Cover(s.Knows) {
+			} else if s.Sum != first.Sum || !s.Knows.Dominates(first.Knows) || !first.Knows.Dominates(s.Knows) {
 				return false, fmt.Errorf("n%d knows other edits than n0", i)
 			}
 		}
@@ -408,7 +408,7 @@
 		}
 	}
 	for id, edits := range by {
-		want := jobs.Resolve(id, edits)
+		want := jobs.ComputeView(id, edits)
 		got, there := is[id]
 		if e.unsure[id] {
 			continue // an edit that nobody was told of may stand in it
@@ -418,7 +418,7 @@
 			continue
 		}
 		// ... forgotten, and shown as that
-		if there && !alikeView(got, want) && (!want.State.Ended() || got.State != jobs.IsUnknown) {
+		if there && !alikeView(got, want) && (!want.State.Ended() || got.State != jobs.StateUnknown) {
 			wrong++
 		}
 	}
@@ -453,8 +453,8 @@
 			}
 			last := slices.MaxFunc(mine, func(a, b made) int { return cmp.Compare(a.clock, b.clock) })
 			for _, m := range mine {
-				replaced := slices.ContainsFunc(mine, func(o made) bool { return o.edit.Knew.Know(m.edit.Dot) })
-				if m.edit.Dot != last.edit.Dot && !last.edit.Knew.Know(m.edit.Dot) && !replaced {
+				replaced := slices.ContainsFunc(mine, func(o made) bool { return o.edit.CausalContext.Contains(m.edit.Dot) })
+				if m.edit.Dot != last.edit.Dot && !last.edit.CausalContext.Contains(m.edit.Dot) && !replaced {
 					vanish++
 					if m.edit.Kind == jobs.Hold || m.edit.Kind == jobs.Withdraw {
 						cautious++
--- a/internal/controller/command/member.go
+++ b/internal/controller/command/member.go
@@ -28,7 +28,7 @@
 
 // fleet is this instance's part in a fleet.
 type fleet struct {
-	*membership.Sums
+	*membership.LoadAggregator
 	*membership.Fleet
 	streams *membership.Streams
 	jobs    *jobs.Node // nil: none are kept
@@ -53,7 +53,7 @@
 		streams = ln.Addr().String()
 	}
 	all, err := membership.Open(
-		membership.Plan{Name: sheet.Name, Site: o.Site, Listen: o.Listen, Join: o.Join, Via: o.Via},
+		membership.Config{Name: sheet.Name, Site: o.Site, Listen: o.Listen, Join: o.Join, Via: o.Via},
 		streams,
 		nil,
 		log,
@@ -64,7 +64,7 @@
 	p := &fleet{Fleet: all, sheet: sheet}
 	if o.Sums {
 		totals := make(chan aggregation.Summary, 1) // holds the newest total, so that the sender never blocks
-		p.Sums = all.Tell(func(s aggregation.Summary) {
+		p.LoadAggregator = all.StartLoadAggregator(func(s aggregation.Summary) {
 			select {
 			case <-totals:
 			default:
@@ -74,13 +74,13 @@
 		go handOn(totals, hear, log)
 	}
 	if ln != nil {
-		p.streams = all.Connections(ln, o.StreamsVia)
+		p.streams = all.ServeStreams(ln, o.StreamsVia)
 	}
 	if j := f.Jobs; j != nil {
 		life := make([]byte, 8)
 		_, _ = rand.Read(life)
 		if p.jobs, err = jobs.Open(
-			jobs.Plan{Path: j.Path, Count: j.Count, Judge: p.allowEdit, Life: hex.EncodeToString(life)},
+			jobs.Config{Path: j.Path, Peers: j.Count, Authorize: p.allowEdit, Incarnation: hex.EncodeToString(life)},
 			all,
 			p.streams,
 			log,
@@ -140,7 +140,7 @@
 		}
 		ctx, stop := context.WithTimeout(context.Background(), editTimeout)
 		defer stop()
-		if e, err = p.jobs.Do(ctx, e); err != nil {
+		if e, err = p.jobs.Submit(ctx, e); err != nil {
 			return nil, true, err
 		}
 		said = e
@@ -158,7 +158,7 @@
 		said = p.jobs.Views()
 	default:
 		open, edits := p.jobs.Sizes()
-		said = map[string]any{"Jobs": open, "Edits": edits, "Knows": p.jobs.Knows(), "Sum": p.jobs.Sum()}
+		said = map[string]any{"Jobs": open, "Edits": edits, "Knows": p.jobs.Versions(), "Sum": p.jobs.Checksum()}
 	}
 	body, err = json.Marshal(said)
 	return body, true, err
--- a/internal/controller/command/memory.go
+++ b/internal/controller/command/memory.go
@@ -71,7 +71,7 @@
 	began := m.now()
 	if p := f.Peers; p != nil {
 		seed := name + " " + strconv.FormatInt(began.UnixNano(), 36)
-		for _, a := range peersync.Ask(
+		for _, a := range peersync.Fetch(
 			p.Ask,
 			name,
 			seed,
--- a/internal/controller/eventloop/eventloop.go
+++ b/internal/controller/eventloop/eventloop.go
@@ -49,9 +49,9 @@
 
 // Observer is told what the own proxies report. None of its methods may wait.
 type Observer interface {
-	Met(backend string, attempts, failed float64, latency time.Duration)
-	Uses(proxy int, product, zone string, txns float64)
-	Left(proxy int)
+	RecordAttempts(backend string, attempts, failed float64, latency time.Duration)
+	RecordUsage(proxy int, product, zone string, txns float64)
+	RemoveProxy(proxy int)
 }
 
 // SetObserver has somebody told from now on.
--- a/internal/controller/eventloop/reports.go
+++ b/internal/controller/eventloop/reports.go
@@ -48,7 +48,7 @@
 		Period: m.Period})
 	if d.observer != nil && m.Period > 0 {
 		rate := m.Txns * float64(policy.Second) / float64(m.Period)
-		d.observer.Uses(m.Proxy, m.Product, d.names.Zones[p.zone], rate)
+		d.observer.RecordUsage(m.Proxy, m.Product, d.names.Zones[p.zone], rate)
 	}
 	return err
 }
@@ -67,7 +67,7 @@
 	d.events = append(d.events, backendReport(b, m))
 	if d.observer != nil {
 		latency := time.Duration(m.Latency) * time.Second / time.Duration(policy.Second)
-		d.observer.Met(m.Backend, m.Attempts, m.Failed, latency)
+		d.observer.RecordAttempts(m.Backend, m.Attempts, m.Failed, latency)
 	}
 	return nil
 }
@@ -122,7 +122,7 @@
 	d.proxies[at] = proxy{}
 	d.events = append(d.events, policy.ProxyDisconnected{Proxy: at})
 	if d.observer != nil {
-		d.observer.Left(at)
+		d.observer.RemoveProxy(at)
 	}
 }
 
--- a/internal/controller/jobs/jobs.go
+++ b/internal/controller/jobs/jobs.go
@@ -23,14 +23,14 @@
 
 func (d Dot) String() string { return fmt.Sprintf("%s#%d", d.Origin, d.Number) }
 
-// Versions say up to which number an origin's edits are known, without a gap.
-type Versions map[string]uint64
+// VersionVector say up to which number an origin's edits are known, without a gap.
+type VersionVector map[string]uint64
 
-// Know says whether an edit is among them.
-func (v Versions) Know(d Dot) bool { return v[d.Origin] >= d.Number }
+// Contains says whether an edit is among them.
+func (v VersionVector) Contains(d Dot) bool { return v[d.Origin] >= d.Number }
 
-// Cover says whether all that others know is known.
-func (v Versions) Cover(others Versions) bool {
+// Dominates says whether all that others know is known.
+func (v VersionVector) Dominates(others VersionVector) bool {
 	for origin, n := range others {
 		if v[origin] < n {
 			return false
@@ -91,18 +91,18 @@
 // Edit is one thing that one of us was told or did. Fields that a newer version adds are in the raw bytes, which are
 // kept and passed on as they came.
 type Edit struct {
-	Dot      Dot      `cbor:"1,keyasint"`
-	Knew     Versions `cbor:"2,keyasint"` // by whoever made it, of this job
-	ID       ID       `cbor:"3,keyasint"`
-	Kind     Kind     `cbor:"4,keyasint"`
-	Site     string   `cbor:"5,keyasint"`
-	Operator bool     `cbor:"6,keyasint"` // a person asked for it; else it is automatic
-	Job      *Job     `cbor:"7,keyasint,omitempty"`
-	Places   []string `cbor:"8,keyasint,omitempty"`
-	Expires  int64    `cbor:"9,keyasint,omitempty"`
-	Priority int      `cbor:"10,keyasint,omitempty"`
-	Dots     []Dot    `cbor:"11,keyasint,omitempty"` // that were seen
-	Epoch    uint64   `cbor:"12,keyasint,omitempty"` // of a dispatch
+	Dot           Dot           `cbor:"1,keyasint"`
+	CausalContext VersionVector `cbor:"2,keyasint" json:"Knew"` // by whoever made it, of this job
+	ID            ID            `cbor:"3,keyasint"`
+	Kind          Kind          `cbor:"4,keyasint"`
+	Site          string        `cbor:"5,keyasint"`
+	Operator      bool          `cbor:"6,keyasint"` // a person asked for it; else it is automatic
+	Job           *Job          `cbor:"7,keyasint,omitempty"`
+	Places        []string      `cbor:"8,keyasint,omitempty"`
+	Expires       int64         `cbor:"9,keyasint,omitempty"`
+	Priority      int           `cbor:"10,keyasint,omitempty"`
+	Dots          []Dot         `cbor:"11,keyasint,omitempty"` // that were seen
+	Epoch         uint64        `cbor:"12,keyasint,omitempty"` // of a dispatch
 
 	Raw []byte `cbor:"-"`
 }
@@ -129,25 +129,25 @@
 
 // States.
 const (
-	IsAnnounced  State = "announced"
-	IsArrived    State = "arrived"
-	IsHeld       State = "held"
-	IsWithdrawn  State = "withdrawn"
-	IsDispatched State = "dispatched"
-	IsUncertain  State = "in doubt"
-	IsVoided     State = "voided"
-	IsResolved   State = "settled"
-	IsLate       State = "late"
-	IsUnknown    State = "unknown" // edits of a job that nobody announced here
+	StateAnnounced  State = "announced"
+	StateArrived    State = "arrived"
+	StateHeld       State = "held"
+	StateWithdrawn  State = "withdrawn"
+	StateDispatched State = "dispatched"
+	StateUncertain  State = "in doubt"
+	StateVoided     State = "voided"
+	StateResolved   State = "settled"
+	StateLate       State = "late"
+	StateUnknown    State = "unknown" // edits of a job that nobody announced here
 )
 
 // Ended says whether nothing more can come of a job.
 func (s State) Ended() bool {
-	return s == IsWithdrawn || s == IsVoided || s == IsResolved || s == IsUnknown // all have forgotten it
+	return s == StateWithdrawn || s == StateVoided || s == StateResolved || s == StateUnknown // all have forgotten it
 }
 
-// Lost is an edit that did not get its way, with the number of the rule that settled it.
-type Lost struct {
+// LostEdit is an edit that did not get its way, with the number of the rule that settled it.
+type LostEdit struct {
 	Dot    Dot
 	Kind   Kind
 	Site   string
@@ -157,46 +157,46 @@
 
 // View is what a set of edits comes to.
 type View struct {
-	ID       ID
-	Job      Job
-	State    State
-	Why      string // of a job that is held
-	Places   []string
-	Expires  int64
-	Priority int
-	Epoch    uint64
-	Lost     []Lost // that no operator has seen yet
+	ID         ID
+	Job        Job
+	State      State
+	HoldReason string `json:"Why"` // of a job that is held
+	Places     []string
+	Expires    int64
+	Priority   int
+	Epoch      uint64
+	Lost       []LostEdit // that no operator has seen yet
 }
 
 // Rules, by the number that a Lost names.
 const (
-	RuleEffect   = 1 // what has taken effect outranks any wish
-	RuleFurther  = 2 // of what took effect, what tells more
-	RuleKnew     = 3 // what knew of the other replaces it; nothing automatic replaces an operator's
-	RuleSafer    = 4 // withdraw over hold over release; the narrower placement; the earlier expiry; the lower priority
-	RuleOperator = 5 // an operator over what is automatic
-	RuleHome     = 6 // the home site over a guest
-	RuleOrder    = 7 // a total order of the edits' names, which no clock can turn
-	RuleApart    = 8 // placements with nothing in common hold the job
+	RuleOutcome            = 1 // what has taken effect outranks any wish
+	RuleFurtherOutcome     = 2 // of what took effect, what tells more
+	RuleSuperseded         = 3 // what knew of the other replaces it; nothing automatic replaces an operator's
+	RuleSafer              = 4 // withdraw > hold > release; narrower placement; earlier expiry; lower priority
+	RuleOperator           = 5 // an operator over what is automatic
+	RuleHomeSite           = 6 // the home site over a guest
+	RuleTieBreak           = 7 // a total order of the edits' names, which no clock can turn
+	RuleDisjointPlacements = 8 // placements with nothing in common hold the job
 )
 
 var reasons = map[int]string{
-	RuleEffect:   "it came too late: the job had taken effect",
-	RuleFurther:  "another word tells more of what became of it",
-	RuleSafer:    "a safer wish stands",
-	RuleOperator: "an operator's wish stands",
-	RuleHome:     "the home site's wish stands",
-	RuleOrder:    "another wish stands, by name",
-	RuleApart:    "the placements have nothing in common; the job is held",
+	RuleOutcome:            "it came too late: the job had taken effect",
+	RuleFurtherOutcome:     "another word tells more of what became of it",
+	RuleSafer:              "a safer wish stands",
+	RuleOperator:           "an operator's wish stands",
+	RuleHomeSite:           "the home site's wish stands",
+	RuleTieBreak:           "another wish stands, by name",
+	RuleDisjointPlacements: "the placements have nothing in common; the job is held",
 }
 
 // standing are the edits of some kinds that none of the others replaces, in their total order. One replaces another
 // where it knew of it; nothing automatic replaces an operator's.
 func standing(edits []*Edit, which ...Kind) (top []*Edit) {
-	known := [2]Versions{{}, {}} // by all, by operators
+	known := [2]VersionVector{{}, {}} // by all, by operators
 	for _, e := range edits {
 		if slices.Contains(which, e.Kind) {
-			for origin, n := range e.Knew {
+			for origin, n := range e.CausalContext {
 				if known[0][origin] = max(known[0][origin], n); e.Operator {
 					known[1][origin] = max(known[1][origin], n)
 				}
@@ -208,7 +208,7 @@
 		if e.Operator {
 			by = known[1]
 		}
-		if slices.Contains(which, e.Kind) && !by.Know(e.Dot) {
+		if slices.Contains(which, e.Kind) && !by.Contains(e.Dot) {
 			top = append(top, e)
 		}
 	}
@@ -243,9 +243,9 @@
 			return c, RuleOperator
 		}
 		if c := cmp.Compare(flag(a.Site == v.Job.Home), flag(b.Site == v.Job.Home)); c != 0 {
-			return c, RuleHome
+			return c, RuleHomeSite
 		}
-		return byName(a, b), RuleOrder
+		return byName(a, b), RuleTieBreak
 	}
 	best := slices.MinFunc(top, func(a, b *Edit) int { c, _ := rank(a, b); return c })
 	for _, e := range top {
@@ -263,15 +263,15 @@
 }
 
 func (v *View) lose(e *Edit, rule int) {
-	v.Lost = append(v.Lost, Lost{e.Dot, e.Kind, e.Site, rule, reasons[rule]})
+	v.Lost = append(v.Lost, LostEdit{e.Dot, e.Kind, e.Site, rule, reasons[rule]})
 }
 
 // caution ranks what is to be done with a job, the safest first.
 var caution = map[Kind]int{Withdraw: 0, Hold: 1, Release: 2}
 
-// Resolve reads the one answer out of a set of edits of one job.
-func Resolve(id ID, edits []*Edit) View {
-	v := View{ID: id, State: IsUnknown}
+// ComputeView reads the one answer out of a set of edits of one job.
+func ComputeView(id ID, edits []*Edit) View {
+	v := View{ID: id, State: StateUnknown}
 	v.announce(edits)
 	v.place(standing(edits, Place))
 	v.Expires = v.Job.Expires
@@ -303,9 +303,9 @@
 		v.Job = *e.Job
 	}
 	v.Lost = nil // both say that it is there
-	v.State = IsAnnounced
+	v.State = StateAnnounced
 	if slices.ContainsFunc(edits, func(o *Edit) bool { return o.Kind == Arrive }) {
-		v.State = IsArrived
+		v.State = StateArrived
 	}
 }
 
@@ -315,13 +315,13 @@
 	wish := v.winner(wishes, func(a, b *Edit) int { return cmp.Compare(caution[a.Kind], caution[b.Kind]) })
 	switch {
 	case wish != nil && wish.Kind == Withdraw:
-		v.State = IsWithdrawn
+		v.State = StateWithdrawn
 	case late && (wish == nil || wish.Kind != Release || !wish.Operator):
-		v.State = IsLate
+		v.State = StateLate
 	case wish != nil && wish.Kind == Hold:
-		v.State, v.Why = IsHeld, "an edit holds it"
-	case v.Why != "" && v.State != IsUnknown:
-		v.State = IsHeld
+		v.State, v.HoldReason = StateHeld, "an edit holds it"
+	case v.HoldReason != "" && v.State != StateUnknown:
+		v.State = StateHeld
 	}
 }
 
@@ -332,9 +332,9 @@
 	if v.Job.Product != "" || slices.ContainsFunc(edits, hasEffect) {
 		return
 	}
-	v.State, v.Why, v.Lost = IsUnknown, "", nil
+	v.State, v.HoldReason, v.Lost = StateUnknown, "", nil
 	for _, e := range standing(edits, Hold, Release, Withdraw, Place, Expire, Prioritise) {
-		v.lose(e, RuleEffect)
+		v.lose(e, RuleOutcome)
 	}
 }
 
@@ -346,8 +346,8 @@
 			seen[d] = seen[d] || e.Kind == Seen
 		}
 	}
-	v.Lost = slices.DeleteFunc(v.Lost, func(l Lost) bool { return seen[l.Dot] })
-	slices.SortFunc(v.Lost, func(a, b Lost) int {
+	v.Lost = slices.DeleteFunc(v.Lost, func(l LostEdit) bool { return seen[l.Dot] })
+	slices.SortFunc(v.Lost, func(a, b LostEdit) int {
 		return cmp.Or(
 			cmp.Compare(a.Dot.Origin, b.Dot.Origin),
 			cmp.Compare(a.Dot.Number, b.Dot.Number),
@@ -375,9 +375,9 @@
 	}
 	slices.Sort(v.Places)
 	if len(top) > 0 && len(v.Places) == 0 {
-		v.Why = reasons[RuleApart]
+		v.HoldReason = reasons[RuleDisjointPlacements]
 		for _, e := range top {
-			v.lose(e, RuleApart)
+			v.lose(e, RuleDisjointPlacements)
 		}
 		return
 	}
@@ -407,25 +407,25 @@
 	}
 	for _, e := range standing(edits, effects...) {
 		if e.Kind != best.Kind {
-			v.lose(e, RuleFurther)
+			v.lose(e, RuleFurtherOutcome)
 		}
 	}
 	for _, w := range wishes {
-		if w.Kind != Release && !slices.ContainsFunc(v.Lost, func(l Lost) bool { return l.Dot == w.Dot }) {
-			v.lose(w, RuleEffect)
+		if w.Kind != Release && !slices.ContainsFunc(v.Lost, func(l LostEdit) bool { return l.Dot == w.Dot }) {
+			v.lose(w, RuleOutcome)
 		}
 	}
-	v.Why = ""
+	v.HoldReason = ""
 	v.State = map[Kind]State{
-		Dispatched: IsDispatched,
-		Uncertain:  IsUncertain,
-		Voided:     IsVoided,
-		Resolved:   IsResolved,
+		Dispatched: StateDispatched,
+		Uncertain:  StateUncertain,
+		Voided:     StateVoided,
+		Resolved:   StateResolved,
 	}[best.Kind]
 }
 
-// Check says what is wrong with an edit that somebody asks for, in one line; nil where it can be taken.
-func Check(e Edit) error {
+// ValidateEdit says what is wrong with an edit that somebody asks for, in one line; nil where it can be taken.
+func ValidateEdit(e Edit) error {
 	var what string
 	switch {
 	case !slices.Contains(kinds, e.Kind):
@@ -462,7 +462,7 @@
 }
 
 // least is up to where all know, of an origin.
-func least(origin string, all []Versions) (n uint64) {
+func least(origin string, all []VersionVector) (n uint64) {
 	for i, v := range all {
 		if i == 0 || v[origin] < n {
 			n = v[origin]
@@ -472,4 +472,4 @@
 }
 
 // clone copies versions.
-func (v Versions) clone() Versions { return maps.Clone(v) }
+func (v VersionVector) clone() VersionVector { return maps.Clone(v) }
--- a/internal/controller/jobs/jobs_test.go
+++ b/internal/controller/jobs/jobs_test.go
@@ -27,9 +27,9 @@
 		fmt.Sprint("abc"[site:site+1], "@1"),
 		uint64(1 + len(slices.DeleteFunc(slices.Clone(h.all), func(o *Edit) bool { return o.Site != "abc"[site:site+1] }))),
 	}
-	e.Site, e.ID, e.Knew = "abc"[site:site+1], batch, Versions{}
+	e.Site, e.ID, e.CausalContext = "abc"[site:site+1], batch, VersionVector{}
 	for _, o := range h.sites[site] {
-		e.Knew[o.Dot.Origin] = max(e.Knew[o.Dot.Origin], o.Dot.Number)
+		e.CausalContext[o.Dot.Origin] = max(e.CausalContext[o.Dot.Origin], o.Dot.Number)
 	}
 	h.sites[site], h.all = append(h.sites[site], &e), append(h.all, &e)
 }
@@ -49,7 +49,7 @@
 		for _, e := range edits {
 			ok := slices.Contains(which, e.Kind)
 			for _, o := range edits {
-				if slices.Contains(which, o.Kind) && o.Knew[e.Dot.Origin] >= e.Dot.Number && (o.Operator || !e.Operator) {
+				if slices.Contains(which, o.Kind) && o.CausalContext[e.Dot.Origin] >= e.Dot.Number && (o.Operator || !e.Operator) {
 					ok = false
 				}
 			}
@@ -59,15 +59,15 @@
 		}
 		return top
 	}
-	state = IsUnknown
+	state = StateUnknown
 	for _, e := range edits {
-		if e.Kind == Announce || e.Kind == Arrive && state == IsUnknown {
-			state = IsAnnounced
+		if e.Kind == Announce || e.Kind == Arrive && state == StateUnknown {
+			state = StateAnnounced
 		}
 	}
 	for _, e := range edits {
 		if e.Kind == Arrive {
-			state = IsArrived
+			state = StateArrived
 		}
 	}
 	top := stands(Place)
@@ -85,7 +85,7 @@
 	}
 	for _, e := range top {
 		if len(places) == 0 {
-			lost[e.Dot], state = RuleApart, IsHeld
+			lost[e.Dot], state = RuleDisjointPlacements, StateHeld
 		} else if !slices.Equal(e.Places, places) {
 			lost[e.Dot] = RuleSafer
 		}
@@ -100,9 +100,9 @@
 		case a.Operator != b.Operator:
 			return a.Operator, RuleOperator
 		case home(a) != home(b):
-			return home(a), RuleHome
+			return home(a), RuleHomeSite
 		}
-		return byName(a, b) < 0, RuleOrder
+		return byName(a, b) < 0, RuleTieBreak
 	}
 	for _, e := range wishes {
 		won := true
@@ -116,7 +116,7 @@
 		if !won {
 			continue
 		}
-		state = map[Kind]State{Hold: IsHeld, Withdraw: IsWithdrawn, Release: state}[e.Kind]
+		state = map[Kind]State{Hold: StateHeld, Withdraw: StateWithdrawn, Release: state}[e.Kind]
 		for _, o := range wishes {
 			if o.Kind != e.Kind {
 				_, lost[o.Dot] = beats(e, o)
@@ -130,22 +130,22 @@
 	if best >= 0 {
 		for _, e := range stands(effects...) {
 			if slices.Index(effects, e.Kind) < best {
-				lost[e.Dot] = RuleFurther
+				lost[e.Dot] = RuleFurtherOutcome
 			}
 		}
 		for _, e := range wishes {
 			if lost[e.Dot] == 0 && e.Kind != Release {
-				lost[e.Dot] = RuleEffect
+				lost[e.Dot] = RuleOutcome
 			}
 		}
-		state = []State{IsDispatched, IsUncertain, IsVoided, IsResolved}[best]
+		state = []State{StateDispatched, StateUncertain, StateVoided, StateResolved}[best]
 	}
 	return state, lost, places
 }
 
 func (h *history) check(t *testing.T) {
 	state, lost, places := plain(h.all)
-	v := Resolve(batch, h.all)
+	v := ComputeView(batch, h.all)
 	got := map[Dot]int{}
 	for _, l := range v.Lost {
 		got[l.Dot] = l.Rule
@@ -154,7 +154,7 @@
 	if v.State != state || !maps.Equal(got, lost) || len(places) > 0 && !slices.Equal(v.Places, places) {
 		var text strings.Builder
 		for _, e := range h.all {
-			fmt.Fprintf(&text, "\n%v %s %v operator %v knew %v", e.Dot, e.Kind, e.Places, e.Operator, e.Knew)
+			fmt.Fprintf(&text, "\n%v %s %v operator %v knew %v", e.Dot, e.Kind, e.Places, e.Operator, e.CausalContext)
 		}
 		t.Fatalf(
 			"settled to %s %v lost %v; the plain model says %s %v lost %v:%s",
@@ -169,7 +169,7 @@
 	}
 	turned := slices.Clone(h.all)
 	slices.Reverse(turned)
-	if o := Resolve(batch, append(turned[len(turned)/2:], turned[:len(turned)/2]...)); !reflect.DeepEqual(o, v) {
+	if o := ComputeView(batch, append(turned[len(turned)/2:], turned[:len(turned)/2]...)); !reflect.DeepEqual(o, v) {
 		t.Fatalf("another order of the same edits gives %+v, not %+v", o, v)
 	}
 }
@@ -246,10 +246,10 @@
 	f := &fleet{}
 	for i := range n {
 		f.names = append(f.names, fmt.Sprint("n", i))
-		f.r = append(f.r, New(f.names[i]+"@1", string(rune('a'+i%3))))
+		f.r = append(f.r, NewReplica(f.names[i]+"@1", string(rune('a'+i%3))))
 	}
 	for i, r := range f.r {
-		r.Count(slices.Delete(slices.Clone(f.names), i, i+1))
+		r.SetPeers(slices.Delete(slices.Clone(f.names), i, i+1))
 	}
 	return f
 }
@@ -257,7 +257,7 @@
 // give lets one hear what another has, as the exchange does it.
 func (f *fleet) give(from, to, most int) {
 	a, b := f.r[from], f.r[to]
-	g := a.Lacks(b.Knows(), most)
+	g := a.DeltaSince(b.Versions(), most)
 	var edits []Edit
 	for _, e := range g.Edits {
 		d, err := Decode(e.Raw)
@@ -266,16 +266,16 @@
 		}
 		edits = append(edits, d)
 	}
-	b.Merge(b.Fresh(edits), g.Whole)
-	b.Merge(edits, g.Whole) // once more
-	if g.Folded {
-		b.Settled(g.Kept, a.Knows())
+	b.Merge(b.FilterNew(edits), g.Complete)
+	b.Merge(edits, g.Complete) // once more
+	if g.Compacted {
+		b.DiscardCompacted(g.Retained, a.Versions())
 	}
-	if b.Knows().Cover(a.Knows()) && a.Knows().Cover(b.Knows()) && a.Digest() != b.Digest() {
-		b.Settled(a.Kept(), a.Knows())
+	if b.Versions().Dominates(a.Versions()) && a.Versions().Dominates(b.Versions()) && a.Digest() != b.Digest() {
+		b.DiscardCompacted(a.Retained(), a.Versions())
 	}
-	b.Heard(f.names[from], a.Knows().clone())
-	a.Heard(f.names[to], b.Knows().clone())
+	b.RecordPeerVersions(f.names[from], a.Versions().clone())
+	a.RecordPeerVersions(f.names[to], b.Versions().clone())
 }
 
 func (f *fleet) heal() {
@@ -300,13 +300,13 @@
 	}
 	by := map[ID][]*Edit{}
 	for i := range made {
-		if !f.r[0].Knows().Know(made[i].Dot) {
+		if !f.r[0].Versions().Contains(made[i].Dot) {
 			return fmt.Errorf("%v is lost", made[i].Dot)
 		}
 		by[made[i].ID] = append(by[made[i].ID], &made[i])
 	}
 	for id, edits := range by {
-		want := Resolve(id, edits)
+		want := ComputeView(id, edits)
 		if got, ok := f.r[0].View(
 			id,
 		); !ok && (!want.State.Ended() || len(want.Lost) != 0) ||
@@ -339,7 +339,7 @@
 				delete(r.versions, "n1@1")
 			}
 		},
-		"a merge that differs by order": func(f *fleet) { f.r[2].jobs[batch].view.State = IsArrived },
+		"a merge that differs by order": func(f *fleet) { f.r[2].jobs[batch].view.State = StateArrived },
 	} {
 		f := newFleet(3)
 		made := []Edit{f.make(t, 0, Edit{ID: batch, Kind: Arrive, Job: job()})}
@@ -360,7 +360,7 @@
 
 func (f *fleet) make(t *testing.T, at int, e Edit) Edit {
 	t.Helper()
-	made, err := f.r[at].Make(e)
+	made, err := f.r[at].Prepare(e)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -398,7 +398,7 @@
 				}
 			case Hold, Release, Late, Dispatched, Uncertain: // have no more than their kind
 			}
-			if m, err := f.r[at].Make(e); err == nil {
+			if m, err := f.r[at].Prepare(e); err == nil {
 				f.r[at].Merge([]Edit{m}, nil)
 				made = append(made, m)
 			}
@@ -408,12 +408,12 @@
 				}
 			}
 			if chance.IntN(20) == 0 {
-				f.r[at].Fold()
+				f.r[at].Compact()
 			}
 		}
 		f.heal()
 		for _, r := range f.r { // all fold what all know, so that the same jobs are there
-			r.Fold()
+			r.Compact()
 		}
 		if err := f.verdict(made); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
@@ -443,7 +443,7 @@
 	f.same(t)
 	if v, _ := f.r[0].View(
 		batch,
-	); v.State != IsDispatched || len(v.Lost) != 2 || v.Lost[0].Rule != RuleEffect ||
+	); v.State != StateDispatched || len(v.Lost) != 2 || v.Lost[0].Rule != RuleOutcome ||
 		v.Lost[1].Rule != RuleSafer {
 		t.Errorf("it came to %+v", v)
 	}
@@ -457,7 +457,7 @@
 	f.make(t, 0, Edit{ID: batch, Kind: Arrive, Job: job()})
 	f.make(t, 0, Edit{ID: other, Kind: Arrive, Job: job()})
 	f.heal()
-	old, knew := []Edit{}, f.r[0].Knows().clone()
+	old, knew := []Edit{}, f.r[0].Versions().clone()
 	for _, e := range f.r[0].edits {
 		old = append(old, *e)
 	}
@@ -465,16 +465,16 @@
 	f.make(t, 1, Edit{ID: other, Kind: Resolved})
 	f.heal()
 	for _, r := range f.r {
-		r.Fold()
+		r.Compact()
 	}
-	f.r[0] = New("n0@2", "a")
+	f.r[0] = NewReplica("n0@2", "a")
 	f.r[0].Restore(knew, old)
-	f.r[0].Count([]string{"n1", "n2"})
+	f.r[0].SetPeers([]string{"n1", "n2"})
 	f.make(t, 0, Edit{ID: batch, Kind: Prioritise, Priority: 5})
 	f.heal()
 	f.same(t)
 	// Of many edits the others fold those that were replaced, and go on without: the copy must not bring one back.
-	old, knew = nil, f.r[0].Knows().clone()
+	old, knew = nil, f.r[0].Versions().clone()
 	for _, e := range f.r[0].edits {
 		old = append(old, *e)
 	}
@@ -487,15 +487,15 @@
 	f.make(t, 1, Edit{ID: batch, Kind: Place, Places: []string{"a"}})
 	f.heal()
 	for _, r := range f.r {
-		r.Fold()
+		r.Compact()
 	}
 	f.make(t, 1, Edit{ID: batch, Kind: Prioritise, Priority: 7})
-	f.r[0] = New("n0@3", "a")
+	f.r[0] = NewReplica("n0@3", "a")
 	f.r[0].Restore(knew, old)
-	f.r[0].Count([]string{"n1", "n2"})
+	f.r[0].SetPeers([]string{"n1", "n2"})
 	for range 20 { // a part at a time: what was not given yet is not folded for that
 		f.give(1, 0, 1)
-		if v, ok := f.r[0].View(batch); !ok || v.State != IsHeld {
+		if v, ok := f.r[0].View(batch); !ok || v.State != StateHeld {
 			t.Fatalf("the job is %+v while it is given", v)
 		}
 	}
@@ -506,7 +506,7 @@
 		t.Errorf("an edit that was folded came back: %+v", v)
 	}
 	v.Priority = 5
-	if _, open := f.r[0].View(other); v.State != IsHeld || v.Priority != 5 || open {
+	if _, open := f.r[0].View(other); v.State != StateHeld || v.Priority != 5 || open {
 		t.Errorf("it came to %+v; the one that ended is open: %v", v, open)
 	}
 }
@@ -520,13 +520,13 @@
 	f.make(t, 0, Edit{ID: batch, Kind: Resolved})
 	f.give(0, 1, 100)
 	f.give(1, 0, 100)
-	if gone := f.r[0].Fold(); gone != nil {
+	if gone := f.r[0].Compact(); gone != nil {
 		t.Fatalf("folded %v while a site was not heard", gone)
 	}
 	for _, i := range []int{0, 1} {
-		f.r[i].Count([]string{f.names[1-i]})
+		f.r[i].SetPeers([]string{f.names[1-i]})
 		f.give(1-i, i, 100)
-		f.r[i].Fold()
+		f.r[i].Compact()
 	}
 	if n, _ := f.r[0].Sizes(); n != 0 {
 		t.Errorf("%d jobs are kept for a site that was removed", n)
@@ -534,16 +534,16 @@
 	f.heal()
 	// It is shown as come too late, until somebody has seen it; then it goes at all.
 	v, ok := f.r[0].View(batch)
-	if !ok || v.State != IsUnknown || len(v.Lost) != 1 || v.Lost[0].Rule != RuleEffect {
+	if !ok || v.State != StateUnknown || len(v.Lost) != 1 || v.Lost[0].Rule != RuleOutcome {
 		t.Fatalf("its edit vanished: %+v", v)
 	}
 	f.make(t, 1, Edit{ID: batch, Kind: Seen, Operator: true, Dots: []Dot{v.Lost[0].Dot}})
 	for i, r := range f.r {
-		r.Count(slices.Delete(slices.Clone(f.names), i, i+1))
+		r.SetPeers(slices.Delete(slices.Clone(f.names), i, i+1))
 	}
 	f.heal()
 	for _, r := range f.r {
-		if r.Fold(); len(r.jobs) > 0 {
+		if r.Compact(); len(r.jobs) > 0 {
 			t.Errorf("%s keeps %+v", r.Origin(), r.Views())
 		}
 	}
@@ -557,12 +557,12 @@
 		f.make(t, 0, Edit{ID: batch, Kind: Prioritise, Priority: i % 1000})
 		if i%500 == 0 {
 			f.give(0, 1, 1<<20)
-			f.r[0].Fold()
+			f.r[0].Compact()
 		}
 	}
 	f.heal()
-	f.r[0].Fold()
-	f.r[1].Fold()
+	f.r[0].Compact()
+	f.r[1].Compact()
 	f.same(t)
 	if _, n := f.r[0].Sizes(); n > 9 {
 		t.Errorf("%d edits are kept", n)
@@ -586,7 +586,7 @@
 	if got := f.r[2].edits[e.Dot]; got == nil || !slices.Equal(got.Raw, raw) {
 		t.Errorf("it came as %+v", got)
 	}
-	if v, _ := f.r[2].View(batch); v.State != IsArrived || len(v.Lost) > 0 {
+	if v, _ := f.r[2].View(batch); v.State != StateArrived || len(v.Lost) > 0 {
 		t.Errorf("it changed %+v", v)
 	}
 }
--- a/internal/controller/jobs/node.go
+++ b/internal/controller/jobs/node.go
@@ -59,39 +59,39 @@
 
 // PeerStatus is what one knew when it was heard last, told on for those who do not hear it themselves.
 type PeerStatus struct {
-	Origin        string   `cbor:"1,keyasint"`
-	Versions      Versions `cbor:"2,keyasint"`
-	LastHeartbeat uint64   `cbor:"3,keyasint"` // grows in a life of it
+	Origin        string        `cbor:"1,keyasint"`
+	Versions      VersionVector `cbor:"2,keyasint"`
+	LastHeartbeat uint64        `cbor:"3,keyasint"` // grows in a life of it
 }
 
 // peerRequest is what one says that wants to hear; it says it again after each frame.
 type peerRequest struct {
-	Versions Versions `cbor:"1,keyasint"`
-	Kept     bool     `cbor:"2,keyasint"` // it knows the same, and has other edits
+	Versions VersionVector `cbor:"1,keyasint"`
+	Kept     bool          `cbor:"2,keyasint"` // it knows the same, and has other edits
 }
 
 // given answers it.
 type given struct {
 	Edits    [][]byte              `cbor:"1,keyasint"`
-	Whole    Versions              `cbor:"2,keyasint"`
+	Whole    VersionVector         `cbor:"2,keyasint"`
 	Folded   bool                  `cbor:"3,keyasint"`
 	Kept     map[string][]uint64   `cbor:"4,keyasint"`
 	Heard    map[string]PeerStatus `cbor:"5,keyasint"`
-	Versions Versions              `cbor:"6,keyasint"`
+	Versions VersionVector         `cbor:"6,keyasint"`
 	Digest   uint64                `cbor:"7,keyasint"`
 }
 
-// Plan is what a Node is told.
-type Plan struct {
-	Path  string
-	Count []string
-	Judge func(e Edit, v View) error // what the decisions permit; nil: all
-	Life  string                     // of this process: never used before
+// Config is what a Node is told.
+type Config struct {
+	Path        string
+	Peers       []string
+	Authorize   func(e Edit, v View) error // what the decisions permit; nil: all
+	Incarnation string                     // of this process: never used before
 }
 
 // Open begins to take and tell edits.
-func Open(p Plan, fleet *membership.Fleet, streams *membership.Streams, log *logrus.Entry) (*Node, error) {
-	keep, held, err := OpenKeep(p.Path)
+func Open(p Config, fleet *membership.Fleet, streams *membership.Streams, log *logrus.Entry) (*Node, error) {
+	keep, held, err := OpenStore(p.Path)
 	if err != nil {
 		return nil, err
 	}
@@ -102,21 +102,21 @@
 		log:       log,
 		streams:   streams,
 		fleet:     fleet,
-		count:     p.Count,
-		authorize: p.Judge,
+		count:     p.Peers,
+		authorize: p.Authorize,
 		changed:   make(chan struct{}),
 		peers:     map[string]PeerStatus{},
 		intake:    make(chan editRequest, 1024),
-		r:         New(self.Name+"@"+p.Life, self.Site),
+		r:         NewReplica(self.Name+"@"+p.Incarnation, self.Site),
 	}
 	n.r.Restore(held.Versions, held.Edits)
 	n.counts(held.Peers) // before it folds anything: also those that are not there yet count
 	if n.authorize == nil {
 		n.authorize = func(Edit, View) error { return nil }
 	}
-	if held.Aside != "" {
+	if held.QuarantinedAs != "" {
 		log.WithFields(
-			logrus.Fields{"reason": "jobs", "aside": held.Aside},
+			logrus.Fields{"reason": "jobs", "aside": held.QuarantinedAs},
 		).Error(
 			"the store of jobs cannot be read and is begun anew; what others know comes back from them",
 		)
@@ -133,8 +133,8 @@
 // Close ends it; the streams are closed before it.
 func (n *Node) Close() error { return n.storage.Close() }
 
-// Do takes an edit that somebody asks for; it returns once it is on the disk.
-func (n *Node) Do(ctx context.Context, e Edit) (Edit, error) {
+// Submit takes an edit that somebody asks for; it returns once it is on the disk.
+func (n *Node) Submit(ctx context.Context, e Edit) (Edit, error) {
 	a := editRequest{e, make(chan answer, 1)}
 	select {
 	case n.intake <- a:
@@ -170,8 +170,8 @@
 	return n.r.Sizes()
 }
 
-// Sum is of all views but those that each forgets in its own time: two that know the same have the same.
-func (n *Node) Sum() uint64 {
+// Checksum is of all views but those that each forgets in its own time: two that know the same have the same.
+func (n *Node) Checksum() uint64 {
 	h := xxh3.New()
 	for _, v := range n.Views() {
 		if !v.State.Ended() || len(v.Lost) > 0 {
@@ -182,11 +182,11 @@
 	return h.Sum64()
 }
 
-// Knows is what is known here.
-func (n *Node) Knows() Versions {
+// Versions is what is known here.
+func (n *Node) Versions() VersionVector {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.r.Knows().clone()
+	return n.r.Versions().clone()
 }
 
 // Changed is closed at the next news.
@@ -243,14 +243,14 @@
 		v, _ := n.r.View(a.edit.ID)
 		e, err := a.edit, n.authorize(a.edit, v)
 		if err == nil {
-			e, err = n.r.Make(e)
+			e, err = n.r.Prepare(e)
 		}
 		if answers[i] = (answer{e, err}); err == nil {
 			made = append(made, e)
 			n.r.Merge([]Edit{e}, nil) // so that those after it know of it; peers hear of it once it is stored
 		}
 	}
-	err := n.storage.Put(made, n.r.Knows().clone(), nil)
+	err := n.storage.Put(made, n.r.Versions().clone(), nil)
 	if err == nil && len(made) > 0 {
 		n.notify()
 	}
@@ -269,15 +269,15 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	fresh := n.r.Fresh(edits)
-	knows := n.r.Knows().clone()
+	fresh := n.r.FilterNew(edits)
+	knows := n.r.Versions().clone()
 	for _, e := range fresh {
 		knows[e.Dot.Origin] = max(knows[e.Dot.Origin], e.Dot.Number)
 	}
 	for origin, m := range g.Whole {
 		knows[origin] = max(knows[origin], m)
 	}
-	if !maps.Equal(knows, n.r.Knows()) {
+	if !maps.Equal(knows, n.r.Versions()) {
 		if err := n.storage.Put(fresh, knows, nil); err != nil {
 			n.log.WithField("reason", "jobs").Fatalf("edits cannot be kept: %v", err)
 		}
@@ -285,7 +285,7 @@
 		n.notify()
 	}
 	if g.Folded && g.Kept != nil {
-		if gone := n.r.Settled(g.Kept, g.Versions); len(gone) > 0 {
+		if gone := n.r.DiscardCompacted(g.Kept, g.Versions); len(gone) > 0 {
 			n.log.WithFields(
 				logrus.Fields{"edits": len(gone), "of": from},
 			).Debug(
@@ -300,7 +300,7 @@
 	for name, h := range g.Heard {
 		if was := n.peers[name]; name != n.name && (h.Origin != was.Origin || h.LastHeartbeat > was.LastHeartbeat) {
 			n.peers[name] = h
-			n.r.Heard(name, h.Versions)
+			n.r.RecordPeerVersions(name, h.Versions)
 		}
 	}
 	return nil
@@ -311,14 +311,20 @@
 	knows := a.Versions
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := n.r.Lacks(knows, perFrame)
-	g = given{Whole: l.Whole, Folded: l.Folded, Kept: l.Kept, Versions: n.r.Knows().clone(), Digest: n.r.Digest()}
+	l := n.r.DeltaSince(knows, perFrame)
+	g = given{
+		Whole:    l.Complete,
+		Folded:   l.Compacted,
+		Kept:     l.Retained,
+		Versions: n.r.Versions().clone(),
+		Digest:   n.r.Digest(),
+	}
 	if heard {
 		g.Heard = maps.Clone(n.peers)
 		g.Heard[n.name] = PeerStatus{n.r.Origin(), g.Versions, beats}
 	}
 	if a.Kept {
-		g.Folded, g.Kept = true, n.r.Kept()
+		g.Folded, g.Kept = true, n.r.Retained()
 	}
 	for _, e := range l.Edits {
 		g.Edits = append(g.Edits, e.Raw)
@@ -331,7 +337,7 @@
 func (n *Node) serve(ctx context.Context, _ string, c *membership.Conn) {
 	began := time.Now()
 	beats := func() uint64 { return uint64(began.UnixMilli()) + uint64(time.Since(began)/time.Millisecond) }
-	c.Patience = heartbeatTimeout
+	c.Timeout = heartbeatTimeout
 	var last time.Time
 	for {
 		var a peerRequest
@@ -427,7 +433,7 @@
 func (n *Node) updatePeers(ctx context.Context, changed []membership.Peer, ever map[string]membership.Peer,
 	hearing map[string]context.CancelFunc, running *sync.WaitGroup) {
 	for _, p := range changed {
-		if ever[p.Name] = p; p.Streams == "" {
+		if ever[p.Name] = p; p.StreamAddr == "" {
 			delete(ever, p.Name)
 		}
 	}
@@ -468,7 +474,7 @@
 			n.log.WithField("reason", "jobs").Errorf("who is there is not kept: %v", err)
 		}
 	}
-	n.r.Count(names)
+	n.r.SetPeers(names)
 }
 
 const (
@@ -499,12 +505,12 @@
 	if err != nil {
 		return err
 	}
-	defer n.streams.Done(c)
-	c.Patience = heartbeatTimeout
+	defer n.streams.Release(c)
+	c.Timeout = heartbeatTimeout
 	defer context.AfterFunc(ctx, func() { _ = c.Close() })()
 	want, asked := peerRequest{}, time.Now()
 	for {
-		want.Versions = n.Knows()
+		want.Versions = n.Versions()
 		if err := c.Send(want); err != nil {
 			return err
 		}
@@ -529,7 +535,7 @@
 func (n *Node) differs(g given) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.r.Digest() != g.Digest && n.r.Knows().Cover(g.Versions) && g.Versions.Cover(n.r.Knows())
+	return n.r.Digest() != g.Digest && n.r.Versions().Dominates(g.Versions) && g.Versions.Dominates(n.r.Versions())
 }
 
 // fold forgets now and then what all know.
@@ -547,7 +553,7 @@
 			n.mu.Unlock()
 			continue
 		}
-		if gone := n.r.Fold(); len(gone) > 0 {
+		if gone := n.r.Compact(); len(gone) > 0 {
 			if err := n.storage.Put(nil, nil, gone); err != nil {
 				n.log.WithField("reason", "jobs").Errorf("what all know is not forgotten on the disk: %v", err)
 			}
--- a/internal/controller/jobs/process_test.go
+++ b/internal/controller/jobs/process_test.go
@@ -93,17 +93,17 @@
 func TestProcessesParted(t *testing.T) {
 	r := newRig(t, 6, 3)
 	r.do(0, jobs.Edit{ID: id(1), Kind: jobs.Arrive})
-	r.same("it is known to all", is(1, jobs.IsArrived), 0, 1, 2, 3, 4, 5)
+	r.same("it is known to all", is(1, jobs.StateArrived), 0, 1, 2, 3, 4, 5)
 	r.Part(link.Silent, func(i, j int) bool { return i%3 != j%3 })
 	r.do(0, jobs.Edit{ID: id(1), Kind: jobs.Release, Operator: true})
 	r.do(1, jobs.Edit{ID: id(1), Kind: jobs.Hold})
 	r.do(5, jobs.Edit{ID: id(1), Kind: jobs.Dispatched, Epoch: 4})
-	r.same("a site agrees while it is cut off", is(1, jobs.IsHeld), 1, 4)
+	r.same("a site agrees while it is cut off", is(1, jobs.StateHeld), 1, 4)
 	r.Part(link.Silent, func(i, j int) bool { return i%3 != j%3 && i%3 != 1 && j%3 != 1 })
-	r.same("two sites meet", is(1, jobs.IsDispatched), 1, 4, 2, 5)
+	r.same("two sites meet", is(1, jobs.StateDispatched), 1, 4, 2, 5)
 	r.Part(link.Open, nil)
 	r.same("all meet", func(all []jobs.View) bool {
-		return len(all) == 1 && all[0].State == jobs.IsDispatched && len(all[0].Lost) == 2 && all[0].Epoch == 4
+		return len(all) == 1 && all[0].State == jobs.StateDispatched && len(all[0].Lost) == 2 && all[0].Epoch == 4
 	}, 0, 1, 2, 3, 4, 5)
 }
 
@@ -124,10 +124,10 @@
 		}
 	}
 	start(0)
-	r.same("what was answered is there", is(1, jobs.IsArrived), 0, 1, 2, 3, 4)
+	r.same("what was answered is there", is(1, jobs.StateArrived), 0, 1, 2, 3, 4)
 
 	r.do(1, jobs.Edit{ID: id(2), Kind: jobs.Arrive})
-	r.same("another", is(2, jobs.IsArrived), 0, 1, 2, 3, 4)
+	r.same("another", is(2, jobs.StateArrived), 0, 1, 2, 3, 4)
 	r.Processes[1].Kill()
 	copied, err := os.ReadFile(file(r.Processes[1]))
 	if err != nil {
@@ -136,7 +136,7 @@
 	start(1)
 	r.do(1, jobs.Edit{ID: id(1), Kind: jobs.Hold, Operator: true})
 	r.do(2, jobs.Edit{ID: id(2), Kind: jobs.Resolved})
-	gone := func(all []jobs.View) bool { return len(all) == 1 && is(1, jobs.IsHeld)(all) }
+	gone := func(all []jobs.View) bool { return len(all) == 1 && is(1, jobs.StateHeld)(all) }
 	r.same("the second has ended, and all have folded it", gone, 0, 1, 2, 3, 4)
 	r.Processes[1].Kill()
 	if err := os.WriteFile(file(r.Processes[1]), copied, 0o600); err != nil {
@@ -177,5 +177,5 @@
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	r.same("it stands", is(1, jobs.IsArrived), 0)
+	r.same("it stands", is(1, jobs.StateArrived), 0)
 }
--- a/internal/controller/jobs/replica.go
+++ b/internal/controller/jobs/replica.go
@@ -12,8 +12,8 @@
 
 // Bounds of what one takes.
 const (
-	MostJobs  = 1_000_000 // open at a time
-	MostEdits = 100_000   // of one job that are not folded yet
+	MaxJobs        = 1_000_000 // open at a time
+	MaxEditsPerJob = 100_000   // of one job that are not folded yet
 )
 
 // Replica is what one of us knows. It is not safe for several goroutines at once.
@@ -21,7 +21,7 @@
 	origin   string
 	site     string
 	last     uint64 // number of the own edit made last
-	versions Versions
+	versions VersionVector
 	jobs     map[ID]*entry
 	log      map[string][]Dot // by origin: dots that are kept, in their order
 	edits    map[Dot]*Edit
@@ -37,14 +37,14 @@
 
 // peer is what another one said that it knew: the last word of which all is here, and a later one of which something
 // is on its way still. While edits come all the time there is always such a one.
-type peer struct{ versions, later Versions }
+type peer struct{ versions, later VersionVector }
 
-// New makes a Replica for a life of an instance: its origin must never have been used before.
-func New(origin, site string) *Replica {
+// NewReplica makes a Replica for a life of an instance: its origin must never have been used before.
+func NewReplica(origin, site string) *Replica {
 	return &Replica{
 		origin:   origin,
 		site:     site,
-		versions: Versions{},
+		versions: VersionVector{},
 		jobs:     map[ID]*entry{},
 		log:      map[string][]Dot{},
 		edits:    map[Dot]*Edit{},
@@ -55,8 +55,8 @@
 // Origin is the name under which edits of this life go.
 func (r *Replica) Origin() string { return r.origin }
 
-// Knows is what it knows. The caller must not change it.
-func (r *Replica) Knows() Versions { return r.versions }
+// Versions is what it knows. The caller must not change it.
+func (r *Replica) Versions() VersionVector { return r.versions }
 
 var (
 	errEnded  = errors.New("the job has ended")
@@ -66,10 +66,10 @@
 	errRepeat = errors.New("it stands so already")
 )
 
-// Make takes an edit that somebody asks for here: it gets a name, what was known, and its bytes. It
+// Prepare takes an edit that somebody asks for here: it gets a name, what was known, and its bytes. It
 // counts once it is stored: the caller stores it, and then calls Merge.
-func (r *Replica) Make(e Edit) (Edit, error) {
-	if err := Check(e); err != nil {
+func (r *Replica) Prepare(e Edit) (Edit, error) {
+	if err := ValidateEdit(e); err != nil {
 		return e, err
 	}
 	known := r.jobs[e.ID]
@@ -77,26 +77,26 @@
 	switch {
 	case known == nil && !isNew:
 		return e, fmt.Errorf("%s: %w", e.ID, errNoJob)
-	case known == nil && len(r.jobs) >= MostJobs:
+	case known == nil && len(r.jobs) >= MaxJobs:
 		return e, errFull
-	case known != nil && len(known.edits) >= MostEdits:
+	case known != nil && len(known.edits) >= MaxEditsPerJob:
 		return e, fmt.Errorf("%s: %w", e.ID, errMany)
 	}
 	if known != nil {
 		v := r.view(known, e.ID)
-		telling := slices.Contains(effects, e.Kind) && (v.State != IsResolved)
+		telling := slices.Contains(effects, e.Kind) && (v.State != StateResolved)
 		if v.State.Ended() && !telling && (e.Kind != Seen || len(v.Lost) <= 0) {
 			return e, fmt.Errorf("%s: %w: %s", e.ID, errEnded, v.State)
 		}
-		if isNew && v.State != IsUnknown && (e.Kind == Announce || v.State != IsAnnounced) {
+		if isNew && v.State != StateUnknown && (e.Kind == Announce || v.State != StateAnnounced) {
 			return e, fmt.Errorf("%s: %w: %s", e.ID, errRepeat, v.State)
 		}
 	}
 	r.last++
-	e.Dot, e.Site, e.Knew = Dot{r.origin, r.last}, r.site, Versions{}
+	e.Dot, e.Site, e.CausalContext = Dot{r.origin, r.last}, r.site, VersionVector{}
 	if known != nil {
 		for _, o := range known.edits {
-			e.Knew[o.Dot.Origin] = max(e.Knew[o.Dot.Origin], o.Dot.Number)
+			e.CausalContext[o.Dot.Origin] = max(e.CausalContext[o.Dot.Origin], o.Dot.Number)
 		}
 	}
 	slices.Sort(e.Places)
@@ -119,7 +119,7 @@
 }
 
 // Restore takes in what a store holds: what it knew, which counts also where edits were folded, and the edits.
-func (r *Replica) Restore(knew Versions, edits []Edit) {
+func (r *Replica) Restore(knew VersionVector, edits []Edit) {
 	slices.SortFunc(edits, func(a, b Edit) int { return int(a.Dot.Number) - int(b.Dot.Number) })
 	for i := range edits {
 		r.put(&edits[i])
@@ -131,7 +131,7 @@
 
 func (r *Replica) view(j *entry, id ID) View {
 	if !j.fresh {
-		j.view, j.fresh = Resolve(id, j.edits), true
+		j.view, j.fresh = ComputeView(id, j.edits), true
 	}
 	return j.view
 }
@@ -140,7 +140,7 @@
 func (r *Replica) View(id ID) (View, bool) {
 	j := r.jobs[id]
 	if j == nil {
-		return View{ID: id, State: IsUnknown}, false
+		return View{ID: id, State: StateUnknown}, false
 	}
 	return r.view(j, id), true
 }
@@ -156,21 +156,21 @@
 // Sizes counts jobs and edits that are kept.
 func (r *Replica) Sizes() (jobs, edits int) { return len(r.jobs), len(r.edits) }
 
-// Given is what one gives to another who lacks it: edits in the order of each origin, and up to where each is whole
+// Delta is what one gives to another who lacks it: edits in the order of each origin, and up to where each is whole
 // with them. Where some were folded, Kept are all that the giver has, by origin: what it knows beside them is settled.
-type Given struct {
-	Edits  []*Edit
-	Whole  Versions
-	Folded bool
-	Kept   map[string][]uint64
+type Delta struct {
+	Edits     []*Edit
+	Complete  VersionVector
+	Compacted bool
+	Retained  map[string][]uint64
 }
 
-// Lacks gives some of what one who knows that much lacks. Whoever gets Whole has the others first.
-func (r *Replica) Lacks(knows Versions, most int) (g Given) {
-	g.Whole = Versions{}
+// DeltaSince gives some of what one who knows that much lacks. Whoever gets Whole has the others first.
+func (r *Replica) DeltaSince(knows VersionVector, most int) (g Delta) {
+	g.Complete = VersionVector{}
 	defer func() { // also where not all were given: without it the taker would hold all that is known for folded
-		if g.Folded {
-			g.Kept = r.Kept()
+		if g.Compacted {
+			g.Retained = r.Retained()
 		}
 	}()
 	for _, origin := range slices.Sorted(maps.Keys(r.versions)) {
@@ -189,15 +189,15 @@
 			}
 			g.Edits = append(g.Edits, r.edits[d])
 		}
-		g.Whole[origin] = r.versions[origin]
-		g.Folded = g.Folded || uint64(len(kept)-from) < r.versions[origin]-knows[origin]
+		g.Complete[origin] = r.versions[origin]
+		g.Compacted = g.Compacted || uint64(len(kept)-from) < r.versions[origin]-knows[origin]
 	}
 	return g
 }
 
-// Kept are the edits that it has, by origin, and a digest of them: two who know the same and differ in it have
+// Retained are the edits that it has, by origin, and a digest of them: two who know the same and differ in it have
 // folded at different moments, or one from an old store.
-func (r *Replica) Kept() (kept map[string][]uint64) {
+func (r *Replica) Retained() (kept map[string][]uint64) {
 	kept = map[string][]uint64{}
 	for origin, dots := range r.log {
 		for _, d := range dots {
@@ -210,10 +210,10 @@
 // Digest is of the names of the edits that it has.
 func (r *Replica) Digest() uint64 { return r.digest }
 
-// Fresh are those edits that are new here, for the store; nothing counts before Merge.
-func (r *Replica) Fresh(edits []Edit) (fresh []Edit) {
+// FilterNew are those edits that are new here, for the store; nothing counts before Merge.
+func (r *Replica) FilterNew(edits []Edit) (fresh []Edit) {
 	for _, e := range edits {
-		if !r.versions.Know(e.Dot) {
+		if !r.versions.Contains(e.Dot) {
 			fresh = append(fresh, e)
 		}
 	}
@@ -221,9 +221,9 @@
 }
 
 // Merge takes in edits that are stored, and up to where each origin is whole with them.
-func (r *Replica) Merge(edits []Edit, whole Versions) {
+func (r *Replica) Merge(edits []Edit, whole VersionVector) {
 	for i := range edits {
-		if !r.versions.Know(edits[i].Dot) {
+		if !r.versions.Contains(edits[i].Dot) {
 			r.put(&edits[i])
 		}
 	}
@@ -232,10 +232,10 @@
 	}
 }
 
-// Settled forgets edits that another one, who knows them, has folded; it gives their names. Answers a store that is
-// older than what the others have folded meanwhile: a job that ended would be open again, and an edit that was replaced
-// would stand beside one whose maker did not have it any more. Two that do so with each other come to what both have.
-func (r *Replica) Settled(kept map[string][]uint64, knows Versions) (gone []Dot) {
+// DiscardCompacted discards edits that a peer has seen and compacted, and returns their dots. Without it, a replica
+// restored from an old store would reopen ended jobs and revive superseded edits. Two replicas that call it on each
+// other converge to the intersection of their edits.
+func (r *Replica) DiscardCompacted(kept map[string][]uint64, knows VersionVector) (gone []Dot) {
 	there := map[Dot]bool{}
 	for origin, numbers := range kept {
 		for _, n := range numbers {
@@ -245,7 +245,7 @@
 	for id, j := range r.jobs {
 		was := len(j.edits)
 		j.edits = slices.DeleteFunc(j.edits, func(e *Edit) bool {
-			out := knows.Know(e.Dot) && !there[e.Dot]
+			out := knows.Contains(e.Dot) && !there[e.Dot]
 			if out {
 				gone = append(gone, e.Dot)
 			}
@@ -281,13 +281,13 @@
 	}
 }
 
-// Heard takes what another one says that it knows, under its name.
-func (r *Replica) Heard(name string, knows Versions) {
+// RecordPeerVersions takes what another one says that it knows, under its name.
+func (r *Replica) RecordPeerVersions(name string, knows VersionVector) {
 	p := r.peers[name]
-	if p.later != nil && r.versions.Cover(p.later) {
+	if p.later != nil && r.versions.Dominates(p.later) {
 		p.versions, p.later = p.later, nil
 	}
-	if r.versions.Cover(knows) {
+	if r.versions.Dominates(knows) {
 		p.versions = knows
 	} else if p.later == nil {
 		p.later = knows
@@ -295,8 +295,8 @@
 	r.peers[name] = p
 }
 
-// Count says who counts: until all of them know of something it is kept. One that was removed for good counts no more.
-func (r *Replica) Count(names []string) {
+// SetPeers sets the peers that must have seen an edit before it may be compacted.
+func (r *Replica) SetPeers(names []string) {
 	for name := range r.peers {
 		if !slices.Contains(names, name) {
 			delete(r.peers, name)
@@ -309,13 +309,13 @@
 	}
 }
 
-// Fold forgets what all who count know and nothing hangs on: jobs that ended, and edits that others replaced. A job
+// Compact forgets what all who count know and nothing hangs on: jobs that ended, and edits that others replaced. A job
 // goes only when nobody can have made an edit of it that is not here: each has said that it knows the end, after
 // which it takes none, and all that it made until then is here. It gives the names of what went, for the store.
-func (r *Replica) Fold() (gone []Dot) {
-	all := []Versions{r.versions}
+func (r *Replica) Compact() (gone []Dot) {
+	all := []VersionVector{r.versions}
 	for _, p := range r.peers {
-		if p.later != nil && r.versions.Cover(p.later) {
+		if p.later != nil && r.versions.Dominates(p.later) {
 			p.versions = p.later
 		}
 		if p.versions == nil {
@@ -323,12 +323,12 @@
 		}
 		all = append(all, p.versions)
 	}
-	stable := Versions{}
+	stable := VersionVector{}
 	for origin := range r.versions {
 		stable[origin] = least(origin, all)
 	}
 	for id, j := range r.jobs {
-		if slices.ContainsFunc(j.edits, func(e *Edit) bool { return !stable.Know(e.Dot) }) {
+		if slices.ContainsFunc(j.edits, func(e *Edit) bool { return !stable.Contains(e.Dot) }) {
 			continue
 		}
 		v := r.view(j, id)
--- a/internal/controller/jobs/keep.go
+++ b/internal/controller/jobs/store.go
@@ -26,28 +26,28 @@
 
 // StoredState is what a store held at a start. Peers are the names of all that ever were there.
 type StoredState struct {
-	Versions Versions
-	Edits    []Edit
-	Peers    []string
-	Aside    string // where a store that could not be read went; empty: it could
+	Versions      VersionVector
+	Edits         []Edit
+	Peers         []string
+	QuarantinedAs string // where a store that could not be read went; empty: it could
 }
 
-// OpenKeep opens a store, or makes one. One that cannot be read is set aside and begun anew: what was in it the others
+// OpenStore opens a store, or makes one. One that cannot be read is set aside and begun anew: what was in it the others
 // know, but for what nobody had heard yet.
-func OpenKeep(path string) (k *Store, held StoredState, err error) {
-	if k, held, err = openKeep(path); err == nil || errors.Is(err, bolterrors.ErrTimeout) {
+func OpenStore(path string) (k *Store, held StoredState, err error) {
+	if k, held, err = openStore(path); err == nil || errors.Is(err, bolterrors.ErrTimeout) {
 		return k, held, err
 	}
 	aside := path + ".aside-" + time.Now().UTC().Format("20060102T150405.000")
 	if e := os.Rename(path, aside); e != nil {
 		return nil, StoredState{}, errors.Join(err, e)
 	}
-	k, held, err = openKeep(path)
-	held.Aside = aside
+	k, held, err = openStore(path)
+	held.QuarantinedAs = aside
 	return k, held, err
 }
 
-func openKeep(path string) (k *Store, held StoredState, err error) {
+func openStore(path string) (k *Store, held StoredState, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a torn page can send the library beyond its map
 	defer func() {
 		if broken := recover(); broken != nil {
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, held, err
 	}
-	held.Versions = Versions{}
+	held.Versions = VersionVector{}
 	err = db.Update(func(tx *bbolt.Tx) error {
 		if err := prepareKeep(tx, path); err != nil {
 			return err
@@ -118,7 +118,7 @@
 }
 
 // Put stores edits, what is known with them, and forgets others, all or nothing; it returns once it is on the disk.
-func (k *Store) Put(edits []Edit, knows Versions, gone []Dot) error {
+func (k *Store) Put(edits []Edit, knows VersionVector, gone []Dot) error {
 	return k.db.Update(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucketEdits)
 		for _, e := range edits {
--- a/internal/controller/membership/sums.go
+++ b/internal/controller/membership/aggregator.go
@@ -24,8 +24,8 @@
 	useSpan   = 5.0 // reports that a use is the mean of
 )
 
-// Sums tells on what the own proxies met and are asked for, and hears what the others' did.
-type Sums struct {
+// LoadAggregator tells on what the own proxies met and are asked for, and hears what the others' did.
+type LoadAggregator struct {
 	fleet *Fleet
 	tell  func(aggregation.Summary) // must not wait
 	began time.Time
@@ -44,9 +44,9 @@
 	product, zone string
 }
 
-// Tell begins to tell sums on; others' totals go to tell.
-func (f *Fleet) Tell(tell func(aggregation.Summary)) *Sums {
-	s := &Sums{
+// StartLoadAggregator begins to tell sums on; others' totals go to tell.
+func (f *Fleet) StartLoadAggregator(tell func(aggregation.Summary)) *LoadAggregator {
+	s := &LoadAggregator{
 		fleet: f,
 		tell:  tell,
 		began: time.Now(),
@@ -102,15 +102,15 @@
 }
 
 // Close ends it; the fleet is closed after it.
-func (s *Sums) Close() {
+func (s *LoadAggregator) Close() {
 	s.stop()
 	s.done.Wait()
 }
 
-func (s *Sums) now() time.Duration { return time.Since(s.began) }
+func (s *LoadAggregator) now() time.Duration { return time.Since(s.began) }
 
-// Met takes what the own proxies met at a backend; took is the mean time of the answers.
-func (s *Sums) Met(backend string, tries, voided float64, took time.Duration) {
+// RecordAttempts adds attempts that the local proxies made at a backend; took is the mean latency of successful ones.
+func (s *LoadAggregator) RecordAttempts(backend string, tries, voided float64, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.node.Record(
@@ -124,16 +124,16 @@
 	)
 }
 
-// Uses takes how many txns/s of a product came to a proxy.
-func (s *Sums) Uses(proxy int, product, zone string, txns float64) {
+// RecordUsage adds a sample of the txns/s of a product that arrive at a proxy.
+func (s *LoadAggregator) RecordUsage(proxy int, product, zone string, txns float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at := use{proxy, product, zone}
 	s.uses[at] += (txns - s.uses[at]) / useSpan
 }
 
-// Left forgets a proxy that is not joined any more.
-func (s *Sums) Left(proxy int) {
+// RemoveProxy drops the usage of a proxy that has left.
+func (s *LoadAggregator) RemoveProxy(proxy int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for at := range s.uses {
@@ -152,12 +152,12 @@
 	}
 }
 
-func (s *Sums) to(name string, kind uint8, body any) func() {
+func (s *LoadAggregator) to(name string, kind uint8, body any) func() {
 	return func() { _ = s.fleet.Send(name, kind, body) } // what is lost is lost: the next second's comes
 }
 
 // asked passes the question on and answers it once those below have, or the time is over.
-func (s *Sums) asked(from string, a aggregation.Request) {
+func (s *LoadAggregator) asked(from string, a aggregation.Request) {
 	s.mu.Lock()
 	var out reportList
 	defer func() { out.send() }()
@@ -186,7 +186,7 @@
 	})
 }
 
-func (s *Sums) handle(from string, up aggregation.Partial) {
+func (s *LoadAggregator) handle(from string, up aggregation.Partial) {
 	s.mu.Lock()
 	var out reportList
 	if s.node.HandlePartial(from, up, s.now()) && s.waits > 0 && s.node.HasAllPartials() {
@@ -196,7 +196,7 @@
 	out.send()
 }
 
-func (s *Sums) take(from string, d aggregation.Total) {
+func (s *LoadAggregator) take(from string, d aggregation.Total) {
 	s.mu.Lock()
 	out := s.down(s.node.HandleTotal(from, d, s.now()))
 	s.mu.Unlock()
@@ -204,7 +204,7 @@
 }
 
 // answer closes a turn; the mutex is held.
-func (s *Sums) answer() (out reportList) {
+func (s *LoadAggregator) answer() (out reportList) {
 	s.waits = 0
 	all := make([]aggregation.Usage, 0, len(s.uses))
 	for at, txns := range s.uses {
@@ -219,7 +219,7 @@
 	return append(out, s.down(total, on)...)
 }
 
-func (s *Sums) down(total *aggregation.Summary, on map[string]aggregation.Total) (out reportList) {
+func (s *LoadAggregator) down(total *aggregation.Summary, on map[string]aggregation.Total) (out reportList) {
 	if total == nil {
 		return nil
 	}
--- a/internal/controller/membership/heal_test.go
+++ b/internal/controller/membership/heal_test.go
@@ -71,7 +71,7 @@
 			var fleets []*Fleet
 			first := ""
 			for i := range many {
-				plan := Plan{Name: fmt.Sprint("n", i), Join: []string{first}[:min(i, 1)]}
+				plan := Config{Name: fmt.Sprint("n", i), Join: []string{first}[:min(i, 1)]}
 				f, err := Open(plan, "", cutPort{ports[i], network}, quiet())
 				if err != nil {
 					t.Fatal(err)
--- a/internal/controller/membership/member.go
+++ b/internal/controller/membership/membership.go
@@ -25,8 +25,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Plan is what an instance is told of its fleet.
-type Plan struct {
+// Config is what an instance is told of its fleet.
+type Config struct {
 	Name   string
 	Site   string
 	Listen string            // HOST:PORT, for datagrams and connections; HOST is an IPv4 address
@@ -39,7 +39,7 @@
 	Name        string `cbor:"-"`
 	Site        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"` // ns since 1970 of its start: a later one is a later life
-	Streams     string `cbor:"3,keyasint"` // HOST:PORT where it takes connections of ours; empty: none
+	StreamAddr  string `cbor:"3,keyasint"` // HOST:PORT where it takes connections of ours; empty: none
 }
 
 const (
@@ -63,7 +63,7 @@
 
 // Fleet is an instance's view of all of them.
 type Fleet struct {
-	plan Plan
+	plan Config
 	self Peer
 	list *memberlist.Memberlist
 	log  *logrus.Entry
@@ -84,10 +84,10 @@
 }
 
 // Open begins to take part. transport is for tests; nil is the network.
-func Open(p Plan, streams string, transport memberlist.Transport, log *logrus.Entry) (*Fleet, error) {
+func Open(p Config, streams string, transport memberlist.Transport, log *logrus.Entry) (*Fleet, error) {
 	f := &Fleet{
 		plan:     p,
-		self:     Peer{Name: p.Name, Site: p.Site, Incarnation: uint64(time.Now().UnixNano()), Streams: streams},
+		self:     Peer{Name: p.Name, Site: p.Site, Incarnation: uint64(time.Now().UnixNano()), StreamAddr: streams},
 		log:      log,
 		peers:    map[string]Peer{},
 		away:     map[string]gone{},
@@ -306,7 +306,7 @@
 	switch {
 	case !there:
 		delete(f.peers, n.Name)
-		f.away[n.Name] = gone{n.Address(), was.Streams, time.Now()}
+		f.away[n.Name] = gone{n.Address(), was.StreamAddr, time.Now()}
 		text = "an instance is not there any more"
 	case !known:
 		f.peers[n.Name] = p
--- a/internal/controller/membership/member_test.go
+++ b/internal/controller/membership/membership_test.go
@@ -32,13 +32,13 @@
 			ports = append(ports, net.open())
 		}
 		var fleets []*Fleet
-		var sums []*Sums
+		var sums []*LoadAggregator
 		var mu sync.Mutex
 		heard := make([]float64, many)
 		first := ""
 		for i := range many {
 			name := fmt.Sprint("n", i)
-			f, err := Open(Plan{Name: name, Join: []string{first}[:min(i, 1)]}, "", ports[i], quiet())
+			f, err := Open(Config{Name: name, Join: []string{first}[:min(i, 1)]}, "", ports[i], quiet())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -46,7 +46,7 @@
 				first = f.Addr()
 			}
 			fleets = append(fleets, f)
-			sums = append(sums, f.Tell(func(s aggregation.Summary) {
+			sums = append(sums, f.StartLoadAggregator(func(s aggregation.Summary) {
 				mu.Lock()
 				defer mu.Unlock()
 				for _, w := range s.Reports {
@@ -61,7 +61,7 @@
 			}
 		}
 		for i := range sums {
-			sums[i].Met("s", float64(i+1), 0, time.Millisecond)
+			sums[i].RecordAttempts("s", float64(i+1), 0, time.Millisecond)
 		}
 		time.Sleep(3 * time.Second)
 		mu.Lock()
--- a/internal/controller/membership/stream.go
+++ b/internal/controller/membership/stream.go
@@ -24,8 +24,8 @@
 // one receive at a time.
 type Conn struct {
 	net.Conn
-	Patience time.Duration // for a frame
-	in       *bufio.Reader
+	Timeout time.Duration // for a frame
+	in      *bufio.Reader
 }
 
 type hello struct {
@@ -42,7 +42,7 @@
 	if len(body) > mostFrame {
 		return errFrame
 	}
-	_ = c.SetWriteDeadline(time.Now().Add(c.Patience))
+	_ = c.SetWriteDeadline(time.Now().Add(c.Timeout))
 	_, err = c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...))
 	return err
 }
@@ -51,7 +51,7 @@
 
 // Receive reads a frame. Whatever comes, it is bounded in size and time.
 func (c *Conn) Receive(v any) error {
-	_ = c.SetReadDeadline(time.Now().Add(c.Patience))
+	_ = c.SetReadDeadline(time.Now().Add(c.Timeout))
 	var head [4]byte
 	if _, err := io.ReadFull(c.in, head[:]); err != nil {
 		return err
@@ -84,8 +84,8 @@
 	conns map[net.Conn]bool
 }
 
-// Connections serves connections at a listener; via is where some are reached in place of where they say.
-func (f *Fleet) Connections(ln net.Listener, via map[string]string) *Streams {
+// ServeStreams serves connections at a listener; via is where some are reached in place of where they say.
+func (f *Fleet) ServeStreams(ln net.Listener, via map[string]string) *Streams {
 	s := &Streams{
 		fleet:    f,
 		listener: ln,
@@ -170,7 +170,7 @@
 	addr, ok := s.via[name]
 	if !ok {
 		s.fleet.mu.Lock()
-		if addr = s.fleet.peers[name].Streams; addr == "" {
+		if addr = s.fleet.peers[name].StreamAddr; addr == "" {
 			addr = s.fleet.away[name].streams
 		}
 		s.fleet.mu.Unlock()
@@ -199,8 +199,8 @@
 	return conn, nil
 }
 
-// Done ends a connection that was dialled.
-func (s *Streams) Done(c *Conn) { s.drop(c.Conn) }
+// Release ends a connection that was dialled.
+func (s *Streams) Release(c *Conn) { s.drop(c.Conn) }
 
 // Kinds of connection that are in use.
 const (
--- a/internal/controller/peersync/peer.go
+++ b/internal/controller/peersync/peersync.go
@@ -22,8 +22,8 @@
 	"elmfold/internal/controller/warmstart"
 )
 
-// Version of the wire. Another one is refused.
-const Version = 1
+// ProtocolVersion of the wire. Another one is refused.
+const ProtocolVersion = 1
 
 const (
 	perPart   = 500 // facts
@@ -158,10 +158,10 @@
 	if err := read(bufio.NewReader(c), &h); err != nil {
 		return err
 	}
-	if h.Version != Version {
+	if h.Version != ProtocolVersion {
 		return errors.Join(
 			fmt.Errorf("version %d", h.Version),
-			write(c, part{Refused: fmt.Sprintf("version %d, we speak %d", h.Version, Version)}),
+			write(c, part{Refused: fmt.Sprintf("version %d, we speak %d", h.Version, ProtocolVersion)}),
 		)
 	}
 	snap, from := s.take(h)
@@ -202,9 +202,9 @@
 	Err    error // nil: all came
 }
 
-// Ask asks sources one after the other, in an order by chance, until one has told all or the time is over. Each
+// Fetch asks sources one after the other, in an order by chance, until one has told all or the time is over. Each
 // part is handed on as it comes; of a transfer that broke off twice what came counts.
-func Ask(sources []string, name, seed string, within time.Duration, offered func(warmstart.Offered)) (all []Result) {
+func Fetch(sources []string, name, seed string, within time.Duration, offered func(warmstart.Offered)) (all []Result) {
 	order := slices.Clone(sources)
 	slices.SortFunc(order, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxh3.HashString(seed+a), xxh3.HashString(seed+b)), cmp.Compare(a, b))
@@ -215,9 +215,9 @@
 			break
 		}
 		a := Result{Source: source}
-		h := hello{Version: Version, Name: name}
+		h := hello{Version: ProtocolVersion, Name: name}
 		for range 2 { // once more, from where it broke off
-			if a.Err = fetch(source, &h, over, func(facts []warmstart.Fact) {
+			if a.Err = fetchFrom(source, &h, over, func(facts []warmstart.Fact) {
 				a.Facts += len(facts)
 				offered(warmstart.Offered{Source: source, Facts: facts})
 			}); a.Err == nil || errors.Is(a.Err, errRefused) || errors.Is(a.Err, errFrame) {
@@ -233,7 +233,7 @@
 
 var errRefused = errors.New("refused")
 
-func fetch(source string, h *hello, over time.Time, offered func([]warmstart.Fact)) error {
+func fetchFrom(source string, h *hello, over time.Time, offered func([]warmstart.Fact)) error {
 	dialer := net.Dialer{Deadline: over, Timeout: patience}
 	c, err := dialer.Dial("tcp", source)
 	if err != nil {
--- a/internal/controller/peersync/peer_test.go
+++ b/internal/controller/peersync/peersync_test.go
@@ -38,7 +38,7 @@
 // gather counts how often each fact was offered, and the least age.
 func gather(sources []string, within time.Duration) (times map[string]int, asked []Result) {
 	times = map[string]int{}
-	asked = Ask(sources, "n1", "seed", within, func(o warmstart.Offered) {
+	asked = Fetch(sources, "n1", "seed", within, func(o warmstart.Offered) {
 		for _, f := range o.Facts {
 			if f.Age < time.Second || f.Origin != "n2" {
 				times["bad"]++
