--- a/internal/controlplane/rollout/exhaustive_test.go
+++ b/internal/controlplane/rollout/exhaustive_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/binary"
-	"fmt"
 	"maps"
 	"runtime/debug"
 	"slices"
@@ -14,332 +13,461 @@
 	"elmfold/internal/controlplane/paxos"
 )
 
-func (c *trackedVersion) clone() *trackedVersion {
-	d := *c
-	d.askedToPrepare, d.confirmations, d.proposal.Responses = maps.Clone(
-		c.askedToPrepare,
-	), maps.Clone(
-		c.confirmations,
-	), maps.Clone(
-		c.proposal.Responses,
-	)
-	return &d
-}
-
-// clone shares with w what own copies before it changes; queues are only ever replaced.
-func (w *world) clone() *world {
-	v := *w
-	v.st, v.car, v.disks, v.proved = slices.Clone(w.st), slices.Clone(w.car), slices.Clone(w.disks), slices.Clone(w.proved)
-	v.pend, v.queues, v.now, v.life = slices.Clone(
-		w.pend,
-	), slices.Clone(
-		w.queues,
-	), slices.Clone(
-		w.now,
-	), slices.Clone(
-		w.life,
-	)
-	v.shared = 1<<(w.n+w.m) - 1
-	return &v
+func (v *trackedVersion) clone() *trackedVersion {
+	clone := *v
+	clone.askedToPrepare = maps.Clone(v.askedToPrepare)
+	clone.confirmations = maps.Clone(v.confirmations)
+	clone.proposal.Responses = maps.Clone(v.proposal.Responses)
+	return &clone
 }
 
-func (w *world) own(i int) {
-	if w.shared>>i&1 == 0 {
-		return
+func (p *Participant) clone() *Participant {
+	clone := *p
+	clone.versions = map[uint64]*versionState{}
+	for number, v := range p.versions {
+		state := *v
+		clone.versions[number] = &state
 	}
-	w.shared &^= 1 << i
-	if i >= w.n {
-		d := *w.car[i-w.n]
-		d.versions = map[uint64]*versionState{}
-		for version, o := range w.car[i-w.n].versions {
-			p := *o
-			d.versions[version] = &p
-		}
-		w.car[i-w.n] = &d
+	return &clone
+}
+
+func (c *Coordinator) clone() *Coordinator {
+	clone := *c
+	clone.connected, clone.leases = maps.Clone(c.connected), maps.Clone(c.leases)
+	clone.versions = map[uint64]*trackedVersion{}
+	for number, v := range c.versions {
+		clone.versions[number] = v.clone()
+	}
+	clone.answers, clone.actions = slices.Clone(c.answers), nil
+	return &clone
+}
+
+// clone copies a cluster. Processes are shared until copyBeforeChange; queues are replaced and never changed in place.
+func (c *cluster) clone() *cluster {
+	clone := *c
+	clone.coordinators = slices.Clone(c.coordinators)
+	clone.participants = slices.Clone(c.participants)
+	clone.disks = slices.Clone(c.disks)
+	clone.confirmed = slices.Clone(c.confirmed)
+	clone.diskQueues = slices.Clone(c.diskQueues)
+	clone.queues = slices.Clone(c.queues)
+	clone.clocks = slices.Clone(c.clocks)
+	clone.incarnations = slices.Clone(c.incarnations)
+	clone.shared = 1<<(c.nodeCount+c.proxyCount) - 1
+	return &clone
+}
+
+// copyBeforeChange gives this cluster its own copy of a process.
+func (c *cluster) copyBeforeChange(process int) {
+	if c.shared>>process&1 == 0 {
 		return
 	}
-	s := *w.st[i]
-	s.connected, s.leases, s.versions = maps.Clone(s.connected), maps.Clone(s.leases), map[uint64]*trackedVersion{}
-	for version, c := range w.st[i].versions {
-		s.versions[version] = c.clone()
+	c.shared &^= 1 << process
+	if process >= c.nodeCount {
+		c.participants[process-c.nodeCount] = c.participants[process-c.nodeCount].clone()
+		return
 	}
-	s.answers, s.actions = slices.Clone(s.answers), nil
-	w.st[i], w.disks[i], w.proved[i] = &s, maps.Clone(w.disks[i]), maps.Clone(w.proved[i])
+	c.coordinators[process] = c.coordinators[process].clone()
+	c.disks[process] = maps.Clone(c.disks[process])
+	c.confirmed[process] = maps.Clone(c.confirmed[process])
 }
 
-func put(b []byte, xs ...uint64) []byte {
-	for _, x := range xs {
-		b = binary.AppendUvarint(b, x)
+func appendUvarints(b []byte, values ...uint64) []byte {
+	for _, v := range values {
+		b = binary.AppendUvarint(b, v)
 	}
 	return b
 }
 
-func bit(x bool) uint64 {
+func boolToUint(x bool) uint64 {
 	if x {
 		return 1
 	}
 	return 0
 }
 
-func putDecision(b []byte, d Decision) []byte {
-	return put(b, bit(d.Committed), d.Digest, uint64(d.Reason))
+func appendBallot(b []byte, n BallotNumber) []byte { return appendUvarints(b, n.Round, n.Incarnation) }
+
+func appendDecision(b []byte, d Decision) []byte {
+	return appendUvarints(b, boolToUint(d.Committed), d.Digest, uint64(d.Reason))
+}
+
+func appendVote(b []byte, v Vote) []byte {
+	b = appendBallot(appendBallot(b, v.Promised), v.Accepted)
+	return appendDecision(appendUvarints(b, boolToUint(v.Decided)), v.Value)
 }
 
-func putItem(b []byte, x any) []byte {
-	switch x := x.(type) {
+// appendItem encodes a message or a disk write, preceded by its type.
+func appendItem(b []byte, item any) []byte {
+	switch x := item.(type) {
 	case Message:
-		b = put(b, 1, uint64(x.Kind), x.Ballot.Round, x.Ballot.Incarnation, x.Accepted.Round, x.Accepted.Incarnation)
-		return putDecision(b, x.Value)
-	case hello:
-		return put(b, 2, x.life)
+		b = appendUvarints(b, 1, uint64(x.Kind))
+		return appendDecision(appendBallot(appendBallot(b, x.Ballot), x.Accepted), x.Value)
+	case proxyHello:
+		return appendUvarints(b, 2, x.incarnation)
 	case CommandReceived:
-		return put(b, 3, uint64(x.Command), x.Digest)
+		return appendUvarints(b, 3, uint64(x.Command), x.Digest)
 	case Confirmed:
-		return put(b, 4, x.Incarnation, x.Digest)
+		return appendUvarints(b, 4, x.Incarnation, x.Digest)
 	case Persist:
-		return putVote(put(b, 5), x.Vote)
+		return appendVote(appendUvarints(b, 5), x.Vote)
 	}
-	return put(b, 6)
+	return appendUvarints(b, 6)
 }
 
-func putVote(b []byte, v Vote) []byte {
-	b = put(b, v.Promised.Round, v.Promised.Incarnation, v.Accepted.Round, v.Accepted.Incarnation, bit(v.Decided))
-	return putDecision(b, v.Value)
+func appendItems(b []byte, items []any) []byte {
+	b = appendUvarints(b, uint64(len(items)))
+	for _, item := range items {
+		b = appendItem(b, item)
+	}
+	return b
+}
+
+// restartCount returns the number of restarts before an incarnation of a proxy, plus 1; it is 0 for no incarnation.
+func restartCount(incarnation uint64) uint64 {
+	return (incarnation + incarnationStep - 1) / incarnationStep
+}
+
+// anonymous replaces the incarnation in a message by its restart count.
+func anonymous(message any) any {
+	switch m := message.(type) {
+	case proxyHello:
+		return proxyHello{restartCount(m.incarnation)}
+	case Confirmed:
+		m.Incarnation = restartCount(m.Incarnation)
+		return m
+	}
+	return message
 }
 
-// hash is of all that what follows depends on, for one version. The carriers are alike: their columns are sorted, with
-// lives as the number of their restarts.
-func (w *world) hash(crashed bool) xxh3.Uint128 {
-	b := put(make([]byte, 0, 512), bit(crashed))
-	var columns [][]byte
-	for k := w.n; k < w.n+w.m; k++ {
-		c := w.car[k-w.n]
-		gen := func(life uint64) uint64 { return (life + 15) / 16 }
-		col := put(nil, gen(w.life[k]), c.active.Version, c.committed.Version)
-		if o := c.versions[1]; o != nil {
-			col = put(col, uint64(o.state), o.digest)
+// exploredVersion is the only version that an exploration stores.
+const exploredVersion = 1
+
+// Separators of the parts of an encoded state.
+const (
+	nodeSeparator        = 77
+	diskSeparator        = 78
+	proxyAtNodeSeparator = 99
+	proxySeparator       = 255
+)
+
+// proxyState encodes the state of a proxy, and what the nodes know of it, without its name.
+func (c *cluster) proxyState(proxy int) []byte {
+	p := c.participants[proxy-c.nodeCount]
+	b := appendUvarints(nil, restartCount(c.incarnations[proxy]), p.active.Version, p.committed.Version)
+	if v := p.versions[exploredVersion]; v != nil {
+		b = appendUvarints(b, uint64(v.state), v.digest)
+	}
+	name := processName(proxy)
+	for i, coordinator := range c.coordinators {
+		b = appendUvarints(b, proxyAtNodeSeparator, restartCount(coordinator.leases[name].incarnation))
+		if v := coordinator.versions[exploredVersion]; v != nil && !v.Decided { // no effect after the decision
+			b = appendUvarints(
+				b,
+				restartCount(v.askedToPrepare[name]),
+				restartCount(v.confirmations[name].incarnation),
+				restartCount(c.confirmed[i][proxyVersion{proxy, 0}].incarnation),
+				restartCount(c.confirmed[i][proxyVersion{proxy, exploredVersion}].incarnation),
+			)
 		}
-		for i := range w.n {
-			s := w.st[i]
-			col = put(col, 99, gen(s.leases[name(k)].incarnation))
-			if ch := s.versions[1]; ch != nil && !ch.Decided { // what was counted is of no use after the end
-				col = put(
-					col,
-					gen(ch.askedToPrepare[name(k)]),
-					gen(ch.confirmations[name(k)].incarnation),
-					gen(w.proved[i][about{k, 0}].life),
-					gen(w.proved[i][about{k, 1}].life),
-				)
-			}
-			for _, q := range [][]any{*w.queue(i, k), *w.queue(k, i)} {
-				col = put(col, uint64(len(q)))
-				for _, x := range q {
-					switch x := x.(type) {
-					case hello:
-						col = putItem(col, hello{gen(x.life)})
-					case Confirmed:
-						x.Incarnation = gen(x.Incarnation)
-						col = putItem(col, x)
-					default:
-						col = putItem(col, x)
-					}
-				}
+		for _, queue := range [][]any{*c.queue(i, proxy), *c.queue(proxy, i)} {
+			b = appendUvarints(b, uint64(len(queue)))
+			for _, message := range queue {
+				b = appendItem(b, anonymous(message))
 			}
 		}
-		columns = append(columns, col)
 	}
-	slices.SortFunc(columns, slices.Compare)
-	for _, col := range columns {
-		b = append(append(b, col...), 255)
+	return b
+}
+
+func appendVersionState(b []byte, v *trackedVersion) []byte {
+	b = appendVote(b, v.Vote)
+	if !v.Decided {
+		b = appendUvarints(
+			b,
+			uint64(v.stage),
+			uint64(v.haltReason),
+			uint64(v.retryAt),
+			uint64(v.wantedAt-unset),
+			uint64(v.recoverAt-unset),
+			v.maxRound,
+			uint64(v.proposal.Phase),
+			uint64(v.stageStartedAt),
+		)
 	}
-	for i := range w.n {
-		s := w.st[i]
-		b = put(b, 77, uint64(w.now[i]), s.incarnation, s.committed.Version, uint64(len(s.answers)))
-		for _, x := range s.answers {
-			b = put(putItem(b, x.message), s.seq-x.seq)
-		}
-		if c := s.versions[1]; c != nil {
-			b = putVote(b, c.Vote)
-			if !c.Decided {
-				b = put(
-					b,
-					uint64(c.stage),
-					uint64(c.haltReason),
-					uint64(c.retryAt),
-					uint64(c.wantedAt+1),
-					uint64(c.recoverAt+1),
-					c.maxRound,
-					uint64(c.proposal.Phase),
-					uint64(c.stageStartedAt),
-				)
-			}
-			if p := c.proposal; p.Phase != paxos.Idle {
-				b = put(
-					b,
-					p.Ballot.Round,
-					p.Ballot.Incarnation,
-					p.HighestAccepted.Round,
-					p.HighestAccepted.Incarnation,
-					uint64(len(p.Responses)),
-				)
-				for _, f := range slices.Sorted(maps.Keys(p.Responses)) {
-					b = put(append(b, f...), p.Responses[f].Round, p.Responses[f].Incarnation)
-				}
-				b = putDecision(b, p.Value)
-			}
+	if p := v.proposal; p.Phase != paxos.Idle {
+		b = appendBallot(appendBallot(b, p.Ballot), p.HighestAccepted)
+		b = appendUvarints(b, uint64(len(p.Responses)))
+		for _, from := range slices.Sorted(maps.Keys(p.Responses)) {
+			b = appendBallot(append(b, from...), p.Responses[from])
 		}
-		b = putVote(put(b, 78), w.disks[i][1])
-		b = put(b, uint64(len(w.pend[i])))
-		for _, x := range w.pend[i] {
-			b = putItem(b, x)
+		b = appendDecision(b, p.Value)
+	}
+	return b
+}
+
+// appendNodeState encodes the state of a node, its disk and its messages to other nodes.
+func (c *cluster) appendNodeState(b []byte, node int) []byte {
+	coordinator := c.coordinators[node]
+	b = appendUvarints(
+		b,
+		nodeSeparator,
+		uint64(c.clocks[node]),
+		coordinator.incarnation,
+		coordinator.committed.Version,
+		uint64(len(coordinator.answers)),
+	)
+	for _, answer := range coordinator.answers {
+		b = appendUvarints(appendItem(b, answer.message), coordinator.seq-answer.seq)
+	}
+	if v := coordinator.versions[exploredVersion]; v != nil {
+		b = appendVersionState(b, v)
+	}
+	b = appendVote(appendUvarints(b, diskSeparator), c.disks[node][exploredVersion])
+	b = appendUvarints(b, uint64(len(c.diskQueues[node])))
+	for _, write := range c.diskQueues[node] {
+		b = appendItem(b, write)
+	}
+	for other := range c.nodeCount {
+		b = appendItems(b, *c.queue(node, other))
+	}
+	return b
+}
+
+// hash covers all state that can affect later steps. The proxies are interchangeable, so their states are sorted.
+func (c *cluster) hash(crashed bool) xxh3.Uint128 {
+	var proxyStates [][]byte
+	for proxy := c.nodeCount; proxy < c.nodeCount+c.proxyCount; proxy++ {
+		proxyStates = append(proxyStates, c.proxyState(proxy))
+	}
+	slices.SortFunc(proxyStates, slices.Compare)
+	b := appendUvarints(make([]byte, 0, 512), boolToUint(crashed))
+	for _, state := range proxyStates {
+		b = append(append(b, state...), proxySeparator)
+	}
+	for node := range c.nodeCount {
+		b = c.appendNodeState(b, node)
+	}
+	ballots := uint64(0) // a sum, as the order of the map is random
+	for key, accepted := range c.ballots {
+		encoded := appendUvarints(appendBallot(nil, key.ballot), accepted.acceptors)
+		ballots += xxh3.Hash(appendDecision(encoded, accepted.value))
+	}
+	return xxh3.Hash128(appendDecision(appendUvarints(b, ballots), c.chosen[exploredVersion]))
+}
+
+// noProcess is returned by urgentProcess if there is none.
+const noProcess = -1
+
+// urgentProcess returns the process that moves first in an eager exploration: a node with a pending disk write, or a
+// proxy with a message.
+func (c *cluster) urgentProcess() int {
+	for node := range c.nodeCount {
+		if len(c.diskQueues[node]) > 0 {
+			return node
 		}
-		for j := range w.n {
-			q := *w.queue(i, j)
-			b = put(b, uint64(len(q)))
-			for _, x := range q {
-				b = putItem(b, x)
+	}
+	for proxy := c.nodeCount; proxy < c.nodeCount+c.proxyCount; proxy++ {
+		for node := range c.nodeCount {
+			if len(*c.queue(node, proxy)) > 0 {
+				return proxy
 			}
 		}
 	}
-	sum := uint64(0)
-	for key, a := range w.ballots { // in whatever order
-		sum += xxh3.Hash(putDecision(put(nil, key.at.Round, key.at.Incarnation, a.by), a.value))
-	}
-	return xxh3.Hash128(putDecision(put(b, sum), w.chosen[1]))
+	return noProcess
 }
 
-// hurry is the process that moves before all others in an eager exploration, or -1.
-func (w *world) hurry() int {
-	for i := range w.n {
-		if len(w.pend[i]) > 0 {
-			return i
+// runUrgent moves the urgent processes until none is left.
+func (c *cluster) runUrgent() {
+	for c.violation == "" {
+		process := c.urgentProcess()
+		switch {
+		case process == noProcess:
+			return
+		case process < c.nodeCount:
+			c.completeWrite(process, nil)
+		default:
+			c.deliverAllTo(process)
 		}
 	}
-	for k := w.n; k < w.n+w.m; k++ {
-		for j := range w.n {
-			if len(*w.queue(j, k)) > 0 {
-				return k
-			}
+}
+
+func (c *cluster) deliverAllTo(proxy int) {
+	for node := range c.nodeCount {
+		for len(*c.queue(node, proxy)) > 0 {
+			c.deliver(node, proxy)
 		}
 	}
-	return -1
-}
-
-type seen struct {
-	states, taken, halted, open int
-}
-
-// every explores all schedules; it ends at the first fault. Ticks is how often time passes at each controller; a
-// span is long enough for whatever waits. Eager bounds the space: a word to a carrier arrives, and a disk has its
-// record, before anything else happens but a crash of one of those concerned.
-//
-// InOrder: carriers that are alike are heard in the order of their names at each controller; who they are makes no
-// difference while none of them ends.
-func every(w *world, ticks [2]time.Duration, crashes []int, eager, inOrder bool, most int) (got seen, fault string) {
-	type node struct {
-		w       *world
-		crashed bool
-	}
-	known := map[xxh3.Uint128]bool{}
-	stack := []node{{w, len(crashes) == 0}}
-	var at node
-	visit := func(crashed bool, act func(v *world)) {
-		v := at.w.clone()
-		act(v)
-		for eager && crashed && v.fault == "" && v.hurry() >= 0 { // nothing else may happen: no need to keep it
-			if i := v.hurry(); i < v.n {
-				v.written(i, nil)
-			} else {
-				for j := range v.n {
-					for len(*v.queue(j, i)) > 0 {
-						v.deliver(j, i)
-					}
-				}
-			}
+}
+
+// limits bound the schedules that an exploration covers.
+type limits struct {
+	ticks   [2]int // of each node; a tick is an hour, which exceeds every timeout
+	crashes []int  // processes; one of them crashes at most once
+	// eager: no other event but a crash of the process happens before a proxy receives its messages and a disk completes
+	// its writes.
+	eager bool
+	// ordered: each node receives the messages of the proxies in the order of the proxies. This covers all schedules while
+	// no proxy crashes, as proxies are interchangeable.
+	ordered   bool
+	maxStates int
+}
+
+// exploration counts the states that were reached, and the final ones by the decision.
+type exploration struct {
+	states, committed, halted, undecided int
+}
+
+type clusterState struct {
+	*cluster
+	crashed bool // whether no further crash happens
+}
+
+// explorer runs a depth-first search over the states of a cluster.
+type explorer struct {
+	limits
+	known     map[xxh3.Uint128]bool
+	stack     []clusterState
+	result    exploration
+	violation string
+}
+
+// visit applies an event to a copy of a state and adds the result to the stack if it is new.
+func (e *explorer) visit(from clusterState, crashed bool, event func(c *cluster)) {
+	c := from.clone()
+	event(c)
+	if e.eager && crashed { // no other event can happen before: skip the states between
+		c.runUrgent()
+	}
+	if c.violation != "" {
+		e.violation = c.violation
+	}
+	if h := c.hash(crashed); !e.known[h] {
+		e.known[h] = true
+		e.stack = append(e.stack, clusterState{c, crashed})
+	}
+}
+
+// visitDeliveries visits the states after each possible delivery, and reports whether there is any message.
+func (e *explorer) visitDeliveries(s clusterState, urgent int) (found bool) {
+	processCount := s.nodeCount + s.proxyCount
+	for q := range s.queues {
+		from, to := q/processCount, q%processCount
+		isUrgent := urgent == to && to >= s.nodeCount
+		if len(s.queues[q]) == 0 || urgent != noProcess && !isUrgent {
+			continue
 		}
-		if v.fault != "" {
-			fault = v.fault
+		found = true
+		if !e.ordered || !s.hasEarlierProxyMessage(from, to) {
+			e.visit(s, s.crashed, func(c *cluster) { c.deliver(from, to) })
 		}
-		if h := v.hash(crashed); !known[h] {
-			known[h] = true
-			stack = append(stack, node{v, crashed})
+	}
+	return found
+}
+
+// hasEarlierProxyMessage reports whether a proxy that precedes the sender has a message for the receiver.
+func (c *cluster) hasEarlierProxyMessage(from, to int) bool {
+	for proxy := c.nodeCount; proxy < from; proxy++ {
+		if len(*c.queue(proxy, to)) > 0 {
+			return true
 		}
 	}
-	for len(stack) > 0 && fault == "" && len(known) < most {
-		at, stack = stack[len(stack)-1], stack[:len(stack)-1]
-		w, quiet := at.w, true
-		all := w.n + w.m
-		only := -1
-		if eager {
-			only = w.hurry()
+	return false
+}
+
+// visitNodes visits the states after each possible disk write and clock tick, and reports whether there is any write.
+func (e *explorer) visitNodes(s clusterState, urgent int) (found bool) {
+	for i := range s.nodeCount {
+		if len(s.diskQueues[i]) > 0 && (urgent == noProcess || urgent == i) {
+			found = true
+			e.visit(s, s.crashed, func(c *cluster) { c.completeWrite(i, nil) })
 		}
-		for q := range w.queues {
-			if to := q % all; len(w.queues[q]) > 0 && (only < 0 || only == to && to >= w.n) {
-				quiet = false
-				if from := q / all; inOrder && from >= w.n && slices.ContainsFunc(w.car[:from-w.n], func(c *Participant) bool {
-					return len(*w.queue(int(c.incarnation-1)%16, to)) > 0
-				}) {
-					continue
-				}
-				visit(at.crashed, func(v *world) { v.deliver(q/all, to) })
-			}
+		if urgent == noProcess && s.clocks[i] < time.Duration(e.ticks[i])*time.Hour {
+			e.visit(s, s.crashed, func(c *cluster) {
+				c.clocks[i] += time.Hour
+				c.stepCoordinator(i)
+			})
 		}
-		for i := range w.n {
-			if len(w.pend[i]) > 0 && (only < 0 || only == i) {
-				quiet = false
-				visit(at.crashed, func(v *world) { v.written(i, nil) })
-			}
-			if only < 0 && w.now[i] < ticks[i]*time.Hour {
-				visit(at.crashed, func(v *world) { v.now[i] += time.Hour; v.step(i) })
-			}
+	}
+	return found
+}
+
+func (e *explorer) visitCrashes(s clusterState, urgent int) {
+	for _, i := range e.crashes {
+		isConcerned := urgent == noProcess || i == urgent || i < s.nodeCount && urgent >= s.nodeCount
+		if !s.crashed && isConcerned {
+			e.visit(s, true, func(c *cluster) { c.crash(i, false) })
 		}
-		for _, i := range crashes {
-			if !at.crashed && (only < 0 || i == only || i < w.n && only >= w.n) {
-				visit(true, func(v *world) { v.crash(i, false) })
-			}
+	}
+}
+
+func (e *explorer) countFinal(s clusterState) {
+	switch d, decided := s.chosen[exploredVersion]; {
+	case !decided:
+		e.result.undecided++
+	case d.Committed:
+		e.result.committed++
+	default:
+		e.result.halted++
+	}
+}
+
+// explore runs all schedules within the limits, up to the first violation.
+func explore(c *cluster, bounds limits) (result exploration, violation string) {
+	e := &explorer{limits: bounds, known: map[xxh3.Uint128]bool{}}
+	e.stack = []clusterState{{c, len(bounds.crashes) == 0}}
+	for len(e.stack) > 0 && e.violation == "" && len(e.known) < e.maxStates {
+		s := e.stack[len(e.stack)-1]
+		e.stack = e.stack[:len(e.stack)-1]
+		urgent := noProcess
+		if e.eager {
+			urgent = s.urgentProcess()
 		}
-		if d, is := w.chosen[1]; quiet && is && d.Committed {
-			got.taken++
-		} else if quiet && is {
-			got.halted++
-		} else if quiet {
-			got.open++
+		hasMessage := e.visitDeliveries(s, urgent)
+		hasWrite := e.visitNodes(s, urgent)
+		e.visitCrashes(s, urgent)
+		if !hasMessage && !hasWrite {
+			e.countFinal(s)
 		}
 	}
-	got.states = len(known)
-	return got, fault
+	e.result.states = len(e.known)
+	return e.result, e.violation
 }
 
-// small: with 3 carriers 2 are enough, exactly the bound. The leases are known, the version has just become safe.
-func small(carriers int, f flaws) *world {
-	w := newWorld(2, carriers, 0, Plan{Stages: []Stage{{MinShare: 0.6, Timeout: time.Minute}}}, f)
-	w.settle()
-	w.propose(Target{1, 7})
-	return w
+// newStoredCluster returns two nodes with leases of all proxies and one stored version. Of 3 proxies, 2 confirmations
+// are enough.
+func newStoredCluster(proxyCount int) *cluster {
+	plan := Plan{Stages: []Stage{{MinShare: 0.6, Timeout: time.Minute}}}
+	c := newCluster(2, proxyCount, 0, plan, injectedBugs{})
+	c.deliverAll()
+	c.storeBody(Target{exploredVersion, 7})
+	return c
 }
 
+// No order of messages, disk writes, ticks and one crash violates the reference model.
 func TestEveryInterleaving(t *testing.T) {
-	const most = 2000000
-	t.Cleanup(func(was int) func() { return func() { debug.SetGCPercent(was) } }(debug.SetGCPercent(400)))
-	for _, c := range []struct {
-		carriers       int
-		ticks          [2]time.Duration
-		crashes        []int
-		eager, inOrder bool
+	const maxStates = 2000000
+	t.Cleanup(func(former int) func() { return func() { debug.SetGCPercent(former) } }(debug.SetGCPercent(400)))
+	nodes, allProcesses := []int{0, 1}, []int{0, 1, 2}
+	for name, c := range map[string]struct {
+		proxyCount int
+		limits     limits
 	}{
-		{1, [2]time.Duration{0, 0}, []int{0, 1, 2}, false, false}, // nothing is eager
-		{1, [2]time.Duration{1, 1}, []int{0, 1, 2}, true, false},
-		{3, [2]time.Duration{0, 0}, []int{2}, true, false},
-		{3, [2]time.Duration{1, 1}, nil, true, false},
-		{3, [2]time.Duration{1, 0}, []int{0, 1}, true, true},
-		{3, [2]time.Duration{0, 1}, []int{0, 1}, true, true},
+		"any order":          {1, limits{crashes: allProcesses}},
+		"any crash":          {1, limits{ticks: [2]int{1, 1}, crashes: allProcesses, eager: true}},
+		"proxy crash":        {3, limits{crashes: []int{2}, eager: true}},
+		"no crash":           {3, limits{ticks: [2]int{1, 1}, eager: true}},
+		"first node's tick":  {3, limits{ticks: [2]int{1, 0}, crashes: nodes, eager: true, ordered: true}},
+		"second node's tick": {3, limits{ticks: [2]int{0, 1}, crashes: nodes, eager: true, ordered: true}},
 	} {
-		t.Run(fmt.Sprint(c), func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			got, fault := every(small(c.carriers, flaws{}), c.ticks, c.crashes, c.eager, c.inOrder, most)
-			t.Logf("%+v", got)
-			if fault != "" || got.states >= most || got.taken == 0 {
-				t.Fatal(fault, got)
+			bounds := c.limits
+			bounds.maxStates = maxStates
+			result, violation := explore(newStoredCluster(c.proxyCount), bounds)
+			t.Logf("%+v", result)
+			if violation != "" || result.states >= maxStates || result.committed == 0 {
+				t.Fatal(violation, result)
 			}
 		})
 	}
--- a/internal/controlplane/rollout/random_schedules_test.go
+++ b/internal/controlplane/rollout/random_schedules_test.go
@@ -9,346 +9,456 @@
 	"time"
 )
 
-// drawn plays one schedule: proposals, crashes, lost disks, cuts, failing disks, among deliveries in any order of
-// lines. Then all is healed, and all must have one version.
-func drawn(seed uint64, f flaws) (w *world) {
-	r := rand.New(rand.NewPCG(seed, 33))
-	shape := [][2]int{{3, 1}, {5, 2}}[seed%2]
-	plan := Plan{ListenDuration: 300 * time.Millisecond, MaxEnded: 3, Stages: []Stage{
-		{Proxies: 1, MinShare: 1, Timeout: 8 * time.Second},
-		{Zones: 1, MinShare: 1, Soak: 200 * time.Millisecond, Timeout: 8 * time.Second},
-		{MinShare: 0.5, Timeout: 8 * time.Second}}}
-	if seed%3 == 0 { // deadlines race confirmations
-		plan.Stages = []Stage{{MinShare: 0.5, Timeout: time.Second}}
-	}
-	w = newWorld(shape[0], 4+r.IntN(3), shape[1], plan, f)
-	w.twoLines = seed%4 < 2
-	w.settle()
-	pass := func(i int) {
-		w.now[i] += 100 * time.Millisecond
-		w.step(i)
-	}
-	all := w.n + w.m
-	complete := func() {
-		for i, s := range w.st {
-			with, greatest := 0, uint64(0)
-			for j, other := range w.st {
-				if j != i && other.isVoter && !w.cut[j] && !w.cut[i] {
-					with++
-				}
-			}
-			for _, t := range w.safe {
-				greatest = max(greatest, t.Version)
-			}
-			if ask, _ := s.Quorums(); !s.isVoter && with >= max(w.n-w.faults, ask) {
-				w.step(i, CaughtUp{greatest})
-				w.forgot[i] = w.forgot[i] && greatest > 0
+// randomSchedule runs random events on a cluster: rollouts, crashes, wiped disks, isolated processes, failed writes,
+// and messages of different connections in any order.
+type randomSchedule struct {
+	*cluster
+	random  *rand.Rand
+	version uint64 // last one that was stored
+}
+
+func (s *randomSchedule) processCount() int { return s.nodeCount + s.proxyCount }
+
+// passTime advances the clock of a node.
+func (s *randomSchedule) passTime(node int) {
+	s.clocks[node] += 100 * time.Millisecond
+	s.stepCoordinator(node)
+}
+
+// catchUp lets nodes that lost their state become voters again, if enough other voters are reachable.
+func (s *randomSchedule) catchUp() {
+	for i, coordinator := range s.coordinators {
+		reachable := 0
+		for j, other := range s.coordinators {
+			if j != i && other.isVoter && !s.isolated[j] && !s.isolated[i] {
+				reachable++
 			}
 		}
+		greatest := uint64(0)
+		for _, t := range s.stored {
+			greatest = max(greatest, t.Version)
+		}
+		promises, _ := coordinator.Quorums()
+		if !coordinator.isVoter && reachable >= max(s.nodeCount-s.maxFaults, promises) {
+			s.stepCoordinator(i, CaughtUp{greatest})
+			s.lostState[i] = s.lostState[i] && greatest > 0
+		}
 	}
-	heal := func(i int) {
-		if w.cut[i] {
-			w.cut[i] = false
-			for j := range all {
-				if i < w.n && j != i {
-					w.link(i, j)
-				} else if i >= w.n && j < w.n {
-					w.link(j, i)
-				}
-			}
+}
+
+func (s *randomSchedule) isolate(process int) {
+	for j := range s.processCount() {
+		switch {
+		case process < s.nodeCount && j != process:
+			s.disconnect(process, j)
+		case process >= s.nodeCount && j < s.nodeCount:
+			s.disconnect(j, process)
 		}
 	}
-	version := uint64(0)
-	for moves := 0; moves < 2500 && w.fault == ""; moves++ {
-		i, q := r.IntN(w.n), r.IntN(len(w.queues))
-		switch k := r.IntN(1000); {
-		case k < 800:
-			for n := range w.queues {
-				if at := (q + n) % len(w.queues); len(w.queues[at]) > 0 {
-					w.deliver(at/all, at%all)
-					break
-				}
-			}
-		case k < 900:
-			if len(w.pend[i]) > 0 {
-				var err error
-				if r.IntN(30) == 0 {
-					err = errors.New("full")
-				}
-				w.written(i, err)
-			}
-		case k < 976:
-			pass(i)
-		case k < 979 && version < 40:
-			version += uint64(1 + r.IntN(2))
-			w.propose(Target{version, 1 + r.Uint64N(3)})
-			if r.IntN(4) == 0 { // two at once, or two bodies under one number
-				version += r.Uint64N(2)
-				w.propose(Target{version, 1 + r.Uint64N(3)})
-			}
-		case k < 983:
-			w.crash(r.IntN(all), false)
-		case k < 985:
-			lost := 0
-			for j, s := range w.st {
-				lost += int(bit(!s.isVoter || w.forgot[j]))
-			}
-			if lost < w.faults {
-				w.crash(i, true)
-			}
-		case k < 988:
-			at := r.IntN(all)
-			for j := range all {
-				if at < w.n && j != at {
-					w.unlink(at, j)
-				} else if at >= w.n && j < w.n {
-					w.unlink(j, at)
-				}
-			}
-			w.cut[at] = true
-		case k < 993:
-			heal(r.IntN(all))
-		case k < 995: // a lease lapses
-			at := w.n + r.IntN(w.m)
-			delete(w.proved[i], about{carrier: at})
-			w.step(i, LeaseEnded{name(at), r.IntN(2) == 0})
-		case k < 997: // and is had again
-			at := w.n + r.IntN(w.m)
-			if !w.cut[i] && !w.cut[at] {
-				w.link(i, at)
-			}
-		case k < 998:
-			w.step(i, Resumed{})
-		case k < 999 && version > 0:
-			w.step(i, HaltRequested{version})
-		default:
-			complete()
+	s.isolated[process] = true
+}
+
+func (s *randomSchedule) reconnect(process int) {
+	if !s.isolated[process] {
+		return
+	}
+	s.isolated[process] = false
+	for j := range s.processCount() {
+		switch {
+		case process < s.nodeCount && j != process:
+			s.connect(process, j)
+		case process >= s.nodeCount && j < s.nodeCount:
+			s.connect(j, process)
+		}
+	}
+}
+
+// deliverFrom delivers a message of the first queue that is not empty, beginning with the given one.
+func (s *randomSchedule) deliverFrom(queue int) {
+	for n := range s.queues {
+		if q := (queue + n) % len(s.queues); len(s.queues[q]) > 0 {
+			s.deliver(q/s.processCount(), q%s.processCount())
+			return
 		}
 	}
-	for i := range all {
-		heal(i)
+}
+
+func (s *randomSchedule) completeRandomWrite(node int) {
+	if len(s.diskQueues[node]) == 0 {
+		return
+	}
+	var err error
+	if s.random.IntN(30) == 0 {
+		err = errors.New("disk full")
+	}
+	s.completeWrite(node, err)
+}
+
+// storeRandomBodies stores a version, and in some cases another version or another body of the same one.
+func (s *randomSchedule) storeRandomBodies() {
+	s.version += uint64(1 + s.random.IntN(2))
+	s.storeBody(Target{s.version, 1 + s.random.Uint64N(3)})
+	if s.random.IntN(4) == 0 {
+		s.version += s.random.Uint64N(2)
+		s.storeBody(Target{s.version, 1 + s.random.Uint64N(3)})
+	}
+}
+
+// wipe crashes a node and empties its disk, unless the maximum number of nodes has lost its state.
+func (s *randomSchedule) wipe(node int) {
+	lost := 0
+	for j, other := range s.coordinators {
+		if !other.isVoter || s.lostState[j] {
+			lost++
+		}
+	}
+	if lost < s.maxFaults {
+		s.crash(node, true)
+	}
+}
+
+func (s *randomSchedule) endRandomLease(node int) {
+	proxy := s.nodeCount + s.random.IntN(s.proxyCount)
+	delete(s.confirmed[node], proxyVersion{proxy: proxy})
+	s.stepCoordinator(node, LeaseEnded{processName(proxy), s.random.IntN(2) == 0})
+}
+
+func (s *randomSchedule) connectRandomProxy(node int) {
+	proxy := s.nodeCount + s.random.IntN(s.proxyCount)
+	if !s.isolated[node] && !s.isolated[proxy] {
+		s.connect(node, proxy)
+	}
+}
+
+// runRandomEvent runs one event. Messages and disk writes are by far the most frequent.
+func (s *randomSchedule) runRandomEvent() {
+	node, queue := s.random.IntN(s.nodeCount), s.random.IntN(len(s.queues))
+	switch k := s.random.IntN(1000); {
+	case k < 800:
+		s.deliverFrom(queue)
+	case k < 900:
+		s.completeRandomWrite(node)
+	case k < 976:
+		s.passTime(node)
+	case k < 979 && s.version < 40:
+		s.storeRandomBodies()
+	case k < 983:
+		s.crash(s.random.IntN(s.processCount()), false)
+	case k < 985:
+		s.wipe(node)
+	case k < 988:
+		s.isolate(s.random.IntN(s.processCount()))
+	case k < 993:
+		s.reconnect(s.random.IntN(s.processCount()))
+	case k < 995:
+		s.endRandomLease(node)
+	case k < 997:
+		s.connectRandomProxy(node)
+	case k < 998:
+		s.stepCoordinator(node, Resumed{})
+	case k < 999 && s.version > 0:
+		s.stepCoordinator(node, HaltRequested{s.version})
+	default:
+		s.catchUp()
+	}
+}
+
+// repair reconnects all processes and runs until all rollouts must have ended.
+func (s *randomSchedule) repair() {
+	for i := range s.processCount() {
+		s.reconnect(i)
 	}
 	for range 200 {
-		complete()
-		w.settle()
-		for i := range w.n {
-			if pass(i); r.IntN(2) == 0 {
-				w.settle()
+		s.catchUp()
+		s.deliverAll()
+		for i := range s.nodeCount {
+			s.passTime(i)
+			if s.random.IntN(2) == 0 {
+				s.deliverAll()
 			}
 		}
 	}
-	var most Target
-	for _, s := range w.st {
-		if s.Committed().Version > most.Version {
-			most = s.Committed()
+}
+
+// checkConvergence checks that all proxies serve the greatest committed version.
+func (s *randomSchedule) checkConvergence() {
+	var greatest Target
+	for _, coordinator := range s.coordinators {
+		if coordinator.Committed().Version > greatest.Version {
+			greatest = coordinator.Committed()
 		}
 	}
-	for version, d := range w.chosen { // disks that forgot may be too many to find the end of one again
-		if w.wipes == 0 && d.Committed && version > most.Version {
-			w.failf("%d is taken, and in the end nobody knows", version)
+	for version, d := range s.chosen { // after a wipe, too few disks may hold the votes to recover the decision
+		if s.wipes == 0 && d.Committed && version > greatest.Version {
+			s.failf("version %d is committed, but no node knows it", version)
 		}
 	}
-	for k, c := range w.car {
-		if w.fault == "" && c.Active() != most {
-			w.failf("in the end %s serves %v, %v is taken", name(w.n+k), c.Active(), most)
+	for i, p := range s.participants {
+		if s.violation == "" && p.Active() != greatest {
+			s.failf("at the end %s serves %v, but %v is committed", processName(s.nodeCount+i), p.Active(), greatest)
 		}
 	}
-	return w
 }
 
-func TestDrawnSchedules(t *testing.T) {
-	ends := map[string]int{}
+func runRandomSchedule(seed uint64, bugs injectedBugs) *cluster {
+	random := rand.New(rand.NewPCG(seed, 33))
+	size := []struct{ nodeCount, maxFaults int }{{3, 1}, {5, 2}}[seed%2]
+	plan := Plan{ListenDuration: 300 * time.Millisecond, MaxEnded: 3, Stages: []Stage{
+		{Proxies: 1, MinShare: 1, Timeout: 8 * time.Second},
+		{Zones: 1, MinShare: 1, Soak: 200 * time.Millisecond, Timeout: 8 * time.Second},
+		{MinShare: 0.5, Timeout: 8 * time.Second}}}
+	if seed%3 == 0 { // the stage timeout is close to the time that confirmations take
+		plan.Stages = []Stage{{MinShare: 0.5, Timeout: time.Second}}
+	}
+	c := newCluster(size.nodeCount, 4+random.IntN(3), size.maxFaults, plan, bugs)
+	c.reordersReconnects = seed%4 < 2
+	c.deliverAll()
+	s := &randomSchedule{cluster: c, random: random}
+	for events := 0; events < 2500 && c.violation == ""; events++ {
+		s.runRandomEvent()
+	}
+	s.repair()
+	s.checkConvergence()
+	return c
+}
+
+// No schedule violates the reference model, and the schedules reach all the main outcomes.
+func TestRandomSchedules(t *testing.T) {
+	outcomes := map[string]int{}
 	for seed := range uint64(300) {
-		w := drawn(seed, flaws{})
-		if w.fault != "" {
-			t.Fatalf("seed %d: %s", seed, w.fault)
+		c := runRandomSchedule(seed, injectedBugs{})
+		if c.violation != "" {
+			t.Fatalf("seed %d: %s", seed, c.violation)
 		}
-		for _, d := range w.chosen {
-			ends[fmt.Sprint(d.Committed, " ", d.Reason)]++
+		for _, d := range c.chosen {
+			outcomes[fmt.Sprint(d.Committed, " ", d.Reason)]++
 		}
 	}
-	t.Log(ends)
+	t.Log(outcomes)
 	for _, want := range []string{"true ", "false too few confirmed", "false superseded", "false proxies ended"} {
-		if ends[want] == 0 {
-			t.Errorf("no schedule came to %q: %v", want, ends)
+		if outcomes[want] == 0 {
+			t.Errorf("no schedule reached the outcome %q: %v", want, outcomes)
 		}
 	}
 }
 
-func TestPlantedFaultsAreCaught(t *testing.T) {
-	for what, c := range map[string]struct {
-		flaws flaws
-		says  string
+// The checks of the simulated cluster detect each injected bug.
+func TestInjectedBugsAreDetected(t *testing.T) {
+	for name, c := range map[string]struct {
+		bugs      injectedBugs
+		violation string
 	}{
-		"halt after taken":           {flaws{noPromise: true}, "was taken"},
-		"a forgetful disk votes":     {flaws{wipedVote: true}, "two ends"},
-		"counted by an old life":     {flaws{oldLife: true}, "offers taken with"},
-		"switched before it's taken": {flaws{tooSoon: true}, "serves"},
+		"acceptors forget their promises":   {injectedBugs{forgetsPromises: true}, "one of them a commit"},
+		"a wiped voter votes":               {injectedBugs{votesAfterWipe: true}, "two decisions"},
+		"stale confirmations count":         {injectedBugs{countsStaleConfirmations: true}, "proposes a commit with"},
+		"an undecided version is activated": {injectedBugs{activatesUndecided: true}, "activates"},
 	} {
-		caught := ""
-		for seed := uint64(0); seed < 3000 && !strings.Contains(caught, c.says); seed++ {
-			w := drawn(seed, c.flaws)
-			caught = w.fault
+		violation := ""
+		for seed := uint64(0); seed < 3000 && !strings.Contains(violation, c.violation); seed++ {
+			violation = runRandomSchedule(seed, c.bugs).violation
 		}
-		if !strings.Contains(caught, c.says) {
-			t.Errorf("%s: not seen", what)
+		if !strings.Contains(violation, c.violation) {
+			t.Errorf("%s: not detected", name)
 		}
-		t.Log(what, ":", caught)
+		t.Log(name, ":", violation)
 	}
 }
 
-// steward is one controller alone, with leases of carriers in the zones that their names begin with.
-func steward(plan Plan, carriers ...string) *Coordinator {
-	s := New(Options{Self: "a", Incarnation: 1, Voters: []string{"a"}, Plan: plan, IsVoter: true})
-	for i, c := range carriers {
-		s.Step(0, LeaseGranted{c, c[:1], uint64(10 + i)})
+// newSingleNode returns a node that is the only voter. It has leases of the given proxies, with incarnations from 10
+// on; the first letter of a proxy's name is its zone.
+func newSingleNode(plan Plan, proxies ...string) *Coordinator {
+	c := New(Options{Self: "a", Incarnation: 1, Voters: []string{"a"}, Plan: plan, IsVoter: true})
+	for i, proxy := range proxies {
+		c.Step(0, LeaseGranted{proxy, proxy[:1], uint64(10 + i)})
 	}
-	return s
+	return c
 }
 
-func end(orders []Action) (d Decision, is bool) {
-	for _, o := range orders {
-		if e, ok := o.(VersionDecided); ok {
-			return e.Decision, true
+func findDecision(actions []Action) (d Decision, ok bool) {
+	for _, a := range actions {
+		if decided, isDecided := a.(VersionDecided); isDecided {
+			return decided.Decision, true
 		}
 	}
 	return d, false
 }
 
-// play lets the disk of a controller that is alone write all that is asked for.
-func play(s *Coordinator, now time.Duration, events ...Event) (all []Action) {
-	for orders := s.Step(now, events...); len(orders) > 0; {
-		all = append(all, orders...)
-		var more []Event
-		for _, o := range orders {
-			if p, ok := o.(Persist); ok {
-				more = append(more, Persisted{Seq: p.Seq})
+// stepWithDisk steps a node and completes its disk writes until none are left.
+func stepWithDisk(c *Coordinator, now time.Duration, events ...Event) (all []Action) {
+	for {
+		actions := c.Step(now, events...)
+		all = append(all, actions...)
+		events = nil
+		for _, a := range actions {
+			if p, ok := a.(Persist); ok {
+				events = append(events, Persisted{Seq: p.Seq})
 			}
 		}
-		if orders = nil; more != nil {
-			orders = s.Step(now, more...)
+		if events == nil {
+			return all
 		}
 	}
-	return all
 }
 
-func TestCounting(t *testing.T) {
-	one := Target{1, 7}
+func TestDecisions(t *testing.T) {
+	target := Target{1, 7}
 	plan := Plan{MaxEnded: 2, MinAttempts: 100, MaxExtraFailures: 0.1, MaxExtraLatencyMS: 50, MaxNotReadable: 1,
 		Stages: []Stage{{MinShare: 0.5, Timeout: time.Second}}}
-	says := func(c string, life uint64) Event { return Confirmed{Proxy: c, Incarnation: life, Target: one} }
+	confirmed := func(proxy string, incarnation uint64) Event {
+		return Confirmed{Proxy: proxy, Incarnation: incarnation, Target: target}
+	}
+	undecided, commit := Decision{}, Decision{Committed: true, Digest: 7}
 	for _, c := range []struct {
 		name   string
 		events []Event
 		want   Decision
 		after  time.Duration
 	}{
-		{"one under the bound", []Event{says("x1", 10)}, Decision{}, 0},
-		{"exactly the bound", []Event{says("x1", 10), says("x2", 11)}, Decision{Committed: true, Digest: 7}, 0},
-		{"one counts once", []Event{says("x1", 10), says("x1", 10)}, Decision{}, 0},
+		{name: "one confirmation too few", events: []Event{confirmed("x1", 10)}, want: undecided},
+		{name: "just enough confirmations", events: []Event{confirmed("x1", 10), confirmed("x2", 11)}, want: commit},
+		{
+			name:   "repeated confirmation",
+			events: []Event{confirmed("x1", 10), confirmed("x1", 10)},
+			want:   undecided,
+		},
+		{
+			name: "confirmation of another digest",
+			events: []Event{
+				confirmed("x1", 10),
+				Confirmed{Proxy: "x2", Incarnation: 11, Target: Target{1, 8}},
+			},
+			want: undecided,
+		},
+		{
+			name:   "restart after confirmation",
+			events: []Event{confirmed("x1", 10), LeaseGranted{"x1", "x", 20}, confirmed("x2", 11)},
+			want:   undecided,
+		},
+		{
+			name:   "confirmation of an ended incarnation",
+			events: []Event{LeaseGranted{"x1", "x", 20}, confirmed("x1", 10), confirmed("x2", 11)},
+			want:   undecided,
+		},
 		{
-			"another digest",
-			[]Event{says("x1", 10), Confirmed{Proxy: "x2", Incarnation: 11, Target: Target{1, 8}}},
-			Decision{},
-			0,
+			name: "one of the two proxies that still have a lease",
+			events: []Event{
+				confirmed("x1", 10), LeaseEnded{"x1", true}, LeaseEnded{"x3", true}, confirmed("x2", 11),
+			},
+			want: commit,
 		},
-		{"a restart takes it back", []Event{says("x1", 10), LeaseGranted{"x1", "x", 20}, says("x2", 11)}, Decision{}, 0},
-		{"an old life's word", []Event{LeaseGranted{"x1", "x", 20}, says("x1", 10), says("x2", 11)}, Decision{}, 0},
-		{"a lease that is over", []Event{says("x1", 10), LeaseEnded{"x1", true}, LeaseEnded{"x3", true}, says("x2", 11)},
-			Decision{Committed: true, Digest: 7}, 0}, // 1 of the 2 that are left
-		{"too few in time", []Event{says("x1", 10)}, Decision{Reason: TooFewConfirmed}, time.Second},
 		{
-			"lives that ended",
-			[]Event{LeaseGranted{"x1", "x", 20}, LeaseEnded{"x2", false}},
-			Decision{Reason: ProxiesEnded},
-			0,
+			name:   "stage timeout",
+			events: []Event{confirmed("x1", 10)},
+			want:   Decision{Reason: TooFewConfirmed},
+			after:  time.Second,
 		},
-		{"lives that left in order", []Event{LeaseEnded{"x1", true}, LeaseEnded{"x2", true}}, Decision{}, 0},
 		{
-			"unreadable",
-			[]Event{Confirmed{Proxy: "x1", Incarnation: 10, Target: one, NotReadable: true}},
-			Decision{Reason: NotReadable},
-			0,
+			name:   "ended proxies",
+			events: []Event{LeaseGranted{"x1", "x", 20}, LeaseEnded{"x2", false}},
+			want:   Decision{Reason: ProxiesEnded},
 		},
-		{"failures", []Event{says("x1", 10), Measured{"x1", 100, 20, 0, 0}, Measured{"x2", 100, 5, 0, 0}},
-			Decision{Reason: Unhealthy}, 0},
-		{"added time", []Event{says("x1", 10), Measured{"x1", 100, 0, 0, 6000}, Measured{"x2", 100, 0, 0, 0}},
-			Decision{Reason: Unhealthy}, 0},
 		{
-			"trouble of all",
-			[]Event{says("x1", 10), Measured{"x1", 100, 60, 0, 0}, Measured{"x2", 100, 55, 0, 0}},
-			Decision{},
-			0,
+			name:   "returned leases",
+			events: []Event{LeaseEnded{"x1", true}, LeaseEnded{"x2", true}},
+			want:   undecided,
 		},
-		{"a higher one", []Event{BodyStored{Target{2, 1}}}, Decision{Reason: Superseded}, 0},
+		{
+			name:   "unreadable body",
+			events: []Event{Confirmed{Proxy: "x1", Incarnation: 10, Target: target, NotReadable: true}},
+			want:   Decision{Reason: NotReadable},
+		},
+		{
+			name: "more failures",
+			events: []Event{
+				confirmed("x1", 10), Measured{"x1", 100, 20, 0, 0}, Measured{"x2", 100, 5, 0, 0},
+			},
+			want: Decision{Reason: Unhealthy},
+		},
+		{
+			name: "more added time",
+			events: []Event{
+				confirmed("x1", 10), Measured{"x1", 100, 0, 0, 6000}, Measured{"x2", 100, 0, 0, 0},
+			},
+			want: Decision{Reason: Unhealthy},
+		},
+		{
+			name: "failures at all proxies",
+			events: []Event{
+				confirmed("x1", 10), Measured{"x1", 100, 60, 0, 0}, Measured{"x2", 100, 55, 0, 0},
+			},
+			want: undecided,
+		},
+		{name: "higher version", events: []Event{BodyStored{Target{2, 1}}}, want: Decision{Reason: Superseded}},
 	} {
-		s := steward(plan, "x1", "x2", "x3")
-		play(s, 0, BodyStored{one})
-		d, _ := end(play(s, c.after, c.events...))
-		if d != c.want {
-			t.Errorf("%s: %+v, want %+v", c.name, d, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			coordinator := newSingleNode(plan, "x1", "x2", "x3")
+			stepWithDisk(coordinator, 0, BodyStored{target})
+			got, _ := findDecision(stepWithDisk(coordinator, c.after, c.events...))
+			if got != c.want {
+				t.Errorf("got %+v, want %+v", got, c.want)
+			}
+		})
 	}
 }
 
-// A version that kills whoever loads it never leaves the first stage, and is halted.
-func TestKillsWhoLoadsIt(t *testing.T) {
+// A version that crashes every proxy that loads it does not leave the first stage, and is halted.
+func TestCrashingVersionIsHalted(t *testing.T) {
 	plan := Plan{
 		MaxEnded: 3,
 		Stages:   []Stage{{Proxies: 1, MinShare: 1, Timeout: time.Hour}, {MinShare: 0.5, Timeout: time.Hour}},
 	}
-	s := steward(plan, "x1", "x2", "x3", "y1", "y2", "y3")
-	told, life, now := 0, uint64(100), time.Duration(0)
-	orders := play(s, now, BodyStored{Target{1, 7}})
+	coordinator := newSingleNode(plan, "x1", "x2", "x3", "y1", "y2", "y3")
+	commands, incarnation, now := 0, uint64(100), time.Duration(0)
+	actions := stepWithDisk(coordinator, now, BodyStored{Target{1, 7}})
 	for now < time.Minute {
-		var deaths []Event
-		for _, o := range orders {
-			if o, ok := o.(SendCommand); ok && o.Command == CommandPrepare {
-				told++
-				life++
-				deaths = append(deaths, LeaseGranted{o.Proxy, o.Proxy[:1], life})
+		var restarts []Event
+		for _, a := range actions {
+			if command, ok := a.(SendCommand); ok && command.Command == CommandPrepare {
+				commands++
+				incarnation++
+				restarts = append(restarts, LeaseGranted{command.Proxy, command.Proxy[:1], incarnation})
 			}
 		}
-		if d, is := end(orders); is {
-			if d.Reason != ProxiesEnded || told > 4 {
-				t.Fatalf("%+v after %d lives", d, told)
+		if d, ok := findDecision(actions); ok {
+			if d.Reason != ProxiesEnded || commands > 4 {
+				t.Fatalf("decision %+v after %d prepare commands", d, commands)
 			}
 			return
 		}
 		now += time.Second
-		orders = play(s, now, deaths...)
+		actions = stepWithDisk(coordinator, now, restarts...)
 	}
-	t.Fatal("no end")
+	t.Fatal("no decision")
 }
 
-func TestCarrierNeverGoesBack(t *testing.T) {
-	c := NewParticipant(1, time.Second)
-	has := func(version, digest uint64) []Event {
+func TestParticipantNeverActivatesLowerVersion(t *testing.T) {
+	p := NewParticipant(1, time.Second)
+	loaded := func(version, digest uint64) []Event {
 		return []Event{BodyReceived{Target{version, digest}}, CompileDone{Target: Target{version, digest}}}
 	}
-	c.Step(0, append([]Event{CommandReceived{CommandPrepare, Target{3, 1}}}, has(3, 1)...)...)
-	if c.Step(0, CommandReceived{CommandActivate, Target{3, 2}}); c.Active() != (Target{}) {
-		t.Fatal("it serves another body than the one that was taken")
+	p.Step(0, append([]Event{CommandReceived{CommandPrepare, Target{3, 1}}}, loaded(3, 1)...)...)
+	if p.Step(0, CommandReceived{CommandActivate, Target{3, 2}}); p.Active() != (Target{}) {
+		t.Fatal("the participant activated a body that is not the committed one")
 	}
-	c.Step(0, has(3, 2)...)
-	c.Step(
+	p.Step(0, loaded(3, 2)...)
+	p.Step(
 		0,
 		CommandReceived{CommandActivate, Target{2, 1}},
 		CommandReceived{CommandDiscard, Target{Version: 3}},
 		CommandReceived{CommandPrepare, Target{2, 1}},
 	)
-	c.Step(0, has(2, 1)...)
-	if c.Active() != (Target{3, 2}) {
-		t.Fatal(c.Active())
+	p.Step(0, loaded(2, 1)...)
+	if p.Active() != (Target{3, 2}) {
+		t.Fatalf("active version is %v", p.Active())
 	}
-	if o := c.Step(0, CommandReceived{CommandActivate, Target{4, 1}}); len(o) != 1 {
-		t.Fatal(o)
+	if actions := p.Step(0, CommandReceived{CommandActivate, Target{4, 1}}); len(actions) != 1 {
+		t.Fatalf("activating an unknown version: %v", actions)
 	}
-	stale := c.Step(time.Second) // it hears that 4 is taken, and gets no body
+	stale := p.Step(time.Second) // version 4 is committed, but its body has not arrived
 	if len(stale) != 2 || stale[1] != (FreshnessChanged{false}) {
-		t.Fatal(stale)
+		t.Fatalf("after the stale timeout: %v", stale)
 	}
-	if fresh := c.Step(time.Second, has(4, 1)...); fresh[len(fresh)-1] != (FreshnessChanged{true}) {
-		t.Fatal(fresh)
+	if fresh := p.Step(time.Second, loaded(4, 1)...); fresh[len(fresh)-1] != (FreshnessChanged{true}) {
+		t.Fatalf("after the body has arrived: %v", fresh)
 	}
 }
--- a/internal/controlplane/rollout/simulated_cluster_test.go
+++ b/internal/controlplane/rollout/simulated_cluster_test.go
@@ -8,384 +8,413 @@
 	"time"
 )
 
-// flaws are planted to show that the checks would see them.
-type flaws struct {
-	noPromise bool // an acceptor forgets its promise: a halt may be decided after taken
-	wipedVote bool // a disk that forgot votes at once
-	oldLife   bool // a confirmation counts whatever life sent it
-	tooSoon   bool // carriers are told to take what is only offered
+// injectedBugs change the behaviour of a cluster, to show that its checks detect such bugs.
+type injectedBugs struct {
+	forgetsPromises          bool // acceptors do not keep their promises
+	votesAfterWipe           bool // a voter that lost its disk votes at once
+	countsStaleConfirmations bool // confirmations of ended incarnations count
+	activatesUndecided       bool // proxies activate a version when its commit is proposed
 }
 
-type hello struct{ life uint64 } // a new life of a carrier, or its first word on a new line
+// proxyHello is the first message of a proxy on a new connection.
+type proxyHello struct{ incarnation uint64 }
 
 type ballotKey struct {
 	version uint64
-	at      BallotNumber
+	ballot  BallotNumber
 }
 
-type accepted struct {
-	value Decision
-	by    uint64 // acceptors, a bit each
+type acceptedValue struct {
+	value     Decision
+	acceptors uint64 // bit set
 }
 
-// A plain table of what a controller heard of carriers: version 0 is for the life that holds the lease.
-type about struct {
-	carrier int
+// proxyVersion is a key of cluster.confirmed. Version 0 is for the incarnation that holds the lease.
+type proxyVersion struct {
+	proxy   int
 	version uint64
 }
-type heardOf struct{ life, digest uint64 }
-
-// world plays controllers 0..n-1 and carriers n..n+m-1. What is under way stands in queues; the schedule is the
-// caller's. Beside it stands a plain model: which ballots have which disks, hence what is chosen, and who confirmed
-// to whom.
-type world struct {
-	n, m     int
-	plan     Plan
-	flaws    flaws
-	st       []*Coordinator
-	disks    []map[uint64]Vote
-	pend     [][]Action // for the disk
-	now      []time.Duration
-	car      []*Participant
-	life     []uint64 // of all
-	queues   [][]any  // from*(n+m)+to
-	forgot   []bool   // the disk has no mark that it is whole
-	cut      []bool   // this one is alone
-	proved   []map[about]heardOf
-	ballots  map[ballotKey]accepted
-	chosen   map[uint64]Decision
-	safe     []Target
-	faults   int
-	fault    string
-	twoLines bool // words of an ended life may come after those of the next
-	wipes    int
-	shared   uint64 // these are another world's too
+
+type confirmedBody struct{ incarnation, digest uint64 }
+
+// cluster simulates the control-plane nodes 0 to nodeCount-1 and the proxies from nodeCount on. The caller chooses the
+// order in which queued messages are delivered and disk writes complete. A reference model (ballots, chosen, confirmed)
+// checks the decisions; the first difference is kept in violation.
+type cluster struct {
+	nodeCount, proxyCount int
+	maxFaults             int
+	plan                  Plan
+	bugs                  injectedBugs
+
+	coordinators []*Coordinator
+	disks        []map[uint64]Vote
+	diskQueues   [][]Action
+	clocks       []time.Duration
+	lostState    []bool // by node: the disk was wiped and has not caught up
+	participants []*Participant
+	incarnations []uint64 // of nodes and proxies
+	isolated     []bool   // of nodes and proxies
+	queues       [][]any  // of messages; see queue
+	stored       []Target // bodies that all nodes have
+
+	ballots   map[ballotKey]acceptedValue
+	chosen    map[uint64]Decision
+	confirmed []map[proxyVersion]confirmedBody // by node
+	violation string
+
+	reordersReconnects bool // messages of an ended proxy arrive after the hello of its next incarnation
+	wipes              int
+	shared             uint64 // bit set of the processes whose state is shared with another cluster
 }
 
-func name(i int) string { return string(rune('a' + i)) }
-
-func newWorld(n, m, faults int, plan Plan, f flaws) *world {
-	w := &world{
-		n:      n,
-		m:      m,
-		plan:   plan,
-		flaws:  f,
-		faults: faults,
-		st:     make([]*Coordinator, n),
-		disks:  make([]map[uint64]Vote, n),
-		pend:   make([][]Action, n),
-		now:    make([]time.Duration, n),
-		car:    make([]*Participant, m),
-		life:   make([]uint64, n+m),
-		queues: make(
-			[][]any,
-			(n+m)*(n+m),
-		),
-		cut:     make([]bool, n+m),
-		forgot:  make([]bool, n),
-		proved:  make([]map[about]heardOf, n),
-		ballots: map[ballotKey]accepted{},
-		chosen:  map[uint64]Decision{},
-	}
-	for i := range n + m {
-		w.life[i] = uint64(i + 1)
-	}
-	for i := range m {
-		w.car[i] = NewParticipant(w.life[n+i], 6*time.Second)
-	}
-	for i := range n {
-		w.disks[i] = map[uint64]Vote{}
-		w.begin(i, true)
-	}
-	return w
+const (
+	staleTimeout = 6 * time.Second
+	// incarnationStep is the difference between successive incarnations of a process; it exceeds the number of processes.
+	incarnationStep = 16
+	maxVersion      = 100  // exclusive, of the versions that a test stores
+	tolerance       = 1e-9 // of a share; independent of the constant under test
+)
+
+func processName(i int) string { return string(rune('a' + i)) }
+
+func newCluster(nodeCount, proxyCount, maxFaults int, plan Plan, bugs injectedBugs) *cluster {
+	processCount := nodeCount + proxyCount
+	c := &cluster{
+		nodeCount:    nodeCount,
+		proxyCount:   proxyCount,
+		maxFaults:    maxFaults,
+		plan:         plan,
+		bugs:         bugs,
+		coordinators: make([]*Coordinator, nodeCount),
+		disks:        make([]map[uint64]Vote, nodeCount),
+		diskQueues:   make([][]Action, nodeCount),
+		clocks:       make([]time.Duration, nodeCount),
+		lostState:    make([]bool, nodeCount),
+		participants: make([]*Participant, proxyCount),
+		incarnations: make([]uint64, processCount),
+		isolated:     make([]bool, processCount),
+		queues:       make([][]any, processCount*processCount),
+		ballots:      map[ballotKey]acceptedValue{},
+		chosen:       map[uint64]Decision{},
+		confirmed:    make([]map[proxyVersion]confirmedBody, nodeCount),
+	}
+	for i := range processCount {
+		c.incarnations[i] = uint64(i + 1)
+	}
+	for i := range proxyCount {
+		c.participants[i] = NewParticipant(c.incarnations[nodeCount+i], staleTimeout)
+	}
+	for i := range nodeCount {
+		c.disks[i] = map[uint64]Vote{}
+		c.startCoordinator(i, true)
+	}
+	return c
 }
 
-func (w *world) zone(k int) string {
-	if w.m <= 3 {
+func (c *cluster) zone(proxy int) string {
+	if c.proxyCount <= 3 {
 		return "z"
 	}
-	return [...]string{"y", "z"}[k%2]
+	return [...]string{"y", "z"}[proxy%2]
 }
 
-func (w *world) failf(format string, v ...any) {
-	if w.fault == "" {
-		w.fault = fmt.Sprintf(format, v...)
+// failf records the first violation.
+func (c *cluster) failf(format string, v ...any) {
+	if c.violation == "" {
+		c.violation = fmt.Sprintf(format, v...)
 	}
 }
 
-// begin starts a controller of its disk, with lines to all that are not cut off.
-func (w *world) begin(i int, votes bool) {
-	founders, disk := []string{}, []Vote{}
-	for j := range w.n {
-		founders = append(founders, name(j))
+// startCoordinator starts a control-plane node from its disk and connects it to the processes that are not isolated.
+func (c *cluster) startCoordinator(i int, isVoter bool) {
+	voters, records := []string{}, []Vote{}
+	for j := range c.nodeCount {
+		voters = append(voters, processName(j))
 	}
-	for version := uint64(0); version < 100; version++ {
-		if v, has := w.disks[i][version]; has {
-			disk = append(disk, v)
+	for version := uint64(0); version < maxVersion; version++ {
+		if record, ok := c.disks[i][version]; ok {
+			records = append(records, record)
 		}
 	}
-	w.st[i] = New(
-		Options{
-			Self:        name(i),
-			Incarnation: w.life[i],
-			Voters:      founders,
-			MaxFaults:   w.faults,
-			Plan:        w.plan,
-			IsVoter:     votes,
-			Disk:        disk,
-		},
-	)
-	w.pend[i], w.proved[i] = nil, map[about]heardOf{}
-	for j := range w.n + w.m {
+	c.coordinators[i] = New(Options{
+		Self:        processName(i),
+		Incarnation: c.incarnations[i],
+		Voters:      voters,
+		MaxFaults:   c.maxFaults,
+		Plan:        c.plan,
+		IsVoter:     isVoter,
+		Disk:        records,
+	})
+	c.diskQueues[i], c.confirmed[i] = nil, map[proxyVersion]confirmedBody{}
+	for j := range c.nodeCount + c.proxyCount {
 		if j != i {
-			w.link(i, j)
+			c.connect(i, j)
 		}
 	}
-	for _, t := range w.safe {
-		w.step(i, BodyStored{t})
+	for _, t := range c.stored {
+		c.stepCoordinator(i, BodyStored{t})
 	}
 }
 
-// link makes the line between a controller and another process anew.
-func (w *world) link(i, j int) {
-	w.unlink(i, j)
-	if w.cut[i] || w.cut[j] || j < w.n && w.st[j] == nil {
+// connect replaces the connection between a control-plane node and another process.
+func (c *cluster) connect(i, j int) {
+	c.disconnect(i, j)
+	if c.isolated[i] || c.isolated[j] || j < c.nodeCount && c.coordinators[j] == nil {
 		return
 	}
-	if j < w.n {
-		w.step(i, PeerConnected{name(j)})
-		w.step(j, PeerConnected{name(i)})
+	if j < c.nodeCount {
+		c.stepCoordinator(i, PeerConnected{processName(j)})
+		c.stepCoordinator(j, PeerConnected{processName(i)})
 		return
 	}
-	w.push(j, i, hello{w.life[j]})
-	w.carry(j, ControllerConnected{name(i)})
+	c.enqueue(j, i, proxyHello{c.incarnations[j]})
+	c.stepParticipant(j, ControllerConnected{processName(i)})
 }
 
-func (w *world) unlink(i, j int) {
-	*w.queue(i, j), *w.queue(j, i) = nil, nil
-	if j < w.n && w.st[j] != nil {
-		w.step(i, PeerDisconnected{name(j)})
-		w.step(j, PeerDisconnected{name(i)})
-		*w.queue(i, j), *w.queue(j, i) = nil, nil
+// disconnect closes a connection; messages in its queues are lost.
+func (c *cluster) disconnect(i, j int) {
+	*c.queue(i, j), *c.queue(j, i) = nil, nil
+	if j < c.nodeCount && c.coordinators[j] != nil {
+		c.stepCoordinator(i, PeerDisconnected{processName(j)})
+		c.stepCoordinator(j, PeerDisconnected{processName(i)})
+		*c.queue(i, j), *c.queue(j, i) = nil, nil
 	}
 }
 
-func (w *world) queue(from, to int) *[]any { return &w.queues[from*(w.n+w.m)+to] }
+// queue holds the messages between two processes in order.
+func (c *cluster) queue(from, to int) *[]any { return &c.queues[from*(c.nodeCount+c.proxyCount)+to] }
 
-func (w *world) push(from, to int, what any) {
-	if !w.cut[from] && !w.cut[to] {
-		q := w.queue(from, to)
-		*q = append(slices.Clip(*q), what)
+func (c *cluster) enqueue(from, to int, message any) {
+	if !c.isolated[from] && !c.isolated[to] {
+		q := c.queue(from, to)
+		*q = append(slices.Clip(*q), message)
 	}
 }
 
-// step hands events to a controller and carries its orders out.
-func (w *world) step(i int, events ...Event) {
-	w.own(i)
-	s := w.st[i]
-	if w.flaws.noPromise {
-		for _, c := range s.versions {
-			c.Promised = BallotNumber{}
+// stepCoordinator passes events to a control-plane node and carries out its actions.
+func (c *cluster) stepCoordinator(i int, events ...Event) {
+	c.copyBeforeChange(i)
+	coordinator := c.coordinators[i]
+	if c.bugs.forgetsPromises {
+		for _, v := range coordinator.versions {
+			v.Promised = BallotNumber{}
 		}
 	}
-	for _, o := range s.Step(w.now[i], events...) {
-		switch o := o.(type) {
+	for _, action := range coordinator.Step(c.clocks[i], events...) {
+		switch a := action.(type) {
 		case Persist, Drop:
-			w.pend[i] = append(slices.Clip(w.pend[i]), o)
+			c.diskQueues[i] = append(slices.Clip(c.diskQueues[i]), a)
 		case Send:
-			if o.Kind == AcceptRequest {
-				w.offered(i, o.Message)
+			if a.Kind == AcceptRequest {
+				c.checkProposal(i, a.Message)
 			}
-			w.push(i, int(o.To[0]-'a'), o.Message)
+			c.enqueue(i, int(a.To[0]-'a'), a.Message)
 		case SendCommand:
-			for k := w.n; k < w.n+w.m; k++ {
-				if o.Proxy == "" || o.Proxy == name(k) {
-					w.push(i, k, CommandReceived{o.Command, o.Target})
-				}
-			}
+			c.sendCommand(i, a)
 		case VersionDecided:
-			if chosen, is := w.chosen[o.Version]; !is || chosen != o.Decision {
-				w.failf("%s tells %d %+v, chosen is %+v", name(i), o.Version, o.Decision, chosen)
+			if chosen, ok := c.chosen[a.Version]; !ok || chosen != a.Decision {
+				c.failf("%s reports %+v for version %d, chosen is %+v", processName(i), a.Decision, a.Version, chosen)
 			}
 		}
 	}
 }
 
-// offered checks a value that is offered for the first time against the plain table.
-func (w *world) offered(i int, m Message) {
-	if w.flaws.tooSoon && m.Value.Committed {
-		for k := w.n; k < w.n+w.m; k++ {
-			w.push(i, k, CommandReceived{CommandActivate, Target{m.Version, m.Value.Digest}})
+func (c *cluster) sendCommand(from int, a SendCommand) {
+	for proxy := c.nodeCount; proxy < c.nodeCount+c.proxyCount; proxy++ {
+		if a.Proxy == "" || a.Proxy == processName(proxy) {
+			c.enqueue(from, proxy, CommandReceived{a.Command, a.Target})
 		}
 	}
-	if c := w.st[i].versions[m.Version]; !m.Value.Committed || c == nil || c.proposal.HighestAccepted != (BallotNumber{}) {
+}
+
+// checkProposal compares a proposed commit with the confirmations in the reference model. A value that was accepted in
+// an earlier ballot is not checked again.
+func (c *cluster) checkProposal(i int, m Message) {
+	if c.bugs.activatesUndecided && m.Value.Committed {
+		c.sendCommand(i, SendCommand{Command: CommandActivate, Target: Target{m.Version, m.Value.Digest}})
+	}
+	v := c.coordinators[i].versions[m.Version]
+	if !m.Value.Committed || v == nil || v.proposal.HighestAccepted != (BallotNumber{}) {
 		return
 	}
-	live, have := map[string]int{}, map[string]int{}
-	all := 0
-	for k, h := range w.proved[i] {
-		if k.version > 0 {
+	leases, confirmations := map[string]int{}, map[string]int{}
+	total := 0
+	for key, lease := range c.confirmed[i] {
+		if key.version > 0 {
 			continue
 		}
-		live[w.zone(k.carrier)]++
-		if w.proved[i][about{k.carrier, m.Version}] == (heardOf{h.life, m.Value.Digest}) {
-			have[w.zone(k.carrier)]++
-			all++
+		zone := c.zone(key.proxy)
+		leases[zone]++
+		wanted := confirmedBody{lease.incarnation, m.Value.Digest}
+		if c.confirmed[i][proxyVersion{key.proxy, m.Version}] == wanted {
+			confirmations[zone]++
+			total++
 		}
 	}
-	last := w.plan.Stages[len(w.plan.Stages)-1]
-	for zone, n := range live {
-		if float64(have[zone]) < last.MinShare*float64(n)-1e-9 {
-			w.failf("%s offers taken with %d of %d in %s", name(i), have[zone], n, zone)
+	last := c.plan.Stages[len(c.plan.Stages)-1]
+	for zone, count := range leases {
+		if float64(confirmations[zone]) < last.MinShare*float64(count)-tolerance {
+			c.failf("%s proposes a commit with %d confirmations of %d proxies in zone %s",
+				processName(i), confirmations[zone], count, zone)
 		}
 	}
-	if all == 0 {
-		w.failf("%s offers taken with no confirmation", name(i))
+	if total == 0 {
+		c.failf("%s proposes a commit with no confirmation", processName(i))
 	}
 }
 
-// carry hands an event to a carrier; bodies and their check come at once.
-func (w *world) carry(k int, events ...Event) {
-	w.own(k)
-	c := w.car[k-w.n]
-	before := c.Active()
-	for _, o := range c.Step(0, events...) {
-		switch o := o.(type) {
+// stepParticipant passes events to a proxy and carries out its actions. Bodies are fetched and compiled at once.
+func (c *cluster) stepParticipant(proxy int, events ...Event) {
+	c.copyBeforeChange(proxy)
+	p := c.participants[proxy-c.nodeCount]
+	before := p.Active()
+	for _, action := range p.Step(0, events...) {
+		switch a := action.(type) {
 		case Fetch:
-			w.carry(k, BodyReceived(o))
+			c.stepParticipant(proxy, BodyReceived(a))
 		case Compile:
-			w.carry(k, CompileDone{Target: o.Target})
+			c.stepParticipant(proxy, CompileDone{Target: a.Target})
 		case SendConfirmation:
-			for i := range w.n {
-				if o.To == "" || o.To == name(i) {
-					w.push(k, i, Confirmed{name(k), o.Incarnation, o.Target, o.NotReadable})
+			for i := range c.nodeCount {
+				if a.To == "" || a.To == processName(i) {
+					c.enqueue(proxy, i, Confirmed{processName(proxy), a.Incarnation, a.Target, a.NotReadable})
 				}
 			}
 		case Activate:
-			if d := w.chosen[o.Version]; !d.Committed || d.Digest != o.Digest {
-				w.failf("%s serves %v, chosen is %+v", name(k), o.Target, d)
+			if d := c.chosen[a.Version]; !d.Committed || d.Digest != a.Digest {
+				c.failf("%s activates %v, chosen is %+v", processName(proxy), a.Target, d)
 			}
 		}
 	}
-	if c.Active().Version < before.Version {
-		w.failf("%s went back", name(k))
+	if p.Active().Version < before.Version {
+		c.failf("%s activated a lower version", processName(proxy))
 	}
 }
 
-// deliver takes the next of a queue.
-func (w *world) deliver(from, to int) {
-	w.own(to)
-	q := w.queue(from, to)
-	what := (*q)[0]
+// deliver delivers the next message of a queue.
+func (c *cluster) deliver(from, to int) {
+	c.copyBeforeChange(to)
+	q := c.queue(from, to)
+	message := (*q)[0]
 	*q = slices.Clone((*q)[1:])
-	switch what := what.(type) {
+	switch m := message.(type) {
 	case Message:
-		w.step(to, MessageReceived{name(from), what})
-	case hello:
-		w.proved[to][about{carrier: from}] = heardOf{life: what.life}
-		w.step(to, LeaseGranted{name(from), w.zone(from), what.life}, ProxyConnected{name(from)})
+		c.stepCoordinator(to, MessageReceived{processName(from), m})
+	case proxyHello:
+		c.confirmed[to][proxyVersion{proxy: from}] = confirmedBody{incarnation: m.incarnation}
+		c.stepCoordinator(
+			to,
+			LeaseGranted{processName(from), c.zone(from), m.incarnation},
+			ProxyConnected{processName(from)},
+		)
 	case CommandReceived:
-		w.carry(to, what)
+		c.stepParticipant(to, m)
 	case Confirmed:
-		if w.proved[to][about{carrier: from}].life == what.Incarnation {
-			w.proved[to][about{from, what.Version}] = heardOf{what.Incarnation, what.Digest}
+		if c.confirmed[to][proxyVersion{proxy: from}].incarnation == m.Incarnation {
+			c.confirmed[to][proxyVersion{from, m.Version}] = confirmedBody{m.Incarnation, m.Digest}
 		}
-		if w.flaws.oldLife {
-			what.Incarnation = w.st[to].leases[name(from)].incarnation
+		if c.bugs.countsStaleConfirmations {
+			m.Incarnation = c.coordinators[to].leases[processName(from)].incarnation
 		}
-		w.step(to, what)
+		c.stepCoordinator(to, m)
 	}
 }
 
-// written lets a controller's disk finish its next record.
-func (w *world) written(i int, err error) {
-	w.own(i)
-	o := w.pend[i][0]
-	w.pend[i] = slices.Clone(w.pend[i][1:])
-	switch o := o.(type) {
+// completeWrite completes the next write of a node's disk.
+func (c *cluster) completeWrite(i int, err error) {
+	c.copyBeforeChange(i)
+	action := c.diskQueues[i][0]
+	c.diskQueues[i] = slices.Clone(c.diskQueues[i][1:])
+	switch a := action.(type) {
 	case Drop:
-		delete(w.disks[i], o.Version)
+		delete(c.disks[i], a.Version)
 	case Persist:
 		if err == nil {
-			if w.disks[i][o.Version] = o.Vote; o.Closed {
-				w.forgot[i] = false
+			c.disks[i][a.Version] = a.Vote
+			if a.Closed {
+				c.lostState[i] = false
 			}
-			if o.Accepted != (BallotNumber{}) && !o.Decided {
-				w.accept(i, o.Vote)
+			if a.Accepted != (BallotNumber{}) && !a.Decided {
+				c.recordVote(i, a.Vote)
 			}
 		}
-		w.step(i, Persisted{o.Seq, err})
+		c.stepCoordinator(i, Persisted{a.Seq, err})
 	}
 }
 
-// accept keeps who has which ballot: a value on enough disks is chosen, for good.
-func (w *world) accept(i int, v Vote) {
+// recordVote adds a durable vote to the reference model. A value with enough votes in one ballot is chosen.
+func (c *cluster) recordVote(i int, v Vote) {
 	key := ballotKey{v.Version, v.Accepted}
-	a := w.ballots[key]
-	if a.by != 0 && a.value != v.Value {
-		w.failf("one ballot with two values: %+v", v)
-	}
-	a.value, a.by = v.Value, a.by|1<<i
-	w.ballots, w.chosen = maps.Clone(w.ballots), maps.Clone(w.chosen)
-	w.ballots[key] = a
-	if _, agree := w.st[i].Quorums(); bits.OnesCount64(a.by) >= agree {
-		if was, is := w.chosen[v.Version]; is && was != v.Value {
-			what := ""
-			if was.Committed != v.Value.Committed {
-				what = ", and one was taken"
-			}
-			w.failf("two ends of %d: %+v and %+v%s", v.Version, was, v.Value, what)
+	accepted := c.ballots[key]
+	if accepted.acceptors != 0 && accepted.value != v.Value {
+		c.failf("one ballot with two values: %+v", v)
+	}
+	accepted.value, accepted.acceptors = v.Value, accepted.acceptors|1<<i
+	c.ballots, c.chosen = maps.Clone(c.ballots), maps.Clone(c.chosen)
+	c.ballots[key] = accepted
+	if _, votes := c.coordinators[i].Quorums(); bits.OnesCount64(accepted.acceptors) < votes {
+		return
+	}
+	if former, ok := c.chosen[v.Version]; ok && former != v.Value {
+		detail := ""
+		if former.Committed != v.Value.Committed {
+			detail = ", one of them a commit"
 		}
-		w.chosen[v.Version] = v.Value
+		c.failf("two decisions on version %d: %+v and %+v%s", v.Version, former, v.Value, detail)
 	}
+	c.chosen[v.Version] = v.Value
 }
 
-// crash ends a process and starts its next life; wiped: without its disk.
-func (w *world) crash(i int, wiped bool) {
-	w.own(i)
-	w.life[i] += 16
-	if i >= w.n {
-		w.car[i-w.n] = NewParticipant(w.life[i], 6*time.Second)
-		for j := range w.n { // what it had sent may come yet, then its successor speaks
-			*w.queue(j, i) = nil
-			if w.push(i, j, hello{w.life[i]}); w.twoLines {
-				q := w.queue(i, j) // the new line is faster than what the old one still holds
-				if last := len(*q) - 1; last > 0 {
-					*q = append([]any{(*q)[last]}, (*q)[:last]...)
-				}
-			}
-		}
+// crash ends a process and starts its next incarnation, with an empty disk if wiped is set.
+func (c *cluster) crash(i int, wiped bool) {
+	c.copyBeforeChange(i)
+	c.incarnations[i] += incarnationStep
+	if i >= c.nodeCount {
+		c.restartParticipant(i)
 		return
 	}
 	if wiped {
-		w.wipes++
-		w.disks[i] = map[uint64]Vote{}
-		w.forgot[i] = !w.flaws.wipedVote
+		c.wipes++
+		c.disks[i] = map[uint64]Vote{}
+		c.lostState[i] = !c.bugs.votesAfterWipe
+	}
+	c.startCoordinator(i, !c.lostState[i])
+}
+
+// restartParticipant starts a proxy anew. The messages that it had sent are still delivered.
+func (c *cluster) restartParticipant(proxy int) {
+	c.participants[proxy-c.nodeCount] = NewParticipant(c.incarnations[proxy], staleTimeout)
+	for i := range c.nodeCount {
+		*c.queue(i, proxy) = nil
+		c.enqueue(proxy, i, proxyHello{c.incarnations[proxy]})
+		q := c.queue(proxy, i)
+		if last := len(*q) - 1; c.reordersReconnects && last > 0 {
+			*q = append([]any{(*q)[last]}, (*q)[:last]...)
+		}
 	}
-	w.begin(i, !w.forgot[i])
 }
 
-// propose makes a version safe, and tells all.
-func (w *world) propose(t Target) {
-	w.safe = append(w.safe, t)
-	for i := range w.n {
-		w.step(i, BodyStored{t})
+// storeBody makes the body of a version durable and reports it to all nodes.
+func (c *cluster) storeBody(t Target) {
+	c.stored = append(c.stored, t)
+	for i := range c.nodeCount {
+		c.stepCoordinator(i, BodyStored{t})
 	}
 }
 
-// settle lets everything that is under way arrive.
-func (w *world) settle() {
-	for busy := true; busy && w.fault == ""; {
+// deliverAll delivers messages and completes writes until none are left.
+func (c *cluster) deliverAll() {
+	for busy := true; busy && c.violation == ""; {
 		busy = false
-		for q := range w.queues {
-			for len(w.queues[q]) > 0 {
-				w.deliver(q/(w.n+w.m), q%(w.n+w.m))
+		for q := range c.queues {
+			for len(c.queues[q]) > 0 {
+				c.deliver(q/(c.nodeCount+c.proxyCount), q%(c.nodeCount+c.proxyCount))
 				busy = true
 			}
 		}
-		for i := range w.n {
-			for len(w.pend[i]) > 0 {
-				w.written(i, nil)
+		for i := range c.nodeCount {
+			for len(c.diskQueues[i]) > 0 {
+				c.completeWrite(i, nil)
 				busy = true
 			}
 		}
