--- a/internal/controller/aggregation/aggregation.go
+++ b/internal/controller/aggregation/aggregation.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	fanOut               = 8 // children of a node
-	maxReports           = 4096
+	fanOut               = 8                // children of a node
+	maxReports           = 4096             // backends in a summary
 	maxUsage             = 1024             // pairs of a product and a zone
 	maxPending           = 64               // flushes that have not come back in a total
-	maxAge               = 15 * time.Second // of a partial
+	maxAge               = 15 * time.Second // of a partial that counts
 	maxLatencyMS         = 60 * 1000.0      // mean of a report
 	maxAttempts          = 1e9              // of a report
 	maxTxns              = 1e9              // of a Usage, exclusive
@@ -40,7 +40,7 @@
 	TotalLatencyMS float64 `cbor:"4,keyasint"` // of the attempts that did not fail
 }
 
-// Summary holds the sums of several origins, which are the controllers that measured.
+// Summary sums the measurements of several controllers, its origins.
 type Summary struct {
 	Reports []Report      `cbor:"1,keyasint"`
 	Age     time.Duration `cbor:"2,keyasint"` // mean, weighted by attempts
--- a/internal/controlplane/rollout/coordinator.go
+++ b/internal/controlplane/rollout/coordinator.go
@@ -3,8 +3,8 @@
 // reads no clock: Step takes events and returns actions. Rules and states: docs/notes/stages.md. No other package uses
 // it yet.
 //
-// Each version's decision is one instance of single-decree Paxos (package paxos). A register that is overwritten would
-// not do: two nodes that write different decisions could both be told that their write succeeded.
+// Each version's decision is one instance of single-decree Paxos (package paxos). A replicated register is not enough:
+// two nodes that write different decisions could both be told that their write succeeded.
 //
 //	events.go       events, actions, the plan
 //	coordinator.go  state and event handling of a control-plane node
@@ -51,7 +51,7 @@
 	Vote
 	digest    uint64 // of the body that is being rolled out
 	stored    bool
-	recoverAt time.Duration // when this node starts a ballot to find an accepted value; unset: no value was accepted
+	recoverAt time.Duration // when a ballot to recover an accepted value is due; unset: never
 
 	// Progress through the stages.
 
@@ -252,7 +252,7 @@
 	if v.Decided || v.stored && t.Digest <= v.digest {
 		return
 	}
-	if v.stored { // another body: requests for the former one do not count
+	if v.stored { // requests to prepare the former body do not count
 		clear(v.askedToPrepare)
 	}
 	v.stored, v.digest = true, t.Digest
--- a/internal/controlplane/rollout/decision.go
+++ b/internal/controlplane/rollout/decision.go
@@ -66,7 +66,7 @@
 }
 
 // dropSuperseded removes the versions below the committed one. Their records stay until the committed version's record
-// is durable: without any of these records, this node could vote again on a version that is closed.
+// is durable: if a crash lost both, this node could vote again on a version that it has voted on.
 func (c *Coordinator) dropSuperseded() {
 	for _, number := range c.sortedVersions() {
 		if number < c.committed.Version {
--- a/internal/controlplane/rollout/exhaustive_test.go
+++ b/internal/controlplane/rollout/exhaustive_test.go
@@ -151,7 +151,7 @@
 	proxySeparator       = 255
 )
 
-// proxyState encodes the state of a proxy, and what the nodes know of it, without its name.
+// proxyState encodes the state of a proxy and its state at each node, without its name.
 func (c *cluster) proxyState(proxy int) []byte {
 	p := c.participants[proxy-c.nodeCount]
 	b := appendUvarints(nil, restartCount(c.incarnations[proxy]), p.active.Version, p.committed.Version)
--- a/internal/controlplane/rollout/progress.go
+++ b/internal/controlplane/rollout/progress.go
@@ -14,12 +14,12 @@
 // hashMultiplier is the constant of the rrmxmx mixing function.
 const hashMultiplier = 0xd6e8feb86659fd93
 
-// rendezvousHash gives the position of a name in the order for a version. The order differs between versions and is the
-// same on all nodes.
+// rendezvousHash returns the sort key of a name for a version. All nodes sort alike, and the order differs between
+// versions.
 func rendezvousHash(version uint64, name string) uint64 {
 	h := fnv.New64a()
 	for i := range 8 {
-		_, _ = h.Write([]byte{byte(version >> (8 * i))}) // a hash.Hash never returns an error
+		_, _ = h.Write([]byte{byte(version >> (8 * i))}) // Write of a hash.Hash never fails
 	}
 	_, _ = h.Write([]byte(name))
 	x := h.Sum64()
