--- a/internal/bench/discovery/naive.go
+++ b/internal/bench/discovery/naive.go
@@ -16,9 +16,9 @@
 )
 
 // reader gives a function that reads the whole list in one call.
-func reader(kind, addr string) func() ([]reconcile.Raw, error) {
+func reader(kind, addr string) func() ([]reconcile.KeyValue, error) {
 	if kind == operatorfile.Consul {
-		return func() (all []reconcile.Raw, err error) {
+		return func() (all []reconcile.KeyValue, err error) {
 			code, body, err := fasthttp.GetTimeout(nil, "http://"+addr+"/v1/kv/"+prefix+"/?recurse", 2*time.Second)
 			if err != nil || code != fasthttp.StatusOK {
 				return nil, fmt.Errorf("status %d, %w", code, err)
@@ -31,12 +31,12 @@
 				return nil, err
 			}
 			for _, p := range pairs {
-				all = append(all, reconcile.Raw{Key: p.Key, Value: p.Value})
+				all = append(all, reconcile.KeyValue{Key: p.Key, Value: p.Value})
 			}
 			return all, nil
 		}
 	}
-	return func() (all []reconcile.Raw, err error) {
+	return func() (all []reconcile.KeyValue, err error) {
 		conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(64<<20)))
 		if err != nil {
@@ -55,7 +55,7 @@
 			return nil, err
 		}
 		for _, kv := range resp.Kvs {
-			all = append(all, reconcile.Raw{Key: string(kv.Key), Value: kv.Value})
+			all = append(all, reconcile.KeyValue{Key: string(kv.Key), Value: kv.Value})
 		}
 		return all, nil
 	}
--- a/internal/bench/discovery/registry.go
+++ b/internal/bench/discovery/registry.go
@@ -144,7 +144,7 @@
 	now := time.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if l.Whole {
+	if l.Complete {
 		w.wholes++
 		clear(w.reported)
 	}
@@ -169,7 +169,7 @@
 	all := w.made[m.ID]
 	from := w.seen[m.ID]
 	for i := from; i < len(all); i++ {
-		if d := all[i]; gone && d.gone || !gone && d.number == int(m.Size) && !d.gone {
+		if d := all[i]; gone && d.gone || !gone && d.number == int(m.Weight) && !d.gone {
 			w.seen[m.ID] = i + 1
 			delay := float64(now.Sub(d.at)) / float64(time.Millisecond)
 			if d.history == w.history && d.number <= changes {
@@ -256,12 +256,12 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	plan := reconcile.Usual()
+	plan := reconcile.DefaultConfig()
 	plan.Prefix, plan.Endpoints, plan.HistoryHold = prefix, 1, hold
-	plan.Changes, plan.Checks = kind == operatorfile.Etcd, kind == operatorfile.Etcd
+	plan.WatchSendsChanges, plan.SupportsCheck = kind == operatorfile.Etcd, kind == operatorfile.Etcd
 	o := operatorfile.Registry{Kind: kind, Endpoints: []string{ours.Addr()}, Plan: plan}
 	if kind == operatorfile.Consul {
-		o.Plan.Answer, o.Plan.Audit = 4*time.Second, 0
+		o.Plan.ResponseTimeout, o.Plan.AuditInterval = 4*time.Second, 0
 	}
 	mine, naive := newWatcher(book), newWatcher(book)
 	follower := command.Follower(o, fmt.Sprint("lab", seed), func(said any) {
@@ -556,11 +556,11 @@
 func followerCommand() *cobra.Command {
 	var kind, endpoint string
 	c := &cobra.Command{Use: "follower", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		plan := reconcile.Usual()
+		plan := reconcile.DefaultConfig()
 		plan.Prefix, plan.Endpoints = prefix, 1
-		plan.Changes, plan.Checks = kind == operatorfile.Etcd, kind == operatorfile.Etcd
+		plan.WatchSendsChanges, plan.SupportsCheck = kind == operatorfile.Etcd, kind == operatorfile.Etcd
 		if kind == operatorfile.Consul {
-			plan.Answer, plan.Audit = 10*time.Second, 0
+			plan.ResponseTimeout, plan.AuditInterval = 10*time.Second, 0
 		}
 		log := logrus.New()
 		log.SetOutput(io.Discard)
@@ -571,7 +571,7 @@
 			operatorfile.Registry{Kind: kind, Endpoints: []string{endpoint}, Plan: plan},
 			"size",
 			func(said any) {
-				if l, ok := said.(reconcile.List); ok && l.Whole {
+				if l, ok := said.(reconcile.List); ok && l.Complete {
 					whole <- len(l.Members)
 				}
 			},
--- a/internal/bench/eventloop/moments.go
+++ b/internal/bench/eventloop/moments.go
@@ -67,12 +67,12 @@
 // sink is a stream that counts.
 type sink struct{ openedAt, messages uint64 }
 
-func (s *sink) Since() uint64  { return s.openedAt }
-func (s *sink) Send(b []byte)  { s.messages++ }
-func (s *sink) Known(string)   {}
-func (s *sink) Replaced()      {}
-func (s *sink) Refused()       {}
-func (s *sink) Fault(er error) {}
+func (s *sink) Sequence() uint64     { return s.openedAt }
+func (s *sink) Send(b []byte)        { s.messages++ }
+func (s *sink) SetPeer(string)       {}
+func (s *sink) CloseReplaced()       {}
+func (s *sink) CloseRefused()        {}
+func (s *sink) RecordFault(er error) {}
 
 type noLists struct{}
 
@@ -128,7 +128,7 @@
 	for i := range backends {
 		f.members = append(f.members, f.member(i, 0))
 	}
-	f.d.SetKnownList(reconcile.List{Revision: 1, Whole: true, Members: f.members})
+	f.d.SetCachedList(reconcile.List{Revision: 1, Complete: true, Members: f.members})
 	f.d.Step(f.now)
 	for i := range proxies {
 		f.streams = append(f.streams, &sink{openedAt: uint64(i + 1)})
@@ -142,7 +142,7 @@
 		Zone:    momentNames.Zones[i%4],
 		Kind:    "s",
 		Phase:   reconcile.Serving,
-		Size:    1,
+		Weight:  1,
 		UpSince: up,
 	}
 }
@@ -185,7 +185,7 @@
 	}
 	for _, name := range momentNames.Products {
 		for _, z := range momentNames.Zones {
-			t.Uses = append(t.Uses, eventloop.ZoneUse{Product: name, Zone: z, Txns: 500})
+			t.Usage = append(t.Usage, eventloop.ZoneUsage{Product: name, Zone: z, Txns: 500})
 		}
 	}
 	f.d.Handle(eventloop.Command{Message: t})
--- a/internal/controller/command/command.go
+++ b/internal/controller/command/command.go
@@ -144,7 +144,7 @@
 	for _, m := range s.Known.Members {
 		if zone := slices.Index(s.Names.Zones, m.Zone); zone >= 0 && m.Phase == reconcile.Serving {
 			all = append(all, tenancy.Backend{At: len(all), ID: m.ID, Zone: zone, Kind: slices.Index(s.Names.Kinds, m.Kind),
-				Status: policy.Ready, Weight: m.Size})
+				Status: policy.Ready, Weight: m.Weight})
 		}
 	}
 	return all
--- a/internal/controller/command/member.go
+++ b/internal/controller/command/member.go
@@ -210,7 +210,7 @@
 		said.Reports = append(said.Reports, h)
 	}
 	for _, u := range s.Usage {
-		said.Uses = append(said.Uses, eventloop.ZoneUse(u))
+		said.Usage = append(said.Usage, eventloop.ZoneUsage(u))
 	}
 	return said
 }
--- a/internal/controller/command/memory.go
+++ b/internal/controller/command/memory.go
@@ -168,7 +168,7 @@
 
 // believe is the list that what was offered gives.
 func (m *memory) believe(events []warmstart.Event) (l reconcile.List, refused []warmstart.Refuse, ok bool) {
-	l.Whole = true
+	l.Complete = true
 	for _, o := range m.session.Step(m.now().Sub(m.began), events) {
 		switch o := o.(type) {
 		case warmstart.Refuse:
@@ -238,7 +238,7 @@
 		}
 	}
 	for id, x := range m.listed {
-		if l.Whole && !named[id] {
+		if l.Complete && !named[id] {
 			x.Phase = reconcile.Deleted
 			record(x)
 			delete(m.listed, id)
--- a/internal/controller/command/memory_test.go
+++ b/internal/controller/command/memory_test.go
@@ -118,7 +118,7 @@
 	m.Keep(
 		reconcile.List{
 			Revision: 3,
-			Whole:    true,
+			Complete: true,
 			Members:  []reconcile.Member{{ID: "s-1", Zone: "a", Phase: reconcile.Serving}},
 		},
 	)
@@ -205,7 +205,7 @@
 	}
 	l, refused, ok := believed(seen.Add(59 * time.Second))
 	if !ok || len(refused) > 0 || len(l.Members) != 2 || l.Members[1].Phase != reconcile.Draining || l.Revision != 3 ||
-		!l.Whole {
+		!l.Complete {
 		t.Errorf("within the grace %+v, %v", l, refused)
 	}
 	for at, why := range map[time.Duration]string{
@@ -291,7 +291,7 @@
 			},
 		},
 	)
-	m.Keep(reconcile.Failed{})
+	m.Keep(reconcile.SourceFailed{})
 	at = at.Add(10 * time.Second)
 	if f := m.tell(); len(f) != 1 || f[0].Origin != "n2" || f[0].Age != 15*time.Second {
 		t.Errorf("before our source answers %+v", f)
@@ -299,7 +299,7 @@
 	m.Keep(
 		reconcile.List{
 			Revision: 3,
-			Whole:    true,
+			Complete: true,
 			Members:  []reconcile.Member{{ID: "s-2", Zone: "a", Phase: reconcile.Draining}},
 		},
 	)
@@ -307,7 +307,7 @@
 	if f := m.tell(); len(f) != 1 || f[0].Key != "s-2" || f[0].Origin != "n1" || f[0].Age != 0 || f[0].Revision != 3 {
 		t.Errorf("while it does %+v", f)
 	}
-	m.Keep(reconcile.Failed{})
+	m.Keep(reconcile.SourceFailed{})
 	at = at.Add(20 * time.Second)
 	if f := m.tell(); len(f) != 1 || f[0].Age != 20*time.Second {
 		t.Errorf("when it failed %+v", f)
--- a/internal/controller/command/registry.go
+++ b/internal/controller/command/registry.go
@@ -28,7 +28,7 @@
 	plan.Seed = name + " " + strconv.FormatInt(time.Now().UnixNano(), 36)
 	var s watch.Source
 	if o.Kind == operatorfile.Consul {
-		s = consul.New(o.Endpoints, plan.Prefix, o.Access, plan.Answer)
+		s = consul.New(o.Endpoints, plan.Prefix, o.Access, plan.ResponseTimeout)
 	} else {
 		s = etcd.New(o.Endpoints, plan.Prefix, o.Access)
 	}
@@ -105,7 +105,7 @@
 		stamp = p.now().Format("15:04:05.000 ")
 	}
 	switch o := o.(type) {
-	case reconcile.Note:
+	case reconcile.LogEntry:
 		words := []string{o.Text}
 		for _, w := range []string{o.Key, o.Reason} {
 			if w != "" {
@@ -113,8 +113,8 @@
 			}
 		}
 		_, _ = fmt.Fprintf(p.errs, "%srevision %d: %s\n", stamp, o.Revision, strings.Join(words, ": "))
-	case reconcile.Tell:
-		if o.Whole {
+	case reconcile.PublishList:
+		if o.Complete {
 			_, _ = fmt.Fprintf(p.out, "%srevision %d: whole list, %d backends\n", stamp, o.Revision, len(o.Members))
 		}
 		table := tabwriter.NewWriter(p.out, 0, 0, 2, ' ', 0)
@@ -123,15 +123,15 @@
 			if m.UpSince > 0 {
 				up = time.UnixMilli(int64(m.UpSince)).UTC().Format(time.RFC3339)
 			}
-			if o.Whole {
-				_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%g\t%s\n", m.ID, m.Phase, m.Zone, m.Kind, m.Size, up)
+			if o.Complete {
+				_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%g\t%s\n", m.ID, m.Phase, m.Zone, m.Kind, m.Weight, up)
 			} else {
 				_, _ = fmt.Fprintf(table, "%srevision %d: %s\t%s\t%s\t%s\t%g\t%s\n", stamp, o.Revision, m.ID, m.Phase, m.Zone,
-					m.Kind, m.Size, up)
+					m.Kind, m.Weight, up)
 			}
 		}
 		_ = table.Flush()
-		return o.Whole
+		return o.Complete
 	}
 	return false
 }
--- a/internal/controller/config/launch_test.go
+++ b/internal/controller/config/launch_test.go
@@ -41,8 +41,8 @@
 	d := s.Deployment
 	s.Deployment = policy.Deployment{}
 	want := Sheet{Name: "n3", Listen: "10.0.0.9:1", Discovery: "10.2.0.1:8500", Cores: 0.5, MemoryMB: 128, Sockets: 512,
-		Tick: 4 * time.Millisecond, Known: reconcile.List{Revision: 41, Whole: true,
-			Members: []reconcile.Member{{ID: "s-1", Zone: "b", Phase: "SERVING", Size: 1}}}}
+		Tick: 4 * time.Millisecond, Known: reconcile.List{Revision: 41, Complete: true,
+			Members: []reconcile.Member{{ID: "s-1", Zone: "b", Phase: "SERVING", Weight: 1}}}}
 	want.Names.Products, want.Names.Zones, want.Names.Kinds = []string{
 		"look",
 		"pay",
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -129,7 +129,7 @@
 var errUnknown = errors.New("no such request")
 
 func (c *control) do(r Request) (reply Reply, err error) {
-	view, err := ask(c.queue, func(to chan tenancy.View) any { return eventloop.ShowCells{To: to} })
+	view, err := ask(c.queue, func(to chan tenancy.View) any { return eventloop.CellsQuery{Reply: to} })
 	if err != nil {
 		return reply, err
 	}
@@ -151,7 +151,7 @@
 		c.queue <- eventloop.Command{Message: said}
 		// It counts from the next step on; what became of it is shown then.
 		time.Sleep(200 * time.Millisecond)
-		reply.Cells, err = ask(c.queue, func(to chan tenancy.View) any { return eventloop.ShowCells{To: to} })
+		reply.Cells, err = ask(c.queue, func(to chan tenancy.View) any { return eventloop.CellsQuery{Reply: to} })
 	default:
 		return reply, errUnknown
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -120,7 +120,7 @@
 		c.follow()
 	}
 	loop := eventloop.New(sheet.Deployment, sheet.Names, c.lists, c.log)
-	loop.SetKnownList(list)
+	loop.SetCachedList(list)
 	if memory != nil {
 		for _, figure := range memory.Figures() {
 			loop.Handle(eventloop.Command{Message: figure})
@@ -259,7 +259,7 @@
 func (c *controller) replan(file operatorfile.File) error {
 	if !reflect.DeepEqual(c.file.Cells, file.Cells) {
 		if file.Cells != nil {
-			list, err := ask(c.queue, func(to chan []tenancy.Backend) any { return eventloop.ShowFleet{To: to} })
+			list, err := ask(c.queue, func(to chan []tenancy.Backend) any { return eventloop.FleetQuery{Reply: to} })
 			if err == nil {
 				err = file.Cells.Lacks(c.sheet.Deployment, list)
 			}
@@ -289,7 +289,7 @@
 	c.lists.begin(func(tell func(any)) Source {
 		r := discovery.New(c.sheet.Discovery, tell, c.log)
 		r.From(known)
-		go r.Run(!c.sheet.Deployment.ListOnRequest || !known.Whole)
+		go r.Run(!c.sheet.Deployment.ListOnRequest || !known.Complete)
 		return r
 	})
 }
--- a/internal/controller/discovery/consul/consul.go
+++ b/internal/controller/discovery/consul/consul.go
@@ -82,7 +82,7 @@
 		host, _, _ := net.SplitHostPort(addr)
 		conf, err := f.Load(host)
 		if err != nil {
-			return nil, &failure{reconcile.Certificate, err.Error()}
+			return nil, &failure{reconcile.CertificateRejected, err.Error()}
 		}
 		c.IsTLS, c.TLSConfig = true, conf
 	}
@@ -92,13 +92,13 @@
 
 // failure is an error whose kind is known.
 type failure struct {
-	why  reconcile.Why
+	why  reconcile.FailureReason
 	text string
 }
 
 func (f *failure) Error() string { return f.text }
 
-func why(err error) reconcile.Why {
+func why(err error) reconcile.FailureReason {
 	var f *failure
 	var late net.Error
 	switch {
@@ -108,30 +108,30 @@
 		errors.As(err, &late) && late.Timeout():
 		return reconcile.TimedOut
 	case discovery.Refuses(err):
-		return reconcile.Certificate
+		return reconcile.CertificateRejected
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		return reconcile.Odd
+		return reconcile.InvalidResponse
 	}
 	var record tls.RecordHeaderError
 	if errors.As(err, &record) {
-		return reconcile.Certificate
+		return reconcile.CertificateRejected
 	}
-	return reconcile.Lost
+	return reconcile.ConnectionLost
 }
 
 // refused tells what a status with its text means.
 func refused(code int, body []byte) error {
 	text := strings.TrimSpace(string(body[:min(len(body), 200)]))
-	f := &failure{reconcile.Odd, fmt.Sprintf("status %d: %s", code, text)}
+	f := &failure{reconcile.InvalidResponse, fmt.Sprintf("status %d: %s", code, text)}
 	switch {
 	case code == fasthttp.StatusForbidden && strings.Contains(text, "ACL not found"), code == fasthttp.StatusUnauthorized:
-		f.why = reconcile.Token
+		f.why = reconcile.InvalidToken
 	case code == fasthttp.StatusForbidden && strings.Contains(text, "auth method"):
-		f.why = reconcile.Password
+		f.why = reconcile.BadCredentials
 	case code == fasthttp.StatusForbidden:
 		f.why = reconcile.Forbidden
 	case code >= 500, code == fasthttp.StatusTooManyRequests:
-		f.why = reconcile.Lost // no leader, or too busy
+		f.why = reconcile.ConnectionLost // no leader, or too busy
 	}
 	return f
 }
@@ -147,7 +147,7 @@
 	var err error
 	if s.access.TokenFile != "" {
 		if token, err = discovery.Secret(s.access.TokenFile); err != nil {
-			return "", &failure{reconcile.Token, err.Error()}
+			return "", &failure{reconcile.InvalidToken, err.Error()}
 		}
 	} else if token, err = s.login(c); err != nil {
 		return "", err
@@ -162,19 +162,19 @@
 func (s *Source) login(c *fasthttp.HostClient) (string, error) {
 	bearer, err := discovery.Secret(s.access.BearerFile)
 	if err != nil {
-		return "", &failure{reconcile.Password, err.Error()}
+		return "", &failure{reconcile.BadCredentials, err.Error()}
 	}
 	body, _ := json.Marshal(map[string]string{"AuthMethod": s.access.Method, "BearerToken": bearer})
 	var said struct{ SecretID string }
 	_, err = s.send(c, "POST", "/v1/acl/login", "", body, s.answer, &said)
 	var f *failure
 	switch {
-	case errors.As(err, &f) && f.why >= reconcile.Password:
-		return "", &failure{reconcile.Password, "the log-in: " + f.text}
+	case errors.As(err, &f) && f.why >= reconcile.BadCredentials:
+		return "", &failure{reconcile.BadCredentials, "the log-in: " + f.text}
 	case err != nil:
 		return "", err
 	case said.SecretID == "":
-		return "", &failure{reconcile.Odd, "the log-in gave no token"}
+		return "", &failure{reconcile.InvalidResponse, "the log-in gave no token"}
 	}
 	return said.SecretID, nil
 }
@@ -210,14 +210,14 @@
 	}
 	if text := resp.Header.Peek("X-Consul-Index"); len(text) > 0 {
 		if index, err = strconv.ParseInt(string(text), 10, 64); err != nil || index < 0 {
-			return 0, &failure{reconcile.Odd, fmt.Sprintf("X-Consul-Index %.40q", text)}
+			return 0, &failure{reconcile.InvalidResponse, fmt.Sprintf("X-Consul-Index %.40q", text)}
 		}
 	}
 	if code == fasthttp.StatusNotFound {
 		return index, nil
 	}
 	if err := json.Unmarshal(resp.Body(), into); err != nil {
-		return 0, &failure{reconcile.Odd, "an answer that is not readable: " + err.Error()}
+		return 0, &failure{reconcile.InvalidResponse, "an answer that is not readable: " + err.Error()}
 	}
 	return index, nil
 }
@@ -231,7 +231,7 @@
 	early := errors.Is(err, fasthttp.ErrConnectionClosed) || errors.As(err, &op) && op.Op != "dial"
 	if c.IsTLS && !s.answered && early {
 		return &failure{
-			reconcile.Certificate,
+			reconcile.CertificateRejected,
 			"closed after the handshake, as by one that refuses our certificate: " + err.Error(),
 		}
 	}
@@ -250,7 +250,7 @@
 		if err == nil {
 			index, err = s.send(c, "GET", path, token, nil, within, into)
 		}
-		if err == nil || why(err) != reconcile.Token || again {
+		if err == nil || why(err) != reconcile.InvalidToken || again {
 			return index, err
 		}
 		s.mu.Lock()
@@ -272,18 +272,18 @@
 		}
 	}
 	switch o := o.(type) {
-	case reconcile.Read:
+	case reconcile.ReadPage:
 		if e, ok := wait(func() reconcile.Event { return s.read(ctx, o) }); ok {
 			say(e)
 		}
 	case reconcile.Watch:
-		for block := !o.AtOnce; ; block = true {
+		for block := !o.Immediate; ; block = true {
 			e, ok := wait(func() reconcile.Event { return s.watch(ctx, o, block) })
 			if !ok {
 				return
 			}
 			say(e)
-			if p, ok := e.(reconcile.Progress); !ok || p.Revision != o.After {
+			if p, ok := e.(reconcile.Progress); !ok || p.Revision != o.AfterRevision {
 				return // the Roster goes on from here
 			}
 		}
@@ -295,19 +295,19 @@
 func (s *Source) watch(ctx context.Context, o reconcile.Watch, block bool) reconcile.Event {
 	path := fmt.Sprintf("/v1/kv/%s?keys&separator=%%2F", escape(s.prefix))
 	if block { // an index of 0 would not, and below 1 none is valid
-		path += fmt.Sprintf("&index=%d&wait=%dms", max(o.After, 1), wait.Milliseconds())
+		path += fmt.Sprintf("&index=%d&wait=%dms", max(o.AfterRevision, 1), wait.Milliseconds())
 	}
 	var keys []string
 	index, err := s.get(ctx, o.Endpoint, path, wait+grace, &keys)
 	if err != nil {
-		return reconcile.Broken{Try: o.Try, Why: why(err), Err: err}
+		return reconcile.AttemptFailed{Attempt: o.Attempt, Reason: why(err), Err: err}
 	}
-	return reconcile.Progress{Try: o.Try, Revision: index}
+	return reconcile.Progress{Attempt: o.Attempt, Revision: index}
 }
 
 // read reads the whole list of the same prefix, so that both have the same index, and leaves out what merely
 // begins alike.
-func (s *Source) read(ctx context.Context, o reconcile.Read) reconcile.Event {
+func (s *Source) read(ctx context.Context, o reconcile.ReadPage) reconcile.Event {
 	var pairs []struct {
 		Key         string
 		Value       []byte
@@ -315,12 +315,12 @@
 	}
 	index, err := s.get(ctx, o.Endpoint, "/v1/kv/"+escape(s.prefix)+"?recurse&consistent", s.answer, &pairs)
 	if err != nil {
-		return reconcile.Broken{Try: o.Try, Why: why(err), Err: err}
+		return reconcile.AttemptFailed{Attempt: o.Attempt, Reason: why(err), Err: err}
 	}
-	p := reconcile.Page{Try: o.Try, Revision: index}
+	p := reconcile.Page{Attempt: o.Attempt, Revision: index}
 	for _, kv := range pairs {
 		if strings.HasPrefix(kv.Key, s.prefix+"/") && kv.Key != s.prefix+"/" { // folders have keys of their own
-			p.Entries = append(p.Entries, reconcile.Raw{Key: kv.Key, Value: kv.Value, Mod: kv.ModifyIndex})
+			p.Entries = append(p.Entries, reconcile.KeyValue{Key: kv.Key, Value: kv.Value, ModRevision: kv.ModifyIndex})
 		}
 	}
 	return p
--- a/internal/controller/discovery/consul/consul_test.go
+++ b/internal/controller/discovery/consul/consul_test.go
@@ -52,7 +52,7 @@
 		done = make(chan struct{})
 		go func() {
 			defer close(done)
-			s.Do(ctx, reconcile.Read{Try: try}, func(reconcile.Event) { t.Error("there is an answer") })
+			s.Do(ctx, reconcile.ReadPage{Attempt: try}, func(reconcile.Event) { t.Error("there is an answer") })
 		}()
 		return done
 	}
--- a/internal/controller/discovery/etcd/etcd.go
+++ b/internal/controller/discovery/etcd/etcd.go
@@ -97,7 +97,7 @@
 		host, _, _ := net.SplitHostPort(addr)
 		conf, err := f.Load(host)
 		if err != nil {
-			return nil, &refusal{reconcile.Certificate, err}
+			return nil, &refusal{reconcile.CertificateRejected, err}
 		}
 		conf.NextProtos = []string{"h2"}
 		creds = credentials.NewTLS(conf)
@@ -119,43 +119,43 @@
 
 // refusal is an error whose kind is known already.
 type refusal struct {
-	why reconcile.Why
+	why reconcile.FailureReason
 	err error
 }
 
 func (r *refusal) Error() string { return r.err.Error() }
 
 // why tells what kind of failure an error is.
-func why(err error) reconcile.Why {
+func why(err error) reconcile.FailureReason {
 	var known *refusal
 	if errors.As(err, &known) {
 		return known.why
 	}
 	if errors.Is(err, io.EOF) {
-		return reconcile.Lost
+		return reconcile.ConnectionLost
 	}
 	switch cause := rpctypes.Error(err); {
 	case isAny(cause, rpctypes.ErrAuthFailed, rpctypes.ErrUserEmpty, rpctypes.ErrAuthNotEnabled):
-		return reconcile.Password
+		return reconcile.BadCredentials
 	case isAny(cause, rpctypes.ErrInvalidAuthToken, rpctypes.ErrAuthOldRevision):
-		return reconcile.Token
+		return reconcile.InvalidToken
 	case isAny(cause, rpctypes.ErrPermissionDenied, rpctypes.ErrPermissionNotGranted):
 		return reconcile.Forbidden
 	}
 	switch status.Code(err) {
 	case codes.Unavailable, codes.Canceled, codes.Aborted:
 		if discovery.Refuses(err) {
-			return reconcile.Certificate
+			return reconcile.CertificateRejected
 		}
-		return reconcile.Lost
+		return reconcile.ConnectionLost
 	case codes.DeadlineExceeded:
 		return reconcile.TimedOut
 	case codes.Unauthenticated:
-		return reconcile.Token
+		return reconcile.InvalidToken
 	case codes.PermissionDenied:
 		return reconcile.Forbidden
 	default:
-		return reconcile.Odd
+		return reconcile.InvalidResponse
 	}
 }
 
@@ -163,7 +163,7 @@
 // our certificate says so then, in a message that the reset often overtakes.
 func (s *Source) explainRefusal(err error) error {
 	if s.access.TLS != nil && strings.Contains(err.Error(), "error reading server preface") {
-		return &refusal{reconcile.Certificate, plain(err)}
+		return &refusal{reconcile.CertificateRejected, plain(err)}
 	}
 	return err
 }
@@ -187,7 +187,7 @@
 	case a.User != "":
 		var password string
 		if password, err = discovery.Secret(a.PasswordFile); err != nil {
-			return nil, &refusal{reconcile.Password, err}
+			return nil, &refusal{reconcile.BadCredentials, err}
 		}
 		resp, err := pb.NewAuthClient(conn).Authenticate(ctx, &pb.AuthenticateRequest{Name: a.User, Password: password})
 		if err != nil {
@@ -196,7 +196,7 @@
 		token = resp.Token
 	case a.TokenFile != "":
 		if token, err = discovery.Secret(a.TokenFile); err != nil {
-			return nil, &refusal{reconcile.Token, err}
+			return nil, &refusal{reconcile.InvalidToken, err}
 		}
 	default:
 		return ctx, nil
@@ -224,7 +224,7 @@
 		if err == nil {
 			err = f(with, conn)
 		}
-		if err == nil || why(err) != reconcile.Token || again {
+		if err == nil || why(err) != reconcile.InvalidToken || again {
 			return err
 		}
 		s.forget()
@@ -236,36 +236,36 @@
 	var try int
 	var err error
 	switch o := o.(type) {
-	case reconcile.Read:
-		try, err = o.Try, s.read(ctx, o, say)
+	case reconcile.ReadPage:
+		try, err = o.Attempt, s.read(ctx, o, say)
 	case reconcile.Check:
-		try, err = o.Try, s.check(ctx, o, say)
+		try, err = o.Attempt, s.check(ctx, o, say)
 	case reconcile.Watch:
-		try, err = o.Try, s.follow(ctx, o, say)
+		try, err = o.Attempt, s.follow(ctx, o, say)
 	case reconcile.RequestProgress:
-		s.ask(o.Try)
+		s.ask(o.Attempt)
 	}
 	if err == nil || ctx.Err() != nil {
 		return
 	}
 	err = s.explainRefusal(err)
 	reason := why(err)
-	if reason == reconcile.Token {
+	if reason == reconcile.InvalidToken {
 		s.forget()
 	}
-	say(reconcile.Broken{Try: try, Why: reason, Err: plain(err)})
+	say(reconcile.AttemptFailed{Attempt: try, Reason: reason, Err: plain(err)})
 }
 
-func raw(kv *mvccpb.KeyValue) reconcile.Raw {
-	return reconcile.Raw{Key: string(kv.Key), Value: kv.Value, Mod: kv.ModRevision}
+func raw(kv *mvccpb.KeyValue) reconcile.KeyValue {
+	return reconcile.KeyValue{Key: string(kv.Key), Value: kv.Value, ModRevision: kv.ModRevision}
 }
 
 func compacted(err error) bool { return errors.Is(rpctypes.Error(err), rpctypes.ErrCompacted) }
 
-func (s *Source) read(ctx context.Context, o reconcile.Read, say func(reconcile.Event)) error {
+func (s *Source) read(ctx context.Context, o reconcile.ReadPage, say func(reconcile.Event)) error {
 	from := s.from
-	if o.After != "" {
-		from = o.After + "\x00"
+	if o.AfterKey != "" {
+		from = o.AfterKey + "\x00"
 	}
 	var resp *pb.RangeResponse
 	err := s.call(ctx, o.Endpoint, func(ctx context.Context, conn *grpc.ClientConn) (err error) {
@@ -275,17 +275,18 @@
 	})
 	switch {
 	case err != nil && compacted(err):
-		say(reconcile.Compacted{Try: o.Try})
+		say(reconcile.Compacted{Attempt: o.Attempt})
 		return nil
 	case status.Code(err) == codes.ResourceExhausted:
-		say(reconcile.TooLarge{Try: o.Try})
+		say(reconcile.PageTooLarge{Attempt: o.Attempt})
 		return nil
 	case err != nil:
 		return err
 	case resp.Header == nil:
 		return errHeader
 	}
-	p := reconcile.Page{Try: o.Try, History: resp.Header.ClusterId, Revision: resp.Header.Revision, More: resp.More}
+	p := reconcile.Page{Attempt: o.Attempt, ClusterID: resp.Header.ClusterId, Revision: resp.Header.Revision,
+		More: resp.More}
 	if o.Revision > 0 {
 		p.Revision = o.Revision
 	}
@@ -307,18 +308,19 @@
 	})
 	switch {
 	case err != nil && compacted(err):
-		say(reconcile.Compacted{Try: o.Try, Check: true})
+		say(reconcile.Compacted{Attempt: o.Attempt, ForCheck: true})
 		return nil
 	case err != nil && errors.Is(rpctypes.Error(err), rpctypes.ErrFutureRev):
 		// The registry has not come as far as we have been told: it is an older one.
-		say(reconcile.Checked{Try: o.Try})
+		say(reconcile.CheckResult{Attempt: o.Attempt})
 		return nil
 	case err != nil:
 		return err
 	case resp.Header == nil:
 		return errHeader
 	}
-	c := reconcile.Checked{Try: o.Try, History: resp.Header.ClusterId, Now: resp.Header.Revision, Count: int(resp.Count)}
+	c := reconcile.CheckResult{Attempt: o.Attempt, ClusterID: resp.Header.ClusterId, Revision: resp.Header.Revision,
+		Count: int(resp.Count)}
 	if len(resp.Kvs) > 0 {
 		c.Last = raw(resp.Kvs[0])
 	}
@@ -335,17 +337,17 @@
 		}
 		err = stream.Send(&pb.WatchRequest{RequestUnion: &pb.WatchRequest_CreateRequest{
 			CreateRequest: &pb.WatchCreateRequest{Key: []byte(s.from), RangeEnd: []byte(s.to),
-				StartRevision: o.After + 1, Fragment: true}}})
+				StartRevision: o.AfterRevision + 1, Fragment: true}}})
 		for err == nil {
 			var resp *pb.WatchResponse
 			if resp, err = stream.Recv(); err != nil {
 				return err
 			}
 			if resp.Header != nil && resp.CompactRevision > 0 {
-				say(reconcile.Compacted{Try: o.Try, Least: resp.CompactRevision})
+				say(reconcile.Compacted{Attempt: o.Attempt, OldestRevision: resp.CompactRevision})
 				return nil
 			}
-			err = s.onWatchResponse(stream, resp, o.Try, say)
+			err = s.onWatchResponse(stream, resp, o.Attempt, say)
 		}
 		return err
 	})
@@ -364,18 +366,18 @@
 		s.mu.Lock()
 		s.watch, s.ofTry = stream, try
 		s.mu.Unlock()
-		say(reconcile.Opened{Try: try, History: header.ClusterId, Revision: header.Revision})
+		say(reconcile.WatchOpened{Attempt: try, ClusterID: header.ClusterId, Revision: header.Revision})
 	case len(resp.Events) == 0 && !resp.Fragment:
-		say(reconcile.Progress{Try: try, History: header.ClusterId, Revision: header.Revision})
+		say(reconcile.Progress{Attempt: try, ClusterID: header.ClusterId, Revision: header.Revision})
 	default:
-		c := reconcile.Changes{Try: try, History: header.ClusterId, Part: resp.Fragment}
+		c := reconcile.Changes{Attempt: try, ClusterID: header.ClusterId, Partial: resp.Fragment}
 		for _, e := range resp.Events {
 			if e.Kv == nil {
 				return errors.New("a change without a key")
 			}
 			change := raw(e.Kv)
-			change.Gone = e.Type == mvccpb.DELETE
-			c.Changes = append(c.Changes, change)
+			change.Deleted = e.Type == mvccpb.DELETE
+			c.Entries = append(c.Entries, change)
 		}
 		say(c)
 	}
@@ -385,8 +387,8 @@
 // cancelled names the refusals that a watch is told in words only.
 func cancelled(reason string) error {
 	err := fmt.Errorf("the watch was cancelled: %s", reason)
-	for words, why := range map[string]reconcile.Why{"invalid auth token": reconcile.Token,
-		"revision of auth store is old": reconcile.Token, "permission denied": reconcile.Forbidden} {
+	for words, why := range map[string]reconcile.FailureReason{"invalid auth token": reconcile.InvalidToken,
+		"revision of auth store is old": reconcile.InvalidToken, "permission denied": reconcile.Forbidden} {
 		if strings.Contains(reason, words) {
 			return &refusal{why, err}
 		}
--- a/internal/controller/discovery/registry.go
+++ b/internal/controller/discovery/registry.go
@@ -66,7 +66,7 @@
 
 // From says which revision is known already.
 func (r *Registry) From(l reconcile.List) {
-	r.revision, r.knownList = l.Revision, l.Whole
+	r.revision, r.knownList = l.Revision, l.Complete
 }
 
 // Follow asks for changes from now on, or no longer.
@@ -167,7 +167,7 @@
 	if errors.Is(err, errMoved) || errors.Is(err, errStopped) {
 		return true
 	}
-	if err == nil && !l.Whole && (!r.knownList || l.Revision < r.revision) {
+	if err == nil && !l.Complete && (!r.knownList || l.Revision < r.revision) {
 		// A revision that goes back is another list's: the changes say nothing of ours.
 		err = fmt.Errorf("changes up to revision %d after %d", l.Revision, r.revision)
 		r.knownList = false
@@ -175,7 +175,7 @@
 	if err != nil {
 		if !r.down {
 			r.log.WithField("reason", err).Warn("discovery fails; the list stays as it is")
-			r.tell(reconcile.Failed{})
+			r.tell(reconcile.SourceFailed{})
 		}
 		r.down = true
 		return false
@@ -186,7 +186,7 @@
 	r.down = false
 	moved := l.Revision != r.revision || !r.knownList
 	r.revision, r.knownList = l.Revision, true
-	if l.Whole || moved || len(l.Members) > 0 {
+	if l.Complete || moved || len(l.Members) > 0 {
 		r.tell(l)
 	}
 	return true
--- a/internal/controller/discovery/registry_test.go
+++ b/internal/controller/discovery/registry_test.go
@@ -92,7 +92,7 @@
 // The list known at the start is watched from; changes, whole lists, jumps and every way in which a call can
 // fail come out as what the list is now, and a failure never ends the watching.
 func TestWatch(t *testing.T) {
-	one := []reconcile.Member{{ID: "s-1", Zone: "a", Kind: "m2", Phase: reconcile.Serving, Size: 1.5, UpSince: 12}}
+	one := []reconcile.Member{{ID: "s-1", Zone: "a", Kind: "m2", Phase: reconcile.Serving, Weight: 1.5, UpSince: 12}}
 	odd := reconcile.Member{Phase: reconcile.Unreadable}
 	said := make(chan any, 100)
 	addr, asked := discovery(t,
@@ -110,25 +110,25 @@
 		revision(7, false, member),
 	)
 	r := New(addr, func(v any) { said <- v }, quiet())
-	r.From(reconcile.List{Revision: 41, Whole: true})
+	r.From(reconcile.List{Revision: 41, Complete: true})
 	r.grace = time.Minute // what fails here does so at once
 	go r.Run(true)
 	for i, want := range []any{
 		reconcile.List{
 			Revision: 42,
-			Whole:    false,
+			Complete: false,
 			Members:  one,
-		}, reconcile.List{Revision: 60, Whole: false, Members: one}, reconcile.Failed{},
+		}, reconcile.List{Revision: 60, Complete: false, Members: one}, reconcile.SourceFailed{},
 		reconcile.List{
 			Revision: 61,
-			Whole:    true,
+			Complete: true,
 			Members:  append(one, odd, odd),
-		}, reconcile.Failed{}, reconcile.List{Revision: 62, Whole: false, Members: []reconcile.Member{}},
-		reconcile.Failed{}, reconcile.List{
+		}, reconcile.SourceFailed{}, reconcile.List{Revision: 62, Complete: false, Members: []reconcile.Member{}},
+		reconcile.SourceFailed{}, reconcile.List{
 			Revision: 6,
-			Whole:    true,
+			Complete: true,
 			Members:  []reconcile.Member{},
-		}, reconcile.Failed{}, reconcile.List{Revision: 7, Whole: false, Members: one},
+		}, reconcile.SourceFailed{}, reconcile.List{Revision: 7, Complete: false, Members: one},
 	} {
 		if got := <-said; !reflect.DeepEqual(got, want) {
 			t.Errorf("%d: told %+v, want %+v", i, got, want)
@@ -150,10 +150,10 @@
 	said := make(chan any, 100)
 	addr, asked := discovery(t, "", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"rev", revision(7, false, member))
 	r := New(addr, func(v any) { said <- v }, quiet())
-	r.From(reconcile.List{Revision: 6, Whole: true})
+	r.From(reconcile.List{Revision: 6, Complete: true})
 	r.wait, r.grace = time.Millisecond, 200*time.Millisecond
 	go r.Run(true)
-	if v := <-said; v != any(reconcile.Failed{}) {
+	if v := <-said; v != any(reconcile.SourceFailed{}) {
 		t.Errorf("told %+v first", v)
 	}
 	if l, ok := (<-said).(reconcile.List); !ok || l.Revision != 7 || len(asked) < 3 {
@@ -168,11 +168,11 @@
 	r := New(addr, func(v any) { said <- v }, quiet())
 	go r.Run(false)
 	r.Reload()
-	if l, ok := (<-said).(reconcile.List); !ok || !l.Whole || len(asked) != 1 {
+	if l, ok := (<-said).(reconcile.List); !ok || !l.Complete || len(asked) != 1 {
 		t.Errorf("a reload gave %+v after %d calls", l, len(asked))
 	}
 	r.Follow(true)
-	if v := <-said; v != (any)(reconcile.Failed{}) {
+	if v := <-said; v != (any)(reconcile.SourceFailed{}) {
 		t.Errorf("a broken watch gave %+v", v)
 	}
 	if l, ok := (<-said).(reconcile.List); !ok || l.Revision != 3 {
@@ -190,7 +190,7 @@
 	said := make(chan any, 100)
 	r := New(ln.Addr().String(), func(v any) { said <- v }, quiet())
 	first, second := r.ask(), r.ask()
-	if first || second || len(said) != 1 || <-said != any(reconcile.Failed{}) {
+	if first || second || len(said) != 1 || <-said != any(reconcile.SourceFailed{}) {
 		t.Error("calls to nobody did not fail, or were told more than once")
 	}
 }
@@ -202,7 +202,7 @@
 	silent, first := discovery(t, "")
 	moved, asked := discovery(t, revision(3, true, member), revision(4, false, member))
 	r := New(silent, func(v any) { said <- v }, quiet())
-	r.From(reconcile.List{Revision: 41, Whole: true})
+	r.From(reconcile.List{Revision: 41, Complete: true})
 	r.grace = time.Hour // so that no call ends by itself
 	go r.Run(true)
 	<-first
--- a/internal/controller/discovery/watch/cases_test.go
+++ b/internal/controller/discovery/watch/cases_test.go
@@ -75,8 +75,8 @@
 	server server
 	link   *link.Link
 	f      *watch.Follower
-	tells  chan reconcile.Tell
-	notes  chan reconcile.Note
+	tells  chan reconcile.PublishList
+	notes  chan reconcile.LogEntry
 	list   map[string]reconcile.Member
 	at     int64
 	doubts int
@@ -110,14 +110,14 @@
 }
 
 // plan is quick: its spans are counted in turns of a schedule, not in what a test waits for.
-func (r *rig) plan() reconcile.Plan {
-	p := reconcile.Usual()
-	p.Seed, p.Prefix, p.Page = "n1", prefix, 3
-	p.Pause, p.Pauses, p.Refusals = time.Millisecond, 20*time.Millisecond, 20*time.Millisecond
-	p.Spread, p.ReadGap = time.Millisecond, time.Millisecond
-	p.Changes, p.Checks = r.kind == "etcd", r.kind == "etcd"
+func (r *rig) plan() reconcile.Config {
+	p := reconcile.DefaultConfig()
+	p.Seed, p.Prefix, p.PageSize = "n1", prefix, 3
+	p.MinBackoff, p.MaxBackoff, p.MaxRejectedBackoff = time.Millisecond, 20*time.Millisecond, 20*time.Millisecond
+	p.ReloadJitter, p.MinReloadInterval = time.Millisecond, time.Millisecond
+	p.WatchSendsChanges, p.SupportsCheck = r.kind == "etcd", r.kind == "etcd"
 	if r.kind == "consul" {
-		p.Audit = 0
+		p.AuditInterval = 0
 	}
 	return p
 }
@@ -129,17 +129,17 @@
 	return consul.New(endpoints, prefix, a, 2*time.Second)
 }
 
-func (r *rig) begin(p reconcile.Plan, a discovery.Access) {
-	r.tells, r.notes = make(chan reconcile.Tell, 10000), make(chan reconcile.Note, 10000)
+func (r *rig) begin(p reconcile.Config, a discovery.Access) {
+	r.tells, r.notes = make(chan reconcile.PublishList, 10000), make(chan reconcile.LogEntry, 10000)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	endpoints := []string{r.link.Addr()}
 	r.f = watch.New(p, r.source(endpoints, a), endpoints, func(any) {}, logrus.NewEntry(log))
 	r.f.See(func(o reconcile.Order) {
 		switch o := o.(type) {
-		case reconcile.Tell:
+		case reconcile.PublishList:
 			r.tells <- o
-		case reconcile.Note:
+		case reconcile.LogEntry:
 			r.notes <- o
 		}
 	})
@@ -148,12 +148,12 @@
 }
 
 // hear takes one Tell: each member must be a change, and revisions must not go back.
-func (r *rig) hear(o reconcile.Tell) {
+func (r *rig) hear(o reconcile.PublishList) {
 	r.Helper()
-	if o.Whole {
+	if o.Complete {
 		clear(r.list)
 	}
-	if o.Revision < r.at && !o.Whole && r.doubts == 0 {
+	if o.Revision < r.at && !o.Complete && r.doubts == 0 {
 		r.Errorf("revision %d is told after %d", o.Revision, r.at)
 	}
 	r.at = o.Revision
@@ -192,7 +192,7 @@
 }
 
 // note waits for a line that holds some words.
-func (r *rig) note(words string) reconcile.Note {
+func (r *rig) note(words string) reconcile.LogEntry {
 	r.Helper()
 	over := time.After(limit)
 	for {
@@ -298,7 +298,7 @@
 			})
 			r.put("a", reconcile.Serving)
 			p := r.plan()
-			p.ProgressInterval, p.Answer = 50*time.Millisecond, 300*time.Millisecond
+			p.ProgressInterval, p.ResponseTimeout = 50*time.Millisecond, 300*time.Millisecond
 			if kind == "etcd" {
 				p.WatchTimeout = 200 * time.Millisecond
 			}
--- a/internal/controller/discovery/watch/follow.go
+++ b/internal/controller/discovery/watch/follow.go
@@ -36,7 +36,7 @@
 }
 
 // New makes a Follower. tell is given each reconcile.List and each reconcile.Failed, from Run's goroutine.
-func New(plan reconcile.Plan, source Source, names []string, tell func(any), log *logrus.Entry) *Follower {
+func New(plan reconcile.Config, source Source, names []string, tell func(any), log *logrus.Entry) *Follower {
 	f := &Follower{reconciler: reconcile.New(plan), source: source, names: names, tell: tell, log: log,
 		events: make(chan reconcile.Event, 64)}
 	f.stop, f.end = context.WithCancel(context.Background())
@@ -52,7 +52,7 @@
 // Reload asks for the whole list once.
 func (f *Follower) Reload() {
 	select {
-	case f.events <- reconcile.Wanted{}:
+	case f.events <- reconcile.ReloadRequested{}:
 	case <-f.stop.Done():
 	default: // what waits there is news already
 	}
@@ -98,28 +98,28 @@
 		}
 		for _, o := range f.reconciler.Step(time.Since(began), events) {
 			switch o := o.(type) {
-			case reconcile.Tell:
+			case reconcile.PublishList:
 				f.see(o)
 				f.tell(o.List)
-			case reconcile.Fail:
-				f.tell(reconcile.Failed{})
-			case reconcile.Note:
+			case reconcile.PublishFailure:
+				f.tell(reconcile.SourceFailed{})
+			case reconcile.LogEntry:
 				f.see(o)
 				f.note(o)
-			case reconcile.Leave:
+			case reconcile.Cancel:
 				leave()
 				f.source.Leave()
-			case reconcile.Read:
-				f.do(begin(o.Try), o)
+			case reconcile.ReadPage:
+				f.do(begin(o.Attempt), o)
 			case reconcile.Check:
-				f.do(begin(o.Try), o)
+				f.do(begin(o.Attempt), o)
 			case reconcile.Watch:
-				f.do(begin(o.Try), o)
+				f.do(begin(o.Attempt), o)
 			case reconcile.RequestProgress:
-				f.do(begin(o.Try), o)
+				f.do(begin(o.Attempt), o)
 			}
 		}
-		due.Reset(f.reconciler.Next() - time.Since(began))
+		due.Reset(f.reconciler.NextDeadline() - time.Since(began))
 	}
 }
 
@@ -142,7 +142,7 @@
 	}()
 }
 
-func (f *Follower) note(n reconcile.Note) {
+func (f *Follower) note(n reconcile.LogEntry) {
 	fields := logrus.Fields{"revision": n.Revision}
 	if n.Endpoint >= 0 && n.Endpoint < len(f.names) {
 		fields["endpoint"] = f.names[n.Endpoint]
--- a/internal/controller/eventloop/eventloop.go
+++ b/internal/controller/eventloop/eventloop.go
@@ -20,12 +20,12 @@
 
 // Stream is a connection to a proxy or a collector. None of its methods may wait.
 type Stream interface {
-	Since() uint64        // later ones were opened later
-	Send(message []byte)  // whole, after those before it; the bytes are the caller's again when it returns
-	Known(subject string) // whose it is, for its log lines
-	Replaced()            // ends it: its proxy has a newer one
-	Refused()             // ends it: it is nobody's
-	Fault(error)          // a message on it is not valid
+	Sequence() uint64       // later ones were opened later
+	Send(message []byte)    // whole, after those before it; the bytes are the caller's again when it returns
+	SetPeer(subject string) // whose it is, for its log lines
+	CloseReplaced()         // ends it: its proxy has a newer one
+	CloseRefused()          // ends it: it is nobody's
+	RecordFault(error)      // a message on it is not valid
 }
 
 // PartStream is a Stream that takes the parts of a message in place of its text.
@@ -44,7 +44,7 @@
 type RemoteSums struct {
 	Reports []textproto.BackendReport
 	Age     policy.Time
-	Uses    []ZoneUse
+	Usage   []ZoneUsage
 }
 
 // Observer is told what the own proxies report. None of its methods may wait.
@@ -57,8 +57,8 @@
 // SetObserver has somebody told from now on.
 func (d *Loop) SetObserver(o Observer) { d.observer = o }
 
-// ZoneUse is how many txns/s of a product arrive at the proxies of a zone.
-type ZoneUse struct {
+// ZoneUsage is how many txns/s of a product arrive at the proxies of a zone.
+type ZoneUsage struct {
 	Product, Zone string
 	Txns          float64
 }
@@ -234,7 +234,7 @@
 // Handle takes one piece of news; it counts from the next Step on.
 func (d *Loop) Handle(n Command) {
 	if err := d.handle(n.From, n.Message); err != nil && n.From != nil {
-		n.From.Fault(err)
+		n.From.RecordFault(err)
 	}
 }
 
@@ -252,7 +252,7 @@
 	switch m := message.(type) {
 	case reconcile.List:
 		d.onList(m, policy.ListChange)
-	case reconcile.Failed:
+	case reconcile.SourceFailed:
 		d.events = append(d.events, policy.ListUpdate{Kind: policy.ListFailed})
 	case textproto.Source:
 		return d.onSource(from, m)
@@ -272,10 +272,10 @@
 		d.onRemoteSums(m)
 	case warmstart.Believe:
 		return d.onRestored(m)
-	case ShowCells:
-		m.To <- d.show()
-	case ShowFleet:
-		m.To <- d.fleet()
+	case CellsQuery:
+		m.Reply <- d.show()
+	case FleetQuery:
+		m.Reply <- d.fleet()
 	}
 	return nil
 }
--- a/internal/controller/eventloop/eventloop_test.go
+++ b/internal/controller/eventloop/eventloop_test.go
@@ -32,13 +32,13 @@
 	faults        []error
 }
 
-func (l *line) Since() uint64      { return l.since }
-func (l *line) Send(b []byte)      { l.sent = append(l.sent, string(b)) }
-func (l *line) Known(of string)    { l.known = of }
-func (l *line) Replaced()          { l.over = true }
-func (l *line) Refused()           { l.refused = true }
-func (l *line) Fault(err error)    { l.faults = append(l.faults, err) }
-func (l *line) take() (s []string) { s, l.sent = l.sent, nil; return s }
+func (l *line) Sequence() uint64      { return l.since }
+func (l *line) Send(b []byte)         { l.sent = append(l.sent, string(b)) }
+func (l *line) SetPeer(of string)     { l.known = of }
+func (l *line) CloseReplaced()        { l.over = true }
+func (l *line) CloseRefused()         { l.refused = true }
+func (l *line) RecordFault(err error) { l.faults = append(l.faults, err) }
+func (l *line) take() (s []string)    { s, l.sent = l.sent, nil; return s }
 
 type asked struct{ follow, reload int }
 
@@ -76,11 +76,11 @@
 }
 
 func list(whole bool, members ...reconcile.Member) reconcile.List {
-	return reconcile.List{Revision: 1, Whole: whole, Members: members}
+	return reconcile.List{Revision: 1, Complete: whole, Members: members}
 }
 
 func serving(id string) reconcile.Member {
-	return reconcile.Member{ID: id, Zone: "a", Kind: "s", Phase: reconcile.Serving, Size: 1}
+	return reconcile.Member{ID: id, Zone: "a", Kind: "s", Phase: reconcile.Serving, Weight: 1}
 }
 
 func (d *Loop) heard() []policy.Event {
@@ -132,7 +132,7 @@
 // What names somebody nobody knows, or comes from a stranger, costs that message and no more.
 func TestUnknown(t *testing.T) {
 	d := newDesk(4)
-	d.SetKnownList(list(true, serving("s-1")))
+	d.SetCachedList(list(true, serving("s-1")))
 	stranger, source, stream := &line{}, &line{}, &line{}
 	d.Handle(Command{source, textproto.Source{Zone: "a"}})
 	d.Handle(Command{stream, textproto.Subscribe{Proxy: 1, Zone: "a"}})
@@ -191,11 +191,11 @@
 	lost := serving("s-4")
 	lost.Zone = "x"
 	gone := reconcile.Member{ID: "s-1", Phase: reconcile.Deleted}
-	warm := reconcile.Member{ID: "s-2", Zone: "b", Kind: "new", Phase: reconcile.Draining, Size: 2, UpSince: 1234.56}
-	d.SetKnownList(list(true, serving("s-1")))
+	warm := reconcile.Member{ID: "s-2", Zone: "b", Kind: "new", Phase: reconcile.Draining, Weight: 2, UpSince: 1234.56}
+	d.SetCachedList(list(true, serving("s-1")))
 	d.Handle(Command{Message: list(false, odd, lost, gone, warm, reconcile.Member{ID: "s-5", Phase: reconcile.Deleted})})
 	d.Handle(Command{Message: list(true, serving("s-2"))})
-	d.Handle(Command{Message: reconcile.Failed{}})
+	d.Handle(Command{Message: reconcile.SourceFailed{}})
 	want := []policy.Event{
 		policy.ListUpdate{Kind: policy.ListCached, Entries: []policy.Entry{{Status: policy.Ready, Weight: 1}}},
 		policy.ListUpdate{Kind: policy.ListChange, Entries: []policy.Entry{{Zone: -1, Kind: -1, Status: policy.Gone},
@@ -211,7 +211,7 @@
 // The text of orders: whole tables, levels by product, later changes, shut-outs that a proxy brings, marks.
 func TestOrders(t *testing.T) {
 	d, brings, fresh := newDesk(4), &line{}, &line{}
-	d.SetKnownList(list(true, serving("s-0"), serving("s-1"), serving("s-2")))
+	d.SetCachedList(list(true, serving("s-0"), serving("s-1"), serving("s-2")))
 	d.Handle(Command{brings, textproto.Subscribe{Proxy: 0, Zone: "a"}})
 	d.Handle(Command{fresh, textproto.Subscribe{Proxy: 1, Zone: "a", Fresh: true}})
 	bind := func(p int) []policy.Order {
@@ -292,7 +292,7 @@
 // What waits on the queue is one moment: one step, and one message for each proxy, with the same mark.
 func TestMoment(t *testing.T) {
 	d, queue, messages := newDesk(4), make(chan Command, 100), make(chan string, 100)
-	d.SetKnownList(list(true, serving("s-0"), serving("s-1")))
+	d.SetCachedList(list(true, serving("s-0"), serving("s-1")))
 	for i := range 4 {
 		stream := &told{line{since: uint64(i)}, messages}
 		queue <- Command{stream, textproto.Subscribe{Proxy: i, Zone: "a", Rate: 1, Fresh: true}}
@@ -388,7 +388,7 @@
 		m.Zone = names.Zones[at%2]
 		return m
 	}
-	d.SetKnownList(list(true, zone(serving("s-0"), 0), zone(serving("s-1"), 1)))
+	d.SetCachedList(list(true, zone(serving("s-0"), 0), zone(serving("s-1"), 1)))
 	d.Handle(Command{source, textproto.Source{Zone: "a"}})
 	proxies := make([]*line, 3)
 	most, early := 0, uint64(0)
@@ -405,7 +405,7 @@
 			d.Handle(Command{proxies[at], textproto.Subscribe{Proxy: at, Zone: "a", Rate: 5, Fresh: i%20 < 10}})
 		}
 		d.Handle(Command{Message: list(false, zone(serving(fmt.Sprint("s-", i+2)), i))})
-		gone := reconcile.Member{ID: id, Zone: names.Zones[i%2], Kind: "s", Phase: reconcile.Draining, Size: 1}
+		gone := reconcile.Member{ID: id, Zone: names.Zones[i%2], Kind: "s", Phase: reconcile.Draining, Weight: 1}
 		if i%2 == 0 {
 			gone.Phase = reconcile.Deleted
 		}
@@ -460,7 +460,7 @@
 		for b := range fleetSize {
 			members = append(members, serving(fmt.Sprint("s-", b)))
 		}
-		d.SetKnownList(list(true, members...))
+		d.SetCachedList(list(true, members...))
 		proxies, uses := make([]*reader, proxyCount), make([][]int, proxyCount)
 		tables, out := make([]map[string]held, tableCount), map[string]bool{} // by product
 		clearTable := func(id int) {
@@ -569,10 +569,10 @@
 		var members []reconcile.Member
 		for b := range 14 {
 			m := serving(fmt.Sprint("s-", b))
-			m.Zone, m.Size = names.Zones[b%2], 1+rnd.Float64()
+			m.Zone, m.Weight = names.Zones[b%2], 1+rnd.Float64()
 			members = append(members, m)
 		}
-		d.SetKnownList(list(true, members...))
+		d.SetCachedList(list(true, members...))
 		dep := deploymentOf(proxyCount)
 		proxies, owner := make([]*reader, proxyCount), map[int]int{}
 		queue, mosts := 0.0, 0.0
--- a/internal/controller/eventloop/lists.go
+++ b/internal/controller/eventloop/lists.go
@@ -16,11 +16,11 @@
 	reconcile.Deleted:  policy.Gone,
 }
 
-// SetKnownList takes the list that the controller held last.
-func (d *Loop) SetKnownList(l reconcile.List) { d.onList(l, policy.ListCached) }
+// SetCachedList takes the list that the controller held last.
+func (d *Loop) SetCachedList(l reconcile.List) { d.onList(l, policy.ListCached) }
 
 func (d *Loop) onList(l reconcile.List, kind policy.ListKind) {
-	if l.Whole && kind == policy.ListChange {
+	if l.Complete && kind == policy.ListChange {
 		kind = policy.ListFull
 	}
 	entries, named := make([]policy.Entry, 0, len(l.Members)), map[int]bool{}
@@ -48,13 +48,13 @@
 		}
 	}
 	d.logIgnored(ignored)
-	d.updateListed(named, l.Whole)
+	d.updateListed(named, l.Complete)
 	d.events = append(d.events, policy.ListUpdate{Kind: kind, Entries: entries})
 }
 
 func (d *Loop) entry(m reconcile.Member, at, zone int, status policy.Status) policy.Entry {
 	e := policy.Entry{Backend: at, Zone: zone, Kind: slices.Index(d.names.Kinds, m.Kind), Status: status,
-		Weight: max(m.Size, 0)}
+		Weight: max(m.Weight, 0)}
 	if startedAt := m.UpSince * float64(policy.Second) / 1000; startedAt > 0 {
 		e.StartedAt = policy.Time(math.Min(startedAt, float64(maxTime)))
 	}
--- a/internal/controller/eventloop/reports.go
+++ b/internal/controller/eventloop/reports.go
@@ -14,11 +14,11 @@
 		return errAlreadyJoined
 	}
 	if !slices.Contains(d.names.Zones, m.Zone) {
-		from.Refused()
+		from.CloseRefused()
 		return errZone
 	}
 	d.collectors[from] = true
-	from.Known("collector " + m.Zone)
+	from.SetPeer("collector " + m.Zone)
 	return nil
 }
 
@@ -86,7 +86,7 @@
 	for k := range uses {
 		uses[k] = make([]float64, len(d.names.Zones))
 	}
-	for _, u := range m.Uses {
+	for _, u := range m.Usage {
 		if k, z := d.product(u.Product), slices.Index(d.names.Zones, u.Zone); k >= 0 && z >= 0 {
 			uses[k][z] += u.Txns
 		}
@@ -141,24 +141,24 @@
 	case again || d.collectors[from]:
 		return errAlreadyJoined
 	case said.Proxy >= len(d.proxies):
-		from.Refused()
+		from.CloseRefused()
 		return errProxy
 	case zone < 0:
-		from.Refused()
+		from.CloseRefused()
 		return errZone
 	}
 	p := &d.proxies[said.Proxy]
 	d.proxyOf[from] = said.Proxy
 	if old := p.stream; old != nil {
 		// Of two streams the one that was opened later holds, in whatever order their first lines are read.
-		if from.Since() < old.Since() {
-			from.Replaced()
+		if from.Sequence() < old.Sequence() {
+			from.CloseReplaced()
 			return nil
 		}
 		d.leave(said.Proxy)
-		old.Replaced()
+		old.CloseReplaced()
 	}
-	from.Known(fmt.Sprint("proxy ", said.Proxy))
+	from.SetPeer(fmt.Sprint("proxy ", said.Proxy))
 	*p = proxy{stream: from, zone: zone, tables: slices.Repeat([]int{none}, d.products), initial: usabilityUnknown}
 	if said.Fresh {
 		p.initial = usable // nothing was ordered, so nothing is withdrawn
--- a/internal/controller/eventloop/many_test.go
+++ b/internal/controller/eventloop/scale_test.go
@@ -19,7 +19,7 @@
 // a drain that is there before the moment ends is in its step, behind however many reports.
 func TestManyCase6Reports(t *testing.T) {
 	d, queue, lists, over := newDesk(4), make(chan Command, 8), make(chan Command, 4), make(chan time.Time, 1)
-	d.SetKnownList(list(true, serving("s-0"), serving("s-1")))
+	d.SetCachedList(list(true, serving("s-0"), serving("s-1")))
 	stream := &line{since: 1}
 	d.Handle(Command{stream, textproto.Subscribe{Proxy: 0, Zone: "a", Rate: 1, Fresh: true}})
 	d.Step(1000 * policy.Second)
@@ -72,7 +72,7 @@
 	for range backends {
 		f.here = append(f.here, f.backend())
 	}
-	f.d.SetKnownList(list(true, f.here...))
+	f.d.SetCachedList(list(true, f.here...))
 	return f
 }
 
@@ -197,7 +197,7 @@
 	for i := range 12 {
 		whole.Members = append(whole.Members, serving(fmt.Sprint("s-", i)))
 	}
-	d.SetKnownList(whole)
+	d.SetCachedList(whole)
 	streams := make([]*line, dep.Proxies)
 	join := func(from, to int) {
 		for i := from; i < to; i++ {
@@ -241,13 +241,13 @@
 // good ones around it count whole.
 func TestTrialCase5Spoilt(t *testing.T) {
 	d, s := newDesk(4), &line{since: 1}
-	d.SetKnownList(list(true, serving("s-0")))
+	d.SetCachedList(list(true, serving("s-0")))
 	hear := func(text string) {
 		said, err := textproto.Parse([]byte(text))
 		if said != nil {
 			d.Handle(Command{s, said})
 		} else {
-			s.Fault(err)
+			s.RecordFault(err)
 		}
 	}
 	hear("SUBSCRIBE node=0 locality=a w=5 cold=1")
--- a/internal/controller/eventloop/snapshot_test.go
+++ b/internal/controller/eventloop/snapshot_test.go
@@ -26,7 +26,7 @@
 		for _, id := range members {
 			whole.Members = append(whole.Members, serving(id))
 		}
-		d.SetKnownList(whole)
+		d.SetCachedList(whole)
 		return d, l
 	}
 	weight := func(d *Loop, at int) float64 { return d.tables[d.proxies[0].tables[0]].weight[at] }
--- a/internal/controller/eventloop/tenancy.go
+++ b/internal/controller/eventloop/tenancy.go
@@ -5,11 +5,11 @@
 	"elmfold/internal/policy"
 )
 
-// ShowCells asks how tenants and backends stand; To must have room, as the loop does not wait.
-type ShowCells struct{ To chan<- tenancy.View }
+// CellsQuery asks how tenants and backends stand; To must have room, as the loop does not wait.
+type CellsQuery struct{ Reply chan<- tenancy.View }
 
-// ShowFleet asks for the list as cells see it; To must have room.
-type ShowFleet struct{ To chan<- []tenancy.Backend }
+// FleetQuery asks for the list as cells see it; To must have room.
+type FleetQuery struct{ Reply chan<- []tenancy.Backend }
 
 func (d *Loop) show() tenancy.View {
 	if d.tenancy == nil {
--- a/internal/controller/operatorfile/operator.go
+++ b/internal/controller/operatorfile/operator.go
@@ -71,7 +71,7 @@
 	Kind      string // Etcd or Consul
 	Endpoints []string
 	Access    discovery.Access
-	Plan      reconcile.Plan // without a seed
+	Plan      reconcile.Config // without a seed
 }
 
 // Kinds of registry.
@@ -386,7 +386,7 @@
 }
 
 func (r *reader) registry(s section) *Registry {
-	g := &Registry{Plan: reconcile.Usual()}
+	g := &Registry{Plan: reconcile.DefaultConfig()}
 	if len(s.arguments) == 1 {
 		g.Kind = s.arguments[0]
 	}
@@ -394,9 +394,9 @@
 	p.Prefix = "elmfold/backends"
 	switch g.Kind {
 	case Etcd:
-		p.Changes, p.Checks, p.Prefix = true, true, "/elmfold/backends"
+		p.WatchSendsChanges, p.SupportsCheck, p.Prefix = true, true, "/elmfold/backends"
 	case Consul:
-		p.Answer, p.Audit = 4*time.Second, 0 // the whole list comes in one answer
+		p.ResponseTimeout, p.AuditInterval = 4*time.Second, 0 // the whole list comes in one answer
 	default:
 		r.fault(
 			s.line,
@@ -420,26 +420,26 @@
 		"tls-cert":      r.parseWord(&files.Cert, "/etc/elmfold/cert.pem"),
 		"tls-key":       r.parseWord(&files.Key, "/etc/elmfold/key.pem"),
 		"tls-name":      r.parseWord(&files.Name, "registry.example"),
-		"value-limit":   r.size(&p.MostValue, 64, 1<<20),
-		"keys-limit":    r.count(&p.MostKeys, 1, 1_000_000),
-		"answer":        r.span(&p.Answer, 100*time.Millisecond, time.Minute),
+		"value-limit":   r.size(&p.MaxValueSize, 64, 1<<20),
+		"keys-limit":    r.count(&p.MaxKeys, 1, 1_000_000),
+		"answer":        r.span(&p.ResponseTimeout, 100*time.Millisecond, time.Minute),
 		"silence":       r.span(&p.WatchTimeout, quietest, 10*time.Second),
-		"pause":         r.span(&p.Pause, time.Millisecond, 10*time.Second),
-		"pause-limit":   r.span(&p.Pauses, time.Millisecond, time.Minute),
-		"refusal-limit": r.span(&p.Refusals, time.Millisecond, time.Hour),
-		"spread":        r.span(&p.Spread, 0, time.Minute),
-		"read-gap":      r.span(&p.ReadGap, 0, time.Minute),
+		"pause":         r.span(&p.MinBackoff, time.Millisecond, 10*time.Second),
+		"pause-limit":   r.span(&p.MaxBackoff, time.Millisecond, time.Minute),
+		"refusal-limit": r.span(&p.MaxRejectedBackoff, time.Millisecond, time.Hour),
+		"spread":        r.span(&p.ReloadJitter, 0, time.Minute),
+		"read-gap":      r.span(&p.MinReloadInterval, 0, time.Minute),
 		"hold":          r.span(&p.HistoryHold, 0, time.Hour),
-		"keep-ends":     r.span(&p.KeepEnds, time.Second, 240*time.Hour),
-		"ends-limit":    r.count(&p.MostEnds, 0, 1_000_000),
-		"shrink":        r.part(&p.Shrink),
+		"keep-ends":     r.span(&p.TombstoneRetention, time.Second, 240*time.Hour),
+		"ends-limit":    r.count(&p.MaxTombstones, 0, 1_000_000),
+		"shrink":        r.part(&p.ShrinkWarnRatio),
 	}
 	if g.Kind == Etcd {
 		rules["user"] = r.parseWord(&a.User, "elmfold")
 		rules["password-file"] = r.parseWord(&a.PasswordFile, "/etc/elmfold/password")
-		rules["page"] = r.count(&p.Page, 1, 10000)
+		rules["page"] = r.count(&p.PageSize, 1, 10000)
 		rules["ask"] = r.span(&p.ProgressInterval, 50*time.Millisecond, 10*time.Second)
-		rules["audit"] = r.span(&p.Audit, 0, 24*time.Hour)
+		rules["audit"] = r.span(&p.AuditInterval, 0, 24*time.Hour)
 	} else {
 		rules["login"] = rule{
 			2,
@@ -452,7 +452,7 @@
 	at := r.obey(s, rules)
 	p.Prefix = strings.TrimSuffix(p.Prefix, "/")
 	p.Endpoints = len(g.Endpoints)
-	p.MostPage = max(p.MostPage, p.Page)
+	p.MaxPageSize = max(p.MaxPageSize, p.PageSize)
 	last := func(names ...string) (line int) {
 		for _, n := range names {
 			line = max(line, at[n])
@@ -483,12 +483,12 @@
 			"ask %v leaves no time to answer",
 			p.ProgressInterval,
 		)
-	case p.Pause > p.Pauses:
+	case p.MinBackoff > p.MaxBackoff:
 		r.fault(
 			last("pause", "pause-limit"),
-			fmt.Sprintf("write pause up to pause-limit, which is %v", p.Pauses),
+			fmt.Sprintf("write pause up to pause-limit, which is %v", p.MaxBackoff),
 			"pause %v is over its limit",
-			p.Pause,
+			p.MinBackoff,
 		)
 	}
 	if tls || files != (discovery.Files{}) {
--- a/internal/controller/operatorfile/operator_test.go
+++ b/internal/controller/operatorfile/operator_test.go
@@ -23,9 +23,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := reconcile.Usual()
-	want.Endpoints, want.Prefix, want.Changes, want.Checks = 3, "/elmfold/back ends", true, true
-	want.Page, want.MostValue, want.HistoryHold, want.Shrink, want.Audit = 1000, 4<<10, 45*time.Second, 0.3, 0
+	want := reconcile.DefaultConfig()
+	want.Endpoints, want.Prefix, want.WatchSendsChanges, want.SupportsCheck = 3, "/elmfold/back ends", true, true
+	want.PageSize, want.MaxValueSize, want.HistoryHold = 1000, 4<<10, 45*time.Second
+	want.ShrinkWarnRatio, want.AuditInterval = 0.3, 0
 	if g := f.Registry; g.Kind != Etcd || g.Plan != want ||
 		!reflect.DeepEqual(g.Endpoints, []string{"10.3.0.1:2379", "10.3.0.2:2379", "[fd00::3]:2379"}) ||
 		!reflect.DeepEqual(
@@ -39,7 +40,8 @@
 		t.Errorf("read %+v", g)
 	}
 	f, err = Read("testdata/good-consul.conf")
-	if g := f.Registry; err != nil || g.Kind != Consul || g.Plan.Changes || g.Plan.Prefix != "elmfold/backends" ||
+	if g := f.Registry; err != nil || g.Kind != Consul || g.Plan.WatchSendsChanges ||
+		g.Plan.Prefix != "elmfold/backends" ||
 		g.Access.TokenFile == "" ||
 		g.Access.TLS != nil {
 		t.Errorf("read %+v, %v", g, err)
--- a/internal/controller/pubsub/channel_test.go
+++ b/internal/controller/pubsub/channel_test.go
@@ -78,11 +78,11 @@
 		nobody{},
 		silent(),
 	)
-	l := reconcile.List{Revision: 1, Whole: true}
+	l := reconcile.List{Revision: 1, Complete: true}
 	for _, id := range backends {
 		l.Members = append(l.Members, member(id))
 	}
-	d.SetKnownList(l)
+	d.SetCachedList(l)
 	began := time.Now()
 	go d.Run(h.queue, h.lists, time.Millisecond, func() policy.Time {
 		return 1000*policy.Second + policy.Time(time.Since(began)*time.Duration(policy.Second)/time.Second)
@@ -108,7 +108,7 @@
 }
 
 func member(id string) reconcile.Member {
-	return reconcile.Member{ID: id, Zone: "a", Kind: "s", Phase: reconcile.Serving, Size: 1}
+	return reconcile.Member{ID: id, Zone: "a", Kind: "s", Phase: reconcile.Serving, Weight: 1}
 }
 
 func (h *house) times(of any) int {
@@ -290,12 +290,12 @@
 // line is a platform stream.
 type line struct{ since uint64 }
 
-func (l line) Since() uint64 { return l.since }
-func (line) Send([]byte)     {}
-func (line) Known(string)    {}
-func (line) Replaced()       {}
-func (line) Refused()        {}
-func (line) Fault(error)     {}
+func (l line) Sequence() uint64 { return l.since }
+func (line) Send([]byte)        {}
+func (line) SetPeer(string)     {}
+func (line) CloseReplaced()     {}
+func (line) CloseRefused()      {}
+func (line) RecordFault(error)  {}
 
 // Case 5 on sockets: a newer connection of the same proxy goes on where the older one was; a platform stream that comes
 // later takes the proxy over, and the channel lets it go with a code.
--- a/internal/controller/pubsub/hub.go
+++ b/internal/controller/pubsub/hub.go
@@ -498,9 +498,9 @@
 	c        *conn
 }
 
-func (s *source) Since() uint64 { return s.openedAt }
-func (s *source) Known(string)  {}
-func (s *source) Send([]byte)   {}
-func (s *source) Replaced()     { s.c.ended() }
-func (s *source) Refused()      { s.c.ended() }
-func (s *source) Fault(error)   {}
+func (s *source) Sequence() uint64  { return s.openedAt }
+func (s *source) SetPeer(string)    {}
+func (s *source) Send([]byte)       {}
+func (s *source) CloseReplaced()    { s.c.ended() }
+func (s *source) CloseRefused()     { s.c.ended() }
+func (s *source) RecordFault(error) {}
--- a/internal/controller/pubsub/stream.go
+++ b/internal/controller/pubsub/stream.go
@@ -21,15 +21,15 @@
 	fault  error
 }
 
-func (s *stream) Since() uint64 { return s.openedAt }
+func (s *stream) Sequence() uint64 { return s.openedAt }
 
-func (s *stream) Known(string) {}
+func (s *stream) SetPeer(string) {}
 
-// Replaced is the desk's word that the proxy is served by another stream now.
-func (s *stream) Replaced() { s.drop() }
+// CloseReplaced is the desk's word that the proxy is served by another stream now.
+func (s *stream) CloseReplaced() { s.drop() }
 
-// Refused is the desk's word that it is nobody's.
-func (s *stream) Refused() { s.drop() }
+// CloseRefused is the desk's word that it is nobody's.
+func (s *stream) CloseRefused() { s.drop() }
 
 func (s *stream) drop() {
 	s.mu.Lock()
@@ -38,8 +38,8 @@
 	s.hub.tell(session.Dropped{Topic: s.topic})
 }
 
-// Fault keeps what was wrong with a report; the line about the end of the stream shows the first.
-func (s *stream) Fault(err error) {
+// RecordFault keeps what was wrong with a report; the line about the end of the stream shows the first.
+func (s *stream) RecordFault(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults++; s.fault == nil {
--- a/internal/controller/reconcile/rules_test.go
+++ b/internal/controller/reconcile/eventloop_test.go
@@ -25,11 +25,11 @@
 	out   map[string]bool
 }
 
-func (p *proxy) Since() uint64 { return 1 }
-func (p *proxy) Known(string)  {}
-func (p *proxy) Replaced()     {}
-func (p *proxy) Refused()      {}
-func (p *proxy) Fault(error)   {}
+func (p *proxy) Sequence() uint64  { return 1 }
+func (p *proxy) SetPeer(string)    {}
+func (p *proxy) CloseReplaced()    {}
+func (p *proxy) CloseRefused()     {}
+func (p *proxy) RecordFault(error) {}
 
 func (p *proxy) Send(message []byte) {
 	for part := range strings.Lines(string(message)) {
@@ -83,8 +83,8 @@
 }
 
 func newHouse(t *testing.T, binds bool) *house {
-	plan := reconcile.Usual()
-	plan.Seed, plan.Prefix, plan.Changes = "n1", "p", true
+	plan := reconcile.DefaultConfig()
+	plan.Seed, plan.Prefix, plan.WatchSendsChanges = "n1", "p", true
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	h := &house{
@@ -125,12 +125,12 @@
 	h.out = h.r.Step(h.now, events)
 	for _, o := range h.out {
 		switch o := o.(type) {
-		case reconcile.Tell:
+		case reconcile.PublishList:
 			h.d.Handle(eventloop.Command{Message: o.List})
-		case reconcile.Read:
-			h.try = o.Try
+		case reconcile.ReadPage:
+			h.try = o.Attempt
 		case reconcile.Watch:
-			h.try = o.Try
+			h.try = o.Attempt
 		}
 	}
 	h.d.Step(policy.Time(h.now / (100 * time.Microsecond)))
@@ -140,15 +140,15 @@
 func (h *house) pass(span time.Duration, history uint64, revision int64) {
 	for end := h.now + span; h.now < end; {
 		h.now += 100 * time.Millisecond
-		h.step(reconcile.Progress{Try: h.try, History: history, Revision: revision})
+		h.step(reconcile.Progress{Attempt: h.try, ClusterID: history, Revision: revision})
 	}
 }
 
-func entry(id, phase string, mod int64) reconcile.Raw {
-	return reconcile.Raw{
-		Key:   "p/" + id,
-		Mod:   mod,
-		Value: fmt.Appendf(nil, `{"locality":"a","flavor":"m","phase":%q}`, phase),
+func entry(id, phase string, mod int64) reconcile.KeyValue {
+	return reconcile.KeyValue{
+		Key:         "p/" + id,
+		ModRevision: mod,
+		Value:       fmt.Appendf(nil, `{"locality":"a","flavor":"m","phase":%q}`, phase),
 	}
 }
 
@@ -161,12 +161,12 @@
 
 // begin reads the whole list, of n serving backends but the first, which drains.
 func (h *house) begin(n int) {
-	entries := []reconcile.Raw{entry("s-00", reconcile.Draining, 50)}
+	entries := []reconcile.KeyValue{entry("s-00", reconcile.Draining, 50)}
 	for i, id := range ids(1, n) {
 		entries = append(entries, entry(id, reconcile.Serving, int64(i+1)))
 	}
 	h.step()
-	h.step(reconcile.Page{Try: h.try, History: 7, Revision: 50, Entries: entries})
+	h.step(reconcile.Page{Attempt: h.try, ClusterID: 7, Revision: 50, Entries: entries})
 	h.pass(5*time.Second, 7, 50)
 	if got := h.p.picks(); !slices.Equal(got, ids(1, n)) {
 		h.Fatalf("the proxy picks from %v", got)
@@ -180,22 +180,22 @@
 	for _, binds := range []bool{false, true} {
 		h := newHouse(t, binds)
 		h.begin(8)
-		h.step(reconcile.Broken{Try: h.try, Why: reconcile.Lost, Err: errors.New("reset")})
+		h.step(reconcile.AttemptFailed{Attempt: h.try, Reason: reconcile.ConnectionLost, Err: errors.New("reset")})
 		for before := h.try; h.try == before; h.now += 10 * time.Millisecond {
 			h.step()
 		}
 		if got := h.p.picks(); !slices.Equal(got, ids(1, 8)) {
 			t.Errorf("a break leaves %v", got)
 		}
-		h.step(reconcile.Opened{Try: h.try, History: 9, Revision: 6})
+		h.step(reconcile.WatchOpened{Attempt: h.try, ClusterID: 9, Revision: 6})
 		for before := h.try; h.try == before; h.now += 10 * time.Millisecond {
 			h.step()
 		}
-		older := []reconcile.Raw{entry("s-00", reconcile.Serving, 1)}
+		older := []reconcile.KeyValue{entry("s-00", reconcile.Serving, 1)}
 		for i, id := range ids(1, 6) {
 			older = append(older, entry(id, reconcile.Serving, int64(i+1)))
 		}
-		h.step(reconcile.Page{Try: h.try, History: 9, Revision: 6, Entries: older})
+		h.step(reconcile.Page{Attempt: h.try, ClusterID: 9, Revision: 6, Entries: older})
 		h.pass(2*time.Second, 9, 6)
 		want := ids(1, 8)
 		if binds {
@@ -221,12 +221,12 @@
 	for _, binds := range []bool{false, true} {
 		h := newHouse(t, binds)
 		h.begin(11)
-		var gone, back []reconcile.Raw
+		var gone, back []reconcile.KeyValue
 		for i, id := range ids(1, 10) {
-			gone = append(gone, reconcile.Raw{Key: "p/" + id, Gone: true, Mod: 51})
+			gone = append(gone, reconcile.KeyValue{Key: "p/" + id, Deleted: true, ModRevision: 51})
 			back = append(back, entry(id, reconcile.Serving, int64(60+i)))
 		}
-		h.step(reconcile.Changes{Try: h.try, History: 7, Changes: gone})
+		h.step(reconcile.Changes{Attempt: h.try, ClusterID: 7, Entries: gone})
 		h.pass(2*time.Second, 7, 51)
 		want := ids(1, 11)
 		if binds {
@@ -235,7 +235,7 @@
 		if got := h.p.picks(); !slices.Equal(got, want) {
 			t.Errorf("gone binds %v: emptied, the proxy picks from %v, want %v", binds, got, want)
 		}
-		h.step(reconcile.Changes{Try: h.try, History: 7, Changes: back})
+		h.step(reconcile.Changes{Attempt: h.try, ClusterID: 7, Entries: back})
 		h.pass(10*time.Second, 7, 70)
 		if got := h.p.picks(); !slices.Equal(got, ids(1, 11)) {
 			t.Errorf("gone binds %v: filled again, the proxy picks from %v", binds, got)
--- a/internal/controller/reconcile/list.go
+++ b/internal/controller/reconcile/list.go
@@ -16,7 +16,7 @@
 	Zone    string  `json:"locality"`
 	Kind    string  `json:"flavor"`
 	Phase   string  `json:"phase"`
-	Size    float64 `json:"size"`
+	Weight  float64 `json:"size"`
 	UpSince float64 `json:"up_since_ms"`
 }
 
@@ -32,12 +32,12 @@
 // List is the whole list, or the entries that changed, in the order in which they did.
 type List struct {
 	Revision int64    `json:"revision"`
-	Whole    bool     `json:"complete"`
+	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
 }
 
-// Failed says that a source failed; the list held stays as it is.
-type Failed struct{}
+// SourceFailed says that a source failed; the list held stays as it is.
+type SourceFailed struct{}
 
 var errNoRevision = errors.New("no revision")
 
@@ -55,7 +55,7 @@
 	if seen.Revision == nil {
 		return List{}, errNoRevision
 	}
-	l := List{Revision: *seen.Revision, Whole: seen.Whole, Members: make([]Member, len(seen.Members))}
+	l := List{Revision: *seen.Revision, Complete: seen.Complete, Members: make([]Member, len(seen.Members))}
 	for i, entry := range seen.Members {
 		if json.Unmarshal(entry, &l.Members[i]) != nil {
 			l.Members[i] = Member{Phase: Unreadable}
@@ -80,7 +80,7 @@
 	case len(value) > most:
 		return Member{}, fmt.Errorf("%d bytes, over the limit of %d", len(value), most)
 	}
-	m := Member{Size: 1}
+	m := Member{Weight: 1}
 	if value = bytes.TrimSpace(value); len(value) == 0 || value[0] != '{' {
 		return Member{}, errors.New("not a JSON object")
 	}
@@ -94,7 +94,7 @@
 		return Member{}, fmt.Errorf("phase %.40q is none of %s, %s, %s", m.Phase, Serving, Draining, Deleted)
 	case m.Zone == "" && m.Phase != Deleted:
 		return Member{}, errors.New("no locality")
-	case m.Size < 0 || m.UpSince < 0 || math.IsInf(m.Size, 0):
+	case m.Weight < 0 || m.UpSince < 0 || math.IsInf(m.Weight, 0):
 		return Member{}, errors.New("size or up_since_ms is below 0")
 	}
 	m.ID = id
--- a/internal/controller/reconcile/model_test.go
+++ b/internal/controller/reconcile/model_test.go
@@ -28,24 +28,24 @@
 // store is a registry in a few lines: every change by revision, in the history that holds now.
 type store struct {
 	id        uint64
-	log       []Raw // a change a revision
+	log       []KeyValue // a change a revision
 	revision  int64
 	compacted int64
 }
 
 func (s *store) put(key, value string, gone bool) {
 	s.revision++
-	s.log = append(s.log, Raw{Key: key, Value: []byte(value), Mod: s.revision, Gone: gone})
+	s.log = append(s.log, KeyValue{Key: key, Value: []byte(value), ModRevision: s.revision, Deleted: gone})
 }
 
 // at is the list at a revision, the slow way.
-func (s *store) at(revision int64) map[string]Raw {
-	m := map[string]Raw{}
+func (s *store) at(revision int64) map[string]KeyValue {
+	m := map[string]KeyValue{}
 	for _, c := range s.log {
-		if c.Mod > revision {
+		if c.ModRevision > revision {
 			break
 		}
-		if m[c.Key] = c; c.Gone {
+		if m[c.Key] = c; c.Deleted {
 			delete(m, c.Key)
 		}
 	}
@@ -56,7 +56,7 @@
 func (s *store) last(key string) (at int64) {
 	for _, c := range s.log {
 		if c.Key == key {
-			at = c.Mod
+			at = c.ModRevision
 		}
 	}
 	return at
@@ -64,18 +64,18 @@
 
 func (s *store) answer(o Order) Event {
 	switch o := o.(type) {
-	case Read:
+	case ReadPage:
 		at := o.Revision
 		if at == 0 {
 			at = s.revision
 		}
 		if at < s.compacted {
-			return Compacted{Try: o.Try, Least: s.compacted}
+			return Compacted{Attempt: o.Attempt, OldestRevision: s.compacted}
 		}
 		list := s.at(at)
-		p := Page{Try: o.Try, History: s.id, Revision: at}
+		p := Page{Attempt: o.Attempt, ClusterID: s.id, Revision: at}
 		for _, key := range slices.Sorted(maps.Keys(list)) {
-			if key <= o.After {
+			if key <= o.AfterKey {
 				continue
 			}
 			if len(p.Entries) == o.Limit {
@@ -87,11 +87,11 @@
 		return p
 	case Check:
 		if o.Revision < s.compacted {
-			return Compacted{Try: o.Try, Least: s.compacted, Check: true}
+			return Compacted{Attempt: o.Attempt, OldestRevision: s.compacted, ForCheck: true}
 		}
-		c := Checked{Try: o.Try, History: s.id, Now: s.revision}
+		c := CheckResult{Attempt: o.Attempt, ClusterID: s.id, Revision: s.revision}
 		for _, e := range s.at(o.Revision) {
-			if c.Count++; e.Mod > c.Last.Mod {
+			if c.Count++; e.ModRevision > c.Last.ModRevision {
 				c.Last = e
 			}
 		}
@@ -147,35 +147,35 @@
 	before := w.r.revision
 	for _, o := range w.r.Step(w.now, events) {
 		switch o := o.(type) {
-		case Tell:
+		case PublishList:
 			w.hear(o, before)
 		case Watch:
 			if !w.mute {
-				w.watch, w.sent = &o, o.After
-				if !w.r.plan.Changes {
+				w.watch, w.sent = &o, o.AfterRevision
+				if !w.r.plan.WatchSendsChanges {
 					w.flow(1)
 					continue
 				}
-				w.waiting = append(w.waiting, Opened{Try: o.Try, History: w.s.id, Revision: w.s.revision})
+				w.waiting = append(w.waiting, WatchOpened{Attempt: o.Attempt, ClusterID: w.s.id, Revision: w.s.revision})
 			}
-		case Read, Check:
+		case ReadPage, Check:
 			if !w.mute {
 				w.waiting = append(w.waiting, w.s.answer(o))
 			}
 		case RequestProgress:
 			if !w.mute && w.watch != nil {
 				w.flow(1 << 30)
-				w.waiting = append(w.waiting, Progress{Try: o.Try, History: w.s.id, Revision: w.s.revision})
+				w.waiting = append(w.waiting, Progress{Attempt: o.Attempt, ClusterID: w.s.id, Revision: w.s.revision})
 			}
-		case Leave:
+		case Cancel:
 			w.watch = nil
 		}
 	}
 	w.check()
 }
 
-func (w *world) hear(o Tell, before int64) {
-	if o.Whole {
+func (w *world) hear(o PublishList, before int64) {
+	if o.Complete {
 		w.told = map[string]Member{}
 	}
 	for _, m := range o.Members {
@@ -206,7 +206,7 @@
 
 // check compares what was told with what the registry held at the revision that the roster says it knows.
 func (w *world) check() {
-	if w.blind && w.r.phase == watching && (w.r.plan.Changes || w.fresh) {
+	if w.blind && w.r.phase == watching && (w.r.plan.WatchSendsChanges || w.fresh) {
 		w.blind, w.till = false, w.now+w.r.plan.HistoryHold
 		for _, f := range w.firm {
 			if f.till == 0 {
@@ -251,22 +251,22 @@
 	if w.watch == nil {
 		return
 	}
-	if !w.r.plan.Changes {
-		w.waiting = append(w.waiting, Progress{Try: w.watch.Try, History: w.s.id, Revision: w.s.revision})
+	if !w.r.plan.WatchSendsChanges {
+		w.waiting = append(w.waiting, Progress{Attempt: w.watch.Attempt, ClusterID: w.s.id, Revision: w.s.revision})
 		return
 	}
 	if w.sent+1 < w.s.compacted {
-		w.waiting = append(w.waiting, Compacted{Try: w.watch.Try, Least: w.s.compacted})
+		w.waiting = append(w.waiting, Compacted{Attempt: w.watch.Attempt, OldestRevision: w.s.compacted})
 		w.watch = nil
 		return
 	}
-	e := Changes{Try: w.watch.Try, History: w.s.id}
+	e := Changes{Attempt: w.watch.Attempt, ClusterID: w.s.id}
 	for _, c := range w.s.log {
-		if c.Mod > w.sent && len(e.Changes) < n {
-			e.Changes, w.sent = append(e.Changes, c), c.Mod
+		if c.ModRevision > w.sent && len(e.Entries) < n {
+			e.Entries, w.sent = append(e.Entries, c), c.ModRevision
 		}
 	}
-	if len(e.Changes) > 0 {
+	if len(e.Entries) > 0 {
 		w.waiting = append(w.waiting, e)
 	}
 }
@@ -277,18 +277,19 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case Progress:
-			w.fresh = w.fresh || e.Try == w.r.try && w.r.phase == watching
+			w.fresh = w.fresh || e.Attempt == w.r.try && w.r.phase == watching
 		case Page:
-			w.fresh = w.fresh || e.Try == w.r.try && w.r.phase == reading
+			w.fresh = w.fresh || e.Attempt == w.r.try && w.r.phase == reading
 		}
 	}
 	w.step(events...)
 }
 
 func newWorld(t *rapid.T, changes bool) *world {
-	plan := Usual()
-	plan.Seed, plan.Prefix, plan.Page, plan.Changes, plan.Checks, plan.Endpoints = "m", "p", 3, changes, changes, 3
-	plan.MostValue, plan.HistoryHold = 1000, 5*time.Second
+	plan := DefaultConfig()
+	plan.Seed, plan.Prefix, plan.PageSize, plan.Endpoints = "m", "p", 3, 3
+	plan.WatchSendsChanges, plan.SupportsCheck = changes, changes
+	plan.MaxValueSize, plan.HistoryHold = 1000, 5*time.Second
 	return &world{T: t, r: New(plan), s: store{id: 7}, told: map[string]Member{}, ends: map[string]bool{},
 		firm: map[string]*stand{}}
 }
@@ -333,17 +334,19 @@
 			if n := len(w.waiting); n > 0 {
 				w.waiting = w.waiting[:rapid.IntRange(0, n-1).Draw(t, "kept")]
 			}
-			w.step(Broken{Try: w.r.try, Why: Lost, Err: errors.New("cut")})
+			w.step(AttemptFailed{Attempt: w.r.try, Reason: ConnectionLost, Err: errors.New("cut")})
 		},
-		"refuse": func(*rapid.T) { w.step(Broken{Try: w.r.try, Why: Token, Err: errors.New("expired")}) },
-		"mute":   func(*rapid.T) { w.mute, w.waiting, w.watch = true, nil, nil },
-		"speak":  func(*rapid.T) { w.mute = false },
+		"refuse": func(*rapid.T) {
+			w.step(AttemptFailed{Attempt: w.r.try, Reason: InvalidToken, Err: errors.New("expired")})
+		},
+		"mute":  func(*rapid.T) { w.mute, w.waiting, w.watch = true, nil, nil },
+		"speak": func(*rapid.T) { w.mute = false },
 		"wait": func(t *rapid.T) {
 			w.now += Time(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond
 			w.step()
 		},
-		"due":    func(*rapid.T) { w.now = max(w.now, w.r.Next()); w.step() },
-		"wanted": func(*rapid.T) { w.step(Wanted{}) },
+		"due":    func(*rapid.T) { w.now = max(w.now, w.r.NextDeadline()); w.step() },
+		"wanted": func(*rapid.T) { w.step(ReloadRequested{}) },
 		"compact": func(*rapid.T) {
 			if changes {
 				w.s.compacted = w.s.revision
@@ -381,7 +384,7 @@
 			if !changes { // what a whole list can show is that an old entry is not the one held
 				other = s.revision < w.r.revision
 				for key, c := range s.at(w.r.revision) {
-					other = other || !reflect.DeepEqual(c, w.seen.at(w.r.revision)[key]) && s.last(key) == c.Mod
+					other = other || !reflect.DeepEqual(c, w.seen.at(w.r.revision)[key]) && s.last(key) == c.ModRevision
 				}
 			}
 			maps.DeleteFunc(w.firm, func(_ string, f *stand) bool { return f.till == 0 })
@@ -395,7 +398,7 @@
 				}
 			}
 			w.s, w.waiting, w.watch, w.blind, w.fresh = s, nil, nil, true, false
-			w.step(Broken{Try: w.r.try, Why: Lost, Err: errors.New("restored")})
+			w.step(AttemptFailed{Attempt: w.r.try, Reason: ConnectionLost, Err: errors.New("restored")})
 		},
 	}
 	t.Repeat(act)
@@ -404,7 +407,7 @@
 	for end := w.now + 100*time.Second; w.now < end; {
 		w.flow(100)
 		w.deliver()
-		w.now = max(w.now+time.Millisecond, min(w.r.Next(), w.now+time.Second))
+		w.now = max(w.now+time.Millisecond, min(w.r.NextDeadline(), w.now+time.Second))
 		w.step()
 	}
 	w.till = 0 // 100 s are more than any hold
--- a/internal/controller/reconcile/settle.go
+++ b/internal/controller/reconcile/reconciler.go
@@ -38,7 +38,7 @@
 
 // Reconciler holds the list. Use it from one goroutine.
 type Reconciler struct {
-	plan    Plan
+	plan    Config
 	now     Time
 	entries map[string]*entry
 	have    bool // a whole list was told
@@ -64,10 +64,10 @@
 	auditing          bool
 	auditAt           Time
 
-	pages   []Raw // of the whole list that is being read
+	pages   []KeyValue // of the whole list that is being read
 	pagesAt int64
 	pagesOf uint64
-	part    []Raw // of a revision that is not complete
+	part    []KeyValue // of a revision that is not complete
 
 	turn    []int // endpoints in the order in which they are tried
 	at      int
@@ -76,7 +76,7 @@
 	fails   int // in a row
 	refused int
 	down    bool
-	why     Why
+	why     FailureReason
 	noted   int
 
 	out      []Order
@@ -84,11 +84,11 @@
 }
 
 // New makes a Roster that holds nothing. A Plan without an endpoint is a fault of the caller's.
-func New(plan Plan) *Reconciler {
-	if plan.Endpoints < 1 || plan.Page < 1 {
+func New(plan Config) *Reconciler {
+	if plan.Endpoints < 1 || plan.PageSize < 1 {
 		panic("roster: a plan without endpoints or pages")
 	}
-	r := &Reconciler{plan: plan, entries: map[string]*entry{}, limit: plan.Page}
+	r := &Reconciler{plan: plan, entries: map[string]*entry{}, limit: plan.PageSize}
 	r.shuffle()
 	return r
 }
@@ -106,28 +106,28 @@
 	switch {
 	case r.phase == resting && r.now >= r.restUntil:
 		r.begin()
-	case (r.phase == reading || r.phase == checking) && r.now >= r.lastMessage+r.plan.Answer:
-		r.broken(TimedOut, fmt.Errorf("no answer in %v", r.plan.Answer))
+	case (r.phase == reading || r.phase == checking) && r.now >= r.lastMessage+r.plan.ResponseTimeout:
+		r.broken(TimedOut, fmt.Errorf("no answer in %v", r.plan.ResponseTimeout))
 	case r.phase == watching && r.now >= r.lastMessage+r.plan.WatchTimeout:
 		r.broken(TimedOut, fmt.Errorf("nothing came in %v, progress was asked for", r.plan.WatchTimeout))
 	case r.phase == watching && !r.progressRequested && r.now >= r.lastMessage+r.plan.ProgressInterval:
 		r.progressRequested = true
 		r.order(RequestProgress{r.try})
 	}
-	if r.phase == watching && r.plan.Checks && r.plan.Audit > 0 && !r.auditing && r.now >= r.auditAt {
+	if r.phase == watching && r.plan.SupportsCheck && r.plan.AuditInterval > 0 && !r.auditing && r.now >= r.auditAt {
 		r.auditing = true
 		r.check()
 	}
 	if r.noted > mostNotes {
-		r.note(Note{Warn: true, Text: "more entries are read past", Endpoint: -1, Count: r.noted - mostNotes})
+		r.note(LogEntry{Warn: true, Text: "more entries are read past", Endpoint: -1, Count: r.noted - mostNotes})
 	}
 	return r.out
 }
 
 const mostNotes = 20 // about entries, in one step
 
-// Next is the moment at which Step is due without any event.
-func (r *Reconciler) Next() Time {
+// NextDeadline is the moment at which Step is due without any event.
+func (r *Reconciler) NextDeadline() Time {
 	var at Time
 	switch r.phase {
 	case resting:
@@ -137,11 +137,11 @@
 		if !r.progressRequested {
 			at = r.lastMessage + r.plan.ProgressInterval
 		}
-		if r.plan.Checks && r.plan.Audit > 0 && !r.auditing {
+		if r.plan.SupportsCheck && r.plan.AuditInterval > 0 && !r.auditing {
 			at = min(at, r.auditAt)
 		}
 	default:
-		at = r.lastMessage + r.plan.Answer
+		at = r.lastMessage + r.plan.ResponseTimeout
 	}
 	if r.due > 0 {
 		at = min(at, r.due)
@@ -151,7 +151,7 @@
 
 func (r *Reconciler) order(o Order) { r.out = append(r.out, o) }
 
-func (r *Reconciler) note(n Note) { r.order(n) }
+func (r *Reconciler) note(n LogEntry) { r.order(n) }
 
 func (r *Reconciler) chance() float64 {
 	r.draws++
@@ -175,7 +175,7 @@
 func (r *Reconciler) rest(span Time) {
 	r.phase, r.restUntil = resting, r.now+span
 	if r.read && (r.needed || !r.have) {
-		r.restUntil = max(r.restUntil, r.lastRead+r.plan.ReadGap)
+		r.restUntil = max(r.restUntil, r.lastRead+r.plan.MinReloadInterval)
 	}
 }
 
@@ -183,7 +183,7 @@
 func (r *Reconciler) begin() {
 	r.try++
 	r.lastMessage, r.progressRequested, r.auditing, r.part = r.now, false, false, nil
-	if r.have && r.plan.Checks && !r.sure {
+	if r.have && r.plan.SupportsCheck && !r.sure {
 		r.phase = checking
 		r.check()
 	} else {
@@ -197,14 +197,15 @@
 		return
 	}
 	r.phase, r.pages, r.lastMessage, r.lastRead, r.read = reading, nil, r.now, r.now, true
-	r.order(Read{Try: r.try, Endpoint: r.endpoint(), Limit: r.limit})
+	r.order(ReadPage{Attempt: r.try, Endpoint: r.endpoint(), Limit: r.limit})
 }
 
 func (r *Reconciler) watch() {
 	r.phase, r.lastMessage, r.progressRequested, r.auditing = watching, r.now, false, false
-	r.auditAt = r.now + r.plan.Audit
+	r.auditAt = r.now + r.plan.AuditInterval
 	// After a break an index may have gone back: one that is waited for would not come.
-	r.order(Watch{Try: r.try, Endpoint: r.endpoint(), After: r.revision, AtOnce: !r.plan.Changes && !r.sure})
+	r.order(Watch{Attempt: r.try, Endpoint: r.endpoint(), AfterRevision: r.revision,
+		Immediate: !r.plan.WatchSendsChanges && !r.sure})
 }
 
 // check asks whether the registry remembers the list as we do. A registry that was restored and has since
@@ -216,7 +217,7 @@
 			r.expect.count, r.expect.mod = r.expect.count+1, max(r.expect.mod, e.mod)
 		}
 	}
-	r.order(Check{Try: r.try, Endpoint: r.endpoint(), Revision: r.revision})
+	r.order(Check{Attempt: r.try, Endpoint: r.endpoint(), Revision: r.revision})
 }
 
 // need leaves what is under way for a whole read within a span.
@@ -226,29 +227,29 @@
 }
 
 func (r *Reconciler) readAgain(text string, revision int64) {
-	r.note(Note{Warn: true, Text: text, Endpoint: r.endpoint(), Revision: revision, Count: r.live})
-	r.need(r.plan.Spread)
+	r.note(LogEntry{Warn: true, Text: text, Endpoint: r.endpoint(), Revision: revision, Count: r.live})
+	r.need(r.plan.ReloadJitter)
 }
 
 // broken ends a try. Another endpoint is next at once; when all were tried, after a pause that grows.
-func (r *Reconciler) broken(why Why, err error) {
+func (r *Reconciler) broken(why FailureReason, err error) {
 	if r.phase == resting {
 		return
 	}
-	r.order(Leave{r.try})
+	r.order(Cancel{r.try})
 	if !r.down {
-		r.order(Fail{})
+		r.order(PublishFailure{})
 	}
-	if !r.down || why >= Password && why != r.why {
-		r.note(Note{Warn: true, Text: "registry fails; the list stays as it is", Endpoint: r.endpoint(),
+	if !r.down || why >= BadCredentials && why != r.why {
+		r.note(LogEntry{Warn: true, Text: "registry fails; the list stays as it is", Endpoint: r.endpoint(),
 			Reason: fmt.Sprintf("%v: %v", why, err), Revision: r.revision, Count: r.live})
 		r.why = why
 	}
 	r.down, r.fails, r.sure = true, r.fails+1, false
-	pause, most := r.plan.Pause, r.plan.Pauses
+	pause, most := r.plan.MinBackoff, r.plan.MaxBackoff
 	doublings := r.fails / r.plan.Endpoints
-	if why >= Password {
-		most, doublings = r.plan.Refusals, r.refused
+	if why >= BadCredentials {
+		most, doublings = r.plan.MaxRejectedBackoff, r.refused
 		r.refused++
 	}
 	for ; doublings > 0 && pause < most; doublings-- {
@@ -262,7 +263,7 @@
 
 func (r *Reconciler) answered() {
 	if r.down {
-		r.note(Note{Text: "registry answers again", Endpoint: r.endpoint(), Revision: r.revision, Count: r.live})
+		r.note(LogEntry{Text: "registry answers again", Endpoint: r.endpoint(), Revision: r.revision, Count: r.live})
 	}
 	r.down, r.fails, r.refused = false, 0, 0
 }
@@ -270,28 +271,28 @@
 func (r *Reconciler) handle(e Event) {
 	switch e := e.(type) {
 	case Page:
-		if e.Try == r.try && r.phase == reading {
+		if e.Attempt == r.try && r.phase == reading {
 			r.onPage(e)
 		}
-	case TooLarge:
-		if e.Try == r.try && r.phase == reading {
+	case PageTooLarge:
+		if e.Attempt == r.try && r.phase == reading {
 			r.onTooLarge()
 		}
-	case Checked:
-		if e.Try == r.try && (r.phase == checking || r.phase == watching && r.auditing) {
+	case CheckResult:
+		if e.Attempt == r.try && (r.phase == checking || r.phase == watching && r.auditing) {
 			r.onChecked(e)
 		}
-	case Opened, Progress, Changes:
+	case WatchOpened, Progress, Changes:
 		if r.phase == watching {
 			r.onWatch(e)
 		}
 	case Compacted:
 		r.onCompacted(e)
-	case Broken:
-		if e.Try == r.try {
-			r.broken(e.Why, e.Err)
+	case AttemptFailed:
+		if e.Attempt == r.try {
+			r.broken(e.Reason, e.Err)
 		}
-	case Wanted:
+	case ReloadRequested:
 		if r.needed = true; r.phase == watching || r.phase == checking {
 			r.need(0)
 		}
@@ -301,7 +302,7 @@
 // onTooLarge reads on by smaller pages.
 func (r *Reconciler) onTooLarge() {
 	if r.limit == 1 {
-		r.broken(Odd, fmt.Errorf("one entry does not fit into an answer"))
+		r.broken(InvalidResponse, fmt.Errorf("one entry does not fit into an answer"))
 		return
 	}
 	r.limit = max(r.limit/2, 1)
@@ -311,20 +312,20 @@
 // onWatch takes what the current watch says.
 func (r *Reconciler) onWatch(e Event) {
 	switch e := e.(type) {
-	case Opened:
-		if e.Try != r.try {
+	case WatchOpened:
+		if e.Attempt != r.try {
 			return
 		}
 		// A lower revision is a member's that lags: what we hold was checked with the registry just now.
-		if r.noteMessage(); e.History != r.history {
+		if r.noteMessage(); e.ClusterID != r.history {
 			r.readAgain("the watch is another registry's; its whole list is read", e.Revision)
 		}
 	case Progress:
-		if e.Try == r.try {
+		if e.Attempt == r.try {
 			r.onProgress(e)
 		}
 	case Changes:
-		if e.Try == r.try {
+		if e.Attempt == r.try {
 			r.onChanges(e)
 		}
 	}
@@ -340,43 +341,43 @@
 	r.lastMessage = r.now
 	first := len(r.pages) == 0
 	if first {
-		r.pagesAt, r.pagesOf = e.Revision, e.History
+		r.pagesAt, r.pagesOf = e.Revision, e.ClusterID
 	}
 	switch last := len(e.Entries) - 1; {
-	case e.Revision != r.pagesAt || e.History != r.pagesOf:
-		r.broken(Odd, fmt.Errorf("pages of revisions %d and %d make no list", r.pagesAt, e.Revision))
+	case e.Revision != r.pagesAt || e.ClusterID != r.pagesOf:
+		r.broken(InvalidResponse, fmt.Errorf("pages of revisions %d and %d make no list", r.pagesAt, e.Revision))
 	case e.More && last < 0:
-		r.broken(Odd, fmt.Errorf("an empty page with more to come"))
-	case len(r.pages)+len(e.Entries) > r.plan.MostKeys:
-		r.broken(Odd, fmt.Errorf("more than %d keys", r.plan.MostKeys))
+		r.broken(InvalidResponse, fmt.Errorf("an empty page with more to come"))
+	case len(r.pages)+len(e.Entries) > r.plan.MaxKeys:
+		r.broken(InvalidResponse, fmt.Errorf("more than %d keys", r.plan.MaxKeys))
 	case e.More:
 		r.pages = append(r.pages, e.Entries...)
-		r.order(Read{Try: r.try, Endpoint: r.endpoint(), Limit: r.limit, After: e.Entries[last].Key,
+		r.order(ReadPage{Attempt: r.try, Endpoint: r.endpoint(), Limit: r.limit, AfterKey: e.Entries[last].Key,
 			Revision: r.pagesAt})
 	default:
 		r.pages = append(r.pages, e.Entries...)
 		r.answered()
 		r.reconcile()
-		r.pages, r.limit, r.needed = nil, min(r.limit, r.plan.Page), false
+		r.pages, r.limit, r.needed = nil, min(r.limit, r.plan.PageSize), false
 		// The watch goes on from here within the same try: the connection is there already.
 		r.watch()
 	}
 }
 
-func (r *Reconciler) onChecked(e Checked) {
+func (r *Reconciler) onChecked(e CheckResult) {
 	r.lastMessage = r.now
 	audit := r.auditing
-	r.auditing, r.auditAt, r.sure = false, r.now+r.plan.Audit, true
+	r.auditing, r.auditAt, r.sure = false, r.now+r.plan.AuditInterval, true
 	last, ok := r.entries[e.Last.Key]
 	// While a watch goes on the last key may have changed again since.
-	same := e.Count == r.expect.count && (e.Count == 0 || e.Last.Mod == r.expect.mod && ok &&
-		(last.mod == e.Last.Mod && last.sum == sum(e.Last.Value) || audit && last.mod > e.Last.Mod))
+	same := e.Count == r.expect.count && (e.Count == 0 || e.Last.ModRevision == r.expect.mod && ok &&
+		(last.mod == e.Last.ModRevision && last.sum == sum(e.Last.Value) || audit && last.mod > e.Last.ModRevision))
 	r.other = r.other || !same
 	switch {
-	case e.History != r.history || e.Now < r.expect.revision:
-		r.readAgain("the registry is another one, or was restored; its whole list is read", e.Now)
+	case e.ClusterID != r.history || e.Revision < r.expect.revision:
+		r.readAgain("the registry is another one, or was restored; its whole list is read", e.Revision)
 	case !same:
-		r.readAgain("the registry remembers another list at the revision held; its whole list is read", e.Now)
+		r.readAgain("the registry remembers another list at the revision held; its whole list is read", e.Revision)
 	case !audit:
 		r.answered()
 		r.goOn()
@@ -387,9 +388,9 @@
 	r.noteMessage()
 	r.sure = true
 	switch {
-	case e.History != r.history:
+	case e.ClusterID != r.history:
 		r.readAgain("progress is another registry's; its whole list is read", e.Revision)
-	case r.plan.Changes:
+	case r.plan.WatchSendsChanges:
 		// A lower revision is that of a member that lags.
 		if len(r.part) == 0 {
 			r.revision = max(r.revision, e.Revision)
@@ -397,35 +398,35 @@
 	case e.Revision < r.revision:
 		r.readAgain("the registry's index went back; its whole list is read", e.Revision)
 	case e.Revision > r.revision:
-		r.need(r.plan.ReadGap)
+		r.need(r.plan.MinReloadInterval)
 	}
 }
 
 func (r *Reconciler) onChanges(e Changes) {
 	r.noteMessage()
-	if e.History != r.history {
+	if e.ClusterID != r.history {
 		r.readAgain("changes are another registry's; its whole list is read", 0)
 		return
 	}
-	for _, c := range e.Changes {
-		if n := len(r.part); n > 0 && c.Mod < r.part[n-1].Mod {
-			r.broken(Odd, fmt.Errorf("revision %d after %d", c.Mod, r.part[n-1].Mod))
+	for _, c := range e.Entries {
+		if n := len(r.part); n > 0 && c.ModRevision < r.part[n-1].ModRevision {
+			r.broken(InvalidResponse, fmt.Errorf("revision %d after %d", c.ModRevision, r.part[n-1].ModRevision))
 			return
 		}
 		r.part = append(r.part, c)
 	}
-	if len(r.part) > r.plan.MostKeys {
-		r.broken(Odd, fmt.Errorf("more than %d changes at one revision", r.plan.MostKeys))
+	if len(r.part) > r.plan.MaxKeys {
+		r.broken(InvalidResponse, fmt.Errorf("more than %d changes at one revision", r.plan.MaxKeys))
 		return
 	}
-	if e.Part {
+	if e.Partial {
 		return
 	}
 	before, at := r.live, r.revision
 	for _, c := range r.part {
-		if c.Mod > at { // else it was told, in a whole list or before a break
+		if c.ModRevision > at { // else it was told, in a whole list or before a break
 			r.change(c)
-			r.revision = c.Mod
+			r.revision = c.ModRevision
 		}
 	}
 	r.part = nil
@@ -434,25 +435,25 @@
 }
 
 func (r *Reconciler) onCompacted(e Compacted) {
-	if e.Try != r.try || r.phase == resting {
+	if e.Attempt != r.try || r.phase == resting {
 		return
 	}
-	if e.Check && r.phase == watching {
+	if e.ForCheck && r.phase == watching {
 		// What changed since is on its way by the watch; an older list cannot be compared any more.
-		r.lastMessage, r.auditing, r.auditAt = r.now, false, r.now+r.plan.Audit
+		r.lastMessage, r.auditing, r.auditAt = r.now, false, r.now+r.plan.AuditInterval
 		return
 	}
 	if r.phase == reading {
 		// It was overtaken: larger pages take fewer turns.
-		r.limit = min(r.limit*2, max(r.plan.MostPage, r.plan.Page))
-		r.note(Note{Text: "compacted while the whole list was read; it is read anew", Endpoint: r.endpoint(),
-			Revision: e.Least, Count: r.limit})
+		r.limit = min(r.limit*2, max(r.plan.MaxPageSize, r.plan.PageSize))
+		r.note(LogEntry{Text: "compacted while the whole list was read; it is read anew", Endpoint: r.endpoint(),
+			Revision: e.OldestRevision, Count: r.limit})
 	} else {
-		r.note(Note{Text: "the revision held is compacted away; the whole list is read", Endpoint: r.endpoint(),
-			Revision: e.Least, Count: r.live})
+		r.note(LogEntry{Text: "the revision held is compacted away; the whole list is read", Endpoint: r.endpoint(),
+			Revision: e.OldestRevision, Count: r.live})
 	}
 	r.sure = true // more cannot be learned of what it remembers
-	r.need(r.plan.Spread)
+	r.need(r.plan.ReloadJitter)
 }
 
 // key gives the entry of a key, a new one if there is none.
@@ -467,16 +468,16 @@
 
 // take puts what the registry holds into an entry. A value that cannot be read leaves the backend as it was
 // told: a slip of the pen is no end.
-func (r *Reconciler) take(e *entry, c Raw) {
-	e.mod, e.present, e.sum = c.Mod, !c.Gone, sum(c.Value)
-	if c.Gone {
+func (r *Reconciler) take(e *entry, c KeyValue) {
+	e.mod, e.present, e.sum = c.ModRevision, !c.Deleted, sum(c.Value)
+	if c.Deleted {
 		e.now = Member{}
 		return
 	}
-	m, err := ParseValue(r.plan.Prefix, c.Key, c.Value, r.plan.MostValue)
+	m, err := ParseValue(r.plan.Prefix, c.Key, c.Value, r.plan.MaxValueSize)
 	if err != nil {
-		if e.now = e.reported; e.bad != c.Mod {
-			e.bad = c.Mod
+		if e.now = e.reported; e.bad != c.ModRevision {
+			e.bad = c.ModRevision
 			r.readPast(c, err)
 		}
 		return
@@ -486,17 +487,17 @@
 	}
 }
 
-func (r *Reconciler) readPast(c Raw, err error) {
+func (r *Reconciler) readPast(c KeyValue, err error) {
 	if r.noted++; r.noted <= mostNotes {
-		r.note(Note{Warn: true, Text: "an entry is read past", Key: c.Key, Reason: err.Error(), Endpoint: -1,
-			Revision: c.Mod})
+		r.note(LogEntry{Warn: true, Text: "an entry is read past", Key: c.Key, Reason: err.Error(), Endpoint: -1,
+			Revision: c.ModRevision})
 	}
 }
 
 // change takes a change of this history; with it no hold stands any longer.
-func (r *Reconciler) change(c Raw) {
+func (r *Reconciler) change(c KeyValue) {
 	if !strings.HasPrefix(c.Key, r.plan.Prefix+"/") {
-		if !c.Gone {
+		if !c.Deleted {
 			_, err := ParseValue(r.plan.Prefix, c.Key, nil, 0)
 			r.readPast(c, err)
 		}
@@ -527,8 +528,8 @@
 		m.Phase = Deleted
 		e.ended, e.endedAt = true, r.now
 		r.live--
-		r.dueAt(r.now + r.plan.KeepEnds)
-		if r.ends++; r.ends > r.plan.MostEnds {
+		r.dueAt(r.now + r.plan.TombstoneRetention)
+		if r.ends++; r.ends > r.plan.MaxTombstones {
 			r.dueAt(r.now)
 		}
 	} else if e.reported.ID == "" {
@@ -541,7 +542,7 @@
 
 func (r *Reconciler) tell(whole bool) {
 	if len(r.reported) > 0 || whole {
-		r.order(Tell{List{Revision: r.revision, Whole: whole, Members: r.reported}})
+		r.order(PublishList{List{Revision: r.revision, Complete: whole, Members: r.reported}})
 	}
 	r.reported = nil
 }
@@ -556,8 +557,8 @@
 // that died. Who is told to be gone without a drain stays in the tables while it answers, where the settings
 // say that gone alone does not bind.
 func (r *Reconciler) shrunk(before int) {
-	if r.plan.Shrink > 0 && float64(before-r.live) > r.plan.Shrink*float64(before) {
-		r.note(Note{Warn: true, Text: "the list shrank at once", Endpoint: r.endpoint(), Revision: r.revision,
+	if r.plan.ShrinkWarnRatio > 0 && float64(before-r.live) > r.plan.ShrinkWarnRatio*float64(before) {
+		r.note(LogEntry{Warn: true, Text: "the list shrank at once", Endpoint: r.endpoint(), Revision: r.revision,
 			Count: before - r.live, Reason: fmt.Sprintf("%d of %d backends ended", before-r.live, before)})
 	}
 }
@@ -568,18 +569,18 @@
 	same, pages := r.isSameHistory()
 	before, first := r.live, !r.have
 	if !first && !same {
-		r.note(Note{Warn: true, Text: "the list is of another history; drains and ends known stand for a while",
+		r.note(LogEntry{Warn: true, Text: "the list is of another history; drains and ends known stand for a while",
 			Endpoint: r.endpoint(), Revision: r.pagesAt, Count: r.live, Reason: r.plan.HistoryHold.String()})
 	}
-	slices.SortStableFunc(r.pages, func(a, b Raw) int {
-		return cmp.Or(cmp.Compare(a.Mod, b.Mod), cmp.Compare(a.Key, b.Key))
+	slices.SortStableFunc(r.pages, func(a, b KeyValue) int {
+		return cmp.Or(cmp.Compare(a.ModRevision, b.ModRevision), cmp.Compare(a.Key, b.Key))
 	})
 	for _, c := range r.pages {
 		r.reconcileEntry(c, same, first)
 	}
 	for _, key := range slices.Sorted(maps.Keys(r.entries)) {
 		if e := r.entries[key]; !pages[key] && e.present {
-			r.take(e, Raw{Key: key, Mod: e.mod, Gone: true})
+			r.take(e, KeyValue{Key: key, ModRevision: e.mod, Deleted: true})
 			e.holdUntil = 0
 			r.show(e)
 			r.drop(key, e)
@@ -596,26 +597,26 @@
 	same = !r.other && r.pagesOf == r.history
 	if r.pagesAt < r.revision {
 		// Consul's index goes back when it forgets deletions; the list is the one held then, to the last entry.
-		same = same && !r.plan.Changes && len(r.pages) == r.keys()
+		same = same && !r.plan.WatchSendsChanges && len(r.pages) == r.keys()
 	}
 	for _, c := range r.pages {
 		pages[c.Key] = true
-		if c.Mod <= r.revision {
+		if c.ModRevision <= r.revision {
 			// In one history, what was not changed since the revision held is what is held.
 			e, ok := r.entries[c.Key]
-			same = same && ok && e.present && e.mod == c.Mod && e.sum == sum(c.Value)
+			same = same && ok && e.present && e.mod == c.ModRevision && e.sum == sum(c.Value)
 		}
 	}
 	return same, pages
 }
 
-func (r *Reconciler) reconcileEntry(c Raw, same, first bool) {
+func (r *Reconciler) reconcileEntry(c KeyValue, same, first bool) {
 	if !strings.HasPrefix(c.Key, r.plan.Prefix+"/") {
 		r.change(c)
 		return
 	}
 	e := r.key(c.Key)
-	if same && e.present && e.mod == c.Mod {
+	if same && e.present && e.mod == c.ModRevision {
 		return
 	}
 	r.take(e, c)
@@ -673,17 +674,17 @@
 			r.dueAt(e.holdUntil)
 		}
 		if !e.present && e.reported.ID == "" && e.now.ID == "" {
-			if r.now >= e.endedAt+r.plan.KeepEnds {
+			if r.now >= e.endedAt+r.plan.TombstoneRetention {
 				delete(r.entries, key)
 			} else {
 				ends = append(ends, end{key, e.endedAt})
-				r.dueAt(e.endedAt + r.plan.KeepEnds)
+				r.dueAt(e.endedAt + r.plan.TombstoneRetention)
 			}
 		}
 	}
-	if len(ends) > r.plan.MostEnds { // a quarter of them, so that this is seldom
+	if len(ends) > r.plan.MaxTombstones { // a quarter of them, so that this is seldom
 		slices.SortStableFunc(ends, func(a, b end) int { return cmp.Compare(a.at, b.at) })
-		n := len(ends) - r.plan.MostEnds*3/4
+		n := len(ends) - r.plan.MaxTombstones*3/4
 		for _, e := range ends[:n] {
 			delete(r.entries, e.key)
 		}
@@ -691,7 +692,7 @@
 	}
 	r.ends = len(ends)
 	if over > 0 {
-		r.note(Note{Text: "drains and ends of another history stand no longer", Endpoint: -1, Revision: r.revision,
+		r.note(LogEntry{Text: "drains and ends of another history stand no longer", Endpoint: -1, Revision: r.revision,
 			Count: over})
 	}
 	r.tell(false)
--- a/internal/controller/reconcile/cases_test.go
+++ b/internal/controller/reconcile/reconciler_test.go
@@ -19,9 +19,10 @@
 	out []Order // of the last step
 }
 
-func newBench(t *testing.T, change func(*Plan)) *bench {
-	p := Usual()
-	p.Seed, p.Prefix, p.Changes, p.Checks, p.Page, p.MostPage, p.MostValue = "n1", "p", true, true, 2, 8, 400
+func newBench(t *testing.T, change func(*Config)) *bench {
+	p := DefaultConfig()
+	p.Seed, p.Prefix, p.WatchSendsChanges, p.SupportsCheck = "n1", "p", true, true
+	p.PageSize, p.MaxPageSize, p.MaxValueSize = 2, 8, 400
 	if change != nil {
 		change(&p)
 	}
@@ -32,7 +33,7 @@
 
 // due goes on to the next moment at which something is due.
 func (b *bench) due() {
-	b.now = max(b.now, b.r.Next())
+	b.now = max(b.now, b.r.NextDeadline())
 	b.step()
 }
 
@@ -58,26 +59,26 @@
 func (b *bench) read() {
 	b.Helper()
 	for b.r.phase == reading {
-		b.step(b.s.answer(one[Read](b)))
+		b.step(b.s.answer(one[ReadPage](b)))
 	}
 }
 
 // up brings it to a watch that is open.
 func (b *bench) up() Watch {
 	b.Helper()
-	for len(find[Read](b)) == 0 {
+	for len(find[ReadPage](b)) == 0 {
 		b.due()
 	}
 	b.read()
 	w := one[Watch](b)
 	told := b.out
-	b.step(Opened{Try: w.Try, History: b.s.id, Revision: b.s.revision})
+	b.step(WatchOpened{Attempt: w.Attempt, ClusterID: b.s.id, Revision: b.s.revision})
 	b.out = told
 	return w
 }
 
 func (b *bench) lost() {
-	b.step(Broken{Try: b.r.try, Why: Lost, Err: errors.New("reset")})
+	b.step(AttemptFailed{Attempt: b.r.try, Reason: ConnectionLost, Err: errors.New("reset")})
 }
 
 // back goes through the pause and the check after a break.
@@ -89,7 +90,15 @@
 	b.step(b.s.answer(one[Check](b)))
 }
 
-func told(t Tell) (all []string) {
+func putEntry(key, phase string, size int, revision int64) KeyValue {
+	return KeyValue{Key: key, Value: []byte(value(phase, size)), ModRevision: revision}
+}
+
+func deletedEntry(key string, revision int64) KeyValue {
+	return KeyValue{Key: key, Deleted: true, ModRevision: revision}
+}
+
+func told(t PublishList) (all []string) {
 	for _, m := range t.Members {
 		all = append(all, m.ID+" "+m.Phase)
 	}
@@ -99,33 +108,33 @@
 // Silence with the connection open is noticed within 2 s by asking for progress, and the watch goes on after
 // the last change told, at another endpoint.
 func TestCase1Silence(t *testing.T) {
-	b := newBench(t, func(p *Plan) { p.Endpoints = 3 })
+	b := newBench(t, func(p *Config) { p.Endpoints = 3 })
 	b.s.put("p/a", value(Serving, 1), false)
 	w := b.up()
-	b.step(Changes{Try: w.Try, History: 7, Changes: []Raw{{Key: "p/a", Value: []byte(value(Draining, 1)), Mod: 2}}})
+	b.step(Changes{Attempt: w.Attempt, ClusterID: 7, Entries: []KeyValue{putEntry("p/a", Draining, 1, 2)}})
 	b.s.put("p/a", value(Draining, 1), false)
 	spoke := b.now
 	b.due()
-	if one[RequestProgress](b).Try != w.Try || b.now > spoke+time.Second {
+	if one[RequestProgress](b).Attempt != w.Attempt || b.now > spoke+time.Second {
 		t.Errorf("progress is asked for after %v", b.now-spoke)
 	}
-	b.step(Progress{Try: w.Try, History: 7, Revision: 2})
+	b.step(Progress{Attempt: w.Attempt, ClusterID: 7, Revision: 2})
 	spoke = b.now
-	for len(find[Leave](b)) == 0 {
+	for len(find[Cancel](b)) == 0 {
 		b.due()
 	}
-	if b.now-spoke > 2*time.Second || len(find[Fail](b)) != 1 {
+	if b.now-spoke > 2*time.Second || len(find[PublishFailure](b)) != 1 {
 		t.Errorf("silence is noticed after %v: %+v", b.now-spoke, b.out)
 	}
 	b.back()
 	again := one[Watch](b)
-	if again.After != 2 || again.Endpoint == w.Endpoint || again.Try == w.Try {
+	if again.AfterRevision != 2 || again.Endpoint == w.Endpoint || again.Attempt == w.Attempt {
 		t.Errorf("after silence %+v follows %+v", again, w)
 	}
 	// What the old try still says is nobody's, and what comes twice is told once.
-	b.step(Changes{Try: w.Try, History: 7, Changes: []Raw{{Key: "p/a", Gone: true, Mod: 3}}},
-		Changes{Try: again.Try, History: 7, Changes: []Raw{{Key: "p/a", Value: []byte(value(Draining, 1)), Mod: 2}}})
-	if len(find[Tell](b)) > 0 {
+	b.step(Changes{Attempt: w.Attempt, ClusterID: 7, Entries: []KeyValue{deletedEntry("p/a", 3)}},
+		Changes{Attempt: again.Attempt, ClusterID: 7, Entries: []KeyValue{putEntry("p/a", Draining, 1, 2)}})
+	if len(find[PublishList](b)) > 0 {
 		t.Errorf("told %+v", b.out)
 	}
 }
@@ -135,24 +144,24 @@
 	b := newBench(t, nil)
 	w := b.up()
 	half := Changes{
-		Try:     w.Try,
-		History: 7,
-		Part:    true,
-		Changes: []Raw{{Key: "p/a", Value: []byte(value(Serving, 1)), Mod: 1}},
+		Attempt:   w.Attempt,
+		ClusterID: 7,
+		Partial:   true,
+		Entries:   []KeyValue{putEntry("p/a", Serving, 1, 1)},
 	}
-	rest := Changes{Try: w.Try, History: 7, Changes: []Raw{{Key: "p/b", Value: []byte(value(Serving, 1)), Mod: 1}}}
-	if b.step(half); len(find[Tell](b)) > 0 {
+	rest := Changes{Attempt: w.Attempt, ClusterID: 7, Entries: []KeyValue{putEntry("p/b", Serving, 1, 1)}}
+	if b.step(half); len(find[PublishList](b)) > 0 {
 		t.Error("half a revision is told")
 	}
 	b.lost()
 	b.back()
-	half.Try, rest.Try = b.r.try, b.r.try
-	if w := one[Watch](b); w.After != 0 {
-		t.Errorf("goes on after %d", w.After)
+	half.Attempt, rest.Attempt = b.r.try, b.r.try
+	if w := one[Watch](b); w.AfterRevision != 0 {
+		t.Errorf("goes on after %d", w.AfterRevision)
 	}
 	b.step(half)
 	b.step(rest)
-	if got := told(one[Tell](b)); !slices.Equal(got, []string{"a SERVING", "b SERVING"}) {
+	if got := told(one[PublishList](b)); !slices.Equal(got, []string{"a SERVING", "b SERVING"}) {
 		t.Errorf("told %v", got)
 	}
 }
@@ -173,27 +182,27 @@
 	b.back()
 	limits := []int{}
 	for range 2 {
-		for len(find[Read](b)) == 0 {
+		for len(find[ReadPage](b)) == 0 {
 			b.due()
 		}
-		limits = append(limits, one[Read](b).Limit)
-		b.step(b.s.answer(one[Read](b)))
-		if next := one[Read](b); next.Revision != b.s.revision || next.After == "" {
+		limits = append(limits, one[ReadPage](b).Limit)
+		b.step(b.s.answer(one[ReadPage](b)))
+		if next := one[ReadPage](b); next.Revision != b.s.revision || next.AfterKey == "" {
 			t.Errorf("the next page is %+v", next)
 		}
 		b.s.put("p/e", value(Serving, 1), false) // as it is: no change
 		b.s.compacted = b.s.revision
-		b.step(b.s.answer(one[Read](b)))
+		b.step(b.s.answer(one[ReadPage](b)))
 	}
-	for len(find[Read](b)) == 0 {
+	for len(find[ReadPage](b)) == 0 {
 		b.due()
 	}
-	limits = append(limits, one[Read](b).Limit)
+	limits = append(limits, one[ReadPage](b).Limit)
 	b.read()
 	if got := told(
-		one[Tell](b),
+		one[PublishList](b),
 	); !slices.Equal(got, []string{"d DRAINING", "a DRAINING", "b DELETED"}) ||
-		one[Tell](b).Whole {
+		one[PublishList](b).Complete {
 		t.Errorf("told %v", got)
 	}
 	if !slices.Equal(limits, []int{2, 4, 8}) {
@@ -206,7 +215,7 @@
 func TestCase3DrainDuringABreak(t *testing.T) {
 	for seed := range 200 {
 		for _, compacted := range []bool{false, true} {
-			b := newBench(t, func(p *Plan) { p.Seed, p.Endpoints, p.Page = fmt.Sprint("n", seed), 1+seed%3, 100 })
+			b := newBench(t, func(p *Config) { p.Seed, p.Endpoints, p.PageSize = fmt.Sprint("n", seed), 1+seed%3, 100 })
 			b.s.put("p/a", value(Serving, 1), false)
 			b.s.put("p/b", value(Serving, 1), false)
 			b.up()
@@ -221,19 +230,20 @@
 				}
 			}
 			back := b.now
-			for len(find[Tell](b)) == 0 {
+			for len(find[PublishList](b)) == 0 {
 				b.due()
 				switch {
 				case len(find[Check](b)) > 0:
 					b.step(b.s.answer(one[Check](b)))
-				case len(find[Read](b)) > 0:
-					b.step(b.s.answer(one[Read](b)))
+				case len(find[ReadPage](b)) > 0:
+					b.step(b.s.answer(one[ReadPage](b)))
 				}
-				if len(find[Watch](b)) > 0 && len(find[Tell](b)) == 0 {
-					b.step(Changes{Try: b.r.try, History: 7, Changes: b.s.log[2:]})
+				if len(find[Watch](b)) > 0 && len(find[PublishList](b)) == 0 {
+					b.step(Changes{Attempt: b.r.try, ClusterID: 7, Entries: b.s.log[2:]})
 				}
 			}
-			if got := told(one[Tell](b)); b.now-back > 2*time.Second || !slices.Equal(got, []string{"a DRAINING", "b DELETED"}) {
+			got := told(one[PublishList](b))
+			if b.now-back > 2*time.Second || !slices.Equal(got, []string{"a DRAINING", "b DELETED"}) {
 				t.Fatalf("seed %d, compacted %v: told %v after %v", seed, compacted, got, b.now-back)
 			}
 		}
@@ -245,8 +255,9 @@
 func TestCase3DrainDuringABreakByIndex(t *testing.T) {
 	for seed := range 200 {
 		for _, back := range []int64{9, 3} {
-			b := newBench(t, func(p *Plan) {
-				p.Seed, p.Endpoints, p.Page, p.Changes, p.Checks = fmt.Sprint("n", seed), 1+seed%3, 100, false, false
+			b := newBench(t, func(p *Config) {
+				p.Seed, p.Endpoints, p.PageSize = fmt.Sprint("n", seed), 1+seed%3, 100
+				p.WatchSendsChanges, p.SupportsCheck = false, false
 			})
 			for range 5 {
 				b.s.put("p/a", value(Serving, 1), false)
@@ -262,25 +273,25 @@
 			for len(find[Watch](b)) == 0 {
 				b.due()
 			}
-			if w := one[Watch](b); !w.AtOnce {
+			if w := one[Watch](b); !w.Immediate {
 				t.Fatalf("after a break %+v", w)
 			}
-			b.step(Progress{Try: b.r.try, History: 7, Revision: back})
-			for len(find[Read](b)) == 0 {
+			b.step(Progress{Attempt: b.r.try, ClusterID: 7, Revision: back})
+			for len(find[ReadPage](b)) == 0 {
 				b.due()
 			}
 			b.step(
 				Page{
-					Try:      b.r.try,
-					History:  7,
-					Revision: back,
-					Entries:  []Raw{{Key: "p/a", Value: []byte(value(Draining, 1)), Mod: back}},
+					Attempt:   b.r.try,
+					ClusterID: 7,
+					Revision:  back,
+					Entries:   []KeyValue{putEntry("p/a", Draining, 1, back)},
 				},
 			)
 			if got := told(
-				one[Tell](b),
+				one[PublishList](b),
 			); b.now-there > 2*time.Second || !slices.Equal(got, []string{"a DRAINING"}) ||
-				one[Watch](b).AtOnce {
+				one[Watch](b).Immediate {
 				t.Fatalf("seed %d: told %v after %v", seed, got, b.now-there)
 			}
 		}
@@ -301,37 +312,37 @@
 		b.s.put("p/ended", "", true)
 		b.s.put("p/new", value(Serving, 1), false)
 		b.up()
-		b.step(Changes{Try: b.r.try, History: 7, Changes: []Raw{{Key: "p/ended", Value: []byte(value(Serving, 1)), Mod: 9}}})
-		b.step(Changes{Try: b.r.try, History: 7, Changes: []Raw{{Key: "p/ended", Gone: true, Mod: 10}}})
+		b.step(Changes{Attempt: b.r.try, ClusterID: 7, Entries: []KeyValue{putEntry("p/ended", Serving, 1, 9)}})
+		b.step(Changes{Attempt: b.r.try, ClusterID: 7, Entries: []KeyValue{deletedEntry("p/ended", 10)}})
 		if b.s = old; otherID {
 			b.s.id = 8
 		}
 		b.lost()
-		if got := find[Tell](b); len(got) > 0 || b.r.live != 4 {
+		if got := find[PublishList](b); len(got) > 0 || b.r.live != 4 {
 			t.Fatalf("a break tells %+v", got)
 		}
 		b.back()
-		for len(find[Read](b)) == 0 {
-			if len(find[Tell](b)) > 0 {
+		for len(find[ReadPage](b)) == 0 {
+			if len(find[PublishList](b)) > 0 {
 				t.Error("told before the whole list of the new history was there")
 			}
 			b.due()
 		}
 		b.read()
-		if got := told(one[Tell](b)); !slices.Equal(got, []string{"new DELETED"}) {
+		if got := told(one[PublishList](b)); !slices.Equal(got, []string{"new DELETED"}) {
 			t.Errorf("the older list tells %v", got)
 		}
 		began := b.now
 		b.s.put("p/changes", value(Serving, 1), false)
-		b.step(Changes{Try: b.r.try, History: b.s.id, Changes: b.s.log[4:]})
-		if got := told(one[Tell](b)); !slices.Equal(got, []string{"changes SERVING"}) {
+		b.step(Changes{Attempt: b.r.try, ClusterID: b.s.id, Entries: b.s.log[4:]})
+		if got := told(one[PublishList](b)); !slices.Equal(got, []string{"changes SERVING"}) {
 			t.Errorf("a change in the new history tells %v", got)
 		}
-		for b.out = nil; len(find[Tell](b)) == 0 && b.now < time.Hour; {
+		for b.out = nil; len(find[PublishList](b)) == 0 && b.now < time.Hour; {
 			b.now += 100 * time.Millisecond
-			b.step(Progress{Try: b.r.try, History: b.s.id, Revision: b.s.revision})
+			b.step(Progress{Attempt: b.r.try, ClusterID: b.s.id, Revision: b.s.revision})
 		}
-		if got := told(one[Tell](b)); b.now-began < 30*time.Second || b.now-began > 31*time.Second ||
+		if got := told(one[PublishList](b)); b.now-began < 30*time.Second || b.now-began > 31*time.Second ||
 			!slices.Equal(got, []string{"drained SERVING", "ended SERVING"}) {
 			t.Errorf("after %v told %v", b.now-began, got)
 		}
@@ -348,7 +359,7 @@
 	b.up()
 	b.lost()
 	b.back()
-	if one[Watch](b).After != 2 {
+	if one[Watch](b).AfterRevision != 2 {
 		t.Errorf("the same registry is followed by %+v", b.out)
 	}
 	b.s = old
@@ -356,11 +367,11 @@
 	b.s.put("p/c", value(Serving, 1), false)
 	b.lost()
 	b.back()
-	for len(find[Read](b)) == 0 {
+	for len(find[ReadPage](b)) == 0 {
 		b.due()
 	}
 	b.read()
-	if got := told(one[Tell](b)); !slices.Equal(got, []string{"b SERVING", "c SERVING"}) {
+	if got := told(one[PublishList](b)); !slices.Equal(got, []string{"b SERVING", "c SERVING"}) {
 		t.Errorf("told %v, and the drain must stand", got)
 	}
 }
@@ -373,43 +384,43 @@
 	b.s.put("p/a", value(Draining, 1), false) // the watch says only that it went on
 	for len(find[Check](b)) == 0 {
 		b.now += 500 * time.Millisecond
-		b.step(Progress{Try: w.Try, History: 7, Revision: 2})
+		b.step(Progress{Attempt: w.Attempt, ClusterID: 7, Revision: 2})
 	}
 	if b.now > 61*time.Second {
 		t.Errorf("checked after %v", b.now)
 	}
-	b.step(Compacted{Try: w.Try, Check: true})
+	b.step(Compacted{Attempt: w.Attempt, ForCheck: true})
 	if b.r.phase != watching {
 		t.Error("a compacted audit ended the watch")
 	}
 	for len(find[Check](b)) == 0 {
 		b.now += 500 * time.Millisecond
-		b.step(Progress{Try: w.Try, History: 7, Revision: 2})
+		b.step(Progress{Attempt: w.Attempt, ClusterID: 7, Revision: 2})
 	}
 	b.step(b.s.answer(one[Check](b)))
-	for len(find[Read](b)) == 0 {
+	for len(find[ReadPage](b)) == 0 {
 		b.due()
 	}
 	b.read()
-	if got := told(one[Tell](b)); !slices.Equal(got, []string{"a DRAINING"}) {
+	if got := told(one[PublishList](b)); !slices.Equal(got, []string{"a DRAINING"}) {
 		t.Errorf("told %v", got)
 	}
 }
 
 // An index that goes back with the list unchanged is another's cleaning up: nothing is held or told.
 func TestIndexGoesBack(t *testing.T) {
-	b := newBench(t, func(p *Plan) { p.Changes, p.Checks, p.Page = false, false, 100 })
+	b := newBench(t, func(p *Config) { p.WatchSendsChanges, p.SupportsCheck, p.PageSize = false, false, 100 })
 	b.s.put("p/a", value(Serving, 1), false)
 	b.s.put("p/b", value(Serving, 1), false)
 	b.s.put("p/b", "", true)
 	b.up()
-	entries := []Raw{b.s.log[0]}
-	b.step(Progress{Try: b.r.try, Revision: 1})
-	for len(find[Read](b)) == 0 {
+	entries := []KeyValue{b.s.log[0]}
+	b.step(Progress{Attempt: b.r.try, Revision: 1})
+	for len(find[ReadPage](b)) == 0 {
 		b.due()
 	}
-	b.step(Page{Try: b.r.try, History: 7, Revision: 1, Entries: entries})
-	if notes := find[Note](b); len(find[Tell](b)) > 0 || len(notes) > 0 || one[Watch](b).After != 1 {
+	b.step(Page{Attempt: b.r.try, ClusterID: 7, Revision: 1, Entries: entries})
+	if notes := find[LogEntry](b); len(find[PublishList](b)) > 0 || len(notes) > 0 || one[Watch](b).AfterRevision != 1 {
 		t.Errorf("orders %+v", b.out)
 	}
 }
@@ -417,18 +428,19 @@
 // The list shrinks at once by more than a part: people are told, and all ends are told in their order.
 func TestCase5Shrunk(t *testing.T) {
 	for n, want := range map[int]int{4: 0, 6: 1} {
-		b := newBench(t, func(p *Plan) { p.Page = 100 })
+		b := newBench(t, func(p *Config) { p.PageSize = 100 })
 		for i := range 10 {
 			b.s.put(fmt.Sprint("p/", i), value(Serving, 1), false)
 		}
 		b.up()
-		var gone []Raw
+		var gone []KeyValue
 		for i := range n {
-			gone = append(gone, Raw{Key: fmt.Sprint("p/", i), Gone: true, Mod: 11})
+			gone = append(gone, deletedEntry(fmt.Sprint("p/", i), 11))
 		}
-		b.step(Changes{Try: b.r.try, History: 7, Changes: gone})
-		notes := find[Note](b)
-		if len(one[Tell](b).Members) != n || len(notes) != want || want > 0 && !strings.Contains(notes[0].Reason, "6 of 10") {
+		b.step(Changes{Attempt: b.r.try, ClusterID: 7, Entries: gone})
+		notes := find[LogEntry](b)
+		if len(one[PublishList](b).Members) != n || len(notes) != want ||
+			want > 0 && !strings.Contains(notes[0].Reason, "6 of 10") {
 			t.Errorf("%d of 10 gone: %+v", n, b.out)
 		}
 	}
@@ -441,7 +453,7 @@
 	benches := make([]*bench, controllers)
 	orders := map[string]int{}
 	for i := range benches {
-		benches[i] = newBench(t, func(p *Plan) { p.Seed, p.Endpoints, p.Page = fmt.Sprint("n", i), 3, 100 })
+		benches[i] = newBench(t, func(p *Config) { p.Seed, p.Endpoints, p.PageSize = fmt.Sprint("n", i), 3, 100 })
 		benches[i].s.put("p/a", value(Serving, 1), false)
 		benches[i].up()
 		orders[fmt.Sprint(benches[i].r.turn)]++
@@ -468,11 +480,11 @@
 				switch {
 				case len(find[Check](b)) > 0:
 					answer = b.s.answer(one[Check](b))
-				case len(find[Read](b)) > 0:
-					answer = b.s.answer(one[Read](b))
+				case len(find[ReadPage](b)) > 0:
+					answer = b.s.answer(one[ReadPage](b))
 					reads[(b.now-began)/(100*time.Millisecond)]++
 				}
-				if len(find[Tell](b)) > 0 {
+				if len(find[PublishList](b)) > 0 {
 					toldAt = b.now
 				}
 				if answer != nil && b.now < began+down {
@@ -533,7 +545,7 @@
 // One entry's fault costs that entry and one line; what was told of it stays.
 func TestCase7BadValues(t *testing.T) {
 	long := strings.Repeat("x", 500)
-	b := newBench(t, func(p *Plan) { p.Page = 100 })
+	b := newBench(t, func(p *Config) { p.PageSize = 100 })
 	bad := map[string]string{
 		"p/nojson":  `{"phase":`,
 		"p/list":    `[1]`,
@@ -553,74 +565,70 @@
 		b.s.put(key, text, false)
 	}
 	b.up()
-	if got := told(one[Tell](b)); !slices.Equal(got, []string{"good SERVING", "turns DRAINING"}) {
+	if got := told(one[PublishList](b)); !slices.Equal(got, []string{"good SERVING", "turns DRAINING"}) {
 		t.Errorf("told %v", got)
 	}
 	keys := map[string]bool{}
-	for _, n := range find[Note](b) {
+	for _, n := range find[LogEntry](b) {
 		if keys[n.Key] = true; n.Reason == "" || bad[n.Key] == "" {
 			t.Errorf("note %+v", n)
 		}
 	}
-	if len(keys) != len(bad) || len(find[Note](b)) != len(bad) {
-		t.Errorf("%d lines about %d of %d bad entries", len(find[Note](b)), len(keys), len(bad))
+	if len(keys) != len(bad) || len(find[LogEntry](b)) != len(bad) {
+		t.Errorf("%d lines about %d of %d bad entries", len(find[LogEntry](b)), len(keys), len(bad))
 	}
 	// A value that turns bad leaves the backend as it was told; a key outside the prefix costs a line.
 	w := b.r.try
 	b.step(
-		Changes{Try: w, History: 7, Changes: []Raw{
-			{Key: "p/turns", Value: []byte("{"), Mod: 50},
-			{Key: "q/x", Value: []byte("{}"), Mod: 51},
-			{
-				Key:   "p/good",
-				Value: []byte(value(Draining, 2)),
-				Mod:   52,
-			},
-			{Key: "p/good", Value: []byte(value(Serving, 2)), Mod: 53},
-			{Key: "p/good", Value: []byte(value(Draining, 2)), Mod: 54},
+		Changes{Attempt: w, ClusterID: 7, Entries: []KeyValue{
+			{Key: "p/turns", Value: []byte("{"), ModRevision: 50},
+			{Key: "q/x", Value: []byte("{}"), ModRevision: 51},
+			putEntry("p/good", Draining, 2, 52),
+			putEntry("p/good", Serving, 2, 53),
+			putEntry("p/good", Draining, 2, 54),
 		}},
 	)
 	if got := told(
-		one[Tell](b),
+		one[PublishList](b),
 	); !slices.Equal(got, []string{"good DRAINING", "good SERVING", "good DRAINING"}) ||
-		len(find[Note](b)) != 2 {
+		len(find[LogEntry](b)) != 2 {
 		t.Errorf("told %v, %+v", got, b.out)
 	}
-	b.step(Changes{Try: w, History: 7, Changes: []Raw{{Key: "p/turns", Value: []byte(value(Serving, 1)), Mod: 60}}})
-	if got := told(one[Tell](b)); !slices.Equal(got, []string{"turns SERVING"}) {
+	b.step(Changes{Attempt: w, ClusterID: 7, Entries: []KeyValue{putEntry("p/turns", Serving, 1, 60)}})
+	if got := told(one[PublishList](b)); !slices.Equal(got, []string{"turns SERVING"}) {
 		t.Errorf("told %v", got)
 	}
 	// However many are bad, the lines are bounded.
-	var many []Raw
+	var many []KeyValue
 	for i := range 1000 {
-		many = append(many, Raw{Key: fmt.Sprint("p/m", i), Value: []byte("-"), Mod: 61})
+		many = append(many, KeyValue{Key: fmt.Sprint("p/m", i), Value: []byte("-"), ModRevision: 61})
 	}
-	b.step(Changes{Try: w, History: 7, Changes: many})
-	if notes := find[Note](b); len(notes) != mostNotes+1 || notes[mostNotes].Count != 980 {
+	b.step(Changes{Attempt: w, ClusterID: 7, Entries: many})
+	if notes := find[LogEntry](b); len(notes) != mostNotes+1 || notes[mostNotes].Count != 980 {
 		t.Errorf("%d lines", len(notes))
 	}
 }
 
 // A refusal is told once with its kind, and tried again with pauses that grow to their limit; the list stays.
 func TestCase8Refused(t *testing.T) {
-	b := newBench(t, func(p *Plan) { p.Endpoints = 2 })
+	b := newBench(t, func(p *Config) { p.Endpoints = 2 })
 	b.s.put("p/a", value(Serving, 1), false)
 	b.up()
 	notes, pauses := []string{}, []Time{}
-	refuse := func(why Why) {
-		b.step(Broken{Try: b.r.try, Why: why, Err: errors.New("no")})
-		for _, n := range find[Note](b) {
+	refuse := func(why FailureReason) {
+		b.step(AttemptFailed{Attempt: b.r.try, Reason: why, Err: errors.New("no")})
+		for _, n := range find[LogEntry](b) {
 			notes = append(notes, n.Reason)
 		}
-		pauses = append(pauses, b.r.Next()-b.now)
+		pauses = append(pauses, b.r.NextDeadline()-b.now)
 		for len(find[Check](b)) == 0 {
 			b.due()
 		}
 	}
 	for range 14 {
-		refuse(Password)
+		refuse(BadCredentials)
 	}
-	refuse(Certificate)
+	refuse(CertificateRejected)
 	if !slices.Equal(notes, []string{"password: no", "certificate: no"}) {
 		t.Errorf("lines %v", notes)
 	}
@@ -632,40 +640,40 @@
 		t.Error("the list did not stay")
 	}
 	b.step(b.s.answer(one[Check](b)))
-	if n := one[Note](b); n.Warn || n.Text != "registry answers again" {
+	if n := one[LogEntry](b); n.Warn || n.Text != "registry answers again" {
 		t.Errorf("note %+v", n)
 	}
 }
 
 // Pages that do not fit are asked for smaller, to one entry; answers that make no list break the try.
 func TestPages(t *testing.T) {
-	b := newBench(t, func(p *Plan) { p.Page, p.MostKeys = 4, 3 })
+	b := newBench(t, func(p *Config) { p.PageSize, p.MaxKeys = 4, 3 })
 	b.due()
 	limits := []int{}
 	for range 3 {
-		limits = append(limits, one[Read](b).Limit)
-		b.step(TooLarge{Try: b.r.try})
-		for len(find[Read](b)) == 0 && b.r.phase == resting {
+		limits = append(limits, one[ReadPage](b).Limit)
+		b.step(PageTooLarge{Attempt: b.r.try})
+		for len(find[ReadPage](b)) == 0 && b.r.phase == resting {
 			b.due()
 		}
 	}
-	if !slices.Equal(limits, []int{4, 2, 1}) || len(find[Leave](b)) > 0 {
+	if !slices.Equal(limits, []int{4, 2, 1}) || len(find[Cancel](b)) > 0 {
 		t.Errorf("pages of %v", limits)
 	}
 	for _, p := range [][]Page{
-		{{Revision: 5, Entries: []Raw{{Key: "p/a", Mod: 1}}, More: true}, {Revision: 6}},
-		{{Revision: 5, Entries: []Raw{{Key: "p/a", Mod: 1}}, More: true}, {Revision: 5, History: 3}},
+		{{Revision: 5, Entries: []KeyValue{{Key: "p/a", ModRevision: 1}}, More: true}, {Revision: 6}},
+		{{Revision: 5, Entries: []KeyValue{{Key: "p/a", ModRevision: 1}}, More: true}, {Revision: 5, ClusterID: 3}},
 		{{Revision: 5, More: true}},
-		{{Revision: 5, Entries: make([]Raw, 4)}},
+		{{Revision: 5, Entries: make([]KeyValue, 4)}},
 	} {
-		for len(find[Read](b)) == 0 {
+		for len(find[ReadPage](b)) == 0 {
 			b.due()
 		}
 		for _, page := range p {
-			page.Try = b.r.try
+			page.Attempt = b.r.try
 			b.step(page)
 		}
-		if len(find[Leave](b)) != 1 || b.r.have {
+		if len(find[Cancel](b)) != 1 || b.r.have {
 			t.Errorf("pages %+v gave %+v", p, b.out)
 		}
 	}
@@ -673,14 +681,14 @@
 
 // Ends are given back: by age, and the oldest where there are too many.
 func TestEndsAreGivenBack(t *testing.T) {
-	b := newBench(t, func(p *Plan) { p.MostEnds, p.KeepEnds, p.Audit = 100, time.Minute, 0 })
+	b := newBench(t, func(p *Config) { p.MaxTombstones, p.TombstoneRetention, p.AuditInterval = 100, time.Minute, 0 })
 	b.up()
 	for i := range 5000 {
 		key := fmt.Sprint("p/", i)
 		b.now += 10 * time.Millisecond
 		b.step(
-			Changes{Try: b.r.try, History: 7, Changes: []Raw{{Key: key, Value: []byte(value(Serving, 1)), Mod: int64(2*i + 1)},
-				{Key: key, Gone: true, Mod: int64(2*i + 2)}}},
+			Changes{Attempt: b.r.try, ClusterID: 7, Entries: []KeyValue{putEntry(key, Serving, 1, int64(2*i+1)),
+				deletedEntry(key, int64(2*i+2))}},
 		)
 		if n := len(b.r.entries); n > 101 {
 			t.Fatalf("%d entries are kept after %d ends", n, i)
@@ -688,7 +696,7 @@
 	}
 	for range 200 {
 		b.now += 500 * time.Millisecond
-		b.step(Progress{Try: b.r.try, History: 7, Revision: 10000})
+		b.step(Progress{Attempt: b.r.try, ClusterID: 7, Revision: 10000})
 	}
 	if n := len(b.r.entries); n != 0 {
 		t.Errorf("%d entries are kept after a minute", n)
@@ -698,7 +706,7 @@
 // The same seed and the same events give the same orders.
 func TestReplay(t *testing.T) {
 	play := func() (all []Order) {
-		b := newBench(t, func(p *Plan) { p.Endpoints = 4 })
+		b := newBench(t, func(p *Config) { p.Endpoints = 4 })
 		b.s.put("p/a", value(Serving, 1), false)
 		b.up()
 		for range 30 {
--- a/internal/controller/server/stream.go
+++ b/internal/controller/server/stream.go
@@ -206,24 +206,24 @@
 	subject string
 }
 
-// Since tells connections apart by the order in which they were taken.
-func (c *Conn) Since() uint64 { return c.openedAt }
+// Sequence tells connections apart by the order in which they were taken.
+func (c *Conn) Sequence() uint64 { return c.openedAt }
 
-// Known says whose it is.
-func (c *Conn) Known(subject string) {
+// SetPeer says whose it is.
+func (c *Conn) SetPeer(subject string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.subject = subject
 }
 
-// Refused ends a connection that is nobody's.
-func (c *Conn) Refused() { c.end(Refused) }
+// CloseRefused ends a connection that is nobody's.
+func (c *Conn) CloseRefused() { c.end(Refused) }
 
-// Replaced ends a stream that another one of the same proxy follows.
-func (c *Conn) Replaced() { c.end(Replaced) }
+// CloseReplaced ends a stream that another one of the same proxy follows.
+func (c *Conn) CloseReplaced() { c.end(Replaced) }
 
-// Fault keeps what was wrong with a message; the line about the connection's end shows the first.
-func (c *Conn) Fault(err error) {
+// RecordFault keeps what was wrong with a message; the line about the connection's end shows the first.
+func (c *Conn) RecordFault(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.faults++; c.fault == nil {
@@ -414,7 +414,7 @@
 	c.messages++
 	said, err := textproto.Parse(line)
 	if err != nil {
-		c.Fault(err)
+		c.RecordFault(err)
 	}
 	opened := c.opened.Load()
 	switch said.(type) {
--- a/internal/controller/server/stream_test.go
+++ b/internal/controller/server/stream_test.go
@@ -149,11 +149,11 @@
 		}},
 		{Replaced, func(h *hall) {
 			h.dial(t, joins)
-			(<-h.heard).from.Replaced()
+			(<-h.heard).from.CloseReplaced()
 		}},
 		{Refused, func(h *hall) {
 			h.dial(t, joins)
-			(<-h.heard).from.Refused()
+			(<-h.heard).from.CloseRefused()
 		}},
 		{Unread, func(h *hall) {
 			h.dial(t, joins)
--- a/internal/controller/sources.go
+++ b/internal/controller/sources.go
@@ -109,7 +109,7 @@
 func (s *sources) tell(from *slot, said any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l, ok := said.(reconcile.List); ok && l.Whole && from == s.next {
+	if l, ok := said.(reconcile.List); ok && l.Complete && from == s.next {
 		old := s.now.Swap(from)
 		s.next = nil
 		go old.Stop() // it may wait for this very call
--- a/internal/emulator/emu.go
+++ b/internal/emulator/emu.go
@@ -245,11 +245,11 @@
 	return s
 }
 
-func (s *stream) Since() uint64 { return s.openedAt }
-func (s *stream) Known(string)  {}
-func (s *stream) Fault(error)   {}
-func (s *stream) Replaced()     { s.over = true }
-func (s *stream) Refused()      { s.over = true }
+func (s *stream) Sequence() uint64  { return s.openedAt }
+func (s *stream) SetPeer(string)    {}
+func (s *stream) RecordFault(error) {}
+func (s *stream) CloseReplaced()    { s.over = true }
+func (s *stream) CloseRefused()     { s.over = true }
 
 // Send is an order on its way: a few ms later the proxy has it, if the stream is still there.
 func (s *stream) Send(message []byte) {
@@ -495,7 +495,7 @@
 		dep.Products = append(dep.Products, policy.Product{Revenue: 1, SLA: p.SLA, OwnZone: p.OwnZone})
 	}
 	c.loop = eventloop.New(dep, names, nobody{}, logrus.NewEntry(log))
-	c.loop.SetKnownList(w.list())
+	c.loop.SetCachedList(w.list())
 	if w.Recall != 0 {
 		c.remember()
 	}
@@ -534,7 +534,7 @@
 func (nobody) Reload()     {}
 
 func (w *World) list() reconcile.List {
-	l := reconcile.List{Revision: w.revision, Whole: true}
+	l := reconcile.List{Revision: w.revision, Complete: true}
 	for _, b := range w.backends {
 		if b.listed != reconcile.Deleted {
 			l.Members = append(l.Members, b.member())
@@ -549,7 +549,7 @@
 		Zone:    b.w.zone(b.spec.Zone),
 		Kind:    "m",
 		Phase:   b.listed,
-		Size:    cmp.Or(b.spec.Size, float64(b.spec.Cores)*b.spec.Speed),
+		Weight:  cmp.Or(b.spec.Size, float64(b.spec.Cores)*b.spec.Speed),
 		UpSince: float64(b.up) / float64(ms),
 	}
 }
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -99,7 +99,7 @@
 				w.AnnounceList()
 				b := w.byID["s-01"]
 				w.Say(reconcile.List{Revision: w.revision, Members: []reconcile.Member{b.member()}}) // once more
-				w.Say(reconcile.Failed{})
+				w.Say(reconcile.SourceFailed{})
 			})
 		}
 		w.Run(30 * second)
--- a/internal/emulator/told.go
+++ b/internal/emulator/told.go
@@ -150,7 +150,7 @@
 	}
 	said := eventloop.RemoteSums{Age: Time(total.Age * time.Duration(second) / time.Second)}
 	for _, u := range total.Usage {
-		said.Uses = append(said.Uses, eventloop.ZoneUse(u))
+		said.Usage = append(said.Usage, eventloop.ZoneUsage(u))
 	}
 	for _, x := range total.Reports {
 		h := textproto.BackendReport{Backend: x.Backend, Attempts: x.Attempts, Failed: x.Failed}
