--- a/internal/bench/gateway/bench_test.go
+++ b/internal/bench/gateway/bench_test.go
@@ -22,7 +22,7 @@
 	for i := range n {
 		all = append(all, rpc.Endpoint{ID: fmt.Sprintf("i-%08x", i), Service: gateway.ServiceName(i % services),
 			Address: fmt.Sprintf("10.%d.%d.%d:8080", i/services%10, i/250, i%250+1), Zone: fmt.Sprintf("zone-%d", i/services%10),
-			Capacity: 4, Seq: uint64(i), Generation: "v1", Live: true})
+			Capacity: 4, Seq: uint64(i), Generation: "v1", DirectHeartbeats: true})
 	}
 	return all
 }
--- a/internal/compat/answers_test.go
+++ b/internal/compat/answers_test.go
@@ -211,7 +211,7 @@
 		{"version", "--help"},
 	} {
 		var text bytes.Buffer
-		code := cli.Program{Name: "program", About: "about", Out: &text, Err: &text}.Main(args)
+		code := cli.Program{Name: "program", Description: "about", Out: &text, Err: &text}.Main(args)
 		fmt.Fprintf(&out, "%s: %d\n", strings.Join(args, " "), code)
 		for _, name := range names.FindAllString(text.String(), -1) {
 			fmt.Fprintf(&out, "  %s\n", strings.TrimSpace(name))
--- a/internal/compat/messages_test.go
+++ b/internal/compat/messages_test.go
@@ -85,16 +85,16 @@
 		{"backends", func(m *rpc.Message) {
 			m.Endpoints = []rpc.Endpoint{
 				{
-					ID:              "b-1",
-					Service:         "alpha",
-					Address:         "10.0.1.1:8080",
-					Zone:            "north",
-					Capacity:        16,
-					Seq:             17,
-					State:           rpc.Draining,
-					WarmupRemaining: 18,
-					Live:            true,
-					Generation:      "g-2",
+					ID:               "b-1",
+					Service:          "alpha",
+					Address:          "10.0.1.1:8080",
+					Zone:             "north",
+					Capacity:         16,
+					Seq:              17,
+					State:            rpc.Draining,
+					WarmupRemaining:  18,
+					DirectHeartbeats: true,
+					Generation:       "g-2",
 				},
 				{ID: "b-2", State: rpc.Gone},
 				{ID: "b-3", State: rpc.Ready},
@@ -114,7 +114,7 @@
 		{"steer", func(m *rpc.Message) { m.WantTables = true }},
 		{"tables", func(m *rpc.Message) {
 			m.RoutingTables = []rpc.RoutingTable{
-				{Service: "alpha", Full: true, Weights: map[string]float64{"b-1": 0.75}, Limited: true, RateLimit: 26.5},
+				{Service: "alpha", Full: true, Weights: map[string]float64{"b-1": 0.75}, HasRateLimit: true, RateLimit: 26.5},
 			}
 		}},
 		{"came", func(m *rpc.Message) { m.ProxiesAdded = []rpc.ProxyInfo{{Name: "edge-1", Zone: "south"}} }},
--- a/internal/controller/pluginhost/plugin.go
+++ b/internal/controller/pluginhost/plugin.go
@@ -18,7 +18,7 @@
 	"github.com/tetratelabs/wazero/imports/wasi_snapshot_preview1"
 	"github.com/tetratelabs/wazero/sys"
 
-	"elmfold/pluginsdk/moment"
+	"elmfold/pluginsdk/pluginapi"
 )
 
 // What a module exports.
@@ -28,18 +28,18 @@
 	wasiName    = "wasi_snapshot_preview1"
 )
 
-// What goes in and out, from package moment, which plug-ins build with too.
+// What goes in and out, from package pluginapi, which plug-ins build with too.
 type (
 	// Moment is what a plug-in is given.
-	Moment = moment.Moment
+	Moment = pluginapi.Snapshot
 	// Backend is a backend of a Moment.
-	Backend = moment.Backend
+	Backend = pluginapi.Backend
 	// Tenant is a tenant of a Moment.
-	Tenant = moment.Tenant
+	Tenant = pluginapi.Tenant
 	// Proposal is one change that a plug-in proposes.
-	Proposal = moment.Proposal
+	Proposal = pluginapi.Proposal
 	// Answer is all that a plug-in proposes.
-	Answer = moment.Answer
+	Answer = pluginapi.Response
 )
 
 // Limits bound a plug-in.
@@ -154,7 +154,7 @@
 }
 
 func (p *Plugin) propose(m Moment) (a Answer, err error) {
-	m.Version = moment.Version
+	m.Version = pluginapi.Version
 	text, err := cbor.Marshal(m)
 	if err != nil {
 		return a, err
--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -30,10 +30,10 @@
 // trackCall counts a call as in progress until the returned function is called, and detects a client disconnect.
 func (m *serverMetrics) trackCall(r *http.Request) (stop func()) {
 	m.callsInProgress.Add(1)
-	stopWatching := context.AfterFunc(r.Context(), m.callDisconnects.Add)
+	stopWatching := context.AfterFunc(r.Context(), m.callDisconnects.Inc)
 	return func() {
 		if stopWatching() && r.Context().Err() != nil { // the call ended before the watching function could run
-			m.callDisconnects.Add()
+			m.callDisconnects.Inc()
 		}
 		m.callsInProgress.Add(-1)
 	}
--- a/internal/controlplane/operatorcalls.go
+++ b/internal/controlplane/operatorcalls.go
@@ -74,7 +74,8 @@
 	})
 	if err == nil && !consensus.HasAppliedEvacuation(committed.Value, orderID) {
 		// Calls do not identify the operator, so an equal order of another operator looks like a retry.
-		s.log.Warn("evacuation order treated as a retry of the previous one", logfield.Zone, zone, logfield.Begin, begin)
+		s.log.Warn("evacuation order treated as a retry of the previous one", logfield.Zone, zone,
+			logfield.EvacuationBegin, begin)
 	}
 	return emptyBody(), err
 }
--- a/internal/controlplane/registry/endpoints.go
+++ b/internal/controlplane/registry/endpoints.go
@@ -22,7 +22,7 @@
 
 // Entry is the state of one endpoint.
 type Entry struct {
-	rpc.Endpoint                 // as last reported, except Live and WarmupRemaining, which are zero here
+	rpc.Endpoint                 // as last reported, except DirectHeartbeats and WarmupRemaining, which are zero here
 	LastHeartbeat  time.Duration // when this node received the last heartbeat; negative if it never received one
 	WarmupEnd      time.Duration // when the slow start of the endpoint ends
 	stateChangedAt time.Duration // when State last advanced
@@ -104,7 +104,7 @@
 		WarmupEnd:     now + warmupRemaining(reported),
 		updatedAt:     now,
 	}
-	e.Live, e.WarmupRemaining = false, 0
+	e.DirectHeartbeats, e.WarmupRemaining = false, 0
 	if e.State == rpc.Gone {
 		e.stateChangedAt = now
 	}
@@ -139,7 +139,7 @@
 	}
 	state := e.State
 	e.Endpoint = reported
-	e.State, e.Live, e.WarmupRemaining = state, false, 0
+	e.State, e.DirectHeartbeats, e.WarmupRemaining = state, false, 0
 	return changed
 }
 
@@ -168,7 +168,7 @@
 // snapshot returns the entry in the form that is sent to proxies and nodes.
 func (e *Entry) snapshot(now time.Duration, live bool) rpc.Endpoint {
 	endpoint := e.Endpoint
-	endpoint.Live = live
+	endpoint.DirectHeartbeats = live
 	endpoint.WarmupRemaining = int(max(e.WarmupEnd-now, 0) / time.Millisecond)
 	return endpoint
 }
--- a/internal/controlplane/registry/registry_test.go
+++ b/internal/controlplane/registry/registry_test.go
@@ -36,7 +36,7 @@
 		fmt.Fprintf(&transcript, "%4v %s\n", now, step)
 		for _, e := range changes {
 			fmt.Fprintf(&transcript, "       %s at %s: %s, seq %d, vouched %v, cold for %d ms\n", e.ID, e.Address,
-				states[e.State], e.Seq, e.Live, e.WarmupRemaining)
+				states[e.State], e.Seq, e.DirectHeartbeats, e.WarmupRemaining)
 		}
 	}
 	heartbeat := func(now time.Duration, step string, report rpc.Endpoint) {
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -233,7 +233,7 @@
 	case <-s.queue.Stopped():
 	case <-s.options.Clock.After(timeout):
 		s.queue.Do(func() {
-			s.log.Warn("handover incomplete", logfield.Open, strings.Join(s.replica.NotHandedOver(), ", "))
+			s.log.Warn("handover incomplete", logfield.NotHandedOver, strings.Join(s.replica.NotHandedOver(), ", "))
 		})
 	}
 }
--- a/internal/controlplane/steering/adapter_test.go
+++ b/internal/controlplane/steering/adapter_test.go
@@ -96,7 +96,7 @@
 				r.weights[c][id] = t.Weights[id]
 				fmt.Fprintf(&r.transcript, " %s=%.2g", id, t.Weights[id])
 			}
-			if t.Limited {
+			if t.HasRateLimit {
 				r.rateLimits[c] = t.RateLimit
 				fmt.Fprintf(&r.transcript, " level %.3g", t.RateLimit)
 			}
--- a/internal/controlplane/steering/tables.go
+++ b/internal/controlplane/steering/tables.go
@@ -132,10 +132,10 @@
 	}
 	state := &s.proxies[t.proxy]
 	if t.full || t.rateLimit != state.rateLimit { // a new proxy may still have another node's limit
-		table.Limited, table.RateLimit = true, t.rateLimit
+		table.HasRateLimit, table.RateLimit = true, t.rateLimit
 		state.rateLimit = t.rateLimit
 	}
-	return table, t.full || table.Limited || len(table.Weights) > 0
+	return table, t.full || table.HasRateLimit || len(table.Weights) > 0
 }
 
 // encodeAll adds all endpoints with a weight, and those of the proxy's own zone without one: proxies route to endpoints
--- a/internal/controlplane/steering/tables_test.go
+++ b/internal/controlplane/steering/tables_test.go
@@ -89,7 +89,7 @@
 		for _, name := range slices.Sorted(maps.Keys(out)) {
 			for _, t := range out[name] {
 				tables++
-				fmt.Fprintf(sum, "%v %s %s %v %v %v", now, name, t.Service, t.Full, t.Limited, t.RateLimit)
+				fmt.Fprintf(sum, "%v %s %s %v %v %v", now, name, t.Service, t.Full, t.HasRateLimit, t.RateLimit)
 				for _, id := range slices.Sorted(maps.Keys(t.Weights)) {
 					fmt.Fprintf(sum, " %s=%v", id, t.Weights[id])
 				}
--- a/internal/emulator/proxies/ways.go
+++ b/internal/emulator/proxies/ways.go
@@ -123,7 +123,7 @@
 				if t.Full || t.Weights != nil {
 					s.balancers[i].SetWeights(t.Service, t.Full, t.Weights)
 				}
-				if t.Limited {
+				if t.HasRateLimit {
 					s.balancers[i].SetRateLimit(t.Service, t.RateLimit, w.now)
 				}
 			}
--- a/internal/fakes/gateway/deployment.go
+++ b/internal/fakes/gateway/deployment.go
@@ -138,7 +138,7 @@
 	for _, z := range d.Plan.Zones {
 		s.Zones[z] = "lab"
 	}
-	s.PortRange, s.Bootstrap, s.Counted = [2]int{firstPort, lastPort}, true, p.role == roleControlPlane
+	s.PortRange, s.Bootstrap, s.InFaultBudget = [2]int{firstPort, lastPort}, true, p.role == roleControlPlane
 	for _, c := range d.Controllers[:min(3, len(d.Controllers))] {
 		s.Seeds = append(s.Seeds, c.Control())
 	}
--- a/internal/gateway/bootconfig/bootconfig.go
+++ b/internal/gateway/bootconfig/bootconfig.go
@@ -37,10 +37,10 @@
 	Zones  map[string]string `json:"zones"`  // the region of each zone
 	Listen map[string]string `json:"listen"` // "ip:port" by purpose, see ListenClients
 	// first and last port that is free for the system; the same on all machines
-	PortRange [2]int   `json:"portRange"`
-	Seeds     []string `json:"seedNodes"` // control addresses of the nodes that found the control plane
-	Bootstrap bool     `json:"bootstrap"` // this is the first start of the whole system
-	Counted   bool     `json:"counted"`   // the machine counts towards FaultBudget.Machines
+	PortRange     [2]int   `json:"portRange"`
+	Seeds         []string `json:"seedNodes"` // control addresses of the nodes that found the control plane
+	Bootstrap     bool     `json:"bootstrap"` // this is the first start of the whole system
+	InFaultBudget bool     `json:"counted"`   // the machine counts towards FaultBudget.Machines
 
 	Limits            Limits      `json:"limits"`
 	DataDir           string      `json:"dataDir"` // the folder on this machine's disk
--- a/internal/gateway/cli/cli.go
+++ b/internal/gateway/cli/cli.go
@@ -34,10 +34,10 @@
 
 // Program is what the command line of a program needs to know of it.
 type Program struct {
-	Name     string
-	About    string    // one sentence
-	Out, Err io.Writer // what was asked for; what went wrong
-	Run      RunFunc
+	Name        string
+	Description string    // one sentence
+	Out, Err    io.Writer // what was asked for; what went wrong
+	Run         RunFunc
 }
 
 // Main reads the command line and carries it out; without a command the program runs, on the settings that the
@@ -78,7 +78,7 @@
 
 func (p Program) newParser(options *Options, start *runCommand) *flags.Parser {
 	parser := flags.NewNamedParser(p.Name, flags.HelpFlag|flags.PassDoubleDash)
-	parser.ShortDescription, parser.LongDescription = p.About, p.About
+	parser.ShortDescription, parser.LongDescription = p.Description, p.Description
 	parser.SubcommandsOptional = true
 	must(parser.AddGroup("Options", "", options))
 	must(parser.AddCommand("run", "serve (as without a command)",
--- a/internal/gateway/cli/cli_test.go
+++ b/internal/gateway/cli/cli_test.go
@@ -72,7 +72,7 @@
 			}
 			return nil
 		}
-		program := cli.Program{Name: "elmfold-controlplane", About: "The controller.", Out: &said, Err: &errs, Run: run}
+		program := cli.Program{Name: "elmfold-controlplane", Description: "The controller.", Out: &said, Err: &errs, Run: run}
 		code := program.Main(args)
 		line := append([]string{"$", bootconfig.EnvVar + "=" + environment, "elmfold-controlplane"}, args...)
 		fmt.Fprintln(&out, strings.Join(line, " "))
--- a/internal/gateway/metrics/metrics.go
+++ b/internal/gateway/metrics/metrics.go
@@ -19,8 +19,8 @@
 // Counter is a number of events since the process began. It is safe for concurrent use.
 type Counter struct{ value atomic.Uint64 }
 
-// Add counts one event.
-func (c *Counter) Add() { c.value.Add(1) }
+// Inc counts one event.
+func (c *Counter) Inc() { c.value.Add(1) }
 
 // Value is the number of events so far.
 func (c *Counter) Value() uint64 { return c.value.Load() }
--- a/internal/gateway/metrics/metrics_test.go
+++ b/internal/gateway/metrics/metrics_test.go
@@ -9,8 +9,8 @@
 	var r Registry
 	events := r.NewCounter("b_events_total", "Events.")
 	r.NewGauge("a_open", "What is open.", func() int64 { return 7 })
-	events.Add()
-	events.Add()
+	events.Inc()
+	events.Inc()
 	w := httptest.NewRecorder()
 	r.ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	want := "# HELP a_open What is open.\n# TYPE a_open gauge\na_open 7\n" +
--- a/internal/gateway/rpc/dataplane.go
+++ b/internal/gateway/rpc/dataplane.go
@@ -2,16 +2,16 @@
 
 // Endpoint is what a control-plane node reports of an endpoint.
 type Endpoint struct {
-	ID              string        `cbor:"1,keyasint"` // drawn by the endpoint for each start of its process
-	Service         string        `cbor:"2,keyasint,omitempty"`
-	Address         string        `cbor:"3,keyasint,omitempty"` // "ip:port"
-	Zone            string        `cbor:"4,keyasint,omitempty"`
-	Capacity        int           `cbor:"5,keyasint,omitempty"` // requests at once
-	Seq             uint64        `cbor:"6,keyasint,omitempty"` // of the newest heartbeat that this comes from
-	State           EndpointState `cbor:"7,keyasint,omitempty"`
-	WarmupRemaining int           `cbor:"8,keyasint,omitempty"`  // ms until its slow start ends
-	Live            bool          `cbor:"9,keyasint,omitempty"`  // the sender receives its heartbeats itself
-	Generation      string        `cbor:"10,keyasint,omitempty"` // of its software
+	ID               string        `cbor:"1,keyasint"` // drawn by the endpoint for each start of its process
+	Service          string        `cbor:"2,keyasint,omitempty"`
+	Address          string        `cbor:"3,keyasint,omitempty"` // "ip:port"
+	Zone             string        `cbor:"4,keyasint,omitempty"`
+	Capacity         int           `cbor:"5,keyasint,omitempty"` // requests at once
+	Seq              uint64        `cbor:"6,keyasint,omitempty"` // of the newest heartbeat that this comes from
+	State            EndpointState `cbor:"7,keyasint,omitempty"`
+	WarmupRemaining  int           `cbor:"8,keyasint,omitempty"`  // ms until its slow start ends
+	DirectHeartbeats bool          `cbor:"9,keyasint,omitempty"`  // the sender receives its heartbeats itself
+	Generation       string        `cbor:"10,keyasint,omitempty"` // of its software
 }
 
 // EndpointState is the state of an endpoint. One ID passes through the states in their order and never back.
@@ -48,9 +48,9 @@
 
 // RoutingTable is what a proxy is to apply for a service.
 type RoutingTable struct {
-	Service   string             `cbor:"1,keyasint"`
-	Full      bool               `cbor:"2,keyasint,omitempty"` // Weights are all; otherwise those that changed
-	Weights   map[string]float64 `cbor:"3,keyasint,omitempty"` // by endpoint ID
-	Limited   bool               `cbor:"4,keyasint,omitempty"` // RateLimit is set; otherwise it stays as it was
-	RateLimit float64            `cbor:"5,keyasint,omitempty"` // requests/s of this proxy; 0: unlimited
+	Service      string             `cbor:"1,keyasint"`
+	Full         bool               `cbor:"2,keyasint,omitempty"` // Weights are all; otherwise those that changed
+	Weights      map[string]float64 `cbor:"3,keyasint,omitempty"` // by endpoint ID
+	HasRateLimit bool               `cbor:"4,keyasint,omitempty"` // RateLimit is set; otherwise it stays as it was
+	RateLimit    float64            `cbor:"5,keyasint,omitempty"` // requests/s of this proxy; 0: unlimited
 }
--- a/internal/proxy/disconnect.go
+++ b/internal/proxy/disconnect.go
@@ -39,14 +39,14 @@
 	f.done.Store(true)
 	isUnreported := f.conn != nil && f.conn.inFlight.CompareAndSwap(f, nil) || f.stopWatch != nil && f.stopWatch()
 	if isUnreported && f.hasDisconnected() { // the canceled attempt ended the request before the watch ran
-		p.metrics.clientDisconnects.Add()
+		p.metrics.clientDisconnects.Inc()
 	}
 }
 
 // onClientDisconnect is called once per request whose client has disconnected.
 func (p *Proxy) onClientDisconnect(f *forwardedRequest) {
 	f.disconnectedAt.Store(int64(p.now()))
-	p.metrics.clientDisconnects.Add()
+	p.metrics.clientDisconnects.Inc()
 	if f.route.Idempotent {
 		p.checkDisconnected(f, disconnectChecks)
 	}
@@ -59,7 +59,7 @@
 	case remaining > 0:
 		p.options.Clock.AfterFunc(disconnectCheckInterval, func() { p.checkDisconnected(f, remaining-1) })
 	default:
-		p.metrics.overdueRequests.Add()
+		p.metrics.overdueRequests.Inc()
 		p.log.Error("request still forwarded after its client disconnected", logfield.Service, f.service, logfield.Duration,
 			p.options.Clock.Now().Sub(f.arrivedAt))
 	}
@@ -78,7 +78,7 @@
 		return true
 	}
 	if isLate { // the disconnect was recorded, but the context is not canceled
-		p.metrics.lateAttempts.Add()
+		p.metrics.lateAttempts.Inc()
 	}
 	return false
 }
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -42,7 +42,7 @@
 	if e.State == rpc.Gone && e.goneAt == 0 {
 		e.goneAt = now
 	}
-	if reported.Live && e.State != rpc.Gone {
+	if reported.DirectHeartbeats && e.State != rpc.Gone {
 		e.liveAt[from] = true
 	} else {
 		p.setNotLive(now, e, from)
--- a/internal/proxy/leases.go
+++ b/internal/proxy/leases.go
@@ -137,7 +137,7 @@
 			if t.Full || t.Weights != nil {
 				b.SetWeights(t.Service, t.Full, t.Weights)
 			}
-			if t.Limited {
+			if t.HasRateLimit {
 				b.SetRateLimit(t.Service, t.RateLimit, now)
 			}
 		}
--- a/internal/proxy/main.go
+++ b/internal/proxy/main.go
@@ -28,7 +28,7 @@
 
 // Main runs the program and returns its exit code.
 func Main(args []string, out, errs io.Writer) int {
-	return cli.Program{Name: programName, About: about, Out: out, Err: errs, Run: run}.Main(args)
+	return cli.Program{Name: programName, Description: about, Out: out, Err: errs, Run: run}.Main(args)
 }
 
 // run serves until a signal stops the program.
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -45,7 +45,7 @@
 // countAttempt counts an attempt by the kind of its result.
 func (m *proxyMetrics) countAttempt(kind apierror.Kind) {
 	if kind == apierror.ClientDisconnected || kind == apierror.AttemptCancelled {
-		m.attemptsCancelled.Add()
+		m.attemptsCancelled.Inc()
 	}
 }
 
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -344,7 +344,7 @@
 func (s *scenario) addEndpoint(service, zone string, do respondFunc) rpc.Endpoint {
 	s.endpointCount++
 	endpoint := rpc.Endpoint{ID: service + "-" + zone, Service: service, Zone: strings.TrimRight(zone, "12"),
-		Capacity: 4, Seq: 1, Address: fmt.Sprintf("10.0.1.%d:8080", s.endpointCount), Live: true}
+		Capacity: 4, Seq: 1, Address: fmt.Sprintf("10.0.1.%d:8080", s.endpointCount), DirectHeartbeats: true}
 	if do != nil {
 		l, err := s.host(fmt.Sprintf("10.0.1.%d", s.endpointCount)).Listen(endpoint.Address)
 		if err != nil {
@@ -830,7 +830,7 @@
 		for range 3 {
 			s.request("GET /beta/ HTTP/1.1")
 		}
-		node.send(&rpc.Message{RoutingTables: []rpc.RoutingTable{{Service: "beta", Limited: true, RateLimit: 2}}})
+		node.send(&rpc.Message{RoutingTables: []rpc.RoutingTable{{Service: "beta", HasRateLimit: true, RateLimit: 2}}})
 		for range 4 {
 			s.request("GET /beta/ HTTP/1.1")
 		}
--- a/internal/simulation/machines.go
+++ b/internal/simulation/machines.go
@@ -53,7 +53,7 @@
 	for _, z := range w.shape.Zones {
 		s.Zones[z] = "land"
 	}
-	s.PortRange, s.Bootstrap, s.Counted = [2]int{ports, ports + 15}, !m.started && !m.later, m.Disk != nil
+	s.PortRange, s.Bootstrap, s.InFaultBudget = [2]int{ports, ports + 15}, !m.started && !m.later, m.Disk != nil
 	if s.Seeds = m.seeds; s.Seeds == nil {
 		s.Seeds = w.seeds(m)
 	}
--- a/pluginsdk/examples/monthend/main.go
+++ b/pluginsdk/examples/monthend/main.go
@@ -6,13 +6,13 @@
 
 import (
 	"elmfold/pluginsdk"
-	"elmfold/pluginsdk/moment"
+	"elmfold/pluginsdk/pluginapi"
 )
 
 const perWeight, part = 5.0, 0.9 // txns/s that a unit of weight does at month-end; what is let in
 
 func init() {
-	pluginsdk.Propose(func(m moment.Moment) (a moment.Answer) {
+	pluginsdk.Propose(func(m pluginapi.Snapshot) (a pluginapi.Response) {
 		can, all := 0.0, 0.0
 		rates := make([]float64, len(m.Tenants))
 		for _, b := range m.Backends {
@@ -28,7 +28,7 @@
 		}
 		for i, t := range m.Tenants {
 			if all > can && rates[i] > 2*all/float64(len(m.Tenants)) {
-				a.Proposals = append(a.Proposals, moment.Proposal{Kind: moment.Shed, Tenant: t.Name, Figure: part})
+				a.Proposals = append(a.Proposals, pluginapi.Proposal{Kind: pluginapi.Shed, Tenant: t.Name, Figure: part})
 			}
 		}
 		return a
--- a/pluginsdk/examples/quirk/main.go
+++ b/pluginsdk/examples/quirk/main.go
@@ -5,14 +5,14 @@
 
 import (
 	"elmfold/pluginsdk"
-	"elmfold/pluginsdk/moment"
+	"elmfold/pluginsdk/pluginapi"
 )
 
 const firm, unfit = "acme", "old"
 
 func init() {
-	pluginsdk.Propose(func(m moment.Moment) (a moment.Answer) {
-		p := moment.Proposal{Kind: moment.Allow, Tenant: firm}
+	pluginsdk.Propose(func(m pluginapi.Snapshot) (a pluginapi.Response) {
+		p := pluginapi.Proposal{Kind: pluginapi.Allow, Tenant: firm}
 		for _, b := range m.Backends {
 			if b.Kind != unfit && !b.Drains {
 				p.Backends = append(p.Backends, b.ID)
--- a/pluginsdk/moment/moment.go
+++ b/pluginsdk/pluginapi/pluginapi.go
@@ -1,5 +1,5 @@
-// Package moment is what plug-ins are told and what they answer, for both sides. docs/plugins.md has it in words.
-package moment
+// Package pluginapi is what plug-ins are told and what they answer, for both sides. docs/plugins.md has it in words.
+package pluginapi
 
 // Version of the interface. It is told with each moment.
 const Version = 1
@@ -11,8 +11,8 @@
 	Shed  = "shed"  // Figure: the part of what a tenant asks for that is let in
 )
 
-// Moment is what a plug-in is told: all that it may go by.
-type Moment struct {
+// Snapshot is what a plug-in is told: all that it may go by.
+type Snapshot struct {
 	Version  int       `cbor:"1,keyasint"`
 	Now      int64     `cbor:"2,keyasint"` // ms, of a clock that begins anywhere
 	Seed     uint64    `cbor:"3,keyasint"` // for chance, another one each moment
@@ -51,7 +51,7 @@
 	Figure   float64  `cbor:"4,keyasint,omitempty"`
 }
 
-// Answer is all that it wants now.
-type Answer struct {
+// Response is all that it wants now.
+type Response struct {
 	Proposals []Proposal `cbor:"1,keyasint"`
 }
--- a/pluginsdk/kit.go
+++ b/pluginsdk/pluginsdk.go
@@ -9,16 +9,16 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"elmfold/pluginsdk/moment"
+	"elmfold/pluginsdk/pluginapi"
 )
 
 var (
-	propose func(moment.Moment) moment.Answer
+	propose func(pluginapi.Snapshot) pluginapi.Response
 	in, out []byte // held until the next call, so that the host can read them
 )
 
 // Propose says what is called with each moment.
-func Propose(f func(moment.Moment) moment.Answer) { propose = f }
+func Propose(f func(pluginapi.Snapshot) pluginapi.Response) { propose = f }
 
 //go:wasmexport elmfold_alloc
 func alloc(bytes int32) int32 {
@@ -28,7 +28,7 @@
 
 //go:wasmexport elmfold_propose
 func call(at, bytes int32) int64 {
-	var m moment.Moment
+	var m pluginapi.Snapshot
 	if err := cbor.Unmarshal(in[:bytes], &m); err != nil {
 		panic(err)
 	}
