--- a/internal/controlplane/consensus/durablestate_test.go
+++ b/internal/controlplane/consensus/durablestate_test.go
@@ -11,153 +11,159 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-func oldRegister(hi, lo uint64, value string) []byte {
+// newStoreID is the id for a disk without one.
+const newStoreID = "random"
+
+// legacyRegister returns a register record of the previous version.
+func legacyRegister(hi, lo uint64, value string) []byte {
 	return append(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, hi), lo), value...)
 }
 
-// oldRecords are those of a disk of the version before.
-func oldRecords(t *testing.T) map[string][]byte {
+// legacyRecords returns the records of a disk as the previous version wrote them.
+func legacyRecords(t *testing.T) map[string][]byte {
 	t.Helper()
-	var all []rpc.Node
+	var nodes []rpc.Node
 	for i := range 3 {
-		all = append(all, controllerOf(i))
+		nodes = append(nodes, controllerOf(i))
 	}
-	text, err := json.Marshal(all)
+	voters, err := json.Marshal(nodes)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return map[string][]byte{
-		legacyInitialVoters:             text,
-		legacyRegisterPrefix + charter:  oldRegister(7, 99, "seven"),
-		legacyRegisterPrefix + "zone/a": oldRegister(1_700_000_000_000, 3, "2b"),
+		legacyInitialVoters:                   voters,
+		legacyRegisterPrefix + configRegister: legacyRegister(7, 99, "seven"),
+		legacyRegisterPrefix + "zone/a":       legacyRegister(1_700_000_000_000, 3, "2b"),
 	}
 }
 
-func load(t *testing.T, records map[string][]byte, known bool) DurableState {
+func loadState(t *testing.T, records map[string][]byte, complete bool) DurableState {
 	t.Helper()
-	m, err := LoadState("c0", records, known, false, "drawn")
+	state, err := LoadState("c0", records, complete, false, newStoreID)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return m
+	return state
 }
 
-func checkOld(t *testing.T, what string, m DurableState) {
+func checkLegacyState(t *testing.T, name string, state DurableState) {
 	t.Helper()
-	if m.StoreID != "first:c0" || m.MayHaveLostState || m.Epoch.Number != 1 || len(m.Epoch.Voters) != 3 ||
-		m.Epoch.Voters[2].StoreID != "first:c2" {
+	if state.StoreID != "first:c0" || state.MayHaveLostState || state.Epoch.Number != 1 || len(state.Epoch.Voters) != 3 ||
+		state.Epoch.Voters[2].StoreID != "first:c2" {
 		t.Errorf(
-			"%s: disk %s, blank %v, epoch %d, voters %v",
-			what,
-			m.StoreID,
-			m.MayHaveLostState,
-			m.Epoch.Number,
-			ids(m.Epoch.Voters),
+			"%s: store %s, may have lost state %v, epoch %d, voters %v",
+			name,
+			state.StoreID,
+			state.MayHaveLostState,
+			state.Epoch.Number,
+			voterNames(state.Epoch.Voters),
 		)
 	}
-	c, z := m.Acceptors[charter], m.Acceptors["zone/a"]
-	if c.Value.Version != (Version{Number: 7, ID: 99}) || string(c.Value.Value) != "seven" ||
-		c.Accepted != (BallotNumber{Round: 7, Incarnation: 99}) ||
-		c.Value.Name != charter {
-		t.Errorf("%s: %+v", what, c)
+	config, zone := state.Acceptors[configRegister], state.Acceptors["zone/a"]
+	if config.Value.Version != (Version{Number: 7, ID: 99}) || string(config.Value.Value) != "seven" ||
+		config.Accepted != (BallotNumber{Round: 7, Incarnation: 99}) ||
+		config.Value.Name != configRegister {
+		t.Errorf("%s: %+v", name, config)
 	}
-	if e := parseEvacuations(z.Value.Value); e.open != 2 || e.last != lastBegan {
-		t.Errorf("%s: %q", what, z.Value.Value)
+	if e := parseEvacuations(zone.Value.Value); e.open != 2 || e.last != lastBegan {
+		t.Errorf("%s: %q", name, zone.Value.Value)
 	}
 }
 
-// A disk of the version before is one of its founders, with all that it held; and so it is if power is lost at
-// whatever step of its first start with this version.
-func TestLoadDiskOfTheVersionBefore(t *testing.T) {
-	records := oldRecords(t)
-	m := load(t, records, true)
-	checkOld(t, "first start", m)
-	if m.Identified {
-		t.Error("it votes before its records are of this version")
-	}
-	r := New(Options{Self: controllerOf(0), Incarnation: 1, MaxFaults: 1, Seeds: []string{"a0"}, State: m})
-	var puts []Persist
-	for _, o := range r.Step(0) {
-		if p, is := o.(Persist); is {
-			puts = append(puts, p)
+// A disk written by the previous version must become one of the initial voters with all its values, even if power is
+// lost at any point of the first start with this version.
+func TestLoadStateMigratesLegacyRecords(t *testing.T) {
+	records := legacyRecords(t)
+	state := loadState(t, records, true)
+	checkLegacyState(t, "first start", state)
+	if state.Identified {
+		t.Error("identified before its records are migrated")
+	}
+	r := New(Options{Self: controllerOf(0), Incarnation: 1, MaxFaults: 1, Seeds: []string{"a0"}, State: state})
+	var writes []Persist
+	for _, action := range r.Step(0) {
+		if p, ok := action.(Persist); ok {
+			writes = append(writes, p)
 		}
 	}
-	for n := range len(puts) + 1 {
+	for n := range len(writes) + 1 {
 		disk := maps.Clone(records)
-		for _, p := range puts[:n] {
+		for _, p := range writes[:n] {
 			if disk[p.Record] = p.Value; p.Record == recordComplete {
-				delete(disk, p.Record) // it was known before; Load is told so
+				delete(disk, p.Record) // LoadState gets it as a parameter
 			}
 		}
-		again := load(t, disk, true)
-		checkOld(t, fmt.Sprintf("power lost after %d of %d records", n, len(puts)), again)
+		reloaded := loadState(t, disk, true)
+		checkLegacyState(t, fmt.Sprintf("power lost after %d of %d records", n, len(writes)), reloaded)
 	}
 }
 
-// What is not known to be whole is somebody new, and keeps nothing of who it was.
-func TestLoadForgottenDisk(t *testing.T) {
-	records := oldRecords(t)
+// A disk without the completion mark must get a new id and drop its records.
+func TestLoadStateWithoutCompletionMark(t *testing.T) {
+	records := legacyRecords(t)
 	records[recordDisk] = marshal(diskRecord{ID: "d1", FirstStart: true})
 	records[recordEpoch] = encodeEpoch(Epoch{Number: 4})
-	records[registerRecordName(charter)] = encodeRegister(4, load(t, oldRecords(t), true).Acceptors[charter])
-	m := load(t, records, false)
-	if m.StoreID != "drawn" || !m.MayHaveLostState || m.Identified || m.Epoch.Number != 0 || len(m.Acceptors) > 0 {
-		t.Errorf("%+v", m)
-	}
-	r := New(Options{Self: controllerOf(0), Incarnation: 1, State: m})
-	left, last := maps.Clone(records), ""
-	for _, o := range r.Step(0) {
-		if p, is := o.(Persist); is {
+	records[registerRecordName(configRegister)] = encodeRegister(
+		4,
+		loadState(t, legacyRecords(t), true).Acceptors[configRegister],
+	)
+	state := loadState(t, records, false)
+	if state.StoreID != newStoreID || !state.MayHaveLostState || state.Identified || state.Epoch.Number != 0 ||
+		len(state.Acceptors) > 0 {
+		t.Errorf("%+v", state)
+	}
+	r := New(Options{Self: controllerOf(0), Incarnation: 1, State: state})
+	remaining, last := maps.Clone(records), ""
+	for _, action := range r.Step(0) {
+		if p, ok := action.(Persist); ok {
 			if last = p.Record; p.Value == nil {
-				delete(left, p.Record)
+				delete(remaining, p.Record)
 			} else {
-				left[p.Record] = p.Value
+				remaining[p.Record] = p.Value
 			}
 		}
 	}
-	if names := slices.Sorted(
-		maps.Keys(left),
-	); !slices.Equal(names, []string{recordComplete, recordDisk}) ||
-		last != recordComplete {
-		t.Errorf("it keeps %q, and puts %q last", names, last)
+	names := slices.Sorted(maps.Keys(remaining))
+	if !slices.Equal(names, []string{recordComplete, recordDisk}) || last != recordComplete {
+		t.Errorf("records %q are left, and %q is written last", names, last)
 	}
 }
 
-// A record that cannot be read ends the start; it must not be taken for nothing.
-func TestLoadBrokenRecords(t *testing.T) {
-	whole := map[string][]byte{
-		recordDisk:                  marshal(diskRecord{ID: "d0", FirstStart: true}),
-		recordEpoch:                 encodeEpoch(Epoch{Number: 1}),
-		registerRecordName(charter): marshal(registerRecord{}),
-	}
-	load(t, whole, true)
-	for name := range whole {
-		broken := maps.Clone(whole)
-		broken[name] = broken[name][:len(broken[name])-1]
-		if _, err := LoadState("c0", broken, true, false, "drawn"); err == nil {
-			t.Errorf("a broken record %s is taken", name)
+// Guards against a corrupt record that is treated as a missing one.
+func TestLoadStateCorruptRecords(t *testing.T) {
+	records := map[string][]byte{
+		recordDisk:                         marshal(diskRecord{ID: "d0", FirstStart: true}),
+		recordEpoch:                        encodeEpoch(Epoch{Number: 1}),
+		registerRecordName(configRegister): marshal(registerRecord{}),
+	}
+	loadState(t, records, true)
+	for name := range records {
+		corrupt := maps.Clone(records)
+		corrupt[name] = corrupt[name][:len(corrupt[name])-1]
+		if _, err := LoadState("c0", corrupt, true, false, newStoreID); err == nil {
+			t.Errorf("no error for a corrupt record %s", name)
 		}
 	}
-	old := oldRecords(t)
-	old[legacyInitialVoters] = old[legacyInitialVoters][1:]
-	if _, err := LoadState("c0", old, true, false, "drawn"); err == nil {
-		t.Error("broken founders are taken")
+	legacy := legacyRecords(t)
+	legacy[legacyInitialVoters] = legacy[legacyInitialVoters][1:]
+	if _, err := LoadState("c0", legacy, true, false, newStoreID); err == nil {
+		t.Error("no error for corrupt initial voters")
 	}
 }
 
-// The register of epochs is begun anew by each epoch: what was voted in the one before says nothing in this one.
-func TestLoadEpochRegisterOfAnOlderEpoch(t *testing.T) {
-	a := load(t, oldRecords(t), true).Acceptors[charter]
-	for era, want := range map[uint64]int{3: 0, 4: 1} {
-		m := load(
+// Votes on the epoch register count only in the epoch in which they were given.
+func TestLoadStateDropsEpochVotesOfOlderEpochs(t *testing.T) {
+	acceptor := loadState(t, legacyRecords(t), true).Acceptors[configRegister]
+	for votedIn, want := range map[uint64]int{3: 0, 4: 1} {
+		state := loadState(
 			t,
 			map[string][]byte{
 				recordDisk:                        marshal(diskRecord{ID: "d0", FirstStart: true}),
 				recordEpoch:                       encodeEpoch(Epoch{Number: 4}),
-				registerRecordName(epochRegister): encodeRegister(era, a),
+				registerRecordName(epochRegister): encodeRegister(votedIn, acceptor),
 			}, true)
-		if len(m.Acceptors) != want {
-			t.Errorf("of epoch %d in epoch 4: %d", era, len(m.Acceptors))
+		if len(state.Acceptors) != want {
+			t.Errorf("%d registers are loaded in epoch 4, %d were voted on in epoch %d", len(state.Acceptors), want, votedIn)
 		}
 	}
 }
--- a/internal/controlplane/consensus/membership_test.go
+++ b/internal/controlplane/consensus/membership_test.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -10,60 +11,61 @@
 	"github.com/hexops/autogold"
 )
 
-// Who votes next, for what is known of the voters and of those that wait. A voter's letter is the machine, a digit
-// after it a later disk of that machine; "~" silent for 4 s, "." for 1.5 s, "!" it leaves, "*" its machine is back
-// with another disk. One that waits is in brackets unless it has all that is chosen, and marked "'" if it came
-// after the voters' last answers.
-func TestWish(t *testing.T) {
+// The golden file shows the chosen voters for sets of voters and learners. A letter is a machine, and a digit after it
+// another disk of that machine. "~" marks a voter without contact for 4 s, "." for 1.5 s, "!" one that shuts down, and
+// "*" one whose machine is connected with another disk. A learner in brackets is not caught up. "'" marks a learner
+// that connected after the voters' last responses.
+func TestChooseVoters(t *testing.T) {
 	var b strings.Builder
 	const now = 100 * time.Second
-	seats := func(text string, waits bool) (all []candidate) {
-		for _, w := range strings.Fields(text) {
-			s := candidate{caughtUp: waits && w[0] != '[', lastContact: now - 100*ms, connectedAt: now - 20*time.Second}
-			w = strings.Trim(w, "[]")
-			id := strings.TrimRight(w, "~.!*'")
-			s.Voter = Voter{Node: controllerOf(0), StoreID: id}
-			s.Name = id[:1]
-			for _, mark := range w[len(id):] {
+	candidates := func(text string, areLearners bool) (all []candidate) {
+		for _, word := range strings.Fields(text) {
+			c := candidate{
+				caughtUp:    areLearners && word[0] != '[',
+				lastContact: now - 100*ms,
+				connectedAt: now - 20*time.Second,
+			}
+			word = strings.Trim(word, "[]")
+			id := strings.TrimRight(word, "~.!*'")
+			c.Voter = Voter{Node: controllerOf(0), StoreID: id}
+			c.Name = id[:1]
+			for _, mark := range word[len(id):] {
 				switch mark {
 				case '~':
-					s.inactivity, s.lastContact = 4*time.Second, now-4*time.Second
+					c.inactivity, c.lastContact = 4*time.Second, now-4*time.Second
 				case '.':
-					s.inactivity, s.lastContact = 1500*ms, now-1500*ms
+					c.inactivity, c.lastContact = 1500*ms, now-1500*ms
 				case '!':
-					s.shuttingDown = true
+					c.shuttingDown = true
 				case '*':
-					s.replaced, s.inactivity, s.lastContact = true, 10*time.Second, now-10*time.Second
+					c.replaced, c.inactivity, c.lastContact = true, 10*time.Second, now-10*time.Second
 				case '\'':
-					s.connectedAt = now
+					c.connectedAt = now
 				}
 			}
-			all = append(all, s)
+			all = append(all, c)
 		}
 		return all
 	}
-	say := func(faults, most int, voters, others string) {
-		var next []string
-		for _, v := range chooseVoters(seats(voters, false), seats(others, true), faults, most) {
-			next = append(next, v.StoreID)
+	addRow := func(maxFaults, targetSize int, voters, learners string) {
+		var currentIDs, chosenIDs []string
+		for _, c := range candidates(voters, false) {
+			currentIDs = append(currentIDs, c.StoreID)
 		}
-		was := strings.Join(next, " ")
-		plain := strings.Join(func() (ids []string) {
-			for _, s := range seats(voters, false) {
-				ids = append(ids, s.StoreID)
-			}
-			return ids
-		}(), " ")
-		if was == plain {
-			was = "-"
+		for _, v := range chooseVoters(candidates(voters, false), candidates(learners, true), maxFaults, targetSize) {
+			chosenIDs = append(chosenIDs, v.StoreID)
+		}
+		chosen := strings.Join(chosenIDs, " ")
+		if slices.Equal(chosenIDs, currentIDs) {
+			chosen = "-"
 		}
-		fmt.Fprintf(&b, "f=%d  %-16s %-10s %s\n", faults, voters, others, was)
+		fmt.Fprintf(&b, "f=%d  %-16s %-10s %s\n", maxFaults, voters, learners, chosen)
 	}
 	for _, c := range []struct {
-		what   string
-		faults int
-		rows   [][2]string
-		most   int // 0: 7
+		name       string
+		maxFaults  int
+		rows       [][2]string
+		targetSize int // 0: 7
 	}{
 		{"nothing happens", 1, [][2]string{{"a b c", ""}, {"a", ""}, {"a b c d e f g", ""}}, 0},
 		{
@@ -119,10 +121,10 @@
 		},
 		{"one that leaves, none to be borne", 0, [][2]string{{"a! b", ""}, {"a!", ""}, {"a! b c", ""}, {"a b~", ""}}, 0},
 	} {
-		fmt.Fprintf(&b, "%s\n", c.what)
+		fmt.Fprintf(&b, "%s\n", c.name)
 		for _, r := range c.rows {
-			say(c.faults, cmp.Or(c.most, 7), r[0], r[1])
+			addRow(c.maxFaults, cmp.Or(c.targetSize, 7), r[0], r[1])
 		}
 	}
-	autogold.Equal(t, b.String())
+	autogold.Equal(t, b.String(), autogold.Name("TestWish"))
 }
--- a/internal/controlplane/consensus/unraced_test.go
+++ b/internal/controlplane/consensus/norace_test.go
@@ -2,4 +2,4 @@
 
 package consensus
 
-const raced = false
+const raceEnabled = false
--- a/internal/controlplane/consensus/turns_test.go
+++ b/internal/controlplane/consensus/turns_test.go
@@ -6,70 +6,93 @@
 	"time"
 )
 
-// busyOperators has so many operators change one register at once, each with one order at a time, at any machine, for a
-// while. It returns how long each order took.
-func busyOperators(seed uint64, machines, operators int, span time.Duration, bugs injectedBugs) (took []time.Duration,
-	fault string) {
-	w := newWorld(seed, machines, (machines-1)/2, driverFlaws{code: bugs}, quiet)
-	w.run(4 * time.Second)
+// concurrentOperators has several operators change one register for a while, each with one proposal at a time at
+// alternating nodes. It returns the sorted latencies of the committed proposals.
+func concurrentOperators(
+	seed uint64,
+	machines, operators int,
+	duration time.Duration,
+	bugs injectedBugs,
+) (latencies []time.Duration, failure string) {
+	sim := newSimulation(seed, machines, (machines-1)/2, driverBugs{replica: bugs}, discardLog)
+	sim.runUntil(4 * time.Second)
 	var next func(operator int)
 	next = func(operator int) {
-		if w.now > 4*time.Second+span {
+		if sim.now > 4*time.Second+duration {
 			return
 		}
-		w.version++
-		o := w.configuration((operator+int(w.version))%machines, w.version, uint64(operator+1))
+		sim.lastVersion++
+		op := sim.replaceConfig((operator+int(sim.lastVersion))%machines, sim.lastVersion, uint64(operator+1))
 		var wait func()
 		wait = func() {
-			if o.ret == endless {
-				w.after(ms, wait)
+			if op.returnedAt == forever {
+				sim.schedule(ms, wait)
 				return
 			}
-			if o.fate == Committed {
-				took = append(took, o.ret-o.call)
+			if op.outcome == Committed {
+				latencies = append(latencies, op.returnedAt-op.calledAt)
 			}
-			w.after(w.upTo(10*ms), func() { next(operator) })
+			sim.schedule(sim.randomDuration(10*ms), func() { next(operator) })
 		}
 		wait()
 	}
 	for operator := range operators {
 		next(operator)
 	}
-	w.run(8*time.Second + span)
-	if w.fault == "" {
-		w.checkHistory()
+	sim.runUntil(8*time.Second + duration)
+	if sim.failure == "" {
+		sim.checkHistory()
 	}
-	slices.Sort(took)
-	return took, w.fault
+	slices.Sort(latencies)
+	return latencies, sim.failure
 }
 
-// Guards against duels: proposers that preempt each other again and again, so that few orders of many operators at
-// once are decided, and some of them late.
+// Guards against duels: concurrent proposers that preempt each other repeatedly, which reduces throughput and increases
+// latency.
 func TestTurnsShortenDuels(t *testing.T) {
 	t.Parallel()
 	const operators = 8
 	for _, machines := range []int{3, 5} {
-		with, fault := busyOperators(1, machines, operators, 10*time.Second, injectedBugs{})
-		without, fault2 := busyOperators(1, machines, operators, 10*time.Second, injectedBugs{noTurns: true})
-		if fault+fault2 != "" {
-			t.Fatal(fault, fault2)
+		latencies, failure := concurrentOperators(1, machines, operators, 10*time.Second, injectedBugs{})
+		latenciesWithoutTurns, failureWithoutTurns := concurrentOperators(
+			1,
+			machines,
+			operators,
+			10*time.Second,
+			injectedBugs{noTurns: true},
+		)
+		if failure+failureWithoutTurns != "" {
+			t.Fatal(failure, failureWithoutTurns)
 		}
-		part := func(all []time.Duration, p int) time.Duration { return all[len(all)*p/100] }
-		t.Logf("%d machines: %d orders, p50 %v, p99 %v; without turns %d, %v, %v", machines, len(with), part(with, 50),
-			part(with, 99), len(without), part(without, 50), part(without, 99))
-		if 2*part(with, 99) > part(without, 99) || len(with) < len(without) {
+		percentile := func(latencies []time.Duration, p int) time.Duration { return latencies[len(latencies)*p/100] }
+		t.Logf(
+			"%d machines: %d proposals, p50 %v, p99 %v; without turns %d, %v, %v",
+			machines,
+			len(latencies),
+			percentile(latencies, 50),
+			percentile(latencies, 99),
+			len(latenciesWithoutTurns),
+			percentile(latenciesWithoutTurns, 50),
+			percentile(latenciesWithoutTurns, 99),
+		)
+		if 2*percentile(latencies, 99) > percentile(latenciesWithoutTurns, 99) ||
+			len(latencies) < len(latenciesWithoutTurns) {
 			t.Errorf("%d machines: turns do not halve p99", machines)
 		}
 	}
 }
 
-// Turns are a hint: where they are wrong everywhere, and where there are none, nothing that was acknowledged is lost.
-func TestDrawnFaultsWithoutOrWithWrongTurns(t *testing.T) {
+// Turns must not affect safety: no acknowledged change may be lost without them, or if they never end.
+func TestDrawnFaultsWithTurnsDisabledOrEndless(t *testing.T) {
 	t.Parallel()
-	for name, bugs := range map[string]injectedBugs{"none": {noTurns: true}, "never over": {endlessTurns: true}} {
-		for _, p := range playAll(3000, 3000+uint64(map[bool]int{true: 6, false: 40}[raced]), wild, driverFlaws{code: bugs}) {
-			if p.fault != "" {
-				t.Errorf("turns %s, seed %d: %s", name, p.seed, p.fault)
+	seeds := uint64(40)
+	if raceEnabled {
+		seeds = 6
+	}
+	for name, bugs := range map[string]injectedBugs{"disabled": {noTurns: true}, "endless": {endlessTurns: true}} {
+		for _, result := range simulateSeeds(3000, 3000+seeds, randomFaults, driverBugs{replica: bugs}) {
+			if result.failure != "" {
+				t.Errorf("turns %s, seed %d: %s", name, result.seed, result.failure)
 			}
 		}
 	}
--- a/internal/controlplane/consensus/voterchange_test.go
+++ b/internal/controlplane/consensus/voterchange_test.go
@@ -9,8 +9,9 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-// pair is c0 of two voters whose other machine is there, with a disk of an id; "": no connection to it is up.
-func pair(t *testing.T, e Epoch, otherDisk string) *Replica {
+// newReplicaOfTwo returns node c0 of an epoch. Node c1 is connected with a disk of the given id, or not connected if
+// the id is empty.
+func newReplicaOfTwo(t *testing.T, e Epoch, otherDisk string) *Replica {
 	t.Helper()
 	r := New(Options{Self: controllerOf(0), Incarnation: 9, MaxFaults: 1,
 		State: DurableState{StoreID: "d0", Identified: true, Epoch: e}})
@@ -21,9 +22,9 @@
 	return r
 }
 
-// Guards against a control plane of two that ends for good when one disk is wiped, and against one of two that decides
-// alone while the other may be there.
-func TestStaleIdentityOfOneOfTwo(t *testing.T) {
+// Guards against a cluster of two that cannot recover when one disk is wiped, and against a voter that decides alone
+// while the other one may be running.
+func TestReplacedVoterOfTwo(t *testing.T) {
 	t.Parallel()
 	two := Epoch{Number: 3, Voters: voters(0, 1)}
 	three := Epoch{Number: 3, Voters: voters(0, 1, 2)}
@@ -35,89 +36,89 @@
 		name      string
 		epoch     Epoch
 		otherDisk string
-		stale     []string // ids of voters whose identity is stale
+		replaced  []string // store ids of voters that count as replaced
 	}{
-		{"its machine is there with the same disk", two, "d1", nil},
-		{"its machine is there with another disk", two, "d9", []string{"d1"}},
-		{"no connection to its machine is up", two, "", nil},
+		{"the other machine has the same disk", two, "d1", nil},
+		{"the other machine has another disk", two, "d9", []string{"d1"}},
+		{"the other machine is not connected", two, "", nil},
 		{"one of three", three, "d9", nil},
-		{"an old voter of a joint epoch", joint, "d9", []string{"d1"}},
-		{"an old voter of a joint epoch that is there", joint, "d1", []string{"d9"}},
+		{"an old voter of a joint epoch is replaced", joint, "d9", []string{"d1"}},
+		{"an old voter of a joint epoch is connected", joint, "d1", []string{"d9"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := pair(t, c.epoch, c.otherDisk)
-			var stale []string
+			r := newReplicaOfTwo(t, c.epoch, c.otherDisk)
+			var replaced []string
 			for _, v := range c.epoch.AllVoters() {
 				if r.isReplacedVoterOfPair(v) {
-					stale = append(stale, v.StoreID)
+					replaced = append(replaced, v.StoreID)
 				}
 			}
-			if !slices.Equal(stale, c.stale) {
-				t.Errorf("stale: %q, not %q", stale, c.stale)
+			if !slices.Equal(replaced, c.replaced) {
+				t.Errorf("replaced: %q, not %q", replaced, c.replaced)
 			}
 			decidesAlone := r.hasReadQuorum(r.registerFor(epochRegister), func(id string) bool { return id == "d0" })
-			isOldStale := slices.Contains(c.stale, "d1")
-			if decidesAlone != isOldStale {
-				t.Errorf("decides alone who votes next: %t", decidesAlone)
+			isOldReplaced := slices.Contains(c.replaced, "d1")
+			if decidesAlone != isOldReplaced {
+				t.Errorf("decides the next epoch alone: %t", decidesAlone)
 			}
-			// What was chosen needs the other disk, unless the change under way removes it.
-			writesAlone := r.hasWriteQuorum(r.registerFor(charter), func(id string) bool {
+			// A value needs the other disk too, unless the joint epoch removes it.
+			writesAlone := r.hasWriteQuorum(r.registerFor(configRegister), func(id string) bool {
 				return id == "d0" || id == "d9"
 			})
-			if want := isOldStale && c.epoch.IsJoint(); writesAlone != want {
-				t.Errorf("a value is written without it: %t", writesAlone)
+			if want := isOldReplaced && c.epoch.IsJoint(); writesAlone != want {
+				t.Errorf("decides a value without the other disk: %t", writesAlone)
 			}
 		})
 	}
 }
 
-// A connection that broke says nothing any more of the disk behind it.
-func TestStaleIdentityEndsWithTheConnection(t *testing.T) {
+// A voter must not count as replaced once the connection to its machine has closed.
+func TestReplacedVoterNeedsConnection(t *testing.T) {
 	t.Parallel()
-	r := pair(t, Epoch{Number: 3, Voters: voters(0, 1)}, "d9")
+	r := newReplicaOfTwo(t, Epoch{Number: 3, Voters: voters(0, 1)}, "d9")
 	r.Step(3*ms, PeerDisconnected{Name: controllerOf(1).Name})
 	if r.isReplacedVoterOfPair(voters(1)[0]) {
-		t.Error("the identity is stale without a connection")
+		t.Error("the voter counts as replaced without a connection")
 	}
 }
 
-// Guards against a first epoch that was left open when its voters lost their disks, and against one that is given up
-// while most of its voters are there.
+// Guards against a first epoch that can never be completed because its voters have lost their disks, and against one
+// that is replaced while most of its voters are running.
 func TestMajorityReplaced(t *testing.T) {
 	t.Parallel()
-	here := func(ids ...string) (all []Voter) {
+	connected := func(ids ...string) (all []Voter) {
 		for i, id := range ids {
 			all = append(all, Voter{Node: controllerOf(i), StoreID: id})
 		}
 		return all
 	}
 	for _, c := range []struct {
-		name   string
-		voters int
-		here   []Voter
-		want   bool
+		name      string
+		voters    int
+		connected []Voter
+		want      bool
 	}{
-		{"all are there", 3, here("d0", "d1", "d2"), false},
-		{"one of three replaced", 3, here("d0", "d1", "e2"), false},
-		{"two of three replaced", 3, here("d0", "e1", "e2"), true},
-		{"one replaced, one away", 3, here("d0", "e1"), false},
-		{"half of four replaced", 4, here("d0", "d1", "e2", "e3"), false},
-		{"three of five replaced", 5, here("d0", "d1", "e2", "e3", "e4"), true},
-		{"others came", 3, here("d0", "d1", "d2", "e3", "e4"), false},
+		{"none replaced", 3, connected("d0", "d1", "d2"), false},
+		{"one of three replaced", 3, connected("d0", "d1", "e2"), false},
+		{"two of three replaced", 3, connected("d0", "e1", "e2"), true},
+		{"one replaced, one not connected", 3, connected("d0", "e1"), false},
+		{"half of four replaced", 4, connected("d0", "d1", "e2", "e3"), false},
+		{"three of five replaced", 5, connected("d0", "d1", "e2", "e3", "e4"), true},
+		{"other machines connected", 3, connected("d0", "d1", "d2", "e3", "e4"), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			first := Epoch{Number: 1}
 			for i := range c.voters {
 				first.Voters = append(first.Voters, Voter{Node: controllerOf(i), StoreID: fmt.Sprint("d", i)})
 			}
-			if got := majorityReplaced(first, c.here); got != c.want {
+			if got := majorityReplaced(first, c.connected); got != c.want {
 				t.Errorf("%t", got)
 			}
 		})
 	}
 }
 
-// proposedEpoch is the epoch that is offered in some actions; false: none is.
+// proposedEpoch returns the epoch that the actions propose, or false if there is none.
 func proposedEpoch(actions []Action) (Epoch, bool) {
 	for _, a := range actions {
 		s, isSend := a.(Send)
@@ -134,16 +135,16 @@
 	return Epoch{}, false
 }
 
-// Guards against a change of voters that never ends, as the new voters went before they had all: after jointTimeout the
-// old voters alone decide that it is reverted, not earlier, and with the epoch's other properties kept.
+// Guards against a joint epoch that never ends because its new voters fail before they are caught up. After
+// jointTimeout, not earlier, the old voters alone revert it, and the other fields of the epoch stay the same.
 func TestJointEpochIsReverted(t *testing.T) {
 	t.Parallel()
 	joint := Epoch{Number: 4, OldVoters: voters(0, 1, 2), Voters: voters(0, 1, 7), InitialSize: 3, ClusterID: 5}
-	x := newTrio(t, joint, injectedBugs{}, nil)
+	tr := newTestReplica(t, joint, injectedBugs{}, nil)
 	var got Epoch
-	for x.now < 2*jointTimeout && got.Number == 0 {
-		x.now += 100 * ms
-		for _, a := range x.step() {
+	for tr.now < 2*jointTimeout && got.Number == 0 {
+		tr.now += 100 * ms
+		for _, a := range tr.step() {
 			s, isSend := a.(Send)
 			if !isSend || s.To != controllerOf(1).Name {
 				continue
@@ -151,16 +152,18 @@
 			for _, m := range s.Message.Paxos {
 				if m.Register == epochRegister && m.Kind == rpc.Prepare {
 					promise := rpc.PaxosMessage{Kind: rpc.Promise, Register: epochRegister, Ballot: m.Ballot}
-					offered, is := proposedEpoch(x.says(1, &rpc.Message{Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{promise}}}))
-					if is {
-						got = offered
+					proposed, ok := proposedEpoch(
+						tr.receive(1, &rpc.Message{Consensus: rpc.Consensus{Paxos: []rpc.PaxosMessage{promise}}}),
+					)
+					if ok {
+						got = proposed
 					}
 				}
 			}
 		}
 	}
-	if x.now < jointTimeout || x.now > jointTimeout+4*voterStagger { // the process knew of the epoch from its start
-		t.Errorf("after %v", x.now)
+	if tr.now < jointTimeout || tr.now > jointTimeout+4*voterStagger { // the epoch is known since the process started
+		t.Errorf("reverted after %v", tr.now)
 	}
 	want := Epoch{Number: 5, Voters: joint.OldVoters, InitialSize: 3, ClusterID: 5}
 	if string(encodeEpoch(got)) != string(encodeEpoch(want)) {
@@ -168,14 +171,14 @@
 	}
 }
 
-// A joint epoch whose new voters have all is ended, not reverted, also when it took long.
-func TestJointEpochIsFinishedWhereItCanBe(t *testing.T) {
+// A joint epoch whose new voters are caught up must be completed.
+func TestJointEpochIsCompleted(t *testing.T) {
 	t.Parallel()
-	r := pair(t, Epoch{Number: 4, OldVoters: voters(0, 1), Voters: voters(0), ClusterID: 5}, "d1")
-	scan := func(now time.Duration) (Epoch, bool) {
-		var all []Action
+	r := newReplicaOfTwo(t, Epoch{Number: 4, OldVoters: voters(0, 1), Voters: voters(0), ClusterID: 5}, "d1")
+	stepAndAnswer := func(now time.Duration) (Epoch, bool) {
+		var actions []Action
 		for _, a := range r.Step(now) {
-			all = append(all, a)
+			actions = append(actions, a)
 			s, isSend := a.(Send)
 			if !isSend {
 				continue
@@ -190,22 +193,22 @@
 				continue
 			}
 			message := &rpc.Message{Consensus: answer}
-			all = append(all, r.Step(now, MessageReceived{From: controllerOf(1).Name, Message: message})...)
+			actions = append(actions, r.Step(now, MessageReceived{From: controllerOf(1).Name, Message: message})...)
 		}
-		for i := 0; i < len(all); i++ {
-			if p, is := all[i].(Persist); is {
-				all = append(all, r.Step(now, Persisted{Seq: p.Seq})...)
+		for i := 0; i < len(actions); i++ {
+			if p, ok := actions[i].(Persist); ok {
+				actions = append(actions, r.Step(now, Persisted{Seq: p.Seq})...)
 			}
 		}
-		return proposedEpoch(all)
+		return proposedEpoch(actions)
 	}
 	for now := 10 * ms; now < jointTimeout/2; now += 50 * ms {
-		if e, is := scan(now); is {
+		if e, ok := stepAndAnswer(now); ok {
 			if len(e.Voters) != 1 || e.Voters[0].StoreID != "d0" || e.Number != 5 || e.ClusterID != 5 {
 				t.Errorf("%+v", e)
 			}
 			return
 		}
 	}
-	t.Error("it is not ended")
+	t.Error("the joint epoch is not completed")
 }
