--- a/cmd/elmfold-bench/main.go
+++ b/cmd/elmfold-bench/main.go
@@ -1,6 +1,6 @@
-// Command elmfold-bench runs experiments on elmfold's parts against stand-ins: elmfold-bench NAME --seed N --out
-// DIR. Each leaves a table, JSON and a chart, ends with 1 where an expected total is missed, and its last line is
-// the figure. A package below plays each subsystem.
+// Command elmfold-bench runs experiments on elmfold's subsystems with simulated peers: elmfold-bench NAME --seed N
+// --out DIR. Each experiment writes a table, JSON and a chart, and prints its result on the last line. The exit code is
+// 1 if an expected total is not met.
 package main
 
 import (
--- a/cmd/elmfold-controlplane/main.go
+++ b/cmd/elmfold-controlplane/main.go
@@ -1,5 +1,5 @@
-// Command elmfold-controlplane is the gateway's control plane: it stores the operator's configuration, knows endpoints
-// and proxies, and steers the proxies.
+// Command elmfold-controlplane is a node of the gateway's control plane: it stores the operator's configuration, tracks
+// endpoints and proxies, and sends routing tables to the proxies.
 package main
 
 import (
--- a/cmd/elmfold-full/main.go
+++ b/cmd/elmfold-full/main.go
@@ -1,4 +1,4 @@
-// Elmfold-full is elmfold with all sub-commands and everything that an operator file can turn on.
+// Command elmfold-full is the controller with all subcommands and all optional features of the operator file.
 package main
 
 import (
--- a/cmd/elmfold-proxy/main.go
+++ b/cmd/elmfold-proxy/main.go
@@ -1,4 +1,4 @@
-// Command elmfold-proxy is the gateway's data plane: it takes clients' requests to endpoints and the responses back.
+// Command elmfold-proxy is the gateway's data plane: it forwards requests from clients to endpoints.
 package main
 
 import (
--- a/cmd/elmfold/linked_test.go
+++ b/cmd/elmfold/linked_test.go
@@ -9,37 +9,37 @@
 	"testing"
 )
 
-// TestLinked reads the program that the deploy file's build line left. The operators lead its sockets and clocks
-// through the C library's loader: a program linked without it starts and is then reached by nobody.
+// TestLinked checks the program built by the command in the deploy file. The platform intercepts sockets and clocks
+// with a preloaded library, so a statically linked program would start but be unreachable.
 func TestLinked(t *testing.T) {
 	root := filepath.Join("..", "..")
-	line, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
+	deployFile, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, word := range []string{"CGO_ENABLED=1 go build -ldflags=-linkmode=external", `run = "exec bin/elmfold"`} {
-		if !strings.Contains(string(line), word) {
-			t.Errorf("deploy/balancer.toml lacks %q", word)
+	for _, text := range []string{"CGO_ENABLED=1 go build -ldflags=-linkmode=external", `run = "exec bin/elmfold"`} {
+		if !strings.Contains(string(deployFile), text) {
+			t.Errorf("deploy/balancer.toml lacks %q", text)
 		}
 	}
-	built, err := elf.Open(filepath.Join(root, "bin", "elmfold"))
+	program, err := elf.Open(filepath.Join(root, "bin", "elmfold"))
 	if err != nil {
-		t.Fatalf("%v: build it first, by the line of deploy/balancer.toml", err)
+		t.Fatalf("%v: build it first with the command in deploy/balancer.toml", err)
 	}
-	defer func() { _ = built.Close() }()
-	if needed, err := built.ImportedLibraries(); err != nil || !slices.Contains(needed, "libc.so.6") {
-		t.Errorf("bin/elmfold wants %v (%v): not linked with the C library", needed, err)
+	defer func() { _ = program.Close() }()
+	if needed, err := program.ImportedLibraries(); err != nil || !slices.Contains(needed, "libc.so.6") {
+		t.Errorf("bin/elmfold imports %v (%v), not the C library", needed, err)
 	}
-	if !slices.ContainsFunc(built.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		t.Error("bin/elmfold names no loader: linked statically")
+	if !slices.ContainsFunc(program.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
+		t.Error("bin/elmfold is linked statically: it names no dynamic loader")
 	}
-	symbols, err := built.Symbols()
+	symbols, err := program.Symbols()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, s := range symbols {
 		if strings.HasPrefix(s.Name, "os/exec.") || s.Name == "syscall.forkExec" {
-			t.Errorf("bin/elmfold holds %s: it could start a program", s.Name)
+			t.Errorf("bin/elmfold contains %s, which can start other programs", s.Name)
 		}
 	}
 }
--- a/cmd/elmfold/main.go
+++ b/cmd/elmfold/main.go
@@ -1,6 +1,6 @@
-// Elmfold is a controller. Without arguments and without an operator file it is all in this program, as the
-// platform starts it. Everything else is in elmfold-full beside it, whose libraries would cost this one more
-// memory than it has to spend; this program becomes that one then.
+// Command elmfold is the controller as the platform starts it: without arguments and without an operator file. In any
+// other case it executes elmfold-full from the same directory. The two programs are separate because the libraries of
+// elmfold-full use too much memory for the platform's limit.
 package main
 
 import (
@@ -21,6 +21,6 @@
 		full := filepath.Join(filepath.Dir(self), "elmfold-full")
 		err = syscall.Exec(full, append([]string{full}, os.Args[1:]...), os.Environ())
 	}
-	fmt.Fprintf(os.Stderr, "elmfold: elmfold-full is wanted beside this program: %v\n", err)
+	fmt.Fprintf(os.Stderr, "elmfold: cannot execute elmfold-full, which must be in the same directory: %v\n", err)
 	os.Exit(2)
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Wirehost hosts instances of the decision module on the simulator's wire: batches on standard input, replies
-// on standard output. The instances share nothing.
+// Command simhost runs instances of the policy for the simulator. It reads batches of events from standard input and
+// writes the decisions to standard output. The instances share no state.
 package main
 
 import (
@@ -21,55 +21,62 @@
 }
 
 func serve(in io.Reader, out io.Writer) error {
-	dec := simwire.NewDecoder(in)
-	hosted := map[uint16]*policy.Assigner{}
+	decoder := simwire.NewDecoder(in)
+	assigners := map[uint16]*policy.Assigner{} // by instance
 	for {
-		batch, err := dec.Next()
+		batch, err := decoder.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		reply := simwire.NewReply(dec)
+		reply := simwire.NewReply(decoder)
 		events := map[uint16][]policy.Event{}
-		var order []uint16
-		for _, rec := range batch.Records {
-			if _, ok := events[rec.Inst]; !ok {
-				order = append(order, rec.Inst)
-				events[rec.Inst] = nil
+		var instances []uint16 // in the order of their first record
+		for _, record := range batch.Records {
+			instance := record.Inst
+			if _, ok := events[instance]; !ok {
+				instances = append(instances, instance)
+				events[instance] = nil
 			}
-			switch e := rec.Event.(type) {
+			switch e := record.Event.(type) {
 			case nil:
 			case simwire.Launch:
-				hosted[rec.Inst] = policy.New(e.Deployment)
-				events[rec.Inst] = nil
+				assigners[instance] = policy.New(e.Deployment)
+				events[instance] = nil
 			case simwire.Stop:
-				delete(hosted, rec.Inst)
-				events[rec.Inst] = nil
+				delete(assigners, instance)
+				events[instance] = nil
 			case policy.Event:
-				events[rec.Inst] = append(events[rec.Inst], e)
+				events[instance] = append(events[instance], e)
 			}
 		}
-		for _, inst := range order {
-			if a := hosted[inst]; a != nil {
-				step(reply, inst, a, batch.Now, events[inst])
+		for _, instance := range instances {
+			if assigner := assigners[instance]; assigner != nil {
+				step(reply, instance, assigner, batch.Now, events[instance])
 			}
 		}
 		if _, err := reply.WriteTo(out); err != nil {
-			return fmt.Errorf("writing a reply: %w", err)
+			return fmt.Errorf("write reply: %w", err)
 		}
 	}
 }
 
-// step lets an instance decide; a panic becomes its last word.
-func step(reply *simwire.Reply, inst uint16, a *policy.Assigner, now policy.Time, events []policy.Event) {
+// step adds the decisions of one instance to the reply. If the instance panics, the reply has the panic instead.
+func step(
+	reply *simwire.Reply,
+	instance uint16,
+	assigner *policy.Assigner,
+	now policy.Time,
+	events []policy.Event,
+) {
 	before := *reply
 	defer func() {
 		if p := recover(); p != nil {
 			*reply = before
-			reply.Bail(inst, fmt.Sprint("panic: ", p))
+			reply.Bail(instance, fmt.Sprint("panic: ", p))
 		}
 	}()
-	reply.Add(inst, a.Step(now, events))
+	reply.Add(instance, assigner.Step(now, events))
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -13,14 +13,14 @@
 	empty := make([]byte, 16)
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(empty), &out); err != nil || !bytes.Equal(out.Bytes(), make([]byte, 8)) {
-		t.Errorf("an empty batch: %v, reply %x", err, out.Bytes())
+		t.Errorf("an empty batch: error %v, reply %x", err, out.Bytes())
 	}
 	if err := serve(strings.NewReader("short"), &out); err == nil {
-		t.Error("a cut header was taken for the end of input")
+		t.Error("a truncated header was accepted as the end of input")
 	}
 }
 
-// A panic of an instance becomes its last word, and what it had begun to say is taken back.
+// If an instance panics, the reply has the panic and none of the instance's decisions.
 func TestPanic(t *testing.T) {
 	reply := simwire.NewReply(simwire.NewDecoder(strings.NewReader("")))
 	step(reply, 3, policy.New(policy.Deployment{}), 1, []policy.Event{policy.MarkerAcked{Proxy: -1}})
--- a/internal/gateway/apierror/apierror.go
+++ b/internal/gateway/apierror/apierror.go
@@ -1,6 +1,6 @@
-// Package apierror is the closed list of what can go wrong with a request or a control call, and the one table from
-// each kind of error to its answer: the status, whether an endpoint may have executed the request, and whether it
-// may be retried at another endpoint.
+// Package apierror defines the kinds of errors of proxied requests and control calls. One table maps each kind to its
+// response: the HTTP status, whether an endpoint may have executed the request, and whether the request may be retried
+// at another endpoint.
 package apierror
 
 import (
@@ -9,66 +9,66 @@
 	"time"
 )
 
-// Kind is one way to fail. The list is closed: each Kind has its row in the table of policies.
+// Kind classifies an error. The table of policies has a row for each Kind.
 type Kind uint8
 
-// Kinds of errors. Those of requests come first, those of control calls after them.
+// Kinds of errors: of proxied requests first, then of control calls.
 const (
 	None Kind = iota
 
-	// Of a request that no endpoint has executed.
-
-	NoRoute            // no route of the host begins the path
-	Malformed          // the request cannot be passed on as it is
-	HeaderTooLarge     // over maxHeaderBytes
-	BodyTooLarge       // over maxBodyBytes
-	ClientTimeout      // its body did not arrive in time
-	NotReady           // no configuration is known yet
-	NoEndpoint         // no endpoint of the service may be used now
-	RateLimited        // over the rate limit of this proxy
-	EndpointsSaturated // all endpoints have all the connections or requests that they may have
-	DeadlineExceeded   // no time is left to begin an attempt
-	ShuttingDown       // the process ends
-	ConnectFailed      // the connection to the endpoint did not come up
-	RejectedByEndpoint // the endpoint said that it did not execute it
-	Misdirected        // 421: another endpoint has the address
-	ClientDisconnected // the client left before anything was sent
-
-	// Of a request that an endpoint may have executed.
-
-	ConnectionBroken   // the connection ended after bytes of the request were written
-	InvalidResponse    // what arrived is no response
-	MismatchedResponse // the response belongs to another request, or lacks the seal
-	TruncatedResponse  // the response ended before its end
-	ResponseTimeout    // the time for the response ran out
-	EndpointFailed     // the endpoint's own 5xx, which is passed on
-	AttemptCancelled   // broken off, because the client left or its body ended early
-
-	// Of a control call, by an operator or an endpoint.
-
-	InvalidArgument // it cannot be read whole, or asks for what cannot be
-	UnknownMethod   // there is no such call
-	NotDurable      // not enough disks have it
-	Unavailable     // this node does not know enough yet, or has no quorum contact; nothing was done
-	OutcomeUnknown  // the proposal may be committed or not, now or later
-	VersionConflict // another value is committed under its version, for good
+	// Errors of a request that no endpoint has executed.
+
+	NoRoute            // no route of the host has a prefix that matches the path
+	Malformed          // the request is not valid HTTP or cannot be forwarded
+	HeaderTooLarge     // the header exceeds maxHeaderBytes
+	BodyTooLarge       // the body exceeds maxBodyBytes
+	ClientTimeout      // the client did not send the body in time
+	NotReady           // the proxy has no configuration yet
+	NoEndpoint         // the service has no usable endpoint
+	RateLimited        // the request exceeds the rate limit of this proxy
+	EndpointsSaturated // all endpoints are at their limit of connections or requests
+	DeadlineExceeded   // no time is left to start an attempt
+	ShuttingDown       // the process is shutting down
+	ConnectFailed      // the connection to the endpoint could not be established
+	RejectedByEndpoint // the endpoint reported that it did not execute the request
+	Misdirected        // 421: the address now belongs to another endpoint
+	ClientDisconnected // the client disconnected before the proxy sent anything to an endpoint
+
+	// Errors of a request that an endpoint may have executed.
+
+	ConnectionBroken   // the connection broke after the proxy had sent part of the request
+	InvalidResponse    // the endpoint sent something other than an HTTP response
+	MismatchedResponse // the response belongs to another request or lacks the server seal
+	TruncatedResponse  // the response is incomplete
+	ResponseTimeout    // the response did not arrive in time
+	EndpointFailed     // the endpoint responded with a 5xx status, which the proxy forwards
+	AttemptCancelled   // the proxy cancelled the attempt: the client disconnected or sent an incomplete body
+
+	// Errors of a control call by an operator or an endpoint.
+
+	InvalidArgument // the arguments are malformed or not acceptable
+	UnknownMethod   // the method does not exist
+	NotDurable      // too few disks have stored the value
+	Unavailable     // this node lacks the state or the quorum contact for the call; nothing was changed
+	OutcomeUnknown  // the proposal may or may not be committed, now or later
+	VersionConflict // another value is committed under the same version; a retry cannot succeed
 	PayloadTooLarge // the body of the call is too large
 
 	kindCount
 )
 
-// Policy is how errors of a Kind are answered.
+// Policy is the response to errors of a Kind.
 type Policy struct {
-	// Name stands in the texts that clients and operators receive, so it does not change with the names here.
-	Name            string
-	Status          int           // of the answer
-	MayHaveExecuted bool          // an endpoint may have executed the request
-	Retryable       bool          // another endpoint may be tried, if the route is idempotent or nothing was executed
-	RetryAfter      time.Duration // when the caller should come again; 0: nothing is said of it
+	Name            string // part of the error texts that clients and operators receive, so it must not change
+	Status          int    // HTTP status
+	MayHaveExecuted bool   // an endpoint may have executed the request
+	// Retryable allows an attempt at another endpoint. If MayHaveExecuted is set, the route must also be idempotent.
+	Retryable  bool
+	RetryAfter time.Duration // value of the Retry-After header; 0: no header
 }
 
-// 429 and 503 (and 408, 421) promise that the request was not executed and never will be: no row with MayHaveExecuted
-// has one of them.
+// The statuses 408, 421, 429 and 503 promise that the request was not executed and never will be. Rows with
+// MayHaveExecuted therefore have other statuses.
 var policies = [kindCount]Policy{
 	None:           {Name: "none", Status: http.StatusOK},
 	NoRoute:        {Name: "no route", Status: http.StatusNotFound},
@@ -110,7 +110,7 @@
 		Retryable:  true,
 		RetryAfter: 50 * time.Millisecond,
 	},
-	// Both are answered for clients that have closed only their own direction, and may still read.
+	// The next two are sent because a client that has closed only its sending side can still read.
 	ClientDisconnected: {Name: "client gone", Status: http.StatusServiceUnavailable},
 	AttemptCancelled:   {Name: "broken off by the client", Status: http.StatusBadGateway, MayHaveExecuted: true},
 	ConnectionBroken:   {Name: "broken off", Status: http.StatusBadGateway, MayHaveExecuted: true, Retryable: true},
@@ -128,12 +128,12 @@
 	PayloadTooLarge:    {Name: "order too large", Status: http.StatusRequestEntityTooLarge},
 }
 
-// Policy is the row of the kind.
+// Policy returns the response to errors of this kind.
 func (k Kind) Policy() Policy { return policies[k] }
 
 func (k Kind) String() string { return policies[k].Name }
 
-// Kinds are all of them, in their order.
+// Kinds returns all kinds in the order of their values.
 func Kinds() []Kind {
 	all := make([]Kind, kindCount)
 	for i := range all {
@@ -142,14 +142,14 @@
 	return all
 }
 
-// Error is an error of a Kind.
+// Error is an error with a Kind.
 type Error struct {
 	Kind    Kind
-	Subject string // the endpoint, key or file that it is about; may be empty
+	Subject string // the endpoint, key or file concerned; may be empty
 	Cause   error  // may be nil
 }
 
-// New makes an Error.
+// New returns an Error.
 func New(kind Kind, subject string, cause error) *Error {
 	return &Error{Kind: kind, Subject: subject, Cause: cause}
 }
@@ -166,5 +166,5 @@
 	return fmt.Sprintf("%s: %s: %v", e.Subject, e.Kind, e.Cause)
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
--- a/internal/gateway/apierror/apierror_test.go
+++ b/internal/gateway/apierror/apierror_test.go
@@ -11,44 +11,46 @@
 	"github.com/hexops/autogold"
 )
 
-// The whole table. A change of an answer is to be seen here.
+// Guards against unintended changes of the response to any kind of error.
 func TestTable(t *testing.T) {
 	var b strings.Builder
 	for _, k := range Kinds() {
-		r := k.Policy()
-		fmt.Fprintf(&b, "%-17s %d", k, r.Status)
-		if r.MayHaveExecuted {
+		policy := k.Policy()
+		fmt.Fprintf(&b, "%-17s %d", k, policy.Status)
+		if policy.MayHaveExecuted {
 			b.WriteString(", may have run")
 		}
-		if r.Retryable {
+		if policy.Retryable {
 			b.WriteString(", elsewhere")
 		}
-		if r.RetryAfter > 0 {
-			fmt.Fprintf(&b, ", again after %v", r.RetryAfter)
+		if policy.RetryAfter > 0 {
+			fmt.Fprintf(&b, ", again after %v", policy.RetryAfter)
 		}
 		b.WriteString("\n")
 	}
 	autogold.Equal(t, b.String())
 }
 
-// These statuses promise that the request has not run and never will.
-func TestNoPromiseOfWhatMayHaveRun(t *testing.T) {
+// The statuses 408, 421, 429 and 503 promise that the request was not executed and never will be.
+func TestStatusesOfUnexecutedRequests(t *testing.T) {
+	unexecuted := []int{408, 421, 429, 503}
 	for _, k := range Kinds() {
-		if r := k.Policy(); r.Name == "" || r.MayHaveExecuted && slices.Contains([]int{408, 421, 429, 503}, r.Status) {
-			t.Errorf("%d %+v", k, r)
+		policy := k.Policy()
+		if policy.Name == "" || policy.MayHaveExecuted && slices.Contains(unexecuted, policy.Status) {
+			t.Errorf("kind %d has the policy %+v", k, policy)
 		}
 	}
 }
 
 func TestError(t *testing.T) {
-	for want, f := range map[string]*Error{
+	for want, err := range map[string]*Error{
 		"late":                            New(ResponseTimeout, "", nil),
 		"i-1: late":                       New(ResponseTimeout, "i-1", nil),
 		"late: unexpected EOF":            New(ResponseTimeout, "", io.ErrUnexpectedEOF),
 		"i-1: broken off: unexpected EOF": New(ConnectionBroken, "i-1", io.ErrUnexpectedEOF),
 	} {
-		if f.Error() != want || f.Cause != nil && !errors.Is(f, f.Cause) {
-			t.Errorf("%q, not %q", f, want)
+		if err.Error() != want || err.Cause != nil && !errors.Is(err, err.Cause) {
+			t.Errorf("got %q, want %q", err, want)
 		}
 	}
 }
--- a/internal/gateway/bootconfig/bootconfig.go
+++ b/internal/gateway/bootconfig/bootconfig.go
@@ -1,6 +1,5 @@
-// Package bootconfig reads and checks the settings that the platform gives a process at its start: the JSON file whose
-// path stands in ELMFOLD_CONFIG. Keys that are not known are ignored. The keys are the platform's; the names of the
-// fields here are not.
+// Package bootconfig reads and validates the settings that the platform gives a process at its start: the JSON file
+// that the environment variable ELMFOLD_CONFIG names. Unknown keys are ignored.
 package bootconfig
 
 import (
@@ -11,81 +10,81 @@
 	"time"
 )
 
-// EnvVar is the environment variable that names the file.
+// EnvVar is the environment variable with the path of the settings file.
 const EnvVar = "ELMFOLD_CONFIG"
 
-// Names in Settings.Listen.
+// Keys of Settings.Listen.
 const (
-	ListenClients   = "front"     // clients' requests, of a proxy
-	ListenReadiness = "readiness" // the platform's readiness probe, of a proxy
-	ListenControl   = "control"   // calls of operators and endpoints, of a control-plane node
+	ListenClients   = "front"     // proxy: requests of clients
+	ListenReadiness = "readiness" // proxy: readiness probes of the platform
+	ListenControl   = "control"   // control-plane node: calls of operators and endpoints
 )
 
-// Seconds is a duration in seconds, fractions included.
+// Seconds is a duration in seconds.
 type Seconds float64
 
 // Duration converts to a time.Duration.
 func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
-// Settings are what the platform tells a process.
+// Settings is the content of the settings file.
 type Settings struct {
 	Name   string            `json:"nodeName"`
 	Role   string            `json:"role"`
 	IP     string            `json:"ip"`
 	Zone   string            `json:"zone"`
 	Region string            `json:"region"`
-	Zones  map[string]string `json:"zones"`  // the region of each zone
-	Listen map[string]string `json:"listen"` // "ip:port" by purpose, see ListenClients
-	// first and last port that is free for the system; the same on all machines
+	Zones  map[string]string `json:"zones"`  // region by zone
+	Listen map[string]string `json:"listen"` // "ip:port" by purpose: ListenClients, ListenReadiness or ListenControl
+	// PortRange holds the first and the last port that the gateway may use. It is the same on all machines.
 	PortRange     [2]int   `json:"portRange"`
-	Seeds         []string `json:"seedNodes"` // control addresses of the nodes that found the control plane
-	Bootstrap     bool     `json:"bootstrap"` // this is the first start of the whole system
+	Seeds         []string `json:"seedNodes"` // control addresses of the nodes that bootstrap the control plane
+	Bootstrap     bool     `json:"bootstrap"` // this is the first start of the cluster
 	InFaultBudget bool     `json:"counted"`   // the machine counts towards FaultBudget.Machines
 
 	Limits            Limits      `json:"limits"`
-	DataDir           string      `json:"dataDir"` // the folder on this machine's disk
-	HeartbeatInterval Seconds     `json:"beatS"`   // between two heartbeats of an endpoint; default 1.5
+	DataDir           string      `json:"dataDir"` // directory on this machine's disk
+	HeartbeatInterval Seconds     `json:"beatS"`   // of endpoints; default 1.5
 	FaultBudget       FaultBudget `json:"faultBudget"`
 	Bounds            Bounds      `json:"bounds"`
 }
 
-// Limits are the resources that the process may use. 0: no limit was given.
+// Limits are the resources that the process may use. 0 means no limit.
 type Limits struct {
 	Cores    float64 `json:"cores"`
-	CPUShare float64 `json:"cpuShare"` // part of the machine's processors
+	CPUShare float64 `json:"cpuShare"` // share of the machine's processors
 	MemoryMB float64 `json:"memoryMb"`
 	MaxFDs   int     `json:"maxFds"` // open file descriptors
 	DiskMB   float64 `json:"diskMb"`
 }
 
-// FaultBudget is what may be lost at once while the system keeps all its promises.
+// FaultBudget is the number of simultaneous faults that the gateway must tolerate.
 type FaultBudget struct {
 	Machines int `json:"machineFaults"`
 	Zones    int `json:"zones"`
 }
 
-// Bounds are the figures of the platform's rules. Default has their defaults.
+// Bounds are the limits that the platform sets for the behaviour of the gateway.
 type Bounds struct {
-	SeedLag   Seconds `json:"seedLagS"`   // by which callers' lists of control-plane nodes lag; default 3
-	AddrReuse Seconds `json:"addrReuseS"` // until the address of an ended endpoint may serve another; default 2
-	// of undisturbed contact before a machine is held to the rules; default 3
-	Contact         Seconds `json:"contactS"`
-	Ack             Seconds `json:"ackS"`         // within which callers may repeat a control call; default 5
-	CatchUp         Seconds `json:"catchUpS"`     // after its return for which a machine counts as lost; default 4
-	Drain           Seconds `json:"drainS"`       // for which a draining endpoint still serves; default 2
-	Grace           Seconds `json:"graceS"`       // from SIGTERM to SIGKILL; default 6
-	LossSlack       Seconds `json:"lossSlackS"`   // after its last byte in which a request may still be lost; default 0.2
-	ConfigApply     Seconds `json:"configApplyS"` // until an acknowledged configuration holds everywhere; default 2
-	RetryRatio      float64 `json:"retryRatio"`   // retries allowed for each request; default 0.2
-	RetryWindow     Seconds `json:"retryWindowS"` // over which retries are counted; default 10
-	RetrySlack      float64 `json:"retrySlack"`   // retries allowed in a window beside RetryRatio; default 60
-	SlowStartExcess float64 `json:"coldExcess"`   // times the slow-start rate that an endpoint may get; default 1.5
-	SlowStartSlack  float64 `json:"coldSlack"`    // requests allowed in a second beside SlowStartExcess; default 5
-	Evacuate        Seconds `json:"evacuateS"`    // until an evacuated zone receives nothing; default 5
-	Recovery        Seconds `json:"recoveryS"`    // after the last fault until the system serves again; default 15
+	SeedLag   Seconds `json:"seedLagS"`   // maximum age of the callers' lists of control-plane nodes; default 3
+	AddrReuse Seconds `json:"addrReuseS"` // minimum time until another endpoint reuses an address; default 2
+	Contact   Seconds `json:"contactS"`   // uninterrupted contact after which a machine must meet the bounds; default 3
+	Ack       Seconds `json:"ackS"`       // time within which callers may retry a control call; default 5
+	CatchUp   Seconds `json:"catchUpS"`   // time for which a machine counts as lost after it returns; default 4
+	Drain     Seconds `json:"drainS"`     // time for which a draining endpoint still serves; default 2
+	Grace     Seconds `json:"graceS"`     // from SIGTERM to SIGKILL; default 6
+	LossSlack Seconds `json:"lossSlackS"` // time after its last byte in which a request may still be lost; default 0.2
+	// ConfigApply is the maximum time until all proxies apply an acknowledged configuration; default 2.
+	ConfigApply     Seconds `json:"configApplyS"`
+	RetryRatio      float64 `json:"retryRatio"`   // allowed retries per request; default 0.2
+	RetryWindow     Seconds `json:"retryWindowS"` // window in which retries are counted; default 10
+	RetrySlack      float64 `json:"retrySlack"`   // retries allowed per window in addition to RetryRatio; default 60
+	SlowStartExcess float64 `json:"coldExcess"`   // allowed multiple of the slow-start rate of an endpoint; default 1.5
+	SlowStartSlack  float64 `json:"coldSlack"`    // requests/s allowed in addition to SlowStartExcess; default 5
+	Evacuate        Seconds `json:"evacuateS"`    // maximum time until an evacuated zone receives no requests; default 5
+	Recovery        Seconds `json:"recoveryS"`    // maximum time from the last fault to full service; default 15
 }
 
-// Default returns the settings of a file that names none.
+// Default returns the default settings.
 func Default() Settings {
 	return Settings{
 		HeartbeatInterval: 1.5,
@@ -110,7 +109,7 @@
 	}
 }
 
-// FromEnvironment loads the file that the environment names.
+// FromEnvironment loads the file that EnvVar names.
 func FromEnvironment() (*Settings, error) {
 	path := os.Getenv(EnvVar)
 	if path == "" {
@@ -119,7 +118,7 @@
 	return Load(path)
 }
 
-// Load reads a file. The error names the file and each faulty key.
+// Load reads a settings file. The error names the file and each invalid key.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -132,33 +131,33 @@
 	return s, nil
 }
 
-// PeerAddress is where the machine of a control address listens for connections between nodes: on the first port of the
-// range. It is empty for what is no address.
+// PeerAddress returns the address for connections between nodes on the machine with the given control address: the same
+// IP with the first port of PortRange. It returns an empty string if control is not a valid address.
 func (s *Settings) PeerAddress(control string) string {
-	at, err := netip.ParseAddrPort(control)
+	addrPort, err := netip.ParseAddrPort(control)
 	if err != nil {
 		return ""
 	}
-	return s.onPeerPort(at.Addr())
+	return s.peerAddressOf(addrPort.Addr())
 }
 
-// OwnPeerAddress is PeerAddress of this machine.
-func (s *Settings) OwnPeerAddress() string { return s.onPeerPort(netip.MustParseAddr(s.IP)) }
+// OwnPeerAddress returns the address for connections between nodes on this machine.
+func (s *Settings) OwnPeerAddress() string { return s.peerAddressOf(netip.MustParseAddr(s.IP)) }
 
-// SeedPeerAddresses are the PeerAddresses of all seeds.
+// SeedPeerAddresses returns the PeerAddress of each seed.
 func (s *Settings) SeedPeerAddresses() []string {
-	all := make([]string, 0, len(s.Seeds))
+	addresses := make([]string, 0, len(s.Seeds))
 	for _, seed := range s.Seeds {
-		all = append(all, s.PeerAddress(seed))
+		addresses = append(addresses, s.PeerAddress(seed))
 	}
-	return all
+	return addresses
 }
 
-func (s *Settings) onPeerPort(ip netip.Addr) string {
+func (s *Settings) peerAddressOf(ip netip.Addr) string {
 	return netip.AddrPortFrom(ip, uint16(s.PortRange[0])).String()
 }
 
-// RequireListeners returns an error that names the purposes for which no address was given.
+// RequireListeners returns an error that names each of the purposes for which Listen has no address.
 func (s *Settings) RequireListeners(purposes ...string) error {
 	var missing []error
 	for _, purpose := range purposes {
--- a/internal/gateway/bootconfig/bootconfig_test.go
+++ b/internal/gateway/bootconfig/bootconfig_test.go
@@ -12,7 +12,7 @@
 	"github.com/hexops/autogold"
 )
 
-// example is the settings file as the platform's pages show it.
+// example is the settings file from the platform's documentation.
 const example = `{
   "nodeName": "edge-hall-a-1", "role": "my-edge", "machineClass": "edge", "serves": ["edge"], "ip": "10.1.0.34",
   "zone": "hall-a", "region": "lowland",
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	if got := s.Bounds.LossSlack.Duration(); got != 200*time.Millisecond {
-		t.Errorf("0.2 s are %v", got)
+		t.Errorf("0.2 s was converted to %v", got)
 	}
 	if own, peer := s.OwnPeerAddress(), s.PeerAddress(s.Seeds[1]); own != "10.1.0.34:7540" || peer != "10.2.0.37:7540" {
 		t.Errorf("own %s, peer %s", own, peer)
@@ -51,39 +51,39 @@
 	autogold.Equal(t, string(text))
 }
 
-// change has the example with one value replaced, or added in front where it has no such key.
-func change(t *testing.T, key, value string) string {
-	var all map[string]json.RawMessage
-	if err := json.Unmarshal([]byte(example), &all); err != nil {
+// exampleWith returns the example with one key set to a JSON value, or without the key if the value is empty.
+func exampleWith(t *testing.T, key, value string) string {
+	var fields map[string]json.RawMessage
+	if err := json.Unmarshal([]byte(example), &fields); err != nil {
 		t.Fatal(err)
 	}
-	if all[key] = json.RawMessage(value); value == "" {
-		delete(all, key)
+	if fields[key] = json.RawMessage(value); value == "" {
+		delete(fields, key)
 	}
-	text, err := json.Marshal(all)
+	text, err := json.Marshal(fields)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return string(text)
 }
 
-// Each fault names the file and the key.
+// Each error names the file and the key.
 func TestFaults(t *testing.T) {
 	var b strings.Builder
-	show := func(what, text string) {
+	check := func(name, text string) {
 		path := filepath.Join(t.TempDir(), "boot.json")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, err := Load(path)
 		if err == nil || !strings.Contains(err.Error(), path) {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("%s: %v", name, err)
 			return
 		}
 		fmt.Fprintf(
 			&b,
 			"%s\n    %s\n",
-			what,
+			name,
 			strings.ReplaceAll(strings.ReplaceAll(err.Error(), path, "boot.json"), "\n", "\n    "),
 		)
 	}
@@ -91,30 +91,30 @@
 		{"zone", ""}, {"zones", `["hall-a"]`}, {"portRange", "[7555, 7540]"}, {"portRange", "[1, 70000]"},
 		{"portRange", ""}, {"seedNodes", `["10.1.0.37:8544", "hall"]`}, {"listen", `{"front": "10.1.0.34"}`},
 		{"beatS", "0"}, {"beatS", `"1.5"`}, {"bounds", `{"ackS": true}`}, {"limits", `{"maxFds": 4100.5}`}} {
-		show(c[0]+" "+c[1], change(t, c[0], c[1]))
+		check(c[0]+" "+c[1], exampleWith(t, c[0], c[1]))
 	}
-	show("two at once", strings.ReplaceAll(change(t, "ip", `""`), `"beatS":1.5`, `"beatS":-1`))
-	show("cut short", example[:200])
-	show("more behind it", example+"{}")
-	show("empty", "")
+	check("two at once", strings.ReplaceAll(exampleWith(t, "ip", `""`), `"beatS":1.5`, `"beatS":-1`))
+	check("cut short", example[:200])
+	check("more behind it", example+"{}")
+	check("empty", "")
 	autogold.Equal(t, b.String())
 
 	if _, err := Load("/nowhere/boot.json"); err == nil || !strings.Contains(err.Error(), "/nowhere/boot.json") {
-		t.Errorf("no file: %v", err)
+		t.Errorf("missing file: %v", err)
 	}
 	t.Setenv(EnvVar, "")
 	if _, err := FromEnvironment(); err == nil || !strings.Contains(err.Error(), EnvVar) {
-		t.Errorf("no variable: %v", err)
+		t.Errorf("environment variable not set: %v", err)
 	}
 }
 
-// What a file of the future says beside is read past, and what it does not say is as it was.
+// Unknown keys are ignored, and missing keys keep their defaults.
 func TestUnknownAndMissingFields(t *testing.T) {
-	s, err := Parse([]byte(change(t, "future", `{"a": [1, {"nodeName": "other"}], "b": null}`)))
+	s, err := Parse([]byte(exampleWith(t, "future", `{"a": [1, {"nodeName": "other"}], "b": null}`)))
 	if err != nil || s.Name != "edge-hall-a-1" {
 		t.Errorf("%+v, %v", s, err)
 	}
-	s, err = Parse([]byte(change(t, "bounds", `{"drainS": 3, "future": true, "ackS": null}`)))
+	s, err = Parse([]byte(exampleWith(t, "bounds", `{"drainS": 3, "future": true, "ackS": null}`)))
 	if err != nil || s.Bounds.Drain != 3 || s.Bounds.Ack != Default().Bounds.Ack {
 		t.Errorf("%+v, %v", s, err)
 	}
--- a/internal/gateway/bootconfig/parse.go
+++ b/internal/gateway/bootconfig/parse.go
@@ -12,15 +12,15 @@
 
 const (
 	maxPort = 65535
-	// maxSeconds keeps a duration far from the range of time.Duration.
+	// maxSeconds prevents an overflow of time.Duration.
 	maxSeconds = 1e6
 )
 
-// Parse reads and checks the text of a settings file. The error names each faulty key, one a line.
+// Parse reads and validates the text of a settings file. The error has a line for each invalid key.
 func Parse(text []byte) (*Settings, error) {
 	s := Default()
 	if err := json.Unmarshal(text, &s); err != nil {
-		return nil, describe(err)
+		return nil, describeJSONError(err)
 	}
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -28,28 +28,29 @@
 	return &s, nil
 }
 
-// describe puts an error of the JSON decoder into terms of the file.
-func describe(err error) error {
+// describeJSONError adds the key or the offset in the file to an error of the JSON decoder.
+func describeJSONError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	var syntax *json.SyntaxError
 	switch {
 	case errors.As(err, &wrongType):
-		return fmt.Errorf("%s: a %s stands where %s is wanted", wrongType.Field, wrongType.Value, nameOf(wrongType.Type))
+		return fmt.Errorf("%s: a %s stands where %s is wanted", wrongType.Field, wrongType.Value,
+			describeType(wrongType.Type))
 	case errors.As(err, &syntax):
 		return fmt.Errorf("byte %d: %w", syntax.Offset, err)
 	}
 	return err
 }
 
-// nameOf names the type of a field for who writes the file.
-func nameOf(t reflect.Type) string {
+// describeType names the type of a field in an error message.
+func describeType(t reflect.Type) string {
 	if t == reflect.TypeFor[Seconds]() {
 		return "a number of seconds"
 	}
 	return t.String()
 }
 
-// problems collects what is wrong with a file.
+// problems collects the errors of a settings file.
 type problems []error
 
 func (p *problems) add(key, format string, args ...any) {
@@ -97,7 +98,7 @@
 	}
 }
 
-// validateDurations checks those that something divides by or waits for.
+// validateDurations checks the durations that the gateway waits for or divides by.
 func (s *Settings) validateDurations(p *problems) {
 	if s.HeartbeatInterval <= 0 {
 		p.add("beatS", "%v is no span", s.HeartbeatInterval)
@@ -109,7 +110,7 @@
 		{"graceS", s.Bounds.Grace},
 		{"retryWindowS", s.Bounds.RetryWindow},
 	} {
-		if inRange := bound.value > 0 && bound.value < maxSeconds; !inRange { // NaN is out of range too
+		if inRange := bound.value > 0 && bound.value < maxSeconds; !inRange { // also true for NaN
 			p.add("bounds."+bound.key, "%v is no span", bound.value)
 		}
 	}
--- a/internal/gateway/cli/check.go
+++ b/internal/gateway/cli/check.go
@@ -10,7 +10,7 @@
 	"elmfold/internal/gateway/routeconfig"
 )
 
-// settingsMarker tells a settings file that cannot be read from a configuration.
+// settingsMarker identifies an invalid file as settings rather than a configuration.
 var settingsMarker = []byte(`"nodeName"`)
 
 type checkCommand struct {
@@ -20,7 +20,7 @@
 	out io.Writer
 }
 
-// Execute checks a file: one with a nodeName is settings, any other a configuration.
+// Execute validates a settings file or a configuration and prints a summary of it.
 func (c *checkCommand) Execute([]string) error {
 	text, err := os.ReadFile(c.Args.File)
 	if err != nil {
@@ -34,7 +34,8 @@
 	return err
 }
 
-// summarize says in a few words what a valid file holds.
+// summarize describes a valid file in one line. If the file is invalid, the error is that of the settings parser for a
+// file with settingsMarker, and that of the configuration parser for any other.
 func summarize(text []byte) (string, error) {
 	settings, settingsErr := bootconfig.Parse(text)
 	if settingsErr == nil {
--- a/internal/gateway/cli/cli.go
+++ b/internal/gateway/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is what both programs of the gateway begin with: the command line, the signals, the limits of the
-// process, and how nodes are dialled and listened for.
+// Package cli has the start-up code that the proxy and the control plane share: the command line, signals, memory
+// limits, the metrics listener, and the TCP options of connections between nodes.
 package cli
 
 import (
@@ -12,40 +12,40 @@
 	"elmfold/internal/gateway/bootconfig"
 )
 
-// Version of the gateway.
+// Version is the version of the gateway.
 const Version = "0.1.0"
 
 // Exit codes.
 const (
 	ExitOK      = 0
-	ExitFailure = 1 // something failed while it ran
-	ExitUsage   = 2 // the command line, the settings or a checked file is wrong
+	ExitFailure = 1 // the program failed while it ran
+	ExitUsage   = 2 // the command line, the settings or a checked file is invalid
 )
 
 // Options of the command line.
 type Options struct {
 	Verbose bool `short:"v" long:"verbose" description:"write each log line as it comes, not only when something goes wrong"` //nolint:lll // a struct tag cannot be broken
-	// MetricsPort is where the process shows its figures, at /metrics of the machine's address. 0: nowhere.
+	// MetricsPort is the port of the metrics listener on the machine's address. 0 disables it.
 	MetricsPort uint16 `long:"metrics-port" value-name:"PORT" description:"show the process's figures at this port, path /metrics"` //nolint:lll // a struct tag cannot be broken
 }
 
-// RunFunc serves until the program ends.
+// RunFunc runs the program until it shuts down.
 type RunFunc func(*bootconfig.Settings, Options) error
 
-// Program is what the command line of a program needs to know of it.
+// Program describes a program to its command line.
 type Program struct {
 	Name        string
 	Description string    // one sentence
-	Out, Err    io.Writer // what was asked for; what went wrong
+	Out, Err    io.Writer // for results and for error messages
 	Run         RunFunc
 }
 
-// Main reads the command line and carries it out; without a command the program runs, on the settings that the
-// environment names. It returns the exit code.
+// Main parses the command line and executes its command. Without a command, it runs the program with the settings from
+// bootconfig.FromEnvironment. It returns the exit code.
 func (p Program) Main(args []string) int {
 	var options Options
-	start := &runCommand{}
-	parser := p.newParser(&options, start)
+	run := &runCommand{}
+	parser := p.newParser(&options, run)
 	rest, err := parser.ParseArgs(args)
 	var usage *flags.Error
 	switch {
@@ -58,8 +58,8 @@
 		return p.fail(ExitUsage, err)
 	case len(rest) > 0:
 		return p.fail(ExitUsage, fmt.Errorf("there is no command %q", rest[0]))
-	case parser.Active != nil && !start.wanted:
-		return ExitOK // the command was carried out while the arguments were parsed
+	case parser.Active != nil && !run.requested:
+		return ExitOK // the parser has executed the command
 	}
 	settings, err := bootconfig.FromEnvironment()
 	if err != nil {
@@ -76,13 +76,13 @@
 	return code
 }
 
-func (p Program) newParser(options *Options, start *runCommand) *flags.Parser {
+func (p Program) newParser(options *Options, run *runCommand) *flags.Parser {
 	parser := flags.NewNamedParser(p.Name, flags.HelpFlag|flags.PassDoubleDash)
 	parser.ShortDescription, parser.LongDescription = p.Description, p.Description
 	parser.SubcommandsOptional = true
 	must(parser.AddGroup("Options", "", options))
 	must(parser.AddCommand("run", "serve (as without a command)",
-		"Serves by the settings file that "+bootconfig.EnvVar+" names.", start))
+		"Serves by the settings file that "+bootconfig.EnvVar+" names.", run))
 	must(parser.AddCommand("check", "check a file",
 		"Checks a settings file or a configuration: one line a fault.", &checkCommand{out: p.Out}))
 	must(parser.AddCommand("status", "ask a control-plane node how the core stands",
@@ -93,18 +93,18 @@
 	return parser
 }
 
-// must stands for errors that only a wrong declaration in this package can cause.
+// must panics on errors that only an invalid declaration in this package can cause.
 func must[T any](_ T, err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-// runCommand only notes that it was given: the program runs once all arguments are parsed.
-type runCommand struct{ wanted bool }
+// runCommand records that the command was given. Main runs the program after all arguments are parsed.
+type runCommand struct{ requested bool }
 
 func (r *runCommand) Execute([]string) error {
-	r.wanted = true
+	r.requested = true
 	return nil
 }
 
--- a/internal/gateway/cli/cli_test.go
+++ b/internal/gateway/cli/cli_test.go
@@ -34,17 +34,17 @@
 	`"registers":[{"name":"charter","hi":12,"lo":"9","chosen":true,"disks":2},` +
 	`{"name":"zone/north","hi":946684800000,"lo":"9","chosen":false,"disks":1}],"evacuated":["north","south"]}`
 
-// wrapped is where a help text is broken, which depends on the terminal's width.
-var wrapped = regexp.MustCompile(`\n {15,}`)
+// helpLineBreak matches the line breaks in help texts, which depend on the terminal width.
+var helpLineBreak = regexp.MustCompile(`\n {15,}`)
 
-// What a person at a shell, or a script by its exit code, sees. Guards against a file that is wrong passing the check,
-// a fault that names neither file nor key, and words on the wrong of the two outputs.
+// Checks the output and the exit code of each command. Guards against invalid files that pass the check, errors that
+// name neither file nor key, and text on the wrong output stream.
 func TestCommandLine(t *testing.T) {
 	home, err := os.Getwd()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Chdir(t.TempDir()) // file names without their folder, the same on each machine
+	t.Chdir(t.TempDir()) // so that the output has no absolute paths
 	write := func(name, text, from, to string) {
 		if !strings.Contains(text, from) {
 			t.Fatalf("%s: no %q", name, from)
@@ -64,22 +64,28 @@
 	var out strings.Builder
 	try := func(environment string, args ...string) {
 		t.Setenv(bootconfig.EnvVar, environment)
-		var said, errs bytes.Buffer
+		var stdout, stderr bytes.Buffer
 		run := func(s *bootconfig.Settings, o cli.Options) error {
-			fmt.Fprintf(&said, "(runs as %s, verbose %t)\n", s.Name, o.Verbose)
+			fmt.Fprintf(&stdout, "(runs as %s, verbose %t)\n", s.Name, o.Verbose)
 			if s.Role == "broken" {
 				return errors.New("it broke")
 			}
 			return nil
 		}
-		program := cli.Program{Name: "elmfold-controlplane", Description: "The controller.", Out: &said, Err: &errs, Run: run}
+		program := cli.Program{
+			Name:        "elmfold-controlplane",
+			Description: "The controller.",
+			Out:         &stdout,
+			Err:         &stderr,
+			Run:         run,
+		}
 		code := program.Main(args)
 		line := append([]string{"$", bootconfig.EnvVar + "=" + environment, "elmfold-controlplane"}, args...)
 		fmt.Fprintln(&out, strings.Join(line, " "))
-		for line := range strings.Lines(wrapped.ReplaceAllString(said.String(), " ")) {
+		for line := range strings.Lines(helpLineBreak.ReplaceAllString(stdout.String(), " ")) {
 			out.WriteString(strings.TrimRight("    "+line, " \n") + "\n")
 		}
-		for line := range strings.Lines(errs.String()) {
+		for line := range strings.Lines(stderr.String()) {
 			out.WriteString("  ! " + line)
 		}
 		fmt.Fprintf(&out, "  = %d\n\n", code)
@@ -100,17 +106,17 @@
 	try("settings.json", "-v")
 	try("settings.json", "extra")
 
-	// The core's status, from a controller that answers, from seeds of which one does, and from nobody.
-	answer, code := status, http.StatusOK
-	controller := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	// The status command: with a node that responds, with seeds of which only one responds, and with no node at all.
+	response, code := status, http.StatusOK
+	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodPost || r.URL.String() != "/v1/rpc?call=core.status" {
 			t.Errorf("%s %s", r.Method, r.URL)
 		}
 		w.WriteHeader(code)
-		fmt.Fprint(w, answer)
+		fmt.Fprint(w, response)
 	}))
-	defer controller.Close()
-	address := controller.Listener.Addr().String()
+	defer node.Close()
+	address := node.Listener.Addr().String()
 	write("controller.json", settings, `"front":"10.0.0.1:8548"`, `"control":"`+address+`"`)
 	write("seeds.json", settings, `"10.0.0.10:8544"`, `"127.0.0.1:1","`+address+`"`)
 	write("nobody.json", settings, `"10.0.0.10:8544"`, `"127.0.0.1:1","127.0.0.1:2"`)
@@ -118,9 +124,9 @@
 	try("", "status", address)
 	try("controller.json", "status")
 	try("seeds.json", "status")
-	answer = "{"
+	response = "{"
 	try("", "status", address)
-	answer, code = `{"error":"unknown call: core.status"}`, http.StatusNotFound
+	response, code = `{"error":"unknown call: core.status"}`, http.StatusNotFound
 	try("", "status", address)
 	try("", "status", "127.0.0.1:1")
 	try("nobody.json", "status")
--- a/internal/gateway/cli/metrics.go
+++ b/internal/gateway/cli/metrics.go
@@ -19,10 +19,9 @@
 	metricsIdleTimeout   = 20 * time.Second
 )
 
-// ServeMetrics shows the figures of the process at the machine's address, where the command line names a port. It
-// returns at once and lasts until the process ends. A port that is taken leaves one line in the log: figures are no
-// reason not to serve.
-func ServeMetrics(log hclog.Logger, settings *bootconfig.Settings, options Options, figures http.Handler) {
+// ServeMetrics starts an HTTP server for metrics on the machine's address if options has a MetricsPort. The server runs
+// until the process ends. If it cannot listen, it logs an error, because the process can work without metrics.
+func ServeMetrics(log hclog.Logger, settings *bootconfig.Settings, options Options, metrics http.Handler) {
 	if options.MetricsPort == 0 {
 		return
 	}
@@ -32,7 +31,7 @@
 		return
 	}
 	mux := chi.NewRouter()
-	mux.Get(metricsPath, figures.ServeHTTP)
+	mux.Get(metricsPath, metrics.ServeHTTP)
 	server := &http.Server{
 		Handler:           mux,
 		ReadHeaderTimeout: metricsHeaderTimeout,
--- a/internal/gateway/cli/network.go
+++ b/internal/gateway/cli/network.go
@@ -9,28 +9,28 @@
 
 const (
 	dialTimeout = 350 * time.Millisecond
-	// unacknowledgedTimeout is how long what was sent may stay unacknowledged. A machine that has lost its power says
-	// nothing, and the connection would stay for many minutes.
+	// unacknowledgedTimeout limits how long sent data may stay unacknowledged. Without it, a connection to a machine that
+	// lost power stays open for many minutes.
 	unacknowledgedTimeout = 3 * time.Second
-	// tcpUserTimeout is TCP_USER_TIMEOUT (RFC 5482), which package syscall lacks.
+	// tcpUserTimeout is the socket option TCP_USER_TIMEOUT (RFC 5482), which package syscall does not define.
 	tcpUserTimeout = 18
 )
 
-// Dial connects to another node.
+// Dial connects to another node over TCP.
 func Dial(address string) (net.Conn, error) {
-	d := net.Dialer{
+	dialer := net.Dialer{
 		Timeout:   dialTimeout,
-		KeepAlive: -1, // both sides send something each second
+		KeepAlive: -1, // disabled: the protocol has its own heartbeats
 		Control: func(_, _ string, c syscall.RawConn) error {
 			return c.Control(func(fd uintptr) {
-				// Without the option a lost machine is noticed later, and the connection works all the same.
+				// An error is ignored: without the option, the failure of a machine is only detected later.
 				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout,
 					int(unacknowledgedTimeout.Milliseconds()))
 			})
 		},
 	}
-	return d.DialContext(context.Background(), "tcp4", address)
+	return dialer.DialContext(context.Background(), "tcp4", address)
 }
 
-// Listen accepts connections at an address.
+// Listen listens for TCP connections at an address.
 func Listen(address string) (net.Listener, error) { return net.Listen("tcp4", address) }
--- a/internal/gateway/cli/process.go
+++ b/internal/gateway/cli/process.go
@@ -13,23 +13,22 @@
 )
 
 const (
-	// gcPercent is the runtime's default. At 60 the collector took an eighth of a proxy's processor time, for 2 MB.
 	gcPercent = 100
-	// heapShare is the part of the memory allowed that the heap may take before the collector works harder.
-	heapShare = 0.8
+	// memoryLimitShare is the share of the allowed memory at which the garbage collector runs more often.
+	memoryLimitShare = 0.8
 )
 
-// LimitMemory has the collector keep to the memory that the settings allow.
+// LimitMemory sets the memory limit of the garbage collector according to the settings.
 func LimitMemory(limits bootconfig.Limits) {
 	debug.SetGCPercent(gcPercent)
 	if limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(limits.MemoryMB * heapShare * (1 << 20)))
+		debug.SetMemoryLimit(int64(limits.MemoryMB * memoryLimitShare * (1 << 20)))
 	}
 }
 
-// HandleSignals calls reload with the settings read anew at each SIGHUP, and shutdown, on a goroutine of its own, at
-// each SIGTERM or SIGINT. It returns at once and lasts until the process ends. Settings that cannot be read are logged
-// and change nothing.
+// HandleSignals starts a signal handler that runs until the process ends. On SIGHUP it reads the settings again and
+// passes them to reload; if they are invalid, it only logs the error. On SIGTERM or SIGINT it calls shutdown on a
+// separate goroutine.
 func HandleSignals(log hclog.Logger, reload func(*bootconfig.Settings), shutdown func()) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
--- a/internal/gateway/cli/status.go
+++ b/internal/gateway/cli/status.go
@@ -14,10 +14,10 @@
 	"elmfold/internal/gateway/bootconfig"
 )
 
-// Status is the answer of a control-plane node to core.status.
+// Status is the response of a control-plane node to the call core.status.
 type Status struct {
 	consensus.Status
-	Evacuated []string `json:"evacuated"` // zones, as far as the node knows
+	Evacuated []string `json:"evacuated"` // zones that this node knows to be evacuated
 }
 
 const (
@@ -26,7 +26,7 @@
 	maxStatusBytes = 1 << 20
 )
 
-// unreachableError says that no node answered.
+// unreachableError is returned if no node gave a valid response.
 type unreachableError struct{ failures []string }
 
 func (e unreachableError) Error() string {
@@ -40,7 +40,7 @@
 	out io.Writer
 }
 
-// Execute asks one node after the other until one answers.
+// Execute prints the status of the first node that responds.
 func (c *statusCommand) Execute([]string) error {
 	addresses, err := c.addresses()
 	if err != nil {
@@ -57,7 +57,8 @@
 	return unreachableError{failures}
 }
 
-// addresses are the control addresses to ask: the one given, the own one, or those of the seeds.
+// addresses returns the control addresses to query: the one on the command line, this node's own, or those of the
+// seeds.
 func (c *statusCommand) addresses() ([]string, error) {
 	if c.Args.Address != "" {
 		return []string{c.Args.Address}, nil
@@ -74,18 +75,18 @@
 
 func fetchStatus(address string) (status Status, err error) {
 	client := http.Client{Timeout: statusTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	answer, err := client.Post("http://"+address+statusPath, "application/json", nil)
+	response, err := client.Post("http://"+address+statusPath, "application/json", nil)
 	if err != nil {
-		var wrapped *url.Error
-		if errors.As(err, &wrapped) { // its text repeats the address
-			err = wrapped.Err
+		var urlError *url.Error
+		if errors.As(err, &urlError) { // unwrapped because the caller adds the address
+			err = urlError.Err
 		}
 		return status, err
 	}
-	defer func() { _ = answer.Body.Close() }()
-	if answer.StatusCode != http.StatusOK {
-		return status, errors.New(answer.Status)
+	defer func() { _ = response.Body.Close() }()
+	if response.StatusCode != http.StatusOK {
+		return status, errors.New(response.Status)
 	}
-	err = json.NewDecoder(io.LimitReader(answer.Body, maxStatusBytes)).Decode(&status)
+	err = json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(&status)
 	return status, err
 }
--- a/internal/gateway/cli/statustable.go
+++ b/internal/gateway/cli/statustable.go
@@ -14,19 +14,19 @@
 
 const (
 	zoneRegisterPrefix = "zone/"
-	tablePadding       = 2 // blanks between columns
+	tablePadding       = 2 // spaces between columns
 )
 
-// PrintStatus writes a status for people to read.
-func PrintStatus(to io.Writer, s Status) error {
+// PrintStatus writes a status as human-readable text.
+func PrintStatus(out io.Writer, s Status) error {
 	var b bytes.Buffer
 	printSummary(&b, s)
 	w := tabwriter.NewWriter(&b, 0, 0, tablePadding, ' ', 0)
 	printMembers(w, s)
-	_ = w.Flush() // into memory, which does not fail
+	_ = w.Flush() // cannot fail: it writes to memory
 	printRegisters(w, s)
 	_ = w.Flush()
-	_, err := to.Write(b.Bytes())
+	_, err := out.Write(b.Bytes())
 	return err
 }
 
@@ -41,7 +41,7 @@
 	fmt.Fprintf(w, "%s: %s; %s\n", s.Self.Name, contact, votes)
 	switch {
 	case s.Epoch == 0:
-		printFounding(w, s.Bootstrap)
+		printBootstrap(w, s.Bootstrap)
 	case s.Changing:
 		fmt.Fprintf(w, "epoch %d: its voters change\n", s.Epoch)
 	default:
@@ -58,19 +58,19 @@
 	}
 }
 
-// printFounding says what the first epoch waits for.
-func printFounding(w io.Writer, f *consensus.BootstrapStatus) {
+// printBootstrap prints what the first epoch still needs.
+func printBootstrap(w io.Writer, b *consensus.BootstrapStatus) {
 	switch {
-	case f == nil: // the node's version does not tell
+	case b == nil: // the node runs a version that does not report it
 		fmt.Fprintln(w, "no epoch yet: nothing has decided who votes")
-	case f.CanBootstrap:
+	case b.CanBootstrap:
 		fmt.Fprintln(w, "no epoch yet: enough disks are in touch to decide who votes")
-	case f.SeedsOnly:
+	case b.SeedsOnly:
 		fmt.Fprintf(w, "no epoch yet: %d of the seeds' disks are in touch, %d are needed to decide who votes\n",
-			f.Disks, f.Needed)
+			b.Disks, b.Needed)
 	default:
 		fmt.Fprintf(w, "no epoch yet: %d disks of the first start are in touch, %d are needed to decide who votes\n",
-			f.Disks, f.Needed)
+			b.Disks, b.Needed)
 	}
 }
 
@@ -101,11 +101,12 @@
 	if m.Replaced {
 		contact = "gone: its machine has another disk"
 	}
-	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", role, m.Name, m.Zone, m.StoreID, contact, holdings(m))
+	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", role, m.Name, m.Zone, m.StoreID, contact,
+		describeReplication(m))
 }
 
-// holdings says what of the committed registers a member has on its disk.
-func holdings(m consensus.MemberStatus) string {
+// describeReplication says which of the committed registers a member has on its disk.
+func describeReplication(m consensus.MemberStatus) string {
 	switch {
 	case m.Replaced:
 		return "-"
@@ -126,12 +127,12 @@
 		if !r.Chosen {
 			decided = "not yet"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d of %d\n", r.Name, newestVersion(r), decided, r.Disks, len(s.Voters))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d of %d\n", r.Name, formatNewestVersion(r), decided, r.Disks, len(s.Voters))
 	}
 }
 
-// newestVersion is the version of a register as its writer gave it: a generation, or the time of day of an evacuation.
-func newestVersion(r consensus.RegisterStatus) string {
+// formatNewestVersion returns the time of an evacuation, or the generation of any other register.
+func formatNewestVersion(r consensus.RegisterStatus) string {
 	if strings.HasPrefix(r.Name, zoneRegisterPrefix) {
 		return time.UnixMilli(int64(r.VersionNumber)).UTC().Format(time.DateTime)
 	}
--- a/internal/gateway/logbuffer/logbuffer.go
+++ b/internal/gateway/logbuffer/logbuffer.go
@@ -1,5 +1,5 @@
-// Package logbuffer keeps the latest log lines in memory and writes them out when something goes wrong, and little
-// else: writing costs processor time, and a quiet night should leave a quiet log.
+// Package logbuffer keeps the most recent log lines in memory and writes them out when an error is logged. This saves
+// the cost of writing lines that nobody needs.
 package logbuffer
 
 import (
@@ -12,31 +12,31 @@
 )
 
 const (
-	maxBufferedBytes = 32 << 10        // the oldest lines beyond it are dropped
-	minDumpInterval  = 5 * time.Second // between two times that the buffer is written out
+	maxBufferedBytes = 32 << 10
+	minDumpInterval  = 5 * time.Second // minimum time between two dumps of the buffer
 	timeFormat       = "15:04:05.000"
 )
 
-// Markers of a level in the lines that hclog writes.
+// Level markers in the lines of hclog.
 var (
 	errorMarker = []byte("[ERROR]")
 	warnMarker  = []byte("[WARN]")
 )
 
-// Buffer is the writer behind a logger. It is safe for concurrent use.
+// Buffer is the output of a logger. It is safe for concurrent use.
 type Buffer struct {
 	out     io.Writer
 	now     func() time.Time
 	verbose bool
 
 	mu       sync.Mutex
-	entries  [][]byte // the oldest first
-	size     int      // bytes of entries
+	lines    [][]byte // oldest first
+	size     int      // total bytes of lines
 	dumpedAt time.Time
 }
 
-// New makes a logger of the name and the buffer that it fills, which is written out to out. With verbose each line is
-// written as it comes, and nothing is buffered.
+// New returns a logger with the given name and its buffer, which writes to out. If verbose is set, each line is written
+// at once and nothing is buffered.
 func New(name string, out io.Writer, now func() time.Time, verbose bool) (*Buffer, hclog.Logger) {
 	b := &Buffer{out: out, now: now, verbose: verbose}
 	log := hclog.New(&hclog.LoggerOptions{
@@ -49,37 +49,38 @@
 	return b, log
 }
 
-// Write takes one line. A line at the level of error writes the buffer out, with itself the last; one at the level of
-// warning is written by itself.
+// Write buffers one log line. An error line also writes out the whole buffer, unless this happened less than
+// minDumpInterval ago. A warning line, or an error line within that interval, is written out alone.
 func (b *Buffer) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.verbose {
 		return b.out.Write(line)
 	}
-	b.keep(line)
+	b.append(line)
 	isError := bytes.Contains(line, errorMarker)
 	if isError && b.mayDump() {
 		b.dump()
 	} else if isError || bytes.Contains(line, warnMarker) {
-		b.print(line)
+		b.write(line)
 	}
 	return len(line), nil
 }
 
-// Flush writes all that is buffered.
+// Flush writes out the whole buffer.
 func (b *Buffer) Flush() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.dump()
 }
 
-func (b *Buffer) keep(line []byte) {
-	b.entries = append(b.entries, bytes.Clone(line))
+// append adds a copy of a line and drops the oldest lines beyond maxBufferedBytes.
+func (b *Buffer) append(line []byte) {
+	b.lines = append(b.lines, bytes.Clone(line))
 	b.size += len(line)
 	for b.size > maxBufferedBytes {
-		b.size -= len(b.entries[0])
-		b.entries = b.entries[1:]
+		b.size -= len(b.lines[0])
+		b.lines = b.lines[1:]
 	}
 }
 
@@ -89,11 +90,11 @@
 
 func (b *Buffer) dump() {
 	b.dumpedAt = b.now()
-	for _, line := range b.entries {
-		b.print(line)
+	for _, line := range b.lines {
+		b.write(line)
 	}
-	b.entries, b.size = nil, 0
+	b.lines, b.size = nil, 0
 }
 
-// print drops an error of the output: there is nowhere else to report it.
-func (b *Buffer) print(line []byte) { _, _ = b.out.Write(line) }
+// write ignores errors of the output, which cannot be reported anywhere else.
+func (b *Buffer) write(line []byte) { _, _ = b.out.Write(line) }
--- a/internal/gateway/logfield/logfield.go
+++ b/internal/gateway/logfield/logfield.go
@@ -1,31 +1,31 @@
-// Package logfield has the names of the fields in the log lines of the gateway's programs, so that one thing has
-// one name in all of them. docs/operate/gateway.md lists the lines.
+// Package logfield defines the field names in the log lines of the gateway's programs. docs/operate/gateway.md lists
+// these lines.
 package logfield
 
-// Names of fields.
+// Field names.
 const (
-	EvacuationBegin = "begin"       // an evacuation is begun, not finished
-	Changing        = "changing"    // a change of voters is under way
-	Complete        = "complete"    // nothing that was on the disk is known to be lost
-	Disks           = "disks"       // of the first start that are in touch
-	Duration        = "duration"    // how long something lasted
-	Endpoints       = "endpoints"   // how many endpoints are known
-	Epoch           = "epoch"       // number of the epoch
-	Error           = "err"         // an error
-	FoundingID      = "founding_id" // of a system, drawn when it was founded
+	EvacuationBegin = "begin"    // true if an evacuation begins, false if it finishes
+	Changing        = "changing" // a change of voters is in progress
+	Complete        = "complete" // the disk has lost no record as far as known
+	Disks           = "disks"    // number of connected disks from the first start of the cluster
+	Duration        = "duration"
+	Endpoints       = "endpoints" // number of known endpoints
+	Epoch           = "epoch"     // epoch number
+	Error           = "err"
+	FoundingID      = "founding_id" // cluster ID
 	Fresh           = "fresh"       // the disk was empty
-	LostData        = "lost_data"   // the disk has lost what had been synced
-	Needed          = "needed"      // how many of them decide the first epoch
+	LostData        = "lost_data"   // the disk has lost records that had been synced
+	Needed          = "needed"      // number of Disks needed to decide the first epoch
 	Node            = "node"        // name of a control-plane node
-	NotHandedOver   = "open"        // what is not handed over yet
-	Peer            = "peer"        // name of the node at the other side of a connection
+	NotHandedOver   = "open"        // state that was not handed over at shutdown
+	Peer            = "peer"        // name of the node at the other end of a connection
 	Record          = "record"      // name of a record on the disk
-	Records         = "records"     // how many records the disk holds
+	Records         = "records"     // number of records on the disk
 	Register        = "register"    // name of a register
 	Service         = "service"     // name of a service
-	SyncedFrom      = "synced_from" // how many voters were read from
-	Torn            = "torn"        // the end of the file on the disk was cut off
-	Version         = "version"     // of a configuration, or of a register's value
+	SyncedFrom      = "synced_from" // number of voters whose state was read
+	Torn            = "torn"        // the file on the disk ended in an incomplete entry
+	Version         = "version"     // version of a configuration or of a register's value
 	Zone            = "zone"        // name of a zone
 	Voters          = "voters"      // names of the voters
 )
--- a/internal/gateway/metrics/metrics.go
+++ b/internal/gateway/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics has the figures that a process keeps of itself, and shows them in the text exposition format of
-// Prometheus (version 0.0.4): counters that only rise, and gauges that are read when they are asked for.
+// Package metrics keeps the counters and gauges of a process and serves them in the Prometheus text exposition format,
+// version 0.0.4.
 package metrics
 
 import (
@@ -13,25 +13,23 @@
 	"sync/atomic"
 )
 
-// contentType is that of the text exposition format.
 const contentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// Counter is a number of events since the process began. It is safe for concurrent use.
+// Counter counts events since the start of the process. It is safe for concurrent use.
 type Counter struct{ value atomic.Uint64 }
 
 // Inc counts one event.
 func (c *Counter) Inc() { c.value.Add(1) }
 
-// Value is the number of events so far.
+// Value returns the number of events so far.
 func (c *Counter) Value() uint64 { return c.value.Load() }
 
-// metric is one figure as it is shown.
 type metric struct {
 	name, help, kind string
 	value            func() string
 }
 
-// Registry holds the figures of a process. All are declared before the first is shown.
+// Registry holds the metrics of a process. All metrics must be declared before the first request is served.
 type Registry struct{ metrics []metric }
 
 // NewCounter declares a counter. The name ends in "_total".
@@ -43,14 +41,14 @@
 	return c
 }
 
-// NewGauge declares a gauge, whose value may fall. value is called from any goroutine.
+// NewGauge declares a gauge that calls value for each request. value must be safe for concurrent use.
 func (r *Registry) NewGauge(name, help string, value func() int64) {
 	r.declare(metric{name: name, help: help, kind: "gauge", value: func() string {
 		return strconv.FormatInt(value(), 10)
 	}})
 }
 
-// DeclareProcess declares the figures that every process has.
+// DeclareProcess declares the metrics that every process has.
 func (r *Registry) DeclareProcess() {
 	r.NewGauge("elmfold_goroutines", "Goroutines that exist.", func() int64 { return int64(runtime.NumGoroutine()) })
 }
@@ -60,12 +58,12 @@
 	slices.SortFunc(r.metrics, func(a, b metric) int { return cmp.Compare(a.name, b.name) })
 }
 
-// ServeHTTP shows all figures, sorted by name.
+// ServeHTTP writes all metrics, sorted by name.
 func (r *Registry) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	var text bytes.Buffer
 	for _, m := range r.metrics {
 		fmt.Fprintf(&text, "# HELP %s %s\n# TYPE %s %s\n%s %s\n", m.name, m.help, m.name, m.kind, m.name, m.value())
 	}
 	w.Header().Set("Content-Type", contentType)
-	_, _ = w.Write(text.Bytes()) // a reader that has gone asks again
+	_, _ = w.Write(text.Bytes()) // the scraper retries
 }
--- a/internal/gateway/metrics/metrics_test.go
+++ b/internal/gateway/metrics/metrics_test.go
@@ -16,6 +16,6 @@
 	want := "# HELP a_open What is open.\n# TYPE a_open gauge\na_open 7\n" +
 		"# HELP b_events_total Events.\n# TYPE b_events_total counter\nb_events_total 2\n"
 	if w.Body.String() != want {
-		t.Errorf("shown:\n%s", w.Body)
+		t.Errorf("got:\n%s\nwant:\n%s", w.Body, want)
 	}
 }
--- a/pluginsdk/examples/monthend/main.go
+++ b/pluginsdk/examples/monthend/main.go
@@ -1,7 +1,7 @@
 //go:build wasip1
 
-// Monthend sheds a tenth of each tenant that asks for over twice the mean, while the fleet is asked for more than
-// it has.
+// Monthend is an example plug-in for the load peak at the end of a month. While the demand of all tenants exceeds the
+// capacity of the backends, it sheds a tenth of the transactions of each tenant whose demand is over twice the mean.
 package main
 
 import (
@@ -9,29 +9,33 @@
 	"elmfold/pluginsdk/pluginapi"
 )
 
-const perWeight, part = 5.0, 0.9 // txns/s that a unit of weight does at month-end; what is let in
+const (
+	ratePerWeight = 5.0 // transactions/s that a backend can handle per unit of weight
+	admittedShare = 0.9
+)
 
 func init() {
-	pluginsdk.Propose(func(m pluginapi.Snapshot) (a pluginapi.Response) {
-		can, all := 0.0, 0.0
-		rates := make([]float64, len(m.Tenants))
-		for _, b := range m.Backends {
+	pluginsdk.Propose(func(snapshot pluginapi.Snapshot) (response pluginapi.Response) {
+		capacity, totalDemand := 0.0, 0.0
+		demands := make([]float64, len(snapshot.Tenants))
+		for _, b := range snapshot.Backends {
 			if !b.Drains {
-				can += perWeight * b.Weight * b.Relief
+				capacity += ratePerWeight * b.Weight * b.Relief
 			}
 		}
-		for i, t := range m.Tenants {
-			for _, r := range t.Rates {
-				rates[i] += r
+		for i, t := range snapshot.Tenants {
+			for _, rate := range t.Rates {
+				demands[i] += rate
 			}
-			all += rates[i]
+			totalDemand += demands[i]
 		}
-		for i, t := range m.Tenants {
-			if all > can && rates[i] > 2*all/float64(len(m.Tenants)) {
-				a.Proposals = append(a.Proposals, pluginapi.Proposal{Kind: pluginapi.Shed, Tenant: t.Name, Figure: part})
+		for i, t := range snapshot.Tenants {
+			if totalDemand > capacity && demands[i] > 2*totalDemand/float64(len(snapshot.Tenants)) {
+				response.Proposals = append(response.Proposals,
+					pluginapi.Proposal{Kind: pluginapi.Shed, Tenant: t.Name, Figure: admittedShare})
 			}
 		}
-		return a
+		return response
 	})
 }
 
--- a/pluginsdk/examples/quirk/main.go
+++ b/pluginsdk/examples/quirk/main.go
@@ -1,6 +1,6 @@
 //go:build wasip1
 
-// Quirk keeps one client firm away from the backends of a kind that its exports do not suit.
+// Quirk is an example plug-in that excludes one kind of backend for one tenant.
 package main
 
 import (
@@ -8,18 +8,18 @@
 	"elmfold/pluginsdk/pluginapi"
 )
 
-const firm, unfit = "acme", "old"
+const tenant, excludedKind = "acme", "old"
 
 func init() {
-	pluginsdk.Propose(func(m pluginapi.Snapshot) (a pluginapi.Response) {
-		p := pluginapi.Proposal{Kind: pluginapi.Allow, Tenant: firm}
-		for _, b := range m.Backends {
-			if b.Kind != unfit && !b.Drains {
+	pluginsdk.Propose(func(snapshot pluginapi.Snapshot) (response pluginapi.Response) {
+		p := pluginapi.Proposal{Kind: pluginapi.Allow, Tenant: tenant}
+		for _, b := range snapshot.Backends {
+			if b.Kind != excludedKind && !b.Drains {
 				p.Backends = append(p.Backends, b.ID)
 			}
 		}
-		a.Proposals = append(a.Proposals, p)
-		return a
+		response.Proposals = append(response.Proposals, p)
+		return response
 	})
 }
 
--- a/pluginsdk/pluginapi/pluginapi.go
+++ b/pluginsdk/pluginapi/pluginapi.go
@@ -1,57 +1,58 @@
-// Package pluginapi is what plug-ins are told and what they answer, for both sides. docs/plugins.md has it in words.
+// Package pluginapi defines the data that the controller and its plug-ins exchange. Both sides import it.
+// docs/plugins.md describes the interface.
 package pluginapi
 
-// Version of the interface. It is told with each moment.
+// Version is the version of the interface. Each Snapshot carries it.
 const Version = 1
 
-// Kinds of proposal.
+// Kinds of proposals.
 const (
-	Allow = "allow" // Backends that a tenant's txns may go to
-	Cap   = "cap"   // Figure: txns/s of a tenant, at most
-	Shed  = "shed"  // Figure: the part of what a tenant asks for that is let in
+	Allow = "allow" // restricts the transactions of a tenant to Backends
+	Cap   = "cap"   // limits the transactions/s of a tenant to Figure
+	Shed  = "shed"  // admits only the share Figure, over 0 and at most 1, of a tenant's transactions
 )
 
-// Snapshot is what a plug-in is told: all that it may go by.
+// Snapshot is the input of a plug-in: the state of the system at one time.
 type Snapshot struct {
 	Version  int       `cbor:"1,keyasint"`
-	Now      int64     `cbor:"2,keyasint"` // ms, of a clock that begins anywhere
-	Seed     uint64    `cbor:"3,keyasint"` // for chance, another one each moment
-	Revision int64     `cbor:"4,keyasint"` // of the list
+	Now      int64     `cbor:"2,keyasint"` // ms since an arbitrary time
+	Seed     uint64    `cbor:"3,keyasint"` // for random numbers; differs between snapshots
+	Revision int64     `cbor:"4,keyasint"` // of the list of backends
 	Backends []Backend `cbor:"5,keyasint"`
 	Tenants  []Tenant  `cbor:"6,keyasint"`
 	Products []string  `cbor:"7,keyasint"`
 }
 
-// Backend is one of the list, with what was met there of late.
+// Backend is a backend with its current state.
 type Backend struct {
 	ID     string  `cbor:"1,keyasint"`
 	Zone   string  `cbor:"2,keyasint"`
 	Kind   string  `cbor:"3,keyasint,omitempty"`
 	Drains bool    `cbor:"4,keyasint,omitempty"`
 	Weight float64 `cbor:"5,keyasint"`
-	Relief float64 `cbor:"6,keyasint"` // part of its weight that it keeps
-	Ramp   float64 `cbor:"7,keyasint"` // part of its weight that it has by now: below 1 while it is cold
+	Relief float64 `cbor:"6,keyasint"` // factor of Weight; below 1 while the backend is derated
+	Ramp   float64 `cbor:"7,keyasint"` // factor of Weight; below 1 during slow start
 }
 
-// Tenant is one of those that a plug-in may propose for.
+// Tenant is a tenant for which a plug-in may make proposals.
 type Tenant struct {
 	Name  string    `cbor:"1,keyasint"`
-	Rates []float64 `cbor:"2,keyasint"` // txns/s by product
+	Rates []float64 `cbor:"2,keyasint"` // demand in transactions/s, by index in Products
 	Cell  string    `cbor:"3,keyasint,omitempty"`
 
 	Proxies int      `cbor:"4,keyasint,omitempty"`
-	Zones   []string `cbor:"5,keyasint,omitempty"` // in which it has proxies
+	Zones   []string `cbor:"5,keyasint,omitempty"` // zones of its proxies
 }
 
-// Proposal is what it wants; kinds are those of hook, by name.
+// Proposal is a change that a plug-in proposes for one tenant.
 type Proposal struct {
 	Kind     string   `cbor:"1,keyasint"`
 	Tenant   string   `cbor:"2,keyasint"`
-	Backends []string `cbor:"3,keyasint,omitempty"`
-	Figure   float64  `cbor:"4,keyasint,omitempty"`
+	Backends []string `cbor:"3,keyasint,omitempty"` // IDs
+	Figure   float64  `cbor:"4,keyasint,omitempty"` // meaning depends on Kind
 }
 
-// Response is all that it wants now.
+// Response is the output of a plug-in for one Snapshot. It replaces the proposals of earlier responses.
 type Response struct {
 	Proposals []Proposal `cbor:"1,keyasint"`
 }
