--- a/internal/gateway/routeconfig/config.go
+++ b/internal/gateway/routeconfig/config.go
@@ -1,24 +1,24 @@
-// Package routeconfig is the operator's configuration: parsed from its JSON body, validated, and compiled into a Config
-// that never changes, so that any number of goroutines may use it without a lock.
+// Package routeconfig parses and validates the operator's configuration, a JSON document, and compiles it into a Config
+// for matching requests. A Config is immutable and thus safe for concurrent use.
 package routeconfig
 
 import "time"
 
 //go:generate protoc --go_out=. --go_opt=paths=source_relative config.proto
 
-// Config is one whole configuration. Nothing in it may be altered.
+// Config is a compiled configuration. It must not be modified.
 type Config struct {
-	Version  uint32 // its generation: a higher one replaces a lower one
+	Version  uint32 // called generation in the document; a higher version replaces a lower one
 	Limits   Limits
 	Services map[string]*Service // by name
-	Body     []byte              // the bytes exactly as they came
-	Digest   uint64              // xxh3 of Body
+	Body     []byte              // the document as received
+	Digest   uint64              // xxh3 hash of Body
 
 	routes []*Route
-	hosts  map[string]*hostRoutes // by name, in lower case
+	hosts  map[string]*hostRoutes // by lower-case name
 }
 
-// Limits bound what a client may send. What the operator left out, or gave as 0 or less, has its default.
+// Limits are the limits of client requests. Values that are missing in the document, or are not over 0, have defaults.
 type Limits struct {
 	HeaderBytes   int           // default 16,384
 	BodyBytes     int64         // default 64 MiB
@@ -30,34 +30,34 @@
 type Service struct {
 	Name          string
 	HealthPath    string
-	MaxConns      int           // that an endpoint accepts from all callers together; 0: not given
-	SlowStart     time.Duration // how long an endpoint is warming up after its start
-	SlowStartRate float64       // requests/s that an endpoint bears while it is warming up
+	MaxConns      int           // connections that an endpoint accepts from all callers together; 0: unknown
+	SlowStart     time.Duration // duration of the slow start of an endpoint
+	SlowStartRate float64       // requests/s that an endpoint can handle during slow start
 }
 
-// Route is where requests of one host and path prefix go.
+// Route defines how requests with a host and a path prefix are forwarded.
 type Route struct {
 	Name          string
 	Host          string // in lower case, without port
 	Prefix        string
-	Idempotent    bool              // its requests may be executed more than once; false for a kind that is not known
-	LatencyTarget time.Duration     // within which a response has its full value; default: Timeout
+	Idempotent    bool              // requests may be executed more than once; false for unknown route kinds
+	LatencyTarget time.Duration     // target for the response time; default: Timeout
 	Timeout       time.Duration     // over 0, at most 10 minutes
 	Priority      int               // 0 is the highest
 	MaxAttempts   int               // at least 1
 	Services      []WeightedService // at least one
 }
 
-// WeightedService is a service that takes a part of a route's requests. Services without a part are left out.
+// WeightedService is a service that receives a share of a route's requests.
 type WeightedService struct {
 	Service string
 	Weight  float64 // over 0; the weights of a route sum to 1
 }
 
-// Routes are all routes in the order in which the operator gave them.
+// Routes returns all routes in the order of the document.
 func (c *Config) Routes() []*Route { return c.routes }
 
-// PickService is the service that u, in [0,1), falls to by the weights.
+// PickService maps a uniformly distributed random number u in [0,1) to a service according to the weights.
 func (r *Route) PickService(u float64) string {
 	last := len(r.Services) - 1
 	for _, s := range r.Services[:last] {
@@ -66,5 +66,5 @@
 			return s.Service
 		}
 	}
-	return r.Services[last].Service // also for what rounding leaves over
+	return r.Services[last].Service // also if rounding errors leave u at 0 or above
 }
--- a/internal/gateway/routeconfig/config_test.go
+++ b/internal/gateway/routeconfig/config_test.go
@@ -23,7 +23,7 @@
 	`"coldRateS":4.1},{"name":"wuno96b","healthPath":"/health","maxConns":100,"coldS":3.0,"coldRateS":4.1},` +
 	`{"name":"kafi81c","healthPath":"/health","maxConns":100,"coldS":3.0,"coldRateS":4.1}]}`
 
-func read(t testing.TB, body string) *Config {
+func mustParse(t testing.TB, body string) *Config {
 	t.Helper()
 	c, err := Parse([]byte(body))
 	if err != nil {
@@ -32,7 +32,7 @@
 	return c
 }
 
-func show(c *Config) string {
+func describe(c *Config) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version %s limits %+v\n", FormatVersion(c.Version), c.Limits)
 	for _, name := range []string{"huvo11a", "wuno96b", "kafi81c"} {
@@ -44,17 +44,17 @@
 	return b.String()
 }
 
-// The second body leaves out, or gives in another form, all that may be.
+// The second document has no optional fields, or has them in another accepted form.
 func TestRead(t *testing.T) {
-	loose := strings.NewReplacer(`"0000000c"`, `"FFFFFFFF"`, `"maxHeaderBytes":16384,"maxBodyBytes":67108864,`, "",
+	variant := strings.NewReplacer(`"0000000c"`, `"FFFFFFFF"`, `"maxHeaderBytes":16384,"maxBodyBytes":67108864,`, "",
 		`"headerTimeoutS":3,"idleTimeoutS":15`, `"new":[{"a":null}]`, `"share":90`, `"share":"0.5"`, `"share":10`,
 		`"share":0`, `,"maxTries":2`, "", `"targetS":0.8,`, "", `"targetS":1,`, `"targetS":65.999,`, `"unsafe"`, `"other"`,
 		"jepu9.example", "JEPU9.Example:8080", `"maxConns":100`, `"maxConns":1e2`).Replace(example) + " \n"
-	c := read(t, example)
-	if string(c.Body) != example || c.Digest == read(t, loose).Digest {
+	c := mustParse(t, example)
+	if string(c.Body) != example || c.Digest == mustParse(t, variant).Digest {
 		t.Error("the body or its digest is wrong")
 	}
-	autogold.Equal(t, show(c)+"\n"+show(read(t, loose)))
+	autogold.Equal(t, describe(c)+"\n"+describe(mustParse(t, variant)))
 }
 
 func TestInvalid(t *testing.T) {
@@ -72,7 +72,8 @@
 		{`"predicate":{"pathPrefix":"/lepu270/"},`, ``}, {`"name":"wuno96b"`, `"name":"huvo11a"`},
 	} {
 		_, err := Parse([]byte(strings.Replace(example, edit[0], edit[1], 1)))
-		if f := (*apierror.Error)(nil); !errors.As(err, &f) || f.Kind != apierror.InvalidArgument || f.Subject == "" {
+		var apiErr *apierror.Error
+		if !errors.As(err, &apiErr) || apiErr.Kind != apierror.InvalidArgument || apiErr.Subject == "" {
 			t.Errorf("%q: %v", edit, err)
 		}
 		from := edit[0]
@@ -84,23 +85,23 @@
 	autogold.Equal(t, b.String())
 	for i := range len(example) {
 		if _, err := Parse([]byte(example[:i])); err == nil {
-			t.Errorf("cut short at byte %d it is taken", i)
+			t.Errorf("a document truncated at byte %d is accepted", i)
 		}
 	}
 }
 
 func TestPick(t *testing.T) {
-	split := read(t, example).Route("jepu9.example", "/lepu270/").PickService
-	if split(0) != "huvo11a" || split(0.8999) != "huvo11a" || split(0.9001) != "kafi81c" || split(1-1e-16) != "kafi81c" {
-		t.Error("not by the shares")
+	pick := mustParse(t, example).Route("jepu9.example", "/lepu270/").PickService
+	if pick(0) != "huvo11a" || pick(0.8999) != "huvo11a" || pick(0.9001) != "kafi81c" || pick(1-1e-16) != "kafi81c" {
+		t.Error("services are not picked according to their shares")
 	}
-	none := read(t, strings.Replace(example, `"share":10`, `"share":0`, 1)).Routes()[0]
-	if none.PickService(1-1e-16) != "huvo11a" {
-		t.Error("a service without a share is picked")
+	withoutShare := mustParse(t, strings.Replace(example, `"share":10`, `"share":0`, 1)).Routes()[0]
+	if withoutShare.PickService(1-1e-16) != "huvo11a" {
+		t.Error("a service with share 0 is picked")
 	}
 }
 
-// Route finds what a plain walk over all rules finds.
+// Compares Route with a linear search over all rules.
 func TestRouteModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.SampledFrom([]string{"a.example", "A.Example", "b.example", "b.example:80", "[::1]:80", "[::1]", ""})
@@ -119,12 +120,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		plain := func(host string) string { return strings.TrimSuffix(strings.ToLower(host), ":80") }
+		normalize := func(host string) string { return strings.TrimSuffix(strings.ToLower(host), ":80") }
 		for range 10 {
-			host, path := hosts.Draw(t, "asked"), paths.Draw(t, "path")
+			host, path := hosts.Draw(t, "request host"), paths.Draw(t, "path")
 			want, longest := "none", 0
 			for _, r := range rules {
-				if plain(r.host) == plain(host) && strings.HasPrefix(path, r.prefix) && len(r.prefix) > longest {
+				if normalize(r.host) == normalize(host) && strings.HasPrefix(path, r.prefix) && len(r.prefix) > longest {
 					want, longest = r.name, len(r.prefix)
 				}
 			}
@@ -133,14 +134,14 @@
 				got = r.Name
 			}
 			if got != want {
-				t.Fatalf("%s%s: route %s, not %s", host, path, got, want)
+				t.Fatalf("%s%s: got route %s, want %s", host, path, got, want)
 			}
 		}
 	})
 }
 
-// many is a body with so many routes on 40 hosts.
-func many(routes int) string {
+// manyRoutes returns a document with the given number of routes on 40 hosts.
+func manyRoutes(routes int) string {
 	var b strings.Builder
 	for i := range routes {
 		fmt.Fprintf(&b, `,{"authority":"h%d.example","ruleset":[{"name":"r-%d","predicate":{"pathPrefix":"/x%d/ny%d/"},`+
@@ -150,14 +151,14 @@
 }
 
 func TestRouteDoesNotAllocate(t *testing.T) {
-	c := read(t, many(100))
+	c := mustParse(t, manyRoutes(100))
 	if n := testing.AllocsPerRun(100, func() { c.Route("H17.example:8080", "/x57/ny57/2f") }); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
 
 func BenchmarkRoute(b *testing.B) {
-	c := read(b, many(4000))
+	c := mustParse(b, manyRoutes(4000))
 	b.ReportAllocs()
 	for b.Loop() {
 		if c.Route("h17.example", "/x3977/ny0/2f/with/some/more") == nil {
@@ -167,7 +168,7 @@
 }
 
 func BenchmarkRead(b *testing.B) {
-	body := []byte(many(4000))
+	body := []byte(manyRoutes(4000))
 	for b.Loop() {
 		if _, err := Parse(body); err != nil {
 			b.Fatal(err)
--- a/internal/gateway/routeconfig/match.go
+++ b/internal/gateway/routeconfig/match.go
@@ -6,31 +6,31 @@
 	"strings"
 )
 
-// hostRoutes is the table of one host.
+// hostRoutes has the routes of one host.
 type hostRoutes struct {
 	byPrefix map[string]*Route
-	lengths  []prefixLength // of its prefixes, the longest first
+	lengths  []prefixLength // distinct lengths of the prefixes, longest first
 }
 
-// prefixLength is a length that some prefix of a host has.
+// prefixLength describes all prefixes of one length.
 type prefixLength struct {
-	length    int
-	endsSlash bool // each prefix of this length ends with a slash: a path without one there needs no look-up
+	length      int
+	allEndSlash bool // all of them end with a slash, so that a path without a slash there needs no lookup
 }
 
-// maxHostOnStack is the longest host name that is put into lower case without an allocation.
+// maxHostOnStack is the longest host name that is converted to lower case without an allocation.
 const maxHostOnStack = 256
 
-// Route is the route of the host (with or without a port, in any case) whose prefix is the longest that begins the
-// path; nil if there is none. The path is compared as it came, without the query: nothing in it is cleaned or
+// Route returns the route with the longest prefix of the path, or nil if none matches. The authority is a host name in
+// upper or lower case, with or without a port. The path is the raw path without the query; it is neither cleaned nor
 // unescaped.
 func (c *Config) Route(authority, path string) *Route {
-	host := c.host(hostOf(authority))
+	host := c.lookupHost(stripPort(authority))
 	if host == nil {
 		return nil
 	}
 	for _, l := range host.lengths {
-		if l.length > len(path) || l.endsSlash && path[l.length-1] != '/' {
+		if l.length > len(path) || l.allEndSlash && path[l.length-1] != '/' {
 			continue
 		}
 		if r := host.byPrefix[path[:l.length]]; r != nil {
@@ -40,8 +40,9 @@
 	return nil
 }
 
-// host finds the table of a name in any case. It allocates nothing for names of usual length: clients choose the case.
-func (c *Config) host(name string) *hostRoutes {
+// lookupHost returns the routes of a host name in upper or lower case. It does not allocate for names up to
+// maxHostOnStack.
+func (c *Config) lookupHost(name string) *hostRoutes {
 	if h := c.hosts[name]; h != nil {
 		return h
 	}
@@ -55,32 +56,32 @@
 	return c.hosts[string(lowered[:len(name)])]
 }
 
-// indexLengths fills in the lengths of the prefixes.
+// indexLengths sets lengths from byPrefix.
 func (h *hostRoutes) indexLengths() {
-	endsSlash := map[int]bool{}
+	allEndSlash := map[int]bool{} // by length
 	for prefix := range h.byPrefix {
-		all, seen := endsSlash[len(prefix)]
-		endsSlash[len(prefix)] = (all || !seen) && strings.HasSuffix(prefix, "/")
+		all, seen := allEndSlash[len(prefix)]
+		allEndSlash[len(prefix)] = (all || !seen) && strings.HasSuffix(prefix, "/")
 	}
-	for length, all := range endsSlash {
+	for length, all := range allEndSlash {
 		h.lengths = append(h.lengths, prefixLength{length, all})
 	}
 	slices.SortFunc(h.lengths, func(a, b prefixLength) int { return cmp.Compare(b.length, a.length) })
 }
 
-// hostOf is an authority without its port.
-func hostOf(authority string) string {
-	from := 0
-	if strings.HasPrefix(authority, "[") { // an IPv6 address has colons of its own
-		from = max(strings.IndexByte(authority, ']'), 0)
+// stripPort removes the port from an authority.
+func stripPort(authority string) string {
+	start := 0
+	if strings.HasPrefix(authority, "[") { // skip the colons of an IPv6 address
+		start = max(strings.IndexByte(authority, ']'), 0)
 	}
-	if i := strings.IndexByte(authority[from:], ':'); i >= 0 {
-		return authority[:from+i]
+	if i := strings.IndexByte(authority[start:], ':'); i >= 0 {
+		return authority[:start+i]
 	}
 	return authority
 }
 
-// toLower is for ASCII alone, as host names are, and does the same as host.
+// toLower converts ASCII letters to lower case, as lookupHost does.
 func toLower(name string) string {
 	lowered := []byte(name)
 	for i, b := range lowered {
--- a/internal/gateway/routeconfig/parse.go
+++ b/internal/gateway/routeconfig/parse.go
@@ -16,30 +16,30 @@
 
 const (
 	maxTimeoutSeconds    = 600
-	maxTargetOverTimeout = 60 * time.Second // a latency target so far above its timeout is refused
-	maxDurationSeconds   = 365 * 24 * 3600  // beyond some 292 years a time.Duration would turn negative
-	idempotentRouteKind  = "safe"           // of routeKind in the body
+	maxTargetOverTimeout = 60 * time.Second // a latency target this far above the timeout is invalid
+	maxDurationSeconds   = 365 * 24 * 3600  // prevents an overflow of time.Duration
+	idempotentRouteKind  = "safe"           // value of routeKind
 	defaultHeaderBytes   = 16384
 	defaultBodyBytes     = 64 << 20
 	defaultHeaderTimeout = 3 * time.Second
 	defaultIdleTimeout   = 15 * time.Second
-	protojsonNoBreak     = "\u00a0" // protobuf varies its error texts between builds with it
+	protojsonNoBreak     = "\u00a0" // protojson uses it at random to make its error texts unstable
 	protojsonErrorPrefix = "proto:"
 )
 
-// Parse reads the body of a configuration, validates it and compiles it. The error is always an *apierror.Error of kind
-// InvalidArgument that names the key. Fields that are not known are ignored. Only what the operator's protocol calls
-// invalid, or what cannot be acted upon, is refused: a needless refusal leaves the operator without its change.
+// Parse parses, validates and compiles a configuration. Each error is an *apierror.Error of kind InvalidArgument whose
+// subject is the invalid key. Parse ignores unknown fields. It rejects only values that the operator's protocol defines
+// as invalid or that the gateway cannot apply, because a rejection blocks the operator's whole change.
 func Parse(body []byte) (*Config, error) {
 	var doc Document
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(body, &doc); err != nil {
-		return nil, invalid("configuration", "cannot be read whole: %s", plainProtojson(err))
+		return nil, invalid("configuration", "cannot be read whole: %s", protojsonErrorText(err))
 	}
 	version, err := ParseVersion(doc.GetGeneration())
 	if err != nil {
 		return nil, invalid("generation", "%w", err)
 	}
-	body = bytes.Clone(body) // the caller's buffer may be used again
+	body = bytes.Clone(body) // the caller may reuse its buffer
 	c := &Config{
 		Version:  version,
 		Limits:   compileLimits(doc.GetLimits()),
@@ -57,8 +57,8 @@
 	return c, nil
 }
 
-// plainProtojson is the text of a protojson error without what has no place in an answer.
-func plainProtojson(err error) string {
+// protojsonErrorText returns a stable text of a protojson error, without the prefix of the package.
+func protojsonErrorText(err error) string {
 	text := strings.ReplaceAll(err.Error(), protojsonNoBreak, " ")
 	return strings.TrimSpace(strings.TrimPrefix(text, protojsonErrorPrefix))
 }
@@ -67,7 +67,7 @@
 	return apierror.New(apierror.InvalidArgument, key, fmt.Errorf(format, args...))
 }
 
-// keyError is an error at a key, relative to what was being compiled.
+// keyError is an error at a key, relative to the message that is being compiled.
 type keyError struct {
 	key   string
 	cause error
@@ -77,7 +77,7 @@
 
 func (e *keyError) Unwrap() error { return e.cause }
 
-// within puts the error one level down in the document.
+// within returns the error with its key relative to the enclosing message.
 func (e *keyError) within(key string) *keyError { return &keyError{key + "." + e.key, e.cause} }
 
 func (c *Config) compileServices(pools []*Document_Pool) error {
@@ -98,7 +98,7 @@
 
 func (c *Config) compileHosts(sockets []*Document_Socket) error {
 	for i, s := range sockets {
-		name := toLower(hostOf(s.GetAuthority()))
+		name := toLower(stripPort(s.GetAuthority()))
 		host := c.hosts[name]
 		if host == nil {
 			host = &hostRoutes{byPrefix: make(map[string]*Route, len(s.GetRuleset()))}
@@ -112,7 +112,7 @@
 			}
 			r.Host = name
 			c.routes = append(c.routes, r)
-			if host.byPrefix[r.Prefix] == nil { // of two with the same prefix, the first counts
+			if host.byPrefix[r.Prefix] == nil { // the first of several equal prefixes takes precedence
 				host.byPrefix[r.Prefix] = r
 			}
 		}
@@ -134,16 +134,16 @@
 		return nil, keyErr.within("effect")
 	}
 	timeout, target := effect.GetTimeoutS(), rule.GetTargetS()
-	if inRange := timeout > 0 && timeout <= maxTimeoutSeconds; !inRange { // NaN, which protojson reads, is refused too
+	if inRange := timeout > 0 && timeout <= maxTimeoutSeconds; !inRange { // also true for NaN, which protojson accepts
 		return nil, &keyError{"effect.timeoutS",
 			fmt.Errorf("%v s is not over 0 and at most %d", timeout, maxTimeoutSeconds)}
 	}
-	// Compared in nanoseconds: sums of fractions would not be exact.
+	// Compared as durations, because sums of floating-point seconds are inexact.
 	if seconds(target, 0) >= seconds(timeout, 0)+maxTargetOverTimeout {
 		return nil, &keyError{"targetS", fmt.Errorf("%v s is %d s or more above the timeoutS of %v",
 			target, int(maxTargetOverTimeout.Seconds()), timeout)}
 	}
-	limit := max(seconds(timeout, 0), 1) // a timeout below a nanosecond must not become none at all
+	limit := max(seconds(timeout, 0), 1) // a timeout below a nanosecond must not become 0
 	return &Route{
 		Name:          rule.GetName(),
 		Prefix:        prefix,
@@ -156,7 +156,7 @@
 	}, nil
 }
 
-// compileWeights are the services of a rule. trafficSplit goes before service.
+// compileWeights returns the services of a rule. trafficSplit takes precedence over service.
 func (c *Config) compileWeights(effect *Document_Effect) ([]WeightedService, *keyError) {
 	service, shares := effect.GetService(), effect.GetTrafficSplit()
 	switch {
@@ -173,7 +173,7 @@
 		if c.Services[s.GetService()] == nil {
 			return nil, &keyError{fmt.Sprintf("trafficSplit[%d].service", i), unknownServiceError(s.GetService())}
 		}
-		if valid := s.GetShare() >= 0; !valid { // NaN is refused too
+		if valid := s.GetShare() >= 0; !valid { // also true for NaN
 			return nil, &keyError{fmt.Sprintf("trafficSplit[%d].share", i),
 				fmt.Errorf("%v is not 0 or above", s.GetShare())}
 		}
@@ -202,18 +202,19 @@
 	}
 }
 
-// positiveOr is n if it is over 0, otherwise the default; NaN is not over 0.
-func positiveOr[T int64 | float64](n, otherwise T) T {
+// positiveOr returns n if it is over 0, and the default value if it is not or is NaN.
+func positiveOr[T int64 | float64](n, defaultValue T) T {
 	if n > 0 {
 		return n
 	}
-	return otherwise
+	return defaultValue
 }
 
-// seconds converts a time in seconds, cut at a year; the default, if it is not over 0.
-func seconds(s float64, otherwise time.Duration) time.Duration {
-	if over := s > 0; !over { // NaN is not over 0 either
-		return otherwise
+// seconds converts a number of seconds to a duration of at most maxDurationSeconds. It returns the default value if the
+// number is not over 0 or is NaN.
+func seconds(s float64, defaultValue time.Duration) time.Duration {
+	if isPositive := s > 0; !isPositive {
+		return defaultValue
 	}
 	return time.Duration(math.Round(min(s, maxDurationSeconds) * float64(time.Second)))
 }
--- a/internal/gateway/routeconfig/version.go
+++ b/internal/gateway/routeconfig/version.go
@@ -7,10 +7,10 @@
 
 const versionDigits = 8
 
-// FormatVersion is a version as it stands in bodies: eight hexadecimal digits.
+// FormatVersion formats a version as in the document: eight hexadecimal digits.
 func FormatVersion(v uint32) string { return fmt.Sprintf("%0*x", versionDigits, v) }
 
-// ParseVersion reads exactly eight hexadecimal digits, in either case.
+// ParseVersion parses exactly eight hexadecimal digits, in upper or lower case.
 func ParseVersion(s string) (uint32, error) {
 	v, err := strconv.ParseUint(s, 16, 32)
 	if err != nil || len(s) != versionDigits {
--- a/internal/gateway/rpc/conn.go
+++ b/internal/gateway/rpc/conn.go
@@ -11,37 +11,36 @@
 )
 
 const (
-	maxPendingBytes    = 24 << 20        // of frames that wait for the other side
-	writeTimeout       = 5 * time.Second // of one write
-	readBufferBytes    = 4096
-	maxKeptBufferBytes = 64 << 10 // a write buffer that has grown larger is not used again
+	maxPendingBytes     = 24 << 20        // limit of the frames queued for sending
+	writeTimeout        = 5 * time.Second // for one write
+	readBufferBytes     = 4096
+	maxReusedBufferSize = 64 << 10 // larger write buffers are released instead of reused
 )
 
-// FrameTooLargeError is a frame over MaxFrameBytes. The connection is of no further use.
+// FrameTooLargeError reports a received frame over MaxFrameBytes. The connection can no longer be used.
 type FrameTooLargeError struct{ Bytes uint64 }
 
 func (e *FrameTooLargeError) Error() string {
-	return fmt.Sprintf("frame of %d bytes, %d are allowed", e.Bytes, MaxFrameBytes)
+	return fmt.Sprintf("frame of %d bytes exceeds the limit of %d", e.Bytes, MaxFrameBytes)
 }
 
-// Conn carries messages over a network connection. Send never waits for the other side: where the frames that wait
-// exceed maxPendingBytes the connection is closed, because a reader that has fallen so far behind is better off
-// with the first message of a new connection. Send and Close are safe for concurrent use; Receive belongs to one
-// goroutine.
+// Conn carries messages over a network connection. Send never blocks: if the queued frames would exceed
+// maxPendingBytes, it closes the connection. A peer that is so far behind catches up faster from the first message of a
+// new connection. Send and Close are safe for concurrent use. Receive must be called by one goroutine only.
 type Conn struct {
 	netConn net.Conn
 	reader  *bufio.Reader
-	wake    chan struct{} // holds a token while there is something to write and the writer is idle
+	wake    chan struct{} // wakes the writer when there are frames to write
 	done    chan struct{} // closed by Close
 
 	mu      sync.Mutex
-	pending []byte // frames that wait to be written
-	writing bool   // the writer was woken and is not idle again
-	closed  bool   // nothing is queued any more
+	pending []byte // frames queued for sending
+	writing bool   // the writer was woken and is not yet idle again
+	closed  bool   // no more frames are queued
 	stopped bool   // done is closed
 }
 
-// NewConn takes over a network connection and starts its writer, which ends with Close.
+// NewConn takes ownership of a network connection and starts a writer goroutine, which ends with Close.
 func NewConn(netConn net.Conn) *Conn {
 	c := &Conn{
 		netConn: netConn,
@@ -53,13 +52,13 @@
 	return c
 }
 
-// RemoteAddr is the other side's address.
+// RemoteAddr returns the address of the peer.
 func (c *Conn) RemoteAddr() string { return c.netConn.RemoteAddr().String() }
 
-// Send queues a message. On a connection that is closed it does nothing.
+// Send queues a message. It does nothing on a closed connection.
 func (c *Conn) Send(m *Message) { c.SendEncoded(Encode(m)) }
 
-// SendEncoded queues a body that Encode made.
+// SendEncoded queues a message that Encode has encoded.
 func (c *Conn) SendEncoded(body []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +67,7 @@
 	}
 	if len(c.pending)+len(body) > maxPendingBytes {
 		c.closed = true
-		_ = c.netConn.Close() // the reader notices and calls Close
+		_ = c.netConn.Close() // Receive fails, and its caller calls Close
 		return
 	}
 	c.pending = binary.AppendUvarint(c.pending, uint64(len(body)))
@@ -79,9 +78,9 @@
 	}
 }
 
-// writeLoop writes what is queued. All that came during one write goes out in the next.
+// writeLoop writes the queued frames. Frames queued during one write are sent together by the next.
 func (c *Conn) writeLoop() {
-	var spare []byte
+	var buffer []byte // the last written buffer, to be reused for queueing
 	for {
 		select {
 		case <-c.wake:
@@ -89,7 +88,7 @@
 			return
 		}
 		for {
-			frames := c.takePending(spare)
+			frames := c.takePending(buffer)
 			if frames == nil {
 				break
 			}
@@ -98,16 +97,16 @@
 				c.Close()
 				return
 			}
-			if spare = frames; cap(spare) > maxKeptBufferBytes {
-				spare = nil
+			if buffer = frames; cap(buffer) > maxReusedBufferSize {
+				buffer = nil
 			}
 		}
 	}
 }
 
-// takePending returns the frames that wait and puts an empty buffer in their place; nil: there are none, and the writer
-// is idle from now on.
-func (c *Conn) takePending(empty []byte) []byte {
+// takePending returns the queued frames and reuses the given buffer for the next ones. If there are none, it returns
+// nil and marks the writer as idle.
+func (c *Conn) takePending(buffer []byte) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.pending) == 0 || c.closed {
@@ -115,12 +114,12 @@
 		return nil
 	}
 	frames := c.pending
-	c.pending = empty[:0]
+	c.pending = buffer[:0]
 	return frames
 }
 
-// Receive waits for the next message, at most for timeout (0: for ever). After an error the connection is of no further
-// use; the caller closes it.
+// Receive waits for the next message, up to the timeout if it is not 0. After an error, the caller must close the
+// connection.
 func (c *Conn) Receive(timeout time.Duration) (*Message, error) {
 	if timeout > 0 {
 		_ = c.netConn.SetReadDeadline(time.Now().Add(timeout)) // fails only on a closed connection
@@ -139,7 +138,7 @@
 	return Decode(body)
 }
 
-// Close ends the connection and its writer. It may be called more than once.
+// Close closes the connection and stops its writer. It may be called more than once.
 func (c *Conn) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,5 +147,5 @@
 		c.stopped = true
 		close(c.done)
 	}
-	_ = c.netConn.Close() // what could fail is of no interest any more
+	_ = c.netConn.Close() // an error does not matter any more
 }
--- a/internal/gateway/rpc/epoch.go
+++ b/internal/gateway/rpc/epoch.go
@@ -2,41 +2,40 @@
 
 import "slices"
 
-// Voter is a disk that votes: the control-plane node whose machine it is in, and the disk's own id. The id is drawn
-// when the disk is first written, so that a wiped disk is another voter and never votes on what the old one has
-// forgotten.
+// Voter is a disk that votes, with the control-plane node that it belongs to. The StoreID is chosen at random when the
+// disk is first written. A wiped disk is thus a new voter and cannot contradict votes that were lost with the old data.
 type Voter struct {
 	Node    `cbor:"1,keyasint"`
 	StoreID string `cbor:"2,keyasint"`
 }
 
-// Origin is what a disk noted at the system's first start, when all nodes were told the same seeds.
+// Origin records on a disk the settings of the cluster's first start, when all nodes have the same seeds.
 type Origin struct {
-	Address string   `cbor:"1,keyasint"` // the peer address of its node
-	Seeds   []string `cbor:"2,keyasint"` // the peer addresses of the seeds
+	Address string   `cbor:"1,keyasint"` // peer address of the disk's node
+	Seeds   []string `cbor:"2,keyasint"` // peer addresses of the seeds
 }
 
-// IsZero reports whether nothing was noted: the disk is not from the first start, or from a version that noted nothing.
+// IsZero reports whether the disk has no Origin: it is not from the first start, or an older version has written it.
 func (o Origin) IsZero() bool { return o.Address == "" && len(o.Seeds) == 0 }
 
-// Epoch is who votes in the control plane. Each epoch is decided by the voters of the one before. While OldVoters
-// is not empty the epoch is a joint one: a change from OldVoters to Voters is under way, and each quorum needs
-// both.
+// Epoch is a configuration of voters of the control plane. The voters of each epoch decide the next one. An epoch with
+// OldVoters is a joint one: a change from OldVoters to Voters is in progress, and each quorum needs a majority of both
+// sets.
 type Epoch struct {
-	Number      uint64  `cbor:"1,keyasint"` // 0: none was decided yet
+	Number      uint64  `cbor:"1,keyasint"` // 0: no epoch was decided yet
 	OldVoters   []Voter `cbor:"2,keyasint,omitempty"`
 	Voters      []Voter `cbor:"3,keyasint"`
-	InitialSize int     `cbor:"4,keyasint,omitempty"` // voters of the first epoch
-	// ClusterID tells systems apart that were founded independently. It is drawn with the first epoch, and all later ones
-	// have it. 0: the system was founded by a version that had none.
+	InitialSize int     `cbor:"4,keyasint,omitempty"` // number of voters in the first epoch
+	// ClusterID distinguishes independently bootstrapped clusters. It is chosen at random with the first epoch and kept by
+	// all later ones. It is 0 in clusters that a version without this field bootstrapped.
 	ClusterID uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// IsJoint reports whether a change of voters is under way.
+// IsJoint reports whether a change of voters is in progress.
 func (e Epoch) IsJoint() bool { return len(e.OldVoters) > 0 }
 
-// TargetSize is how many voters there should be: as many as in the first epoch, and one more if that is even,
-// because an even number of voters survives no more losses than the odd one below it.
+// TargetSize returns the desired number of voters: that of the first epoch, rounded up to an odd number. An even number
+// tolerates no more failures than the odd number below it.
 func (e Epoch) TargetSize() int {
 	if e.InitialSize == 0 {
 		return len(e.Voters) | 1
@@ -44,18 +43,18 @@
 	return e.InitialSize | 1
 }
 
-// AllVoters are the voters of both sets, each once.
+// AllVoters returns the voters of both sets without duplicates.
 func (e Epoch) AllVoters() []Voter {
-	all := slices.Clone(e.Voters)
+	voters := slices.Clone(e.Voters)
 	for _, v := range e.OldVoters {
-		if !containsStore(all, v.StoreID) {
-			all = append(all, v)
+		if !containsStore(voters, v.StoreID) {
+			voters = append(voters, v)
 		}
 	}
-	return all
+	return voters
 }
 
-// IsVoter reports whether a disk votes.
+// IsVoter reports whether a disk is a voter of this epoch.
 func (e Epoch) IsVoter(storeID string) bool {
 	return containsStore(e.Voters, storeID) || containsStore(e.OldVoters, storeID)
 }
@@ -64,11 +63,12 @@
 	return slices.ContainsFunc(voters, func(v Voter) bool { return v.StoreID == storeID })
 }
 
-// HasMajority reports whether the voters that are counted are a majority, in a joint epoch of both sets.
+// HasMajority reports whether the counted voters are a majority. In a joint epoch, they must be a majority of both
+// sets.
 func (e Epoch) HasMajority(counted func(Voter) bool) bool { return e.hasQuorum(0, counted) }
 
-// IsDurable reports whether a value on the disks that are counted survives the loss of maxFaults machines at once: a
-// majority, and at least one disk more than may be lost, where the set has so many.
+// IsDurable reports whether a value on the counted disks survives the simultaneous loss of maxFaults machines. See
+// QuorumSize.
 func (e Epoch) IsDurable(maxFaults int, counted func(Voter) bool) bool {
 	return e.hasQuorum(maxFaults, counted)
 }
@@ -88,8 +88,8 @@
 	return true
 }
 
-// QuorumSize is how many of so many voters must have a value for it to survive the loss of maxFaults machines at
-// once: a majority, and at least one more than may be lost, where there are so many.
+// QuorumSize returns how many voters must store a value so that it survives the simultaneous loss of maxFaults
+// machines: a majority and at least maxFaults+1, but not more than all voters.
 func QuorumSize(voters, maxFaults int) int { return min(max(maxFaults+1, voters/2+1), voters) }
 
 func countVoters(set []Voter, counted func(Voter) bool) (n int) {
--- a/internal/gateway/rpc/message.go
+++ b/internal/gateway/rpc/message.go
@@ -6,19 +6,19 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxFrameBytes bounds the body of one frame: a configuration at its largest, with room to spare.
+// MaxFrameBytes limits the body of a frame. The largest allowed configuration fits into it.
 const MaxFrameBytes = 16 << 20
 
-// Message is the body of one frame. Its parts are embedded, so that the keys of all of them stand side by side on the
-// wire; each use sets a few fields only, and the handler of each part ignores a part that is empty.
+// Message is the body of a frame. The fields of the embedded types are encoded in the same CBOR map. A message usually
+// sets only a few fields; receivers ignore empty ones.
 type Message struct {
 	Acknowledgement
-	Hello *Hello `cbor:"3,keyasint,omitempty"` // in the first message of a connection only
+	Hello *Hello `cbor:"3,keyasint,omitempty"` // only in the first message of a connection
 	RegisterUpdate
 	Consensus
-	// NoQuorum says that the sender has no quorum contact: what it says was true once and may be outdated.
+	// NoQuorum reports that the sender has no quorum contact, so that its state may be outdated.
 	NoQuorum bool `cbor:"37,keyasint,omitempty"`
-	// KnownPeers are all control-plane nodes that the sender has heard of.
+	// KnownPeers are all control-plane nodes that the sender knows.
 	KnownPeers []Node `cbor:"11,keyasint,omitempty"`
 	EndpointUpdate
 	Lease
@@ -27,99 +27,99 @@
 	ProxyChanges
 }
 
-// Hello says who opens a connection.
+// Hello identifies the sender at the start of a connection.
 type Hello struct {
 	Node             Node   `cbor:"1,keyasint"`
-	Incarnation      uint64 `cbor:"2,keyasint"` // drawn at the start of the process
+	Incarnation      uint64 `cbor:"2,keyasint"` // chosen at random at the start of the process
 	IsProxy          bool   `cbor:"3,keyasint,omitempty"`
 	StoreID          string `cbor:"4,keyasint,omitempty"` // of a control-plane node's disk
-	MayHaveLostState bool   `cbor:"5,keyasint,omitempty"` // that disk may have forgotten that there is an epoch
-	Origin           Origin `cbor:"6,keyasint,omitzero"`  // of that disk
+	MayHaveLostState bool   `cbor:"5,keyasint,omitempty"` // the disk may have lost an epoch or votes
+	Origin           Origin `cbor:"6,keyasint,omitzero"`  // of the disk
 }
 
-// Acknowledgement asks for, or gives, the receipt of a message.
+// Acknowledgement requests or confirms the receipt of a message.
 type Acknowledgement struct {
-	WantAck uint64 `cbor:"1,keyasint,omitempty"` // not 0: the receiver answers with an Ack of this number
+	WantAck uint64 `cbor:"1,keyasint,omitempty"` // if not 0, the receiver replies with an Ack of this number
 	Ack     uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// RegisterUpdate tells a proxy of the registers that a control-plane node holds, and lets a receiver fetch one.
+// RegisterUpdate reports the registers of a control-plane node, or requests their values.
 type RegisterUpdate struct {
 	CommittedValues []Register `cbor:"4,keyasint,omitempty"`
-	// by register: what the sender's disk has, committed or not
+	// StoredVersions are the versions on the sender's disk by register, whether committed or not.
 	StoredVersions    map[string]Version `cbor:"5,keyasint,omitempty"`
 	CommittedVersions map[string]Version `cbor:"6,keyasint,omitempty"` // by register
-	FetchRegisters    []string           `cbor:"7,keyasint,omitempty"` // names of registers whose values the sender wants
+	FetchRegisters    []string           `cbor:"7,keyasint,omitempty"` // names of the requested registers
 }
 
-// Consensus is what control-plane nodes tell each other to decide registers. It counts only if it comes from a voter of
-// the receiver's own epoch, but for the epoch itself and for values that were chosen.
+// Consensus carries the consensus protocol between control-plane nodes. The receiver ignores it unless the sender is a
+// voter of the receiver's own epoch, except for Epoch and for chosen values.
 type Consensus struct {
-	EpochNumber uint64 `cbor:"27,keyasint,omitempty"` // of the epoch in which all of this is said
+	EpochNumber uint64 `cbor:"27,keyasint,omitempty"` // the sender's epoch
 	StoreID     string `cbor:"28,keyasint,omitempty"` // of the sender's disk
-	ClusterID   uint64 `cbor:"38,keyasint,omitempty"` // of that epoch
-	// the newest that the sender knows to be decided; to proxies too
+	ClusterID   uint64 `cbor:"38,keyasint,omitempty"` // of the sender's epoch
+	// Epoch is the latest decided epoch that the sender knows. It is sent to proxies too.
 	Epoch         *Epoch                  `cbor:"29,keyasint,omitempty"`
 	Paxos         []PaxosMessage          `cbor:"30,keyasint,omitempty"`
-	ChosenBallots map[string]BallotNumber `cbor:"31,keyasint,omitempty"` // by register: a ballot whose value is chosen
+	ChosenBallots map[string]BallotNumber `cbor:"31,keyasint,omitempty"` // by register; their values are chosen
 	ChosenValues  []ChosenValue           `cbor:"32,keyasint,omitempty"`
-	// by register: what the sender's disk has accepted
+	// AcceptedBallots are the ballots accepted by the sender's disk, by register.
 	AcceptedBallots map[string]BallotNumber `cbor:"33,keyasint,omitempty"`
-	// Complete says that AcceptedBallots names every register of the sender. To a proxy it says that the sender votes
-	// and has quorum contact.
+	// Complete reports that AcceptedBallots has every register of the sender. In a message to a proxy, it reports that
+	// the sender is a voter and has quorum contact.
 	Complete     bool   `cbor:"9,keyasint,omitempty"`
-	QueryState   bool   `cbor:"8,keyasint,omitempty"`  // the receiver answers with its AcceptedBallots, Complete
-	QueryID      uint64 `cbor:"24,keyasint,omitempty"` // of a QueryState or Ping, repeated in its answer
+	QueryState   bool   `cbor:"8,keyasint,omitempty"`  // requests a reply with AcceptedBallots and Complete
+	QueryID      uint64 `cbor:"24,keyasint,omitempty"` // of a QueryState or Ping; repeated in the reply
 	Ping         bool   `cbor:"34,keyasint,omitempty"`
 	Pong         bool   `cbor:"35,keyasint,omitempty"`
-	ShuttingDown bool   `cbor:"36,keyasint,omitempty"` // the sender hands over its state and ends
-	// WaitingFor are registers for which the sender has proposals that wait for another node's. It is a hint.
+	ShuttingDown bool   `cbor:"36,keyasint,omitempty"` // the sender hands over its state and shuts down
+	// WaitingFor are the registers for which the sender's proposals wait for those of another node. It is a hint.
 	WaitingFor []string `cbor:"39,keyasint,omitempty"`
-	// NextProposers are, by register, the names of the nodes whose proposals should come next. They are hints.
+	// NextProposers are the names of the nodes that should propose next, by register. They are hints.
 	NextProposers map[string]string `cbor:"40,keyasint,omitempty"`
 }
 
-// EndpointUpdate tells of endpoints that changed.
+// EndpointUpdate reports changed endpoints.
 type EndpointUpdate struct {
 	Endpoints       []Endpoint `cbor:"13,keyasint,omitempty"`
-	EndpointsSynced bool       `cbor:"14,keyasint,omitempty"` // the sender knows of endpoints all that its peers know
+	EndpointsSynced bool       `cbor:"14,keyasint,omitempty"` // the sender knows all endpoints that its peers know
 }
 
-// Lease renews a proxy's lease and answers the renewal.
+// Lease renews a proxy's lease or confirms the renewal.
 type Lease struct {
-	// number of the renewal, rising; control-plane nodes use it as a keep-alive
+	// RenewLease is the increasing number of the renewal. Between control-plane nodes it serves as a heartbeat.
 	RenewLease   uint64      `cbor:"15,keyasint,omitempty"`
-	LeaseRenewed uint64      `cbor:"16,keyasint,omitempty"` // the number that is answered
-	Proxies      []ProxyInfo `cbor:"17,keyasint,omitempty"` // in a first message: all that hold a lease
+	LeaseRenewed uint64      `cbor:"16,keyasint,omitempty"` // RenewLease of the confirmed renewal
+	Proxies      []ProxyInfo `cbor:"17,keyasint,omitempty"` // in a first message: all proxies that hold a lease
 }
 
-// LoadReport is what a proxy has seen since its last report.
+// LoadReport has a proxy's statistics since its last report.
 type LoadReport struct {
 	ServiceLoads    []ServiceLoad    `cbor:"18,keyasint,omitempty"`
 	EndpointReports []EndpointReport `cbor:"19,keyasint,omitempty"`
-	ReportSeconds   float64          `cbor:"20,keyasint,omitempty"` // that the report covers
-	// the sender wants its routing tables from the receiver
+	ReportSeconds   float64          `cbor:"20,keyasint,omitempty"` // time that the report covers
+	// WantTables selects the receiver as the node that sends routing tables to this proxy.
 	WantTables bool `cbor:"21,keyasint,omitempty"`
 }
 
-// ProxyChanges says which proxies got or lost their lease since the first message of the connection, and gives the
-// sender's own lease back.
+// ProxyChanges reports the proxies that acquired or lost their lease, as changes to Lease.Proxies. ReleaseLease gives
+// up the sender's own lease.
 type ProxyChanges struct {
 	ProxiesAdded   []ProxyInfo `cbor:"25,keyasint,omitempty"`
-	ProxiesRemoved []string    `cbor:"26,keyasint,omitempty"` // names; a proxy that stands in both left first
+	ProxiesRemoved []string    `cbor:"26,keyasint,omitempty"` // names; applied before ProxiesAdded
 	ReleaseLease   bool        `cbor:"23,keyasint,omitempty"`
 }
 
-// Encode makes the body of a frame, once for any number of connections.
+// Encode encodes a message as the body of a frame. The result may be sent on several connections.
 func Encode(m *Message) []byte {
 	body, err := cbor.Marshal(m)
 	if err != nil {
-		panic(fmt.Sprintf("rpc: %v", err)) // cannot fail: all fields above are plain data
+		panic(fmt.Sprintf("rpc: %v", err)) // impossible: all field types can be encoded
 	}
 	return body
 }
 
-// Decode reads the body of a frame. Fields that it does not know are ignored.
+// Decode decodes the body of a frame. It ignores unknown fields.
 func Decode(body []byte) (*Message, error) {
 	m := &Message{}
 	if err := cbor.Unmarshal(body, m); err != nil {
--- a/internal/gateway/rpc/message_test.go
+++ b/internal/gateway/rpc/message_test.go
@@ -14,34 +14,35 @@
 	"time"
 )
 
-func pair() (here, there *Conn) {
+// connPair returns two connected Conns.
+func connPair() (local, remote *Conn) {
 	a, b := net.Pipe()
 	return NewConn(a), NewConn(b)
 }
 
-// fill draws a value. Part is how likely each field is set; what is set is never empty.
-func fill(r *rand.Rand, v reflect.Value, part float64) {
+// fill sets v to a random value. Each field of a struct is set, to a value that is not empty, with a probability.
+func fill(r *rand.Rand, v reflect.Value, probability float64) {
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if v.Type().Field(i).Name != "_" && r.Float64() < part {
-				fill(r, v.Field(i), part)
+			if v.Type().Field(i).Name != "_" && r.Float64() < probability {
+				fill(r, v.Field(i), probability)
 			}
 		}
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(r, v.Elem(), part)
+		fill(r, v.Elem(), probability)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1+r.IntN(3), 4))
 		for i := range v.Len() {
-			fill(r, v.Index(i), part)
+			fill(r, v.Index(i), probability)
 		}
 	case reflect.Map:
 		v.Set(reflect.MakeMap(v.Type()))
 		for range 1 + r.IntN(3) {
 			key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
 			fill(r, key, 1)
-			fill(r, value, part)
+			fill(r, value, probability)
 			v.SetMapIndex(key, value)
 		}
 	case reflect.String:
@@ -61,34 +62,35 @@
 	}
 }
 
-// Whatever a message says comes over as it was said, in order; every field has a number of its own.
-func TestMessagesComeAsTheyWereSent(t *testing.T) {
+// All fields of a message survive encoding, and messages arrive in order. Guards against two fields with the same key.
+func TestMessageRoundTrip(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		here, there := pair()
-		defer here.Close()
-		defer there.Close()
+		local, remote := connPair()
+		defer local.Close()
+		defer remote.Close()
 		r := rand.New(rand.NewPCG(1, 2))
 		for i := range 200 {
 			m := &Message{}
 			fill(r, reflect.ValueOf(m).Elem(), []float64{1, 0.3, 0.05, 0}[i%4])
-			here.Send(m)
-			got, err := there.Receive(time.Second)
+			local.Send(m)
+			got, err := remote.Receive(time.Second)
 			if err != nil || !reflect.DeepEqual(got, m) {
-				t.Fatalf("message %d: %v\n%+v came as\n%+v", i, err, m, got)
+				t.Fatalf("message %d: %v\nsent %+v\nreceived %+v", i, err, m, got)
 			}
 		}
 	})
 }
 
-// Many may send at once, in both directions; no message is torn, none lost, and those of each sender keep their order.
-func TestManySenders(t *testing.T) {
+// Concurrent senders in both directions neither corrupt nor lose messages, and the messages of each sender stay in
+// order.
+func TestConcurrentSenders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		here, there := pair()
-		defer here.Close()
-		defer there.Close()
+		local, remote := connPair()
+		defer local.Close()
+		defer remote.Close()
 		const senders, each = 4, 200
 		var all sync.WaitGroup
-		for _, ends := range [][2]*Conn{{here, there}, {there, here}} {
+		for _, ends := range [][2]*Conn{{local, remote}, {remote, local}} {
 			for i := range senders {
 				all.Go(func() {
 					for n := range each {
@@ -107,7 +109,7 @@
 				for range senders * each {
 					m, err := ends[1].Receive(time.Minute)
 					if err != nil || m.RenewLease != last[m.WantAck]+1 {
-						t.Errorf("%v: %+v after %v", err, m, last)
+						t.Errorf("error %v, message %+v after %v", err, m, last)
 						return
 					}
 					last[m.WantAck] = m.RenewLease
@@ -118,61 +120,62 @@
 	})
 }
 
-// What is no frame is an error, at once and without room being made for what it promises.
-func TestBadFrames(t *testing.T) {
+// An invalid frame is an error. Guards against allocating memory for an invalid length.
+func TestInvalidFrames(t *testing.T) {
 	for name, text := range map[string][]byte{
-		"too long":       binary.AppendUvarint(nil, MaxFrameBytes+1),
-		"beyond numbers": bytes.Repeat([]byte{0xff}, 11),
-		"empty":          {0},
-		"no CBOR":        []byte("\x05hello"),
-		"another type":   {1, 0x01},
-		"wrong field":    {3, 0xa1, 0x01, 0x60}, // a text where a number is due
-		"cut short":      {9, 0xa1, 0x01},
-		"HTTP":           []byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n"),
+		"too long":        binary.AppendUvarint(nil, MaxFrameBytes+1),
+		"length overflow": bytes.Repeat([]byte{0xff}, 11),
+		"empty":           {0},
+		"not CBOR":        []byte("\x05hello"),
+		"not a map":       {1, 0x01},
+		"wrong field":     {3, 0xa1, 0x01, 0x60}, // a text instead of a number
+		"truncated":       {9, 0xa1, 0x01},
+		"HTTP":            []byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n"),
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			a, b := net.Pipe()
-			line := NewConn(a)
-			defer line.Close()
+			conn := NewConn(a)
+			defer conn.Close()
 			go func() {
 				_, _ = b.Write(text)
 				_ = b.Close()
 			}()
-			if m, err := line.Receive(time.Second); err == nil {
-				t.Errorf("%s: taken for %+v", name, m)
+			if m, err := conn.Receive(time.Second); err == nil {
+				t.Errorf("%s: accepted as %+v", name, m)
 			}
 		})
 	}
 }
 
-func ended(t *testing.T, line *Conn, other net.Conn) {
+// wantClosed checks that both ends of a connection are closed and that Send does not block.
+func wantClosed(t *testing.T, conn *Conn, remote net.Conn) {
 	t.Helper()
-	if m, err := line.Receive(0); err == nil {
-		t.Errorf("the line still gives %+v", m)
+	if m, err := conn.Receive(0); err == nil {
+		t.Errorf("the closed connection received %+v", m)
 	}
-	if _, err := io.Copy(io.Discard, other); err != nil {
-		t.Errorf("the other side is not told of the end: %v", err)
+	if _, err := io.Copy(io.Discard, remote); err != nil {
+		t.Errorf("the remote end is not closed: %v", err)
 	}
-	line.Send(&Message{Lease: Lease{RenewLease: 1}}) // says nothing, and does not wait
+	conn.Send(&Message{Lease: Lease{RenewLease: 1}})
 }
 
-// Who does not read loses the line: after a time, or when more waits for it than may.
-func TestReaderThatDoesNotRead(t *testing.T) {
+// A connection is closed if the peer does not read for writeTimeout, or if the queued frames exceed maxPendingBytes.
+func TestPeerThatDoesNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := net.Pipe()
-		line := NewConn(a)
-		defer line.Close()
+		conn := NewConn(a)
+		defer conn.Close()
 		began := time.Now()
-		line.Send(&Message{Lease: Lease{RenewLease: 1}})
-		if _, err := line.Receive(0); err == nil || time.Since(began) != writeTimeout {
-			t.Errorf("%v after %v", err, time.Since(began))
+		conn.Send(&Message{Lease: Lease{RenewLease: 1}})
+		if _, err := conn.Receive(0); err == nil || time.Since(began) != writeTimeout {
+			t.Errorf("error %v after %v", err, time.Since(began))
 		}
-		ended(t, line, b)
+		wantClosed(t, conn, b)
 	})
 	synctest.Test(t, func(t *testing.T) {
 		a, b := net.Pipe()
-		line := NewConn(a)
-		defer line.Close()
+		conn := NewConn(a)
+		defer conn.Close()
 		big := &Message{
 			RegisterUpdate: RegisterUpdate{
 				CommittedValues: []Register{{Name: "charter", Value: make([]byte, maxPendingBytes/2)}},
@@ -180,33 +183,33 @@
 		}
 		began := time.Now()
 		for range 3 {
-			line.Send(big)
+			conn.Send(big)
 			synctest.Wait() // the writer has taken the first
 		}
 		if time.Since(began) != 0 {
-			t.Error("a sender waits for the reader")
+			t.Error("Send blocks")
 		}
-		ended(t, line, b)
+		wantClosed(t, conn, b)
 	})
 }
 
-// A side that says nothing for too long is given up; one that closes is noticed at once.
-func TestSilence(t *testing.T) {
+// Receive fails after its timeout if the peer sends nothing, and at once if the peer closes the connection.
+func TestReceiveTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		here, there := pair()
-		defer here.Close()
+		local, remote := connPair()
+		defer local.Close()
 		began := time.Now()
-		if _, err := here.Receive(3 * time.Second); err == nil || time.Since(began) != 3*time.Second {
-			t.Errorf("%v after %v", err, time.Since(began))
+		if _, err := local.Receive(3 * time.Second); err == nil || time.Since(began) != 3*time.Second {
+			t.Errorf("error %v after %v", err, time.Since(began))
 		}
-		there.Send(&Message{Lease: Lease{RenewLease: 7}})
-		if m, err := here.Receive(3 * time.Second); err != nil || m.RenewLease != 7 {
+		remote.Send(&Message{Lease: Lease{RenewLease: 7}})
+		if m, err := local.Receive(3 * time.Second); err != nil || m.RenewLease != 7 {
 			t.Errorf("%+v, %v", m, err)
 		}
-		there.Close()
-		there.Close()
-		if _, err := here.Receive(3 * time.Second); err == nil || time.Since(began) != 3*time.Second {
-			t.Errorf("%v after %v", err, time.Since(began))
+		remote.Close()
+		remote.Close()
+		if _, err := local.Receive(3 * time.Second); err == nil || time.Since(began) != 3*time.Second {
+			t.Errorf("error %v after %v", err, time.Since(began))
 		}
 	})
 }
--- a/internal/gateway/rpc/registers.go
+++ b/internal/gateway/rpc/registers.go
@@ -8,12 +8,12 @@
 	ControlAddress string `cbor:"4,keyasint,omitempty"` // "ip:port" for operators and endpoints; empty for a proxy
 }
 
-// BallotNumber is the proposal number of a Paxos round. Numbers are ordered by Round, then by Incarnation. The zero
-// number comes before all others.
+// BallotNumber is the number of a Paxos ballot. Ballots are ordered by Round, then by Incarnation. The zero value comes
+// before all others.
 type BallotNumber struct {
 	_           struct{} `cbor:",toarray"`
-	Round       uint64   // the epoch in its upper 16 bits, a counter below them
-	Incarnation uint64   // of the proposer, so that no two proposers use the same number
+	Round       uint64   // epoch number in the upper 16 bits, counter in the lower 48 bits
+	Incarnation uint64   // of the proposer, which makes the number unique
 }
 
 // Less reports whether b comes before o.
@@ -21,11 +21,12 @@
 	return b.Round < o.Round || b.Round == o.Round && b.Incarnation < o.Incarnation
 }
 
-// Version orders the values of a register: by Number, then by ID. The zero version stands for no value.
+// Version is the version of a register's value. Versions are ordered by Number, then by ID. The zero Version means that
+// there is no value.
 type Version struct {
 	_      struct{} `cbor:",toarray"`
-	Number uint64   // of the configuration: its generation; of an evacuation: ms since 1970, rising
-	ID     uint64   // of the configuration: the xxh3 of its body; of an evacuation: drawn for the order
+	Number uint64   // configuration: its generation; evacuation: increasing Unix time in ms
+	ID     uint64   // configuration: xxh3 hash of its body; evacuation: a random number
 }
 
 // Less reports whether v comes before o.
@@ -43,27 +44,27 @@
 // PaxosKind is the kind of a PaxosMessage.
 type PaxosKind uint8
 
-// Kinds of Paxos messages: the requests of the two phases, their answers, and a refusal of either.
+// Kinds of Paxos messages: the requests and responses of the two phases, and the rejection of a request.
 const (
 	Prepare   PaxosKind = iota + 1 // phase 1a
 	Promise                        // phase 1b
 	Accept                         // phase 2a
 	Accepted                       // phase 2b
-	Preempted                      // a higher ballot was promised: PaxosMessage.Ballot is that one
+	Preempted                      // rejection: the acceptor has promised the higher ballot PaxosMessage.Ballot
 )
 
-// PaxosMessage is one message of a ballot about one register.
+// PaxosMessage is a message of a Paxos ballot for one register.
 type PaxosMessage struct {
 	Kind           PaxosKind    `cbor:"1,keyasint"`
 	Register       string       `cbor:"2,keyasint"`
 	Ballot         BallotNumber `cbor:"3,keyasint"`
 	AcceptedBallot BallotNumber `cbor:"4,keyasint,omitempty"` // Promise: the ballot under which Value was accepted
-	Value          *Register    `cbor:"5,keyasint,omitempty"` // Promise: what was accepted; Accept: what is proposed
-	// Promise, Accept: ms since Value was chosen, plus 1; 0: unknown
+	Value          *Register    `cbor:"5,keyasint,omitempty"` // Promise: the accepted value; Accept: the proposed value
+	// ValueAge is, in a Promise or Accept, the time in ms since Value was chosen, plus 1. 0 means unknown.
 	ValueAge uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-// ChosenValue is a value that was chosen, with the ballot that chose it.
+// ChosenValue is a chosen value with the ballot that chose it.
 type ChosenValue struct {
 	Ballot   BallotNumber `cbor:"1,keyasint"`
 	Register Register     `cbor:"2,keyasint"`
--- a/internal/gateway/session/dialer.go
+++ b/internal/gateway/session/dialer.go
@@ -10,77 +10,78 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-// refusedRetryInterval is the pause before an address is dialled again whose connection was not accepted by Sessions:
-// another connection to the same peer is current.
+// refusedRetryInterval is the delay before an address is dialed again after Sessions has refused the connection to it.
 const refusedRetryInterval = 3 * time.Second
 
-// Dialer keeps a connection to each address that it is given. All exported fields are set before the first Connect.
+// Dialer keeps a connection to each address passed to Connect. Its exported fields must be set before the first
+// Connect.
 type Dialer struct {
-	Queue *CommandQueue // of the owner; OnMessage and OnDisconnect run there
+	Queue *CommandQueue // of the owner, which runs OnMessage and OnDisconnect
 	Clock clockwork.Clock
 	Dial  func(address string) (net.Conn, error)
-	// SelfName is the name of this process, where peers are of the same kind: a connection that leads back here is
-	// closed and its address never dialled again.
+	// SelfName is the name of this process if its own address may be dialed. A connection to itself is closed and the
+	// address is not dialed again.
 	SelfName      string
-	RetryInterval time.Duration       // from the end of a connection, or a dial that failed, to the next dial
-	ReadTimeout   time.Duration       // a connection on which nothing arrives for so long is closed
-	Hello         func() *rpc.Message // makes the first message; runs on any goroutine
-	// OnMessage handles each message of a current connection. The first one of a connection, and only that, has Hello:
-	// the connection is up. OnMessage may close the connection, to get the peer's whole state anew on the next one.
+	RetryInterval time.Duration       // delay after a closed connection or a failed dial
+	ReadTimeout   time.Duration       // a connection is closed if no message arrives for this time
+	Hello         func() *rpc.Message // returns the first message of a connection; called on any goroutine
+	// OnMessage handles a message of a current connection. The first message of each connection, and only the first, has
+	// Hello. OnMessage may close the connection to get the peer's whole state again on the next one.
 	OnMessage func(name string, conn *rpc.Conn, m *rpc.Message)
-	// OnDisconnect runs after the last message of a connection whose Hello was handled, and before the Hello of the next.
+	// OnDisconnect is called when a current connection ends: after its last message, and before the Hello of the next one.
 	OnDisconnect func(name string, conn *rpc.Conn)
 
 	sessions Sessions
-	dialing  map[string]chan struct{} // by address; a token has the address dialled at once
+	retryNow map[string]chan struct{} // by address; a value triggers a dial
 }
 
-// Connect keeps a connection to an address from now on, until the queue is stopped; its goroutine ends at most
-// ReadTimeout later. It runs on the owner's goroutine, or before there is one. An address that is kept already, or is
-// empty, changes nothing.
+// Connect starts a goroutine that keeps a connection to an address. The goroutine ends within ReadTimeout after the
+// queue is stopped. Connect ignores an empty address and one that was passed before. It must be called by the owner, or
+// before the owner runs.
 func (d *Dialer) Connect(address string) {
-	if address == "" || d.dialing[address] != nil {
+	if address == "" || d.retryNow[address] != nil {
 		return
 	}
-	if d.dialing == nil {
-		d.dialing = map[string]chan struct{}{}
+	if d.retryNow == nil {
+		d.retryNow = map[string]chan struct{}{}
 	}
 	retryNow := make(chan struct{}, 1)
-	d.dialing[address] = retryNow
+	d.retryNow[address] = retryNow
 	go d.keepConnected(address, retryNow)
 }
 
-// ConnectAll is Connect for each of the addresses.
+// ConnectAll calls Connect for each address.
 func (d *Dialer) ConnectAll(addresses []string) {
 	for _, address := range addresses {
 		d.Connect(address)
 	}
 }
 
-// RetryNow has an address that is kept dialled at once, also where a dial is under way. It is for a peer that was
-// unreachable and has just been heard of. It runs on the owner's goroutine.
+// RetryNow dials an address at once, even while another dial to it is in progress. It is for an unreachable peer that is
+// known to be back. If the address is connected, it is dialed as soon as that connection ends. RetryNow ignores an address
+// that was not passed to Connect. It must be called by the owner.
 func (d *Dialer) RetryNow(address string) {
 	select {
-	case d.dialing[address] <- struct{}{}:
+	case d.retryNow[address] <- struct{}{}:
 	default:
 	}
 }
 
 func (d *Dialer) keepConnected(address string, retryNow <-chan struct{}) {
 	for {
-		pause := d.RetryInterval
+		delay := d.RetryInterval
 		if netConn := d.dial(address, retryNow); netConn != nil {
 			outcome := d.serve(rpc.NewConn(netConn))
 			switch outcome {
-			case leadsToSelf:
+			case connectedToSelf:
 				return
 			case refused:
-				pause = refusedRetryInterval
+				delay = refusedRetryInterval
 			case ended:
 			}
 		}
 		select {
-		case <-d.Clock.After(pause):
+		case <-d.Clock.After(delay):
 		case <-retryNow:
 		case <-d.Queue.Stopped():
 			return
@@ -88,41 +89,41 @@
 	}
 }
 
-// dial returns a connection, or nil. A dial to a machine without power hangs until its time-out: retryNow begins
-// another one beside it, as the machine may be back by now.
+// dial returns a connection, or nil on failure. A dial to a machine that is down blocks until its timeout. A value from
+// retryNow abandons it and starts another one.
 func (d *Dialer) dial(address string, retryNow <-chan struct{}) net.Conn {
 	for {
-		dialled := make(chan net.Conn, 1)
+		dialed := make(chan net.Conn, 1)
 		go func() {
 			netConn, err := d.Dial(address)
 			if err != nil {
 				netConn = nil
 			}
-			dialled <- netConn
+			dialed <- netConn
 		}()
 		select {
-		case netConn := <-dialled:
+		case netConn := <-dialed:
 			return netConn
 		case <-retryNow:
-			go closeUnused(dialled)
+			go closeUnused(dialed)
 		}
 	}
 }
 
-// closeUnused closes the connection of a dial that was given up, should it still come up.
-func closeUnused(dialled <-chan net.Conn) {
-	if netConn := <-dialled; netConn != nil {
+// closeUnused closes the connection of an abandoned dial if the dial still succeeds.
+func closeUnused(dialed <-chan net.Conn) {
+	if netConn := <-dialed; netConn != nil {
 		_ = netConn.Close() // nothing was sent on it
 	}
 }
 
-// connOutcome is how a connection ended.
+// connOutcome is the reason why a connection ended.
 type connOutcome uint8
 
 const (
-	ended       connOutcome = iota
-	refused                 // another connection to the peer is current
-	leadsToSelf             // the address is this process's own
+	ended           connOutcome = iota // closed by the peer, or an error
+	refused                            // another connection to the peer is current
+	connectedToSelf                    // the address belongs to this process
 )
 
 // serve handles a connection until it ends.
@@ -136,7 +137,7 @@
 			break
 		}
 		isFirst := peer == nil
-		if hasHello := m.Hello != nil; hasHello != isFirst { // a connection begins with one Hello and has no other
+		if hasHello := m.Hello != nil; hasHello != isFirst { // protocol error
 			break
 		}
 		if isFirst {
@@ -146,7 +147,7 @@
 			}
 			if peer.Node.Name == d.SelfName {
 				conn.Close()
-				return leadsToSelf
+				return connectedToSelf
 			}
 		}
 		d.Queue.Do(func() { d.handle(peer.Node.Name, conn, m, &wasRefused) })
@@ -165,7 +166,7 @@
 	return ended
 }
 
-// handle runs on the owner's goroutine.
+// handle processes a message on the owner's goroutine. It sets wasRefused if the connection is refused.
 func (d *Dialer) handle(name string, conn *rpc.Conn, m *rpc.Message, wasRefused *atomic.Bool) {
 	if m.Hello != nil {
 		replaced, ok := d.sessions.Register(m.Hello, conn)
--- a/internal/gateway/session/doc.go
+++ b/internal/gateway/session/doc.go
@@ -1,9 +1,9 @@
-// Package session keeps a process connected to its peers and lets one goroutine, the owner, handle all that they say.
+// Package session keeps a process connected to its peers. One goroutine, the owner, handles all messages from them.
 //
-//   - A CommandQueue carries functions to the owner, which runs them one by one. State that only those functions touch
-//     needs no lock.
-//   - Sessions decides which connection is current for a peer, by the incarnations that peers give in their Hello. A
-//     message that arrives late, on a connection that was replaced or from an earlier incarnation, is never handled.
-//   - A Dialer keeps one connection to each address that it is given, and hands the messages of the current connections
-//     to the owner.
+//   - A CommandQueue passes functions to the owner, which runs them one at a time. State that only these functions
+//     access needs no lock.
+//   - Sessions selects the current connection of each peer by the incarnation in the peer's Hello. Late messages from a
+//     replaced connection or an earlier incarnation are not handled.
+//   - A Dialer keeps a connection to each of a set of addresses and passes the messages of current connections to the
+//     owner.
 package session
--- a/internal/gateway/session/queue.go
+++ b/internal/gateway/session/queue.go
@@ -2,23 +2,23 @@
 
 import "sync"
 
-// CommandQueue holds the functions that its owner, a single goroutine, is yet to run. It is safe for concurrent use.
+// CommandQueue is a queue of functions for a single goroutine, the owner, to run. It is safe for concurrent use.
 type CommandQueue struct {
 	commands chan func()
 	stopped  chan struct{}
 	stopOnce sync.Once
 
 	mu       sync.Mutex
-	overflow []func() // posted while commands was full, in their order; a goroutine moves them over
+	overflow []func() // posted while commands was full, in order; drainOverflow moves them to commands
 }
 
-// NewCommandQueue makes a queue for capacity commands, at least 1.
+// NewCommandQueue returns a queue with the given capacity, which must be at least 1.
 func NewCommandQueue(capacity int) *CommandQueue {
 	return &CommandQueue{commands: make(chan func(), capacity), stopped: make(chan struct{})}
 }
 
-// Do queues f. It waits while the queue is full and not stopped, so the owner must never call it: a full queue would
-// wait for itself.
+// Do queues f. It blocks while the queue is full and not stopped. The owner must not call it, because this would cause
+// a deadlock on a full queue.
 func (q *CommandQueue) Do(f func()) {
 	select {
 	case q.commands <- f:
@@ -26,8 +26,8 @@
 	}
 }
 
-// Post queues f and never waits. It is for callbacks that may run on the owner's own goroutine, such as those of a disk
-// that refuses a write at once. What one goroutine posts keeps its order.
+// Post queues f and never blocks. It is for callbacks that may run on the owner's goroutine. Functions that one
+// goroutine posts are run in the same order.
 func (q *CommandQueue) Post(f func()) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -42,8 +42,8 @@
 	q.overflow = append(q.overflow, f)
 }
 
-// drainOverflow moves the overflow to the queue until it is empty. A command leaves the overflow only once it is in the
-// queue, so that Post never overtakes it.
+// drainOverflow moves functions from overflow to commands until overflow is empty. It removes a function only after
+// queueing it, so that Post cannot put a later one in front of it.
 func (q *CommandQueue) drainOverflow() {
 	for more := true; more; {
 		q.mu.Lock()
@@ -57,11 +57,11 @@
 	}
 }
 
-// Commands is where the owner receives what it is to run.
+// Commands returns the channel from which the owner receives the functions.
 func (q *CommandQueue) Commands() <-chan func() { return q.commands }
 
-// Stop ends the queue: Do no longer waits, and Dialers stop. It may be called more than once.
+// Stop stops the queue: Do no longer blocks, and Dialers end. It may be called more than once.
 func (q *CommandQueue) Stop() { q.stopOnce.Do(func() { close(q.stopped) }) }
 
-// Stopped is closed by Stop.
+// Stopped returns a channel that Stop closes.
 func (q *CommandQueue) Stopped() <-chan struct{} { return q.stopped }
--- a/internal/gateway/session/session_test.go
+++ b/internal/gateway/session/session_test.go
@@ -20,8 +20,8 @@
 	"elmfold/internal/gateway/session"
 )
 
-// own runs the queue's commands until it is stopped.
-func own(q *session.CommandQueue) {
+// runOwner runs the commands of a queue until it is stopped.
+func runOwner(q *session.CommandQueue) {
 	for {
 		select {
 		case f := <-q.Commands():
@@ -32,8 +32,8 @@
 	}
 }
 
-// Do waits for room, Post does not and keeps its order beyond it, also when it is the owner who posts; after Stop
-// nobody waits.
+// On a full queue, Do blocks and Post does not. Post keeps the order, also when the owner calls it. After Stop, neither
+// blocks.
 func TestQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := session.NewCommandQueue(2)
@@ -41,57 +41,60 @@
 		for i := range 6 {
 			q.Post(func() { got = append(got, i) })
 		}
-		waits := true
+		blocked := true
 		go func() {
 			q.Do(func() { got = append(got, 100) })
-			waits = false
+			blocked = false
 		}()
 		synctest.Wait()
-		if !waits {
-			t.Error("Do found room where there is none")
+		if !blocked {
+			t.Error("Do did not block on a full queue")
 		}
 		q.Post(func() {
 			for i := range 5 {
 				q.Post(func() { got = append(got, 10+i) })
 			}
 		})
-		go own(q)
+		go runOwner(q)
 		synctest.Wait()
 		posted := slices.DeleteFunc(slices.Clone(got), func(i int) bool { return i == 100 })
-		if want := []int{0, 1, 2, 3, 4, 5, 10, 11, 12, 13, 14}; waits || len(got) != 12 || !slices.Equal(posted, want) {
-			t.Errorf("%v, Do waits %v", got, waits)
+		if want := []int{0, 1, 2, 3, 4, 5, 10, 11, 12, 13, 14}; blocked || len(got) != 12 || !slices.Equal(posted, want) {
+			t.Errorf("ran %v, Do blocked: %v", got, blocked)
 		}
 		q.Stop()
 		q.Stop()
 		for range 5 {
-			q.Do(func() { t.Error("done after the end") })
+			q.Do(func() { t.Error("a function ran after Stop") })
 		}
 		for range 5 {
-			q.Post(func() { t.Error("done after the end") })
+			q.Post(func() { t.Error("a function ran after Stop") })
 		}
-		synctest.Wait() // the goroutine that takes what is over has ended too, or the bubble does not
+		synctest.Wait() // the test fails if the goroutine that drains the overflow is still running
 	})
 }
 
-// stage is a Keeper of addresses where scripted speakers accept lines.
-type stage struct {
-	mu    sync.Mutex // of out and lines
-	out   strings.Builder
-	q     *session.CommandQueue
-	k     *session.Dialer
-	lines map[string]chan *rpc.Conn // that were accepted at an address; none: it refuses
-	began time.Time
-	// All that were accepted: a line that nobody reads ends with Close alone.
-	accepted []*rpc.Conn
+// fixture is a Dialer with simulated peers. It records dials, messages and disconnects in a log.
+type fixture struct {
+	mu        sync.Mutex // protects log, listeners and accepted
+	log       strings.Builder
+	queue     *session.CommandQueue
+	dialer    *session.Dialer
+	listeners map[string]chan *rpc.Conn // accepted connections by address; dials to other addresses are refused
+	startedAt time.Time
+	accepted  []*rpc.Conn // all accepted connections, to be closed at the end
 }
 
-func begin(addresses ...string) *stage {
-	s := &stage{q: session.NewCommandQueue(16), lines: map[string]chan *rpc.Conn{}, began: time.Now()}
+func newFixture(addresses ...string) *fixture {
+	f := &fixture{
+		queue:     session.NewCommandQueue(16),
+		listeners: map[string]chan *rpc.Conn{},
+		startedAt: time.Now(),
+	}
 	for _, a := range addresses {
-		s.lines[a] = make(chan *rpc.Conn, 64)
+		f.listeners[a] = make(chan *rpc.Conn, 64)
 	}
-	s.k = &session.Dialer{
-		Queue:         s.q,
+	f.dialer = &session.Dialer{
+		Queue:         f.queue,
 		Clock:         clockwork.NewRealClock(),
 		SelfName:      "me",
 		RetryInterval: 250 * time.Millisecond,
@@ -100,244 +103,250 @@
 			return &rpc.Message{Hello: &rpc.Hello{Node: rpc.Node{Name: "me"}, Incarnation: 9}}
 		},
 		Dial: func(address string) (net.Conn, error) {
-			accepts := s.at(address)
-			if accepts == nil {
-				s.note("dials %s: refused", address)
+			listener := f.listener(address)
+			if listener == nil {
+				f.logf("dials %s: refused", address)
 				return nil, errors.New("refused")
 			}
-			here, there := net.Pipe()
-			s.note("dials %s", address)
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			s.accepted = append(s.accepted, rpc.NewConn(there))
-			accepts <- s.accepted[len(s.accepted)-1]
-			return here, nil
+			local, remote := net.Pipe()
+			f.logf("dials %s", address)
+			f.mu.Lock()
+			defer f.mu.Unlock()
+			conn := rpc.NewConn(remote)
+			f.accepted = append(f.accepted, conn)
+			listener <- conn
+			return local, nil
 		},
 		OnMessage: func(name string, _ *rpc.Conn, m *rpc.Message) {
 			if m.Hello != nil {
-				s.note("%s is up, life %d", name, m.Hello.Incarnation)
+				f.logf("%s is up, life %d", name, m.Hello.Incarnation)
 			} else {
-				s.note("%s says %d", name, m.WantAck)
+				f.logf("%s says %d", name, m.WantAck)
 			}
 		},
-		OnDisconnect: func(name string, _ *rpc.Conn) { s.note("%s is lost", name) },
+		OnDisconnect: func(name string, _ *rpc.Conn) { f.logf("%s is lost", name) },
 	}
-	go own(s.q)
+	go runOwner(f.queue)
 	for _, a := range addresses {
-		s.q.Do(func() { s.k.Connect(a) })
-		time.Sleep(10 * time.Millisecond) // nothing happens at one moment, so that its order is always the same
+		f.queue.Do(func() { f.dialer.Connect(a) })
+		time.Sleep(10 * time.Millisecond) // makes the order of the dials deterministic
 	}
-	return s
+	return f
 }
 
-// at is where lines to an address are accepted, nil: nowhere.
-func (s *stage) at(address string) chan *rpc.Conn {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.lines[address]
+// listener returns the accepted connections of an address, or nil if the address refuses connections.
+func (f *fixture) listener(address string) chan *rpc.Conn {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.listeners[address]
 }
 
-// accept lets an address accept lines, or refuse them (nil).
-func (s *stage) accept(address string, lines chan *rpc.Conn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.lines[address] = lines
+// setListener makes an address accept connections, or refuse them if the listener is nil.
+func (f *fixture) setListener(address string, listener chan *rpc.Conn) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.listeners[address] = listener
 }
 
-func (s *stage) note(format string, v ...any) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	fmt.Fprintf(&s.out, "%5.2f %s\n", time.Since(s.began).Seconds(), fmt.Sprintf(format, v...))
+func (f *fixture) logf(format string, args ...any) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	fmt.Fprintf(&f.log, "%5.2f %s\n", time.Since(f.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// line is the next one that was accepted, the keeper's hello read.
-func (s *stage) line(address string) *rpc.Conn {
-	l := <-s.at(address)
-	if m, err := l.Receive(time.Second); err != nil || m.Hello == nil || m.Hello.Node.Name != "me" {
-		s.note("no hello at %s: %+v, %v", address, m, err)
+// accept returns the next connection that an address accepts, after the Dialer's Hello on it.
+func (f *fixture) accept(address string) *rpc.Conn {
+	conn := <-f.listener(address)
+	if m, err := conn.Receive(time.Second); err != nil || m.Hello == nil || m.Hello.Node.Name != "me" {
+		f.logf("no hello at %s: %+v, %v", address, m, err)
 	}
-	return l
+	return conn
 }
 
-func (s *stage) says(l *rpc.Conn, m *rpc.Message) {
-	l.Send(m)
+// send sends a message to the Dialer and waits until it is handled.
+func (f *fixture) send(conn *rpc.Conn, m *rpc.Message) {
+	conn.Send(m)
 	synctest.Wait()
 }
 
-func hello(name string, life uint64) *rpc.Message {
-	return &rpc.Message{Hello: &rpc.Hello{Node: rpc.Node{Name: name}, Incarnation: life}}
+func hello(name string, incarnation uint64) *rpc.Message {
+	return &rpc.Message{Hello: &rpc.Hello{Node: rpc.Node{Name: name}, Incarnation: incarnation}}
 }
 
-func word(n uint64) *rpc.Message {
+func message(n uint64) *rpc.Message {
 	return &rpc.Message{Acknowledgement: rpc.Acknowledgement{WantAck: n}}
 }
 
-// end stops the queue; the keeper's goroutines must end by themselves, or the bubble does not.
-func (s *stage) end() string {
-	s.q.Stop()
+// stop stops the queue and returns the log. The test fails if the Dialer's goroutines do not end by themselves.
+func (f *fixture) stop() string {
+	f.queue.Stop()
 	time.Sleep(10 * time.Second)
-	for _, l := range s.accepted {
-		l.Close()
+	for _, conn := range f.accepted {
+		conn.Close()
 	}
-	return s.out.String()
+	return f.log.String()
 }
 
-// A line is dialled, heard, lost by its end or by silence, and dialled again; who refuses is dialled until it does not.
+// The Dialer connects again after a connection is closed or times out, and retries while its dials are refused.
 func TestLineIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := begin("a")
-		l := s.line("a")
-		s.says(l, hello("core-0", 1))
-		s.says(l, word(1))
-		s.q.Do(func() { s.k.Connect("a"); s.k.Connect("") }) // kept already, and nobody
+		f := newFixture("a")
+		conn := f.accept("a")
+		f.send(conn, hello("core-0", 1))
+		f.send(conn, message(1))
+		f.queue.Do(func() { f.dialer.Connect("a"); f.dialer.Connect("") }) // both are ignored
 		time.Sleep(time.Second)
-		l.Close()
-		l = s.line("a")
-		s.says(l, hello("core-0", 1))
-		time.Sleep(4 * time.Second) // it says nothing
-		l = s.line("a")
-		lines := s.at("a")
-		s.accept("a", nil)
-		l.Close()
+		conn.Close()
+		conn = f.accept("a")
+		f.send(conn, hello("core-0", 1))
+		time.Sleep(4 * time.Second) // exceeds the read timeout
+		conn = f.accept("a")
+		listener := f.listener("a")
+		f.setListener("a", nil)
+		conn.Close()
 		time.Sleep(600 * time.Millisecond)
-		s.accept("a", lines)
-		s.says(s.line("a"), hello("core-0", 2))
-		autogold.Equal(t, s.end())
+		f.setListener("a", listener)
+		f.send(f.accept("a"), hello("core-0", 2))
+		autogold.Equal(t, f.stop())
 	})
 }
 
-// A line that says something before its hello, or hello twice or namelessly, ends; one that leads back here is
-// given up.
+// A connection is closed if its first message is no Hello, if it sends a second Hello, or if the Hello has no name. An
+// address that leads back to this process is not dialed again.
 func TestLineThatIsNone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := begin("a", "b")
-		s.says(s.line("a"), word(1))
-		s.says(s.line("b"), hello("me", 9))
-		l := s.line("a")
-		s.says(l, hello("core-0", 1))
-		s.says(l, hello("core-1", 1))
-		s.says(l, word(2))
-		s.says(s.line("a"), hello("", 1))
-		s.line("a")
-		autogold.Equal(t, s.end())
+		f := newFixture("a", "b")
+		f.send(f.accept("a"), message(1))
+		f.send(f.accept("b"), hello("me", 9))
+		conn := f.accept("a")
+		f.send(conn, hello("core-0", 1))
+		f.send(conn, hello("core-1", 1))
+		f.send(conn, message(2))
+		f.send(f.accept("a"), hello("", 1))
+		f.accept("a")
+		autogold.Equal(t, f.stop())
 	})
 }
 
-// A controller that froze and was replaced under its name wakes: what lies in its line is not handed on, its line is
-// closed, and it does not take the place of the one that came after it. Guards against tables of an older life.
+// A node froze, was replaced by another one with its name, and resumes. Its messages are not handled, its connection is
+// closed, and it does not replace the later incarnation. Guards against outdated routing tables.
 func TestOlderLifeIsNotHeard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := begin("old", "new")
-		old := s.line("old")
-		s.says(old, hello("core-0", 1))
-		s.says(old, word(1))
-		next := s.line("new")
-		s.says(next, hello("core-0", 2))
-		s.says(old, word(2))
-		s.says(next, word(3))
-		again := s.line("old")
-		s.says(again, hello("core-0", 1))
-		s.says(again, word(4))
+		f := newFixture("old", "new")
+		old := f.accept("old")
+		f.send(old, hello("core-0", 1))
+		f.send(old, message(1))
+		replacement := f.accept("new")
+		f.send(replacement, hello("core-0", 2))
+		f.send(old, message(2))
+		f.send(replacement, message(3))
+		again := f.accept("old")
+		f.send(again, hello("core-0", 1))
+		f.send(again, message(4))
 		time.Sleep(time.Second)
-		s.says(next, word(5))
-		next.Close()
-		s.says(s.line("new"), hello("core-0", 2))
-		s.says(s.line("old"), hello("core-0", 1)) // after a rest, and refused again
-		autogold.Equal(t, s.end())
+		f.send(replacement, message(5))
+		replacement.Close()
+		f.send(f.accept("new"), hello("core-0", 2))
+		f.send(f.accept("old"), hello("core-0", 1)) // refused again, after refusedRetryInterval
+		autogold.Equal(t, f.stop())
 	})
 }
 
-// A speaker that is reached at two addresses speaks on one line; when that is lost, on the other.
+// Of two connections to the same peer at different addresses, only the first is used. The other one takes over when the
+// first is lost.
 func TestTwoAddressesOfOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := begin("a", "b")
-		a := s.line("a")
-		s.says(a, hello("core-0", 1))
-		b := s.line("b")
-		s.says(b, hello("core-0", 1))
-		s.says(b, word(1))
-		s.says(a, word(2))
-		s.accept("a", nil)
+		f := newFixture("a", "b")
+		a := f.accept("a")
+		f.send(a, hello("core-0", 1))
+		b := f.accept("b")
+		f.send(b, hello("core-0", 1))
+		f.send(b, message(1))
+		f.send(a, message(2))
+		f.setListener("a", nil)
 		time.Sleep(1900 * time.Millisecond)
 		a.Close()
 		time.Sleep(1100 * time.Millisecond)
-		b = s.line("b")
-		s.says(b, hello("core-0", 1))
-		s.says(b, word(3))
-		autogold.Equal(t, s.end())
+		b = f.accept("b")
+		f.send(b, hello("core-0", 1))
+		f.send(b, message(3))
+		autogold.Equal(t, f.stop())
 	})
 }
 
-// Words that wait in the owner's queue when their line is replaced are not handed on either.
+// Messages that are still in the owner's queue when their connection is replaced are not handled.
 func TestWordsThatWaitedAreNotHeard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := begin("old", "new")
-		old, next := s.line("old"), s.line("new")
-		s.says(old, hello("core-0", 1))
-		hold := make(chan bool)
-		s.q.Do(func() { <-hold })
-		s.says(next, hello("core-0", 2))
-		s.says(old, word(1))
-		s.says(next, word(2))
-		close(hold)
+		f := newFixture("old", "new")
+		old, replacement := f.accept("old"), f.accept("new")
+		f.send(old, hello("core-0", 1))
+		blockOwner := make(chan bool)
+		f.queue.Do(func() { <-blockOwner })
+		f.send(replacement, hello("core-0", 2))
+		f.send(old, message(1))
+		f.send(replacement, message(2))
+		close(blockOwner)
 		synctest.Wait()
-		autogold.Equal(t, s.end())
+		autogold.Equal(t, f.stop())
 	})
 }
 
-// Where others dial, the later line of one life takes the place of the earlier one; an earlier life never does.
-func TestAcceptedLines(t *testing.T) {
+// With PreferNewest, a newer connection of the same incarnation replaces the older one. An earlier incarnation never
+// replaces a later one.
+func TestPreferNewest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var all []*rpc.Conn
+		var conns []*rpc.Conn
 		for range 40 {
 			a, b := net.Pipe()
-			all = append(all, rpc.NewConn(a))
+			conns = append(conns, rpc.NewConn(a))
 			defer rpc.NewConn(b).Close()
-			defer all[len(all)-1].Close()
+			defer conns[len(conns)-1].Close()
 		}
-		open := func(l *rpc.Conn) bool {
+		isOpen := func(conn *rpc.Conn) bool {
 			began := time.Now()
-			_, err := l.Receive(time.Second)
+			_, err := conn.Receive(time.Second)
 			return err != nil && time.Since(began) == time.Second
 		}
-		lines := session.Sessions{PreferNewest: true}
-		take := func(i int, life uint64, wantOK bool, wantReplaced *rpc.Conn) {
+		sessions := session.Sessions{PreferNewest: true}
+		register := func(i int, incarnation uint64, wantOK bool, wantReplaced *rpc.Conn) {
 			t.Helper()
-			replaced, ok := lines.Register(hello("edge-0", life).Hello, all[i])
-			if ok != wantOK || replaced != wantReplaced || open(all[i]) != ok || replaced != nil && open(replaced) ||
-				lines.IsCurrent("edge-0", all[i]) != ok {
-				t.Errorf("line %d of life %d: %v, replaced %v", i, life, ok, replaced)
+			conn := conns[i]
+			replaced, ok := sessions.Register(hello("edge-0", incarnation).Hello, conn)
+			if ok != wantOK || replaced != wantReplaced || isOpen(conn) != ok || replaced != nil && isOpen(replaced) ||
+				sessions.IsCurrent("edge-0", conn) != ok {
+				t.Errorf("connection %d of incarnation %d: registered %v, replaced %v", i, incarnation, ok, replaced)
 			}
 		}
-		take(0, 1, true, nil)
-		take(1, 1, true, all[0])
-		take(1, 1, true, nil) // hello again
-		take(2, 2, true, all[1])
-		take(3, 1, false, nil)
-		if lines.Unregister("edge-0", all[1]) || !lines.Unregister("edge-0", all[2]) || lines.IsCurrent("edge-0", nil) {
-			t.Error("lost lines are mixed up")
+		register(0, 1, true, nil)
+		register(1, 1, true, conns[0])
+		register(1, 1, true, nil) // the same connection again
+		register(2, 2, true, conns[1])
+		register(3, 1, false, nil)
+		if sessions.Unregister("edge-0", conns[1]) || !sessions.Unregister("edge-0", conns[2]) ||
+			sessions.IsCurrent("edge-0", nil) {
+			t.Error("Unregister or IsCurrent confuses closed connections")
 		}
-		take(4, 1, false, nil)
-		for i := range 30 { // many lives: what is remembered of them is bounded, the last ones are
-			lines.Unregister("edge-0", all[4+i])
-			take(5+i, uint64(3+i), true, nil)
+		register(4, 1, false, nil)
+		for i := range 30 { // more incarnations than are remembered
+			sessions.Unregister("edge-0", conns[4+i])
+			register(5+i, uint64(3+i), true, nil)
 		}
-		take(36, 31, false, nil)
-		if lines.IsCurrent("edge-1", all[0]) || lines.Unregister("edge-1", all[0]) {
-			t.Error("a name that nobody has said")
+		register(36, 31, false, nil)
+		if sessions.IsCurrent("edge-1", conns[0]) || sessions.Unregister("edge-1", conns[0]) {
+			t.Error("an unknown peer has a current connection")
 		}
 	})
 }
 
-// Guards against a dial to a machine that was dark, which hangs until its time is over, holding up the line to it
-// once it is heard of.
-func TestDialledAtOnce(t *testing.T) {
+// Guards against a dial to a machine that was down, which blocks until its timeout, delaying the connection once the
+// machine is back.
+func TestRetryNow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		var mu sync.Mutex
 		var dials []time.Duration
-		var light atomic.Bool
-		k := &session.Dialer{
+		var reachable atomic.Bool
+		dialer := &session.Dialer{
 			Queue:         session.NewCommandQueue(8),
 			Clock:         clockwork.NewRealClock(),
 			RetryInterval: time.Second,
@@ -346,30 +355,30 @@
 				mu.Lock()
 				dials = append(dials, time.Since(began))
 				mu.Unlock()
-				if !light.Load() {
+				if !reachable.Load() {
 					time.Sleep(350 * time.Millisecond)
 					return nil, net.ErrClosed
 				}
-				here, there := net.Pipe()
-				go func() { _, _ = io.Copy(io.Discard, there) }()
-				return here, nil
+				local, remote := net.Pipe()
+				go func() { _, _ = io.Copy(io.Discard, remote) }()
+				return local, nil
 			},
 			Hello:        func() *rpc.Message { return &rpc.Message{} },
 			OnMessage:    func(string, *rpc.Conn, *rpc.Message) {},
 			OnDisconnect: func(string, *rpc.Conn) {},
 		}
-		k.RetryNow("nowhere") // what is not kept is let be
-		k.Connect("there")
+		dialer.RetryNow("unknown") // ignored
+		dialer.Connect("address")
 		time.Sleep(100 * time.Millisecond)
-		light.Store(true)
-		k.RetryNow("there")
+		reachable.Store(true)
+		dialer.RetryNow("address")
 		time.Sleep(100 * time.Millisecond)
-		k.Queue.Stop()
-		time.Sleep(5 * time.Second) // what dials or waits sees the end
+		dialer.Queue.Stop()
+		time.Sleep(5 * time.Second) // until all goroutines have ended
 		mu.Lock()
 		defer mu.Unlock()
 		if len(dials) != 2 || dials[1] != 100*time.Millisecond {
-			t.Errorf("dialled at %v, want at 0 and 100 ms", dials)
+			t.Errorf("dialed at %v, want at 0 and 100 ms", dials)
 		}
 	})
 }
--- a/internal/gateway/session/sessions.go
+++ b/internal/gateway/session/sessions.go
@@ -6,34 +6,35 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-// maxPastIncarnations bounds what is remembered of one peer.
+// maxPastIncarnations is the number of earlier incarnations remembered for each peer.
 const maxPastIncarnations = 16
 
-// Sessions holds the current connection of each peer, by name. The zero value is empty. It belongs to one goroutine.
+// Sessions holds the current connection of each peer by name. The zero value is empty. It is not safe for concurrent
+// use.
 type Sessions struct {
-	// PreferNewest lets the later of two connections of one incarnation replace the earlier. It is for the side that
-	// accepts: a peer that dials again has given the earlier one up. Otherwise the earlier one stays.
+	// PreferNewest selects the newer of two connections from the same incarnation; otherwise the older one is kept. It is
+	// for accepted connections, where a peer that connects again has abandoned its earlier connection.
 	PreferNewest bool
 
 	byName map[string]*peerSession
 }
 
 type peerSession struct {
-	conn        *rpc.Conn // nil: none
-	incarnation uint64    // the newest that was seen
-	past        []uint64  // incarnations before it, at most maxPastIncarnations
+	conn        *rpc.Conn // current connection, or nil
+	incarnation uint64    // latest known incarnation
+	past        []uint64  // earlier incarnations, at most maxPastIncarnations
 }
 
-// Register makes conn the current connection of the peer whose Hello came on it. replaced is the connection that was
-// current before, which is closed (nil: none). ok is false, and conn is closed, if conn must not be used: another
-// connection of that incarnation is current, or a later incarnation was seen.
+// Register makes conn the current connection of the peer that sent hello on it. It closes the previous connection and
+// returns it as replaced, or nil if there was none. If another connection of the same incarnation is kept or a later
+// incarnation is known, Register closes conn instead and returns ok = false.
 func (s *Sessions) Register(hello *rpc.Hello, conn *rpc.Conn) (replaced *rpc.Conn, ok bool) {
 	p := s.peer(hello)
 	if !s.accepts(p, hello.Incarnation, conn) {
 		conn.Close()
 		return nil, false
 	}
-	p.enter(hello.Incarnation)
+	p.setIncarnation(hello.Incarnation)
 	if p.conn != conn {
 		replaced = p.conn
 	}
@@ -59,12 +60,12 @@
 	if slices.Contains(p.past, incarnation) {
 		return false
 	}
-	taken := p.incarnation == incarnation && p.conn != nil && p.conn != conn
-	return !taken || s.PreferNewest
+	hasOther := p.incarnation == incarnation && p.conn != nil && p.conn != conn
+	return !hasOther || s.PreferNewest
 }
 
-// enter notes that the peer runs under an incarnation now.
-func (p *peerSession) enter(incarnation uint64) {
+// setIncarnation records the latest incarnation of the peer.
+func (p *peerSession) setIncarnation(incarnation uint64) {
 	if p.incarnation == incarnation {
 		return
 	}
