--- a/internal/controller/jobs/jobs.go
+++ b/internal/controller/jobs/jobs.go
@@ -1,13 +1,15 @@
-// Package jobs holds what parted sites know of jobs, and merges it. A job is an ingest batch of a client firm as
-// the fleet deals with it. Sites take edits while they are cut off from each other; a job's state is the set of its
-// edits, so a merge is a union, and Settle reads one answer out of any set, whatever the order in which it came.
-// Causes are told by versions, never by clocks. The rules are numbered in docs/notes/jobs.md. No I/O here.
+// Package jobs replicates the state of jobs between sites. A job is an ingest batch of a client company. Sites accept
+// edits while they are partitioned from each other: the state of a job is its set of edits, a merge is a set union,
+// and ComputeView derives the same view from the same set in any order. Version vectors track causality, not clocks.
+// The numbered conflict rules are explained in docs/notes/jobs.md.
 package jobs
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
 	"maps"
+	"math"
 	"slices"
 	"strings"
 
@@ -15,7 +17,7 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Dot names an edit: the one that made it, in one of its lives, and its number there, from 1 on.
+// Dot identifies an edit by its origin, which is one incarnation of an instance, and its number there, starting at 1.
 type Dot struct {
 	Origin string `cbor:"1,keyasint"` // NAME@INCARNATION
 	Number uint64 `cbor:"2,keyasint"`
@@ -23,15 +25,15 @@
 
 func (d Dot) String() string { return fmt.Sprintf("%s#%d", d.Origin, d.Number) }
 
-// VersionVector say up to which number an origin's edits are known, without a gap.
+// VersionVector holds, by origin, the number up to which all edits are known.
 type VersionVector map[string]uint64
 
-// Contains says whether an edit is among them.
+// Contains reports whether v includes the edit.
 func (v VersionVector) Contains(d Dot) bool { return v[d.Origin] >= d.Number }
 
-// Dominates says whether all that others know is known.
-func (v VersionVector) Dominates(others VersionVector) bool {
-	for origin, n := range others {
+// Dominates reports whether v includes every edit that other includes.
+func (v VersionVector) Dominates(other VersionVector) bool {
+	for origin, n := range other {
 		if v[origin] < n {
 			return false
 		}
@@ -39,20 +41,20 @@
 	return true
 }
 
-// Kind is what an edit does.
+// Kind is the operation of an edit.
 type Kind string
 
-// Kinds. What came of a job ranks in the order in which it stands here, from Dispatched on.
+// Kinds of edits. The last four are outcomes.
 const (
-	Announce   Kind = "announce" // a source says that it comes
-	Arrive     Kind = "arrive"   // it is here
+	Announce   Kind = "announce" // a source expects to deliver the job
+	Arrive     Kind = "arrive"   // the job was delivered
 	Hold       Kind = "hold"
 	Release    Kind = "release"
 	Withdraw   Kind = "withdraw"
 	Place      Kind = "place"
 	Expire     Kind = "expire"
 	Prioritise Kind = "prioritise"
-	Seen       Kind = "seen" // an operator has seen the edits named, which lost
+	Seen       Kind = "seen" // an operator acknowledges the lost edits in Dots
 	Late       Kind = "late"
 	Dispatched Kind = "dispatched"
 	Uncertain  Kind = "in doubt"
@@ -60,11 +62,15 @@
 	Resolved   Kind = "settled"
 )
 
-var effects = []Kind{Dispatched, Uncertain, Voided, Resolved} // a later one tells more
+// outcomes lists the kinds that record what became of a job; a later one takes precedence.
+var outcomes = []Kind{Dispatched, Uncertain, Voided, Resolved}
 
-var kinds = append([]Kind{Announce, Arrive, Hold, Release, Withdraw, Place, Expire, Prioritise, Seen, Late}, effects...)
+var allKinds = append(
+	[]Kind{Announce, Arrive, Hold, Release, Withdraw, Place, Expire, Prioritise, Seen, Late},
+	outcomes...,
+)
 
-// ID names a job: what a source of a tenant counts.
+// ID identifies a job. Each source of a tenant numbers its jobs.
 type ID struct {
 	Tenant string `cbor:"1,keyasint"`
 	Source string `cbor:"2,keyasint"`
@@ -78,56 +84,56 @@
 	return cmp.Or(cmp.Compare(id.Tenant, o.Tenant), cmp.Compare(id.Source, o.Source), cmp.Compare(id.Number, o.Number))
 }
 
-// Job is what a source says of it.
+// Job is the description of a job by its source.
 type Job struct {
-	Due     int64    `cbor:"1,keyasint"` // ms since 1970 by the source's clock
+	Due     int64    `cbor:"1,keyasint"` // Unix time in ms, by the clock of the source
 	Product string   `cbor:"2,keyasint"`
 	Txns    int      `cbor:"3,keyasint"`
-	Home    string   `cbor:"4,keyasint"` // site
-	Places  []string `cbor:"5,keyasint"` // zones that it may go to; none: any
-	Expires int64    `cbor:"6,keyasint"` // ms since 1970; 0: never
+	Home    string   `cbor:"4,keyasint"` // the site of the source
+	Places  []string `cbor:"5,keyasint"` // zones that the job may run in; empty: any
+	Expires int64    `cbor:"6,keyasint"` // Unix time in ms; 0: never
 }
 
-// Edit is one thing that one of us was told or did. Fields that a newer version adds are in the raw bytes, which are
-// kept and passed on as they came.
+// Edit is one operation on a job. Raw holds the received encoding, so that fields of a newer version are kept and
+// forwarded unchanged.
 type Edit struct {
 	Dot           Dot           `cbor:"1,keyasint"`
-	CausalContext VersionVector `cbor:"2,keyasint" json:"Knew"` // by whoever made it, of this job
+	CausalContext VersionVector `cbor:"2,keyasint" json:"Knew"` // the edits of this job that its author had seen
 	ID            ID            `cbor:"3,keyasint"`
 	Kind          Kind          `cbor:"4,keyasint"`
 	Site          string        `cbor:"5,keyasint"`
-	Operator      bool          `cbor:"6,keyasint"` // a person asked for it; else it is automatic
+	Operator      bool          `cbor:"6,keyasint"` // a person requested it; otherwise it is automatic
 	Job           *Job          `cbor:"7,keyasint,omitempty"`
 	Places        []string      `cbor:"8,keyasint,omitempty"`
 	Expires       int64         `cbor:"9,keyasint,omitempty"`
 	Priority      int           `cbor:"10,keyasint,omitempty"`
-	Dots          []Dot         `cbor:"11,keyasint,omitempty"` // that were seen
+	Dots          []Dot         `cbor:"11,keyasint,omitempty"` // the lost edits that a Seen edit acknowledges
 	Epoch         uint64        `cbor:"12,keyasint,omitempty"` // of a dispatch
 
 	Raw []byte `cbor:"-"`
 }
 
-// Decode reads an edit. A kind of a newer version is kept, and changes nothing here.
+// Decode decodes an edit. An edit of an unknown kind is valid; it does not affect the view.
 func Decode(raw []byte) (e Edit, err error) {
 	if err := cbor.Unmarshal(raw, &e); err != nil {
-		return e, fmt.Errorf("not an edit: %w", err)
+		return e, fmt.Errorf("decode edit: %w", err)
 	}
 	if e.Dot.Origin == "" || e.Dot.Number == 0 || e.ID.Tenant == "" || e.ID.Source == "" {
-		return e, fmt.Errorf("not an edit: without a name of its own or of its job")
+		return e, fmt.Errorf("decode edit: origin, number, tenant or source is missing")
 	}
 	e.Raw = raw
 	return e, nil
 }
 
-// Encode gives an edit its bytes.
+// Encode sets Raw to the encoding of the edit.
 func (e *Edit) Encode() {
 	e.Raw, _ = cbor.Marshal(e)
 }
 
-// State is where a job stands.
+// State is the state of a job.
 type State string
 
-// States.
+// States of a job.
 const (
 	StateAnnounced  State = "announced"
 	StateArrived    State = "arrived"
@@ -138,15 +144,16 @@
 	StateVoided     State = "voided"
 	StateResolved   State = "settled"
 	StateLate       State = "late"
-	StateUnknown    State = "unknown" // edits of a job that nobody announced here
+	StateUnknown    State = "unknown" // edits exist, but no announcement, arrival or outcome
 )
 
-// Ended says whether nothing more can come of a job.
+// Ended reports whether the state is final. StateUnknown counts as final: every replica has compacted the job.
 func (s State) Ended() bool {
-	return s == StateWithdrawn || s == StateVoided || s == StateResolved || s == StateUnknown // all have forgotten it
+	return s == StateWithdrawn || s == StateVoided || s == StateResolved || s == StateUnknown
 }
 
-// LostEdit is an edit that did not get its way, with the number of the rule that settled it.
+// LostEdit is an edit that lost a conflict, with the rule that decided it. JSON and CBOR encode its fields under their
+// Go names.
 type LostEdit struct {
 	Dot    Dot
 	Kind   Kind
@@ -155,32 +162,35 @@
 	Reason string
 }
 
-// View is what a set of edits comes to.
+// View is the state of a job that a set of edits results in. JSON and CBOR encode its fields in this order, and the
+// untagged ones under their Go names.
 type View struct {
 	ID         ID
 	Job        Job
 	State      State
-	HoldReason string `json:"Why"` // of a job that is held
+	HoldReason string `json:"Why"` // set while the job is held
 	Places     []string
 	Expires    int64
 	Priority   int
 	Epoch      uint64
-	Lost       []LostEdit // that no operator has seen yet
+	Lost       []LostEdit // not yet acknowledged by an operator
 }
 
-// Rules, by the number that a Lost names.
+// Conflict rules, as numbered in LostEdit.Rule.
 const (
-	RuleOutcome            = 1 // what has taken effect outranks any wish
-	RuleFurtherOutcome     = 2 // of what took effect, what tells more
-	RuleSuperseded         = 3 // what knew of the other replaces it; nothing automatic replaces an operator's
+	RuleOutcome            = 1 // an outcome overrides any intent
+	RuleFurtherOutcome     = 2 // the later outcome in the list of outcomes wins
+	RuleSuperseded         = 3 // an edit supersedes those in its causal context, but an automatic one none of an operator
 	RuleSafer              = 4 // withdraw > hold > release; narrower placement; earlier expiry; lower priority
-	RuleOperator           = 5 // an operator over what is automatic
-	RuleHomeSite           = 6 // the home site over a guest
-	RuleTieBreak           = 7 // a total order of the edits' names, which no clock can turn
-	RuleDisjointPlacements = 8 // placements with nothing in common hold the job
+	RuleOperator           = 5 // an operator wins over automation
+	RuleHomeSite           = 6 // the home site of the job wins over other sites
+	RuleTieBreak           = 7 // the hash of the dot decides
+	RuleDisjointPlacements = 8 // placements without a common zone hold the job
 )
 
-var reasons = map[int]string{
+// ruleReasons must not change: views carry these texts, and instances of different builds compare checksums of their
+// views.
+var ruleReasons = map[int]string{
 	RuleOutcome:            "it came too late: the job had taken effect",
 	RuleFurtherOutcome:     "another word tells more of what became of it",
 	RuleSafer:              "a safer wish stands",
@@ -190,163 +200,167 @@
 	RuleDisjointPlacements: "the placements have nothing in common; the job is held",
 }
 
-// standing are the edits of some kinds that none of the others replaces, in their total order. One replaces another
-// where it knew of it; nothing automatic replaces an operator's.
-func standing(edits []*Edit, which ...Kind) (top []*Edit) {
-	known := [2]VersionVector{{}, {}} // by all, by operators
+// unsuperseded returns the edits of the given kinds that no other edit of these kinds supersedes, ordered by hash. An
+// edit supersedes those in its causal context, except that an automatic edit does not supersede an operator's.
+func unsuperseded(edits []*Edit, of ...Kind) (current []*Edit) {
+	seen, seenByOperator := VersionVector{}, VersionVector{}
 	for _, e := range edits {
-		if slices.Contains(which, e.Kind) {
-			for origin, n := range e.CausalContext {
-				if known[0][origin] = max(known[0][origin], n); e.Operator {
-					known[1][origin] = max(known[1][origin], n)
-				}
+		if !slices.Contains(of, e.Kind) {
+			continue
+		}
+		for origin, n := range e.CausalContext {
+			seen[origin] = max(seen[origin], n)
+			if e.Operator {
+				seenByOperator[origin] = max(seenByOperator[origin], n)
 			}
 		}
 	}
 	for _, e := range edits {
-		by := known[0]
+		superseded := seen
 		if e.Operator {
-			by = known[1]
+			superseded = seenByOperator
 		}
-		if slices.Contains(which, e.Kind) && !by.Contains(e.Dot) {
-			top = append(top, e)
+		if slices.Contains(of, e.Kind) && !superseded.Contains(e.Dot) {
+			current = append(current, e)
 		}
 	}
-	slices.SortFunc(top, byName)
-	return top
+	slices.SortFunc(current, compareByHash)
+	return current
 }
 
-// byName is the last rule: by a hash, so that no site's name is favoured.
-func byName(a, b *Edit) int {
+// compareByHash orders edits by the hash of their dots, so that no site is favored.
+func compareByHash(a, b *Edit) int {
 	return cmp.Or(
 		cmp.Compare(xxh3.HashString(a.Dot.String()), xxh3.HashString(b.Dot.String())),
 		cmp.Compare(a.Dot.String(), b.Dot.String()),
 	)
 }
 
-// winner picks one of those that stand; safer compares two of them, less is safer. The others lost, by a rule each.
-func (v *View) winner(top []*Edit, safer func(a, b *Edit) int) *Edit {
-	if len(top) == 0 {
+// pickWinner returns the edit that wins among concurrent edits and records the others as lost. A negative result of
+// compareSafety means that the first edit is safer.
+func (v *View) pickWinner(concurrent []*Edit, compareSafety func(a, b *Edit) int) *Edit {
+	if len(concurrent) == 0 {
 		return nil
 	}
-	rank := func(a, b *Edit) (order, rule int) {
-		flag := func(is bool) int {
-			if is {
+	compare := func(a, b *Edit) (order, rule int) {
+		trueFirst := func(condition bool) int {
+			if condition {
 				return 0
 			}
 			return 1
 		}
-		if c := safer(a, b); c != 0 {
+		if c := compareSafety(a, b); c != 0 {
 			return c, RuleSafer
 		}
-		if c := cmp.Compare(flag(a.Operator), flag(b.Operator)); c != 0 {
+		if c := cmp.Compare(trueFirst(a.Operator), trueFirst(b.Operator)); c != 0 {
 			return c, RuleOperator
 		}
-		if c := cmp.Compare(flag(a.Site == v.Job.Home), flag(b.Site == v.Job.Home)); c != 0 {
+		if c := cmp.Compare(trueFirst(a.Site == v.Job.Home), trueFirst(b.Site == v.Job.Home)); c != 0 {
 			return c, RuleHomeSite
 		}
-		return byName(a, b), RuleTieBreak
+		return compareByHash(a, b), RuleTieBreak
 	}
-	best := slices.MinFunc(top, func(a, b *Edit) int { c, _ := rank(a, b); return c })
-	for _, e := range top {
-		if e != best && !alike(e, best) {
-			_, rule := rank(best, e)
-			v.lose(e, rule)
+	winner := slices.MinFunc(concurrent, func(a, b *Edit) int { c, _ := compare(a, b); return c })
+	for _, e := range concurrent {
+		if e != winner && !sameRequest(e, winner) {
+			_, rule := compare(winner, e)
+			v.addLost(e, rule)
 		}
 	}
-	return best
+	return winner
 }
 
-// alike says whether two wish for the same: then nobody lost.
-func alike(a, b *Edit) bool {
+// sameRequest reports whether two edits request the same, so that neither loses.
+func sameRequest(a, b *Edit) bool {
 	return a.Kind == b.Kind && a.Expires == b.Expires && a.Priority == b.Priority && slices.Equal(a.Places, b.Places)
 }
 
-func (v *View) lose(e *Edit, rule int) {
-	v.Lost = append(v.Lost, LostEdit{e.Dot, e.Kind, e.Site, rule, reasons[rule]})
+func (v *View) addLost(e *Edit, rule int) {
+	v.Lost = append(v.Lost, LostEdit{e.Dot, e.Kind, e.Site, rule, ruleReasons[rule]})
 }
 
-// caution ranks what is to be done with a job, the safest first.
-var caution = map[Kind]int{Withdraw: 0, Hold: 1, Release: 2}
+// intentRank orders the intents from the safest on.
+var intentRank = map[Kind]int{Withdraw: 0, Hold: 1, Release: 2}
 
-// ComputeView reads the one answer out of a set of edits of one job.
+// ComputeView derives the view of a job from its set of edits, whatever their order.
 func ComputeView(id ID, edits []*Edit) View {
 	v := View{ID: id, State: StateUnknown}
-	v.announce(edits)
-	v.place(standing(edits, Place))
+	v.applyAnnouncement(edits)
+	v.applyPlacement(unsuperseded(edits, Place))
 	v.Expires = v.Job.Expires
-	byExpiry := func(a, b *Edit) int { return cmp.Compare(expiry(a.Expires), expiry(b.Expires)) }
-	if e := v.winner(standing(edits, Expire), byExpiry); e != nil {
+	byExpiry := func(a, b *Edit) int { return cmp.Compare(expiryOrMax(a.Expires), expiryOrMax(b.Expires)) }
+	if e := v.pickWinner(unsuperseded(edits, Expire), byExpiry); e != nil {
 		v.Expires = e.Expires
 	}
 	byPriority := func(a, b *Edit) int { return cmp.Compare(a.Priority, b.Priority) }
-	if e := v.winner(standing(edits, Prioritise), byPriority); e != nil {
+	if e := v.pickWinner(unsuperseded(edits, Prioritise), byPriority); e != nil {
 		v.Priority = e.Priority
 	}
-	wishes := standing(edits, Hold, Release, Withdraw)
-	v.applyIntent(edits, wishes)
-	v.effect(edits, wishes)
-	v.dropForgotten(edits)
-	v.dropSeen(edits)
+	intents := unsuperseded(edits, Hold, Release, Withdraw)
+	v.applyIntent(edits, intents)
+	v.applyOutcome(edits, intents)
+	v.rejectEditsOfForgottenJob(edits)
+	v.dropAcknowledged(edits)
 	return v
 }
 
-// announce takes the job from its source. Of two announcements the job is one's: the first by name, as both are true
-// of it.
-func (v *View) announce(edits []*Edit) {
-	none := func(a, b *Edit) int { return 0 }
-	e := v.winner(standing(edits, Announce, Arrive), none)
+// applyAnnouncement takes the description of the job from its announcement or arrival. Of several, the first by hash
+// counts; the others are not lost, since all are true.
+func (v *View) applyAnnouncement(edits []*Edit) {
+	equallySafe := func(a, b *Edit) int { return 0 }
+	e := v.pickWinner(unsuperseded(edits, Announce, Arrive), equallySafe)
 	if e == nil {
 		return
 	}
 	if e.Job != nil {
 		v.Job = *e.Job
 	}
-	v.Lost = nil // both say that it is there
+	v.Lost = nil
 	v.State = StateAnnounced
 	if slices.ContainsFunc(edits, func(o *Edit) bool { return o.Kind == Arrive }) {
 		v.State = StateArrived
 	}
 }
 
-// applyIntent applies the most cautious of those who hold, release or withdraw the job.
-func (v *View) applyIntent(edits, wishes []*Edit) {
+// applyIntent applies the safest current intent: withdraw, hold or release. A late job stays late until an operator
+// releases it.
+func (v *View) applyIntent(edits, intents []*Edit) {
 	late := slices.ContainsFunc(edits, func(o *Edit) bool { return o.Kind == Late })
-	wish := v.winner(wishes, func(a, b *Edit) int { return cmp.Compare(caution[a.Kind], caution[b.Kind]) })
+	intent := v.pickWinner(intents, func(a, b *Edit) int { return cmp.Compare(intentRank[a.Kind], intentRank[b.Kind]) })
 	switch {
-	case wish != nil && wish.Kind == Withdraw:
+	case intent != nil && intent.Kind == Withdraw:
 		v.State = StateWithdrawn
-	case late && (wish == nil || wish.Kind != Release || !wish.Operator):
+	case late && (intent == nil || intent.Kind != Release || !intent.Operator):
 		v.State = StateLate
-	case wish != nil && wish.Kind == Hold:
-		v.State, v.HoldReason = StateHeld, "an edit holds it"
+	case intent != nil && intent.Kind == Hold:
+		v.State, v.HoldReason = StateHeld, "an edit holds it" // part of the checksum, as ruleReasons
 	case v.HoldReason != "" && v.State != StateUnknown:
 		v.State = StateHeld
 	}
 }
 
-// dropForgotten drops edits that were made where an old copy had the job open still; all others have seen it end, and
-// forgot it.
-func (v *View) dropForgotten(edits []*Edit) {
-	hasEffect := func(e *Edit) bool { return slices.Contains(effects, e.Kind) }
-	if v.Job.Product != "" || slices.ContainsFunc(edits, hasEffect) {
+// rejectEditsOfForgottenJob marks all requests as lost if the job has no announcement, arrival or outcome: another
+// replica made them on an old copy after the job had ended and been compacted.
+func (v *View) rejectEditsOfForgottenJob(edits []*Edit) {
+	isOutcome := func(e *Edit) bool { return slices.Contains(outcomes, e.Kind) }
+	if v.Job.Product != "" || slices.ContainsFunc(edits, isOutcome) {
 		return
 	}
 	v.State, v.HoldReason, v.Lost = StateUnknown, "", nil
-	for _, e := range standing(edits, Hold, Release, Withdraw, Place, Expire, Prioritise) {
-		v.lose(e, RuleOutcome)
+	for _, e := range unsuperseded(edits, Hold, Release, Withdraw, Place, Expire, Prioritise) {
+		v.addLost(e, RuleOutcome)
 	}
 }
 
-// dropSeen drops lost edits that somebody has seen, and sorts the others.
-func (v *View) dropSeen(edits []*Edit) {
-	seen := map[Dot]bool{}
+// dropAcknowledged drops lost edits that an operator has acknowledged and sorts the rest.
+func (v *View) dropAcknowledged(edits []*Edit) {
+	acknowledged := map[Dot]bool{}
 	for _, e := range edits {
 		for _, d := range e.Dots {
-			seen[d] = seen[d] || e.Kind == Seen
+			acknowledged[d] = acknowledged[d] || e.Kind == Seen
 		}
 	}
-	v.Lost = slices.DeleteFunc(v.Lost, func(l LostEdit) bool { return seen[l.Dot] })
+	v.Lost = slices.DeleteFunc(v.Lost, func(l LostEdit) bool { return acknowledged[l.Dot] })
 	slices.SortFunc(v.Lost, func(a, b LostEdit) int {
 		return cmp.Or(
 			cmp.Compare(a.Dot.Origin, b.Dot.Origin),
@@ -356,44 +370,45 @@
 	})
 }
 
-// expiry is none for never, so that the earlier is the lesser.
-func expiry(at int64) int64 {
+// expiryOrMax maps 0, which means never, to the latest time.
+func expiryOrMax(at int64) int64 {
 	if at == 0 {
-		return 1<<63 - 1
+		return math.MaxInt64
 	}
 	return at
 }
 
-// place narrows the placement to what all that stand have in common; nothing in common holds the job.
-func (v *View) place(top []*Edit) {
+// applyPlacement narrows the placement to the zones that all current Place edits share. The job is held if they share
+// none.
+func (v *View) applyPlacement(current []*Edit) {
 	v.Places = slices.Clone(v.Job.Places)
-	for i, e := range top {
+	for i, e := range current {
 		if i == 0 {
-			v.Places = slices.Clone(e.Places) // a wish moves it: it may leave where the source put it
+			v.Places = slices.Clone(e.Places) // replaces the placement of the source
 		}
 		v.Places = slices.DeleteFunc(v.Places, func(z string) bool { return !slices.Contains(e.Places, z) })
 	}
 	slices.Sort(v.Places)
-	if len(top) > 0 && len(v.Places) == 0 {
-		v.HoldReason = reasons[RuleDisjointPlacements]
-		for _, e := range top {
-			v.lose(e, RuleDisjointPlacements)
+	if len(current) > 0 && len(v.Places) == 0 {
+		v.HoldReason = ruleReasons[RuleDisjointPlacements]
+		for _, e := range current {
+			v.addLost(e, RuleDisjointPlacements)
 		}
 		return
 	}
-	for _, e := range top {
+	for _, e := range current {
 		sorted := slices.Sorted(slices.Values(e.Places))
-		if len(top) > 1 && !slices.Equal(sorted, v.Places) {
-			v.lose(e, RuleSafer)
+		if len(current) > 1 && !slices.Equal(sorted, v.Places) {
+			v.addLost(e, RuleSafer)
 		}
 	}
 }
 
-// effect lets what became of a job outrank what was wished.
-func (v *View) effect(edits, wishes []*Edit) {
+// applyOutcome sets the state to the most advanced outcome, if there is any. Intents that it contradicts are lost.
+func (v *View) applyOutcome(edits, intents []*Edit) {
 	var best *Edit
-	for _, e := range standing(edits, effects...) {
-		if best == nil || slices.Index(effects, e.Kind) > slices.Index(effects, best.Kind) {
+	for _, e := range unsuperseded(edits, outcomes...) {
+		if best == nil || slices.Index(outcomes, e.Kind) > slices.Index(outcomes, best.Kind) {
 			best = e
 		}
 	}
@@ -401,18 +416,18 @@
 		return
 	}
 	for _, e := range edits {
-		if slices.Contains(effects, e.Kind) {
+		if slices.Contains(outcomes, e.Kind) {
 			v.Epoch = max(v.Epoch, e.Epoch)
 		}
 	}
-	for _, e := range standing(edits, effects...) {
+	for _, e := range unsuperseded(edits, outcomes...) {
 		if e.Kind != best.Kind {
-			v.lose(e, RuleFurtherOutcome)
+			v.addLost(e, RuleFurtherOutcome)
 		}
 	}
-	for _, w := range wishes {
-		if w.Kind != Release && !slices.ContainsFunc(v.Lost, func(l LostEdit) bool { return l.Dot == w.Dot }) {
-			v.lose(w, RuleOutcome)
+	for _, intent := range intents {
+		if intent.Kind != Release && !slices.ContainsFunc(v.Lost, func(l LostEdit) bool { return l.Dot == intent.Dot }) {
+			v.addLost(intent, RuleOutcome)
 		}
 	}
 	v.HoldReason = ""
@@ -424,46 +439,46 @@
 	}[best.Kind]
 }
 
-// ValidateEdit says what is wrong with an edit that somebody asks for, in one line; nil where it can be taken.
+// ValidateEdit returns an error in one line if a requested edit is invalid.
 func ValidateEdit(e Edit) error {
-	var what string
+	var problem string
 	switch {
-	case !slices.Contains(kinds, e.Kind):
-		what = fmt.Sprintf("kind: %q is none; write one of %s", e.Kind, join(kinds))
+	case !slices.Contains(allKinds, e.Kind):
+		problem = fmt.Sprintf("kind: %q is unknown; expected one of %s", e.Kind, joinKinds(allKinds))
 	case e.ID.Tenant == "" || e.ID.Source == "":
-		what = "job: write its tenant, its source and its number there"
+		problem = "job: tenant and source are required"
 	case len(e.ID.Tenant) > 128 || len(e.ID.Source) > 128:
-		what = "job: tenant and source have 128 bytes at most"
+		problem = "job: tenant and source must not exceed 128 bytes"
 	case (e.Kind == Announce || e.Kind == Arrive) && (e.Job == nil || e.Job.Product == "" || e.Job.Txns <= 0 ||
 		e.Job.Home == ""):
-		what = "job: write its product, txns (1 or more) and home"
+		problem = "job: product, txns (at least 1) and home are required"
 	case e.Kind == Place && len(e.Places) == 0:
-		what = "places: write one zone at least"
+		problem = "places: at least one zone is required"
 	case e.Kind == Expire && e.Expires < 0, e.Job != nil && e.Job.Expires < 0:
-		what = "expires: write ms since 1970, or 0 for never"
+		problem = "expires: must be a Unix time in ms, or 0 for never"
 	case e.Kind == Seen && len(e.Dots) == 0:
-		what = "dots: write which edits were seen"
+		problem = "dots: at least one acknowledged edit is required"
 	case e.Priority < -1000 || e.Priority > 1000:
-		what = "priority: write a number from -1000 to 1000"
+		problem = "priority: must be between -1000 and 1000"
 	case len(e.Places) > 64 || len(e.Dots) > 64 || e.Job != nil && len(e.Job.Places) > 64:
-		what = "places, dots: 64 at most"
+		problem = "places, dots: at most 64 entries are allowed"
 	default:
 		return nil
 	}
-	return fmt.Errorf("%s", what)
+	return errors.New(problem)
 }
 
-func join(all []Kind) string {
-	words := make([]string, len(all))
-	for i, k := range all {
+func joinKinds(kinds []Kind) string {
+	words := make([]string, len(kinds))
+	for i, k := range kinds {
 		words[i] = string(k)
 	}
 	return strings.Join(words, ", ")
 }
 
-// least is up to where all know, of an origin.
-func least(origin string, all []VersionVector) (n uint64) {
-	for i, v := range all {
+// minVersion returns the number up to which all vectors include the edits of an origin.
+func minVersion(origin string, vectors []VersionVector) (n uint64) {
+	for i, v := range vectors {
 		if i == 0 || v[origin] < n {
 			n = v[origin]
 		}
@@ -471,5 +486,4 @@
 	return n
 }
 
-// clone copies versions.
 func (v VersionVector) clone() VersionVector { return maps.Clone(v) }
--- a/internal/controller/jobs/jobs_test.go
+++ b/internal/controller/jobs/jobs_test.go
@@ -12,22 +12,24 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-var batch = ID{"acme", "sap", 1}
+var testID = ID{"acme", "sap", 1}
 
-func job() *Job { return &Job{Due: 1000, Product: "file-copy", Txns: 10, Home: "a"} }
+func testJob() *Job { return &Job{Due: 1000, Product: "file-copy", Txns: 10, Home: "a"} }
 
-// history makes edits of one job at three sites, each knowing what it has then.
+// history builds edits of one job at three sites; each edit has the edits known at its site as causal context.
 type history struct {
 	sites [3][]*Edit
 	all   []*Edit
 }
 
-func (h *history) do(site int, e Edit) {
-	e.Dot = Dot{
-		fmt.Sprint("abc"[site:site+1], "@1"),
-		uint64(1 + len(slices.DeleteFunc(slices.Clone(h.all), func(o *Edit) bool { return o.Site != "abc"[site:site+1] }))),
+func (h *history) addEdit(site int, e Edit) {
+	e.Site, e.ID, e.CausalContext = "abc"[site:site+1], testID, VersionVector{}
+	e.Dot = Dot{e.Site + "@1", 1}
+	for _, o := range h.all {
+		if o.Site == e.Site {
+			e.Dot.Number++
+		}
 	}
-	e.Site, e.ID, e.CausalContext = "abc"[site:site+1], batch, VersionVector{}
 	for _, o := range h.sites[site] {
 		e.CausalContext[o.Dot.Origin] = max(e.CausalContext[o.Dot.Origin], o.Dot.Number)
 	}
@@ -42,22 +44,22 @@
 	}
 }
 
-// plain is the slow model: each rule as it stands in the notes, by looking at every pair.
-func plain(edits []*Edit) (state State, lost map[Dot]int, places []string) {
+// referenceView is a quadratic model of ComputeView that applies each rule to every pair of edits.
+func referenceView(edits []*Edit) (state State, lost map[Dot]int, places []string) {
 	lost = map[Dot]int{}
-	stands := func(which ...Kind) (top []*Edit) {
+	currentEdits := func(of ...Kind) (current []*Edit) {
 		for _, e := range edits {
-			ok := slices.Contains(which, e.Kind)
+			isCurrent := slices.Contains(of, e.Kind)
 			for _, o := range edits {
-				if slices.Contains(which, o.Kind) && o.CausalContext[e.Dot.Origin] >= e.Dot.Number && (o.Operator || !e.Operator) {
-					ok = false
+				if slices.Contains(of, o.Kind) && o.CausalContext[e.Dot.Origin] >= e.Dot.Number && (o.Operator || !e.Operator) {
+					isCurrent = false
 				}
 			}
-			if ok {
-				top = append(top, e)
+			if isCurrent {
+				current = append(current, e)
 			}
 		}
-		return top
+		return current
 	}
 	state = StateUnknown
 	for _, e := range edits {
@@ -70,43 +72,43 @@
 			state = StateArrived
 		}
 	}
-	top := stands(Place)
-	for i, e := range top {
+	placements := currentEdits(Place)
+	for i, e := range placements {
 		if i == 0 {
 			places = e.Places
 		}
-		var both []string
+		var shared []string
 		for _, z := range places {
 			if slices.Contains(e.Places, z) {
-				both = append(both, z)
+				shared = append(shared, z)
 			}
 		}
-		places = both
+		places = shared
 	}
-	for _, e := range top {
+	for _, e := range placements {
 		if len(places) == 0 {
 			lost[e.Dot], state = RuleDisjointPlacements, StateHeld
 		} else if !slices.Equal(e.Places, places) {
 			lost[e.Dot] = RuleSafer
 		}
 	}
-	// Each pair of wishes that stand beside each other is a duel; who loses one has lost by the rule of the winner's.
-	wishes := stands(Hold, Release, Withdraw)
-	beats := func(a, b *Edit) (bool, int) {
-		home := func(e *Edit) bool { return e.Site == "a" }
+	// The intent that beats every other one wins.
+	intents := currentEdits(Hold, Release, Withdraw)
+	beats := func(a, b *Edit) (won bool, rule int) {
+		isHome := func(e *Edit) bool { return e.Site == "a" }
 		switch {
-		case caution[a.Kind] != caution[b.Kind]:
-			return caution[a.Kind] < caution[b.Kind], RuleSafer
+		case intentRank[a.Kind] != intentRank[b.Kind]:
+			return intentRank[a.Kind] < intentRank[b.Kind], RuleSafer
 		case a.Operator != b.Operator:
 			return a.Operator, RuleOperator
-		case home(a) != home(b):
-			return home(a), RuleHomeSite
+		case isHome(a) != isHome(b):
+			return isHome(a), RuleHomeSite
 		}
-		return byName(a, b) < 0, RuleTieBreak
+		return compareByHash(a, b) < 0, RuleTieBreak
 	}
-	for _, e := range wishes {
+	for _, e := range intents {
 		won := true
-		for _, o := range wishes {
+		for _, o := range intents {
 			if o != e {
 				if b, _ := beats(e, o); !b {
 					won = false
@@ -117,23 +119,23 @@
 			continue
 		}
 		state = map[Kind]State{Hold: StateHeld, Withdraw: StateWithdrawn, Release: state}[e.Kind]
-		for _, o := range wishes {
+		for _, o := range intents {
 			if o.Kind != e.Kind {
 				_, lost[o.Dot] = beats(e, o)
 			}
 		}
 	}
 	best := -1
-	for _, e := range stands(effects...) {
-		best = max(best, slices.Index(effects, e.Kind))
+	for _, e := range currentEdits(outcomes...) {
+		best = max(best, slices.Index(outcomes, e.Kind))
 	}
 	if best >= 0 {
-		for _, e := range stands(effects...) {
-			if slices.Index(effects, e.Kind) < best {
+		for _, e := range currentEdits(outcomes...) {
+			if slices.Index(outcomes, e.Kind) < best {
 				lost[e.Dot] = RuleFurtherOutcome
 			}
 		}
-		for _, e := range wishes {
+		for _, e := range intents {
 			if lost[e.Dot] == 0 && e.Kind != Release {
 				lost[e.Dot] = RuleOutcome
 			}
@@ -144,8 +146,8 @@
 }
 
 func (h *history) check(t *testing.T) {
-	state, lost, places := plain(h.all)
-	v := ComputeView(batch, h.all)
+	state, lost, places := referenceView(h.all)
+	v := ComputeView(testID, h.all)
 	got := map[Dot]int{}
 	for _, l := range v.Lost {
 		got[l.Dot] = l.Rule
@@ -154,10 +156,10 @@
 	if v.State != state || !maps.Equal(got, lost) || len(places) > 0 && !slices.Equal(v.Places, places) {
 		var text strings.Builder
 		for _, e := range h.all {
-			fmt.Fprintf(&text, "\n%v %s %v operator %v knew %v", e.Dot, e.Kind, e.Places, e.Operator, e.CausalContext)
+			fmt.Fprintf(&text, "\n%v %s %v operator %v causal context %v", e.Dot, e.Kind, e.Places, e.Operator, e.CausalContext)
 		}
 		t.Fatalf(
-			"settled to %s %v lost %v; the plain model says %s %v lost %v:%s",
+			"view is %s %v, lost %v; the reference model has %s %v, lost %v:%s",
 			v.State,
 			v.Places,
 			got,
@@ -167,18 +169,19 @@
 			text.String(),
 		)
 	}
-	turned := slices.Clone(h.all)
-	slices.Reverse(turned)
-	if o := ComputeView(batch, append(turned[len(turned)/2:], turned[:len(turned)/2]...)); !reflect.DeepEqual(o, v) {
-		t.Fatalf("another order of the same edits gives %+v, not %+v", o, v)
+	reordered := slices.Clone(h.all)
+	slices.Reverse(reordered)
+	reordered = append(reordered[len(reordered)/2:], reordered[:len(reordered)/2]...)
+	if o := ComputeView(testID, reordered); !reflect.DeepEqual(o, v) {
+		t.Fatalf("view of the reordered edits is %+v; want %+v", o, v)
 	}
 }
 
-// All interleavings of 3 sites and 4 edits, between which nobody, one or all hear of each other, against the plain
-// model: wishes and what took effect with each other, placements with each other and with one that holds.
+// Compares ComputeView with the reference model for all histories of four edits at three sites, with no, one or full
+// synchronization between edits.
 func TestMergeExhaustively(t *testing.T) {
 	for name, alphabet := range map[string][]Edit{
-		"wishes": {{Kind: Hold, Operator: true}, {Kind: Release}, {Kind: Withdraw}, {Kind: Dispatched, Epoch: 1}},
+		"intents": {{Kind: Hold, Operator: true}, {Kind: Release}, {Kind: Withdraw}, {Kind: Dispatched, Epoch: 1}},
 		"placements": {
 			{Kind: Place, Places: []string{"a", "b"}},
 			{Kind: Place, Places: []string{"b"}, Operator: true},
@@ -186,43 +189,43 @@
 			{Kind: Hold},
 		},
 	} {
-		for site := range 2 { // sites b and c are alike at first
+		for site := range 2 { // sites b and c are interchangeable for the first edit
 			for i, first := range alphabet {
 				t.Run(fmt.Sprint(name, site, i), func(t *testing.T) {
 					t.Parallel()
 					var h history
-					h.do(0, Edit{Kind: Arrive, Job: job()})
+					h.addEdit(0, Edit{Kind: Arrive, Job: testJob()})
 					h.sync(0, 1)
 					h.sync(0, 2)
-					h.do(site, first)
-					h.play(t, alphabet, 3, site)
+					h.addEdit(site, first)
+					h.checkExtensions(t, alphabet, 3, site)
 				})
 			}
 		}
 	}
 }
 
-// play makes the edits that are left at any site, after any of the ways in which the last one is heard of.
-func (h *history) play(t *testing.T, alphabet []Edit, left, last int) {
-	if left == 0 {
+// checkExtensions checks all histories that extend h by the given number of edits.
+func (h *history) checkExtensions(t *testing.T, alphabet []Edit, count, lastSite int) {
+	if count == 0 {
 		h.check(t)
 		return
 	}
-	for sync := range 3 {
-		heard := h.clone()
-		switch sync {
+	for syncMode := range 3 { // none, one other site, all sites
+		synced := h.clone()
+		switch syncMode {
 		case 1:
-			heard.sync(last, (last+1)%3)
+			synced.sync(lastSite, (lastSite+1)%3)
 		case 2:
 			for i := range 9 {
-				heard.sync(i/3, i%3)
+				synced.sync(i/3, i%3)
 			}
 		}
 		for site := range 3 {
 			for _, e := range alphabet {
-				next := heard.clone()
-				next.do(site, e)
-				next.play(t, alphabet, left-1, site)
+				next := synced.clone()
+				next.addEdit(site, e)
+				next.checkExtensions(t, alphabet, count-1, site)
 			}
 		}
 	}
@@ -236,28 +239,28 @@
 	return c
 }
 
-// fleet is replicas that give each other what they lack, in drawn orders, some of it twice.
-type fleet struct {
-	r     []*Replica
-	names []string
+// cluster holds replicas that synchronize with each other.
+type cluster struct {
+	replicas []*Replica
+	names    []string
 }
 
-func newFleet(n int) *fleet {
-	f := &fleet{}
+func newCluster(n int) *cluster {
+	c := &cluster{}
 	for i := range n {
-		f.names = append(f.names, fmt.Sprint("n", i))
-		f.r = append(f.r, NewReplica(f.names[i]+"@1", string(rune('a'+i%3))))
+		c.names = append(c.names, fmt.Sprint("n", i))
+		c.replicas = append(c.replicas, NewReplica(c.names[i]+"@1", string(rune('a'+i%3))))
 	}
-	for i, r := range f.r {
-		r.SetPeers(slices.Delete(slices.Clone(f.names), i, i+1))
+	for i, r := range c.replicas {
+		r.SetPeers(slices.Delete(slices.Clone(c.names), i, i+1))
 	}
-	return f
+	return c
 }
 
-// give lets one hear what another has, as the exchange does it.
-func (f *fleet) give(from, to, most int) {
-	a, b := f.r[from], f.r[to]
-	g := a.DeltaSince(b.Versions(), most)
+// sync sends a delta of at most limit edits, as a Node does. It merges the edits twice to test idempotence.
+func (c *cluster) sync(from, to, limit int) {
+	a, b := c.replicas[from], c.replicas[to]
+	g := a.DeltaSince(b.Versions(), limit)
 	var edits []Edit
 	for _, e := range g.Edits {
 		d, err := Decode(e.Raw)
@@ -267,313 +270,310 @@
 		edits = append(edits, d)
 	}
 	b.Merge(b.FilterNew(edits), g.Complete)
-	b.Merge(edits, g.Complete) // once more
+	b.Merge(edits, g.Complete)
 	if g.Compacted {
 		b.DiscardCompacted(g.Retained, a.Versions())
 	}
 	if b.Versions().Dominates(a.Versions()) && a.Versions().Dominates(b.Versions()) && a.Digest() != b.Digest() {
 		b.DiscardCompacted(a.Retained(), a.Versions())
 	}
-	b.RecordPeerVersions(f.names[from], a.Versions().clone())
-	a.RecordPeerVersions(f.names[to], b.Versions().clone())
+	b.RecordPeerVersions(c.names[from], a.Versions().clone())
+	a.RecordPeerVersions(c.names[to], b.Versions().clone())
 }
 
-func (f *fleet) heal() {
+func (c *cluster) syncAll() {
 	for range 3 {
-		for i := range f.r {
-			for j := range f.r {
+		for i := range c.replicas {
+			for j := range c.replicas {
 				if i != j {
-					f.give(i, j, 1<<30)
+					c.sync(i, j, 1<<30)
 				}
 			}
 		}
 	}
 }
 
-// verdict says what is wrong after all have heard of each other: two that differ, an edit that was taken and is neither
-// known nor accounted for, jobs that are not what all edits that were taken come to.
-func (f *fleet) verdict(made []Edit) error {
-	for i, r := range f.r {
-		if !reflect.DeepEqual(r.Views(), f.r[0].Views()) {
-			return fmt.Errorf("%s and %s differ:\n%+v\n%+v", f.names[i], f.names[0], r.Views(), f.r[0].Views())
+// check returns an error if the replicas differ after a full synchronization, if an accepted edit is unknown, or if
+// the view of a job differs from that of all its accepted edits.
+func (c *cluster) check(accepted []Edit) error {
+	for i, r := range c.replicas {
+		if !reflect.DeepEqual(r.Views(), c.replicas[0].Views()) {
+			return fmt.Errorf("replicas %s and %s differ:\n%+v\n%+v", c.names[i], c.names[0], r.Views(), c.replicas[0].Views())
 		}
 	}
-	by := map[ID][]*Edit{}
-	for i := range made {
-		if !f.r[0].Versions().Contains(made[i].Dot) {
-			return fmt.Errorf("%v is lost", made[i].Dot)
+	byJob := map[ID][]*Edit{}
+	for i := range accepted {
+		if !c.replicas[0].Versions().Contains(accepted[i].Dot) {
+			return fmt.Errorf("edit %v is lost", accepted[i].Dot)
 		}
-		by[made[i].ID] = append(by[made[i].ID], &made[i])
+		byJob[accepted[i].ID] = append(byJob[accepted[i].ID], &accepted[i])
 	}
-	for id, edits := range by {
+	for id, edits := range byJob {
 		want := ComputeView(id, edits)
-		if got, ok := f.r[0].View(
-			id,
-		); !ok && (!want.State.Ended() || len(want.Lost) != 0) ||
-			ok && !reflect.DeepEqual(got, want) {
-			return fmt.Errorf("%v is %+v, its edits come to %+v", id, got, want)
+		got, ok := c.replicas[0].View(id)
+		isMissing := !ok && (!want.State.Ended() || len(want.Lost) != 0)
+		if isMissing || ok && !reflect.DeepEqual(got, want) {
+			return fmt.Errorf("job %v is %+v; its accepted edits result in %+v", id, got, want)
 		}
 	}
 	return nil
 }
 
-func (f *fleet) same(t *testing.T) {
+func (c *cluster) requireConverged(t *testing.T) {
 	t.Helper()
-	if err := f.verdict(nil); err != nil {
+	if err := c.check(nil); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// The verdict is one that can fail: each fault is planted once, and seen.
-func TestVerdictSeesPlantedFaults(t *testing.T) {
-	for name, plant := range map[string]func(f *fleet){
-		"nothing": func(*fleet) {},
-		"an answered edit is lost": func(f *fleet) {
-			for _, r := range f.r { // forgotten by all, as if it had not been on the disk
-				j := r.jobs[batch]
-				j.edits, j.fresh = slices.DeleteFunc(j.edits, func(e *Edit) bool { return e.Kind == Hold }), false
+// Guards against a cluster check that passes whatever happens: each injected fault must make it fail.
+func TestClusterCheckDetectsInjectedFaults(t *testing.T) {
+	for name, inject := range map[string]func(c *cluster){
+		"none": func(*cluster) {},
+		"an accepted edit is lost": func(c *cluster) {
+			for _, r := range c.replicas {
+				j := r.jobs[testID]
+				j.edits, j.viewValid = slices.DeleteFunc(j.edits, func(e *Edit) bool { return e.Kind == Hold }), false
 			}
 		},
-		"its name is lost too": func(f *fleet) {
-			for _, r := range f.r {
+		"a version is lost": func(c *cluster) {
+			for _, r := range c.replicas {
 				delete(r.versions, "n1@1")
 			}
 		},
-		"a merge that differs by order": func(f *fleet) { f.r[2].jobs[batch].view.State = StateArrived },
+		"views differ": func(c *cluster) { c.replicas[2].jobs[testID].view.State = StateArrived },
 	} {
-		f := newFleet(3)
-		made := []Edit{f.make(t, 0, Edit{ID: batch, Kind: Arrive, Job: job()})}
-		f.heal()
-		made = append(
-			made,
-			f.make(t, 1, Edit{ID: batch, Kind: Hold, Operator: true}),
-			f.make(t, 2, Edit{ID: batch, Kind: Release}),
+		c := newCluster(3)
+		accepted := []Edit{c.edit(t, 0, Edit{ID: testID, Kind: Arrive, Job: testJob()})}
+		c.syncAll()
+		accepted = append(
+			accepted,
+			c.edit(t, 1, Edit{ID: testID, Kind: Hold, Operator: true}),
+			c.edit(t, 2, Edit{ID: testID, Kind: Release}),
 		)
-		f.heal()
-		f.same(t)
-		plant(f)
-		if err := f.verdict(made); (err == nil) != (name == "nothing") {
+		c.syncAll()
+		c.requireConverged(t)
+		inject(c)
+		if err := c.check(accepted); (err == nil) != (name == "none") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-func (f *fleet) make(t *testing.T, at int, e Edit) Edit {
+func (c *cluster) edit(t *testing.T, at int, e Edit) Edit {
 	t.Helper()
-	made, err := f.r[at].Prepare(e)
+	prepared, err := c.replicas[at].Prepare(e)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.r[at].Merge([]Edit{made}, nil)
-	return made
+	c.replicas[at].Merge([]Edit{prepared}, nil)
+	return prepared
 }
 
-// Drawn histories: cuts, doubles, folds, lives that begin anew from old copies. All come to the same jobs; no edit
-// that was taken is lost: each stands, was replaced by one that knew of it, lost by a rule, or its job has ended.
-func TestDrawnHistories(t *testing.T) {
+// Random histories with partitions and compactions: the replicas converge, every accepted edit is accounted for, and
+// ended jobs are dropped.
+func TestRandomHistories(t *testing.T) {
 	for seed := range uint64(60) {
-		chance := rand.New(rand.NewPCG(seed, 5))
-		f := newFleet(5)
-		var made []Edit
+		random := rand.New(rand.NewPCG(seed, 5))
+		c := newCluster(5)
+		var accepted []Edit
 		for step := range 250 {
-			at := chance.IntN(5)
-			id := ID{"t", "s", uint64(chance.IntN(6))}
-			e := Edit{ID: id, Operator: chance.IntN(2) == 0}
-			switch e.Kind = kinds[chance.IntN(len(kinds))]; e.Kind {
+			at := random.IntN(5)
+			id := ID{"t", "s", uint64(random.IntN(6))}
+			e := Edit{ID: id, Operator: random.IntN(2) == 0}
+			switch e.Kind = allKinds[random.IntN(len(allKinds))]; e.Kind {
 			case Announce, Arrive:
-				e.Job = job()
+				e.Job = testJob()
 			case Place:
-				e.Places = []string{string(rune('a' + chance.IntN(3))), "d"}[:1+chance.IntN(2)]
+				e.Places = []string{string(rune('a' + random.IntN(3))), "d"}[:1+random.IntN(2)]
 			case Expire:
-				e.Expires = int64(chance.IntN(5))
+				e.Expires = int64(random.IntN(5))
 			case Prioritise:
-				e.Priority = chance.IntN(3)
+				e.Priority = random.IntN(3)
 			case Seen:
-				if v, ok := f.r[at].View(id); ok && len(v.Lost) > 0 {
+				if v, ok := c.replicas[at].View(id); ok && len(v.Lost) > 0 {
 					e.Dots = []Dot{v.Lost[0].Dot}
 				}
 			case Withdraw, Resolved, Voided:
-				if chance.IntN(4) > 0 {
+				if random.IntN(4) > 0 {
 					continue
 				}
-			case Hold, Release, Late, Dispatched, Uncertain: // have no more than their kind
+			case Hold, Release, Late, Dispatched, Uncertain: // no further fields
 			}
-			if m, err := f.r[at].Prepare(e); err == nil {
-				f.r[at].Merge([]Edit{m}, nil)
-				made = append(made, m)
+			if prepared, err := c.replicas[at].Prepare(e); err == nil {
+				c.replicas[at].Merge([]Edit{prepared}, nil)
+				accepted = append(accepted, prepared)
 			}
-			if cut := step/50%2 == 1; chance.IntN(2) == 0 {
-				if i, j := chance.IntN(5), chance.IntN(5); i != j && (!cut || (i < 2) == (j < 2)) {
-					f.give(i, j, 1+chance.IntN(5))
+			if isPartitioned := step/50%2 == 1; random.IntN(2) == 0 {
+				if i, j := random.IntN(5), random.IntN(5); i != j && (!isPartitioned || (i < 2) == (j < 2)) {
+					c.sync(i, j, 1+random.IntN(5))
 				}
 			}
-			if chance.IntN(20) == 0 {
-				f.r[at].Compact()
+			if random.IntN(20) == 0 {
+				c.replicas[at].Compact()
 			}
 		}
-		f.heal()
-		for _, r := range f.r { // all fold what all know, so that the same jobs are there
+		c.syncAll()
+		for _, r := range c.replicas {
 			r.Compact()
 		}
-		if err := f.verdict(made); err != nil {
+		if err := c.check(accepted); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		jobs, edits := f.r[0].Sizes()
-		if open := len(
-			slices.DeleteFunc(f.r[0].Views(), func(v View) bool { return v.State.Ended() && len(v.Lost) == 0 }),
-		); jobs != open ||
-			edits > 400 {
+		jobs, edits := c.replicas[0].Sizes()
+		isEnded := func(v View) bool { return v.State.Ended() && len(v.Lost) == 0 }
+		open := len(slices.DeleteFunc(c.replicas[0].Views(), isEnded))
+		if jobs != open || edits > 400 {
 			t.Errorf("seed %d: %d jobs are kept, %d are open; %d edits", seed, jobs, open, edits)
 		}
 	}
 }
 
-// Three sites parted in a ring are healed a link at a time; each link once is enough for two, all come to one.
+// Three partitioned sites are reconnected one link at a time and converge.
 func TestCase1Ring(t *testing.T) {
-	f := newFleet(3)
-	f.make(t, 0, Edit{ID: batch, Kind: Arrive, Job: job()})
-	f.heal()
-	f.make(t, 0, Edit{ID: batch, Kind: Withdraw, Operator: true})
-	f.make(t, 1, Edit{ID: batch, Kind: Hold})
-	f.make(t, 2, Edit{ID: batch, Kind: Dispatched, Epoch: 3})
-	f.give(0, 1, 100)
-	f.give(1, 2, 100)
-	f.give(2, 0, 100)
-	f.give(2, 1, 100)
-	f.same(t)
-	if v, _ := f.r[0].View(
-		batch,
-	); v.State != StateDispatched || len(v.Lost) != 2 || v.Lost[0].Rule != RuleOutcome ||
-		v.Lost[1].Rule != RuleSafer {
-		t.Errorf("it came to %+v", v)
+	c := newCluster(3)
+	c.edit(t, 0, Edit{ID: testID, Kind: Arrive, Job: testJob()})
+	c.syncAll()
+	c.edit(t, 0, Edit{ID: testID, Kind: Withdraw, Operator: true})
+	c.edit(t, 1, Edit{ID: testID, Kind: Hold})
+	c.edit(t, 2, Edit{ID: testID, Kind: Dispatched, Epoch: 3})
+	c.sync(0, 1, 100)
+	c.sync(1, 2, 100)
+	c.sync(2, 0, 100)
+	c.sync(2, 1, 100)
+	c.requireConverged(t)
+	v, _ := c.replicas[0].View(testID)
+	if v.State != StateDispatched || len(v.Lost) != 2 ||
+		v.Lost[0].Rule != RuleOutcome || v.Lost[1].Rule != RuleSafer {
+		t.Errorf("view is %+v", v)
 	}
 }
 
-// A life begun from yesterday's copy of its store makes edits under another name: those of before come back from the
-// others, nothing is taken for new, and what had ended since is not open again.
+// A replica restored from an old store under a new origin receives its later edits from the peers, and neither reopens
+// ended jobs nor revives superseded edits.
 func TestCase3OldCopy(t *testing.T) {
-	f := newFleet(3)
+	c := newCluster(3)
 	other := ID{"acme", "sap", 2}
-	f.make(t, 0, Edit{ID: batch, Kind: Arrive, Job: job()})
-	f.make(t, 0, Edit{ID: other, Kind: Arrive, Job: job()})
-	f.heal()
-	old, knew := []Edit{}, f.r[0].Versions().clone()
-	for _, e := range f.r[0].edits {
-		old = append(old, *e)
-	}
-	f.make(t, 0, Edit{ID: batch, Kind: Hold, Operator: true})
-	f.make(t, 1, Edit{ID: other, Kind: Resolved})
-	f.heal()
-	for _, r := range f.r {
+	c.edit(t, 0, Edit{ID: testID, Kind: Arrive, Job: testJob()})
+	c.edit(t, 0, Edit{ID: other, Kind: Arrive, Job: testJob()})
+	c.syncAll()
+	stored, versions := []Edit{}, c.replicas[0].Versions().clone()
+	for _, e := range c.replicas[0].edits {
+		stored = append(stored, *e)
+	}
+	c.edit(t, 0, Edit{ID: testID, Kind: Hold, Operator: true})
+	c.edit(t, 1, Edit{ID: other, Kind: Resolved})
+	c.syncAll()
+	for _, r := range c.replicas {
 		r.Compact()
 	}
-	f.r[0] = NewReplica("n0@2", "a")
-	f.r[0].Restore(knew, old)
-	f.r[0].SetPeers([]string{"n1", "n2"})
-	f.make(t, 0, Edit{ID: batch, Kind: Prioritise, Priority: 5})
-	f.heal()
-	f.same(t)
-	// Of many edits the others fold those that were replaced, and go on without: the copy must not bring one back.
-	old, knew = nil, f.r[0].Versions().clone()
-	for _, e := range f.r[0].edits {
-		old = append(old, *e)
-	}
-	f.make(t, 0, Edit{ID: batch, Kind: Expire, Expires: 99})
-	f.heal()
+	c.replicas[0] = NewReplica("n0@2", "a")
+	c.replicas[0].Restore(versions, stored)
+	c.replicas[0].SetPeers([]string{"n1", "n2"})
+	c.edit(t, 0, Edit{ID: testID, Kind: Prioritise, Priority: 5})
+	c.syncAll()
+	c.requireConverged(t)
+	// The peers compact superseded edits; the restored replica must not revive one.
+	stored, versions = nil, c.replicas[0].Versions().clone()
+	for _, e := range c.replicas[0].edits {
+		stored = append(stored, *e)
+	}
+	c.edit(t, 0, Edit{ID: testID, Kind: Expire, Expires: 99})
+	c.syncAll()
 	for i := range 12 {
-		f.make(t, 1, Edit{ID: batch, Kind: Expire, Expires: int64(100 + i)})
+		c.edit(t, 1, Edit{ID: testID, Kind: Expire, Expires: int64(100 + i)})
 	}
-	f.make(t, 1, Edit{ID: batch, Kind: Prioritise, Priority: 6})
-	f.make(t, 1, Edit{ID: batch, Kind: Place, Places: []string{"a"}})
-	f.heal()
-	for _, r := range f.r {
+	c.edit(t, 1, Edit{ID: testID, Kind: Prioritise, Priority: 6})
+	c.edit(t, 1, Edit{ID: testID, Kind: Place, Places: []string{"a"}})
+	c.syncAll()
+	for _, r := range c.replicas {
 		r.Compact()
 	}
-	f.make(t, 1, Edit{ID: batch, Kind: Prioritise, Priority: 7})
-	f.r[0] = NewReplica("n0@3", "a")
-	f.r[0].Restore(knew, old)
-	f.r[0].SetPeers([]string{"n1", "n2"})
-	for range 20 { // a part at a time: what was not given yet is not folded for that
-		f.give(1, 0, 1)
-		if v, ok := f.r[0].View(batch); !ok || v.State != StateHeld {
-			t.Fatalf("the job is %+v while it is given", v)
+	c.edit(t, 1, Edit{ID: testID, Kind: Prioritise, Priority: 7})
+	c.replicas[0] = NewReplica("n0@3", "a")
+	c.replicas[0].Restore(versions, stored)
+	c.replicas[0].SetPeers([]string{"n1", "n2"})
+	for range 20 { // one edit at a time: edits that are not transferred yet must not be discarded
+		c.sync(1, 0, 1)
+		if v, ok := c.replicas[0].View(testID); !ok || v.State != StateHeld {
+			t.Fatalf("view during the transfer is %+v", v)
 		}
 	}
-	f.heal()
-	f.same(t)
-	v, _ := f.r[1].View(batch)
+	c.syncAll()
+	c.requireConverged(t)
+	v, _ := c.replicas[1].View(testID)
 	if v.Priority != 7 || len(v.Lost) > 0 {
-		t.Errorf("an edit that was folded came back: %+v", v)
+		t.Errorf("a compacted edit was revived: %+v", v)
 	}
 	v.Priority = 5
-	if _, open := f.r[0].View(other); v.State != StateHeld || v.Priority != 5 || open {
-		t.Errorf("it came to %+v; the one that ended is open: %v", v, open)
+	if _, open := c.replicas[0].View(other); v.State != StateHeld || v.Priority != 5 || open {
+		t.Errorf("view is %+v; the ended job is open: %v", v, open)
 	}
 }
 
-// A site that is removed for good holds nothing back; when its store is found after all, its edits come as others do.
+// A site that was removed does not hold back compaction. If it comes back, its edit of a compacted job is reported as
+// lost until an operator acknowledges it.
 func TestCase4Removed(t *testing.T) {
-	f := newFleet(3)
-	f.make(t, 0, Edit{ID: batch, Kind: Arrive, Job: job()})
-	f.heal()
-	f.make(t, 2, Edit{ID: batch, Kind: Hold})
-	f.make(t, 0, Edit{ID: batch, Kind: Resolved})
-	f.give(0, 1, 100)
-	f.give(1, 0, 100)
-	if gone := f.r[0].Compact(); gone != nil {
-		t.Fatalf("folded %v while a site was not heard", gone)
+	c := newCluster(3)
+	c.edit(t, 0, Edit{ID: testID, Kind: Arrive, Job: testJob()})
+	c.syncAll()
+	c.edit(t, 2, Edit{ID: testID, Kind: Hold})
+	c.edit(t, 0, Edit{ID: testID, Kind: Resolved})
+	c.sync(0, 1, 100)
+	c.sync(1, 0, 100)
+	if dropped := c.replicas[0].Compact(); dropped != nil {
+		t.Fatalf("compacted %v before every peer had announced its versions", dropped)
 	}
 	for _, i := range []int{0, 1} {
-		f.r[i].SetPeers([]string{f.names[1-i]})
-		f.give(1-i, i, 100)
-		f.r[i].Compact()
+		c.replicas[i].SetPeers([]string{c.names[1-i]})
+		c.sync(1-i, i, 100)
+		c.replicas[i].Compact()
 	}
-	if n, _ := f.r[0].Sizes(); n != 0 {
-		t.Errorf("%d jobs are kept for a site that was removed", n)
+	if n, _ := c.replicas[0].Sizes(); n != 0 {
+		t.Errorf("%d jobs are kept for a removed site", n)
 	}
-	f.heal()
-	// It is shown as come too late, until somebody has seen it; then it goes at all.
-	v, ok := f.r[0].View(batch)
+	c.syncAll()
+	v, ok := c.replicas[0].View(testID)
 	if !ok || v.State != StateUnknown || len(v.Lost) != 1 || v.Lost[0].Rule != RuleOutcome {
-		t.Fatalf("its edit vanished: %+v", v)
+		t.Fatalf("the late edit is not reported: %+v", v)
 	}
-	f.make(t, 1, Edit{ID: batch, Kind: Seen, Operator: true, Dots: []Dot{v.Lost[0].Dot}})
-	for i, r := range f.r {
-		r.SetPeers(slices.Delete(slices.Clone(f.names), i, i+1))
+	c.edit(t, 1, Edit{ID: testID, Kind: Seen, Operator: true, Dots: []Dot{v.Lost[0].Dot}})
+	for i, r := range c.replicas {
+		r.SetPeers(slices.Delete(slices.Clone(c.names), i, i+1))
 	}
-	f.heal()
-	for _, r := range f.r {
+	c.syncAll()
+	for _, r := range c.replicas {
 		if r.Compact(); len(r.jobs) > 0 {
-			t.Errorf("%s keeps %+v", r.Origin(), r.Views())
+			t.Errorf("%s still has %+v", r.Origin(), r.Views())
 		}
 	}
 }
 
-// 10,000 edits of one job: each replaces the one before, and once all know them two are kept.
+// Guards against unbounded growth: 10,000 edits that supersede each other are compacted to a few.
 func TestCase5ManyEdits(t *testing.T) {
-	f := newFleet(2)
-	f.make(t, 0, Edit{ID: batch, Kind: Arrive, Job: job()})
+	c := newCluster(2)
+	c.edit(t, 0, Edit{ID: testID, Kind: Arrive, Job: testJob()})
 	for i := range 10000 {
-		f.make(t, 0, Edit{ID: batch, Kind: Prioritise, Priority: i % 1000})
+		c.edit(t, 0, Edit{ID: testID, Kind: Prioritise, Priority: i % 1000})
 		if i%500 == 0 {
-			f.give(0, 1, 1<<20)
-			f.r[0].Compact()
+			c.sync(0, 1, 1<<20)
+			c.replicas[0].Compact()
 		}
 	}
-	f.heal()
-	f.r[0].Compact()
-	f.r[1].Compact()
-	f.same(t)
-	if _, n := f.r[0].Sizes(); n > 9 {
+	c.syncAll()
+	c.replicas[0].Compact()
+	c.replicas[1].Compact()
+	c.requireConverged(t)
+	if _, n := c.replicas[0].Sizes(); n > 9 {
 		t.Errorf("%d edits are kept", n)
 	}
 }
 
-// An edit of a newer version goes on as it came, with what is not known here; a kind that is not known changes nothing.
+// An edit of a newer version is forwarded with its unknown fields, and its unknown kind does not affect the view.
 func TestCase7Newer(t *testing.T) {
-	f := newFleet(3)
-	f.make(t, 0, Edit{ID: batch, Kind: Arrive, Job: job()})
-	f.heal()
+	c := newCluster(3)
+	c.edit(t, 0, Edit{ID: testID, Kind: Arrive, Job: testJob()})
+	c.syncAll()
 	raw, _ := cbor.Marshal(
 		map[int]any{1: map[int]any{1: "n9@1", 2: 1}, 3: map[int]any{1: "acme", 2: "sap", 3: 1}, 4: "paint", 99: "blue"},
 	)
@@ -581,12 +581,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.r[1].Merge([]Edit{e}, nil)
-	f.heal()
-	if got := f.r[2].edits[e.Dot]; got == nil || !slices.Equal(got.Raw, raw) {
-		t.Errorf("it came as %+v", got)
+	c.replicas[1].Merge([]Edit{e}, nil)
+	c.syncAll()
+	if got := c.replicas[2].edits[e.Dot]; got == nil || !slices.Equal(got.Raw, raw) {
+		t.Errorf("edit is %+v; want its original encoding", got)
 	}
-	if v, _ := f.r[2].View(batch); v.State != StateArrived || len(v.Lost) > 0 {
-		t.Errorf("it changed %+v", v)
+	if v, _ := c.replicas[2].View(testID); v.State != StateArrived || len(v.Lost) > 0 {
+		t.Errorf("view is %+v", v)
 	}
 }
--- a/internal/controller/jobs/node.go
+++ b/internal/controller/jobs/node.go
@@ -17,160 +17,159 @@
 )
 
 const (
-	heartbeatInterval = 250 * time.Millisecond // at least so often one has something to say
-	together          = 10 * time.Millisecond
+	heartbeatInterval = 250 * time.Millisecond // maximum time between two responses on a connection
+	batchDelay        = 10 * time.Millisecond  // collects edits that arrive together into one response
 	heartbeatTimeout  = time.Second
-	perFrame          = 2000 // edits
-	foldEvery         = time.Second
-	resolveInterval   = 500 * time.Millisecond // that one who differs is asked what it has
-	mostAtOnce        = 4096                   // edits that are stored together
-	partners          = 12                     // up to so many each hears from all; beyond, from some
+	maxEditsPerFrame  = 2000
+	compactInterval   = time.Second
+	reconcileInterval = 500 * time.Millisecond // minimum time between two requests for the retained edits of a peer
+	maxWriteBatch     = 4096                   // edits
+	fullMeshLimit     = 12                     // up to this many instances, each subscribes to all others
 )
 
-// Node is a replica that is kept on a disk and told on to others. Its mutex is held while a batch is written:
-// nobody may see an edit that is not on the disk yet, and only who deals with jobs waits for it. It is never held
-// over a socket.
+// Node persists a replica and synchronizes it with the peers. The mutex is held while a batch is written, so that no
+// edit is visible before it is on disk. It is never held during network I/O.
 type Node struct {
-	name      string
-	storage   *Store
-	log       *logrus.Entry
-	streams   *membership.Streams
-	fleet     *membership.Fleet
-	count     []string // who counts beside this one; nil: whoever was ever there
-	authorize func(e Edit, v View) error
+	name          string
+	store         *Store
+	log           *logrus.Entry
+	streams       *membership.Streams
+	fleet         *membership.Fleet
+	requiredPeers []string // peers that must have seen an edit before it is compacted; nil: all ever seen
+	authorize     func(e Edit, v View) error
 
 	mu      sync.Mutex
-	r       *Replica
-	changed chan struct{} // closed when there is something new
+	replica *Replica
+	changed chan struct{} // closed at the next change
 	peers   map[string]PeerStatus
 
-	intake chan editRequest
+	requests chan editRequest
 }
 
 type editRequest struct {
-	edit Edit
-	to   chan answer
+	edit   Edit
+	result chan editResult
 }
 
-type answer struct {
+type editResult struct {
 	edit Edit
 	err  error
 }
 
-// PeerStatus is what one knew when it was heard last, told on for those who do not hear it themselves.
+// PeerStatus is the latest known version vector of a peer. Instances forward it to those that do not subscribe to that
+// peer.
 type PeerStatus struct {
 	Origin        string        `cbor:"1,keyasint"`
 	Versions      VersionVector `cbor:"2,keyasint"`
-	LastHeartbeat uint64        `cbor:"3,keyasint"` // grows in a life of it
+	LastHeartbeat uint64        `cbor:"3,keyasint"` // increases within an incarnation
 }
 
-// peerRequest is what one says that wants to hear; it says it again after each frame.
-type peerRequest struct {
-	Versions VersionVector `cbor:"1,keyasint"`
-	Kept     bool          `cbor:"2,keyasint"` // it knows the same, and has other edits
+// syncRequest asks a peer for edits. A subscriber sends one after each response.
+type syncRequest struct {
+	Versions     VersionVector `cbor:"1,keyasint"`
+	WantRetained bool          `cbor:"2,keyasint"` // version vectors are equal, but digests differ
 }
 
-// given answers it.
-type given struct {
-	Edits    [][]byte              `cbor:"1,keyasint"`
-	Whole    VersionVector         `cbor:"2,keyasint"`
-	Folded   bool                  `cbor:"3,keyasint"`
-	Kept     map[string][]uint64   `cbor:"4,keyasint"`
-	Heard    map[string]PeerStatus `cbor:"5,keyasint"`
-	Versions VersionVector         `cbor:"6,keyasint"`
-	Digest   uint64                `cbor:"7,keyasint"`
+// syncResponse carries a Delta and the state of the sender.
+type syncResponse struct {
+	Edits     [][]byte              `cbor:"1,keyasint"`
+	Complete  VersionVector         `cbor:"2,keyasint"`
+	Compacted bool                  `cbor:"3,keyasint"`
+	Retained  map[string][]uint64   `cbor:"4,keyasint"`
+	Peers     map[string]PeerStatus `cbor:"5,keyasint"` // set at most once per heartbeatInterval
+	Versions  VersionVector         `cbor:"6,keyasint"`
+	Digest    uint64                `cbor:"7,keyasint"`
 }
 
-// Config is what a Node is told.
+// Config configures a Node.
 type Config struct {
-	Path        string
-	Peers       []string
-	Authorize   func(e Edit, v View) error // what the decisions permit; nil: all
-	Incarnation string                     // of this process: never used before
+	Path        string                     // of the store
+	Peers       []string                   // peers that must have seen an edit before it is compacted; nil: all ever seen
+	Authorize   func(e Edit, v View) error // policy check of requested edits; nil: allow all
+	Incarnation string                     // never reused
 }
 
-// Open begins to take and tell edits.
-func Open(p Config, fleet *membership.Fleet, streams *membership.Streams, log *logrus.Entry) (*Node, error) {
-	keep, held, err := OpenStore(p.Path)
+// Open opens the store, then starts to accept edits and to synchronize with peers.
+func Open(c Config, fleet *membership.Fleet, streams *membership.Streams, log *logrus.Entry) (*Node, error) {
+	store, state, err := OpenStore(c.Path)
 	if err != nil {
 		return nil, err
 	}
 	self := fleet.Self()
 	n := &Node{
-		name:      self.Name,
-		storage:   keep,
-		log:       log,
-		streams:   streams,
-		fleet:     fleet,
-		count:     p.Peers,
-		authorize: p.Authorize,
-		changed:   make(chan struct{}),
-		peers:     map[string]PeerStatus{},
-		intake:    make(chan editRequest, 1024),
-		r:         NewReplica(self.Name+"@"+p.Incarnation, self.Site),
-	}
-	n.r.Restore(held.Versions, held.Edits)
-	n.counts(held.Peers) // before it folds anything: also those that are not there yet count
+		name:          self.Name,
+		store:         store,
+		log:           log,
+		streams:       streams,
+		fleet:         fleet,
+		requiredPeers: c.Peers,
+		authorize:     c.Authorize,
+		changed:       make(chan struct{}),
+		peers:         map[string]PeerStatus{},
+		requests:      make(chan editRequest, 1024),
+		replica:       NewReplica(self.Name+"@"+c.Incarnation, self.Site),
+	}
+	n.replica.Restore(state.Versions, state.Edits)
+	n.updateRequiredPeers(state.Peers) // before the first compaction, since peers may not have connected yet
 	if n.authorize == nil {
 		n.authorize = func(Edit, View) error { return nil }
 	}
-	if held.QuarantinedAs != "" {
-		log.WithFields(
-			logrus.Fields{"reason": "jobs", "aside": held.QuarantinedAs},
-		).Error(
-			"the store of jobs cannot be read and is begun anew; what others know comes back from them",
+	if state.QuarantinedAs != "" {
+		log.WithFields(logrus.Fields{"reason": "jobs", "aside": state.QuarantinedAs}).Error(
+			"job store is unreadable; starting with an empty one and restoring edits from peers",
 		)
 	}
-	jobs, kept := n.r.Sizes()
-	log.WithFields(logrus.Fields{"jobs": jobs, "edits": kept, "as": n.r.Origin()}).Info("jobs are kept")
-	streams.Serve(membership.StreamJobs, n.serve)
-	streams.Go(n.store)
-	streams.Go(n.follow)
-	streams.Go(n.fold)
+	jobs, edits := n.replica.Sizes()
+	log.WithFields(logrus.Fields{"jobs": jobs, "edits": edits, "as": n.replica.Origin()}).Info("job store opened")
+	streams.Serve(membership.StreamJobs, n.serveSubscriber)
+	streams.Go(n.writeLoop)
+	streams.Go(n.subscriptionLoop)
+	streams.Go(n.compactLoop)
 	return n, nil
 }
 
-// Close ends it; the streams are closed before it.
-func (n *Node) Close() error { return n.storage.Close() }
+// Close closes the store. The caller closes the streams first.
+func (n *Node) Close() error { return n.store.Close() }
 
-// Submit takes an edit that somebody asks for; it returns once it is on the disk.
+// Submit makes a requested edit and returns once it is on disk.
 func (n *Node) Submit(ctx context.Context, e Edit) (Edit, error) {
-	a := editRequest{e, make(chan answer, 1)}
+	request := editRequest{e, make(chan editResult, 1)}
 	select {
-	case n.intake <- a:
+	case n.requests <- request:
 	case <-ctx.Done():
 		return e, ctx.Err()
 	}
 	select {
-	case got := <-a.to:
-		return got.edit, got.err
+	case result := <-request.result:
+		return result.edit, result.err
 	case <-ctx.Done():
 		return e, ctx.Err()
 	}
 }
 
-// View is how a job stands here.
+// View returns the view of a job; false if the job is unknown, or ended and compacted.
 func (n *Node) View(id ID) (View, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.r.View(id)
+	return n.replica.View(id)
 }
 
-// Views are all jobs that are known here.
+// Views returns the views of all known jobs, ordered by ID.
 func (n *Node) Views() []View {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.r.Views()
+	return n.replica.Views()
 }
 
-// Sizes counts jobs and edits that are kept.
+// Sizes returns the number of jobs and of edits in the replica.
 func (n *Node) Sizes() (jobs, edits int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.r.Sizes()
+	return n.replica.Sizes()
 }
 
-// Checksum is of all views but those that each forgets in its own time: two that know the same have the same.
+// Checksum returns a hash of all views that compaction does not drop. Nodes with equal version vectors have equal
+// checksums.
 func (n *Node) Checksum() uint64 {
 	h := xxh3.New()
 	for _, v := range n.Views() {
@@ -182,85 +181,86 @@
 	return h.Sum64()
 }
 
-// Versions is what is known here.
+// Versions returns the version vector of the replica.
 func (n *Node) Versions() VersionVector {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.r.Versions().clone()
+	return n.replica.Versions().clone()
 }
 
-// Changed is closed at the next news.
+// Changed returns a channel that is closed at the next change.
 func (n *Node) Changed() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.changed
 }
 
-// notify wakes who waits for it; the mutex is held.
+// notify wakes all waiters on Changed. The caller holds the mutex.
 func (n *Node) notify() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// store takes what is asked for, as much at once as came while the last was written.
-func (n *Node) store(ctx context.Context) {
+// writeLoop writes requested edits in batches: each holds the requests that arrived during the previous write.
+func (n *Node) writeLoop(ctx context.Context) {
 	for {
-		var all []editRequest
+		var batch []editRequest
 		select {
 		case <-ctx.Done():
 			return
-		case a := <-n.intake:
-			all = append(all, a)
+		case request := <-n.requests:
+			batch = append(batch, request)
 		}
-		for more := true; more && len(all) < mostAtOnce; {
+		for more := true; more && len(batch) < maxWriteBatch; {
 			select {
-			case a := <-n.intake:
-				all = append(all, a)
+			case request := <-n.requests:
+				batch = append(batch, request)
 			default:
 				more = false
 			}
 		}
-		answers, err := n.storeAll(all)
-		for i, a := range all {
-			if err != nil && answers[i].err == nil {
-				answers[i].err = err
+		results, err := n.writeBatch(batch)
+		for i, request := range batch {
+			if err != nil && results[i].err == nil {
+				results[i].err = err
 			}
-			a.to <- answers[i]
+			request.result <- results[i]
 		}
-		if err != nil { // what was made is not on the disk: nothing may be told of it
-			n.log.WithField("reason", "jobs").Fatalf("edits cannot be kept: %v", err)
+		if err != nil { // the replica holds edits that are not on disk and must not be sent to peers
+			n.log.WithField("reason", "jobs").Fatalf("failed to write edits to the job store: %v", err)
 		}
 	}
 }
 
-// storeAll makes edits and stores them in one write.
-func (n *Node) storeAll(all []editRequest) ([]answer, error) {
+// writeBatch makes the requested edits and stores them in one transaction.
+func (n *Node) writeBatch(batch []editRequest) ([]editResult, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var made []Edit
-	answers := make([]answer, len(all))
-	for i, a := range all {
-		v, _ := n.r.View(a.edit.ID)
-		e, err := a.edit, n.authorize(a.edit, v)
+	var accepted []Edit
+	results := make([]editResult, len(batch))
+	for i, request := range batch {
+		view, _ := n.replica.View(request.edit.ID)
+		edit, err := request.edit, n.authorize(request.edit, view)
 		if err == nil {
-			e, err = n.r.Prepare(e)
+			edit, err = n.replica.Prepare(edit)
 		}
-		if answers[i] = (answer{e, err}); err == nil {
-			made = append(made, e)
-			n.r.Merge([]Edit{e}, nil) // so that those after it know of it; peers hear of it once it is stored
+		results[i] = editResult{edit, err}
+		if err == nil {
+			accepted = append(accepted, edit)
+			n.replica.Merge([]Edit{edit}, nil) // visible to the rest of the batch; the mutex hides it from peers
 		}
 	}
-	err := n.storage.Put(made, n.r.Versions().clone(), nil)
-	if err == nil && len(made) > 0 {
+	err := n.store.Put(accepted, n.replica.Versions().clone(), nil)
+	if err == nil && len(accepted) > 0 {
 		n.notify()
 	}
-	return answers, err
+	return results, err
 }
 
-// take stores what another one gave, and then counts it.
-func (n *Node) take(from string, g given) error {
-	edits := make([]Edit, 0, len(g.Edits))
-	for _, raw := range g.Edits {
+// applyResponse stores the edits of a response and then merges them into the replica.
+func (n *Node) applyResponse(from string, response syncResponse) error {
+	edits := make([]Edit, 0, len(response.Edits))
+	for _, raw := range response.Edits {
 		e, err := Decode(raw)
 		if err != nil {
 			return err
@@ -269,107 +269,113 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	fresh := n.r.FilterNew(edits)
-	knows := n.r.Versions().clone()
-	for _, e := range fresh {
-		knows[e.Dot.Origin] = max(knows[e.Dot.Origin], e.Dot.Number)
-	}
-	for origin, m := range g.Whole {
-		knows[origin] = max(knows[origin], m)
-	}
-	if !maps.Equal(knows, n.r.Versions()) {
-		if err := n.storage.Put(fresh, knows, nil); err != nil {
-			n.log.WithField("reason", "jobs").Fatalf("edits cannot be kept: %v", err)
-		}
-		n.r.Merge(fresh, g.Whole)
-		n.notify()
-	}
-	if g.Folded && g.Kept != nil {
-		if gone := n.r.DiscardCompacted(g.Kept, g.Versions); len(gone) > 0 {
-			n.log.WithFields(
-				logrus.Fields{"edits": len(gone), "of": from},
-			).Debug(
-				"edits that another one has folded are forgotten",
+	n.mergeLocked(edits, response.Complete)
+	if response.Compacted && response.Retained != nil {
+		if discarded := n.replica.DiscardCompacted(response.Retained, response.Versions); len(discarded) > 0 {
+			n.log.WithFields(logrus.Fields{"edits": len(discarded), "of": from}).Debug(
+				"discarded edits that a peer has compacted",
 			)
-			if err := n.storage.Put(nil, nil, gone); err != nil {
+			if err := n.store.Put(nil, nil, discarded); err != nil {
 				return err
 			}
 		}
 	}
-	n.countAll(slices.Collect(maps.Keys(g.Heard))) // whoever anybody knows of counts
-	for name, h := range g.Heard {
-		if was := n.peers[name]; name != n.name && (h.Origin != was.Origin || h.LastHeartbeat > was.LastHeartbeat) {
-			n.peers[name] = h
-			n.r.RecordPeerVersions(name, h.Versions)
+	n.updateRequiredPeersLocked(slices.Collect(maps.Keys(response.Peers)))
+	for name, status := range response.Peers {
+		last := n.peers[name]
+		isNewer := status.Origin != last.Origin || status.LastHeartbeat > last.LastHeartbeat
+		if name != n.name && isNewer {
+			n.peers[name] = status
+			n.replica.RecordPeerVersions(name, status.Versions)
 		}
 	}
 	return nil
 }
 
-// give is what one that knows so much lacks, and who was heard of; the wait for news is outside.
-func (n *Node) give(a peerRequest, beats uint64, heard bool) (g given, news <-chan struct{}) {
-	knows := a.Versions
+// mergeLocked stores and merges edits of a peer. The caller holds the mutex.
+func (n *Node) mergeLocked(edits []Edit, complete VersionVector) {
+	unknown := n.replica.FilterNew(edits)
+	versions := n.replica.Versions().clone()
+	for _, e := range unknown {
+		versions[e.Dot.Origin] = max(versions[e.Dot.Origin], e.Dot.Number)
+	}
+	for origin, number := range complete {
+		versions[origin] = max(versions[origin], number)
+	}
+	if maps.Equal(versions, n.replica.Versions()) {
+		return
+	}
+	if err := n.store.Put(unknown, versions, nil); err != nil {
+		n.log.WithField("reason", "jobs").Fatalf("failed to write edits to the job store: %v", err)
+	}
+	n.replica.Merge(unknown, complete)
+	n.notify()
+}
+
+// buildResponse returns the response to a request, and a channel that is closed at the next change.
+func (n *Node) buildResponse(request syncRequest, heartbeat uint64, withPeers bool) (syncResponse, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := n.r.DeltaSince(knows, perFrame)
-	g = given{
-		Whole:    l.Complete,
-		Folded:   l.Compacted,
-		Kept:     l.Retained,
-		Versions: n.r.Versions().clone(),
-		Digest:   n.r.Digest(),
+	delta := n.replica.DeltaSince(request.Versions, maxEditsPerFrame)
+	response := syncResponse{
+		Complete:  delta.Complete,
+		Compacted: delta.Compacted,
+		Retained:  delta.Retained,
+		Versions:  n.replica.Versions().clone(),
+		Digest:    n.replica.Digest(),
 	}
-	if heard {
-		g.Heard = maps.Clone(n.peers)
-		g.Heard[n.name] = PeerStatus{n.r.Origin(), g.Versions, beats}
+	if withPeers {
+		response.Peers = maps.Clone(n.peers)
+		response.Peers[n.name] = PeerStatus{n.replica.Origin(), response.Versions, heartbeat}
 	}
-	if a.Kept {
-		g.Folded, g.Kept = true, n.r.Retained()
+	if request.WantRetained {
+		response.Compacted, response.Retained = true, n.replica.Retained()
 	}
-	for _, e := range l.Edits {
-		g.Edits = append(g.Edits, e.Raw)
+	for _, e := range delta.Edits {
+		response.Edits = append(response.Edits, e.Raw)
 	}
-	return g, n.changed
+	return response, n.changed
 }
 
-// serve tells one that wants to hear: at once what it lacks, then what is new, what came within a moment together,
-// and who was heard of with each beat only: that grows with the members, and edits come by hundreds a second.
-func (n *Node) serve(ctx context.Context, _ string, c *membership.Conn) {
+// serveSubscriber answers the requests of a peer. A response without edits waits for a change or for the next
+// heartbeat. Only heartbeats carry the status of all peers, because it grows with the fleet and there may be hundreds
+// of edits per second.
+func (n *Node) serveSubscriber(ctx context.Context, _ string, c *membership.Conn) {
 	began := time.Now()
-	beats := func() uint64 { return uint64(began.UnixMilli()) + uint64(time.Since(began)/time.Millisecond) }
+	heartbeat := func() uint64 { return uint64(began.UnixMilli()) + uint64(time.Since(began)/time.Millisecond) }
 	c.Timeout = heartbeatTimeout
-	var last time.Time
+	var lastHeartbeat time.Time
 	for {
-		var a peerRequest
-		if c.Receive(&a) != nil {
+		var request syncRequest
+		if c.Receive(&request) != nil {
 			return
 		}
-		due := time.Since(last) >= heartbeatInterval
-		g, news := n.give(a, beats(), due)
-		if len(g.Edits) == 0 && len(g.Whole) == 0 && !a.Kept && !due {
+		due := time.Since(lastHeartbeat) >= heartbeatInterval
+		response, changed := n.buildResponse(request, heartbeat(), due)
+		if len(response.Edits) == 0 && len(response.Complete) == 0 && !request.WantRetained && !due {
 			select {
 			case <-ctx.Done():
 				return
-			case <-news:
-				time.Sleep(together)
-			case <-time.After(heartbeatInterval - time.Since(last)):
+			case <-changed:
+				time.Sleep(batchDelay)
+			case <-time.After(heartbeatInterval - time.Since(lastHeartbeat)):
 			}
-			due = time.Since(last) >= heartbeatInterval
-			g, _ = n.give(a, beats(), due)
+			due = time.Since(lastHeartbeat) >= heartbeatInterval
+			response, _ = n.buildResponse(request, heartbeat(), due)
 		}
 		if due {
-			last = time.Now()
+			lastHeartbeat = time.Now()
 		}
-		if c.Send(g) != nil {
+		if c.Send(response) != nil {
 			return
 		}
 	}
 }
 
-// whom gives those that one hears from: all, or where there are many all of its site by turns, one of each other site,
-// and its successor, so that whatever one knows comes to all.
-func whom(self membership.Peer, all []membership.Peer) (names []string) {
-	if len(all) <= partners {
+// selectSources returns the peers that an instance subscribes to: all in a small fleet; otherwise up to three of its
+// own site, one of each other site, and its successor by name, so that every edit reaches every instance.
+func selectSources(self membership.Peer, all []membership.Peer) (names []string) {
+	if len(all) <= fullMeshLimit {
 		for _, p := range all {
 			if p.Name != self.Name {
 				names = append(names, p.Name)
@@ -385,11 +391,11 @@
 	})
 	sites := map[string]int{}
 	for _, p := range all {
-		most := 1
+		limit := 1
 		if p.Site == self.Site {
-			most = 3
+			limit = 3
 		}
-		if sites[p.Site]++; sites[p.Site] <= most && p.Name != self.Name {
+		if sites[p.Site]++; sites[p.Site] <= limit && p.Name != self.Name {
 			names = append(names, p.Name)
 		}
 	}
@@ -402,9 +408,9 @@
 	return names
 }
 
-// follow hears from others, each on a goroutine of its own, as they come. One that went is asked on: after a cut it is
-// heard at once, not only when the fleet has found it again.
-func (n *Node) follow(ctx context.Context) {
+// subscriptionLoop keeps one subscription per selected peer. Peers that left the fleet are retried, because after a
+// partition they may answer before the fleet detects them again.
+func (n *Node) subscriptionLoop(ctx context.Context) {
 	changes := make(chan []membership.Peer, 1)
 	n.fleet.Watch(func(all []membership.Peer) {
 		select {
@@ -413,94 +419,95 @@
 		}
 		changes <- all
 	})
-	hearing, ever := map[string]context.CancelFunc{}, map[string]membership.Peer{}
-	var running sync.WaitGroup
-	defer running.Wait()
+	subscriptions, everSeen := map[string]context.CancelFunc{}, map[string]membership.Peer{}
+	var subscribers sync.WaitGroup
+	defer subscribers.Wait()
 	for {
 		select {
 		case <-ctx.Done():
-			for _, stop := range hearing {
-				stop()
+			for _, cancel := range subscriptions {
+				cancel()
 			}
 			return
 		case all := <-changes:
-			n.updatePeers(ctx, all, ever, hearing, &running)
+			n.updateSubscriptions(ctx, all, everSeen, subscriptions, &subscribers)
 		}
 	}
 }
 
-// updatePeers hears those of all peers that ever were there whom this node is to hear, and stops hearing the others.
-func (n *Node) updatePeers(ctx context.Context, changed []membership.Peer, ever map[string]membership.Peer,
-	hearing map[string]context.CancelFunc, running *sync.WaitGroup) {
+// updateSubscriptions subscribes to the selected ones of all peers ever seen and cancels the other subscriptions.
+func (n *Node) updateSubscriptions(ctx context.Context, changed []membership.Peer, everSeen map[string]membership.Peer,
+	subscriptions map[string]context.CancelFunc, subscribers *sync.WaitGroup) {
 	for _, p := range changed {
-		if ever[p.Name] = p; p.StreamAddr == "" {
-			delete(ever, p.Name)
+		if everSeen[p.Name] = p; p.StreamAddr == "" {
+			delete(everSeen, p.Name)
 		}
 	}
 	byName := func(a, b membership.Peer) int { return cmp.Compare(a.Name, b.Name) }
-	names := whom(n.fleet.Self(), slices.SortedFunc(maps.Values(ever), byName))
-	n.counts(slices.Collect(maps.Keys(ever)))
-	for name, stop := range hearing {
+	names := selectSources(n.fleet.Self(), slices.SortedFunc(maps.Values(everSeen), byName))
+	n.updateRequiredPeers(slices.Collect(maps.Keys(everSeen)))
+	for name, cancel := range subscriptions {
 		if !slices.Contains(names, name) {
-			stop()
-			delete(hearing, name)
+			cancel()
+			delete(subscriptions, name)
 		}
 	}
 	for _, name := range names {
-		if hearing[name] == nil {
-			one, stop := context.WithCancel(ctx)
-			hearing[name] = stop
-			running.Go(func() { n.subscribe(one, name) })
+		if subscriptions[name] == nil {
+			subscription, cancel := context.WithCancel(ctx)
+			subscriptions[name] = cancel
+			subscribers.Go(func() { n.subscribe(subscription, name) })
 		}
 	}
 }
 
-// counts says for whom edits are kept: those of the plan, or whoever was ever there, which outlives this process.
-func (n *Node) counts(there []string) {
+// updateRequiredPeers adds peers to those that must have seen an edit before it is compacted, unless the configuration
+// names them. The set survives restarts.
+func (n *Node) updateRequiredPeers(seen []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.countAll(there)
+	n.updateRequiredPeersLocked(seen)
 }
 
-// countAll does it; the mutex is held.
-func (n *Node) countAll(there []string) {
-	names := n.count
+func (n *Node) updateRequiredPeersLocked(seen []string) {
+	names := n.requiredPeers
 	if names == nil {
-		names = slices.Compact(slices.Sorted(slices.Values(append(slices.Collect(maps.Keys(n.r.peers)), there...))))
+		names = slices.Compact(slices.Sorted(slices.Values(append(slices.Collect(maps.Keys(n.replica.peers)), seen...))))
 	}
-	names = slices.DeleteFunc(slices.Clone(names), func(s string) bool { return s == n.name })
-	if len(names) != len(n.r.peers) {
-		if err := n.storage.PutPeers(names); err != nil {
-			n.log.WithField("reason", "jobs").Errorf("who is there is not kept: %v", err)
+	names = slices.DeleteFunc(slices.Clone(names), func(name string) bool { return name == n.name })
+	if len(names) != len(n.replica.peers) {
+		if err := n.store.PutPeers(names); err != nil {
+			n.log.WithField("reason", "jobs").Errorf("failed to write the peers to the job store: %v", err)
 		}
 	}
-	n.r.SetPeers(names)
+	n.replica.SetPeers(names)
 }
 
 const (
-	dialFirst    = 50 * time.Millisecond
-	maxDialPause = 400 * time.Millisecond
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
 )
 
-// subscribe asks one for what it has, as long as it is wanted.
+// subscribe keeps a subscription to a peer, with exponential backoff, until ctx is done.
 func (n *Node) subscribe(ctx context.Context, name string) {
-	pause := dialFirst
+	delay := minRetryDelay
 	for ctx.Err() == nil {
-		err := n.subscribeOnce(ctx, name, func() { pause = dialFirst })
+		err := n.subscribeOnce(ctx, name, func() { delay = minRetryDelay })
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
-		if pause = min(2*pause, maxDialPause); err != nil {
-			n.log.WithFields(logrus.Fields{"peer": name, "reason": err}).Debug("jobs of a peer are not heard")
+		if delay = min(2*delay, maxRetryDelay); err != nil {
+			n.log.WithFields(logrus.Fields{"peer": name, "reason": err}).Debug("subscription to the jobs of a peer failed")
 		}
 	}
 }
 
-var errTwice = errors.New("it said less than it gave")
+var errNoVersions = errors.New("response has no version vector")
 
-func (n *Node) subscribeOnce(ctx context.Context, name string, well func()) error {
+// subscribeOnce runs a subscription on one connection and calls onResponse after each applied response.
+func (n *Node) subscribeOnce(ctx context.Context, name string, onResponse func()) error {
 	c, err := n.streams.Dial(name, membership.StreamJobs)
 	if err != nil {
 		return err
@@ -508,56 +515,63 @@
 	defer n.streams.Release(c)
 	c.Timeout = heartbeatTimeout
 	defer context.AfterFunc(ctx, func() { _ = c.Close() })()
-	want, asked := peerRequest{}, time.Now()
+	request, lastReconciled := syncRequest{}, time.Now()
 	for {
-		want.Versions = n.Versions()
-		if err := c.Send(want); err != nil {
+		request.Versions = n.Versions()
+		if err := c.Send(request); err != nil {
 			return err
 		}
-		var g given
-		if err := c.Receive(&g); err != nil {
+		var response syncResponse
+		if err := c.Receive(&response); err != nil {
 			return err
 		}
-		if g.Versions == nil {
-			return errTwice
+		if response.Versions == nil {
+			return errNoVersions
 		}
-		if err := n.take(name, g); err != nil {
+		if err := n.applyResponse(name, response); err != nil {
 			return err
 		}
-		well()
-		if want.Kept = n.differs(g) && time.Since(asked) > resolveInterval; want.Kept {
-			asked = time.Now()
+		onResponse()
+		request.WantRetained = n.hasDiverged(response) && time.Since(lastReconciled) > reconcileInterval
+		if request.WantRetained {
+			lastReconciled = time.Now()
 		}
 	}
 }
 
-// differs says whether one who knows the same has other edits.
-func (n *Node) differs(g given) bool {
+// hasDiverged reports whether a peer has the same version vector but retains other edits.
+func (n *Node) hasDiverged(response syncResponse) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.r.Digest() != g.Digest && n.r.Versions().Dominates(g.Versions) && g.Versions.Dominates(n.r.Versions())
+	versions := n.replica.Versions()
+	isEqual := versions.Dominates(response.Versions) && response.Versions.Dominates(versions)
+	return isEqual && n.replica.Digest() != response.Digest
 }
 
-// fold forgets now and then what all know.
-func (n *Node) fold(ctx context.Context) {
-	every := time.NewTicker(foldEvery)
-	defer every.Stop()
+// compactLoop compacts the replica and the store at intervals.
+func (n *Node) compactLoop(ctx context.Context) {
+	ticker := time.NewTicker(compactInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-every.C:
-		}
-		n.mu.Lock()
-		if len(n.r.peers) == 0 && n.count == nil { // nobody was met yet: all may be news to whoever comes
-			n.mu.Unlock()
-			continue
+		case <-ticker.C:
+			n.compact()
 		}
-		if gone := n.r.Compact(); len(gone) > 0 {
-			if err := n.storage.Put(nil, nil, gone); err != nil {
-				n.log.WithField("reason", "jobs").Errorf("what all know is not forgotten on the disk: %v", err)
-			}
+	}
+}
+
+// compact does nothing before the first peer is seen, which may need every edit.
+func (n *Node) compact() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if len(n.replica.peers) == 0 && n.requiredPeers == nil {
+		return
+	}
+	if dropped := n.replica.Compact(); len(dropped) > 0 {
+		if err := n.store.Put(nil, nil, dropped); err != nil {
+			n.log.WithField("reason", "jobs").Errorf("failed to delete compacted edits from the job store: %v", err)
 		}
-		n.mu.Unlock()
 	}
 }
--- a/internal/controller/jobs/replica.go
+++ b/internal/controller/jobs/replica.go
@@ -10,92 +10,95 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Bounds of what one takes.
+// Limits of a replica.
 const (
-	MaxJobs        = 1_000_000 // open at a time
-	MaxEditsPerJob = 100_000   // of one job that are not folded yet
+	MaxJobs        = 1_000_000
+	MaxEditsPerJob = 100_000 // before compaction
+
+	minEditsToCompact = 8 // an open job with no more edits is left as it is
 )
 
-// Replica is what one of us knows. It is not safe for several goroutines at once.
+// Replica holds the edits that one instance knows. It is not safe for concurrent use.
 type Replica struct {
-	origin   string
-	site     string
-	last     uint64 // number of the own edit made last
-	versions VersionVector
-	jobs     map[ID]*entry
-	log      map[string][]Dot // by origin: dots that are kept, in their order
-	edits    map[Dot]*Edit
-	peers    map[string]peer // who counts, by name
-	digest   uint64
+	origin       string
+	site         string
+	lastNumber   uint64 // number of the latest edit of this origin
+	versions     VersionVector
+	jobs         map[ID]*jobEntry
+	dotsByOrigin map[string][]Dot // retained edits, ascending
+	edits        map[Dot]*Edit
+	peers        map[string]peerVersions // peers that must have seen an edit before it is compacted
+	digest       uint64
 }
 
-type entry struct {
-	edits []*Edit
-	view  View
-	fresh bool // view holds
+type jobEntry struct {
+	edits     []*Edit
+	view      View
+	viewValid bool // false if view must be recomputed
 }
 
-// peer is what another one said that it knew: the last word of which all is here, and a later one of which something
-// is on its way still. While edits come all the time there is always such a one.
-type peer struct{ versions, later VersionVector }
+// peerVersions holds two version vectors that a peer announced: the latest known to be covered by the local replica,
+// and a newer one that it does not cover yet. Under constant writes the local replica rarely covers the newest vector,
+// hence pending is kept until it is covered.
+type peerVersions struct{ covered, pending VersionVector }
 
-// NewReplica makes a Replica for a life of an instance: its origin must never have been used before.
+// NewReplica returns an empty replica. An origin must never be reused.
 func NewReplica(origin, site string) *Replica {
 	return &Replica{
-		origin:   origin,
-		site:     site,
-		versions: VersionVector{},
-		jobs:     map[ID]*entry{},
-		log:      map[string][]Dot{},
-		edits:    map[Dot]*Edit{},
-		peers:    map[string]peer{},
+		origin:       origin,
+		site:         site,
+		versions:     VersionVector{},
+		jobs:         map[ID]*jobEntry{},
+		dotsByOrigin: map[string][]Dot{},
+		edits:        map[Dot]*Edit{},
+		peers:        map[string]peerVersions{},
 	}
 }
 
-// Origin is the name under which edits of this life go.
+// Origin returns the origin of the edits that this replica creates.
 func (r *Replica) Origin() string { return r.origin }
 
-// Versions is what it knows. The caller must not change it.
+// Versions returns the version vector of the replica. The caller must not modify it.
 func (r *Replica) Versions() VersionVector { return r.versions }
 
 var (
-	errEnded  = errors.New("the job has ended")
-	errNoJob  = errors.New("no such job is known here")
-	errMany   = errors.New("too many edits of this job wait for sites that are away")
-	errFull   = errors.New("too many jobs are open")
-	errRepeat = errors.New("it stands so already")
+	errJobEnded       = errors.New("the job has ended")
+	errUnknownJob     = errors.New("unknown job")
+	errTooManyEdits   = errors.New("too many edits of the job await compaction; a site may be unreachable")
+	errTooManyJobs    = errors.New("too many open jobs")
+	errAlreadyInState = errors.New("the job is already in this state")
 )
 
-// Prepare takes an edit that somebody asks for here: it gets a name, what was known, and its bytes. It
-// counts once it is stored: the caller stores it, and then calls Merge.
+// Prepare validates a requested edit and assigns its dot, causal context and encoding. The edit takes effect once the
+// caller passes it to Merge.
 func (r *Replica) Prepare(e Edit) (Edit, error) {
 	if err := ValidateEdit(e); err != nil {
 		return e, err
 	}
-	known := r.jobs[e.ID]
+	job := r.jobs[e.ID]
 	isNew := e.Kind == Announce || e.Kind == Arrive
 	switch {
-	case known == nil && !isNew:
-		return e, fmt.Errorf("%s: %w", e.ID, errNoJob)
-	case known == nil && len(r.jobs) >= MaxJobs:
-		return e, errFull
-	case known != nil && len(known.edits) >= MaxEditsPerJob:
-		return e, fmt.Errorf("%s: %w", e.ID, errMany)
+	case job == nil && !isNew:
+		return e, fmt.Errorf("%s: %w", e.ID, errUnknownJob)
+	case job == nil && len(r.jobs) >= MaxJobs:
+		return e, errTooManyJobs
+	case job != nil && len(job.edits) >= MaxEditsPerJob:
+		return e, fmt.Errorf("%s: %w", e.ID, errTooManyEdits)
 	}
-	if known != nil {
-		v := r.view(known, e.ID)
-		telling := slices.Contains(effects, e.Kind) && (v.State != StateResolved)
-		if v.State.Ended() && !telling && (e.Kind != Seen || len(v.Lost) <= 0) {
-			return e, fmt.Errorf("%s: %w: %s", e.ID, errEnded, v.State)
+	if job != nil {
+		v := r.view(job, e.ID)
+		addsOutcome := slices.Contains(outcomes, e.Kind) && v.State != StateResolved
+		if v.State.Ended() && !addsOutcome && (e.Kind != Seen || len(v.Lost) == 0) {
+			return e, fmt.Errorf("%s: %w: %s", e.ID, errJobEnded, v.State)
 		}
 		if isNew && v.State != StateUnknown && (e.Kind == Announce || v.State != StateAnnounced) {
-			return e, fmt.Errorf("%s: %w: %s", e.ID, errRepeat, v.State)
+			return e, fmt.Errorf("%s: %w: %s", e.ID, errAlreadyInState, v.State)
 		}
 	}
-	r.last++
-	e.Dot, e.Site, e.CausalContext = Dot{r.origin, r.last}, r.site, VersionVector{}
-	if known != nil {
-		for _, o := range known.edits {
+	r.lastNumber++
+	e.Dot, e.Site, e.CausalContext = Dot{r.origin, r.lastNumber}, r.site, VersionVector{}
+	if job != nil {
+		for _, o := range job.edits {
 			e.CausalContext[o.Dot.Origin] = max(e.CausalContext[o.Dot.Origin], o.Dot.Number)
 		}
 	}
@@ -104,48 +107,48 @@
 	return e, nil
 }
 
-// put takes an edit in, whatever came before it; the store gives them without those that were folded.
-func (r *Replica) put(e *Edit) {
-	j := r.jobs[e.ID]
-	if j == nil {
-		j = &entry{}
-		r.jobs[e.ID] = j
+// add inserts an edit. Edits of an origin must come in ascending order, but gaps left by compaction are allowed.
+func (r *Replica) add(e *Edit) {
+	job := r.jobs[e.ID]
+	if job == nil {
+		job = &jobEntry{}
+		r.jobs[e.ID] = job
 	}
-	j.edits, j.fresh = append(j.edits, e), false
+	job.edits, job.viewValid = append(job.edits, e), false
 	r.edits[e.Dot] = e
 	r.digest ^= xxh3.HashString(e.Dot.String())
-	r.log[e.Dot.Origin] = append(r.log[e.Dot.Origin], e.Dot)
+	r.dotsByOrigin[e.Dot.Origin] = append(r.dotsByOrigin[e.Dot.Origin], e.Dot)
 	r.versions[e.Dot.Origin] = max(r.versions[e.Dot.Origin], e.Dot.Number)
 }
 
-// Restore takes in what a store holds: what it knew, which counts also where edits were folded, and the edits.
-func (r *Replica) Restore(knew VersionVector, edits []Edit) {
+// Restore loads the contents of a store. The version vector also covers edits that were compacted.
+func (r *Replica) Restore(versions VersionVector, edits []Edit) {
 	slices.SortFunc(edits, func(a, b Edit) int { return int(a.Dot.Number) - int(b.Dot.Number) })
 	for i := range edits {
-		r.put(&edits[i])
+		r.add(&edits[i])
 	}
-	for origin, n := range knew {
+	for origin, n := range versions {
 		r.versions[origin] = max(r.versions[origin], n)
 	}
 }
 
-func (r *Replica) view(j *entry, id ID) View {
-	if !j.fresh {
-		j.view, j.fresh = ComputeView(id, j.edits), true
+func (r *Replica) view(job *jobEntry, id ID) View {
+	if !job.viewValid {
+		job.view, job.viewValid = ComputeView(id, job.edits), true
 	}
-	return j.view
+	return job.view
 }
 
-// View is how a job stands; false where it is not known, or ended and forgotten.
+// View returns the view of a job; false if the job is unknown, or ended and compacted.
 func (r *Replica) View(id ID) (View, bool) {
-	j := r.jobs[id]
-	if j == nil {
+	job := r.jobs[id]
+	if job == nil {
 		return View{ID: id, State: StateUnknown}, false
 	}
-	return r.view(j, id), true
+	return r.view(job, id), true
 }
 
-// Views are all jobs that are known, in their order.
+// Views returns the views of all known jobs, ordered by ID.
 func (r *Replica) Views() (all []View) {
 	for _, id := range slices.SortedFunc(maps.Keys(r.jobs), ID.Compare) {
 		all = append(all, r.view(r.jobs[id], id))
@@ -153,149 +156,148 @@
 	return all
 }
 
-// Sizes counts jobs and edits that are kept.
+// Sizes returns the number of jobs and of edits in the replica.
 func (r *Replica) Sizes() (jobs, edits int) { return len(r.jobs), len(r.edits) }
 
-// Delta is what one gives to another who lacks it: edits in the order of each origin, and up to where each is whole
-// with them. Where some were folded, Kept are all that the giver has, by origin: what it knows beside them is settled.
+// Delta holds edits that a peer is missing, ascending by number within each origin.
 type Delta struct {
 	Edits     []*Edit
-	Complete  VersionVector
-	Compacted bool
-	Retained  map[string][]uint64
+	Complete  VersionVector       // up to these numbers the peer has all edits once it has merged Edits
+	Compacted bool                // the sender has compacted some of the missing edits
+	Retained  map[string][]uint64 // set if Compacted: numbers of all edits that the sender retains, by origin
 }
 
-// DeltaSince gives some of what one who knows that much lacks. Whoever gets Whole has the others first.
-func (r *Replica) DeltaSince(knows VersionVector, most int) (g Delta) {
-	g.Complete = VersionVector{}
-	defer func() { // also where not all were given: without it the taker would hold all that is known for folded
-		if g.Compacted {
-			g.Retained = r.Retained()
+// DeltaSince returns up to limit edits that a peer with the given version vector is missing.
+func (r *Replica) DeltaSince(versions VersionVector, limit int) (delta Delta) {
+	delta.Complete = VersionVector{}
+	defer func() { // a truncated delta needs Retained too, or the peer would discard edits that it has yet to receive
+		if delta.Compacted {
+			delta.Retained = r.Retained()
 		}
 	}()
 	for _, origin := range slices.Sorted(maps.Keys(r.versions)) {
-		if knows[origin] >= r.versions[origin] {
+		if versions[origin] >= r.versions[origin] {
 			continue
 		}
-		kept := r.log[origin]
+		retained := r.dotsByOrigin[origin]
 		from, _ := slices.BinarySearchFunc(
-			kept,
-			knows[origin]+1,
+			retained,
+			versions[origin]+1,
 			func(d Dot, n uint64) int { return cmp.Compare(d.Number, n) },
 		)
-		for _, d := range kept[from:] {
-			if len(g.Edits) >= most {
-				return g
+		for _, d := range retained[from:] {
+			if len(delta.Edits) >= limit {
+				return delta
 			}
-			g.Edits = append(g.Edits, r.edits[d])
+			delta.Edits = append(delta.Edits, r.edits[d])
 		}
-		g.Complete[origin] = r.versions[origin]
-		g.Compacted = g.Compacted || uint64(len(kept)-from) < r.versions[origin]-knows[origin]
+		delta.Complete[origin] = r.versions[origin]
+		missing := r.versions[origin] - versions[origin]
+		delta.Compacted = delta.Compacted || uint64(len(retained)-from) < missing
 	}
-	return g
+	return delta
 }
 
-// Retained are the edits that it has, by origin, and a digest of them: two who know the same and differ in it have
-// folded at different moments, or one from an old store.
-func (r *Replica) Retained() (kept map[string][]uint64) {
-	kept = map[string][]uint64{}
-	for origin, dots := range r.log {
+// Retained returns the numbers of all edits in the replica, by origin.
+func (r *Replica) Retained() (retained map[string][]uint64) {
+	retained = map[string][]uint64{}
+	for origin, dots := range r.dotsByOrigin {
 		for _, d := range dots {
-			kept[origin] = append(kept[origin], d.Number)
+			retained[origin] = append(retained[origin], d.Number)
 		}
 	}
-	return kept
+	return retained
 }
 
-// Digest is of the names of the edits that it has.
+// Digest returns a digest of the dots of all edits in the replica. Two replicas with equal version vectors and
+// different digests have compacted at different times, or one was restored from an old store.
 func (r *Replica) Digest() uint64 { return r.digest }
 
-// FilterNew are those edits that are new here, for the store; nothing counts before Merge.
-func (r *Replica) FilterNew(edits []Edit) (fresh []Edit) {
+// FilterNew returns the edits that the replica does not know yet. The caller stores them before it calls Merge.
+func (r *Replica) FilterNew(edits []Edit) (unknown []Edit) {
 	for _, e := range edits {
 		if !r.versions.Contains(e.Dot) {
-			fresh = append(fresh, e)
+			unknown = append(unknown, e)
 		}
 	}
-	return fresh
+	return unknown
 }
 
-// Merge takes in edits that are stored, and up to where each origin is whole with them.
-func (r *Replica) Merge(edits []Edit, whole VersionVector) {
+// Merge adds edits that are on disk, and advances the version vector to complete where that is higher.
+func (r *Replica) Merge(edits []Edit, complete VersionVector) {
 	for i := range edits {
 		if !r.versions.Contains(edits[i].Dot) {
-			r.put(&edits[i])
+			r.add(&edits[i])
 		}
 	}
-	for origin, n := range whole {
+	for origin, n := range complete {
 		r.versions[origin] = max(r.versions[origin], n)
 	}
 }
 
-// DiscardCompacted discards edits that a peer has seen and compacted, and returns their dots. Without it, a replica
-// restored from an old store would reopen ended jobs and revive superseded edits. Two replicas that call it on each
-// other converge to the intersection of their edits.
-func (r *Replica) DiscardCompacted(kept map[string][]uint64, knows VersionVector) (gone []Dot) {
-	there := map[Dot]bool{}
-	for origin, numbers := range kept {
+// DiscardCompacted discards edits that a peer has seen and compacted, and returns their dots. Otherwise a replica that
+// was restored from an old store would reopen ended jobs and revive superseded edits. Two replicas that call it on
+// each other converge to the intersection of their edits.
+func (r *Replica) DiscardCompacted(peerRetained map[string][]uint64, peerVersions VersionVector) (discarded []Dot) {
+	retained := map[Dot]bool{}
+	for origin, numbers := range peerRetained {
 		for _, n := range numbers {
-			there[Dot{origin, n}] = true
+			retained[Dot{origin, n}] = true
 		}
 	}
-	for id, j := range r.jobs {
-		was := len(j.edits)
-		j.edits = slices.DeleteFunc(j.edits, func(e *Edit) bool {
-			out := knows.Contains(e.Dot) && !there[e.Dot]
-			if out {
-				gone = append(gone, e.Dot)
+	for id, job := range r.jobs {
+		before := len(job.edits)
+		job.edits = slices.DeleteFunc(job.edits, func(e *Edit) bool {
+			compacted := peerVersions.Contains(e.Dot) && !retained[e.Dot]
+			if compacted {
+				discarded = append(discarded, e.Dot)
 			}
-			return out
+			return compacted
 		})
-		if j.fresh = j.fresh && len(j.edits) == was; len(j.edits) == 0 {
+		job.viewValid = job.viewValid && len(job.edits) == before
+		if len(job.edits) == 0 {
 			delete(r.jobs, id)
 		}
 	}
-	r.forget(gone)
-	return gone
+	r.remove(discarded)
+	return discarded
 }
 
-func (r *Replica) forget(gone []Dot) {
-	went := map[string]map[uint64]bool{}
-	for _, d := range gone {
+// remove deletes edits from all indexes except jobs.
+func (r *Replica) remove(dots []Dot) {
+	removed := map[string]map[uint64]bool{}
+	for _, d := range dots {
 		delete(r.edits, d)
 		r.digest ^= xxh3.HashString(d.String())
-		if went[d.Origin] == nil {
-			went[d.Origin] = map[uint64]bool{}
+		if removed[d.Origin] == nil {
+			removed[d.Origin] = map[uint64]bool{}
 		}
-		went[d.Origin][d.Number] = true
+		removed[d.Origin][d.Number] = true
 	}
-	for origin, numbers := range went {
-		if r.log[origin] = slices.DeleteFunc(
-			r.log[origin],
-			func(d Dot) bool { return numbers[d.Number] },
-		); len(
-			r.log[origin],
-		) == 0 {
-			delete(r.log, origin)
+	for origin, numbers := range removed {
+		retained := slices.DeleteFunc(r.dotsByOrigin[origin], func(d Dot) bool { return numbers[d.Number] })
+		r.dotsByOrigin[origin] = retained
+		if len(retained) == 0 {
+			delete(r.dotsByOrigin, origin)
 		}
 	}
 }
 
-// RecordPeerVersions takes what another one says that it knows, under its name.
-func (r *Replica) RecordPeerVersions(name string, knows VersionVector) {
+// RecordPeerVersions records the version vector that a peer announced.
+func (r *Replica) RecordPeerVersions(name string, versions VersionVector) {
 	p := r.peers[name]
-	if p.later != nil && r.versions.Dominates(p.later) {
-		p.versions, p.later = p.later, nil
+	if p.pending != nil && r.versions.Dominates(p.pending) {
+		p.covered, p.pending = p.pending, nil
 	}
-	if r.versions.Dominates(knows) {
-		p.versions = knows
-	} else if p.later == nil {
-		p.later = knows
+	if r.versions.Dominates(versions) {
+		p.covered = versions
+	} else if p.pending == nil {
+		p.pending = versions
 	}
 	r.peers[name] = p
 }
 
-// SetPeers sets the peers that must have seen an edit before it may be compacted.
+// SetPeers sets the peers that must have seen an edit before it is compacted.
 func (r *Replica) SetPeers(names []string) {
 	for name := range r.peers {
 		if !slices.Contains(names, name) {
@@ -303,76 +305,80 @@
 		}
 	}
 	for _, name := range names {
-		if _, there := r.peers[name]; !there {
-			r.peers[name] = peer{}
+		if _, ok := r.peers[name]; !ok {
+			r.peers[name] = peerVersions{}
 		}
 	}
 }
 
-// Compact forgets what all who count know and nothing hangs on: jobs that ended, and edits that others replaced. A job
-// goes only when nobody can have made an edit of it that is not here: each has said that it knows the end, after
-// which it takes none, and all that it made until then is here. It gives the names of what went, for the store.
-func (r *Replica) Compact() (gone []Dot) {
-	all := []VersionVector{r.versions}
-	for _, p := range r.peers {
-		if p.later != nil && r.versions.Dominates(p.later) {
-			p.versions = p.later
-		}
-		if p.versions == nil {
-			return nil // one was not heard yet, or never knew only what is here
-		}
-		all = append(all, p.versions)
-	}
-	stable := VersionVector{}
-	for origin := range r.versions {
-		stable[origin] = least(origin, all)
+// Compact drops ended jobs and superseded edits that all peers have seen, and returns the dots of the dropped edits. A
+// job is dropped once every peer has announced that it knows of the end, so that no peer creates further edits of it,
+// and all edits that the peer made before are here.
+func (r *Replica) Compact() (dropped []Dot) {
+	stable, ok := r.stableVersions()
+	if !ok {
+		return nil
 	}
-	for id, j := range r.jobs {
-		if slices.ContainsFunc(j.edits, func(e *Edit) bool { return !stable.Contains(e.Dot) }) {
+	for id, job := range r.jobs {
+		if slices.ContainsFunc(job.edits, func(e *Edit) bool { return !stable.Contains(e.Dot) }) {
 			continue
 		}
-		v := r.view(j, id)
+		view := r.view(job, id)
 		drop := func(e *Edit) bool { return false }
 		switch {
-		case v.State.Ended() && len(v.Lost) == 0:
+		case view.State.Ended() && len(view.Lost) == 0:
 			drop = func(e *Edit) bool { return true }
 			delete(r.jobs, id)
-		case len(j.edits) > 8:
-			drop = replaced(j.edits)
+		case len(job.edits) > minEditsToCompact:
+			drop = isSuperseded(job.edits)
 		}
-		kept := j.edits[:0:0]
-		for _, e := range j.edits {
+		retained := job.edits[:0:0]
+		for _, e := range job.edits {
 			if drop(e) {
-				gone = append(gone, e.Dot)
+				dropped = append(dropped, e.Dot)
 			} else {
-				kept = append(kept, e)
+				retained = append(retained, e)
 			}
 		}
-		j.edits = kept
+		job.edits = retained
 	}
-	r.forget(gone)
-	return gone
+	r.remove(dropped)
+	return dropped
 }
 
-// replaced says which of a job's edits another one replaces, so that they change nothing any more.
-func replaced(edits []*Edit) func(e *Edit) bool {
-	aspect := func(k Kind) []Kind {
-		for _, a := range [][]Kind{{Hold, Release, Withdraw}, {Place}, {Expire}, {Prioritise}} {
-			if slices.Contains(a, k) {
-				return a
-			}
+// stableVersions returns the version vector that this replica and all peers have reached. It returns false if a peer
+// has not announced a version vector that this replica covers.
+func (r *Replica) stableVersions() (stable VersionVector, ok bool) {
+	vectors := []VersionVector{r.versions}
+	for _, p := range r.peers {
+		if p.pending != nil && r.versions.Dominates(p.pending) {
+			p.covered = p.pending
 		}
-		return nil
+		if p.covered == nil {
+			return nil, false
+		}
+		vectors = append(vectors, p.covered)
 	}
-	last := map[Kind][]*Edit{}
-	for _, e := range edits {
-		last[e.Kind] = append(last[e.Kind], e)
+	stable = VersionVector{}
+	for origin := range r.versions {
+		stable[origin] = minVersion(origin, vectors)
 	}
-	stands := map[Dot]bool{}
-	for _, a := range [][]Kind{{Hold, Release, Withdraw}, {Place}, {Expire}, {Prioritise}} {
-		for _, e := range standing(edits, a...) {
-			stands[e.Dot] = true
+	return stable, true
+}
+
+// aspects groups the kinds of requests that compete with each other.
+var aspects = [][]Kind{{Hold, Release, Withdraw}, {Place}, {Expire}, {Prioritise}}
+
+// isSuperseded returns a predicate for the requests of a job that another edit supersedes.
+func isSuperseded(edits []*Edit) func(e *Edit) bool {
+	current := map[Dot]bool{}
+	for _, kinds := range aspects {
+		for _, e := range unsuperseded(edits, kinds...) {
+			current[e.Dot] = true
 		}
 	}
-	return func(e *Edit) bool { return aspect(e.Kind) != nil && !stands[e.Dot] }
+	return func(e *Edit) bool {
+		isRequest := slices.ContainsFunc(aspects, func(kinds []Kind) bool { return slices.Contains(kinds, e.Kind) })
+		return isRequest && !current[e.Dot]
+	}
 }
--- a/internal/controller/jobs/store.go
+++ b/internal/controller/jobs/store.go
@@ -14,93 +14,93 @@
 )
 
 var (
-	bucketEdits    = []byte("edits") // by origin, a zero byte and the number
-	bucketVersions = []byte("knows") // by origin
-	bucketAbout    = []byte("about")
+	bucketEdits    = []byte("edits") // key: origin, a zero byte, the number as big-endian uint64
+	bucketVersions = []byte("knows") // key: origin
+	bucketMeta     = []byte("about")
 )
 
-const keepVersion = "1"
+const storeVersion = "1"
 
-// Store is the store of a replica: what is in it is on the disk.
+// Store persists a replica in a bbolt database.
 type Store struct{ db *bbolt.DB }
 
-// StoredState is what a store held at a start. Peers are the names of all that ever were there.
+// StoredState is the content of a store when it is opened.
 type StoredState struct {
 	Versions      VersionVector
 	Edits         []Edit
-	Peers         []string
-	QuarantinedAs string // where a store that could not be read went; empty: it could
+	Peers         []string // names of all peers that this instance has ever seen
+	QuarantinedAs string   // path to which an unreadable store was moved; empty: none
 }
 
-// OpenStore opens a store, or makes one. One that cannot be read is set aside and begun anew: what was in it the others
-// know, but for what nobody had heard yet.
-func OpenStore(path string) (k *Store, held StoredState, err error) {
-	if k, held, err = openStore(path); err == nil || errors.Is(err, bolterrors.ErrTimeout) {
-		return k, held, err
+// OpenStore opens or creates a store. It moves an unreadable file aside and starts with an empty store: the peers have
+// its edits, except those that were never synchronized.
+func OpenStore(path string) (s *Store, state StoredState, err error) {
+	if s, state, err = openStore(path); err == nil || errors.Is(err, bolterrors.ErrTimeout) {
+		return s, state, err
 	}
 	aside := path + ".aside-" + time.Now().UTC().Format("20060102T150405.000")
-	if e := os.Rename(path, aside); e != nil {
-		return nil, StoredState{}, errors.Join(err, e)
+	if renameErr := os.Rename(path, aside); renameErr != nil {
+		return nil, StoredState{}, errors.Join(err, renameErr)
 	}
-	k, held, err = openStore(path)
-	held.QuarantinedAs = aside
-	return k, held, err
+	s, state, err = openStore(path)
+	state.QuarantinedAs = aside
+	return s, state, err
 }
 
-func openStore(path string) (k *Store, held StoredState, err error) {
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a torn page can send the library beyond its map
+func openStore(path string) (s *Store, state StoredState, err error) {
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a torn page can make bbolt read beyond its mapping
 	defer func() {
-		if broken := recover(); broken != nil {
-			err = fmt.Errorf("%s: %v", path, broken)
+		if fault := recover(); fault != nil {
+			err = fmt.Errorf("open store %s: %v", path, fault)
 		}
 	}()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: 2 * time.Second})
 	if err != nil {
-		return nil, held, err
+		return nil, state, err
 	}
-	held.Versions = VersionVector{}
+	state.Versions = VersionVector{}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		if err := prepareKeep(tx, path); err != nil {
+		if err := prepareBuckets(tx, path); err != nil {
 			return err
 		}
-		for e := range tx.Check() {
-			return e
+		for err := range tx.Check() {
+			return err
 		}
-		return held.read(tx, path)
+		return state.load(tx, path)
 	})
 	if err != nil {
 		_ = db.Close()
 		return nil, StoredState{}, err
 	}
-	return &Store{db}, held, nil
+	return &Store{db}, state, nil
 }
 
-// prepareKeep creates what a new file lacks, and refuses one of another version.
-func prepareKeep(tx *bbolt.Tx, path string) error {
-	for _, name := range [][]byte{bucketEdits, bucketVersions, bucketAbout} {
+// prepareBuckets creates missing buckets and rejects a store of another version.
+func prepareBuckets(tx *bbolt.Tx, path string) error {
+	for _, name := range [][]byte{bucketEdits, bucketVersions, bucketMeta} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 			return err
 		}
 	}
-	about := tx.Bucket(bucketAbout)
-	if v := about.Get([]byte("version")); v != nil && string(v) != keepVersion {
-		return fmt.Errorf("%s is of version %s, this program keeps %s", path, v, keepVersion)
+	meta := tx.Bucket(bucketMeta)
+	if v := meta.Get([]byte("version")); v != nil && string(v) != storeVersion {
+		return fmt.Errorf("store %s has version %s; expected %s", path, v, storeVersion)
 	}
-	return about.Put([]byte("version"), []byte(keepVersion))
+	return meta.Put([]byte("version"), []byte(storeVersion))
 }
 
-// read reads all that a file has.
-func (held *StoredState) read(tx *bbolt.Tx, path string) error {
-	if raw := tx.Bucket(bucketAbout).Get([]byte("peers")); raw != nil {
-		if err := cbor.Unmarshal(raw, &held.Peers); err != nil {
-			return fmt.Errorf("%s: who was there cannot be read: %w", path, err)
+// load reads all buckets.
+func (state *StoredState) load(tx *bbolt.Tx, path string) error {
+	if raw := tx.Bucket(bucketMeta).Get([]byte("peers")); raw != nil {
+		if err := cbor.Unmarshal(raw, &state.Peers); err != nil {
+			return fmt.Errorf("store %s: decode peers: %w", path, err)
 		}
 	}
 	err := tx.Bucket(bucketVersions).ForEach(func(origin, n []byte) error {
 		if len(n) != 8 {
-			return fmt.Errorf("%s: what is known of %q cannot be read", path, origin)
+			return fmt.Errorf("store %s: version of origin %q is not 8 bytes long", path, origin)
 		}
-		held.Versions[string(origin)] = binary.BigEndian.Uint64(n)
+		state.Versions[string(origin)] = binary.BigEndian.Uint64(n)
 		return nil
 	})
 	if err != nil {
@@ -108,32 +108,32 @@
 	}
 	return tx.Bucket(bucketEdits).ForEach(func(_, raw []byte) error {
 		e, err := Decode(append([]byte(nil), raw...))
-		held.Edits = append(held.Edits, e)
+		state.Edits = append(state.Edits, e)
 		return err
 	})
 }
 
-func keyOf(d Dot) []byte {
+func editKey(d Dot) []byte {
 	return binary.BigEndian.AppendUint64(append([]byte(d.Origin), 0), d.Number)
 }
 
-// Put stores edits, what is known with them, and forgets others, all or nothing; it returns once it is on the disk.
-func (k *Store) Put(edits []Edit, knows VersionVector, gone []Dot) error {
-	return k.db.Update(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(bucketEdits)
+// Put writes edits and versions and deletes edits, all in one transaction. It returns once the data is on disk.
+func (s *Store) Put(edits []Edit, versions VersionVector, deleted []Dot) error {
+	return s.db.Update(func(tx *bbolt.Tx) error {
+		bucket := tx.Bucket(bucketEdits)
 		for _, e := range edits {
-			if err := b.Put(keyOf(e.Dot), e.Raw); err != nil {
+			if err := bucket.Put(editKey(e.Dot), e.Raw); err != nil {
 				return err
 			}
 		}
-		for _, d := range gone {
-			if err := b.Delete(keyOf(d)); err != nil {
+		for _, d := range deleted {
+			if err := bucket.Delete(editKey(d)); err != nil {
 				return err
 			}
 		}
-		b = tx.Bucket(bucketVersions)
-		for origin, n := range knows {
-			if err := b.Put([]byte(origin), binary.BigEndian.AppendUint64(nil, n)); err != nil {
+		bucket = tx.Bucket(bucketVersions)
+		for origin, n := range versions {
+			if err := bucket.Put([]byte(origin), binary.BigEndian.AppendUint64(nil, n)); err != nil {
 				return err
 			}
 		}
@@ -141,14 +141,14 @@
 	})
 }
 
-// PutPeers stores who was there.
-func (k *Store) PutPeers(names []string) error {
+// PutPeers stores the names of all peers that this instance has ever seen.
+func (s *Store) PutPeers(names []string) error {
 	raw, err := cbor.Marshal(names)
 	if err != nil {
 		return err
 	}
-	return k.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketAbout).Put([]byte("peers"), raw) })
+	return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketMeta).Put([]byte("peers"), raw) })
 }
 
-// Close ends it.
-func (k *Store) Close() error { return k.db.Close() }
+// Close closes the database.
+func (s *Store) Close() error { return s.db.Close() }
