--- a/internal/controller/membership/aggregator.go
+++ b/internal/controller/membership/aggregator.go
@@ -12,63 +12,64 @@
 	"elmfold/internal/controller/aggregation"
 )
 
-// Kinds of word that are in use.
+// Kinds of messages.
 const (
 	kindRequest uint8 = iota + 1
-	kindUp
-	kindDown
+	kindPartial
+	kindTotal
 )
 
 const (
-	tellEvery = time.Second
-	useSpan   = 5.0 // reports that a use is the mean of
+	roundInterval = time.Second
+	usageSamples  = 5.0 // smoothing window of the moving average of usage
 )
 
-// LoadAggregator tells on what the own proxies met and are asked for, and hears what the others' did.
+// LoadAggregator exchanges attempt reports and product usage with the other instances. Each round, a request travels
+// down the aggregation tree, partial sums travel up, and totals travel down.
 type LoadAggregator struct {
-	fleet *Fleet
-	tell  func(aggregation.Summary) // must not wait
-	began time.Time
-	stop  context.CancelFunc
-	done  sync.WaitGroup
-
-	mu    sync.Mutex
-	node  *aggregation.Node
-	uses  map[use]float64
-	waits int // turn that is under way; 0: none
-	turn  int
+	fleet     *Fleet
+	onSummary func(aggregation.Summary) // must not block
+	startTime time.Time
+	cancel    context.CancelFunc
+	done      sync.WaitGroup
+
+	mu           sync.Mutex
+	node         *aggregation.Node
+	usage        map[usageKey]float64
+	pendingRound int // 0: none
+	round        int
 }
 
-type use struct {
+type usageKey struct {
 	proxy         int
 	product, zone string
 }
 
-// StartLoadAggregator begins to tell sums on; others' totals go to tell.
-func (f *Fleet) StartLoadAggregator(tell func(aggregation.Summary)) *LoadAggregator {
+// StartLoadAggregator starts the aggregation rounds; onSummary receives the sums of the other instances.
+func (f *Fleet) StartLoadAggregator(onSummary func(aggregation.Summary)) *LoadAggregator {
 	s := &LoadAggregator{
-		fleet: f,
-		tell:  tell,
-		began: time.Now(),
-		node:  aggregation.New(f.plan.Name, f.self.Incarnation),
-		uses:  map[use]float64{},
+		fleet:     f,
+		onSummary: onSummary,
+		startTime: time.Now(),
+		node:      aggregation.New(f.config.Name, f.self.Incarnation),
+		usage:     map[usageKey]float64{},
 	}
 	f.Handle(kindRequest, func(from string, body []byte) {
-		var a aggregation.Request
-		if cbor.Unmarshal(body, &a) == nil {
-			s.asked(from, a)
+		var request aggregation.Request
+		if cbor.Unmarshal(body, &request) == nil {
+			s.handleRequest(from, request)
 		}
 	})
-	f.Handle(kindUp, func(from string, body []byte) {
-		var up aggregation.Partial
-		if cbor.Unmarshal(body, &up) == nil {
-			s.handle(from, up)
+	f.Handle(kindPartial, func(from string, body []byte) {
+		var partial aggregation.Partial
+		if cbor.Unmarshal(body, &partial) == nil {
+			s.handlePartial(from, partial)
 		}
 	})
-	f.Handle(kindDown, func(from string, body []byte) {
-		var d aggregation.Total
-		if cbor.Unmarshal(body, &d) == nil {
-			s.take(from, d)
+	f.Handle(kindTotal, func(from string, body []byte) {
+		var total aggregation.Total
+		if cbor.Unmarshal(body, &total) == nil {
+			s.handleTotal(from, total)
 		}
 	})
 	f.Watch(func(all []Peer) {
@@ -81,151 +82,161 @@
 		s.node.SetMembers(names)
 	})
 	var ctx context.Context
-	ctx, s.stop = context.WithCancel(context.Background())
-	s.done.Go(func() {
-		for every := time.NewTicker(tellEvery); ; {
-			select {
-			case <-ctx.Done():
-				every.Stop()
-				return
-			case <-every.C:
-				s.mu.Lock()
-				root := s.node.Parent() == ""
-				s.mu.Unlock()
-				if root {
-					s.asked("", aggregation.Request{Timeout: aggregation.RequestTimeout})
-				}
+	ctx, s.cancel = context.WithCancel(context.Background())
+	s.done.Go(func() { s.roundLoop(ctx) })
+	return s
+}
+
+// roundLoop starts a round at intervals while this instance is the root of the tree.
+func (s *LoadAggregator) roundLoop(ctx context.Context) {
+	ticker := time.NewTicker(roundInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			s.mu.Lock()
+			isRoot := s.node.Parent() == ""
+			s.mu.Unlock()
+			if isRoot {
+				s.handleRequest("", aggregation.Request{Timeout: aggregation.RequestTimeout})
 			}
 		}
-	})
-	return s
+	}
 }
 
-// Close ends it; the fleet is closed after it.
+// Close stops the rounds. The caller closes the fleet afterwards.
 func (s *LoadAggregator) Close() {
-	s.stop()
+	s.cancel()
 	s.done.Wait()
 }
 
-func (s *LoadAggregator) now() time.Duration { return time.Since(s.began) }
+func (s *LoadAggregator) now() time.Duration { return time.Since(s.startTime) }
 
-// RecordAttempts adds attempts that the local proxies made at a backend; took is the mean latency of successful ones.
-func (s *LoadAggregator) RecordAttempts(backend string, tries, voided float64, took time.Duration) {
+// RecordAttempts adds attempts of the local proxies at a backend. The mean latency is that of the successful attempts.
+func (s *LoadAggregator) RecordAttempts(backend string, attempts, failed float64, meanLatency time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.node.Record(
 		aggregation.Report{
 			Backend:        backend,
-			Attempts:       tries,
-			Failed:         voided,
-			TotalLatencyMS: float64(took) / float64(time.Millisecond) * (tries - voided),
+			Attempts:       attempts,
+			Failed:         failed,
+			TotalLatencyMS: float64(meanLatency) / float64(time.Millisecond) * (attempts - failed),
 		},
 		s.now(),
 	)
 }
 
-// RecordUsage adds a sample of the txns/s of a product that arrive at a proxy.
+// RecordUsage adds a sample of the txns/s of a product at a proxy to its moving average.
 func (s *LoadAggregator) RecordUsage(proxy int, product, zone string, txns float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at := use{proxy, product, zone}
-	s.uses[at] += (txns - s.uses[at]) / useSpan
+	key := usageKey{proxy, product, zone}
+	s.usage[key] += (txns - s.usage[key]) / usageSamples
 }
 
-// RemoveProxy drops the usage of a proxy that has left.
+// RemoveProxy discards the usage of a disconnected proxy.
 func (s *LoadAggregator) RemoveProxy(proxy int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for at := range s.uses {
-		if at.proxy == proxy {
-			delete(s.uses, at)
+	for key := range s.usage {
+		if key.proxy == proxy {
+			delete(s.usage, key)
 		}
 	}
 }
 
-// reportList are what is to be sent once the mutex is let go.
-type reportList []func()
+// deferredSends holds messages to send after the mutex is released.
+type deferredSends []func()
 
-func (w reportList) send() {
-	for _, do := range w {
-		do()
+func (d deferredSends) send() {
+	for _, send := range d {
+		send()
 	}
 }
 
-func (s *LoadAggregator) to(name string, kind uint8, body any) func() {
-	return func() { _ = s.fleet.Send(name, kind, body) } // what is lost is lost: the next second's comes
+func (s *LoadAggregator) sendTo(name string, kind uint8, body any) func() {
+	return func() { _ = s.fleet.Send(name, kind, body) } // a lost message is replaced in the next round
 }
 
-// asked passes the question on and answers it once those below have, or the time is over.
-func (s *LoadAggregator) asked(from string, a aggregation.Request) {
+// handleRequest forwards a request of the parent to the children, and finishes the round once they have answered or
+// the request times out.
+func (s *LoadAggregator) handleRequest(from string, request aggregation.Request) {
 	s.mu.Lock()
-	var out reportList
-	defer func() { out.send() }()
+	var sends deferredSends
+	defer func() { sends.send() }()
 	defer s.mu.Unlock()
 	if from != s.node.Parent() {
 		return
 	}
-	s.turn++
-	s.waits = s.turn
+	s.round++
+	s.pendingRound = s.round
 	for _, name := range s.node.Children() {
-		out = append(out, s.to(name, kindRequest, a.ForChildren()))
+		sends = append(sends, s.sendTo(name, kindRequest, request.ForChildren()))
 	}
 	if s.node.HasAllPartials() {
-		out = append(out, s.answer()...)
+		sends = append(sends, s.finishRound()...)
 		return
 	}
-	turn := s.turn
-	time.AfterFunc(min(max(a.Timeout, 0), aggregation.RequestTimeout), func() {
+	round := s.round
+	time.AfterFunc(min(max(request.Timeout, 0), aggregation.RequestTimeout), func() {
 		s.mu.Lock()
-		var out reportList
-		if s.waits == turn {
-			out = s.answer()
+		var sends deferredSends
+		if s.pendingRound == round {
+			sends = s.finishRound()
 		}
 		s.mu.Unlock()
-		out.send()
+		sends.send()
 	})
 }
 
-func (s *LoadAggregator) handle(from string, up aggregation.Partial) {
+func (s *LoadAggregator) handlePartial(from string, partial aggregation.Partial) {
 	s.mu.Lock()
-	var out reportList
-	if s.node.HandlePartial(from, up, s.now()) && s.waits > 0 && s.node.HasAllPartials() {
-		out = s.answer()
+	var sends deferredSends
+	if s.node.HandlePartial(from, partial, s.now()) && s.pendingRound > 0 && s.node.HasAllPartials() {
+		sends = s.finishRound()
 	}
 	s.mu.Unlock()
-	out.send()
+	sends.send()
 }
 
-func (s *LoadAggregator) take(from string, d aggregation.Total) {
+func (s *LoadAggregator) handleTotal(from string, total aggregation.Total) {
 	s.mu.Lock()
-	out := s.down(s.node.HandleTotal(from, d, s.now()))
+	sends := s.forwardTotal(s.node.HandleTotal(from, total, s.now()))
 	s.mu.Unlock()
-	out.send()
+	sends.send()
 }
 
-// answer closes a turn; the mutex is held.
-func (s *LoadAggregator) answer() (out reportList) {
-	s.waits = 0
-	all := make([]aggregation.Usage, 0, len(s.uses))
-	for at, txns := range s.uses {
-		all = append(all, aggregation.Usage{Product: at.product, Zone: at.zone, Txns: txns})
+// finishRound sends the partial sums of this round to the parent, or the total to the children if this instance is the
+// root. The caller holds the mutex.
+func (s *LoadAggregator) finishRound() (sends deferredSends) {
+	s.pendingRound = 0
+	usage := make([]aggregation.Usage, 0, len(s.usage))
+	for key, txns := range s.usage {
+		usage = append(usage, aggregation.Usage{Product: key.product, Zone: key.zone, Txns: txns})
 	}
-	slices.SortFunc(all, func(a, b aggregation.Usage) int { return cmp.Compare(a.Txns, b.Txns) })
-	s.node.SetUsage(all)
-	up, total, on := s.node.Flush(s.now())
-	if up != nil {
-		out = append(out, s.to(s.node.Parent(), kindUp, *up))
+	slices.SortFunc(usage, func(a, b aggregation.Usage) int { return cmp.Compare(a.Txns, b.Txns) })
+	s.node.SetUsage(usage)
+	partial, total, childTotals := s.node.Flush(s.now())
+	if partial != nil {
+		sends = append(sends, s.sendTo(s.node.Parent(), kindPartial, *partial))
 	}
-	return append(out, s.down(total, on)...)
+	return append(sends, s.forwardTotal(total, childTotals)...)
 }
 
-func (s *LoadAggregator) down(total *aggregation.Summary, on map[string]aggregation.Total) (out reportList) {
+// forwardTotal reports a total and returns the messages that forward it to the children. The caller holds the mutex.
+func (s *LoadAggregator) forwardTotal(
+	total *aggregation.Summary,
+	childTotals map[string]aggregation.Total,
+) (sends deferredSends) {
 	if total == nil {
 		return nil
 	}
-	s.tell(*total)
+	s.onSummary(*total)
 	for _, name := range s.node.Children() {
-		out = append(out, s.to(name, kindDown, on[name]))
+		sends = append(sends, s.sendTo(name, kindTotal, childTotals[name]))
 	}
-	return out
+	return sends
 }
--- a/internal/controller/membership/heal_test.go
+++ b/internal/controller/membership/heal_test.go
@@ -10,78 +10,77 @@
 	"time"
 )
 
-// halves is a network whose two halves are cut from each other for a while.
-type halves struct {
+// partition cuts a network into two halves while isCut is set.
+type partition struct {
 	mu    sync.Mutex
 	isCut bool
 }
 
-func (h *halves) set(isCut bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.isCut = isCut
+func (p *partition) setCut(isCut bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.isCut = isCut
 }
 
-func (h *halves) isBetween(from, to *port) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.isCut && from.half() != to.half()
+func (p *partition) separates(from, to *port) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.isCut && from.half() != to.half()
 }
 
-// half is the half of the network that an instance is in.
+// half returns the half of the network that a port belongs to.
 func (p *port) half() int {
 	var n int
 	_, _ = fmt.Sscanf(p.addr, "127.0.0.1:%d", &n)
 	return n % 2
 }
 
-// cutPort is a port of such a network. A dial that begins during the cut hangs until its time is over, also where the
-// cut ends meanwhile.
-type cutPort struct {
+// partitionedPort is a port of a partitioned network. A dial during the partition hangs until its timeout, even if the
+// partition heals meanwhile.
+type partitionedPort struct {
 	*port
-	network *halves
+	network *partition
 }
 
-func (c cutPort) WriteTo(b []byte, to string) (time.Time, error) {
-	if o := c.all[to]; o != nil && c.network.isBetween(c.port, o) {
+func (c partitionedPort) WriteTo(b []byte, to string) (time.Time, error) {
+	if o := c.all[to]; o != nil && c.network.separates(c.port, o) {
 		return time.Now(), nil
 	}
 	return c.port.WriteTo(b, to)
 }
 
-func (c cutPort) DialTimeout(to string, timeout time.Duration) (net.Conn, error) {
-	if o := c.all[to]; o != nil && c.network.isBetween(c.port, o) {
+func (c partitionedPort) DialTimeout(to string, timeout time.Duration) (net.Conn, error) {
+	if o := c.all[to]; o != nil && c.network.separates(c.port, o) {
 		time.Sleep(timeout)
 		return nil, errors.New("i/o timeout")
 	}
 	return c.port.DialTimeout(to, timeout)
 }
 
-// Guards against halves that take seconds to find each other after a cut: an instance tried those it missed one
-// after the other, and each that did not answer held it up for two seconds.
-func TestHalvesFindEachOtherSoonAfterACut(t *testing.T) {
-	const many, within = 4, 1600 * time.Millisecond
-	for moment := range 6 {
+// Guards against a slow merge of healed partitions: joins in sequence would each wait for unreachable addresses.
+func TestHealedPartitionMergesQuickly(t *testing.T) {
+	const instances, limit = 4, 1600 * time.Millisecond
+	for phase := range 6 {
 		synctest.Test(t, func(t *testing.T) {
-			network, all := &halves{}, memory{}
+			network, all := &partition{}, memory{}
 			var ports []*port
-			for range many {
+			for range instances {
 				ports = append(ports, all.open())
 			}
 			var fleets []*Fleet
-			first := ""
-			for i := range many {
-				plan := Config{Name: fmt.Sprint("n", i), Join: []string{first}[:min(i, 1)]}
-				f, err := Open(plan, "", cutPort{ports[i], network}, quiet())
+			firstAddr := ""
+			for i := range instances {
+				config := Config{Name: fmt.Sprint("n", i), Join: []string{firstAddr}[:min(i, 1)]}
+				f, err := Open(config, "", partitionedPort{ports[i], network}, discardLog())
 				if err != nil {
 					t.Fatal(err)
 				}
 				if i == 0 {
-					first = f.Addr()
+					firstAddr = f.Addr()
 				}
 				fleets = append(fleets, f)
 			}
-			areAll := func(count int) bool {
+			allSee := func(count int) bool {
 				for _, f := range fleets {
 					if len(f.Peers()) != count {
 						return false
@@ -90,23 +89,24 @@
 				return true
 			}
 			time.Sleep(5 * time.Second)
-			network.set(true)
-			time.Sleep(30*time.Second + time.Duration(moment)*370*time.Millisecond)
-			if !areAll(many / 2) {
-				t.Error("the halves do not count each other as gone")
+			network.setCut(true)
+			duration := 30*time.Second + time.Duration(phase)*370*time.Millisecond
+			time.Sleep(duration)
+			if !allSee(instances / 2) {
+				t.Error("the halves do not detect the partition")
 			}
-			network.set(false)
+			network.setCut(false)
 			healed := time.Now()
-			for !areAll(many) && time.Since(healed) < time.Minute {
+			for !allSee(instances) && time.Since(healed) < time.Minute {
 				time.Sleep(10 * time.Millisecond)
 			}
-			if took := time.Since(healed); took > within {
-				t.Errorf("healed %v after the cut: all find each other after %v", time.Duration(moment)*370*time.Millisecond, took)
+			if took := time.Since(healed); took > limit {
+				t.Errorf("partition of %v: the halves merge after %v; want at most %v", duration, took, limit)
 			}
 			for _, f := range fleets {
 				f.Close()
 			}
-			time.Sleep(time.Minute) // until what was under way has ended
+			time.Sleep(time.Minute) // lets pending timers expire
 		})
 	}
 }
--- a/internal/controller/membership/membership.go
+++ b/internal/controller/membership/membership.go
@@ -1,8 +1,6 @@
-// Package membership says which instances there are, and carries words between them. Who is there is found out by
-// SWIM with Lifeguard's additions (hashicorp/memberlist): each probes a few others a second, suspects before it
-// takes one for dead, and doubts itself first where its own probes fail. On top of it: sites, incarnations,
-// instances that are reached by other addresses than they know, and halves that find each other again.
-// docs/notes/spread.md says why.
+// Package membership tracks which instances are alive and carries messages between them. Failure detection is SWIM
+// with the Lifeguard extensions (hashicorp/memberlist). This package adds sites, incarnations, address overrides, and
+// rejoining after a network partition; see docs/notes/spread.md.
 package membership
 
 import (
@@ -25,327 +23,333 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Config is what an instance is told of its fleet.
+// Config configures the membership of an instance.
 type Config struct {
 	Name   string
 	Site   string
-	Listen string            // HOST:PORT, for datagrams and connections; HOST is an IPv4 address
-	Join   []string          // HOST:PORT of some others
-	Via    map[string]string // by name: HOST:PORT at which one is reached in place of where it listens
+	Listen string            // HOST:PORT for UDP and TCP; HOST is an IPv4 address
+	Join   []string          // HOST:PORT of some other instances
+	Via    map[string]string // HOST:PORT by instance name, used in place of its advertised address
 }
 
-// Peer is another instance, or this one.
+// Peer is a live instance; it may be the local one.
 type Peer struct {
 	Name        string `cbor:"-"`
 	Site        string `cbor:"1,keyasint"`
-	Incarnation uint64 `cbor:"2,keyasint"` // ns since 1970 of its start: a later one is a later life
-	StreamAddr  string `cbor:"3,keyasint"` // HOST:PORT where it takes connections of ours; empty: none
+	Incarnation uint64 `cbor:"2,keyasint"` // start time, Unix ns
+	StreamAddr  string `cbor:"3,keyasint"` // HOST:PORT that accepts stream connections; empty: none
 }
 
 const (
-	probeEvery   = 500 * time.Millisecond
-	probeTimeout = 250 * time.Millisecond
-	// seekEvery is the pause between two looks for others that are not there, and joinTimeout how long one that does not
-	// answer is waited for; meanwhile others are tried.
-	seekEvery     = time.Second
-	joinTimeout   = time.Second
-	forgetTimeout = time.Hour // ... until then
-	seekAtOnce    = 3
-	mostBody      = 60 << 10 // of a datagram
+	probeInterval    = 500 * time.Millisecond
+	probeTimeout     = 250 * time.Millisecond
+	rejoinInterval   = time.Second
+	joinTimeout      = time.Second
+	forgetTimeout    = time.Hour // after which a departed instance is no longer rejoined
+	maxJoinsPerRound = 3
+	maxDatagramSize  = 60 << 10
 )
 
-// frame is what goes between instances.
-type frame struct {
+// message is the wire format of messages between instances.
+type message struct {
 	From string `cbor:"1,keyasint"`
 	Kind uint8  `cbor:"2,keyasint"`
 	Body []byte `cbor:"3,keyasint"`
 }
 
-// Fleet is an instance's view of all of them.
+// Fleet is the local view of all instances.
 type Fleet struct {
-	plan Config
-	self Peer
-	list *memberlist.Memberlist
-	log  *logrus.Entry
-	stop context.CancelFunc
-	done chan struct{}
+	config  Config
+	self    Peer
+	members *memberlist.Memberlist
+	log     *logrus.Entry
+	cancel  context.CancelFunc
+	done    chan struct{}
 
 	mu       sync.Mutex
 	peers    map[string]Peer
-	away     map[string]gone // that were there
-	joining  map[string]bool // addresses that are being tried
+	departed map[string]departedPeer // instances that failed or left
+	joining  map[string]bool         // addresses of joins in progress
 	handlers map[uint8]func(from string, body []byte)
-	changed  []func([]Peer)
+	watchers []func([]Peer)
 }
 
-type gone struct {
-	addr, streams string
-	at            time.Time
+type departedPeer struct {
+	addr, streamAddr string
+	at               time.Time
 }
 
-// Open begins to take part. transport is for tests; nil is the network.
-func Open(p Config, streams string, transport memberlist.Transport, log *logrus.Entry) (*Fleet, error) {
+// Open joins the fleet. Tests pass a transport; nil selects the network.
+func Open(config Config, streamAddr string, transport memberlist.Transport, log *logrus.Entry) (*Fleet, error) {
 	f := &Fleet{
-		plan:     p,
-		self:     Peer{Name: p.Name, Site: p.Site, Incarnation: uint64(time.Now().UnixNano()), StreamAddr: streams},
+		config: config,
+		self: Peer{
+			Name:        config.Name,
+			Site:        config.Site,
+			Incarnation: uint64(time.Now().UnixNano()),
+			StreamAddr:  streamAddr,
+		},
 		log:      log,
 		peers:    map[string]Peer{},
-		away:     map[string]gone{},
+		departed: map[string]departedPeer{},
 		joining:  map[string]bool{},
 		handlers: map[uint8]func(string, []byte){},
 		done:     make(chan struct{}),
 	}
-	c := memberlist.DefaultLANConfig()
-	c.Name, c.ProbeInterval, c.ProbeTimeout, c.TCPTimeout = p.Name, probeEvery, probeTimeout, joinTimeout
-	c.Logger = stdlog.New(io.Discard, "", 0)
-	c.Delegate, c.Events, c.Conflict = hands{f}, hands{f}, hands{f}
-	c.DeadNodeReclaimTime = time.Second // one that comes again under its name may do so at another address
+	options := memberlist.DefaultLANConfig()
+	options.Name, options.TCPTimeout = config.Name, joinTimeout
+	options.ProbeInterval, options.ProbeTimeout = probeInterval, probeTimeout
+	options.Logger = stdlog.New(io.Discard, "", 0)
+	options.Delegate, options.Events, options.Conflict = delegate{f}, delegate{f}, delegate{f}
+	options.DeadNodeReclaimTime = time.Second // a restarted instance may have a new address
 	if transport == nil {
-		host, port, err := net.SplitHostPort(p.Listen)
-		n, bad := strconv.Atoi(port)
-		if err != nil || bad != nil {
-			return nil, fmt.Errorf("member listen %q is no HOST:PORT", p.Listen)
+		host, port, err := net.SplitHostPort(config.Listen)
+		portNumber, portErr := strconv.Atoi(port)
+		if err != nil || portErr != nil {
+			return nil, fmt.Errorf("member listen address %q is not HOST:PORT", config.Listen)
 		}
 		inner, err := memberlist.NewNetTransport(
-			&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: n, Logger: c.Logger},
+			&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: portNumber, Logger: options.Logger},
 		)
 		if err != nil {
 			return nil, err
 		}
-		c.BindAddr, c.BindPort = host, inner.GetAutoBindPort()
-		c.AdvertiseAddr, c.AdvertisePort = host, inner.GetAutoBindPort()
-		transport = via{inner, p.Via}
+		options.BindAddr, options.BindPort = host, inner.GetAutoBindPort()
+		options.AdvertiseAddr, options.AdvertisePort = host, inner.GetAutoBindPort()
+		transport = overrideTransport{inner, config.Via}
 	}
-	c.Transport = transport
+	options.Transport = transport
 	var err error
-	if f.list, err = memberlist.Create(c); err != nil {
+	if f.members, err = memberlist.Create(options); err != nil {
 		return nil, err
 	}
 	var ctx context.Context
-	ctx, f.stop = context.WithCancel(context.Background())
-	go f.seek(ctx)
+	ctx, f.cancel = context.WithCancel(context.Background())
+	go f.rejoinLoop(ctx)
 	return f, nil
 }
 
-// Close leaves without a word, as a crash does; others find out.
+// Close stops without announcing a leave, as a crash would; the other instances detect it.
 func (f *Fleet) Close() {
-	f.stop()
+	f.cancel()
 	<-f.done
-	_ = f.list.Shutdown()
+	_ = f.members.Shutdown()
 }
 
-// Self is this instance.
+// Self returns the local instance.
 func (f *Fleet) Self() Peer { return f.self }
 
-// Addr is where it listens.
-func (f *Fleet) Addr() string { return f.list.LocalNode().Address() }
+// Addr returns the advertised address.
+func (f *Fleet) Addr() string { return f.members.LocalNode().Address() }
 
-// Peers are all that are there, this one too, by name.
+// Peers returns all live instances, including the local one, ordered by name.
 func (f *Fleet) Peers() []Peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.sorted()
+	return f.sortedPeers()
 }
 
-func (f *Fleet) sorted() []Peer {
+func (f *Fleet) sortedPeers() []Peer {
 	return slices.SortedFunc(maps.Values(f.peers), func(a, b Peer) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Watch has a function called with all at each change from now on, and once at once. It must not wait.
-func (f *Fleet) Watch(do func([]Peer)) {
+// Watch calls a function with all live instances, once immediately and then at each change. The function must not
+// block.
+func (f *Fleet) Watch(onChange func([]Peer)) {
 	f.mu.Lock()
-	f.changed = append(f.changed, do)
-	all := f.sorted()
+	f.watchers = append(f.watchers, onChange)
+	all := f.sortedPeers()
 	f.mu.Unlock()
-	do(all)
+	onChange(all)
 }
 
-// Handle has a function called with each word of a kind; it must not wait.
-func (f *Fleet) Handle(kind uint8, do func(from string, body []byte)) {
+// Handle sets the handler of messages of a kind. The handler must not block.
+func (f *Fleet) Handle(kind uint8, handler func(from string, body []byte)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.handlers[kind] = do
+	f.handlers[kind] = handler
 }
 
-var errAway = errors.New("not there")
+var errNoSuchMember = errors.New("no such member")
 
-// Send hands a word to one that is there, once at most: it may be lost. Words over 60 kB go by a connection.
+// Send sends a message to a live instance, at most once; it may be lost. A message larger than a datagram goes over
+// TCP.
 func (f *Fleet) Send(to string, kind uint8, body any) error {
-	inner, err := cbor.Marshal(body)
+	encodedBody, err := cbor.Marshal(body)
 	if err != nil {
 		return err
 	}
-	raw, err := cbor.Marshal(frame{f.plan.Name, kind, inner})
+	raw, err := cbor.Marshal(message{f.config.Name, kind, encodedBody})
 	if err != nil {
 		return err
 	}
-	for _, n := range f.list.Members() {
+	for _, n := range f.members.Members() {
 		if n.Name == to {
-			if len(raw) < mostBody {
-				return f.list.SendBestEffort(n, raw)
+			if len(raw) < maxDatagramSize {
+				return f.members.SendBestEffort(n, raw)
 			}
-			return f.list.SendReliable(n, raw)
+			return f.members.SendReliable(n, raw)
 		}
 	}
-	return fmt.Errorf("%s: %w", to, errAway)
+	return fmt.Errorf("%s: %w", to, errNoSuchMember)
 }
 
-// seek joins those that are not there, at moments of its own: who starts, and halves that were cut off from each other.
-func (f *Fleet) seek(ctx context.Context) {
+// rejoinLoop joins known addresses that are not members: at the start, and to merge the halves of a healed partition.
+// The interval varies by instance name, so that instances do not all join at once.
+func (f *Fleet) rejoinLoop(ctx context.Context) {
 	defer close(f.done)
 	var joins sync.WaitGroup
 	defer joins.Wait()
 	h := fnv.New32a()
-	h.Write([]byte(f.plan.Name))
-	pause := time.Duration(h.Sum32()%1000) * seekEvery / 4000
-	for turn := 0; ; turn++ {
-		for _, address := range f.missing(turn) {
+	h.Write([]byte(f.config.Name))
+	jitter := time.Duration(h.Sum32()%1000) * rejoinInterval / 4000
+	for round := 0; ; round++ {
+		for _, address := range f.joinCandidates(round) {
 			joins.Go(func() { f.join(address) })
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(seekEvery + pause):
+		case <-time.After(rejoinInterval + jitter):
 		}
 	}
 }
 
-// join tries an address, unless that is under way. Tried one after the other, those that do not answer would hold up
-// the one that does.
+// join tries an address unless a join of it is in progress. Joins run concurrently, so that unreachable addresses do
+// not delay the others.
 func (f *Fleet) join(address string) {
 	f.mu.Lock()
-	isTried := f.joining[address]
+	isInProgress := f.joining[address]
 	f.joining[address] = true
 	f.mu.Unlock()
-	if isTried {
+	if isInProgress {
 		return
 	}
-	_, _ = f.list.Join([]string{address}) // one that fails is tried again
+	_, _ = f.members.Join([]string{address}) // a failed join is retried in a later round
 	f.mu.Lock()
 	delete(f.joining, address)
 	f.mu.Unlock()
 }
 
-// missing are some addresses at which somebody should be: of the plan, and of those that went.
-func (f *Fleet) missing(turn int) (todo []string) {
-	there := map[string]bool{}
-	for _, n := range f.list.Members() {
-		there[n.Address()] = true
+// joinCandidates returns some addresses to join: configured ones and those of departed instances, in rotation.
+func (f *Fleet) joinCandidates(round int) (candidates []string) {
+	isMember := map[string]bool{}
+	for _, n := range f.members.Members() {
+		isMember[n.Address()] = true
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var all []string
-	if len(there) < 2 || turn%4 == 0 {
-		for _, a := range f.plan.Join {
-			if !there[a] {
+	if len(isMember) < 2 || round%4 == 0 {
+		for _, a := range f.config.Join {
+			if !isMember[a] {
 				all = append(all, a)
 			}
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(f.away)) {
-		if time.Since(f.away[name].at) > forgetTimeout {
-			delete(f.away, name)
-		} else if a := f.away[name].addr; !there[a] && !slices.Contains(all, a) {
-			all = append(all, name+"/"+a) // by name, so that it is reached as the plan says
+	for _, name := range slices.Sorted(maps.Keys(f.departed)) {
+		if time.Since(f.departed[name].at) > forgetTimeout {
+			delete(f.departed, name)
+		} else if a := f.departed[name].addr; !isMember[a] && !slices.Contains(all, a) {
+			all = append(all, name+"/"+a) // the name selects the address override
 		}
 	}
-	for i := range min(seekAtOnce, len(all)) {
-		todo = append(todo, all[(turn*seekAtOnce+i)%len(all)])
+	for i := range min(maxJoinsPerRound, len(all)) {
+		candidates = append(candidates, all[(round*maxJoinsPerRound+i)%len(all)])
 	}
-	return todo
+	return candidates
 }
 
-// hands are what the library calls; none of them waits.
-type hands struct{ f *Fleet }
+// delegate receives the callbacks of memberlist. None of them may block.
+type delegate struct{ f *Fleet }
 
-func (h hands) NodeMeta(limit int) []byte {
-	meta, err := cbor.Marshal(h.f.self)
+func (d delegate) NodeMeta(limit int) []byte {
+	meta, err := cbor.Marshal(d.f.self)
 	if err != nil || len(meta) > limit {
 		return nil
 	}
 	return meta
 }
 
-func (h hands) NotifyMsg(raw []byte) {
-	var m frame
+func (d delegate) NotifyMsg(raw []byte) {
+	var m message
 	if cbor.Unmarshal(raw, &m) != nil {
 		return
 	}
-	h.f.mu.Lock()
-	do := h.f.handlers[m.Kind]
-	h.f.mu.Unlock()
-	if do != nil {
-		do(m.From, m.Body)
+	d.f.mu.Lock()
+	handler := d.f.handlers[m.Kind]
+	d.f.mu.Unlock()
+	if handler != nil {
+		handler(m.From, m.Body)
 	}
 }
 
-func (h hands) GetBroadcasts(int, int) [][]byte { return nil }
-func (h hands) LocalState(bool) []byte          { return nil }
-func (h hands) MergeRemoteState([]byte, bool)   {}
-
-func (h hands) NotifyJoin(n *memberlist.Node)   { h.f.is(n, true) }
-func (h hands) NotifyUpdate(n *memberlist.Node) { h.f.is(n, true) }
-func (h hands) NotifyLeave(n *memberlist.Node)  { h.f.is(n, false) }
-
-// NotifyConflict names two that live under one name: the operators' fault, and theirs to mend.
-func (h hands) NotifyConflict(is, other *memberlist.Node) {
-	h.f.log.WithFields(
-		logrus.Fields{"reason": "member", "member": is.Name, "at": is.Address(), "and": other.Address()},
-	).Error(
-		"two instances have one name; give one another",
-	)
+func (d delegate) GetBroadcasts(int, int) [][]byte { return nil }
+func (d delegate) LocalState(bool) []byte          { return nil }
+func (d delegate) MergeRemoteState([]byte, bool)   {}
+
+func (d delegate) NotifyJoin(n *memberlist.Node)   { d.f.updatePeer(n, true) }
+func (d delegate) NotifyUpdate(n *memberlist.Node) { d.f.updatePeer(n, true) }
+func (d delegate) NotifyLeave(n *memberlist.Node)  { d.f.updatePeer(n, false) }
+
+// NotifyConflict reports two instances with the same name, which is a configuration error.
+func (d delegate) NotifyConflict(existing, other *memberlist.Node) {
+	d.f.log.WithFields(
+		logrus.Fields{"reason": "member", "member": existing.Name, "at": existing.Address(), "and": other.Address()},
+	).Error("two instances have the same name; rename one of them")
 }
 
-func (f *Fleet) is(n *memberlist.Node, there bool) {
+// updatePeer applies a join, update or departure, and notifies the watchers.
+func (f *Fleet) updatePeer(n *memberlist.Node, isAlive bool) {
 	p := Peer{}
 	_ = cbor.Unmarshal(n.Meta, &p)
 	p.Name = n.Name
 	f.mu.Lock()
-	was, known := f.peers[n.Name]
+	previous, known := f.peers[n.Name]
 	text := ""
 	switch {
-	case !there:
+	case !isAlive:
 		delete(f.peers, n.Name)
-		f.away[n.Name] = gone{n.Address(), was.StreamAddr, time.Now()}
-		text = "an instance is not there any more"
+		f.departed[n.Name] = departedPeer{n.Address(), previous.StreamAddr, time.Now()}
+		text = "instance departed"
 	case !known:
 		f.peers[n.Name] = p
-		delete(f.away, n.Name)
-		text = "an instance is there"
-	case p.Incarnation < was.Incarnation: // word of an earlier life
+		delete(f.departed, n.Name)
+		text = "instance joined"
+	case p.Incarnation < previous.Incarnation: // outdated
 		f.mu.Unlock()
 		return
 	default:
 		f.peers[n.Name] = p
-		text = "an instance began anew"
+		text = "instance restarted"
 	}
-	all, do := f.sorted(), slices.Clone(f.changed)
+	all, watchers := f.sortedPeers(), slices.Clone(f.watchers)
 	f.mu.Unlock()
-	if n.Name != f.plan.Name {
+	if n.Name != f.config.Name {
 		f.log.WithFields(logrus.Fields{"member": n.Name, "site": p.Site, "members": len(all)}).Info(text)
 	}
-	for _, d := range do {
-		d(all)
+	for _, onChange := range watchers {
+		onChange(all)
 	}
 }
 
-// via reaches others as the plan says.
-type via struct {
+// overrideTransport replaces the addresses of instances that have an override.
+type overrideTransport struct {
 	*memberlist.NetTransport
-	to map[string]string
+	overrides map[string]string
 }
 
-func (v via) at(a memberlist.Address) memberlist.Address {
-	if to, ok := v.to[a.Name]; ok {
-		a.Addr = to
+func (t overrideTransport) resolve(a memberlist.Address) memberlist.Address {
+	if override, ok := t.overrides[a.Name]; ok {
+		a.Addr = override
 	}
 	return a
 }
 
-func (v via) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	return v.NetTransport.WriteToAddress(b, v.at(a))
+func (t overrideTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+	return t.NetTransport.WriteToAddress(b, t.resolve(a))
 }
 
-func (v via) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
-	return v.NetTransport.DialAddressTimeout(v.at(a), within)
+func (t overrideTransport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return t.NetTransport.DialAddressTimeout(t.resolve(a), timeout)
 }
--- a/internal/controller/membership/membership_test.go
+++ b/internal/controller/membership/membership_test.go
@@ -16,70 +16,70 @@
 	"elmfold/internal/controller/aggregation"
 )
 
-func quiet() *logrus.Entry {
+func discardLog() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return logrus.NewEntry(log)
 }
 
-// Twelve instances on connections in memory, in virtual time: what each met is heard by all others, once.
-func TestSumsInVirtualTime(t *testing.T) {
+// Each of twelve instances on an in-memory network receives the attempts of all others exactly once.
+func TestLoadAggregation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const many = 12
-		net := memory{}
+		const instances = 12
+		network := memory{}
 		var ports []*port
-		for range many { // before anybody looks at them
-			ports = append(ports, net.open())
+		for range instances { // all ports exist before the first instance starts
+			ports = append(ports, network.open())
 		}
 		var fleets []*Fleet
-		var sums []*LoadAggregator
+		var aggregators []*LoadAggregator
 		var mu sync.Mutex
-		heard := make([]float64, many)
-		first := ""
-		for i := range many {
+		received := make([]float64, instances)
+		firstAddr := ""
+		for i := range instances {
 			name := fmt.Sprint("n", i)
-			f, err := Open(Config{Name: name, Join: []string{first}[:min(i, 1)]}, "", ports[i], quiet())
+			f, err := Open(Config{Name: name, Join: []string{firstAddr}[:min(i, 1)]}, "", ports[i], discardLog())
 			if err != nil {
 				t.Fatal(err)
 			}
 			if i == 0 {
-				first = f.Addr()
+				firstAddr = f.Addr()
 			}
 			fleets = append(fleets, f)
-			sums = append(sums, f.StartLoadAggregator(func(s aggregation.Summary) {
+			aggregators = append(aggregators, f.StartLoadAggregator(func(s aggregation.Summary) {
 				mu.Lock()
 				defer mu.Unlock()
-				for _, w := range s.Reports {
-					heard[i] += w.Attempts
+				for _, report := range s.Reports {
+					received[i] += report.Attempts
 				}
 			}))
 		}
 		time.Sleep(5 * time.Second)
 		for _, f := range fleets {
-			if n := len(f.Peers()); n != many {
-				t.Fatalf("%s counts %d", f.Self().Name, n)
+			if n := len(f.Peers()); n != instances {
+				t.Fatalf("%s sees %d instances", f.Self().Name, n)
 			}
 		}
-		for i := range sums {
-			sums[i].RecordAttempts("s", float64(i+1), 0, time.Millisecond)
+		for i := range aggregators {
+			aggregators[i].RecordAttempts("s", float64(i+1), 0, time.Millisecond)
 		}
 		time.Sleep(3 * time.Second)
 		mu.Lock()
-		for i := range sums {
-			if want := float64(many*(many+1)/2 - i - 1); heard[i] != want {
-				t.Errorf("n%d heard of %v tries, the others met %v", i, heard[i], want)
+		for i := range aggregators {
+			if want := float64(instances*(instances+1)/2 - i - 1); received[i] != want {
+				t.Errorf("n%d received %v attempts; want %v", i, received[i], want)
 			}
 		}
 		mu.Unlock()
-		for i := range sums {
-			sums[i].Close()
+		for i := range aggregators {
+			aggregators[i].Close()
 			fleets[i].Close()
 		}
-		time.Sleep(time.Minute) // until what was under way has ended
+		time.Sleep(time.Minute) // lets pending timers expire
 	})
 }
 
-// memory is a network in memory: what nobody takes is lost, as on a real one.
+// memory is an in-memory network that drops packets when a queue is full.
 type memory map[string]*port
 
 type port struct {
@@ -124,11 +124,11 @@
 func (p *port) DialTimeout(to string, _ time.Duration) (net.Conn, error) {
 	o := p.all[to]
 	if o == nil {
-		return nil, errors.New("nobody there")
+		return nil, errors.New("connection refused")
 	}
-	here, there := net.Pipe()
-	o.streams <- there
-	return here, nil
+	local, remote := net.Pipe()
+	o.streams <- remote
+	return local, nil
 }
 
 func (p *port) PacketCh() <-chan *memberlist.Packet { return p.packets }
--- a/internal/controller/membership/stream.go
+++ b/internal/controller/membership/stream.go
@@ -15,19 +15,20 @@
 )
 
 const (
-	mostFrame = 8 << 20
-	patience  = 4 * time.Second // for a frame of one who has something to say at least each second
-	mostConns = 1024
+	maxFrameSize   = 8 << 20
+	defaultTimeout = 4 * time.Second // both sides of a stream send at least once per second
+	maxConns       = 1024
 )
 
-// Conn is a connection between two instances: frames of cbor with their length before them. One goroutine may send and
-// one receive at a time.
+// Conn is a connection between two instances. It carries CBOR frames, each after its length. At most one goroutine may
+// send and one receive at a time.
 type Conn struct {
 	net.Conn
-	Timeout time.Duration // for a frame
-	in      *bufio.Reader
+	Timeout time.Duration // for one frame
+	reader  *bufio.Reader
 }
 
+// hello is the first frame of a connection.
 type hello struct {
 	From string `cbor:"1,keyasint"`
 	Kind uint8  `cbor:"2,keyasint"`
@@ -39,92 +40,98 @@
 	if err != nil {
 		return err
 	}
-	if len(body) > mostFrame {
-		return errFrame
+	if len(body) > maxFrameSize {
+		return errMalformedFrame
 	}
 	_ = c.SetWriteDeadline(time.Now().Add(c.Timeout))
 	_, err = c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...))
 	return err
 }
 
-var errFrame = errors.New("not a frame of ours")
+var (
+	errMalformedFrame = errors.New("malformed frame")
+	errNotTracked     = errors.New("streams are closed or have too many connections")
+)
 
-// Receive reads a frame. Whatever comes, it is bounded in size and time.
+// Receive reads a frame, limited in size and time.
 func (c *Conn) Receive(v any) error {
 	_ = c.SetReadDeadline(time.Now().Add(c.Timeout))
 	var head [4]byte
-	if _, err := io.ReadFull(c.in, head[:]); err != nil {
+	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
 		return err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > mostFrame {
-		return errFrame
+	if n > maxFrameSize {
+		return errMalformedFrame
 	}
 	body := make([]byte, n)
-	if _, err := io.ReadFull(c.in, body); err != nil {
+	if _, err := io.ReadFull(c.reader, body); err != nil {
 		return err
 	}
 	if err := cbor.Unmarshal(body, v); err != nil {
-		return fmt.Errorf("%w: %w", errFrame, err)
+		return fmt.Errorf("%w: %w", errMalformedFrame, err)
 	}
 	return nil
 }
 
-// Streams takes connections of others and hands each to who serves its kind.
+// Streams accepts connections from other instances and passes each to the handler of its kind.
 type Streams struct {
-	fleet    *Fleet
-	listener net.Listener
-	via      map[string]string
-	ctx      context.Context
-	stop     context.CancelFunc
-	all      sync.WaitGroup
-
-	mu    sync.Mutex
-	serve map[uint8]func(ctx context.Context, from string, c *Conn)
-	conns map[net.Conn]bool
+	fleet      *Fleet
+	listener   net.Listener
+	overrides  map[string]string // by instance name
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+
+	mu       sync.Mutex
+	handlers map[uint8]func(ctx context.Context, from string, c *Conn)
+	conns    map[net.Conn]bool
 }
 
-// ServeStreams serves connections at a listener; via is where some are reached in place of where they say.
-func (f *Fleet) ServeStreams(ln net.Listener, via map[string]string) *Streams {
+// ServeStreams accepts connections on a listener. The addresses in overrides, by instance name, replace advertised
+// ones when dialing.
+func (f *Fleet) ServeStreams(ln net.Listener, overrides map[string]string) *Streams {
 	s := &Streams{
-		fleet:    f,
-		listener: ln,
-		via:      via,
-		serve:    map[uint8]func(context.Context, string, *Conn){},
-		conns:    map[net.Conn]bool{},
+		fleet:     f,
+		listener:  ln,
+		overrides: overrides,
+		handlers:  map[uint8]func(context.Context, string, *Conn){},
+		conns:     map[net.Conn]bool{},
 	}
-	s.ctx, s.stop = context.WithCancel(context.Background())
-	s.all.Go(s.accept)
+	s.ctx, s.cancel = context.WithCancel(context.Background())
+	s.goroutines.Go(s.accept)
 	return s
 }
 
-// Serve has connections of a kind handed to a function, each on a goroutine of its own, until it returns.
-func (s *Streams) Serve(kind uint8, do func(ctx context.Context, from string, c *Conn)) {
+// Serve sets the handler of connections of a kind. Each connection runs the handler in its own goroutine and is closed
+// when it returns.
+func (s *Streams) Serve(kind uint8, handler func(ctx context.Context, from string, c *Conn)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.serve[kind] = do
+	s.handlers[kind] = handler
 }
 
-// Go runs something until the streams are closed.
-func (s *Streams) Go(do func(ctx context.Context)) { s.all.Go(func() { do(s.ctx) }) }
+// Go runs a function that must return when its context is done; Close waits for it.
+func (s *Streams) Go(run func(ctx context.Context)) { s.goroutines.Go(func() { run(s.ctx) }) }
 
-// Close ends all connections and waits for who served them.
+// Close closes all connections and waits for all goroutines.
 func (s *Streams) Close() {
-	s.stop()
+	s.cancel()
 	_ = s.listener.Close()
 	s.mu.Lock()
 	for c := range s.conns {
 		_ = c.Close()
 	}
 	s.mu.Unlock()
-	s.all.Wait()
+	s.goroutines.Wait()
 }
 
-// keep notes a connection, so that Close ends it.
-func (s *Streams) keep(c net.Conn) bool {
+// track registers a connection so that Close closes it. It closes the connection and returns false if Streams is
+// closed or has too many connections.
+func (s *Streams) track(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ctx.Err() != nil || len(s.conns) >= mostConns {
+	if s.ctx.Err() != nil || len(s.conns) >= maxConns {
 		_ = c.Close()
 		return false
 	}
@@ -132,7 +139,7 @@
 	return true
 }
 
-func (s *Streams) drop(c net.Conn) {
+func (s *Streams) closeConn(c net.Conn) {
 	_ = c.Close()
 	s.mu.Lock()
 	delete(s.conns, c)
@@ -145,64 +152,64 @@
 		if err != nil {
 			return
 		}
-		if !s.keep(c) {
+		if !s.track(c) {
 			continue
 		}
-		s.all.Go(func() {
-			defer s.drop(c)
-			conn := &Conn{c, patience, bufio.NewReader(c)}
+		s.goroutines.Go(func() {
+			defer s.closeConn(c)
+			conn := &Conn{c, defaultTimeout, bufio.NewReader(c)}
 			var h hello
 			if conn.Receive(&h) != nil {
 				return
 			}
 			s.mu.Lock()
-			do := s.serve[h.Kind]
+			handler := s.handlers[h.Kind]
 			s.mu.Unlock()
-			if do != nil {
-				do(s.ctx, h.From, conn)
+			if handler != nil {
+				handler(s.ctx, h.From, conn)
 			}
 		})
 	}
 }
 
-// Dial reaches another one for a kind of connection; the caller hands it back with Done.
+// Dial connects to an instance by name. The caller releases the connection with Release.
 func (s *Streams) Dial(name string, kind uint8) (*Conn, error) {
-	addr, ok := s.via[name]
+	addr, ok := s.overrides[name]
 	if !ok {
 		s.fleet.mu.Lock()
 		if addr = s.fleet.peers[name].StreamAddr; addr == "" {
-			addr = s.fleet.away[name].streams
+			addr = s.fleet.departed[name].streamAddr
 		}
 		s.fleet.mu.Unlock()
 	}
 	if addr == "" {
-		return nil, fmt.Errorf("%s: %w", name, errAway)
+		return nil, fmt.Errorf("%s: %w", name, errNoSuchMember)
 	}
 	return s.DialAddr(addr, kind)
 }
 
-// DialAddr reaches one at an address.
+// DialAddr connects to an instance at an address. The caller releases the connection with Release.
 func (s *Streams) DialAddr(addr string, kind uint8) (*Conn, error) {
-	d := net.Dialer{Timeout: patience / 2}
+	d := net.Dialer{Timeout: defaultTimeout / 2}
 	c, err := d.DialContext(s.ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	if !s.keep(c) {
-		return nil, errAway
+	if !s.track(c) {
+		return nil, errNotTracked
 	}
-	conn := &Conn{c, patience, bufio.NewReader(c)}
-	if err := conn.Send(hello{s.fleet.plan.Name, kind}); err != nil {
-		s.drop(c)
+	conn := &Conn{c, defaultTimeout, bufio.NewReader(c)}
+	if err := conn.Send(hello{s.fleet.config.Name, kind}); err != nil {
+		s.closeConn(c)
 		return nil, err
 	}
 	return conn, nil
 }
 
-// Release ends a connection that was dialled.
-func (s *Streams) Release(c *Conn) { s.drop(c.Conn) }
+// Release closes a dialed connection.
+func (s *Streams) Release(c *Conn) { s.closeConn(c.Conn) }
 
-// Kinds of connection that are in use.
+// Kinds of connections.
 const (
 	StreamJobs uint8 = iota + 1
 )
--- a/internal/controller/peersync/peersync.go
+++ b/internal/controller/peersync/peersync.go
@@ -1,6 +1,6 @@
-// Package peersync hands what an instance knows to one that starts: a transfer in parts over TCP, each a frame of cbor,
-// which goes on where it broke off. The one that serves spends little on it; the one that asks goes to several, in
-// an order by chance, and takes from each what comes in time. What of it counts is settled in recall/.
+// Package peersync transfers the facts that an instance knows to one that starts. A transfer consists of parts, each a
+// CBOR frame over TCP, and can resume after a broken connection. A starting instance asks several sources in random
+// order. Package warmstart decides which facts to use.
 package peersync
 
 import (
@@ -22,119 +22,120 @@
 	"elmfold/internal/controller/warmstart"
 )
 
-// ProtocolVersion of the wire. Another one is refused.
+// ProtocolVersion is the version of the wire protocol. Servers refuse other versions.
 const ProtocolVersion = 1
 
 const (
-	perPart   = 500 // facts
-	mostFrame = 1 << 20
-	mostAtAll = 2 // transfers at once
-	partTTL   = 30 * time.Second
-	partPause = 2 * time.Millisecond // so that serving takes no turn from deciding
-	patience  = time.Second          // for one frame, either way
+	attemptsPerSource = 2
+	factsPerPart      = 500
+	maxFrameSize      = 1 << 20
+	maxTransfers      = 2 // concurrent transfers per server
+	snapshotTTL       = 30 * time.Second
+	partPause         = 2 * time.Millisecond // leaves CPU time for decisions
+	frameTimeout      = time.Second          // for reading or writing one frame
 )
 
-// hello asks for the parts from one on, of a snapshot that is known already or of a new one.
-type hello struct {
+// request asks for the parts of a snapshot from an offset on, or for a new snapshot.
+type request struct {
 	Version  int    `cbor:"1,keyasint"`
 	Name     string `cbor:"2,keyasint"`
-	Snapshot uint64 `cbor:"3,keyasint"`
-	From     int    `cbor:"4,keyasint"`
+	Snapshot uint64 `cbor:"3,keyasint"` // 0: a new one
+	From     int    `cbor:"4,keyasint"` // offset in facts
 }
 
-// part answers it. Held is how old the snapshot is, in ms: its facts are older by that.
+// part is one frame of a response. AgeMS is the age of the snapshot, to be added to the age of each fact.
 type part struct {
-	Refused  string           `cbor:"1,keyasint,omitempty"`
+	Refused  string           `cbor:"1,keyasint,omitempty"` // reason; empty: not refused
 	Snapshot uint64           `cbor:"2,keyasint"`
-	At       int              `cbor:"3,keyasint"`
-	Held     int64            `cbor:"4,keyasint"`
+	Offset   int              `cbor:"3,keyasint"` // of the first fact
+	AgeMS    int64            `cbor:"4,keyasint"`
 	Facts    []warmstart.Fact `cbor:"5,keyasint"`
 	Last     bool             `cbor:"6,keyasint"`
 }
 
-func write(c net.Conn, v any) error {
+func writeFrame(c net.Conn, v any) error {
 	body, err := cbor.Marshal(v)
 	if err != nil {
 		return err
 	}
-	_ = c.SetWriteDeadline(time.Now().Add(patience))
+	_ = c.SetWriteDeadline(time.Now().Add(frameTimeout))
 	_, err = c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...))
 	return err
 }
 
-var errFrame = errors.New("not a frame of ours")
+var errMalformedFrame = errors.New("malformed frame")
 
-// read takes one frame. Whatever comes, it is bounded.
-func read(in *bufio.Reader, v any) error {
+// readFrame reads one frame of limited size.
+func readFrame(in *bufio.Reader, v any) error {
 	var head [4]byte
 	if _, err := io.ReadFull(in, head[:]); err != nil {
 		return err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > mostFrame {
-		return errFrame
+	if n > maxFrameSize {
+		return errMalformedFrame
 	}
 	body := make([]byte, n)
 	if _, err := io.ReadFull(in, body); err != nil {
 		return err
 	}
 	if err := cbor.Unmarshal(body, v); err != nil {
-		return fmt.Errorf("%w: %w", errFrame, err)
+		return fmt.Errorf("%w: %w", errMalformedFrame, err)
 	}
 	return nil
 }
 
-// snapshot is what is being told, all of one moment.
+// snapshot holds the facts of one moment.
 type snapshot struct {
-	number uint64
-	at     time.Time
-	facts  []warmstart.Fact
+	number  uint64
+	takenAt time.Time
+	facts   []warmstart.Fact
 }
 
-// Server tells what an instance knows.
+// Server serves the facts of an instance.
 type Server struct {
 	listener net.Listener
 	facts    func() []warmstart.Fact
 	log      *logrus.Entry
 
-	mu    sync.Mutex
-	busy  int
-	last  snapshot
-	count uint64
+	mu         sync.Mutex
+	transfers  int // in progress
+	last       snapshot
+	lastNumber uint64
 }
 
-// Listen serves what facts gives, which must not wait long.
+// Listen starts a server. The facts function must return quickly.
 func Listen(addr string, facts func() []warmstart.Fact, log *logrus.Entry) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	// Numbers of an earlier start must not be taken for ours.
-	s := &Server{listener: ln, facts: facts, log: log, count: uint64(time.Now().UnixNano())}
-	go s.serve()
+	// Starting from the current time, numbers differ from those of earlier processes.
+	s := &Server{listener: ln, facts: facts, log: log, lastNumber: uint64(time.Now().UnixNano())}
+	go s.acceptLoop()
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the listening address.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close ends it; transfers under way end by themselves.
+// Close stops the listener. Transfers in progress continue.
 func (s *Server) Close() { _ = s.listener.Close() }
 
-func (s *Server) serve() {
+func (s *Server) acceptLoop() {
 	for {
 		c, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		full := s.busy >= mostAtAll
-		if !full {
-			s.busy++
+		isBusy := s.transfers >= maxTransfers
+		if !isBusy {
+			s.transfers++
 		}
 		s.mu.Unlock()
-		if full {
-			_ = write(c, part{Refused: "busy"})
+		if isBusy {
+			_ = writeFrame(c, part{Refused: "busy"})
 			_ = c.Close()
 			continue
 		}
@@ -142,132 +143,144 @@
 			defer func() {
 				_ = c.Close()
 				s.mu.Lock()
-				s.busy--
+				s.transfers--
 				s.mu.Unlock()
 			}()
-			if err := s.answer(c); err != nil && s.log != nil {
-				s.log.WithFields(logrus.Fields{"peer": c.RemoteAddr().String(), "reason": err}).Info("a transfer ended early")
+			if err := s.serveTransfer(c); err != nil && s.log != nil {
+				s.log.WithFields(logrus.Fields{"peer": c.RemoteAddr().String(), "reason": err}).Info("transfer failed")
 			}
 		}()
 	}
 }
 
-func (s *Server) answer(c net.Conn) error {
-	_ = c.SetReadDeadline(time.Now().Add(patience))
-	var h hello
-	if err := read(bufio.NewReader(c), &h); err != nil {
+// serveTransfer answers one request with all parts from the requested offset on.
+func (s *Server) serveTransfer(c net.Conn) error {
+	_ = c.SetReadDeadline(time.Now().Add(frameTimeout))
+	var r request
+	if err := readFrame(bufio.NewReader(c), &r); err != nil {
 		return err
 	}
-	if h.Version != ProtocolVersion {
+	if r.Version != ProtocolVersion {
 		return errors.Join(
-			fmt.Errorf("version %d", h.Version),
-			write(c, part{Refused: fmt.Sprintf("version %d, we speak %d", h.Version, ProtocolVersion)}),
+			fmt.Errorf("unsupported version %d", r.Version),
+			writeFrame(c, part{Refused: fmt.Sprintf("version %d; this instance uses %d", r.Version, ProtocolVersion)}),
 		)
 	}
-	snap, from := s.take(h)
+	snap, offset := s.snapshotFor(r)
 	for {
-		end := min(from+perPart, len(snap.facts))
+		end := min(offset+factsPerPart, len(snap.facts))
 		p := part{
 			Snapshot: snap.number,
-			At:       from,
-			Held:     time.Since(snap.at).Milliseconds(),
-			Facts:    snap.facts[from:end],
+			Offset:   offset,
+			AgeMS:    time.Since(snap.takenAt).Milliseconds(),
+			Facts:    snap.facts[offset:end],
 			Last:     end == len(snap.facts),
 		}
-		if err := write(c, p); err != nil || p.Last {
+		if err := writeFrame(c, p); err != nil || p.Last {
 			return err
 		}
-		from = end
+		offset = end
 		time.Sleep(partPause)
 	}
 }
 
-// take gives the snapshot to go on with, a new one where that is gone.
-func (s *Server) take(h hello) (snapshot, int) {
+// snapshotFor returns the snapshot and offset to resume from, or a new snapshot if the requested one has expired.
+func (s *Server) snapshotFor(r request) (snapshot, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if h.Snapshot == s.last.number && h.Snapshot != 0 && time.Since(s.last.at) < partTTL && h.From >= 0 &&
-		h.From <= len(s.last.facts) {
-		return s.last, h.From
+	isCurrent := r.Snapshot != 0 && r.Snapshot == s.last.number && time.Since(s.last.takenAt) < snapshotTTL
+	if isCurrent && r.From >= 0 && r.From <= len(s.last.facts) {
+		return s.last, r.From
 	}
-	s.count++
-	s.last = snapshot{s.count, time.Now(), s.facts()}
+	s.lastNumber++
+	s.last = snapshot{s.lastNumber, time.Now(), s.facts()}
 	return s.last, 0
 }
 
-// Result is how one source answered.
+// Result is the outcome of asking one source.
 type Result struct {
 	Source string
 	Facts  int
-	Err    error // nil: all came
+	Err    error // nil: the transfer is complete
 }
 
-// Fetch asks sources one after the other, in an order by chance, until one has told all or the time is over. Each
-// part is handed on as it comes; of a transfer that broke off twice what came counts.
-func Fetch(sources []string, name, seed string, within time.Duration, offered func(warmstart.Offered)) (all []Result) {
+// Fetch asks the sources one after the other, in an order derived from the seed, until one transfer is complete or the
+// timeout expires. It passes each part to offer as it arrives, and resumes a broken transfer once.
+func Fetch(
+	sources []string,
+	name, seed string,
+	timeout time.Duration,
+	offer func(warmstart.Offered),
+) (results []Result) {
 	order := slices.Clone(sources)
 	slices.SortFunc(order, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxh3.HashString(seed+a), xxh3.HashString(seed+b)), cmp.Compare(a, b))
 	})
-	over := time.Now().Add(within)
+	deadline := time.Now().Add(timeout)
 	for _, source := range order {
-		if !time.Now().Before(over) {
+		if !time.Now().Before(deadline) {
 			break
 		}
-		a := Result{Source: source}
-		h := hello{Version: ProtocolVersion, Name: name}
-		for range 2 { // once more, from where it broke off
-			if a.Err = fetchFrom(source, &h, over, func(facts []warmstart.Fact) {
-				a.Facts += len(facts)
-				offered(warmstart.Offered{Source: source, Facts: facts})
-			}); a.Err == nil || errors.Is(a.Err, errRefused) || errors.Is(a.Err, errFrame) {
+		result := Result{Source: source}
+		r := request{Version: ProtocolVersion, Name: name}
+		offerFacts := func(facts []warmstart.Fact) {
+			result.Facts += len(facts)
+			offer(warmstart.Offered{Source: source, Facts: facts})
+		}
+		for range attemptsPerSource {
+			result.Err = fetchFrom(source, &r, deadline, offerFacts)
+			isFinal := errors.Is(result.Err, errRefused) || errors.Is(result.Err, errMalformedFrame)
+			if result.Err == nil || isFinal {
 				break
 			}
 		}
-		if all = append(all, a); a.Err == nil {
+		results = append(results, result)
+		if result.Err == nil {
 			break
 		}
 	}
-	return all
+	return results
 }
 
 var errRefused = errors.New("refused")
 
-func fetchFrom(source string, h *hello, over time.Time, offered func([]warmstart.Fact)) error {
-	dialer := net.Dialer{Deadline: over, Timeout: patience}
+// fetchFrom runs one transfer. It advances r with each part, so that a later call resumes there.
+func fetchFrom(source string, r *request, deadline time.Time, offer func([]warmstart.Fact)) error {
+	dialer := net.Dialer{Deadline: deadline, Timeout: frameTimeout}
 	c, err := dialer.Dial("tcp", source)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = c.Close() }()
-	if err := write(c, h); err != nil {
+	if err := writeFrame(c, r); err != nil {
 		return err
 	}
 	in := bufio.NewReader(c)
 	for {
-		deadline := time.Now().Add(patience)
-		if over.Before(deadline) {
-			deadline = over
+		frameDeadline := time.Now().Add(frameTimeout)
+		if deadline.Before(frameDeadline) {
+			frameDeadline = deadline
 		}
-		_ = c.SetReadDeadline(deadline)
+		_ = c.SetReadDeadline(frameDeadline)
 		var p part
-		if err := read(in, &p); err != nil {
+		if err := readFrame(in, &p); err != nil {
 			return err
 		}
 		switch {
 		case p.Refused != "":
 			return fmt.Errorf("%w: %s", errRefused, p.Refused)
-		case p.Snapshot != h.Snapshot && p.At != 0,
-			p.Snapshot == h.Snapshot && p.At != h.From,
+		case p.Snapshot != r.Snapshot && p.Offset != 0,
+			p.Snapshot == r.Snapshot && p.Offset != r.From,
 			len(p.Facts) == 0 && !p.Last,
-			p.Held < 0:
-			return fmt.Errorf("%w: part %d of %d", errFrame, p.At, p.Snapshot)
+			p.AgeMS < 0:
+			return fmt.Errorf("%w: unexpected part at offset %d of snapshot %d", errMalformedFrame, p.Offset, p.Snapshot)
 		}
 		for i := range p.Facts {
-			p.Facts[i].Age += time.Duration(p.Held) * time.Millisecond
+			p.Facts[i].Age += time.Duration(p.AgeMS) * time.Millisecond
 		}
-		offered(p.Facts)
-		if h.Snapshot, h.From = p.Snapshot, p.At+len(p.Facts); p.Last {
+		offer(p.Facts)
+		r.Snapshot, r.From = p.Snapshot, p.Offset+len(p.Facts)
+		if p.Last {
 			return nil
 		}
 	}
--- a/internal/controller/peersync/peersync_test.go
+++ b/internal/controller/peersync/peersync_test.go
@@ -15,7 +15,7 @@
 	"elmfold/internal/fakes/link"
 )
 
-func many(n int) (all []warmstart.Fact) {
+func testFacts(n int) (all []warmstart.Fact) {
 	for i := range n {
 		all = append(
 			all,
@@ -27,7 +27,7 @@
 
 func serve(t *testing.T, n int) *Server {
 	t.Helper()
-	s, err := Listen("127.0.0.1:0", func() []warmstart.Fact { return many(n) }, nil)
+	s, err := Listen("127.0.0.1:0", func() []warmstart.Fact { return testFacts(n) }, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,22 +35,21 @@
 	return s
 }
 
-// gather counts how often each fact was offered, and the least age.
-func gather(sources []string, within time.Duration) (times map[string]int, asked []Result) {
-	times = map[string]int{}
-	asked = Fetch(sources, "n1", "seed", within, func(o warmstart.Offered) {
+// fetchAll counts how often each fact is offered. A fact with a wrong age or origin counts as "bad".
+func fetchAll(sources []string, timeout time.Duration) (counts map[string]int, results []Result) {
+	counts = map[string]int{}
+	results = Fetch(sources, "n1", "seed", timeout, func(o warmstart.Offered) {
 		for _, f := range o.Facts {
 			if f.Age < time.Second || f.Origin != "n2" {
-				times["bad"]++
+				counts["bad"]++
 			}
-			times[f.Key]++
+			counts[f.Key]++
 		}
 	})
-	return times, asked
+	return counts, results
 }
 
-// Case 2: the source dies in mid-transfer, at bytes all over it: the transfer goes on where it broke off, each fact
-// is offered once, and none is left out.
+// A transfer whose connection breaks at any byte is resumed; each fact is offered exactly once.
 func TestCase2Resume(t *testing.T) {
 	s := serve(t, 3000)
 	for at := int64(0); at < 120000; at += 9973 {
@@ -64,24 +63,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		times, asked := gather([]string{l.Addr()}, 20*time.Second)
-		if len(times) != 3000 || asked[0].Err != nil || asked[0].Facts != 3000 {
-			t.Errorf("cut at %d: %d facts, %+v", at, len(times), asked)
+		counts, results := fetchAll([]string{l.Addr()}, 20*time.Second)
+		if len(counts) != 3000 || results[0].Err != nil || results[0].Facts != 3000 {
+			t.Errorf("cut at %d: %d facts, %+v", at, len(counts), results)
 		}
 		l.Close()
 	}
 }
 
-// Case 2: one source is away, one falls silent, one speaks another language: the next one is asked, within the time.
+// Sources that refuse connections, stall or use another protocol do not prevent a complete transfer from a later
+// source.
 func TestCase2OtherSources(t *testing.T) {
-	good := serve(t, 700)
+	healthy := serve(t, 700)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	away := ln.Addr().String()
+	closed := ln.Addr().String()
 	_ = ln.Close()
-	silent, err := link.New(good.Addr(), func(int) link.Script {
+	stalled, err := link.New(healthy.Addr(), func(int) link.Script {
 		s := link.Calm
 		s.Down = link.Disturbance{After: 100, Kind: link.Stall}
 		return s
@@ -89,15 +89,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
-	web, err := net.Listen("tcp", "127.0.0.1:0")
+	defer stalled.Close()
+	httpServer, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = web.Close() }()
+	defer func() { _ = httpServer.Close() }()
 	go func() {
 		for {
-			c, err := web.Accept()
+			c, err := httpServer.Accept()
 			if err != nil {
 				return
 			}
@@ -105,18 +105,19 @@
 			_ = c.Close()
 		}
 	}()
-	times, asked := gather([]string{away, silent.Addr(), web.Addr().String(), good.Addr()}, 30*time.Second)
-	if len(times) != 700 || asked[len(asked)-1].Err != nil {
-		t.Errorf("%d facts, %+v", len(times), asked)
+	sources := []string{closed, stalled.Addr(), httpServer.Addr().String(), healthy.Addr()}
+	counts, results := fetchAll(sources, 30*time.Second)
+	if len(counts) != 700 || results[len(results)-1].Err != nil {
+		t.Errorf("%d facts, %+v", len(counts), results)
 	}
-	for _, a := range asked[:len(asked)-1] {
-		if a.Err == nil || a.Source == good.Addr() {
+	for _, a := range results[:len(results)-1] {
+		if a.Err == nil || a.Source == healthy.Addr() {
 			t.Errorf("%+v", a)
 		}
 	}
 }
 
-// Another version is refused in words, and so is one transfer too many at once.
+// A server refuses another protocol version and excess concurrent transfers.
 func TestRefused(t *testing.T) {
 	s := serve(t, 10)
 	c, err := net.Dial("tcp", s.Addr())
@@ -126,30 +127,30 @@
 	defer func() { _ = c.Close() }()
 	var p part
 	if err := errors.Join(
-		write(c, hello{Version: 9}),
-		read(bufio.NewReader(c), &p),
+		writeFrame(c, request{Version: 9}),
+		readFrame(bufio.NewReader(c), &p),
 	); err != nil ||
 		!strings.Contains(p.Refused, "version 9") {
 		t.Errorf("%+v, %v", p, err)
 	}
-	full := serve(t, 10)
-	full.mu.Lock()
-	full.busy = mostAtAll
-	full.mu.Unlock()
-	if _, asked := gather([]string{full.Addr()}, 5*time.Second); !errors.Is(asked[0].Err, errRefused) {
-		t.Errorf("%+v", asked)
+	busy := serve(t, 10)
+	busy.mu.Lock()
+	busy.transfers = maxTransfers
+	busy.mu.Unlock()
+	if _, results := fetchAll([]string{busy.Addr()}, 5*time.Second); !errors.Is(results[0].Err, errRefused) {
+		t.Errorf("%+v", results)
 	}
 }
 
-// Whatever bytes come as a frame, reading ends with a value or an error.
+// Reading arbitrary bytes as a frame must not panic.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 1, 0xa0})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte("HTTP/1.1 200 OK\r\n"))
 	f.Fuzz(func(_ *testing.T, text []byte) {
 		var p part
-		var h hello
-		_ = read(bufio.NewReader(bytes.NewReader(text)), &p)
-		_ = read(bufio.NewReader(bytes.NewReader(text)), &h)
+		var r request
+		_ = readFrame(bufio.NewReader(bytes.NewReader(text)), &p)
+		_ = readFrame(bufio.NewReader(bytes.NewReader(text)), &r)
 	})
 }
