--- a/internal/bench/plugin/plugins.go
+++ b/internal/bench/plugin/plugins.go
@@ -11,7 +11,7 @@
 
 	"elmfold/internal/bench/report"
 	"elmfold/internal/controller/pluginhost"
-	"elmfold/pluginsdk/pluginapi"
+	"elmfold/pluginsdk/moment"
 )
 
 const (
@@ -43,11 +43,11 @@
 	if err != nil {
 		return fmt.Errorf("name a built plug-in with --module: %w", err)
 	}
-	m := pluginapi.Snapshot{Revision: 1, Products: []string{"look", "order", "pay"}}
+	m := moment.Moment{Revision: 1, Products: []string{"look", "order", "pay"}}
 	for i := range pluginBackends {
 		m.Backends = append(
 			m.Backends,
-			pluginapi.Backend{
+			moment.Backend{
 				ID:     fmt.Sprintf("s-%08x", i*7919),
 				Zone:   string(rune('a' + i%4)),
 				Kind:   []string{"old", "m"}[i%2],
@@ -60,7 +60,7 @@
 	for i := range pluginTenants {
 		m.Tenants = append(
 			m.Tenants,
-			pluginapi.Tenant{
+			moment.Tenant{
 				Name:    fmt.Sprint("t", i),
 				Rates:   []float64{float64(i % 7), 2, 1},
 				Proxies: 10,
--- a/internal/controller/command/plugin.go
+++ b/internal/controller/command/plugin.go
@@ -17,15 +17,15 @@
 	"elmfold/internal/controller/pluginhost"
 	"elmfold/internal/controller/tenancy"
 	"elmfold/internal/policy"
-	"elmfold/pluginsdk/pluginapi"
+	"elmfold/pluginsdk/moment"
 )
 
 // kinds are the proposals of plug-ins, as hook has them.
 var kinds = map[string]pluginguard.Kind{
-	pluginapi.Allow: pluginguard.Allow,
-	pluginapi.Cap:   pluginguard.Cap,
-	pluginapi.Shed:  pluginguard.Shed,
-	"retry":         pluginguard.Retry,
+	moment.Allow: pluginguard.Allow,
+	moment.Cap:   pluginguard.Cap,
+	moment.Shed:  pluginguard.Shed,
+	"retry":      pluginguard.Retry,
 }
 
 // pluginCommand tries plug-ins without a controller.
@@ -55,7 +55,7 @@
 						continue
 					}
 					p.Close()
-					_, _ = fmt.Fprintf(out, "%s: in order; interface version %d\n", path, pluginapi.Version)
+					_, _ = fmt.Fprintf(out, "%s: in order; interface version %d\n", path, moment.Version)
 				}
 				if code != 0 {
 					return code
@@ -97,7 +97,7 @@
 		if len(bytes.TrimSpace(in.Bytes())) == 0 {
 			continue
 		}
-		var m pluginapi.Snapshot
+		var m moment.Moment
 		decoder := json.NewDecoder(bytes.NewReader(in.Bytes()))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(&m); err != nil {
@@ -150,7 +150,7 @@
 }
 
 // eventsOf is a moment as the controller's own events would have it. Products may go anywhere: a moment says no more.
-func eventsOf(m pluginapi.Snapshot) []pluginguard.Event {
+func eventsOf(m moment.Moment) []pluginguard.Event {
 	var zones []string
 	zone := func(name string) int {
 		if !slices.Contains(zones, name) {
--- a/internal/controller/pluginhost/plugin.go
+++ b/internal/controller/pluginhost/plugin.go
@@ -18,7 +18,7 @@
 	"github.com/tetratelabs/wazero/imports/wasi_snapshot_preview1"
 	"github.com/tetratelabs/wazero/sys"
 
-	"elmfold/pluginsdk/pluginapi"
+	"elmfold/pluginsdk/moment"
 )
 
 // What a module exports.
@@ -28,18 +28,18 @@
 	wasiName    = "wasi_snapshot_preview1"
 )
 
-// What goes in and out, from package pluginapi, which plug-ins build with too.
+// What goes in and out, from package moment, which plug-ins build with too.
 type (
 	// Moment is what a plug-in is given.
-	Moment = pluginapi.Snapshot
+	Moment = moment.Moment
 	// Backend is a backend of a Moment.
-	Backend = pluginapi.Backend
+	Backend = moment.Backend
 	// Tenant is a tenant of a Moment.
-	Tenant = pluginapi.Tenant
+	Tenant = moment.Tenant
 	// Proposal is one change that a plug-in proposes.
-	Proposal = pluginapi.Proposal
+	Proposal = moment.Proposal
 	// Answer is all that a plug-in proposes.
-	Answer = pluginapi.Response
+	Answer = moment.Answer
 )
 
 // Limits bound a plug-in.
@@ -154,7 +154,7 @@
 }
 
 func (p *Plugin) propose(m Moment) (a Answer, err error) {
-	m.Version = pluginapi.Version
+	m.Version = moment.Version
 	text, err := cbor.Marshal(m)
 	if err != nil {
 		return a, err
--- a/internal/gateway/session/dialer.go
+++ b/internal/gateway/session/dialer.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// RetryNow dials an address at once, even while another dial to it is in progress. It is for an unreachable peer that is
-// known to be back. If the address is connected, it is dialed as soon as that connection ends. RetryNow ignores an address
-// that was not passed to Connect. It must be called by the owner.
+// RetryNow dials an address at once, even while another dial to it is in progress. It is for an unreachable peer that
+// is known to be back. If the address is connected, it is dialed as soon as that connection ends. RetryNow ignores an
+// address that was not passed to Connect. It must be called by the owner.
 func (d *Dialer) RetryNow(address string) {
 	select {
 	case d.retryNow[address] <- struct{}{}:
--- a/pluginsdk/examples/monthend/main.go
+++ b/pluginsdk/examples/monthend/main.go
@@ -6,7 +6,7 @@
 
 import (
 	"elmfold/pluginsdk"
-	"elmfold/pluginsdk/pluginapi"
+	"elmfold/pluginsdk/moment"
 )
 
 const (
@@ -15,27 +15,27 @@
 )
 
 func init() {
-	pluginsdk.Propose(func(snapshot pluginapi.Snapshot) (response pluginapi.Response) {
+	pluginsdk.Propose(func(m moment.Moment) (answer moment.Answer) {
 		capacity, totalDemand := 0.0, 0.0
-		demands := make([]float64, len(snapshot.Tenants))
-		for _, b := range snapshot.Backends {
+		demands := make([]float64, len(m.Tenants))
+		for _, b := range m.Backends {
 			if !b.Drains {
 				capacity += ratePerWeight * b.Weight * b.Relief
 			}
 		}
-		for i, t := range snapshot.Tenants {
+		for i, t := range m.Tenants {
 			for _, rate := range t.Rates {
 				demands[i] += rate
 			}
 			totalDemand += demands[i]
 		}
-		for i, t := range snapshot.Tenants {
-			if totalDemand > capacity && demands[i] > 2*totalDemand/float64(len(snapshot.Tenants)) {
-				response.Proposals = append(response.Proposals,
-					pluginapi.Proposal{Kind: pluginapi.Shed, Tenant: t.Name, Figure: admittedShare})
+		for i, t := range m.Tenants {
+			if totalDemand > capacity && demands[i] > 2*totalDemand/float64(len(m.Tenants)) {
+				answer.Proposals = append(answer.Proposals,
+					moment.Proposal{Kind: moment.Shed, Tenant: t.Name, Figure: admittedShare})
 			}
 		}
-		return response
+		return answer
 	})
 }
 
--- a/pluginsdk/examples/quirk/main.go
+++ b/pluginsdk/examples/quirk/main.go
@@ -5,21 +5,21 @@
 
 import (
 	"elmfold/pluginsdk"
-	"elmfold/pluginsdk/pluginapi"
+	"elmfold/pluginsdk/moment"
 )
 
 const tenant, excludedKind = "acme", "old"
 
 func init() {
-	pluginsdk.Propose(func(snapshot pluginapi.Snapshot) (response pluginapi.Response) {
-		p := pluginapi.Proposal{Kind: pluginapi.Allow, Tenant: tenant}
-		for _, b := range snapshot.Backends {
+	pluginsdk.Propose(func(m moment.Moment) (answer moment.Answer) {
+		p := moment.Proposal{Kind: moment.Allow, Tenant: tenant}
+		for _, b := range m.Backends {
 			if b.Kind != excludedKind && !b.Drains {
 				p.Backends = append(p.Backends, b.ID)
 			}
 		}
-		response.Proposals = append(response.Proposals, p)
-		return response
+		answer.Proposals = append(answer.Proposals, p)
+		return answer
 	})
 }
 
--- a/pluginsdk/pluginapi/pluginapi.go
+++ b/pluginsdk/moment/moment.go
@@ -1,8 +1,8 @@
-// Package pluginapi defines the data that the controller and its plug-ins exchange. Both sides import it.
+// Package moment defines the data that the controller and its plug-ins exchange. Both sides import it.
 // docs/plugins.md describes the interface.
-package pluginapi
+package moment
 
-// Version is the version of the interface. Each Snapshot carries it.
+// Version is the version of the interface. Each Moment carries it.
 const Version = 1
 
 // Kinds of proposals.
@@ -12,11 +12,11 @@
 	Shed  = "shed"  // admits only the share Figure, over 0 and at most 1, of a tenant's transactions
 )
 
-// Snapshot is the input of a plug-in: the state of the system at one time.
-type Snapshot struct {
+// Moment is the input of a plug-in: the state of the system at one time.
+type Moment struct {
 	Version  int       `cbor:"1,keyasint"`
 	Now      int64     `cbor:"2,keyasint"` // ms since an arbitrary time
-	Seed     uint64    `cbor:"3,keyasint"` // for random numbers; differs between snapshots
+	Seed     uint64    `cbor:"3,keyasint"` // for random numbers; differs between moments
 	Revision int64     `cbor:"4,keyasint"` // of the list of backends
 	Backends []Backend `cbor:"5,keyasint"`
 	Tenants  []Tenant  `cbor:"6,keyasint"`
@@ -52,7 +52,7 @@
 	Figure   float64  `cbor:"4,keyasint,omitempty"` // meaning depends on Kind
 }
 
-// Response is the output of a plug-in for one Snapshot. It replaces the proposals of earlier responses.
-type Response struct {
+// Answer is the output of a plug-in for one Moment. It replaces the proposals of earlier answers.
+type Answer struct {
 	Proposals []Proposal `cbor:"1,keyasint"`
 }
--- a/pluginsdk/pluginsdk.go
+++ b/pluginsdk/pluginsdk.go
@@ -9,17 +9,17 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"elmfold/pluginsdk/pluginapi"
+	"elmfold/pluginsdk/moment"
 )
 
 var (
-	propose func(pluginapi.Snapshot) pluginapi.Response
+	propose func(moment.Moment) moment.Answer
 	// The buffers that the host writes and reads. They are kept here so that the garbage collector does not free them.
 	input, output []byte
 )
 
-// Propose sets the function that is called with each snapshot.
-func Propose(f func(pluginapi.Snapshot) pluginapi.Response) { propose = f }
+// Propose sets the function that is called with each moment.
+func Propose(f func(moment.Moment) moment.Answer) { propose = f }
 
 // alloc allocates the input buffer and returns its address.
 //
@@ -29,17 +29,17 @@
 	return int32(uintptr(unsafe.Pointer(&input[0])))
 }
 
-// call passes the snapshot in the input buffer to the plug-in. It returns the address of the encoded response in the
+// call passes the moment in the input buffer to the plug-in. It returns the address of the encoded answer in the
 // upper 32 bits and its length in the lower 32 bits.
 //
 //go:wasmexport elmfold_propose
 func call(_, bytes int32) int64 {
-	var snapshot pluginapi.Snapshot
-	if err := cbor.Unmarshal(input[:bytes], &snapshot); err != nil {
+	var m moment.Moment
+	if err := cbor.Unmarshal(input[:bytes], &m); err != nil {
 		panic(err)
 	}
 	var err error
-	if output, err = cbor.Marshal(propose(snapshot)); err != nil {
+	if output, err = cbor.Marshal(propose(m)); err != nil {
 		panic(err)
 	}
 	return int64(uintptr(unsafe.Pointer(&output[0])))<<32 | int64(len(output))
