--- a/internal/controller/jobs/jobs.go
+++ b/internal/controller/jobs/jobs.go
@@ -180,7 +180,7 @@
 const (
 	RuleOutcome            = 1 // an outcome overrides any intent
 	RuleFurtherOutcome     = 2 // the later outcome in the list of outcomes wins
-	RuleSuperseded         = 3 // an edit supersedes those in its causal context, but an automatic one none of an operator
+	RuleSuperseded         = 3 // an edit supersedes its causal context; automation never supersedes an operator
 	RuleSafer              = 4 // withdraw > hold > release; narrower placement; earlier expiry; lower priority
 	RuleOperator           = 5 // an operator wins over automation
 	RuleHomeSite           = 6 // the home site of the job wins over other sites
@@ -202,10 +202,10 @@
 
 // unsuperseded returns the edits of the given kinds that no other edit of these kinds supersedes, ordered by hash. An
 // edit supersedes those in its causal context, except that an automatic edit does not supersede an operator's.
-func unsuperseded(edits []*Edit, of ...Kind) (current []*Edit) {
+func unsuperseded(edits []*Edit, kinds ...Kind) (current []*Edit) {
 	seen, seenByOperator := VersionVector{}, VersionVector{}
 	for _, e := range edits {
-		if !slices.Contains(of, e.Kind) {
+		if !slices.Contains(kinds, e.Kind) {
 			continue
 		}
 		for origin, n := range e.CausalContext {
@@ -220,7 +220,7 @@
 		if e.Operator {
 			superseded = seenByOperator
 		}
-		if slices.Contains(of, e.Kind) && !superseded.Contains(e.Dot) {
+		if slices.Contains(kinds, e.Kind) && !superseded.Contains(e.Dot) {
 			current = append(current, e)
 		}
 	}
--- a/internal/controller/jobs/jobs_test.go
+++ b/internal/controller/jobs/jobs_test.go
@@ -1,6 +1,7 @@
 package jobs
 
 import (
+	"encoding/json"
 	"fmt"
 	"maps"
 	"math/rand/v2"
@@ -47,11 +48,11 @@
 // referenceView is a quadratic model of ComputeView that applies each rule to every pair of edits.
 func referenceView(edits []*Edit) (state State, lost map[Dot]int, places []string) {
 	lost = map[Dot]int{}
-	currentEdits := func(of ...Kind) (current []*Edit) {
+	currentEdits := func(kinds ...Kind) (current []*Edit) {
 		for _, e := range edits {
-			isCurrent := slices.Contains(of, e.Kind)
+			isCurrent := slices.Contains(kinds, e.Kind)
 			for _, o := range edits {
-				if slices.Contains(of, o.Kind) && o.CausalContext[e.Dot.Origin] >= e.Dot.Number && (o.Operator || !e.Operator) {
+				if slices.Contains(kinds, o.Kind) && o.CausalContext[e.Dot.Origin] >= e.Dot.Number && (o.Operator || !e.Operator) {
 					isCurrent = false
 				}
 			}
@@ -590,3 +591,21 @@
 		t.Errorf("view is %+v", v)
 	}
 }
+
+// Guards the field names in messages and checksums against renames of the Go fields.
+func TestEncodingKeepsFieldNames(t *testing.T) {
+	view := View{HoldReason: "reason"}
+	viewCBOR, _ := cbor.Marshal(view)
+	var fields map[string]any
+	if err := cbor.Unmarshal(viewCBOR, &fields); err != nil || fields["Why"] != "reason" {
+		t.Errorf("CBOR fields of a view are %v, %v; want Why", fields, err)
+	}
+	viewJSON, _ := json.Marshal(view)
+	if !strings.Contains(string(viewJSON), `"Why":"reason"`) {
+		t.Errorf("view is %s; want Why", viewJSON)
+	}
+	editJSON, _ := json.Marshal(Edit{CausalContext: VersionVector{"a@1": 1}})
+	if !strings.Contains(string(editJSON), `"Knew":{"a@1":1}`) {
+		t.Errorf("edit is %s; want Knew", editJSON)
+	}
+}
--- a/internal/controller/jobs/node.go
+++ b/internal/controller/jobs/node.go
@@ -19,7 +19,7 @@
 const (
 	heartbeatInterval = 250 * time.Millisecond // maximum time between two responses on a connection
 	batchDelay        = 10 * time.Millisecond  // collects edits that arrive together into one response
-	heartbeatTimeout  = time.Second
+	heartbeatTimeout  = time.Second            // a connection without a frame for this long is closed
 	maxEditsPerFrame  = 2000
 	compactInterval   = time.Second
 	reconcileInterval = 500 * time.Millisecond // minimum time between two requests for the retained edits of a peer
--- a/internal/controller/jobs/replica.go
+++ b/internal/controller/jobs/replica.go
@@ -13,9 +13,9 @@
 // Limits of a replica.
 const (
 	MaxJobs        = 1_000_000
-	MaxEditsPerJob = 100_000 // before compaction
+	MaxEditsPerJob = 100_000 // not yet compacted
 
-	minEditsToCompact = 8 // an open job with no more edits is left as it is
+	compactionThreshold = 8 // an open job with more edits is compacted
 )
 
 // Replica holds the edits that one instance knows. It is not safe for concurrent use.
@@ -238,7 +238,7 @@
 // DiscardCompacted discards edits that a peer has seen and compacted, and returns their dots. Otherwise a replica that
 // was restored from an old store would reopen ended jobs and revive superseded edits. Two replicas that call it on
 // each other converge to the intersection of their edits.
-func (r *Replica) DiscardCompacted(peerRetained map[string][]uint64, peerVersions VersionVector) (discarded []Dot) {
+func (r *Replica) DiscardCompacted(peerRetained map[string][]uint64, peerVector VersionVector) (discarded []Dot) {
 	retained := map[Dot]bool{}
 	for origin, numbers := range peerRetained {
 		for _, n := range numbers {
@@ -248,7 +248,7 @@
 	for id, job := range r.jobs {
 		before := len(job.edits)
 		job.edits = slices.DeleteFunc(job.edits, func(e *Edit) bool {
-			compacted := peerVersions.Contains(e.Dot) && !retained[e.Dot]
+			compacted := peerVector.Contains(e.Dot) && !retained[e.Dot]
 			if compacted {
 				discarded = append(discarded, e.Dot)
 			}
@@ -329,7 +329,7 @@
 		case view.State.Ended() && len(view.Lost) == 0:
 			drop = func(e *Edit) bool { return true }
 			delete(r.jobs, id)
-		case len(job.edits) > minEditsToCompact:
+		case len(job.edits) > compactionThreshold:
 			drop = isSuperseded(job.edits)
 		}
 		retained := job.edits[:0:0]
@@ -366,19 +366,19 @@
 	return stable, true
 }
 
-// aspects groups the kinds of requests that compete with each other.
-var aspects = [][]Kind{{Hold, Release, Withdraw}, {Place}, {Expire}, {Prioritise}}
+// competingKinds groups the kinds of requests that supersede each other.
+var competingKinds = [][]Kind{{Hold, Release, Withdraw}, {Place}, {Expire}, {Prioritise}}
 
 // isSuperseded returns a predicate for the requests of a job that another edit supersedes.
 func isSuperseded(edits []*Edit) func(e *Edit) bool {
 	current := map[Dot]bool{}
-	for _, kinds := range aspects {
+	for _, kinds := range competingKinds {
 		for _, e := range unsuperseded(edits, kinds...) {
 			current[e.Dot] = true
 		}
 	}
 	return func(e *Edit) bool {
-		isRequest := slices.ContainsFunc(aspects, func(kinds []Kind) bool { return slices.Contains(kinds, e.Kind) })
+		isRequest := slices.ContainsFunc(competingKinds, func(kinds []Kind) bool { return slices.Contains(kinds, e.Kind) })
 		return isRequest && !current[e.Dot]
 	}
 }
--- a/internal/controller/membership/aggregator.go
+++ b/internal/controller/membership/aggregator.go
@@ -226,7 +226,8 @@
 	return append(sends, s.forwardTotal(total, childTotals)...)
 }
 
-// forwardTotal reports a total and returns the messages that forward it to the children. The caller holds the mutex.
+// forwardTotal passes a total to onSummary and returns the messages that forward it to the children. The caller holds
+// the mutex.
 func (s *LoadAggregator) forwardTotal(
 	total *aggregation.Summary,
 	childTotals map[string]aggregation.Total,
