--- a/internal/controlplane/consensus/actiondigest_test.go
+++ b/internal/controlplane/consensus/actiondigest_test.go
@@ -15,7 +15,7 @@
 const digestsFile = "testdata/orders.txt"
 
 // actionsDigest runs a simulation, and returns the number and the digest of the actions of all nodes. Messages are
-// encoded canonically.
+// encoded canonically. Its texts are part of the digests in the golden file.
 func actionsDigest(t *testing.T, seed uint64, profile faultProfile) string {
 	t.Helper()
 	canonical, err := cbor.CanonicalEncOptions().EncMode()
@@ -63,11 +63,11 @@
 func TestOrdersStayTheSame(t *testing.T) {
 	t.Parallel()
 	profiles := []struct {
-		name     string
+		name     string // in the golden file
 		profile  faultProfile
 		seeds    uint64
 		withRace uint64 // seeds with the race detector
-	}{{"wild", randomFaults, 40, 4}, {"long", longPartitions, 6, 1}, {"budget", boundedFaults, 20, 2}}
+	}{{"wild", randomFaults, 40, 4}, {"long", longFaults, 6, 1}, {"budget", boundedFaults, 20, 2}}
 	text, err := os.ReadFile(digestsFile)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/consensus/bootstrapmodel_test.go
+++ b/internal/controlplane/consensus/bootstrapmodel_test.go
@@ -79,6 +79,7 @@
 	wipes         uint8                      // so far
 }
 
+// bootstrapModel explores the states of a scope, and keeps the results.
 type bootstrapModel struct {
 	bootstrapScope
 	stateCount  int // visited
@@ -133,8 +134,8 @@
 	return 0
 }
 
-// initialStates returns the states before the first ballot. If processes were killed early, any disks may not be from
-// the first start.
+// initialStates returns the states before the first ballot. If processes may be killed early, there is one for each set
+// of disks that are not from the first start.
 func (model *bootstrapModel) initialStates() []*bootstrapState {
 	if !model.killedEarly {
 		return []*bootstrapState{{}}
@@ -262,7 +263,7 @@
 	}
 	for i := range model.machines {
 		machine := &s.machines[i]
-		// A proposer may know more machines. The smallest set of voters is the one that fewest losses make obsolete.
+		// A proposer may include more machines. With the fewest voters, the fewest losses make the value obsolete.
 		if machine.votes[0][b].promised || machine.votes[1][b].promised {
 			machine.voterDisk[b] = firstDiskVotes + uint8(machine.disk())
 		}
@@ -403,7 +404,7 @@
 
 func (machine *modelMachine) encode() []byte {
 	bits, n := uint64(0), 0
-	put := func(votes uint64, width int) { bits |= votes << n; n += width }
+	put := func(value uint64, width int) { bits |= value << n; n += width }
 	putBool := func(value bool) {
 		if value {
 			put(1, 1)
--- a/internal/controlplane/consensus/boundedstate_test.go
+++ b/internal/controlplane/consensus/boundedstate_test.go
@@ -32,7 +32,7 @@
 		case Send:
 			for j, r := range cluster.nodes {
 				if r != nil && r.options.Self.Name == action.To {
-					deliver := func() { cluster.step(j, MessageReceived{controllerOf(i).Name, action.Message}) }
+					deliver := func() { cluster.step(j, MessageReceived{testNode(i).Name, action.Message}) }
 					cluster.messages = append(cluster.messages, deliver)
 				}
 			}
@@ -70,13 +70,13 @@
 	records := maps.Clone(cluster.records[i])
 	_, complete := records[recordComplete]
 	delete(records, recordComplete)
-	state, err := LoadState(controllerOf(i).Name, records, complete, firstStart, fmt.Sprintf("d%d.%d", i, incarnation))
+	state, err := LoadState(testNode(i).Name, records, complete, firstStart, fmt.Sprintf("d%d.%d", i, incarnation))
 	if err != nil {
 		t.Fatal(err)
 	}
 	cluster.nodes[i] = New(
 		Options{
-			Self:        controllerOf(i),
+			Self:        testNode(i),
 			Incarnation: incarnation<<32 | uint64(i),
 			MaxFaults:   1,
 			Seeds:       []string{"a0", "a1", "a2"},
@@ -86,11 +86,11 @@
 	cluster.step(i)
 	for j, r := range cluster.nodes {
 		if r != nil && j != i {
-			cluster.step(i, PeerConnected{Node: controllerOf(j), StoreID: r.StoreID(), MayHaveLostState: r.MayHaveLostState()})
+			cluster.step(i, PeerConnected{Node: testNode(j), StoreID: r.StoreID(), MayHaveLostState: r.MayHaveLostState()})
 			cluster.step(
 				j,
 				PeerConnected{
-					Node:             controllerOf(i),
+					Node:             testNode(i),
 					StoreID:          cluster.nodes[i].StoreID(),
 					MayHaveLostState: cluster.nodes[i].MayHaveLostState(),
 				},
@@ -153,7 +153,7 @@
 	disk, report, memory := cluster.stateSizes(0)
 	cluster.nodes[3] = nil // down
 	for i := range 3 {
-		cluster.step(i, PeerDisconnected{controllerOf(3).Name})
+		cluster.step(i, PeerDisconnected{testNode(3).Name})
 	}
 	proposeChanges(10_000)
 	if cluster.committed != 10_100 {
@@ -187,7 +187,7 @@
 		}
 		for j := range cluster.nodes {
 			if j != i {
-				cluster.step(j, PeerDisconnected{controllerOf(i).Name})
+				cluster.step(j, PeerDisconnected{testNode(i).Name})
 			}
 		}
 		cluster.start(t, i, incarnation, false)
--- a/internal/controlplane/consensus/durablestate_test.go
+++ b/internal/controlplane/consensus/durablestate_test.go
@@ -24,7 +24,7 @@
 	t.Helper()
 	var nodes []rpc.Node
 	for i := range 3 {
-		nodes = append(nodes, controllerOf(i))
+		nodes = append(nodes, testNode(i))
 	}
 	voters, err := json.Marshal(nodes)
 	if err != nil {
@@ -79,7 +79,7 @@
 	if state.Identified {
 		t.Error("identified before its records are migrated")
 	}
-	r := New(Options{Self: controllerOf(0), Incarnation: 1, MaxFaults: 1, Seeds: []string{"a0"}, State: state})
+	r := New(Options{Self: testNode(0), Incarnation: 1, MaxFaults: 1, Seeds: []string{"a0"}, State: state})
 	var writes []Persist
 	for _, action := range r.Step(0) {
 		if p, ok := action.(Persist); ok {
@@ -112,7 +112,7 @@
 		len(state.Acceptors) > 0 {
 		t.Errorf("%+v", state)
 	}
-	r := New(Options{Self: controllerOf(0), Incarnation: 1, State: state})
+	r := New(Options{Self: testNode(0), Incarnation: 1, State: state})
 	remaining, last := maps.Clone(records), ""
 	for _, action := range r.Step(0) {
 		if p, ok := action.(Persist); ok {
--- a/internal/controlplane/consensus/evacuations_test.go
+++ b/internal/controlplane/consensus/evacuations_test.go
@@ -38,7 +38,6 @@
 func TestEvacuationsOverlap(t *testing.T) {
 	var b strings.Builder
 	zone := &zoneRegister{Register: Register{Name: "zone/a"}, ageKnown: true}
-	const startTime = 1_700_000_000_000 // ms since 1970
 	record := func(at uint64, description string, do func()) {
 		before := zone.Version
 		do()
--- a/internal/controlplane/consensus/membership_test.go
+++ b/internal/controlplane/consensus/membership_test.go
@@ -27,7 +27,7 @@
 			}
 			word = strings.Trim(word, "[]")
 			id := strings.TrimRight(word, "~.!*'")
-			c.Voter = Voter{Node: controllerOf(0), StoreID: id}
+			c.Voter = Voter{Node: testNode(0), StoreID: id}
 			c.Name = id[:1]
 			for _, mark := range word[len(id):] {
 				switch mark {
--- a/internal/controlplane/consensus/modelcheck_test.go
+++ b/internal/controlplane/consensus/modelcheck_test.go
@@ -57,6 +57,7 @@
 	noJointEpoch      bool // voters change without a joint epoch
 }
 
+// modelNode is a node with its disk.
 type modelNode struct {
 	replica       *Replica // shared between states, so it is never changed
 	records       map[string][]byte
@@ -73,6 +74,7 @@
 	key      xxh3.Uint128
 }
 
+// modelState is a state of the model.
 type modelState struct {
 	nodes           []*modelNode
 	inFlight        []modelMessage // sorted by key
@@ -84,21 +86,22 @@
 	lastIncarnation uint64
 	// The newest value that was reported as committed. It must not be lost.
 	newest      Register
-	lowerBounds [4]Version // the version of newest when each proposal was sent
-	epochs      map[uint64][]byte
+	lowerBounds [4]Version        // the version of newest when each proposal was sent
+	epochs      map[uint64][]byte // entered by a node, encoded, by number
 	newestEpoch Epoch
 }
 
+// model explores the states of a scope, and keeps the results.
 type model struct {
 	modelScope
 	stateCount  int // visited
 	transitions int
 	failure     string
 	truncated   bool
-	buf         []byte
+	buf         []byte // reused for keys
 }
 
-func controllerOf(i int) rpc.Node {
+func testNode(i int) rpc.Node {
 	return rpc.Node{Name: fmt.Sprint("c", i), Address: fmt.Sprint("a", i)}
 }
 
@@ -127,7 +130,7 @@
 		nodes++
 	}
 	for i := range m.voters {
-		epoch.Voters = append(epoch.Voters, Voter{Node: controllerOf(i), StoreID: fmt.Sprint("d", i)})
+		epoch.Voters = append(epoch.Voters, Voter{Node: testNode(i), StoreID: fmt.Sprint("d", i)})
 	}
 	s.epochs[1], s.newestEpoch = encodeEpoch(epoch), epoch
 	for i := range nodes {
@@ -147,7 +150,7 @@
 	for len(s.inFlight) > 0 && m.failure == "" { // deliver all messages
 		message := s.inFlight[0]
 		s.inFlight = slices.Delete(s.inFlight, 0, 1)
-		m.step(s, message.to, MessageReceived{controllerOf(message.from).Name, message.message})
+		m.step(s, message.to, MessageReceived{testNode(message.from).Name, message.message})
 	}
 	return s
 }
@@ -158,7 +161,7 @@
 	records := maps.Clone(n.records)
 	_, complete := records[recordComplete]
 	delete(records, recordComplete)
-	state, err := LoadState(controllerOf(i).Name, records, complete, false, fmt.Sprintf("d%d.%d", i, incarnation))
+	state, err := LoadState(testNode(i).Name, records, complete, false, fmt.Sprintf("d%d.%d", i, incarnation))
 	if err != nil {
 		m.failure = err.Error()
 		return
@@ -173,7 +176,7 @@
 		storedVersion: n.storedVersion,
 		now:           n.now,
 		clockSteps:    n.clockSteps,
-		replica: New(Options{Self: controllerOf(i), Incarnation: incarnation << 20, MaxFaults: (m.voters - 1) / 2,
+		replica: New(Options{Self: testNode(i), Incarnation: incarnation << 20, MaxFaults: (m.voters - 1) / 2,
 			Seeds: []string{"a0"}, State: state,
 			bugs: injectedBugs{noTurns: true}}), // a waiting proposer would wait forever, as clocks stand still
 	}
@@ -183,8 +186,8 @@
 func (m *model) connect(s *modelState, i int) {
 	for j := range s.nodes {
 		if j != i {
-			m.step(s, i, PeerConnected{Node: controllerOf(j), StoreID: s.nodes[j].replica.StoreID()})
-			m.step(s, j, PeerConnected{Node: controllerOf(i), StoreID: s.nodes[i].replica.StoreID()})
+			m.step(s, i, PeerConnected{Node: testNode(j), StoreID: s.nodes[j].replica.StoreID()})
+			m.step(s, j, PeerConnected{Node: testNode(i), StoreID: s.nodes[i].replica.StoreID()})
 		}
 	}
 }
@@ -304,12 +307,12 @@
 	message := send.Message
 	switch {
 	case message.Ping: // answered at once, because quorum contact is not part of the model
-		m.step(s, j, MessageReceived{controllerOf(i).Name, message})
+		m.step(s, j, MessageReceived{testNode(i).Name, message})
 		return
 	case message.Pong:
 		updated := *s.nodes[j]
 		updated.replica = updated.replica.clone()
-		updated.replica.Step(updated.now, MessageReceived{controllerOf(i).Name, message})
+		updated.replica.Step(updated.now, MessageReceived{testNode(i).Name, message})
 		s.nodes[j] = &updated
 		return
 	}
@@ -483,7 +486,7 @@
 		if r.now, r.actions = now, nil; r.epoch.Number != 1 {
 			return nil // its disk was wiped
 		}
-		learner := Voter{Node: controllerOf(m.voters), StoreID: fmt.Sprint("d", m.voters)}
+		learner := Voter{Node: testNode(m.voters), StoreID: fmt.Sprint("d", m.voters)}
 		next := sortVoters(append(slices.Clone(r.epoch.Voters[:m.voters-1]), learner))
 		e := Epoch{Number: r.epoch.Number + 1, OldVoters: r.epoch.Voters, Voters: next}
 		if m.bugs.noJointEpoch {
@@ -502,7 +505,7 @@
 		c := *message
 		c.EpochNumber, message = r.epoch.Number, &c
 	}
-	m.step(s, delivered.to, MessageReceived{controllerOf(delivered.from).Name, message})
+	m.step(s, delivered.to, MessageReceived{testNode(delivered.from).Name, message})
 }
 
 func (m *model) advanceClock(s *modelState, i int) {
@@ -572,7 +575,7 @@
 	m.startNode(s, i, s.lastIncarnation)
 	for j := range s.nodes {
 		if j != i {
-			m.step(s, j, PeerDisconnected{controllerOf(i).Name})
+			m.step(s, j, PeerDisconnected{testNode(i).Name})
 		}
 	}
 	m.connect(s, i)
--- a/internal/controlplane/consensus/quorum_test.go
+++ b/internal/controlplane/consensus/quorum_test.go
@@ -21,7 +21,7 @@
 // voters returns a voter for each number of a node.
 func voters(ids ...int) (all []Voter) {
 	for _, i := range ids {
-		all = append(all, Voter{Node: controllerOf(i), StoreID: fmt.Sprint("d", i)})
+		all = append(all, Voter{Node: testNode(i), StoreID: fmt.Sprint("d", i)})
 	}
 	return sortVoters(all)
 }
@@ -35,7 +35,7 @@
 	tr := &testReplica{t: t, epoch: e.Number, now: ms}
 	tr.replica = New(
 		Options{
-			Self:        controllerOf(0),
+			Self:        testNode(0),
 			Incarnation: 9,
 			MaxFaults:   1,
 			bugs:        bugs,
@@ -44,7 +44,7 @@
 	)
 	tr.step()
 	for i := 1; i < 5; i++ {
-		tr.step(PeerConnected{Node: controllerOf(i), StoreID: fmt.Sprint("d", i)})
+		tr.step(PeerConnected{Node: testNode(i), StoreID: fmt.Sprint("d", i)})
 	}
 	tr.confirmQuorum()
 	return tr
@@ -65,8 +65,7 @@
 	return tr.actions
 }
 
-// receive passes a message of node i to the Replica. It is sent in the epoch of the test and by the disk of c<i>,
-// unless it says otherwise.
+// receive passes a message of node i to the Replica. Its epoch and store id are filled in if they are not set.
 func (tr *testReplica) receive(i int, m *rpc.Message) []Action {
 	if m.EpochNumber == 0 {
 		m.EpochNumber = tr.epoch
@@ -74,7 +73,7 @@
 	if m.StoreID == "" {
 		m.StoreID = fmt.Sprint("d", i)
 	}
-	return tr.step(MessageReceived{controllerOf(i).Name, m})
+	return tr.step(MessageReceived{testNode(i).Name, m})
 }
 
 // confirmQuorum answers the pings of the Replica.
--- a/internal/controlplane/consensus/randomfaults_test.go
+++ b/internal/controlplane/consensus/randomfaults_test.go
@@ -13,7 +13,7 @@
 // faultProfile determines which faults a run injects, and for how long.
 type faultProfile struct {
 	withinMaxFaults bool // at most maxFaults machines are faulty at once; then proposals must not stall
-	longPartitions  bool // some faults last 20 s or 60 s
+	longFaults      bool // some faults last 20 s or 60 s
 	faultsEnd       time.Duration
 	end             time.Duration
 }
@@ -36,11 +36,11 @@
 	pastRequests []pastRequest // requests that may be sent again
 }
 
+// pastRequest is a request for a configuration, or for an evacuation if zone is not empty.
 type pastRequest struct {
 	version, digest uint64
 	zone            string
 	begin           bool
-	at              time.Duration
 }
 
 func (run *faultRun) runningMachines() (running []int) {
@@ -67,20 +67,20 @@
 		switch run.rand.IntN(8) {
 		case 0, 1:
 			run.lastVersion++
-			request := pastRequest{version: run.lastVersion, digest: 1 + run.rand.Uint64N(1<<20), at: run.now}
+			request := pastRequest{version: run.lastVersion, digest: 1 + run.rand.Uint64N(1<<20)}
 			run.pastRequests = append(run.pastRequests, request)
 			run.replaceConfig(i, request.version, request.digest)
 		case 2: // several clients propose the same version
 			run.lastVersion++
 			for range 2 + run.rand.IntN(2) {
-				request := pastRequest{version: run.lastVersion, digest: 1 + run.rand.Uint64N(1<<20), at: run.now}
+				request := pastRequest{version: run.lastVersion, digest: 1 + run.rand.Uint64N(1<<20)}
 				run.pastRequests = append(run.pastRequests, request)
 				j := running[run.rand.IntN(len(running))]
 				maxDelay := time.Duration(run.rand.IntN(2)) * 2 * time.Second
 				run.schedule(run.randomDuration(maxDelay), func() { run.replaceConfig(j, request.version, request.digest) })
 			}
 		case 3, 4:
-			request := pastRequest{zone: zone, begin: run.rand.IntN(2) == 0, at: run.now}
+			request := pastRequest{zone: zone, begin: run.rand.IntN(2) == 0}
 			run.pastRequests = append(run.pastRequests, request)
 			run.evacuate(i, zone, request.begin)
 		case 5:
@@ -163,7 +163,7 @@
 	if run.rand.IntN(5) == 0 {
 		duration += run.randomDuration(8 * time.Second)
 	}
-	if run.longPartitions && run.rand.IntN(3) == 0 {
+	if run.longFaults && run.rand.IntN(3) == 0 {
 		duration = 20 * time.Second
 		if run.rand.IntN(3) == 0 {
 			duration = 60 * time.Second
@@ -461,9 +461,9 @@
 }
 
 var (
-	randomFaults   = faultProfile{faultsEnd: 18 * time.Second, end: 32 * time.Second}
-	longPartitions = faultProfile{faultsEnd: 100 * time.Second, end: 114 * time.Second, longPartitions: true}
-	boundedFaults  = faultProfile{faultsEnd: 25 * time.Second, end: 39 * time.Second, withinMaxFaults: true}
+	randomFaults  = faultProfile{faultsEnd: 18 * time.Second, end: 32 * time.Second}
+	longFaults    = faultProfile{faultsEnd: 100 * time.Second, end: 114 * time.Second, longFaults: true}
+	boundedFaults = faultProfile{faultsEnd: 25 * time.Second, end: 39 * time.Second, withinMaxFaults: true}
 )
 
 func discardLog(string, ...any) {}
@@ -500,8 +500,8 @@
 	return results
 }
 
-// checkSeeds runs a simulation for each seed, and reports failures. The race detector is slow, so it runs a fifth of
-// the seeds.
+// checkSeeds runs a simulation for each seed, and reports failures. With the race detector, which is slow, it runs a
+// fifth of them.
 func checkSeeds(t *testing.T, from, to uint64, profile faultProfile) {
 	t.Helper()
 	if raceEnabled {
@@ -548,10 +548,10 @@
 	checkSeeds(t, 0, 200, randomFaults)
 }
 
-// Partitions of 20 s and 60 s, with proposals on both sides.
+// Faults of 20 s and 60 s, such as partitions with proposals on both sides.
 func TestDrawnLongCuts(t *testing.T) {
 	t.Parallel()
-	checkSeeds(t, 0, 30, longPartitions)
+	checkSeeds(t, 0, 30, longFaults)
 }
 
 // Proposals must not stall while at most maxFaults machines are faulty.
--- a/internal/controlplane/consensus/replicacopy_test.go
+++ b/internal/controlplane/consensus/replicacopy_test.go
@@ -22,7 +22,7 @@
 	handlersMu sync.Mutex
 )
 
-// excludedFields do not affect the behavior of a Replica. They are copied, but not part of the key.
+// excludedFields are constant, or do not affect later steps. They are copied by assignment, and not part of the key.
 var excludedFields = map[string]bool{
 	"Replica.options":  true,
 	"Replica.actions":  true,
@@ -80,10 +80,10 @@
 }
 
 func buildPointer(t reflect.Type, handler *typeHandler) {
-	e, elem := t.Elem(), buildHandler(t.Elem())
+	elemType, elem := t.Elem(), buildHandler(t.Elem())
 	handler.copy = func(dst, src unsafe.Pointer) {
 		if from := *(*unsafe.Pointer)(src); from != nil {
-			to := reflect.New(e).UnsafePointer()
+			to := reflect.New(elemType).UnsafePointer()
 			elem.copy(to, from)
 			*(*unsafe.Pointer)(dst) = to
 		} else {
@@ -99,8 +99,8 @@
 }
 
 func buildSlice(t reflect.Type, handler *typeHandler) {
-	e, elem := t.Elem(), buildHandler(t.Elem())
-	step := e.Size()
+	elemType, elem := t.Elem(), buildHandler(t.Elem())
+	step := elemType.Size()
 	handler.copy = func(dst, src unsafe.Pointer) {
 		from := reflect.NewAt(t, src).Elem()
 		if from.IsNil() {
--- a/internal/controlplane/consensus/voterchange_test.go
+++ b/internal/controlplane/consensus/voterchange_test.go
@@ -13,11 +13,11 @@
 // the id is empty.
 func newReplicaOfTwo(t *testing.T, e Epoch, otherDisk string) *Replica {
 	t.Helper()
-	r := New(Options{Self: controllerOf(0), Incarnation: 9, MaxFaults: 1,
+	r := New(Options{Self: testNode(0), Incarnation: 9, MaxFaults: 1,
 		State: DurableState{StoreID: "d0", Identified: true, Epoch: e}})
 	r.Step(ms)
 	if otherDisk != "" {
-		r.Step(2*ms, PeerConnected{Node: controllerOf(1), StoreID: otherDisk, MayHaveLostState: otherDisk != "d1"})
+		r.Step(2*ms, PeerConnected{Node: testNode(1), StoreID: otherDisk, MayHaveLostState: otherDisk != "d1"})
 	}
 	return r
 }
@@ -30,7 +30,7 @@
 	three := Epoch{Number: 3, Voters: voters(0, 1, 2)}
 	joint := Epoch{Number: 4, OldVoters: voters(0, 1), Voters: sortVoters([]Voter{
 		voters(0)[0],
-		{Node: controllerOf(1), StoreID: "d9"},
+		{Node: testNode(1), StoreID: "d9"},
 	})}
 	for _, c := range []struct {
 		name      string
@@ -76,7 +76,7 @@
 func TestReplacedVoterNeedsConnection(t *testing.T) {
 	t.Parallel()
 	r := newReplicaOfTwo(t, Epoch{Number: 3, Voters: voters(0, 1)}, "d9")
-	r.Step(3*ms, PeerDisconnected{Name: controllerOf(1).Name})
+	r.Step(3*ms, PeerDisconnected{Name: testNode(1).Name})
 	if r.isReplacedVoterOfPair(voters(1)[0]) {
 		t.Error("the voter counts as replaced without a connection")
 	}
@@ -88,7 +88,7 @@
 	t.Parallel()
 	connected := func(ids ...string) (all []Voter) {
 		for i, id := range ids {
-			all = append(all, Voter{Node: controllerOf(i), StoreID: id})
+			all = append(all, Voter{Node: testNode(i), StoreID: id})
 		}
 		return all
 	}
@@ -109,7 +109,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			first := Epoch{Number: 1}
 			for i := range c.voters {
-				first.Voters = append(first.Voters, Voter{Node: controllerOf(i), StoreID: fmt.Sprint("d", i)})
+				first.Voters = append(first.Voters, Voter{Node: testNode(i), StoreID: fmt.Sprint("d", i)})
 			}
 			if got := majorityReplaced(first, c.connected); got != c.want {
 				t.Errorf("%t", got)
@@ -146,7 +146,7 @@
 		tr.now += 100 * ms
 		for _, a := range tr.step() {
 			s, isSend := a.(Send)
-			if !isSend || s.To != controllerOf(1).Name {
+			if !isSend || s.To != testNode(1).Name {
 				continue
 			}
 			for _, m := range s.Message.Paxos {
@@ -193,7 +193,7 @@
 				continue
 			}
 			message := &rpc.Message{Consensus: answer}
-			actions = append(actions, r.Step(now, MessageReceived{From: controllerOf(1).Name, Message: message})...)
+			actions = append(actions, r.Step(now, MessageReceived{From: testNode(1).Name, Message: message})...)
 		}
 		for i := 0; i < len(actions); i++ {
 			if p, ok := actions[i].(Persist); ok {
