--- a/internal/compat/answers_test.go
+++ b/internal/compat/answers_test.go
@@ -19,7 +19,7 @@
 	"elmfold/internal/gateway/routeconfig"
 )
 
-// equalsFile compares a transcript with what d330930 gave.
+// equalsFile compares a transcript with that of d330930.
 func equalsFile(t *testing.T, file, got string) {
 	t.Helper()
 	want, err := os.ReadFile(file)
@@ -27,11 +27,11 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("%s: it is now\n%s", file, got)
+		t.Errorf("%s differs, got\n%s", file, got)
 	}
 }
 
-// drawnID is an id that is drawn anew at each start: a disk's, or the lower half of a stamp.
+// drawnID matches the values that differ between runs: random IDs of disks and versions, times, and durations.
 var drawnID = regexp.MustCompile(`"disk":"[0-9a-f]{16}"|"lo":"[0-9]+"|"hi":9[0-9]{11}|"silentS":[0-9.]+`)
 
 func beat(service, address, state string, seq int) string {
@@ -39,7 +39,7 @@
 		`"observed":{"state":%q,"callSeq":%d,"coldLeftS":0.5}}`, address, service, state, seq)
 }
 
-// What operators and endpoints are answered: status, headers and body to the byte.
+// The responses to operators and endpoints keep their status, headers and body.
 func TestAnswersToCallsStay(t *testing.T) {
 	dirs := []string{t.TempDir(), t.TempDir(), t.TempDir()}
 	synctest.Test(t, func(t *testing.T) {
@@ -54,7 +54,7 @@
 			fmt.Fprintf(&out, "%s %s at %s  %.60s\n  %d\n", call, of, nodes[i].name, body, w.Code)
 			for _, name := range slices.Sorted(maps.Keys(w.Header())) {
 				if call == "core.status" && name == "Content-Length" {
-					continue // ids are drawn, and some are decimal
+					continue // the length of random IDs varies
 				}
 				fmt.Fprintf(&out, "  %s: %s\n", name, strings.Join(w.Header()[name], ", "))
 			}
@@ -65,7 +65,7 @@
 			fmt.Fprintf(&out, "  %s\n", text)
 		}
 		seven, eight := configuration(t, 7), configuration(t, 8)
-		ask(0, "config.replace", "", seven) // nobody is there yet
+		ask(0, "config.replace", "", seven) // no quorum yet
 		ask(0, "config.read", "", "")
 		time.Sleep(3 * time.Second)
 		ask(0, "config.read", "", "")
@@ -109,7 +109,7 @@
 	})
 }
 
-// Each key of the settings file is still read. Numbers that differ tell keys apart.
+// Each key of the settings file is still read. The values are distinct, so that confused keys are detected.
 func TestSettingsKeysStay(t *testing.T) {
 	text, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
@@ -128,10 +128,10 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("the settings are read as\n%s", again)
+		t.Errorf("the settings were parsed as\n%s", again)
 	}
 	if bootconfig.EnvVar != "ELMFOLD_CONFIG" {
-		t.Errorf("the file is named by %s", bootconfig.EnvVar)
+		t.Errorf("the environment variable is %s", bootconfig.EnvVar)
 	}
 	for key, pair := range map[string][2]float64{
 		"bounds.ackS": {float64(settings.Bounds.Ack), 102}, "bounds.catchUpS": {float64(settings.Bounds.CatchUp), 104},
@@ -149,14 +149,14 @@
 		"faultBudget.machineFaults": {float64(settings.FaultBudget.Machines), 2},
 	} {
 		if pair[0] != pair[1] {
-			t.Errorf("%s is read as %v, it is %v", key, pair[0], pair[1])
+			t.Errorf("%s: got %v, want %v", key, pair[0], pair[1])
 		}
 	}
 	if settings.Listen["front"] != "10.0.0.100:8548" || settings.Seeds[1] != "10.0.0.11:8544" ||
 		settings.DataDir != "/var/lib/elmfold" ||
 		settings.OwnPeerAddress() != "10.0.0.100:7540" || settings.PeerAddress("10.0.0.11:8544") != "10.0.0.11:7540" ||
 		!settings.Bootstrap {
-		t.Errorf("%+v", settings)
+		t.Errorf("unexpected settings %+v", settings)
 	}
 }
 
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// Each key of a configuration's body is still read.
+// Each key of the configuration document is still read.
 func TestConfigurationKeysStay(t *testing.T) {
 	text, err := os.ReadFile("testdata/configuration.json")
 	if err != nil {
@@ -199,7 +199,7 @@
 	}
 }
 
-// The commands and flags of both programs. Their help texts may be reworded.
+// The commands and flags of both programs stay. Their descriptions may change.
 func TestFlagsStay(t *testing.T) {
 	var out strings.Builder
 	names := regexp.MustCompile(`(?m)^ +(?:-\w, )?--[\w-]+|^  \w+ `)
--- a/internal/compat/core_test.go
+++ b/internal/compat/core_test.go
@@ -22,7 +22,7 @@
 	"elmfold/internal/simulation"
 )
 
-// node is a control-plane node of this version on a real disk and a simulated network, in virtual time.
+// node is a control-plane node of the current version with a real disk, a simulated network and virtual time.
 type node struct {
 	t      *testing.T
 	name   string
@@ -40,7 +40,7 @@
 	return simulation.NewNet(func(string, string) time.Duration { return 200 * time.Microsecond })
 }
 
-// startNode starts node i of three, whose records lie below dir.
+// startNode starts node i of three with its disk in dir.
 func startNode(t *testing.T, network *simulation.Net, i int, dir string) *node {
 	t.Helper()
 	n := &node{t: t, name: fmt.Sprintf("core-%d", i)}
@@ -72,7 +72,7 @@
 	return n
 }
 
-// stop ends the process; its disk stays.
+// stop stops the node and keeps its disk.
 func (n *node) stop() {
 	n.server.Stop()
 	n.host.Kill()
@@ -92,12 +92,12 @@
 	n.t.Helper()
 	w := n.call(call, of, body)
 	if w.Code != http.StatusOK {
-		n.t.Errorf("%s: %s: %d %s", n.name, call, w.Code, w.Body)
+		n.t.Errorf("%s: %s: status %d, body %s", n.name, call, w.Code, w.Body)
 	}
 	return w.Body.String()
 }
 
-// coreStatus is what these tests read of core.status, by the names that its JSON has.
+// coreStatus has the fields of core.status that these tests use.
 type coreStatus struct {
 	Epoch    uint64 `json:"epoch"`
 	Changing bool   `json:"changing"`
@@ -121,11 +121,11 @@
 func (n *node) wantConfiguration(want string) {
 	n.t.Helper()
 	if got := n.wantOK("config.read", "", ""); got != want {
-		n.t.Errorf("%s reads another configuration: %.80s", n.name, got)
+		n.t.Errorf("%s has an unexpected configuration: %.80s", n.name, got)
 	}
 }
 
-// copyDisk makes a working copy of one of the disks that d330930 wrote.
+// copyDisk copies one of the disks of d330930 to a temporary directory.
 func copyDisk(t *testing.T, name string) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), name)
@@ -135,12 +135,12 @@
 	return dir
 }
 
-// segment is the one file of a disk.
+// segment returns the path of the only file of a disk.
 func segment(t *testing.T, dir string) string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "word", "0*"))
 	if err != nil || len(files) != 1 {
-		t.Fatalf("files %q, %v", files, err)
+		t.Fatalf("got the files %q, error %v, want one file", files, err)
 	}
 	return files[0]
 }
--- a/internal/compat/disk_test.go
+++ b/internal/compat/disk_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// The disks of three nodes of d330930 were left by a kill: version 7 of the configuration was in force, the
-// evacuation of "north" had begun, that of "south" had begun and finished. Whatever happened to one of the disks
-// since, three nodes of this version go on from there.
+// Three nodes of the current version start with the disks of three nodes of d330930 that were killed. One of the disks
+// may be damaged. The nodes recover the state at the kill: version 7 of the configuration is committed, "north" is
+// evacuated, and the evacuation of "south" is finished.
 func TestDisksOfTheOlderVersionAreReadOn(t *testing.T) {
 	const disk0, disk1, disk2 = "7a2179a73216820c", "18807b5a4df411fc", "ae187abbb65f010d"
 	edit := func(change func([]byte) []byte) func(*testing.T, string) {
@@ -31,13 +31,13 @@
 		name    string
 		disk    string // of core-2
 		damage  func(t *testing.T, dir string)
-		stays   bool // core-2 is who it was
-		version int  // of the configuration that all have in the end
+		stays   bool // core-2 keeps its disk ID
+		version int  // of the configuration after the recovery
 	}{
-		{name: "whole", disk: "core-2", stays: true, version: 7},
-		{name: "torn in its last commit", disk: "core-2", stays: true, version: 7,
+		{name: "intact", disk: "core-2", stays: true, version: 7},
+		{name: "truncated last commit", disk: "core-2", stays: true, version: 7,
 			damage: edit(func(b []byte) []byte { return b[:len(b)-3] })},
-		{name: "damaged in what was synced", disk: "core-2", version: 7,
+		{name: "damaged synced record", disk: "core-2", version: 7,
 			damage: edit(func(b []byte) []byte {
 				at := bytes.Index(b, []byte("b/charter"))
 				b[at] ^= 1
@@ -78,7 +78,7 @@
 				nodes[1].wantOK("evacuation.finish", "north", "")
 				nodes[0].stop()
 				time.Sleep(2 * time.Second)
-				nodes[2].wantConfiguration(configuration(t, 8)) // with one of the others alone
+				nodes[2].wantConfiguration(configuration(t, 8)) // read by a majority of two nodes
 				if s := nodes[2].status(); len(s.Evacuated) > 0 {
 					t.Errorf("evacuated: %q", s.Evacuated)
 				}
@@ -90,14 +90,14 @@
 	}
 }
 
-// core-0 had accepted version 8 when it was killed, and nobody else had. Where its disk is there the order is finished;
-// where it is away, it does not count.
+// Only core-0 had accepted version 8 when the nodes of d330930 were killed. If its disk is present, version 8 is
+// committed; otherwise version 7 stays.
 func TestHalfDoneOrderOfTheOlderVersion(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		first   int // the first node that is started
+		first   int // index of the first node that is started
 		version int
-	}{{"its disk is there", 0, 8}, {"its disk is away", 1, 7}} {
+	}{{"disk present", 0, 8}, {"disk missing", 1, 7}} {
 		t.Run(c.name, func(t *testing.T) {
 			dirs := []string{copyDisk(t, "core-0-half-done"), copyDisk(t, "core-1"), copyDisk(t, "core-2")}
 			synctest.Test(t, func(t *testing.T) {
@@ -119,7 +119,7 @@
 	}
 }
 
-// The names of the records and of their folder are what d330930 looks for.
+// Records and their directory have the names that d330930 reads.
 func TestRecordNamesStay(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -143,9 +143,9 @@
 			t.Fatal(err)
 		}
 		for _, name := range []string{"disk", "epoch", "complete", "b/epoch", "b/charter", "b/zone/west"} {
-			// In an entry a name stands behind its length.
+			// In an entry, the name follows its length.
 			if !strings.Contains(string(text), string([]byte{byte(len(name)), 0})+name) {
-				t.Errorf("%s: no record %q", zone, name)
+				t.Errorf("the disk of the node in zone %s has no record %q", zone, name)
 			}
 		}
 	}
--- a/internal/compat/doc.go
+++ b/internal/compat/doc.go
@@ -1,6 +1,6 @@
-// Package compat holds the compatibility tests of the gateway: what version d330930 stored on its disks and sent to its
-// peers, operators and endpoints, as golden files, and tests that the version at hand still reads and writes the same.
+// Package compat tests that the gateway is compatible with version d330930: with its disks, and with its messages to
+// peers, operators and endpoints.
 //
-// The files under testdata were written by d330930 and never change. A test here that fails means that a node of that
-// version could no longer work beside this one, or that a disk of that version could no longer be read.
+// Version d330930 wrote the files under testdata, which must never change. If a test fails, nodes of that version may
+// not work together with nodes of the current version, or the current version may not read disks of that version.
 package compat
--- a/internal/compat/frozen_test.go
+++ b/internal/compat/frozen_test.go
@@ -16,7 +16,7 @@
 	"elmfold/internal/simulation"
 )
 
-// The types below are the messages of d330930 as they stood there. They are a fixture: nothing in them is ever renamed.
+// The types below are the messages of d330930 with their original names. They are a fixture and must not be changed.
 
 type oldController struct {
 	Name    string `cbor:"1,keyasint"`
@@ -160,7 +160,7 @@
 	Leave    bool                `cbor:"23,keyasint,omitempty"`
 }
 
-// oldLine is a connection that speaks the frames of d330930.
+// oldLine is a connection with the frames of d330930.
 type oldLine struct {
 	conn net.Conn
 	read *bufio.Reader
@@ -191,20 +191,20 @@
 	return m, err
 }
 
-// oldNode is a voter as d330930 was one, in what it says: an acceptor for each register, learning from copies,
-// contact by ping and pong. It proposes nothing by itself.
+// oldNode simulates a voter of d330930: a Paxos acceptor for each register that also learns chosen values and answers
+// pings. It does not propose values by itself.
 type oldNode struct {
 	t    *testing.T
 	who  oldController
 	disk string
 	host *simulation.Host
-	done chan struct{} // closed at the end
+	done chan struct{} // closed by stop
 
 	mu    sync.Mutex
 	epoch oldEpoch
 	regs  map[string]*oldAcceptor
-	out   map[string]*oldLine // dialled from here, by name
-	heard []oldMessage        // answers to ballots that this node began
+	out   map[string]*oldLine // dialed connections by name of the peer
+	heard []oldMessage        // responses to ballots of this node
 	seen  []oldBackend
 }
 
@@ -251,7 +251,7 @@
 	n.host.Kill()
 }
 
-// dial keeps a line to a peer for as long as the node runs.
+// dial keeps a connection to a peer until the node is stopped.
 func (n *oldNode) dial(address string) {
 	for n.pause(300 * time.Millisecond) {
 		ctx, cancel := context.WithTimeout(context.Background(), 350*time.Millisecond)
@@ -263,7 +263,7 @@
 	}
 }
 
-// pause waits; false: the node has ended.
+// pause sleeps. It returns false if the node is stopped.
 func (n *oldNode) pause(span time.Duration) bool {
 	select {
 	case <-time.After(span):
@@ -278,7 +278,7 @@
 	hello := &oldHello{Who: n.who, Life: 4711, Disk: n.disk}
 	if !accepted {
 		l.send(oldMessage{Hello: hello})
-		go func() { // each line says something once a second
+		go func() { // heartbeats
 			for n.pause(time.Second) {
 				l.send(oldMessage{Renew: 1})
 			}
@@ -305,7 +305,7 @@
 	}
 }
 
-// say sends what voters say to each other: with the epoch and the disk.
+// say sends a message of the consensus protocol, with the node's epoch and disk ID.
 func (n *oldNode) say(to string, m oldMessage) {
 	if l := n.out[to]; l != nil {
 		m.Era, m.Disk = n.epoch.Number, n.disk
@@ -385,7 +385,7 @@
 	}
 }
 
-// value is what the node has accepted of a register.
+// value returns the accepted value of a register.
 func (n *oldNode) value(name string) oldRegister {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/compat/messages_test.go
+++ b/internal/compat/messages_test.go
@@ -12,7 +12,7 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-// fieldCases sets one field of a message at a time, so that each CBOR key is pinned to the field that it stands for.
+// fieldCases returns cases that set one field of a message each, to check its CBOR key.
 func fieldCases() []struct {
 	name string
 	set  func(*rpc.Message)
@@ -123,7 +123,7 @@
 	}
 }
 
-// golden reads a file of lines "name hex".
+// golden reads a file of lines with a name and the hexadecimal encoding of a message.
 func golden(t *testing.T, file string) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile(file)
@@ -142,7 +142,7 @@
 	return all
 }
 
-// decode reads a message as it comes in from another node.
+// decode receives a frame over a connection.
 func decode(t *testing.T, frame []byte) *rpc.Message {
 	t.Helper()
 	here, there := net.Pipe()
@@ -165,7 +165,7 @@
 	return append(append(frame, byte(n)), body...)
 }
 
-// Each field of a message has the key and the form that it had in d330930.
+// Each field of a message keeps the key and the encoding of d330930.
 func TestMessageFieldsKeepTheirBytes(t *testing.T) {
 	want := golden(t, "testdata/message-fields.txt")
 	cases := fieldCases()
@@ -177,26 +177,26 @@
 			m := &rpc.Message{}
 			c.set(m)
 			if got := rpc.Encode(m); !bytes.Equal(got, want[c.name]) {
-				t.Errorf("it is sent as %x, d330930 sent %x", got, want[c.name])
+				t.Errorf("encoded as %x, d330930 encoded %x", got, want[c.name])
 			}
 			if back := rpc.Encode(decode(t, framed(want[c.name]))); !bytes.Equal(back, want[c.name]) {
-				t.Errorf("%x is read as %x", want[c.name], back)
+				t.Errorf("%x was decoded and encoded again as %x", want[c.name], back)
 			}
 		})
 	}
 }
 
-// Messages of many fields, drawn by d330930, are read whole: what was not understood would be missing when they are
-// written again.
+// Random messages with many fields, encoded by d330930, are decoded completely. A field that was not decoded would be
+// missing after encoding the message again.
 func TestDrawnMessagesAreReadWhole(t *testing.T) {
 	for name, body := range golden(t, "testdata/messages-drawn.txt") {
 		if back := rpc.Encode(decode(t, framed(body))); !bytes.Equal(back, body) {
-			t.Errorf("%s: %x is written again as %x", name, body, back)
+			t.Errorf("%s: %x was decoded and encoded again as %x", name, body, back)
 		}
 	}
 }
 
-// The frame before each message is its length as a uvarint.
+// Each message is preceded by its length as a uvarint.
 func TestFramesKeepTheirForm(t *testing.T) {
 	here, there := net.Pipe()
 	line := rpc.NewConn(here)
@@ -213,34 +213,34 @@
 		n += k
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("the frame begins with % x", got[:min(len(got), 8)])
+		t.Errorf("the frame begins with % x, want % x", got[:8], want[:8])
 	}
 	if fmt.Sprintf("%x", framed(body)) != fmt.Sprintf("%x", want) {
-		t.Error("the frames of these tests have another form")
+		t.Error("the frames of these tests have a different encoding")
 	}
 }
 
-// Fields that came after d330930, which ignores them, keep the keys and the form that they were first sent with.
+// Fields added after d330930, which ignores them, keep the keys and the encoding of their first version.
 func TestLaterFieldsKeepTheirBytes(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		set  func(*rpc.Message)
 		want string
 	}{
-		{"founding id of a message", func(m *rpc.Message) { m.ClusterID = 7 }, "a1182607"},
-		{"founding id of an epoch", func(m *rpc.Message) { m.Epoch = &rpc.Epoch{Number: 1, ClusterID: 7} },
+		{"cluster ID of a message", func(m *rpc.Message) { m.ClusterID = 7 }, "a1182607"},
+		{"cluster ID of an epoch", func(m *rpc.Message) { m.Epoch = &rpc.Epoch{Number: 1, ClusterID: 7} },
 			"a1181da3010103f60507"},
 		{"origin of a disk", func(m *rpc.Message) {
 			m.Hello = &rpc.Hello{Origin: rpc.Origin{Address: "a", Seeds: []string{"b"}}}
 		}, "a103a301a201600360020006a201616102816162"},
-		{"registers that are waited for", func(m *rpc.Message) { m.WaitingFor = []string{"a"} }, "a11827816161"},
+		{"registers with waiting proposals", func(m *rpc.Message) { m.WaitingFor = []string{"a"} }, "a11827816161"},
 		{"next proposers", func(m *rpc.Message) { m.NextProposers = map[string]string{"a": "b"} }, "a11828a161616162"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := &rpc.Message{}
 			c.set(m)
 			if got := hex.EncodeToString(rpc.Encode(m)); got != c.want {
-				t.Errorf("it is sent as %s, not %s", got, c.want)
+				t.Errorf("encoded as %s, want %s", got, c.want)
 			}
 		})
 	}
--- a/internal/compat/mixed_test.go
+++ b/internal/compat/mixed_test.go
@@ -22,8 +22,9 @@
 	"elmfold/internal/simulation"
 )
 
-// Two voters of d330930 and one of this version found the core, decide a configuration, an evacuation and a change of
-// voters, and acknowledge a backend that drains. Guards against a word that one side says and the other does not know.
+// Two voters of d330930 and one of the current version bootstrap the control plane, decide a configuration, an
+// evacuation and a change of voters, and acknowledge a draining endpoint. Guards against messages that one of the
+// versions does not understand.
 func TestOlderVotersDecideWithANewOne(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -32,7 +33,7 @@
 		first, second := startOldNode(t, network, 1, 4), startOldNode(t, network, 2, 4)
 		time.Sleep(4 * time.Second)
 		if s := n.status(); s.Epoch != 1 || len(s.Voters) != 3 || !s.InTouch {
-			t.Fatalf("the core was not founded: %+v", s)
+			t.Fatalf("the control plane was not bootstrapped: %+v", s)
 		}
 		seven, eight := configuration(t, 7), configuration(t, 8)
 		n.wantOK("config.replace", "", seven)
@@ -42,30 +43,30 @@
 		n.wantConfiguration(seven)
 		for _, o := range []*oldNode{first, second} {
 			if got := string(o.value("charter").Value); got != seven {
-				t.Errorf("%s has another configuration: %.40s", o.who.Name, got)
+				t.Errorf("%s has an unexpected configuration: %.40s", o.who.Name, got)
 			}
 			if got := o.value("zone/south").Value; !strings.HasPrefix(string(got), "1b:") {
-				t.Errorf("%s has the evacuation %q", o.who.Name, got)
+				t.Errorf("%s has an unexpected evacuation %q", o.who.Name, got)
 			}
 			o.mu.Lock()
 			if len(o.seen) == 0 || o.seen[len(o.seen)-1].ID != "b-1" || o.seen[len(o.seen)-1].State != 1 {
-				t.Errorf("%s heard of the backends %+v", o.who.Name, o.seen)
+				t.Errorf("%s received the endpoints %+v", o.who.Name, o.seen)
 			}
 			o.mu.Unlock()
 		}
-		// One of the old ones is lost, another one takes its place.
+		// One voter of d330930 is lost and replaced by another one.
 		second.stop()
 		third := startOldNode(t, network, 3, 4)
 		time.Sleep(8 * time.Second)
 		s := n.status()
 		if s.Changing || s.Epoch != 3 || len(s.Voters) != 3 || s.Voters[1].Name != "core-1" || s.Voters[2].Name != "core-3" {
-			t.Errorf("voters after the loss: %+v", s)
+			t.Errorf("status after the loss: %+v", s)
 		}
 		n.wantOK("config.replace", "", eight)
 		time.Sleep(time.Second)
 		if epoch, _ := third.known(); epoch.Number != 3 || len(epoch.Voters) != 3 ||
 			string(third.value("charter").Value) != eight {
-			t.Errorf("the new voter has epoch %+v and %.40s", epoch, third.value("charter").Value)
+			t.Errorf("the new voter has epoch %+v and configuration %.40s", epoch, third.value("charter").Value)
 		}
 		n.stop()
 		first.stop()
@@ -74,7 +75,7 @@
 	})
 }
 
-// A proposer of d330930 has a value chosen by a voter of this version.
+// A voter of the current version accepts and learns a value that a node of d330930 proposes.
 func TestOlderProposerWithANewVoter(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -95,21 +96,21 @@
 			proposer.mu.Lock()
 			defer proposer.mu.Unlock()
 			if len(proposer.heard) != 1 || len(proposer.heard[0].Ballots) != 1 {
-				t.Fatalf("answers to %+v: %+v", b, proposer.heard)
+				t.Fatalf("responses to %+v: %+v, want one", b, proposer.heard)
 			}
 			return proposer.heard[0].Ballots[0]
 		}
 		promise := round(oldBallot{Kind: oldAsk, Name: "charter", Number: number})
 		if promise.Kind != oldPromise || promise.Number != number || promise.Value == nil || promise.Value.Stamp.Hi != 7 ||
 			promise.Age == 0 {
-			t.Errorf("the promise: %+v", promise)
+			t.Errorf("unexpected promise: %+v", promise)
 		}
 		eight := oldRegister{Name: "charter", Stamp: oldStamp{Hi: 8, Lo: 1}, Value: []byte(configuration(t, 8))}
 		if agreed := round(
 			oldBallot{Kind: oldOffer, Name: "charter", Number: number, Value: &eight},
 		); agreed.Kind != oldAgreed ||
 			agreed.Number != number {
-			t.Errorf("the vote: %+v", agreed)
+			t.Errorf("unexpected vote: %+v", agreed)
 		}
 		proposer.mu.Lock()
 		a := proposer.acceptor("charter")
@@ -119,7 +120,7 @@
 		time.Sleep(time.Second)
 		n.wantConfiguration(configuration(t, 8))
 		if got := string(other.value("charter").Value); got != configuration(t, 8) {
-			t.Errorf("the other voter has not got it: %.40s", got)
+			t.Errorf("the other voter did not learn the value, it has %.40s", got)
 		}
 		n.stop()
 		proposer.stop()
@@ -128,8 +129,8 @@
 	})
 }
 
-// A proxy of d330930 is told by a control-plane node of this version what it needs: who votes, what is in force, the
-// backends, its lease, its weights.
+// A proxy of d330930 receives the voters, the committed registers, the endpoints, its lease and its routing tables from
+// a control-plane node of the current version.
 func TestOlderProxyWithANewNode(t *testing.T) {
 	dirs := []string{t.TempDir(), t.TempDir(), t.TempDir()}
 	synctest.Test(t, func(t *testing.T) {
@@ -172,7 +173,7 @@
 			first.Backends[0].ID != "b-1" ||
 			!first.Backends[0].Vouched ||
 			first.Backends[0].Capacity != 16 {
-			t.Errorf("the first message: %+v, %v", first, err)
+			t.Errorf("first message: %+v, error %v", first, err)
 		}
 		var all oldMessage
 		var seen []string
@@ -205,17 +206,17 @@
 		<-heard
 		if all.Renewed != 6 || len(all.Offers) != 1 || string(all.Offers[0].Value) != configuration(t, 7) || len(seen) == 0 ||
 			seen[0] != "charter" {
-			t.Errorf("renewed %d, offered %d, in force %q", all.Renewed, len(all.Offers), seen)
+			t.Errorf("renewed lease %d, received %d values, committed registers %q", all.Renewed, len(all.Offers), seen)
 		}
 		if len(all.Came) != 1 || all.Came[0].Name != "edge-0" {
-			t.Errorf("members: %+v", all.Came)
+			t.Errorf("added proxies: %+v", all.Came)
 		}
 		if len(all.Tables) == 0 || all.Tables[0].Service != "alpha" || !all.Tables[0].Whole ||
 			all.Tables[0].Weights["b-1"] <= 0 {
-			t.Errorf("tables: %+v", all.Tables)
+			t.Errorf("routing tables: %+v", all.Tables)
 		}
 		if len(all.Backends) == 0 || all.Backends[len(all.Backends)-1].State != 2 {
-			t.Errorf("backends: %+v", all.Backends)
+			t.Errorf("endpoints: %+v", all.Backends)
 		}
 		for _, n := range nodes {
 			n.stop()
@@ -225,7 +226,7 @@
 	})
 }
 
-// A proxy of this version serves by what a control-plane node of d330930 says, and reports to it.
+// A proxy of the current version serves requests with a control-plane node of d330930, and reports to it.
 func TestNewProxyWithAnOlderNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newNet()
@@ -292,7 +293,7 @@
 			w.Header().Set("X-Elmfold-Attempt-Id", r.Header.Get("X-Elmfold-Attempt-Id"))
 			w.Header().Set("X-Elmfold-Server-Seal", "s")
 			if r.Header.Get("X-Elmfold-Time-Budget-Ms") == "" {
-				t.Error("a request without its budget")
+				t.Error("a request lacks its time budget")
 			}
 			_, _ = io.WriteString(w, "served "+r.URL.Path)
 		})}
@@ -342,14 +343,14 @@
 		time.Sleep(time.Second)
 		mu.Lock()
 		if answers["HTTP/1.1 200 OK"] != 5 {
-			t.Errorf("answers: %v", answers)
+			t.Errorf("responses by status: %v", answers)
 		}
 		if hello == nil || hello.Who.Name != "edge-0" || hello.Who.Zone != "north" || !hello.Carrier || hello.Life == 0 {
 			t.Errorf("hello: %+v", hello)
 		}
 		if len(told.Want) == 0 || told.Want[0] != "charter" || told.Renew == 0 || !told.Steer || told.Spent != 1 ||
 			!told.Leave {
-			t.Errorf("told: %+v", told)
+			t.Errorf("received from the proxy: %+v", told)
 		}
 		came, tries := 0.0, 0.0
 		for _, u := range told.Uses {
