--- a/internal/gateway/bootconfig/bootconfig.go
+++ b/internal/gateway/bootconfig/bootconfig.go
@@ -66,13 +66,13 @@
 // Bounds are the limits that the platform sets for the behaviour of the gateway.
 type Bounds struct {
 	SeedLag   Seconds `json:"seedLagS"`   // maximum age of the callers' lists of control-plane nodes; default 3
-	AddrReuse Seconds `json:"addrReuseS"` // minimum time until another endpoint reuses an address; default 2
+	AddrReuse Seconds `json:"addrReuseS"` // minimum time before the address of an ended endpoint is reused; default 2
 	Contact   Seconds `json:"contactS"`   // uninterrupted contact after which a machine must meet the bounds; default 3
 	Ack       Seconds `json:"ackS"`       // time within which callers may retry a control call; default 5
 	CatchUp   Seconds `json:"catchUpS"`   // time for which a machine counts as lost after it returns; default 4
 	Drain     Seconds `json:"drainS"`     // time for which a draining endpoint still serves; default 2
 	Grace     Seconds `json:"graceS"`     // from SIGTERM to SIGKILL; default 6
-	LossSlack Seconds `json:"lossSlackS"` // time after its last byte in which a request may still be lost; default 0.2
+	LossSlack Seconds `json:"lossSlackS"` // a request may be lost up to this time after its last byte; default 0.2
 	// ConfigApply is the maximum time until all proxies apply an acknowledged configuration; default 2.
 	ConfigApply     Seconds `json:"configApplyS"`
 	RetryRatio      float64 `json:"retryRatio"`   // allowed retries per request; default 0.2
--- a/internal/gateway/routeconfig/match.go
+++ b/internal/gateway/routeconfig/match.go
@@ -21,9 +21,9 @@
 // maxHostOnStack is the longest host name that is converted to lower case without an allocation.
 const maxHostOnStack = 256
 
-// Route returns the route with the longest prefix of the path, or nil if none matches. The authority is a host name in
-// upper or lower case, with or without a port. The path is the raw path without the query; it is neither cleaned nor
-// unescaped.
+// Route returns the route of the host with the longest prefix that matches the path, or nil if there is none. The
+// authority is a host name in upper or lower case, with or without a port. The path is the raw path without the query;
+// it is neither cleaned nor unescaped.
 func (c *Config) Route(authority, path string) *Route {
 	host := c.lookupHost(stripPort(authority))
 	if host == nil {
--- a/internal/gateway/rpc/epoch.go
+++ b/internal/gateway/rpc/epoch.go
@@ -9,7 +9,8 @@
 	StoreID string `cbor:"2,keyasint"`
 }
 
-// Origin records on a disk the settings of the cluster's first start, when all nodes have the same seeds.
+// Origin has the settings of the cluster's first start that each disk stores. At that time, all nodes have the same
+// seeds.
 type Origin struct {
 	Address string   `cbor:"1,keyasint"` // peer address of the disk's node
 	Seeds   []string `cbor:"2,keyasint"` // peer addresses of the seeds
--- a/internal/gateway/session/session_test.go
+++ b/internal/gateway/session/session_test.go
@@ -187,7 +187,7 @@
 	return f.log.String()
 }
 
-// The Dialer connects again after a connection is closed or times out, and retries while its dials are refused.
+// The Dialer reconnects after a connection is closed or times out, and retries while its dials are refused.
 func TestLineIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture("a")
--- a/internal/gateway/session/sessions.go
+++ b/internal/gateway/session/sessions.go
@@ -26,8 +26,9 @@
 }
 
 // Register makes conn the current connection of the peer that sent hello on it. It closes the previous connection and
-// returns it as replaced, or nil if there was none. If another connection of the same incarnation is kept or a later
-// incarnation is known, Register closes conn instead and returns ok = false.
+// returns it as replaced, or nil if there was none. Register refuses conn, that is, it closes conn and returns ok =
+// false, if a later incarnation of the peer is known, or if another connection of the same incarnation is current and
+// PreferNewest is not set.
 func (s *Sessions) Register(hello *rpc.Hello, conn *rpc.Conn) (replaced *rpc.Conn, ok bool) {
 	p := s.peer(hello)
 	if !s.accepts(p, hello.Incarnation, conn) {
