--- a/internal/controller/eventloop/eventloop.go
+++ b/internal/controller/eventloop/eventloop.go
@@ -1,6 +1,6 @@
-// Package eventloop holds the one goroutine that owns the decisions. It takes what connections and discovery say
-// off a queue, puts indices in place of names, lets the policy decide once for all that came in a moment, and
-// writes each proxy's orders as one message to the stream that the proxy has now. It decides nothing.
+// Package eventloop connects the balancing policy to its inputs and outputs. A single goroutine reads commands from a
+// queue, replaces names by indices, runs one policy step for all commands of a tick, and sends each proxy its orders as
+// one message. The package makes no balancing decisions of its own.
 package eventloop
 
 import (
@@ -18,89 +18,89 @@
 	"elmfold/internal/policy"
 )
 
-// Stream is a connection to a proxy or a collector. None of its methods may wait.
+// Stream is a connection to a proxy or a collector. Its methods must not block.
 type Stream interface {
-	Sequence() uint64       // later ones were opened later
-	Send(message []byte)    // whole, after those before it; the bytes are the caller's again when it returns
-	SetPeer(subject string) // whose it is, for its log lines
-	CloseReplaced()         // ends it: its proxy has a newer one
-	CloseRefused()          // ends it: it is nobody's
-	RecordFault(error)      // a message on it is not valid
+	Sequence() uint64       // increases with every stream that is opened
+	Send(message []byte)    // sends a whole message, in order; it must not keep the slice
+	SetPeer(subject string) // names the peer in log lines
+	CloseReplaced()         // closes the stream because its proxy opened a newer one
+	CloseRefused()          // closes the stream because its peer is unknown
+	RecordFault(error)      // records an invalid message
 }
 
-// PartStream is a Stream that takes the parts of a message in place of its text.
+// PartStream is a Stream that takes a message as parts instead of text.
 type PartStream interface {
 	Stream
-	SendParts(parts []textproto.Part) // the parts are the stream's from then on; it does not change them
+	SendParts(parts []textproto.Part) // it may keep the parts but must not change them
 }
 
-// Command is what a stream, discovery or an operator (no stream) has to say.
+// Command is one input of the loop.
 type Command struct {
-	From    Stream
-	Message any // of the types that Loop.handle knows
+	From    Stream // nil if discovery or an operator sent it
+	Message any    // one of the types that Loop.handle accepts
 }
 
-// RemoteSums sums what the proxies of other controllers reported. No stream sends it.
+// RemoteSums sums the reports of proxies that are connected to other controllers.
 type RemoteSums struct {
 	Reports []textproto.BackendReport
 	Age     policy.Time
 	Usage   []ZoneUsage
 }
 
-// Observer is told what the own proxies report. None of its methods may wait.
+// Observer receives the reports of connected proxies. Its methods must not block.
 type Observer interface {
 	RecordAttempts(backend string, attempts, failed float64, latency time.Duration)
 	RecordUsage(proxy int, product, zone string, txns float64)
 	RemoveProxy(proxy int)
 }
 
-// SetObserver has somebody told from now on.
-func (d *Loop) SetObserver(o Observer) { d.observer = o }
+// SetObserver passes reports to an observer from now on.
+func (l *Loop) SetObserver(o Observer) { l.observer = o }
 
-// ZoneUsage is how many txns/s of a product arrive at the proxies of a zone.
+// ZoneUsage is the rate of a product's transactions at the proxies of a zone.
 type ZoneUsage struct {
 	Product, Zone string
-	Txns          float64
+	Txns          float64 // per second
 }
 
-// Lists is where lists of backends are asked for.
+// Lists controls the source of backend lists.
 type Lists interface {
 	Follow(on bool)
 	Reload()
 }
 
-// usability is what a proxy was told of a backend.
+// usability is the state of a backend that a proxy was last notified of.
 type usability uint8
 
 const (
-	usabilityUnknown usability = iota // another controller may have withdrawn it
+	usabilityUnknown usability = iota // another controller may have withdrawn the backend
 	withdrawn
 	usable
 )
 
 type proxy struct {
-	stream         Stream // nil: not connected
+	stream         Stream // nil if the proxy is not connected
 	zone           int
-	tables         []int       // by product; none
-	newTables      uint32      // products that were assigned a table in this step
+	tables         []int       // by product; none if no table is assigned
+	newTables      uint32      // mask of the products that were assigned a table in this step
 	notified       []usability // by backend
-	initial        usability   // of a backend that it was not told of here
-	pendingMarkers []int
-	concerned      bool // it gets a message in this step
+	initial        usability   // of backends without a notification on this stream
+	pendingMarkers []int       // sent and not yet acknowledged
+	isRecipient    bool        // the proxy is in Loop.recipients
 }
 
 type table struct {
 	weight       []float64          // by backend
 	admissions   []policy.Admission // by product
 	hasAdmission []bool             // by product
-	users        []int              // proxies on it, in their order
+	users        []int              // assigned proxies, sorted
 
-	// Of this step.
+	// Changes of the current step.
 
-	dirty             bool
-	cleared           bool
+	isDirty           bool
+	isCleared         bool
 	changedWeights    []int  // backends
-	changedAdmissions uint32 // products
+	changedAdmissions uint32 // mask of products
 }
 
 type timer struct {
@@ -109,13 +109,14 @@
 }
 
 const (
-	none              = -1                 // no table, no marker
-	maxPendingMarkers = 256                // of a proxy
-	indexRetention    = 30 * policy.Second // of a backend that is gone, and may come back
+	none              = -1                 // instead of the number of a table or a marker
+	maxPendingMarkers = 256                // per proxy
+	indexRetention    = 30 * policy.Second // after a backend leaves the list
 	maxTime           = policy.Time(1) << 50
+	maxIdleTime       = 60 * policy.Second
 )
 
-// Loop turns messages into events, and orders into messages.
+// Loop turns commands into policy events, and policy orders into messages to proxies.
 type Loop struct {
 	assigner *policy.Assigner
 	products int
@@ -123,182 +124,181 @@
 	lists    Lists
 	log      *logrus.Entry
 
-	// Backends; slices are by index.
+	// Backends; slices are by backend index.
 
-	backends  []string // ids; empty: the index is free
-	index     map[string]int
-	free      []int // indices
-	withdrawn []bool
-	listed    []bool
-	goneAt    []policy.Time  // when it left the list
-	entries   []policy.Entry // as listed last, for tenancy
-	derated   []bool         // its derating was handed to factSink as less than whole
+	backends    []string // ids; empty if the index is free
+	index       map[string]int
+	free        []int // released indices
+	withdrawn   []bool
+	listed      []bool         // on the current list
+	unlistedAt  []policy.Time  // when the backend left the list
+	lastEntries []policy.Entry // the last list entry that was not Gone
+	derated     []bool         // the last derating passed to factSink was below 1
 
 	proxies    []proxy
-	proxyOf    map[Stream]int // of each stream that ever subscribed
+	proxyOf    map[Stream]int // of every open stream that subscribed
 	collectors map[Stream]bool
 	tables     []table
 
-	// Of this step.
+	// Inputs and outputs of the current step.
 
-	events          []policy.Event
-	tenancyEvents   []tenancy.Event
-	dirtyTables     []int
-	orderedBackends []int // whose withdrawal or return was ordered
-	concerned       []int // proxies that get a message
-	marker          int   // that the proxies concerned are to acknowledge; none
-	markAll         bool  // all proxies are
+	events           []policy.Event
+	tenancyEvents    []tenancy.Event
+	dirtyTables      []int
+	withdrawalOrders []int // backends with an immediate Withdraw order
+	recipients       []int // proxies that get a message
+	marker           int   // for the recipients to acknowledge, or none
+	markAllProxies   bool  // every connected proxy is a recipient
 
 	now               policy.Time
 	timers            []timer
-	releasedAt        policy.Time // when indices were last released
-	factSink          FactSink    // nil: nothing is kept
-	snapshotAt        policy.Time
-	turn              int
-	observer          Observer       // nil: there is none
-	tenancy           *tenancy.Cells // nil: nobody is confined
-	removalBinds      bool
-	warnedUnsupported bool // about orders that cannot be carried out
-
-	text        []byte // buffer of a message
-	namesOfMask map[uint32][]string
+	lastReleaseAt     policy.Time // when releaseIndices last ran
+	factSink          FactSink    // optional
+	lastSnapshotAt    policy.Time
+	snapshotPart      int
+	observer          Observer       // optional
+	tenancy           *tenancy.Cells // nil until the first tenancy command
+	honorRemovals     bool
+	warnedUnsupported bool // an unsupported order has been logged
+
+	buffer      []byte              // reused for the text of messages
+	namesByMask map[uint32][]string // product names by mask
 }
 
-// New makes a Loop.
+// New returns a loop for a deployment.
 func New(d policy.Deployment, names flatsettings.Names, lists Lists, log *logrus.Entry) *Loop {
 	return &Loop{
-		assigner:     policy.New(d),
-		products:     len(d.Products),
-		removalBinds: d.HonorRemovals,
-		names:        names,
-		lists:        lists,
-		log:          log,
-		index:        map[string]int{},
-		proxies:      make([]proxy, d.Proxies),
-		proxyOf:      map[Stream]int{},
-		collectors:   map[Stream]bool{},
-		namesOfMask:  map[uint32][]string{},
+		assigner:      policy.New(d),
+		products:      len(d.Products),
+		honorRemovals: d.HonorRemovals,
+		names:         names,
+		lists:         lists,
+		log:           log,
+		index:         map[string]int{},
+		proxies:       make([]proxy, d.Proxies),
+		proxyOf:       map[Stream]int{},
+		collectors:    map[Stream]bool{},
+		namesByMask:   map[uint32][]string{},
 	}
 }
 
-// Run serves the queue until the program ends; what comes within a tick is one moment. Lists come by a way of their
-// own, so that a drain never waits behind reports that are more than a step can take.
-func (d *Loop) Run(queue, lists <-chan Command, tick time.Duration, clock func() policy.Time) {
-	idle, over := time.NewTimer(0), time.NewTimer(0)
+// Run processes commands forever, with one policy step per tick. Lists have a channel of their own, so that a drain
+// never waits behind a backlog of reports.
+func (l *Loop) Run(queue, lists <-chan Command, tick time.Duration, clock func() policy.Time) {
+	idle, tickEnd := time.NewTimer(0), time.NewTimer(0)
 	for {
 		select {
-		case n := <-queue:
-			d.Handle(n)
-		case n := <-lists:
-			d.Handle(n)
+		case c := <-queue:
+			l.Handle(c)
+		case c := <-lists:
+			l.Handle(c)
 		case <-idle.C:
 		}
-		over.Reset(tick)
-		d.collect(queue, lists, over.C)
-		d.Step(clock())
-		idle.Reset(d.untilNextTimer(clock()))
+		tickEnd.Reset(tick)
+		l.collect(queue, lists, tickEnd.C)
+		l.Step(clock())
+		idle.Reset(l.idleTime(clock()))
 	}
 }
 
-// collect takes what comes until the moment is over.
-func (d *Loop) collect(queue, lists <-chan Command, over <-chan time.Time) {
-	for gathering := true; gathering; {
+// collect handles commands until the end of the tick.
+func (l *Loop) collect(queue, lists <-chan Command, tickEnd <-chan time.Time) {
+	for collecting := true; collecting; {
 		select {
-		case n := <-queue:
-			d.Handle(n)
-		case n := <-lists:
-			d.Handle(n)
-		case <-over:
-			gathering = false
+		case c := <-queue:
+			l.Handle(c)
+		case c := <-lists:
+			l.Handle(c)
+		case <-tickEnd:
+			collecting = false
 		}
 	}
-	// What came while this process had no turn belongs to the same moment: split up, each part would cost the
-	// proxies a message. No more than that: reports that come faster than they are taken wait at their senders.
+	// If the process was not scheduled for a while, commands have piled up. Handling them in the same step saves each
+	// proxy further messages. Only those queued now are handled, so that senders that are too fast are held back.
 	for n := len(queue); n > 0; n-- {
-		d.Handle(<-queue)
+		l.Handle(<-queue)
 	}
 	for n := len(lists); n > 0; n-- {
-		d.Handle(<-lists)
+		l.Handle(<-lists)
 	}
 }
 
-// untilNextTimer is how long nothing is due.
-func (d *Loop) untilNextTimer(now policy.Time) time.Duration {
-	next := now + 60*policy.Second
-	for _, w := range d.timers {
-		next = min(next, w.at)
+// idleTime returns the time until the next timer, at most maxIdleTime.
+func (l *Loop) idleTime(now policy.Time) time.Duration {
+	next := now + maxIdleTime
+	for _, t := range l.timers {
+		next = min(next, t.at)
 	}
 	return time.Duration(max(next-now, 0)) * time.Second / time.Duration(policy.Second)
 }
 
-// Handle takes one piece of news; it counts from the next Step on.
-func (d *Loop) Handle(n Command) {
-	if err := d.handle(n.From, n.Message); err != nil && n.From != nil {
-		n.From.RecordFault(err)
+// Handle processes a command. The policy learns of it with the next Step.
+func (l *Loop) Handle(c Command) {
+	if err := l.handle(c.From, c.Message); err != nil && c.From != nil {
+		c.From.RecordFault(err)
 	}
 }
 
 var (
-	errProxy         = errors.New("no such proxy")
-	errZone          = errors.New("no such zone")
-	errProduct       = errors.New("no such product")
-	errBackend       = errors.New("no such backend")
-	errUnknownSender = errors.New("a report from a connection that did not say whose it is")
-	errAlreadyJoined = errors.New("joined on this stream already")
+	errProxy         = errors.New("unknown proxy")
+	errZone          = errors.New("unknown zone")
+	errProduct       = errors.New("unknown product")
+	errBackend       = errors.New("unknown backend")
+	errUnknownSender = errors.New("report on a stream that has not identified its peer")
+	errAlreadyJoined = errors.New("stream has already identified its peer")
 )
 
-// handle takes what a connection, discovery or an operator has to say.
-func (d *Loop) handle(from Stream, message any) error {
+func (l *Loop) handle(from Stream, message any) error {
 	switch m := message.(type) {
 	case reconcile.List:
-		d.onList(m, policy.ListChange)
+		l.onList(m, policy.ListChange)
 	case reconcile.SourceFailed:
-		d.events = append(d.events, policy.ListUpdate{Kind: policy.ListFailed})
+		l.events = append(l.events, policy.ListUpdate{Kind: policy.ListFailed})
 	case textproto.Source:
-		return d.onSource(from, m)
+		return l.onSource(from, m)
 	case textproto.Subscribe:
-		return d.onSubscribe(from, m)
+		return l.onSubscribe(from, m)
 	case textproto.Ack:
-		return d.onAck(from, m)
+		return l.onAck(from, m)
 	case textproto.UsageReport:
-		return d.onUsageReport(from, m)
+		return l.onUsageReport(from, m)
 	case textproto.BackendReport:
-		return d.onBackendReport(from, m)
+		return l.onBackendReport(from, m)
 	case textproto.Closed:
-		d.onClosed(from)
+		l.onClosed(from)
 	case tenancy.PlanUpdate, tenancy.Move, tenancy.Undo:
-		d.onTenancy(m)
+		l.onTenancy(m)
 	case RemoteSums:
-		d.onRemoteSums(m)
+		l.onRemoteSums(m)
 	case warmstart.Believe:
-		return d.onRestored(m)
+		return l.onRestored(m)
 	case CellsQuery:
-		m.Reply <- d.show()
+		m.Reply <- l.tenancyView()
 	case FleetQuery:
-		m.Reply <- d.fleet()
+		m.Reply <- l.fleet()
 	}
 	return nil
 }
 
-// Step lets the policy decide on what was heard since the last one, and sends what it orders.
-func (d *Loop) Step(now policy.Time) {
-	d.now = max(now, d.now)
-	due := func(w timer) bool { return w.at <= d.now }
-	for _, w := range d.timers {
-		if due(w) {
-			d.events = append(d.events, policy.TimerFired{Name: w.name})
+// Step runs the policy on the events since the last step and on timers that have expired, and executes its orders.
+func (l *Loop) Step(now policy.Time) {
+	l.now = max(now, l.now)
+	isExpired := func(t timer) bool { return t.at <= l.now }
+	for _, t := range l.timers {
+		if isExpired(t) {
+			l.events = append(l.events, policy.TimerFired{Name: t.name})
 		}
 	}
-	d.timers = slices.DeleteFunc(d.timers, due)
-	if len(d.events) == 0 && len(d.tenancyEvents) == 0 {
+	l.timers = slices.DeleteFunc(l.timers, isExpired)
+	if len(l.events) == 0 && len(l.tenancyEvents) == 0 {
 		return
 	}
-	if d.tenancy != nil {
-		d.stepTenancy()
+	if l.tenancy != nil {
+		l.stepTenancy()
 	}
-	events := d.events
-	d.events = nil
-	d.execute(d.assigner.Step(d.now, events))
-	d.releaseIndices()
-	d.snapshot()
+	events := l.events
+	l.events = nil
+	l.execute(l.assigner.Step(l.now, events))
+	l.releaseIndices()
+	l.snapshot()
 }
--- a/internal/controller/eventloop/eventloop_test.go
+++ b/internal/controller/eventloop/eventloop_test.go
@@ -83,9 +83,9 @@
 	return reconcile.Member{ID: id, Zone: "a", Kind: "s", Phase: reconcile.Serving, Weight: 1}
 }
 
-func (d *Loop) heard() []policy.Event {
-	e := d.events
-	d.events = nil
+func (l *Loop) heard() []policy.Event {
+	e := l.events
+	l.events = nil
 	return e
 }
 
@@ -652,7 +652,7 @@
 					charge[o.Proxy]++
 				case policy.Withdraw:
 					for i := range d.proxies {
-						if d.proxies[i].stream != nil && d.mayHaveLine(&d.proxies[i], o.Backend) {
+						if d.proxies[i].stream != nil && d.mayHaveEntry(&d.proxies[i], o.Backend) {
 							charge[i]++
 						}
 					}
--- a/internal/controller/eventloop/lists.go
+++ b/internal/controller/eventloop/lists.go
@@ -10,50 +10,52 @@
 	"elmfold/internal/policy"
 )
 
+// statuses maps the phases of discovery to the statuses of the policy.
 var statuses = map[string]policy.Status{
 	reconcile.Serving:  policy.Ready,
 	reconcile.Draining: policy.Draining,
 	reconcile.Deleted:  policy.Gone,
 }
 
-// SetCachedList takes the list that the controller held last.
-func (d *Loop) SetCachedList(l reconcile.List) { d.onList(l, policy.ListCached) }
+// SetCachedList sets the list that a controller stored before it restarted.
+func (l *Loop) SetCachedList(list reconcile.List) { l.onList(list, policy.ListCached) }
 
-func (d *Loop) onList(l reconcile.List, kind policy.ListKind) {
-	if l.Complete && kind == policy.ListChange {
+func (l *Loop) onList(list reconcile.List, kind policy.ListKind) {
+	if list.Complete && kind == policy.ListChange {
 		kind = policy.ListFull
 	}
-	entries, named := make([]policy.Entry, 0, len(l.Members)), map[int]bool{}
+	entries := make([]policy.Entry, 0, len(list.Members))
+	isPresent := map[int]bool{} // by the index of each backend that the list names
 	var ignored []reconcile.Member
-	for _, m := range l.Members {
+	for _, m := range list.Members {
 		status, ok := statuses[m.Phase]
-		zone := slices.Index(d.names.Zones, m.Zone)
+		zone := slices.Index(l.names.Zones, m.Zone)
 		if !ok || m.ID == "" || zone < 0 && status != policy.Gone {
 			ignored = append(ignored, m)
 			continue
 		}
-		at, listed := d.index[m.ID]
+		at, listed := l.index[m.ID]
 		if !listed && status == policy.Gone {
 			continue
 		}
 		if !listed {
-			at = d.allocateIndex(m.ID)
+			at = l.allocateIndex(m.ID)
 		}
-		named[at] = status != policy.Gone
-		e := d.entry(m, at, zone, status)
+		isPresent[at] = status != policy.Gone
+		e := l.entry(m, at, zone, status)
 		entries = append(entries, e)
-		d.entries = append(d.entries, make([]policy.Entry, max(at+1-len(d.entries), 0))...)
+		l.lastEntries = append(l.lastEntries, make([]policy.Entry, max(at+1-len(l.lastEntries), 0))...)
 		if status != policy.Gone {
-			d.entries[at] = e
+			l.lastEntries[at] = e
 		}
 	}
-	d.logIgnored(ignored)
-	d.updateListed(named, l.Complete)
-	d.events = append(d.events, policy.ListUpdate{Kind: kind, Entries: entries})
+	l.logIgnored(ignored)
+	l.updateListed(isPresent, list.Complete)
+	l.events = append(l.events, policy.ListUpdate{Kind: kind, Entries: entries})
 }
 
-func (d *Loop) entry(m reconcile.Member, at, zone int, status policy.Status) policy.Entry {
-	e := policy.Entry{Backend: at, Zone: zone, Kind: slices.Index(d.names.Kinds, m.Kind), Status: status,
+func (l *Loop) entry(m reconcile.Member, at, zone int, status policy.Status) policy.Entry {
+	e := policy.Entry{Backend: at, Zone: zone, Kind: slices.Index(l.names.Kinds, m.Kind), Status: status,
 		Weight: max(m.Weight, 0)}
 	if startedAt := m.UpSince * float64(policy.Second) / 1000; startedAt > 0 {
 		e.StartedAt = policy.Time(math.Min(startedAt, float64(maxTime)))
@@ -61,64 +63,65 @@
 	return e
 }
 
-func (d *Loop) logIgnored(ignored []reconcile.Member) {
+func (l *Loop) logIgnored(ignored []reconcile.Member) {
 	if len(ignored) == 0 {
 		return
 	}
 	first := ignored[0]
-	d.log.WithFields(logrus.Fields{"count": len(ignored), "first": first.ID, "phase": first.Phase,
-		"zone": first.Zone}).Warn("entries of the list are read past")
+	l.log.WithFields(logrus.Fields{"count": len(ignored), "first": first.ID, "phase": first.Phase,
+		"zone": first.Zone}).Warn("ignoring invalid entries of the backend list")
 }
 
-// updateListed notes which backends are on the list now: named says it of those that the newest list names, isFull that
-// it names all.
-func (d *Loop) updateListed(named map[int]bool, isFull bool) {
-	for at, before := range d.listed {
-		isOn, isNamed := named[at]
-		d.listed[at] = isOn || before && !isNamed && !isFull
-		if before && !d.listed[at] {
-			d.goneAt[at] = d.now
+// updateListed updates which backends are listed. A full list removes the backends that it does not name.
+func (l *Loop) updateListed(isPresent map[int]bool, isFull bool) {
+	for at, wasListed := range l.listed {
+		present, isNamed := isPresent[at]
+		l.listed[at] = present || wasListed && !isNamed && !isFull
+		if wasListed && !l.listed[at] {
+			l.unlistedAt[at] = l.now
 		}
 	}
 }
 
-// allocateIndex gives a backend an index, one that was released where there is one.
-func (d *Loop) allocateIndex(id string) (at int) {
-	if n := len(d.free); n > 0 {
-		at, d.free = d.free[n-1], d.free[:n-1]
+// allocateIndex assigns an index to a backend. It prefers released indices.
+func (l *Loop) allocateIndex(id string) (at int) {
+	if n := len(l.free); n > 0 {
+		at, l.free = l.free[n-1], l.free[:n-1]
 	} else {
-		at = len(d.backends)
-		d.backends, d.withdrawn, d.listed = append(d.backends, ""), append(d.withdrawn, false), append(d.listed, false)
-		d.goneAt = append(d.goneAt, 0)
+		at = len(l.backends)
+		l.backends, l.withdrawn, l.listed = append(l.backends, ""), append(l.withdrawn, false), append(l.listed, false)
+		l.unlistedAt = append(l.unlistedAt, 0)
 	}
-	d.index[id], d.backends[at], d.goneAt[at] = at, id, d.now
+	l.index[id], l.backends[at], l.unlistedAt[at] = at, id, l.now
 	return at
 }
 
-// releaseIndices frees the places of backends that are gone for long and that no proxy has a line of: ids never come
-// to an end. What is heard of such a one later names nobody. Once a second: it asks all proxies about each.
-func (d *Loop) releaseIndices() {
-	if d.now < d.releasedAt+policy.Second {
+// releaseIndices frees the indices of backends that left the list more than indexRetention ago and that are in no
+// proxy's table. Otherwise the slices grow with every new backend id. Later reports about such a backend are rejected.
+// It runs once a second, because it checks every backend against all proxies.
+func (l *Loop) releaseIndices() {
+	if l.now < l.lastReleaseAt+policy.Second {
 		return
 	}
-	d.releasedAt = d.now
-	for at, id := range d.backends {
-		holds := func(p proxy) bool { return p.stream != nil && d.mayHaveLine(&p, at) }
-		if id == "" || d.listed[at] || d.now < d.goneAt[at]+indexRetention || slices.ContainsFunc(d.proxies, holds) {
+	l.lastReleaseAt = l.now
+	for at, id := range l.backends {
+		isUsing := func(p proxy) bool { return p.stream != nil && l.mayHaveEntry(&p, at) }
+		if id == "" || l.listed[at] || l.now < l.unlistedAt[at]+indexRetention ||
+			slices.ContainsFunc(l.proxies, isUsing) {
 			continue
 		}
-		delete(d.index, id)
-		d.backends[at], d.withdrawn[at], d.free = "", false, append(d.free, at)
-		for i := range d.proxies {
-			if told := d.proxies[i].notified; at < len(told) {
-				told[at] = usabilityUnknown
+		delete(l.index, id)
+		l.backends[at], l.withdrawn[at], l.free = "", false, append(l.free, at)
+		for i := range l.proxies {
+			if notified := l.proxies[i].notified; at < len(notified) {
+				notified[at] = usabilityUnknown
 			}
 		}
-		for _, t := range d.tables { // of proxies that left
+		for _, t := range l.tables { // tables without a connected proxy may still hold a weight
 			if at < len(t.weight) {
 				t.weight[at] = 0
 			}
 		}
-		d.events = append(d.events, policy.IndexReleased{Backend: at})
+		l.events = append(l.events, policy.IndexReleased{Backend: at})
 	}
 }
--- a/internal/controller/eventloop/orders.go
+++ b/internal/controller/eventloop/orders.go
@@ -7,169 +7,169 @@
 	"elmfold/internal/policy"
 )
 
-// execute carries out the orders of a step, and sends one message to each proxy concerned, in the order in which
-// they are first named.
-func (d *Loop) execute(orders []policy.Order) {
-	d.marker, d.markAll = none, false
+// execute executes the orders of a step and sends one message to each affected proxy. Messages go out in the order in
+// which the orders first affect the proxies.
+func (l *Loop) execute(orders []policy.Order) {
+	l.marker, l.markAllProxies = none, false
 	for _, o := range orders {
-		d.executeOne(o)
+		l.executeOne(o)
 	}
-	if d.markAll {
-		for i := range d.proxies {
-			d.concern(i)
+	if l.markAllProxies {
+		for i := range l.proxies {
+			l.addRecipient(i)
 		}
 	}
-	for _, i := range d.concerned {
-		d.send(&d.proxies[i])
+	for _, i := range l.recipients {
+		l.send(&l.proxies[i])
 	}
-	for _, t := range d.dirtyTables {
-		t := &d.tables[t]
-		t.changedWeights, t.changedAdmissions, t.cleared, t.dirty = t.changedWeights[:0], 0, false, false
+	for _, t := range l.dirtyTables {
+		t := &l.tables[t]
+		t.changedWeights, t.changedAdmissions, t.isCleared, t.isDirty = t.changedWeights[:0], 0, false, false
 	}
-	d.dirtyTables, d.orderedBackends, d.concerned = d.dirtyTables[:0], d.orderedBackends[:0], d.concerned[:0]
+	l.dirtyTables, l.withdrawalOrders, l.recipients = l.dirtyTables[:0], l.withdrawalOrders[:0], l.recipients[:0]
 }
 
-func (d *Loop) executeOne(o policy.Order) {
+func (l *Loop) executeOne(o policy.Order) {
 	switch o := o.(type) {
 	case policy.SetWeight:
-		t := d.table(o.Table)
+		t := l.table(o.Table)
 		t.weight = append(t.weight, make([]float64, max(o.Backend+1-len(t.weight), 0))...)
 		t.weight[o.Backend], t.changedWeights = o.Weight, append(t.changedWeights, o.Backend)
-		d.concernUsers(o.Table)
+		l.addTableUsers(o.Table)
 	case policy.ClearTable:
-		t := d.table(o.Table)
+		t := l.table(o.Table)
 		clear(t.weight)
 		clear(t.hasAdmission)
-		t.cleared, t.changedWeights, t.changedAdmissions = true, nil, 0
-		d.concernUsers(o.Table)
+		t.isCleared, t.changedWeights, t.changedAdmissions = true, nil, 0
+		l.addTableUsers(o.Table)
 	case policy.Admission:
-		d.setAdmission(o)
+		l.setAdmission(o)
 	case policy.AssignTable:
-		d.assignTable(o)
+		l.assignTable(o)
 	case policy.Withdraw:
-		d.withdraw(o)
+		l.withdraw(o)
 	case policy.Marker:
-		d.marker, d.markAll = o.Number, o.All
+		l.marker, l.markAllProxies = o.Number, o.All
 	case policy.SetTimer:
-		d.timers = append(d.timers, timer{at: d.now + max(o.Delay, 0), name: o.Name})
+		l.timers = append(l.timers, timer{at: l.now + max(o.Delay, 0), name: o.Name})
 	case policy.WatchList:
-		d.lists.Follow(o.Enabled)
+		l.lists.Follow(o.Enabled)
 	case policy.ReloadList:
-		d.lists.Reload()
+		l.lists.Reload()
 	case policy.Log:
-		d.log.Info(o.Text)
-	default: // a Probe or a Note: there is none where the settings allow none
-		if !d.warnedUnsupported {
-			d.warnedUnsupported = true
-			d.log.Warnf("orders of the kind %T are not carried out", o)
+		l.log.Info(o.Text)
+	default: // the deployment enables no other kinds
+		if !l.warnedUnsupported {
+			l.warnedUnsupported = true
+			l.log.Warnf("ignoring unsupported policy orders of type %T", o)
 		}
 	}
 }
 
-// concern notes that a proxy gets a message in this step.
-func (d *Loop) concern(i int) {
-	if p := &d.proxies[i]; p.stream != nil && !p.concerned {
-		p.concerned, d.concerned = true, append(d.concerned, i)
+// addRecipient marks a connected proxy to get a message in this step.
+func (l *Loop) addRecipient(i int) {
+	if p := &l.proxies[i]; p.stream != nil && !p.isRecipient {
+		p.isRecipient, l.recipients = true, append(l.recipients, i)
 	}
 }
 
-// concernUsers concerns the proxies on a table: not every proxy, as there are as many tables as proxies, or more.
-func (d *Loop) concernUsers(table int) {
-	for _, i := range d.tables[table].users {
-		d.concern(i)
+// addTableUsers marks the proxies that use a table. It avoids a scan of all proxies, since tables are as numerous.
+func (l *Loop) addTableUsers(table int) {
+	for _, i := range l.tables[table].users {
+		l.addRecipient(i)
 	}
 }
 
-func (d *Loop) setAdmission(o policy.Admission) {
-	t := d.table(o.Table)
-	for k := range d.products {
+func (l *Loop) setAdmission(o policy.Admission) {
+	t := l.table(o.Table)
+	for k := range l.products {
 		if hasProduct(o.Products, k) {
 			t.admissions[k], t.hasAdmission[k], t.changedAdmissions = o, true, t.changedAdmissions|1<<k
 		}
 	}
-	d.concernUsers(o.Table)
+	l.addTableUsers(o.Table)
 }
 
-// hasProduct reports whether a mask has a product; an empty mask has all.
+// hasProduct reports whether a mask contains a product. An empty mask contains all.
 func hasProduct(mask uint16, k int) bool { return mask == 0 || mask>>k&1 > 0 }
 
-func (d *Loop) assignTable(o policy.AssignTable) {
-	p := &d.proxies[o.Proxy]
+func (l *Loop) assignTable(o policy.AssignTable) {
+	p := &l.proxies[o.Proxy]
 	if p.stream == nil {
 		return
 	}
-	d.table(o.Table)
-	d.removeUser(o.Proxy)
+	l.table(o.Table)
+	l.removeUser(o.Proxy)
 	for k := range p.tables {
 		if hasProduct(o.Products, k) {
 			p.tables[k], p.newTables = o.Table, p.newTables|1<<k
 		}
 	}
-	d.addUser(o.Proxy)
-	d.concern(o.Proxy)
+	l.addUser(o.Proxy)
+	l.addRecipient(o.Proxy)
 }
 
-func (d *Loop) withdraw(o policy.Withdraw) {
-	d.withdrawn[o.Backend] = o.Withdrawn
+func (l *Loop) withdraw(o policy.Withdraw) {
+	l.withdrawn[o.Backend] = o.Withdrawn
 	if !o.Deferred {
-		d.orderedBackends = append(d.orderedBackends, o.Backend)
+		l.withdrawalOrders = append(l.withdrawalOrders, o.Backend)
 	}
-	for i := range d.proxies {
-		p := &d.proxies[i]
+	for i := range l.proxies {
+		p := &l.proxies[i]
 		if p.stream == nil || o.Deferred && slices.Contains(p.tables, none) {
 			continue
 		}
-		if p.knownUsability(o.Backend) != usabilityOf(o.Withdrawn) && d.mayHaveLine(p, o.Backend) {
-			d.concern(i)
+		if p.knownUsability(o.Backend) != usabilityOf(o.Withdrawn) && l.mayHaveEntry(p, o.Backend) {
+			l.addRecipient(i)
 		}
 	}
 }
 
-// send sends a proxy what it lacks, if that is anything.
-func (d *Loop) send(p *proxy) {
-	parts := d.messageParts(p, d.marker)
-	p.concerned, p.newTables = false, 0
+// send sends a proxy the changes that affect it, if there are any.
+func (l *Loop) send(p *proxy) {
+	parts := l.messageParts(p, l.marker)
+	p.isRecipient, p.newTables = false, 0
 	if len(parts) == 0 {
-		return // it has all
+		return
 	}
 	if s, ok := p.stream.(PartStream); ok {
 		s.SendParts(parts)
 		return
 	}
-	d.text = textproto.Append(d.text[:0], parts)
-	p.stream.Send(d.text)
+	l.buffer = textproto.Append(l.buffer[:0], parts)
+	p.stream.Send(l.buffer)
 }
 
-// table gives a table that an order of this step changes.
-func (d *Loop) table(id int) *table {
-	for len(d.tables) <= id {
-		d.tables = append(
-			d.tables,
-			table{admissions: make([]policy.Admission, d.products), hasAdmission: make([]bool, d.products)},
+// table returns a table to be changed in this step. It creates the table if necessary.
+func (l *Loop) table(id int) *table {
+	for len(l.tables) <= id {
+		l.tables = append(
+			l.tables,
+			table{admissions: make([]policy.Admission, l.products), hasAdmission: make([]bool, l.products)},
 		)
 	}
-	if t := &d.tables[id]; !t.dirty {
-		t.dirty, d.dirtyTables = true, append(d.dirtyTables, id)
+	if t := &l.tables[id]; !t.isDirty {
+		t.isDirty, l.dirtyTables = true, append(l.dirtyTables, id)
 	}
-	return &d.tables[id]
+	return &l.tables[id]
 }
 
-// addUser notes a proxy, once, with each table that it is on, and unuse takes it off them: both before and after its
-// tables change.
-func (d *Loop) addUser(proxy int) {
-	for k, id := range d.proxies[proxy].tables {
-		if id != none && !slices.Contains(d.proxies[proxy].tables[:k], id) {
-			users := &d.tables[id].users
+// addUser adds a proxy to the users of each of its tables.
+func (l *Loop) addUser(proxy int) {
+	for k, id := range l.proxies[proxy].tables {
+		if id != none && !slices.Contains(l.proxies[proxy].tables[:k], id) {
+			users := &l.tables[id].users
 			at, _ := slices.BinarySearch(*users, proxy)
 			*users = slices.Insert(*users, at, proxy)
 		}
 	}
 }
 
-func (d *Loop) removeUser(proxy int) {
-	for k, id := range d.proxies[proxy].tables {
-		if id != none && !slices.Contains(d.proxies[proxy].tables[:k], id) {
-			users := &d.tables[id].users
+// removeUser removes a proxy from the users of its tables. It must run before the tables change.
+func (l *Loop) removeUser(proxy int) {
+	for k, id := range l.proxies[proxy].tables {
+		if id != none && !slices.Contains(l.proxies[proxy].tables[:k], id) {
+			users := &l.tables[id].users
 			if at, ok := slices.BinarySearch(*users, proxy); ok {
 				*users = slices.Delete(*users, at, at+1)
 			}
@@ -177,7 +177,7 @@
 	}
 }
 
-// products is the mask of those for which the proxy uses a table.
+// products returns the mask of the products for which the proxy uses a table.
 func (p *proxy) products(table int) (mask uint32) {
 	for k, t := range p.tables {
 		if t == table {
@@ -187,13 +187,14 @@
 	return mask
 }
 
-func usabilityOf(out bool) usability {
-	if out {
+func usabilityOf(isWithdrawn bool) usability {
+	if isWithdrawn {
 		return withdrawn
 	}
 	return usable
 }
 
+// knownUsability returns the state of a backend that the proxy was last notified of.
 func (p *proxy) knownUsability(b int) usability {
 	if b < len(p.notified) && p.notified[b] != usabilityUnknown {
 		return p.notified[b]
@@ -201,71 +202,73 @@
 	return p.initial
 }
 
-// mayHaveLine reports whether a proxy has, or may have brought along, a line of a backend.
-func (d *Loop) mayHaveLine(p *proxy, b int) bool {
+// mayHaveEntry reports whether the tables of a proxy may contain a backend. Tables from a previous controller may.
+func (l *Loop) mayHaveEntry(p *proxy, b int) bool {
 	for _, id := range p.tables {
 		if id == none {
 			return true
 		}
-		if t := &d.tables[id]; b < len(t.weight) && t.weight[b] > 0 {
+		if t := &l.tables[id]; b < len(t.weight) && t.weight[b] > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// isChanging reports whether the line of a backend changes in this step.
-func (d *Loop) isChanging(p *proxy, b int) bool {
+// isWeightChanged reports whether the weight of a backend changes in this step in a table of the proxy.
+func (l *Loop) isWeightChanged(p *proxy, b int) bool {
 	return slices.ContainsFunc(
 		p.tables,
-		func(id int) bool { return id != none && slices.Contains(d.tables[id].changedWeights, b) },
+		func(id int) bool { return id != none && slices.Contains(l.tables[id].changedWeights, b) },
 	)
 }
 
-// messageParts is the message to a proxy: who is withdrawn and who is back first, then its tables, those that it is
-// put on now as a whole and later changes by product.
-func (d *Loop) messageParts(p *proxy, mark int) []textproto.Part {
+// messageParts returns the message to a proxy: withdrawn and restored backends, then tables. A table that was assigned
+// or cleared in this step is sent in full, any other one as its changes. The message is empty if nothing changed and
+// there is no marker.
+func (l *Loop) messageParts(p *proxy, marker int) []textproto.Part {
 	var parts []textproto.Part
-	if shuts := d.withdrawalPart(p); len(shuts.Withdrawn)+len(shuts.Restored) > 0 {
-		parts = append(parts, shuts)
+	if part := l.withdrawalPart(p); len(part.Withdrawn)+len(part.Restored) > 0 {
+		parts = append(parts, part)
 	}
 	for k, id := range p.tables {
-		if mask := p.products(id); id != none && mask&(1<<k-1) == 0 { // once, at its first product
-			parts = append(parts, d.tableParts(&d.tables[id], mask, p.newTables&mask > 0)...)
+		if mask := p.products(id); id != none && mask&(1<<k-1) == 0 { // once per table, at its first product
+			parts = append(parts, l.tableParts(&l.tables[id], mask, p.newTables&mask > 0)...)
 		}
 	}
-	if mark != none {
+	if marker != none {
 		if len(parts) == 0 {
 			parts = append(parts, textproto.Part{})
 		}
 		last := &parts[len(parts)-1]
-		last.HasMarker, last.Marker = true, mark
+		last.HasMarker, last.Marker = true, marker
 		if len(p.pendingMarkers) >= maxPendingMarkers {
 			p.pendingMarkers = p.pendingMarkers[1:]
 		}
-		p.pendingMarkers = append(p.pendingMarkers, mark)
+		p.pendingMarkers = append(p.pendingMarkers, marker)
 	}
 	return parts
 }
 
-// withdrawalPart tells a proxy what differs from what it was told. One that comes from another controller may bring
-// its withdrawals: each is settled with the first line for that backend, or the first order about it.
-func (d *Loop) withdrawalPart(p *proxy) (part textproto.Part) {
-	p.notified = append(p.notified, make([]usability, len(d.backends)-len(p.notified))...)
-	unlaid := slices.Contains(p.tables, none) // it still goes by tables that it brought along
-	for b, name := range d.backends {
-		told, want := p.knownUsability(b), usabilityOf(d.withdrawn[b])
-		if told == want && told == usable {
-			continue // as most are
+// withdrawalPart returns the withdrawals and restorations that a proxy has not been notified of. A proxy that was
+// connected to another controller may hold withdrawals from there. Each is replaced with the first table entry of that
+// backend, or with the first order about it.
+func (l *Loop) withdrawalPart(p *proxy) (part textproto.Part) {
+	p.notified = append(p.notified, make([]usability, len(l.backends)-len(p.notified))...)
+	lacksTable := slices.Contains(p.tables, none) // the proxy still uses a table from another controller
+	for b, name := range l.backends {
+		known, want := p.knownUsability(b), usabilityOf(l.withdrawn[b])
+		if known == want && known == usable {
+			continue // the most frequent case
 		}
-		if told == withdrawn && !d.mayHaveLine(p, b) && d.isChanging(p, b) {
-			// Its last line goes with this message: what comes again finds nothing of it.
+		if known == withdrawn && !l.mayHaveEntry(p, b) && l.isWeightChanged(p, b) {
+			// This message removes the backend's last entry, so the withdrawal has to end with it.
 			p.notified[b], part.Restored = usable, append(part.Restored, name)
 			continue
 		}
-		// One that still waits for its first table is told of what is ordered now, which is all that was charged for
-		// it; the rest is settled with that table.
-		if told == want || unlaid && !slices.Contains(d.orderedBackends, b) || !d.mayHaveLine(p, b) {
+		// A proxy that waits for its first table is only notified of the orders of this step, because the policy
+		// charges no more lines for it. The other backends follow with that table.
+		if known == want || lacksTable && !slices.Contains(l.withdrawalOrders, b) || !l.mayHaveEntry(p, b) {
 			continue
 		}
 		if p.notified[b] = want; want == withdrawn {
@@ -277,47 +280,48 @@
 	return part
 }
 
-func (d *Loop) tableParts(t *table, mask uint32, whole bool) (parts []textproto.Part) {
-	first := textproto.Part{Products: d.productNames(mask), Full: whole || t.cleared}
-	gates := t.changedAdmissions & mask
+// tableParts returns a table for the products of a mask, either in full or the changes of this step.
+func (l *Loop) tableParts(t *table, mask uint32, full bool) (parts []textproto.Part) {
+	first := textproto.Part{Products: l.productNames(mask), Full: full || t.isCleared}
+	admissions := t.changedAdmissions & mask
 	if first.Full {
 		for b, w := range t.weight {
 			if w > 0 {
-				first.Weights = append(first.Weights, textproto.BackendWeight{Backend: d.backends[b], Weight: w})
+				first.Weights = append(first.Weights, textproto.BackendWeight{Backend: l.backends[b], Weight: w})
 			}
 		}
-		gates = mask
+		admissions = mask
 	} else {
 		seen := map[int]bool{}
 		for _, b := range t.changedWeights {
 			if !seen[b] {
 				seen[b] = true
-				first.Weights = append(first.Weights, textproto.BackendWeight{Backend: d.backends[b], Weight: t.weight[b]})
+				first.Weights = append(first.Weights, textproto.BackendWeight{Backend: l.backends[b], Weight: t.weight[b]})
 			}
 		}
 	}
 	if first.Full || len(first.Weights) > 0 {
 		parts = append(parts, first)
 	}
-	for k := range d.products {
-		if gates>>k&1 > 0 && t.hasAdmission[k] {
-			parts = append(parts, textproto.Part{Products: d.productNames(1 << k),
+	for k := range l.products {
+		if admissions>>k&1 > 0 && t.hasAdmission[k] {
+			parts = append(parts, textproto.Part{Products: l.productNames(1 << k),
 				Admission: &textproto.Admission{RateLimit: t.admissions[k].RateLimit, Retries: t.admissions[k].Retries}})
 		}
 	}
 	return parts
 }
 
-// productNames are those of a mask; it is asked for a few masks again and again.
-func (d *Loop) productNames(mask uint32) []string {
-	names, ok := d.namesOfMask[mask]
+// productNames returns the names of the products in a mask. It caches them, since few masks are in use.
+func (l *Loop) productNames(mask uint32) []string {
+	names, ok := l.namesByMask[mask]
 	if !ok {
-		for k, name := range d.names.Products {
+		for k, name := range l.names.Products {
 			if mask>>k&1 > 0 {
 				names = append(names, name)
 			}
 		}
-		d.namesOfMask[mask] = names
+		l.namesByMask[mask] = names
 	}
 	return names
 }
--- a/internal/controller/eventloop/reports.go
+++ b/internal/controller/eventloop/reports.go
@@ -9,65 +9,66 @@
 	"elmfold/internal/policy"
 )
 
-func (d *Loop) onSource(from Stream, m textproto.Source) error {
-	if _, joined := d.proxyOf[from]; joined || d.collectors[from] {
+// onSource registers a stream as that of a collector.
+func (l *Loop) onSource(from Stream, m textproto.Source) error {
+	if _, joined := l.proxyOf[from]; joined || l.collectors[from] {
 		return errAlreadyJoined
 	}
-	if !slices.Contains(d.names.Zones, m.Zone) {
+	if !slices.Contains(l.names.Zones, m.Zone) {
 		from.CloseRefused()
 		return errZone
 	}
-	d.collectors[from] = true
+	l.collectors[from] = true
 	from.SetPeer("collector " + m.Zone)
 	return nil
 }
 
-// onAck takes the answer to a marker: only those that this stream was sent count, each once.
-func (d *Loop) onAck(from Stream, m textproto.Ack) error {
-	p, err := d.reportingProxy(from, m.Proxy)
+// onAck passes on the acknowledgement of a marker. It ignores markers that are not pending on this stream.
+func (l *Loop) onAck(from Stream, m textproto.Ack) error {
+	p, err := l.reportingProxy(from, m.Proxy)
 	if p == nil {
 		return err
 	}
 	if at := slices.Index(p.pendingMarkers, m.Marker); at >= 0 {
 		p.pendingMarkers = slices.Delete(p.pendingMarkers, at, at+1)
-		d.events = append(d.events, policy.MarkerAcked{Proxy: m.Proxy, Number: m.Marker})
+		l.events = append(l.events, policy.MarkerAcked{Proxy: m.Proxy, Number: m.Marker})
 	}
 	return nil
 }
 
-func (d *Loop) onUsageReport(from Stream, m textproto.UsageReport) error {
-	k := d.product(m.Product)
+func (l *Loop) onUsageReport(from Stream, m textproto.UsageReport) error {
+	k := l.product(m.Product)
 	if k < 0 {
 		return errProduct
 	}
-	p, err := d.reportingProxy(from, m.Proxy)
+	p, err := l.reportingProxy(from, m.Proxy)
 	if p == nil {
 		return err
 	}
-	d.events = append(d.events, policy.UsageReport{Proxy: m.Proxy, Product: k, Txns: m.Txns, Failed: m.Failed,
+	l.events = append(l.events, policy.UsageReport{Proxy: m.Proxy, Product: k, Txns: m.Txns, Failed: m.Failed,
 		Period: m.Period})
-	if d.observer != nil && m.Period > 0 {
+	if l.observer != nil && m.Period > 0 {
 		rate := m.Txns * float64(policy.Second) / float64(m.Period)
-		d.observer.RecordUsage(m.Proxy, m.Product, d.names.Zones[p.zone], rate)
+		l.observer.RecordUsage(m.Proxy, m.Product, l.names.Zones[p.zone], rate)
 	}
 	return err
 }
 
-func (d *Loop) onBackendReport(from Stream, m textproto.BackendReport) error {
-	if _, joined := d.proxyOf[from]; !joined && !d.collectors[from] {
+func (l *Loop) onBackendReport(from Stream, m textproto.BackendReport) error {
+	if _, joined := l.proxyOf[from]; !joined && !l.collectors[from] {
 		return errUnknownSender
 	}
-	if !slices.Contains(d.names.Zones, m.Zone) {
+	if !slices.Contains(l.names.Zones, m.Zone) {
 		return errZone
 	}
-	b, listed := d.index[m.Backend]
+	b, listed := l.index[m.Backend]
 	if !listed {
 		return errBackend
 	}
-	d.events = append(d.events, backendReport(b, m))
-	if d.observer != nil {
+	l.events = append(l.events, backendReport(b, m))
+	if l.observer != nil {
 		latency := time.Duration(m.Latency) * time.Second / time.Duration(policy.Second)
-		d.observer.RecordAttempts(m.Backend, m.Attempts, m.Failed, latency)
+		l.observer.RecordAttempts(m.Backend, m.Attempts, m.Failed, latency)
 	}
 	return nil
 }
@@ -76,39 +77,39 @@
 	return policy.BackendReport{Backend: b, Attempts: m.Attempts, Failed: m.Failed, Latency: m.Latency}
 }
 
-func (d *Loop) onRemoteSums(m RemoteSums) {
+func (l *Loop) onRemoteSums(m RemoteSums) {
 	for _, r := range m.Reports {
-		if b, listed := d.index[r.Backend]; listed { // another controller may know another list
-			d.events = append(d.events, policy.RemoteReport{BackendReport: backendReport(b, r), Age: m.Age})
+		if b, listed := l.index[r.Backend]; listed { // other controllers may have a different list
+			l.events = append(l.events, policy.RemoteReport{BackendReport: backendReport(b, r), Age: m.Age})
 		}
 	}
-	uses := make([][]float64, d.products)
+	uses := make([][]float64, l.products)
 	for k := range uses {
-		uses[k] = make([]float64, len(d.names.Zones))
+		uses[k] = make([]float64, len(l.names.Zones))
 	}
 	for _, u := range m.Usage {
-		if k, z := d.product(u.Product), slices.Index(d.names.Zones, u.Zone); k >= 0 && z >= 0 {
+		if k, z := l.product(u.Product), slices.Index(l.names.Zones, u.Zone); k >= 0 && z >= 0 {
 			uses[k][z] += u.Txns
 		}
 	}
-	d.events = append(d.events, policy.RemoteUsage{Rates: uses})
+	l.events = append(l.events, policy.RemoteUsage{Rates: uses})
 }
 
-// product is the index of a product; -1: there is none of that name.
-func (d *Loop) product(name string) int { return slices.Index(d.names.Products, name) }
+// product returns the index of a product, or -1.
+func (l *Loop) product(name string) int { return slices.Index(l.names.Products, name) }
 
-// reportingProxy is the connected proxy that a report is about; nil if the report comes late from a stream that was
-// replaced.
-func (d *Loop) reportingProxy(from Stream, at int) (*proxy, error) {
-	if at >= len(d.proxies) {
+// reportingProxy returns the connected proxy that a report is about. It returns nil without an error if the report is
+// to be ignored, such as one from a replaced stream.
+func (l *Loop) reportingProxy(from Stream, at int) (*proxy, error) {
+	if at >= len(l.proxies) {
 		return nil, errProxy
 	}
-	p := &d.proxies[at]
-	if own, ok := d.proxyOf[from]; ok {
+	p := &l.proxies[at]
+	if own, ok := l.proxyOf[from]; ok {
 		if own != at || p.stream != from {
 			return nil, nil
 		}
-	} else if !d.collectors[from] {
+	} else if !l.collectors[from] {
 		return nil, errUnknownSender
 	}
 	if p.stream == nil {
@@ -117,53 +118,55 @@
 	return p, nil
 }
 
-func (d *Loop) leave(at int) {
-	d.removeUser(at)
-	d.proxies[at] = proxy{}
-	d.events = append(d.events, policy.ProxyDisconnected{Proxy: at})
-	if d.observer != nil {
-		d.observer.RemoveProxy(at)
+// disconnect clears the state of a proxy whose stream has ended.
+func (l *Loop) disconnect(at int) {
+	l.removeUser(at)
+	l.proxies[at] = proxy{}
+	l.events = append(l.events, policy.ProxyDisconnected{Proxy: at})
+	if l.observer != nil {
+		l.observer.RemoveProxy(at)
 	}
 }
 
-// onClosed forgets a stream, and its proxy if it is still the proxy's.
-func (d *Loop) onClosed(from Stream) {
-	if at, ok := d.proxyOf[from]; ok && d.proxies[at].stream == from {
-		d.leave(at)
+// onClosed removes a stream. It disconnects the proxy unless a newer stream has replaced this one.
+func (l *Loop) onClosed(from Stream) {
+	if at, ok := l.proxyOf[from]; ok && l.proxies[at].stream == from {
+		l.disconnect(at)
 	}
-	delete(d.proxyOf, from)
-	delete(d.collectors, from)
+	delete(l.proxyOf, from)
+	delete(l.collectors, from)
 }
 
-func (d *Loop) onSubscribe(from Stream, said textproto.Subscribe) error {
-	zone := slices.Index(d.names.Zones, said.Zone)
-	switch _, again := d.proxyOf[from]; {
-	case again || d.collectors[from]:
+// onSubscribe connects a proxy. It rejects a stream that is older than the proxy's current one.
+func (l *Loop) onSubscribe(from Stream, request textproto.Subscribe) error {
+	zone := slices.Index(l.names.Zones, request.Zone)
+	switch _, joined := l.proxyOf[from]; {
+	case joined || l.collectors[from]:
 		return errAlreadyJoined
-	case said.Proxy >= len(d.proxies):
+	case request.Proxy >= len(l.proxies):
 		from.CloseRefused()
 		return errProxy
 	case zone < 0:
 		from.CloseRefused()
 		return errZone
 	}
-	p := &d.proxies[said.Proxy]
-	d.proxyOf[from] = said.Proxy
+	p := &l.proxies[request.Proxy]
+	l.proxyOf[from] = request.Proxy
 	if old := p.stream; old != nil {
-		// Of two streams the one that was opened later holds, in whatever order their first lines are read.
+		// The newer of two streams wins, even if its subscription is read first.
 		if from.Sequence() < old.Sequence() {
 			from.CloseReplaced()
 			return nil
 		}
-		d.leave(said.Proxy)
+		l.disconnect(request.Proxy)
 		old.CloseReplaced()
 	}
-	from.SetPeer(fmt.Sprint("proxy ", said.Proxy))
-	*p = proxy{stream: from, zone: zone, tables: slices.Repeat([]int{none}, d.products), initial: usabilityUnknown}
-	if said.Fresh {
-		p.initial = usable // nothing was ordered, so nothing is withdrawn
+	from.SetPeer(fmt.Sprint("proxy ", request.Proxy))
+	*p = proxy{stream: from, zone: zone, tables: slices.Repeat([]int{none}, l.products), initial: usabilityUnknown}
+	if request.Fresh {
+		p.initial = usable // a fresh proxy has no withdrawals
 	}
-	d.events = append(d.events, policy.ProxyConnected{Proxy: said.Proxy, Zone: zone, Rate: said.Rate,
-		HasPeerTables: !said.Fresh})
+	l.events = append(l.events, policy.ProxyConnected{Proxy: request.Proxy, Zone: zone, Rate: request.Rate,
+		HasPeerTables: !request.Fresh})
 	return nil
 }
--- a/internal/controller/eventloop/snapshot.go
+++ b/internal/controller/eventloop/snapshot.go
@@ -10,17 +10,16 @@
 	"elmfold/internal/policy"
 )
 
-// snapshotTurns is how many seconds a snapshot of all that is worth keeping takes, so that a second costs little at
-// any size.
-const snapshotTurns = 8
+// snapshotParts is the number of parts of a snapshot. One part is taken per second, to bound the work of a step.
+const snapshotParts = 8
 
-// FactSink is given what the decisions know, a part of it each second. It must not wait.
+// FactSink receives the learned state of the policy, one part per second. It must not block.
 type FactSink func(facts []warmstart.Fact)
 
-// SetFactSink hands on what is worth keeping from now on.
-func (d *Loop) SetFactSink(keep FactSink) { d.factSink = keep }
+// SetFactSink passes snapshots to a sink from now on.
+func (l *Loop) SetFactSink(sink FactSink) { l.factSink = sink }
 
-var figures = map[policy.EstimateKind]warmstart.Kind{
+var factKinds = map[policy.EstimateKind]warmstart.Kind{
 	policy.EstimateUsage:      warmstart.Use,
 	policy.EstimateDerating:   warmstart.Relief,
 	policy.EstimateTotalLimit: warmstart.Total,
@@ -28,59 +27,59 @@
 	policy.EstimateThroughput: warmstart.Throughput,
 }
 
-// snapshot tells the keeper what has its turn, under names that hold at every controller.
-func (d *Loop) snapshot() {
-	if d.factSink == nil || d.now < d.snapshotAt+policy.Second {
+// snapshot passes the next part of the policy's estimates to the sink, with names in place of indices.
+func (l *Loop) snapshot() {
+	if l.factSink == nil || l.now < l.lastSnapshotAt+policy.Second {
 		return
 	}
-	d.snapshotAt, d.turn = d.now, (d.turn+1)%snapshotTurns
-	all := d.assigner.Snapshot(d.turn, snapshotTurns)
+	l.lastSnapshotAt, l.snapshotPart = l.now, (l.snapshotPart+1)%snapshotParts
+	all := l.assigner.Snapshot(l.snapshotPart, snapshotParts)
 	facts := make([]warmstart.Fact, 0, len(all))
 	for _, r := range all {
 		f := warmstart.Fact{
-			Kind:  figures[r.Kind],
+			Kind:  factKinds[r.Kind],
 			Value: r.Value,
 			Age:   time.Duration(r.Age) * time.Second / time.Duration(policy.Second),
 		}
 		switch r.Kind {
 		case policy.EstimateUsage:
-			f.Key = strconv.Itoa(r.Proxy) + "/" + d.names.Products[r.Product]
+			f.Key = strconv.Itoa(r.Proxy) + "/" + l.names.Products[r.Product]
 		case policy.EstimateDerating:
-			// A whole one is told only after one that was not, so that it ends that.
-			d.derated = append(d.derated, make([]bool, max(r.Backend+1-len(d.derated), 0))...)
-			eased := d.derated[r.Backend]
-			d.derated[r.Backend] = r.Value < 1
-			if f.Key = d.backends[r.Backend]; f.Key == "" || r.Value == 1 && !eased {
+			// A derating of 1 is only passed on if it replaces a lower one.
+			l.derated = append(l.derated, make([]bool, max(r.Backend+1-len(l.derated), 0))...)
+			wasDerated := l.derated[r.Backend]
+			l.derated[r.Backend] = r.Value < 1
+			if f.Key = l.backends[r.Backend]; f.Key == "" || r.Value == 1 && !wasDerated {
 				continue
 			}
-		case policy.EstimateTotalLimit, policy.EstimateKnee, policy.EstimateThroughput: // one each: no key
+		case policy.EstimateTotalLimit, policy.EstimateKnee, policy.EstimateThroughput: // have no key
 		}
 		facts = append(facts, f)
 	}
-	d.factSink(facts)
+	l.factSink(facts)
 }
 
-// onRestored puts what is believed of earlier knowledge before the decisions, as a figure with its age.
-func (d *Loop) onRestored(b warmstart.Believe) error {
+// onRestored passes an estimate from an earlier snapshot to the policy.
+func (l *Loop) onRestored(believed warmstart.Believe) error {
 	r := policy.RestoredEstimate{
-		Value:      b.Value,
-		Age:        policy.Time(b.Age * time.Duration(policy.Second) / time.Second),
-		Confidence: b.Part,
+		Value:      believed.Value,
+		Age:        policy.Time(believed.Age * time.Duration(policy.Second) / time.Second),
+		Confidence: believed.Part,
 	}
-	switch b.Kind {
+	switch believed.Kind {
 	case warmstart.Use:
-		proxy, product, _ := strings.Cut(b.Key, "/")
+		proxy, product, _ := strings.Cut(believed.Key, "/")
 		at, err := strconv.Atoi(proxy)
-		if err != nil || at < 0 || at >= len(d.proxies) {
-			return fmt.Errorf("%w: %q", errProxy, b.Key)
+		if err != nil || at < 0 || at >= len(l.proxies) {
+			return fmt.Errorf("%w: %q", errProxy, believed.Key)
 		}
-		if r.Kind, r.Proxy, r.Product = policy.EstimateUsage, at, d.product(product); r.Product < 0 {
-			return fmt.Errorf("%w: %q", errProduct, b.Key)
+		if r.Kind, r.Proxy, r.Product = policy.EstimateUsage, at, l.product(product); r.Product < 0 {
+			return fmt.Errorf("%w: %q", errProduct, believed.Key)
 		}
 	case warmstart.Relief:
-		at, listed := d.index[b.Key]
+		at, listed := l.index[believed.Key]
 		if !listed {
-			return fmt.Errorf("%w: %q", errBackend, b.Key)
+			return fmt.Errorf("%w: %q", errBackend, believed.Key)
 		}
 		r.Kind, r.Backend = policy.EstimateDerating, at
 	case warmstart.Total:
@@ -89,9 +88,9 @@
 		r.Kind = policy.EstimateKnee
 	case warmstart.Throughput:
 		r.Kind = policy.EstimateThroughput
-	default: // lists and withdrawals are settled elsewhere
+	default: // lists and withdrawals are restored elsewhere
 		return nil
 	}
-	d.events = append(d.events, r)
+	l.events = append(l.events, r)
 	return nil
 }
--- a/internal/controller/eventloop/snapshot_test.go
+++ b/internal/controller/eventloop/snapshot_test.go
@@ -108,10 +108,10 @@
 		}
 	})
 	f.join(0, proxies, 1)
-	for range snapshotTurns + 1 {
+	for range snapshotParts + 1 {
 		f.second()
 	}
-	if len(seen) < proxies*len(names.Products) || slices.Max(sizes) > 2*proxies*len(names.Products)/snapshotTurns {
+	if len(seen) < proxies*len(names.Products) || slices.Max(sizes) > 2*proxies*len(names.Products)/snapshotParts {
 		t.Errorf("%d facts in all, at once %v", len(seen), sizes)
 	}
 }
--- a/internal/controller/eventloop/tenancy.go
+++ b/internal/controller/eventloop/tenancy.go
@@ -5,41 +5,41 @@
 	"elmfold/internal/policy"
 )
 
-// CellsQuery asks how tenants and backends stand; To must have room, as the loop does not wait.
+// CellsQuery requests the state of tenants and their backends. Reply must be buffered, since the loop must not block.
 type CellsQuery struct{ Reply chan<- tenancy.View }
 
-// FleetQuery asks for the list as cells see it; To must have room.
+// FleetQuery requests the list of backends as tenancy sees it. Reply must be buffered.
 type FleetQuery struct{ Reply chan<- []tenancy.Backend }
 
-func (d *Loop) show() tenancy.View {
-	if d.tenancy == nil {
+func (l *Loop) tenancyView() tenancy.View {
+	if l.tenancy == nil {
 		return tenancy.View{}
 	}
-	return d.tenancy.Show()
+	return l.tenancy.Show()
 }
 
-// fleet is the list as it is now. Where gone alone does not bind, who was dropped while serving counts on: a list
-// that was emptied by mistake ends no confinement.
-func (d *Loop) fleet() (all []tenancy.Backend) {
-	for at, on := range d.listed {
-		e := d.entries[at]
-		if on || !d.removalBinds && d.backends[at] != "" && e.Status == policy.Ready {
-			all = append(all, tenancy.Backend{At: at, ID: d.backends[at], Zone: e.Zone, Kind: e.Kind, Status: e.Status,
+// fleet returns the listed backends. Unless removals are honored, it includes backends that were removed from the list
+// while they were ready, so that a list emptied by mistake does not end the confinement of tenants.
+func (l *Loop) fleet() (all []tenancy.Backend) {
+	for at, isListed := range l.listed {
+		e := l.lastEntries[at]
+		if isListed || !l.honorRemovals && l.backends[at] != "" && e.Status == policy.Ready {
+			all = append(all, tenancy.Backend{At: at, ID: l.backends[at], Zone: e.Zone, Kind: e.Kind, Status: e.Status,
 				Weight: e.Weight, Up: e.StartedAt})
 		}
 	}
 	return all
 }
 
-// stepTenancy lets cells settle what this moment changes, before the decisions: they hear of both at once.
-func (d *Loop) stepTenancy() {
-	events := d.tenancyEvents
-	d.tenancyEvents = nil
-	listed := false
-	for _, e := range d.events {
+// stepTenancy runs the tenancy step. It runs before the policy, which sees the resulting restrictions in the same step.
+func (l *Loop) stepTenancy() {
+	events := l.tenancyEvents
+	l.tenancyEvents = nil
+	listChanged := false
+	for _, e := range l.events {
 		switch e := e.(type) {
 		case policy.ListUpdate:
-			listed = listed || e.Kind != policy.ListFailed
+			listChanged = listChanged || e.Kind != policy.ListFailed
 		case policy.ProxyConnected:
 			events = append(events, tenancy.ProxyConnected{Proxy: e.Proxy, Zone: e.Zone})
 		case policy.ProxyDisconnected:
@@ -56,33 +56,34 @@
 			)
 		}
 	}
-	if listed {
-		events = append(events, tenancy.ListUpdate{Backends: d.fleet()})
+	if listChanged {
+		events = append(events, tenancy.ListUpdate{Backends: l.fleet()})
 	}
-	for _, o := range d.tenancy.Step(d.now, events) {
+	for _, o := range l.tenancy.Step(l.now, events) {
 		switch o := o.(type) {
 		case tenancy.Note:
 			if o.Warn {
-				d.log.Warn(o.Text)
+				l.log.Warn(o.Text)
 			} else {
-				d.log.Info(o.Text)
+				l.log.Info(o.Text)
 			}
 		case policy.ProxyRestricted:
-			d.events = append(d.events, o)
+			l.events = append(l.events, o)
 		}
 	}
 }
 
-// onTenancy notes a change of tenants for the next step. The first one starts tenancy, which is told how things stand.
-func (d *Loop) onTenancy(change tenancy.Event) {
-	if d.tenancy == nil {
-		d.tenancy = tenancy.New(len(d.proxies))
-		d.tenancyEvents = append(d.tenancyEvents, tenancy.ListUpdate{Backends: d.fleet()})
-		for i := range d.proxies {
-			if p := &d.proxies[i]; p.stream != nil {
-				d.tenancyEvents = append(d.tenancyEvents, tenancy.ProxyConnected{Proxy: i, Zone: p.zone})
+// onTenancy queues a tenancy command for the next step. The first one creates tenancy, with the current fleet and
+// proxies.
+func (l *Loop) onTenancy(change tenancy.Event) {
+	if l.tenancy == nil {
+		l.tenancy = tenancy.New(len(l.proxies))
+		l.tenancyEvents = append(l.tenancyEvents, tenancy.ListUpdate{Backends: l.fleet()})
+		for i := range l.proxies {
+			if p := &l.proxies[i]; p.stream != nil {
+				l.tenancyEvents = append(l.tenancyEvents, tenancy.ProxyConnected{Proxy: i, Zone: p.zone})
 			}
 		}
 	}
-	d.tenancyEvents = append(d.tenancyEvents, change)
+	l.tenancyEvents = append(l.tenancyEvents, change)
 }
