--- a/internal/controller/discovery/watch/cases_test.go
+++ b/internal/controller/discovery/watch/cases_test.go
@@ -349,7 +349,7 @@
 	want["s-3"] = reconcile.Draining
 	delete(want, "s-4")
 	r.until(want)
-	r.note("compacted while the whole list was read")
+	r.note("compaction interrupted the read of the whole list")
 	if len(r.tells) > 0 {
 		t.Errorf("more is told: %+v", <-r.tells)
 	}
@@ -369,7 +369,7 @@
 	r.put("a", reconcile.Draining)
 	r.store.Compact(0)
 	r.server.SetUnresponsive(false)
-	r.note("compacted away")
+	r.note("the last known revision is compacted")
 	r.until(map[string]string{"a": "DRAINING"})
 }
 
@@ -398,7 +398,7 @@
 			r.until(map[string]string{"a": "DRAINING", "c": "DRAINING"})
 			r.put("c", reconcile.Serving) // by its own hand
 			r.until(map[string]string{"a": "DRAINING", "c": "SERVING"})
-			r.note("stand no longer")
+			r.note("stopped holding drains and removals")
 			r.until(map[string]string{"a": "SERVING", "b": "SERVING", "c": "SERVING"})
 			r.f.Stop()
 		}
@@ -415,7 +415,7 @@
 	r.store.Delete(prefix + "/b")
 	r.until(map[string]string{"a": "SERVING"})
 	serverOf[*standconsul.Server](r).Forget(true)
-	r.note("went back")
+	r.note("index decreased")
 	r.put("a", reconcile.Draining)
 	r.doubts++
 	r.until(map[string]string{"a": "DRAINING"})
@@ -443,7 +443,7 @@
 			gone = append(gone, kv.Change{Key: prefix + "/" + id, Gone: true})
 		}
 		r.store.Txn(gone...)
-		if n := r.note("shrank"); n.Count != 10 {
+		if n := r.note("removed at once"); n.Count != 10 {
 			t.Errorf("note %+v", n)
 		}
 		r.until(map[string]string{})
@@ -472,7 +472,7 @@
 		r.until(map[string]string{"good": "SERVING"})
 		faults := map[string]bool{}
 		for len(faults) < 3 {
-			faults[r.note("read past").Key] = true
+			faults[r.note("ignoring an invalid entry").Key] = true
 		}
 		if kind == "etcd" {
 			r.server.SetUnresponsive(true)
@@ -579,7 +579,7 @@
 		}
 		file(t, dir, "secret", []byte("right\n"))
 		r.until(map[string]string{"a": "SERVING"})
-		r.note("answers again")
+		r.note("available again")
 		r.server.Expire()
 		r.link.CutAll()
 		r.put("a", reconcile.Draining)
--- a/internal/controller/reconcile/messages.go
+++ b/internal/controller/reconcile/messages.go
@@ -1,226 +1,139 @@
-// Package reconcile settles what a key-value registry says of the list of backends: which changes the desk is
-// told, each once and in order, and what is asked of the registry next. It holds no socket, clock, file or
-// goroutine: Step takes a moment and what was heard, and returns orders. The state table and the reasons stand
-// in docs/notes/registry.md.
 package reconcile
 
-import (
-	"encoding/binary"
-	"hash/fnv"
-	"time"
-)
-
-// Time is a moment, as the time since any fixed one; it never goes back.
-type Time = time.Duration
-
-// Config is what a Roster is given once. Spans of zero mean never, and counts of zero nothing, unless told
-// otherwise.
-type Config struct {
-	Seed              string // of chance: the controller's name and its start
-	Prefix            string // keys are Prefix/ID
-	Endpoints         int    // at least 1; orders name them by index
-	WatchSendsChanges bool   // a watch brings the changes themselves; else only that there are some
-	SupportsCheck     bool   // Check can be answered
-
-	PageSize     int // entries asked for at once
-	MaxPageSize  int // ... at most, when compaction overtakes the reading
-	MaxValueSize int // bytes of a value
-	MaxKeys      int // of a whole list; beyond that it is refused
-
-	ProgressInterval   Time // without a word, after which progress is asked for
-	WatchTimeout       Time // without a word, after which a watch is given up
-	ResponseTimeout    Time // that any other answer may take
-	AuditInterval      Time // between two checks of what is held
-	MinBackoff         Time // after a first failure
-	MaxBackoff         Time // at most, while the registry is out of reach
-	MaxRejectedBackoff Time // at most, while it refuses us
-	ReloadJitter       Time // over which controllers that all need the whole list ask for it
-	MinReloadInterval  Time // between the beginnings of two whole reads
-
-	HistoryHold        Time    // that a drain or an end stands against a list of another history
-	TombstoneRetention Time    // that an end is remembered
-	MaxTombstones      int     // ... of so many backends at most, the latest
-	ShrinkWarnRatio    float64 // part of the list that is told to people when it ends at once
-}
-
-// DefaultConfig is the Plan with every figure that an operator may leave out.
-func DefaultConfig() Config {
-	return Config{
-		Endpoints:          1,
-		PageSize:           500,
-		MaxPageSize:        16000,
-		MaxValueSize:       64 << 10,
-		MaxKeys:            200000,
-		ProgressInterval:   700 * time.Millisecond,
-		WatchTimeout:       1900 * time.Millisecond,
-		ResponseTimeout:    2 * time.Second,
-		AuditInterval:      time.Minute,
-		MinBackoff:         50 * time.Millisecond,
-		MaxBackoff:         800 * time.Millisecond,
-		MaxRejectedBackoff: 30 * time.Second,
-		ReloadJitter:       700 * time.Millisecond,
-		MinReloadInterval:  250 * time.Millisecond,
-		HistoryHold:        30 * time.Second,
-		TombstoneRetention: time.Hour,
-		MaxTombstones:      20000,
-		ShrinkWarnRatio:    0.5,
-	}
-}
-
-// Event is one of the structs below. Try is the number of the order that it answers: what comes for an older
-// one is nobody's.
+// Event is one of the event types below. Attempt is the number from the order that the event answers. Events of earlier
+// attempts are ignored.
 type Event any
 
-// KeyValue is a key as the registry holds it. Mod is the revision that it was last changed at; Gone says that it
-// was deleted then.
+// KeyValue is a key of the registry. A deletion has Deleted set and no value.
 type KeyValue struct {
 	Key         string
 	Value       []byte
-	ModRevision int64
+	ModRevision int64 // revision of the last change
 	Deleted     bool
 }
 
-// Page is a part of the whole list at one revision; More says that there is some after its last key.
+// Page is a part of the whole list at one revision.
 type Page struct {
 	Attempt   int
-	ClusterID uint64 // who numbers the revisions; 0 where that is not told
+	ClusterID uint64 // identifies the cluster that numbers the revisions; 0 if unknown
 	Revision  int64
 	Entries   []KeyValue
-	More      bool
+	More      bool // there are entries after the last key
 }
 
-// CheckResult sums up the list at the revision that was checked: how many keys, and which was changed last.
+// CheckResult answers a Check.
 type CheckResult struct {
 	Attempt   int
 	ClusterID uint64
-	Revision  int64 // the revision that the registry is at
-	Count     int
-	Last      KeyValue
+	Revision  int64    // current revision of the registry
+	Count     int      // keys at the revision that was checked
+	Last      KeyValue // the key that had changed last at the revision that was checked
 }
 
-// WatchOpened says that a watch is up, at a registry that has come to this revision.
+// WatchOpened reports that a watch is established.
 type WatchOpened struct {
 	Attempt   int
 	ClusterID uint64
-	Revision  int64
+	Revision  int64 // current revision of the registry
 }
 
-// Changes brings changes in the order in which they were made, of whole revisions; Part says that the rest of
-// the last revision is still to come.
+// Changes delivers changes in the order of their revisions.
 type Changes struct {
 	Attempt   int
 	ClusterID uint64
 	Entries   []KeyValue
-	Partial   bool
+	Partial   bool // further changes of the last revision follow
 }
 
-// Progress says that all up to this revision has been said on this watch, or, of a watch that brings no
-// changes, that the list is at this revision.
+// Progress reports that a watch has delivered every change up to a revision. If the watch delivers no changes, it
+// reports the revision of the list.
 type Progress struct {
 	Attempt   int
 	ClusterID uint64
 	Revision  int64
 }
 
-// Compacted says that what was asked for, by a Check or else, is no longer held: all from Least on is.
+// Compacted reports that the requested revision is compacted.
 type Compacted struct {
 	Attempt        int
-	OldestRevision int64
-	ForCheck       bool
+	OldestRevision int64 // the oldest one that is available
+	ForCheck       bool  // answers a Check
 }
 
-// PageTooLarge says that a page would not fit into one answer.
+// PageTooLarge reports that a page exceeds the size limit of a response.
 type PageTooLarge struct{ Attempt int }
 
-// AttemptFailed says that a try ended.
+// AttemptFailed reports that an attempt ended.
 type AttemptFailed struct {
 	Attempt int
 	Reason  FailureReason
 	Err     error
 }
 
-// ReloadRequested asks for the whole list once.
+// ReloadRequested requests a read of the whole list.
 type ReloadRequested struct{}
 
-// FailureReason says how a try ended.
+// FailureReason is the reason why an attempt ended.
 type FailureReason uint8
 
-// Reasons. From BadCredentials on the registry was reached and refuses us.
+// Reasons. From BadCredentials on, the registry was reached and rejected the controller.
 const (
 	ConnectionLost      FailureReason = iota // the connection was refused or broke
-	TimedOut                                 // no answer in time
-	InvalidResponse                          // an answer that makes no sense
+	TimedOut                                 // no response in time
+	InvalidResponse                          // a response that violates the protocol
 	BadCredentials                           // wrong user or password
-	InvalidToken                             // a token that is expired or unknown
-	Forbidden                                // the user may not read there
-	CertificateRejected                      // one of the two sides refuses the other's
+	InvalidToken                             // an expired or unknown token
+	Forbidden                                // no permission to read the prefix
+	CertificateRejected                      // one side rejects the other's certificate
 )
 
 func (w FailureReason) String() string {
 	return [...]string{"lost", "silent", "odd", "password", "token", "forbidden", "certificate"}[w]
 }
 
-// Order is one of the structs below; they are carried out in the order given. Of a later Try all earlier ones
-// are left.
+// Order is one of the order types below. Orders are executed in sequence. An order with a new Attempt cancels all
+// earlier attempts.
 type Order any
 
-// PublishList hands changes, or the whole list, to the desk.
+// PublishList passes changes or the whole list to the event loop.
 type PublishList struct{ List }
 
-// ReadPage asks for a page of the list, from after a key; Revision 0 is the newest.
+// ReadPage requests a page of the list.
 type ReadPage struct {
 	Attempt, Endpoint, Limit int
-	AfterKey                 string
-	Revision                 int64
+	AfterKey                 string // the page starts after this key
+	Revision                 int64  // 0 requests the current one
 }
 
-// Check asks for a Checked of the list at a revision; Try is that of the watch where one goes on meanwhile.
+// Check requests a CheckResult for the list at a revision. During a watch, it has the Attempt of the watch.
 type Check struct {
 	Attempt, Endpoint int
 	Revision          int64
 }
 
-// Watch asks for all that changed after a revision. AtOnce asks, of a watch that brings no changes, for a first
-// Progress without waiting for one.
+// Watch requests all changes after a revision.
 type Watch struct {
 	Attempt, Endpoint int
 	AfterRevision     int64
-	Immediate         bool
+	Immediate         bool // requests a first Progress at once from a watch that delivers no changes
 }
 
-// RequestProgress asks a watch for progress.
+// RequestProgress requests a Progress from a watch.
 type RequestProgress struct{ Attempt int }
 
-// Cancel ends what is under way for a try, with its connection.
+// Cancel ends an attempt and closes its connection.
 type Cancel struct{ Attempt int }
 
-// PublishFailure tells the desk that the source failed; once for each outage.
+// PublishFailure tells the event loop that the source failed. It is sent once per outage.
 type PublishFailure struct{}
 
-// LogEntry is a line for people: a change of mode, or an entry that is read past.
+// LogEntry is a log line.
 type LogEntry struct {
 	Warn     bool
 	Text     string
-	Key      string // of an entry
+	Key      string // empty if the line is not about a key
 	Reason   string
-	Endpoint int // -1: none
+	Endpoint int // -1 for none
 	Revision int64
 	Count    int
 }
-
-// chance is in [0, 1): the same for a seed and a counter everywhere.
-func chance(seed string, counter uint64) float64 {
-	h := fnv.New64a()
-	_, _ = h.Write(binary.LittleEndian.AppendUint64([]byte(seed), counter))
-	x := h.Sum64() // the last bytes written hardly reach its upper half
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return float64((x^x>>31)>>11) / (1 << 53)
-}
-
-// sum is a fingerprint of a value.
-func sum(value []byte) uint64 {
-	h := fnv.New64a()
-	_, _ = h.Write(value)
-	return h.Sum64()
-}
--- a/internal/controller/reconcile/model_test.go
+++ b/internal/controller/reconcile/model_test.go
@@ -152,7 +152,7 @@
 		case Watch:
 			if !w.mute {
 				w.watch, w.sent = &o, o.AfterRevision
-				if !w.r.plan.WatchSendsChanges {
+				if !w.r.config.WatchSendsChanges {
 					w.flow(1)
 					continue
 				}
@@ -206,18 +206,18 @@
 
 // check compares what was told with what the registry held at the revision that the roster says it knows.
 func (w *world) check() {
-	if w.blind && w.r.phase == watching && (w.r.plan.WatchSendsChanges || w.fresh) {
-		w.blind, w.till = false, w.now+w.r.plan.HistoryHold
+	if w.blind && w.r.phase == watching && (w.r.config.WatchSendsChanges || w.fresh) {
+		w.blind, w.till = false, w.now+w.r.config.HistoryHold
 		for _, f := range w.firm {
 			if f.till == 0 {
 				f.till = w.till
 			}
 		}
 	}
-	if !w.r.have || w.blind {
+	if !w.r.hasList || w.blind {
 		return
 	}
-	if len(w.r.reported) > 0 {
+	if len(w.r.unpublished) > 0 {
 		w.Fatal("changes are not told")
 	}
 	want := w.s.readable(w.r.revision)
@@ -251,7 +251,7 @@
 	if w.watch == nil {
 		return
 	}
-	if !w.r.plan.WatchSendsChanges {
+	if !w.r.config.WatchSendsChanges {
 		w.waiting = append(w.waiting, Progress{Attempt: w.watch.Attempt, ClusterID: w.s.id, Revision: w.s.revision})
 		return
 	}
@@ -277,9 +277,9 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case Progress:
-			w.fresh = w.fresh || e.Attempt == w.r.try && w.r.phase == watching
+			w.fresh = w.fresh || e.Attempt == w.r.attempt && w.r.phase == watching
 		case Page:
-			w.fresh = w.fresh || e.Attempt == w.r.try && w.r.phase == reading
+			w.fresh = w.fresh || e.Attempt == w.r.attempt && w.r.phase == reading
 		}
 	}
 	w.step(events...)
@@ -334,10 +334,10 @@
 			if n := len(w.waiting); n > 0 {
 				w.waiting = w.waiting[:rapid.IntRange(0, n-1).Draw(t, "kept")]
 			}
-			w.step(AttemptFailed{Attempt: w.r.try, Reason: ConnectionLost, Err: errors.New("cut")})
+			w.step(AttemptFailed{Attempt: w.r.attempt, Reason: ConnectionLost, Err: errors.New("cut")})
 		},
 		"refuse": func(*rapid.T) {
-			w.step(AttemptFailed{Attempt: w.r.try, Reason: InvalidToken, Err: errors.New("expired")})
+			w.step(AttemptFailed{Attempt: w.r.attempt, Reason: InvalidToken, Err: errors.New("expired")})
 		},
 		"mute":  func(*rapid.T) { w.mute, w.waiting, w.watch = true, nil, nil },
 		"speak": func(*rapid.T) { w.mute = false },
@@ -398,7 +398,7 @@
 				}
 			}
 			w.s, w.waiting, w.watch, w.blind, w.fresh = s, nil, nil, true, false
-			w.step(AttemptFailed{Attempt: w.r.try, Reason: ConnectionLost, Err: errors.New("restored")})
+			w.step(AttemptFailed{Attempt: w.r.attempt, Reason: ConnectionLost, Err: errors.New("restored")})
 		},
 	}
 	t.Repeat(act)
@@ -411,7 +411,7 @@
 		w.step()
 	}
 	w.till = 0 // 100 s are more than any hold
-	if w.r.phase != watching || w.r.history != w.s.id || w.r.revision != w.s.revision {
+	if w.r.phase != watching || w.r.clusterID != w.s.id || w.r.revision != w.s.revision {
 		t.Fatalf("phase %d, revision %d of %d", w.r.phase, w.r.revision, w.s.revision)
 	}
 	w.check()
--- a/internal/controller/reconcile/reconciler_test.go
+++ b/internal/controller/reconcile/reconciler_test.go
@@ -78,7 +78,7 @@
 }
 
 func (b *bench) lost() {
-	b.step(AttemptFailed{Attempt: b.r.try, Reason: ConnectionLost, Err: errors.New("reset")})
+	b.step(AttemptFailed{Attempt: b.r.attempt, Reason: ConnectionLost, Err: errors.New("reset")})
 }
 
 // back goes through the pause and the check after a break.
@@ -155,7 +155,7 @@
 	}
 	b.lost()
 	b.back()
-	half.Attempt, rest.Attempt = b.r.try, b.r.try
+	half.Attempt, rest.Attempt = b.r.attempt, b.r.attempt
 	if w := one[Watch](b); w.AfterRevision != 0 {
 		t.Errorf("goes on after %d", w.AfterRevision)
 	}
@@ -239,7 +239,7 @@
 					b.step(b.s.answer(one[ReadPage](b)))
 				}
 				if len(find[Watch](b)) > 0 && len(find[PublishList](b)) == 0 {
-					b.step(Changes{Attempt: b.r.try, ClusterID: 7, Entries: b.s.log[2:]})
+					b.step(Changes{Attempt: b.r.attempt, ClusterID: 7, Entries: b.s.log[2:]})
 				}
 			}
 			got := told(one[PublishList](b))
@@ -276,13 +276,13 @@
 			if w := one[Watch](b); !w.Immediate {
 				t.Fatalf("after a break %+v", w)
 			}
-			b.step(Progress{Attempt: b.r.try, ClusterID: 7, Revision: back})
+			b.step(Progress{Attempt: b.r.attempt, ClusterID: 7, Revision: back})
 			for len(find[ReadPage](b)) == 0 {
 				b.due()
 			}
 			b.step(
 				Page{
-					Attempt:   b.r.try,
+					Attempt:   b.r.attempt,
 					ClusterID: 7,
 					Revision:  back,
 					Entries:   []KeyValue{putEntry("p/a", Draining, 1, back)},
@@ -312,13 +312,13 @@
 		b.s.put("p/ended", "", true)
 		b.s.put("p/new", value(Serving, 1), false)
 		b.up()
-		b.step(Changes{Attempt: b.r.try, ClusterID: 7, Entries: []KeyValue{putEntry("p/ended", Serving, 1, 9)}})
-		b.step(Changes{Attempt: b.r.try, ClusterID: 7, Entries: []KeyValue{deletedEntry("p/ended", 10)}})
+		b.step(Changes{Attempt: b.r.attempt, ClusterID: 7, Entries: []KeyValue{putEntry("p/ended", Serving, 1, 9)}})
+		b.step(Changes{Attempt: b.r.attempt, ClusterID: 7, Entries: []KeyValue{deletedEntry("p/ended", 10)}})
 		if b.s = old; otherID {
 			b.s.id = 8
 		}
 		b.lost()
-		if got := find[PublishList](b); len(got) > 0 || b.r.live != 4 {
+		if got := find[PublishList](b); len(got) > 0 || b.r.liveCount != 4 {
 			t.Fatalf("a break tells %+v", got)
 		}
 		b.back()
@@ -334,13 +334,13 @@
 		}
 		began := b.now
 		b.s.put("p/changes", value(Serving, 1), false)
-		b.step(Changes{Attempt: b.r.try, ClusterID: b.s.id, Entries: b.s.log[4:]})
+		b.step(Changes{Attempt: b.r.attempt, ClusterID: b.s.id, Entries: b.s.log[4:]})
 		if got := told(one[PublishList](b)); !slices.Equal(got, []string{"changes SERVING"}) {
 			t.Errorf("a change in the new history tells %v", got)
 		}
 		for b.out = nil; len(find[PublishList](b)) == 0 && b.now < time.Hour; {
 			b.now += 100 * time.Millisecond
-			b.step(Progress{Attempt: b.r.try, ClusterID: b.s.id, Revision: b.s.revision})
+			b.step(Progress{Attempt: b.r.attempt, ClusterID: b.s.id, Revision: b.s.revision})
 		}
 		if got := told(one[PublishList](b)); b.now-began < 30*time.Second || b.now-began > 31*time.Second ||
 			!slices.Equal(got, []string{"drained SERVING", "ended SERVING"}) {
@@ -415,11 +415,11 @@
 	b.s.put("p/b", "", true)
 	b.up()
 	entries := []KeyValue{b.s.log[0]}
-	b.step(Progress{Attempt: b.r.try, Revision: 1})
+	b.step(Progress{Attempt: b.r.attempt, Revision: 1})
 	for len(find[ReadPage](b)) == 0 {
 		b.due()
 	}
-	b.step(Page{Attempt: b.r.try, ClusterID: 7, Revision: 1, Entries: entries})
+	b.step(Page{Attempt: b.r.attempt, ClusterID: 7, Revision: 1, Entries: entries})
 	if notes := find[LogEntry](b); len(find[PublishList](b)) > 0 || len(notes) > 0 || one[Watch](b).AfterRevision != 1 {
 		t.Errorf("orders %+v", b.out)
 	}
@@ -437,7 +437,7 @@
 		for i := range n {
 			gone = append(gone, deletedEntry(fmt.Sprint("p/", i), 11))
 		}
-		b.step(Changes{Attempt: b.r.try, ClusterID: 7, Entries: gone})
+		b.step(Changes{Attempt: b.r.attempt, ClusterID: 7, Entries: gone})
 		notes := find[LogEntry](b)
 		if len(one[PublishList](b).Members) != n || len(notes) != want ||
 			want > 0 && !strings.Contains(notes[0].Reason, "6 of 10") {
@@ -456,7 +456,7 @@
 		benches[i] = newBench(t, func(p *Config) { p.Seed, p.Endpoints, p.PageSize = fmt.Sprint("n", i), 3, 100 })
 		benches[i].s.put("p/a", value(Serving, 1), false)
 		benches[i].up()
-		orders[fmt.Sprint(benches[i].r.turn)]++
+		orders[fmt.Sprint(benches[i].r.endpointOrder)]++
 	}
 	if len(orders) != 6 {
 		t.Errorf("%d orders of three endpoints", len(orders))
@@ -520,7 +520,7 @@
 		ours[int((at-down/(100*time.Millisecond))/10)] += n
 	}
 	for i := range controllers {
-		for at := Time(chance("naive", uint64(i)) * float64(time.Second)); at < 10*time.Second; at += time.Second {
+		for at := Time(random("naive", uint64(i)) * float64(time.Second)); at < 10*time.Second; at += time.Second {
 			naive[int(at/time.Second)]++
 		}
 	}
@@ -578,7 +578,7 @@
 		t.Errorf("%d lines about %d of %d bad entries", len(find[LogEntry](b)), len(keys), len(bad))
 	}
 	// A value that turns bad leaves the backend as it was told; a key outside the prefix costs a line.
-	w := b.r.try
+	w := b.r.attempt
 	b.step(
 		Changes{Attempt: w, ClusterID: 7, Entries: []KeyValue{
 			{Key: "p/turns", Value: []byte("{"), ModRevision: 50},
@@ -604,7 +604,7 @@
 		many = append(many, KeyValue{Key: fmt.Sprint("p/m", i), Value: []byte("-"), ModRevision: 61})
 	}
 	b.step(Changes{Attempt: w, ClusterID: 7, Entries: many})
-	if notes := find[LogEntry](b); len(notes) != mostNotes+1 || notes[mostNotes].Count != 980 {
+	if notes := find[LogEntry](b); len(notes) != maxInvalidEntryLogs+1 || notes[maxInvalidEntryLogs].Count != 980 {
 		t.Errorf("%d lines", len(notes))
 	}
 }
@@ -616,7 +616,7 @@
 	b.up()
 	notes, pauses := []string{}, []Time{}
 	refuse := func(why FailureReason) {
-		b.step(AttemptFailed{Attempt: b.r.try, Reason: why, Err: errors.New("no")})
+		b.step(AttemptFailed{Attempt: b.r.attempt, Reason: why, Err: errors.New("no")})
 		for _, n := range find[LogEntry](b) {
 			notes = append(notes, n.Reason)
 		}
@@ -636,11 +636,11 @@
 		!slices.IsSortedFunc([]Time{pauses[1], pauses[4], pauses[7], pauses[10]}, func(a, b Time) int { return int(a - b) }) {
 		t.Errorf("pauses %v", pauses)
 	}
-	if b.r.live != 1 {
+	if b.r.liveCount != 1 {
 		t.Error("the list did not stay")
 	}
 	b.step(b.s.answer(one[Check](b)))
-	if n := one[LogEntry](b); n.Warn || n.Text != "registry answers again" {
+	if n := one[LogEntry](b); n.Warn || n.Text != "registry is available again" {
 		t.Errorf("note %+v", n)
 	}
 }
@@ -652,8 +652,8 @@
 	limits := []int{}
 	for range 3 {
 		limits = append(limits, one[ReadPage](b).Limit)
-		b.step(PageTooLarge{Attempt: b.r.try})
-		for len(find[ReadPage](b)) == 0 && b.r.phase == resting {
+		b.step(PageTooLarge{Attempt: b.r.attempt})
+		for len(find[ReadPage](b)) == 0 && b.r.phase == waiting {
 			b.due()
 		}
 	}
@@ -670,10 +670,10 @@
 			b.due()
 		}
 		for _, page := range p {
-			page.Attempt = b.r.try
+			page.Attempt = b.r.attempt
 			b.step(page)
 		}
-		if len(find[Cancel](b)) != 1 || b.r.have {
+		if len(find[Cancel](b)) != 1 || b.r.hasList {
 			t.Errorf("pages %+v gave %+v", p, b.out)
 		}
 	}
@@ -687,7 +687,7 @@
 		key := fmt.Sprint("p/", i)
 		b.now += 10 * time.Millisecond
 		b.step(
-			Changes{Attempt: b.r.try, ClusterID: 7, Entries: []KeyValue{putEntry(key, Serving, 1, int64(2*i+1)),
+			Changes{Attempt: b.r.attempt, ClusterID: 7, Entries: []KeyValue{putEntry(key, Serving, 1, int64(2*i+1)),
 				deletedEntry(key, int64(2*i+2))}},
 		)
 		if n := len(b.r.entries); n > 101 {
@@ -696,7 +696,7 @@
 	}
 	for range 200 {
 		b.now += 500 * time.Millisecond
-		b.step(Progress{Attempt: b.r.try, ClusterID: 7, Revision: 10000})
+		b.step(Progress{Attempt: b.r.attempt, ClusterID: 7, Revision: 10000})
 	}
 	if n := len(b.r.entries); n != 0 {
 		t.Errorf("%d entries are kept after a minute", n)
