--- a/cmd/elmfold/main.go
+++ b/cmd/elmfold/main.go
@@ -14,7 +14,7 @@
 
 func main() {
 	if len(os.Args) == 1 && os.Getenv("EDGE_OPERATOR") == "" {
-		os.Exit(controller.Run("", controller.Parts{}))
+		os.Exit(controller.Run("", controller.Extensions{}))
 	}
 	self, err := os.Executable()
 	if err == nil {
--- a/internal/bench/discovery/registry.go
+++ b/internal/bench/discovery/registry.go
@@ -259,9 +259,9 @@
 	plan := reconcile.DefaultConfig()
 	plan.Prefix, plan.Endpoints, plan.HistoryHold = prefix, 1, hold
 	plan.WatchSendsChanges, plan.SupportsCheck = kind == operatorfile.Etcd, kind == operatorfile.Etcd
-	o := operatorfile.Registry{Kind: kind, Endpoints: []string{ours.Addr()}, Plan: plan}
+	o := operatorfile.Registry{Kind: kind, Endpoints: []string{ours.Addr()}, Config: plan}
 	if kind == operatorfile.Consul {
-		o.Plan.ResponseTimeout, o.Plan.AuditInterval = 4*time.Second, 0
+		o.Config.ResponseTimeout, o.Config.AuditInterval = 4*time.Second, 0
 	}
 	mine, naive := newWatcher(book), newWatcher(book)
 	follower := command.Follower(o, fmt.Sprint("lab", seed), func(said any) {
@@ -568,7 +568,7 @@
 		f := footprint{Before: resident()}
 		began := time.Now()
 		follower := command.Follower(
-			operatorfile.Registry{Kind: kind, Endpoints: []string{endpoint}, Plan: plan},
+			operatorfile.Registry{Kind: kind, Endpoints: []string{endpoint}, Config: plan},
 			"size",
 			func(said any) {
 				if l, ok := said.(reconcile.List); ok && l.Complete {
--- a/internal/controller/command/cells.go
+++ b/internal/controller/command/cells.go
@@ -21,7 +21,7 @@
 	c := &cobra.Command{Use: "cells", Short: "look at a running controller's cells, and move tenants"}
 	do := func(what string) func(*cobra.Command, []string) error {
 		return func(_ *cobra.Command, args []string) error {
-			r := controller.Request{Do: what}
+			r := controller.Request{Action: what}
 			if len(args) > 0 {
 				r.Tenant = args[0]
 			}
@@ -32,14 +32,15 @@
 		}
 	}
 	c.AddCommand(
-		&cobra.Command{Use: "show", Short: "print how each tenant stands", Args: cobra.NoArgs, RunE: do(controller.DoShow)},
+		&cobra.Command{Use: "show", Short: "print how each tenant stands", Args: cobra.NoArgs,
+			RunE: do(controller.ActionShowCells)},
 		&cobra.Command{Use: "move TENANT CELL", Short: "move a tenant to another cell, a part of its proxies at a time",
-			Args: cobra.ExactArgs(2), RunE: do(controller.DoMove)},
+			Args: cobra.ExactArgs(2), RunE: do(controller.ActionMoveCell)},
 		&cobra.Command{
 			Use:   "undo TENANT",
 			Short: "take back a move that is under way",
 			Args:  cobra.ExactArgs(1),
-			RunE:  do(controller.DoUndo),
+			RunE:  do(controller.ActionUndoMove),
 		},
 	)
 	return c
--- a/internal/controller/command/command.go
+++ b/internal/controller/command/command.go
@@ -35,7 +35,7 @@
 	run := func(*cobra.Command, []string) error {
 		if code := controller.Run(
 			file,
-			controller.Parts{Registry: OpenRegistry, Memory: OpenMemory, Channel: OpenChannel, Member: OpenMember},
+			controller.Extensions{Registry: OpenRegistry, WarmState: OpenWarmState, Channel: OpenChannel, Member: OpenMember},
 		); code != 0 {
 			return exit(code)
 		}
@@ -93,9 +93,9 @@
 	var against string
 	c := &cobra.Command{Use: "check FILE...", Short: "check operator files", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, files []string) error {
-			var sheet *config.Sheet
+			var sheet *config.Config
 			if against != "" {
-				s, err := config.Read(func(name string) string {
+				s, err := config.Load(func(name string) string {
 					return map[string]string{
 						"EDGE_CONFIG":    against,
 						"EDGE_NAME":      "check",
@@ -113,7 +113,7 @@
 				f, err := operatorfile.Read(path)
 				if err == nil && sheet != nil && f.Cells != nil {
 					list := backendsOf(*sheet)
-					err = f.Cells.Lacks(sheet.Deployment, list)
+					err = f.Cells.Validate(sheet.Deployment, list)
 					for _, line := range f.Cells.Warnings(sheet.Deployment, list) {
 						_, _ = fmt.Fprintln(errs, line)
 					}
@@ -140,8 +140,8 @@
 }
 
 // backendsOf is the list that a configuration knows.
-func backendsOf(s config.Sheet) (all []tenancy.Backend) {
-	for _, m := range s.Known.Members {
+func backendsOf(s config.Config) (all []tenancy.Backend) {
+	for _, m := range s.CachedList.Members {
 		if zone := slices.Index(s.Names.Zones, m.Zone); zone >= 0 && m.Phase == reconcile.Serving {
 			all = append(all, tenancy.Backend{At: len(all), ID: m.ID, Zone: zone, Kind: slices.Index(s.Names.Kinds, m.Kind),
 				Status: policy.Ready, Weight: m.Weight})
--- a/internal/controller/command/command_test.go
+++ b/internal/controller/command/command_test.go
@@ -315,7 +315,8 @@
 	addr := c.listens()
 	var red, blue []string
 	for over := time.Now().Add(20 * time.Second); len(red) == 0 && time.Now().Before(over); {
-		if reply, err := send(socket, controller.Request{Do: controller.DoShow}); err == nil && len(reply.Cells.Tenants) > 0 {
+		reply, err := send(socket, controller.Request{Action: controller.ActionShowCells})
+		if err == nil && len(reply.Cells.Tenants) > 0 {
 			red = reply.Cells.Tenants[0].Backends
 		}
 	}
--- a/internal/controller/command/member.go
+++ b/internal/controller/command/member.go
@@ -32,13 +32,13 @@
 	*membership.Fleet
 	streams *membership.Streams
 	jobs    *jobs.Node // nil: none are kept
-	sheet   config.Sheet
+	sheet   config.Config
 }
 
 // OpenMember is the controller.OpenMember of this program.
 func OpenMember(
 	f operatorfile.File,
-	sheet config.Sheet,
+	sheet config.Config,
 	hear func(eventloop.Command),
 	log *logrus.Entry,
 ) (controller.Member, error) {
@@ -53,7 +53,7 @@
 		streams = ln.Addr().String()
 	}
 	all, err := membership.Open(
-		membership.Config{Name: sheet.Name, Site: o.Site, Listen: o.Listen, Join: o.Join, Via: o.Via},
+		membership.Config{Name: sheet.Name, Site: o.Site, Listen: o.Listen, Join: o.Join, Via: o.AddressOverrides},
 		streams,
 		nil,
 		log,
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	p := &fleet{Fleet: all, sheet: sheet}
-	if o.Sums {
+	if o.ShareTotals {
 		totals := make(chan aggregation.Summary, 1) // holds the newest total, so that the sender never blocks
 		p.LoadAggregator = all.StartLoadAggregator(func(s aggregation.Summary) {
 			select {
@@ -74,13 +74,13 @@
 		go handOn(totals, hear, log)
 	}
 	if ln != nil {
-		p.streams = all.ServeStreams(ln, o.StreamsVia)
+		p.streams = all.ServeStreams(ln, o.StreamAddressOverrides)
 	}
 	if j := f.Jobs; j != nil {
 		life := make([]byte, 8)
 		_, _ = rand.Read(life)
 		if p.jobs, err = jobs.Open(
-			jobs.Config{Path: j.Path, Peers: j.Count, Authorize: p.allowEdit, Incarnation: hex.EncodeToString(life)},
+			jobs.Config{Path: j.Path, Peers: j.Peers, Authorize: p.allowEdit, Incarnation: hex.EncodeToString(life)},
 			all,
 			p.streams,
 			log,
@@ -125,15 +125,15 @@
 
 const editTimeout = 4 * time.Second
 
-// More answers requests of operators and of sources that are about jobs.
-func (p *fleet) More(r controller.Request) (body json.RawMessage, ok bool, err error) {
+// HandleRequest answers requests of operators and of sources that are about jobs.
+func (p *fleet) HandleRequest(r controller.Request) (body json.RawMessage, ok bool, err error) {
 	var said any
 	switch {
-	case r.Do != DoJobEdit && r.Do != DoJobShow && r.Do != DoJobs && r.Do != DoJobSums:
+	case r.Action != DoJobEdit && r.Action != DoJobShow && r.Action != DoJobs && r.Action != DoJobSums:
 		return nil, false, nil
 	case p.jobs == nil:
 		return nil, true, errors.New("no jobs are kept here; add a section jobs to the operator file")
-	case r.Do == DoJobEdit:
+	case r.Action == DoJobEdit:
 		var e jobs.Edit
 		if err := strict(r.Body, &e); err != nil {
 			return nil, true, err
@@ -144,7 +144,7 @@
 			return nil, true, err
 		}
 		said = e
-	case r.Do == DoJobShow:
+	case r.Action == DoJobShow:
 		var id jobs.ID
 		if err := strict(r.Body, &id); err != nil {
 			return nil, true, err
@@ -154,7 +154,7 @@
 			return nil, true, fmt.Errorf("%s: no such job is known here, or it has ended and all know", id)
 		}
 		said = v
-	case r.Do == DoJobs:
+	case r.Action == DoJobs:
 		said = p.jobs.Views()
 	default:
 		open, edits := p.jobs.Sizes()
--- a/internal/controller/command/memory.go
+++ b/internal/controller/command/memory.go
@@ -50,8 +50,8 @@
 	learnt   map[learnt]known // of the decisions
 }
 
-// OpenMemory is the controller.OpenMemory of this program. It takes as long as the peers are given to answer.
-func OpenMemory(f operatorfile.File, name string, log *logrus.Entry) (controller.Memory, error) {
+// OpenWarmState is the controller.OpenWarmState of this program. It takes as long as the peers are given to answer.
+func OpenWarmState(f operatorfile.File, name string, log *logrus.Entry) (controller.WarmState, error) {
 	m := &memory{name: name, now: time.Now, listed: map[string]reconcile.Member{}, learnt: map[learnt]known{}}
 	plan := warmstart.Usual()
 	plan.Name, plan.Grace = name, usualGrace
@@ -72,10 +72,10 @@
 	if p := f.Peers; p != nil {
 		seed := name + " " + strconv.FormatInt(began.UnixNano(), 36)
 		for _, a := range peersync.Fetch(
-			p.Ask,
+			p.Addresses,
 			name,
 			seed,
-			p.Within,
+			p.QueryTimeout,
 			func(o warmstart.Offered) { events = append(events, o) },
 		) {
 			log.WithFields(logrus.Fields{"peer": a.Source, "facts": a.Facts, "error": a.Err}).Info("a peer was asked")
@@ -191,11 +191,11 @@
 	return l, refused, ok
 }
 
-// Known is what the store held at the start.
-func (m *memory) Known() (reconcile.List, bool) { return m.knownList, m.ok }
+// InitialList is what the store held at the start.
+func (m *memory) InitialList() (reconcile.List, bool) { return m.knownList, m.ok }
 
-// Keep hands on what has changed.
-func (m *memory) Keep(said any) {
+// Update hands on what has changed.
+func (m *memory) Update(said any) {
 	l, ok := said.(reconcile.List)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -260,11 +260,11 @@
 	at time.Time
 }
 
-// Figures is what was believed at the start of use, relief and totals.
-func (m *memory) Figures() []warmstart.Believe { return m.figures }
+// InitialBeliefs is what was believed at the start of use, relief and totals.
+func (m *memory) InitialBeliefs() []warmstart.Believe { return m.figures }
 
-// Learn keeps figures of the decisions, for a start after this one and for peers.
-func (m *memory) Learn(facts []warmstart.Fact) {
+// RecordFacts keeps figures of the decisions, for a start after this one and for peers.
+func (m *memory) RecordFacts(facts []warmstart.Fact) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
--- a/internal/controller/command/memory_test.go
+++ b/internal/controller/command/memory_test.go
@@ -115,14 +115,14 @@
 		learnt:  map[learnt]known{},
 		session: warmstart.New(warmstart.Plan{Grace: 10 * time.Minute, Half: 10 * time.Second, Most: 1000}),
 	}
-	m.Keep(
+	m.Update(
 		reconcile.List{
 			Revision: 3,
 			Complete: true,
 			Members:  []reconcile.Member{{ID: "s-1", Zone: "a", Phase: reconcile.Serving}},
 		},
 	)
-	m.Learn(
+	m.RecordFacts(
 		[]warmstart.Fact{
 			{Kind: warmstart.Use, Key: "4/look", Value: 12, Age: 3 * time.Second},
 			{Kind: warmstart.Relief, Key: "s-1", Value: 0.4},
@@ -158,7 +158,7 @@
 		[]warmstart.Event{warmstart.Offered{Source: "store", Facts: facts(records, "n3", now)}},
 	)
 	got := map[warmstart.Kind]warmstart.Believe{}
-	for _, b := range again.Figures() {
+	for _, b := range again.InitialBeliefs() {
 		got[b.Kind] = b
 	}
 	if !ok || len(l.Members) != 1 || len(refused) > 0 || len(got) != 3 || got[warmstart.Use].Value != 12 ||
@@ -170,7 +170,7 @@
 	now = now.Add(2 * figureTTL)
 	for i := range 1000 { // ids without end
 		now = now.Add(time.Second)
-		m.Learn([]warmstart.Fact{{Kind: warmstart.Relief, Key: fmt.Sprint("s-", i), Value: 0.5}})
+		m.RecordFacts([]warmstart.Fact{{Kind: warmstart.Relief, Key: fmt.Sprint("s-", i), Value: 0.5}})
 	}
 	if n := len(m.learnt); n > int(figureTTL/time.Second)+1 {
 		t.Errorf("%d figures are held", n)
@@ -291,12 +291,12 @@
 			},
 		},
 	)
-	m.Keep(reconcile.SourceFailed{})
+	m.Update(reconcile.SourceFailed{})
 	at = at.Add(10 * time.Second)
 	if f := m.tell(); len(f) != 1 || f[0].Origin != "n2" || f[0].Age != 15*time.Second {
 		t.Errorf("before our source answers %+v", f)
 	}
-	m.Keep(
+	m.Update(
 		reconcile.List{
 			Revision: 3,
 			Complete: true,
@@ -307,7 +307,7 @@
 	if f := m.tell(); len(f) != 1 || f[0].Key != "s-2" || f[0].Origin != "n1" || f[0].Age != 0 || f[0].Revision != 3 {
 		t.Errorf("while it does %+v", f)
 	}
-	m.Keep(reconcile.SourceFailed{})
+	m.Update(reconcile.SourceFailed{})
 	at = at.Add(20 * time.Second)
 	if f := m.tell(); len(f) != 1 || f[0].Age != 20*time.Second {
 		t.Errorf("when it failed %+v", f)
--- a/internal/controller/command/registry.go
+++ b/internal/controller/command/registry.go
@@ -24,7 +24,7 @@
 
 // Follower makes a follower of a registry. Its chance depends on the controller's name and on when it was made.
 func Follower(o operatorfile.Registry, name string, tell func(any), log *logrus.Entry) *watch.Follower {
-	plan := o.Plan
+	plan := o.Config
 	plan.Seed = name + " " + strconv.FormatInt(time.Now().UnixNano(), 36)
 	var s watch.Source
 	if o.Kind == operatorfile.Consul {
--- a/internal/controller/config/launch.go
+++ b/internal/controller/config/config.go
@@ -21,15 +21,15 @@
 	"elmfold/internal/policy"
 )
 
-// Sheet is what a controller is told.
-type Sheet struct {
+// Config is what a controller is told.
+type Config struct {
 	Name, Listen, Discovery string
 	Cores                   float64
 	MemoryMB, Sockets       int
 	Tick                    time.Duration // within it, events are one moment
 	Deployment              policy.Deployment
 	Names                   flatsettings.Names
-	Known                   reconcile.List // the list as it was held last
+	CachedList              reconcile.List // the list as it was held last
 }
 
 // Where the file leaves a limit out.
@@ -141,21 +141,21 @@
 	}
 }
 
-// Read takes the environment and the file that it names.
-func Read(env func(string) string, file func(string) ([]byte, error)) (Sheet, error) {
+// Load reads the environment and the file that it names.
+func Load(env func(string) string, file func(string) ([]byte, error)) (Config, error) {
 	path := env("EDGE_CONFIG")
 	if path == "" {
-		return Sheet{}, fmt.Errorf("EDGE_CONFIG: %w", errMissing)
+		return Config{}, fmt.Errorf("EDGE_CONFIG: %w", errMissing)
 	}
 	text, err := file(path)
 	if err != nil {
-		return Sheet{}, fmt.Errorf("EDGE_CONFIG: %w", err)
+		return Config{}, fmt.Errorf("EDGE_CONFIG: %w", err)
 	}
 	t := &tree{}
 	in := json.NewDecoder(bytes.NewReader(text))
 	in.UseNumber()
 	if err := in.Decode(&t.top); err != nil {
-		return Sheet{}, fmt.Errorf("EDGE_CONFIG: %w", err)
+		return Config{}, fmt.Errorf("EDGE_CONFIG: %w", err)
 	}
 	said := func(first, second, name string) string {
 		v := cmp.Or(first, second)
@@ -164,7 +164,7 @@
 		}
 		return v
 	}
-	s := Sheet{
+	s := Config{
 		Name:   said(env("EDGE_NAME"), t.text("name"), "EDGE_NAME"),
 		Listen: said(env("EDGE_LISTEN"), t.text("listen"), "EDGE_LISTEN"),
 		// The file goes first: it can be replaced while the program runs, its environment cannot.
@@ -189,22 +189,22 @@
 	s.Tick = min(time.Duration(tick)*time.Microsecond, longestTick)
 	if known := t.at("known"); known != nil {
 		text, _ := json.Marshal(known)
-		if s.Known, err = reconcile.ParseList(text); err != nil {
+		if s.CachedList, err = reconcile.ParseList(text); err != nil {
 			t.fail("known", err)
 		}
-		for i, m := range s.Known.Members {
+		for i, m := range s.CachedList.Members {
 			if m.Phase == reconcile.Unreadable {
 				t.fail(fmt.Sprint("known.members.", i), errors.New("not a backend"))
 			}
 		}
 	}
 	if t.err != nil {
-		return Sheet{}, t.err
+		return Config{}, t.err
 	}
 	flat := map[string]string{}
 	flatten(flat, "", t.at("settings"))
 	if s.Deployment, err = flatsettings.Decode(flat); err != nil {
-		return Sheet{}, err
+		return Config{}, err
 	}
 	// By its name: controllers that start in one instant do not all act in the same instants for good.
 	h := fnv.New64a()
@@ -213,9 +213,9 @@
 	return s, nil
 }
 
-// Kept names the keys that differ in another sheet and that a controller which runs cannot take over. What it
-// is known to have held last is of no use to one that holds a list.
-func (s Sheet) Kept(next Sheet) (keys []string) {
+// KeysNeedingRestart returns the top-level keys that differ in next and that a running controller cannot apply.
+// CachedList is not compared: a running controller already has a list.
+func (s Config) KeysNeedingRestart(next Config) (keys []string) {
 	for _, k := range []struct {
 		key       string
 		now, then any
--- a/internal/controller/config/launch_test.go
+++ b/internal/controller/config/config_test.go
@@ -23,8 +23,8 @@
   "Report":{"Fields":[]},"Discovery":"automatic",
   "Specifics":{"ProxyCount":12,"ClassOwnZone":[false,true],"ThrottleBy":"rps","LinesPerS":3700.0}}}`
 
-func read(env map[string]string, text string) (Sheet, error) {
-	return Read(func(name string) string { return env[name] }, func(path string) ([]byte, error) {
+func read(env map[string]string, text string) (Config, error) {
+	return Load(func(name string) string { return env[name] }, func(path string) ([]byte, error) {
 		if path != "here" {
 			return nil, errors.New("no such file")
 		}
@@ -40,8 +40,8 @@
 	}
 	d := s.Deployment
 	s.Deployment = policy.Deployment{}
-	want := Sheet{Name: "n3", Listen: "10.0.0.9:1", Discovery: "10.2.0.1:8500", Cores: 0.5, MemoryMB: 128, Sockets: 512,
-		Tick: 4 * time.Millisecond, Known: reconcile.List{Revision: 41, Complete: true,
+	want := Config{Name: "n3", Listen: "10.0.0.9:1", Discovery: "10.2.0.1:8500", Cores: 0.5, MemoryMB: 128, Sockets: 512,
+		Tick: 4 * time.Millisecond, CachedList: reconcile.List{Revision: 41, Complete: true,
 			Members: []reconcile.Member{{ID: "s-1", Zone: "b", Phase: "SERVING", Weight: 1}}}}
 	want.Names.Products, want.Names.Zones, want.Names.Kinds = []string{
 		"look",
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -17,7 +17,7 @@
 
 // Request is what an operator asks of a running controller, a line of JSON; the answer is a Reply, one too.
 type Request struct {
-	Do     string          // DoShow, DoMove or DoUndo
+	Action string          `json:"Do"` // ActionShowCells, ActionMoveCell or ActionUndoMove
 	Tenant string          `json:",omitempty"`
 	Cell   string          `json:",omitempty"`
 	Body   json.RawMessage `json:",omitempty"` // of what the full program adds
@@ -30,14 +30,14 @@
 	Body  json.RawMessage `json:",omitempty"`
 }
 
-// More answers requests of the full program's parts; ok is whether it is one of them.
-type More func(r Request) (body json.RawMessage, ok bool, err error)
+// RequestHandler answers requests of the full program's parts; ok is whether it is one of them.
+type RequestHandler func(r Request) (body json.RawMessage, ok bool, err error)
 
 // What a Request can ask for.
 const (
-	DoShow = "cells show"
-	DoMove = "cells move"
-	DoUndo = "cells undo"
+	ActionShowCells = "cells show"
+	ActionMoveCell  = "cells move"
+	ActionUndoMove  = "cells undo"
 )
 
 const (
@@ -50,11 +50,16 @@
 type control struct {
 	listener net.Listener
 	queue    chan<- eventloop.Command
-	more     More // nil: none
+	more     RequestHandler // nil: none
 	log      *logrus.Entry
 }
 
-func openControl(path string, queue chan<- eventloop.Command, more More, log *logrus.Entry) (*control, error) {
+func openControl(
+	path string,
+	queue chan<- eventloop.Command,
+	more RequestHandler,
+	log *logrus.Entry,
+) (*control, error) {
 	// A socket that nobody answers at was left by one that was killed.
 	if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
 		_ = c.Close()
@@ -115,7 +120,7 @@
 				reply.Error = err.Error()
 			}
 			c.log.WithFields(
-				logrus.Fields{"do": r.Do, "tenant": r.Tenant, "cell": r.Cell, "error": reply.Error},
+				logrus.Fields{"do": r.Action, "tenant": r.Tenant, "cell": r.Cell, "error": reply.Error},
 			).Info(
 				"an operator asked",
 			)
@@ -137,15 +142,15 @@
 	for _, s := range view.Tenants {
 		known = known || s.Tenant == r.Tenant
 	}
-	switch r.Do {
-	case DoShow:
+	switch r.Action {
+	case ActionShowCells:
 		reply.Cells = view
-	case DoMove, DoUndo:
+	case ActionMoveCell, ActionUndoMove:
 		if !known {
 			return reply, errors.New("no tenant " + r.Tenant)
 		}
 		said := any(tenancy.Move{Tenant: r.Tenant, Cell: r.Cell})
-		if r.Do == DoUndo {
+		if r.Action == ActionUndoMove {
 			said = tenancy.Undo{Tenant: r.Tenant}
 		}
 		c.queue <- eventloop.Command{Message: said}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -34,12 +34,12 @@
 
 // Run reads what the controller is told and holds it until a signal ends it or its listener fails; it returns
 // the exit code. path is that of the operator file, empty for none.
-func Run(path string, parts Parts) int {
+func Run(path string, parts Extensions) int {
 	again := make(chan os.Signal, 1)
 	signal.Notify(again, syscall.SIGHUP)
 	log := logrus.New()
 	log.SetFormatter(&logrus.TextFormatter{FullTimestamp: true, TimestampFormat: "15:04:05.000"})
-	sheet, err := config.Read(os.Getenv, os.ReadFile)
+	sheet, err := config.Load(os.Getenv, os.ReadFile)
 	if err != nil {
 		log.WithField("reason", "settings").Error(err)
 		return 2
@@ -89,20 +89,20 @@
 
 // controller is what runs, and what it was told last.
 type controller struct {
-	sheet   config.Sheet
+	sheet   config.Config
 	path    string // of the operator file
 	file    operatorfile.File
-	parts   Parts
+	parts   Extensions
 	lists   *sources
 	queue   chan eventloop.Command
-	control *control // nil: operators are not answered
-	more    More     // requests beside the cells'; nil: none
+	control *control       // nil: operators are not answered
+	more    RequestHandler // requests beside the cells'; nil: none
 	streams *server.Listener
 	log     *logrus.Entry
 }
 
 // allow sets the limits of the process.
-func allow(s config.Sheet) {
+func allow(s config.Config) {
 	runtime.GOMAXPROCS(max(1, int(math.Round(s.Cores))))
 	debug.SetMemoryLimit(int64(heapPart * float64(s.MemoryMB) * (1 << 20)))
 }
@@ -122,7 +122,7 @@
 	loop := eventloop.New(sheet.Deployment, sheet.Names, c.lists, c.log)
 	loop.SetCachedList(list)
 	if memory != nil {
-		for _, figure := range memory.Figures() {
+		for _, figure := range memory.InitialBeliefs() {
 			loop.Handle(eventloop.Command{Message: figure})
 		}
 	}
@@ -146,17 +146,17 @@
 }
 
 // openMemory opens what is kept over crashes, if anything is; list is the one to begin with.
-func (c *controller) openMemory() (memory Memory, list reconcile.List) {
-	list = c.sheet.Known
+func (c *controller) openMemory() (memory WarmState, list reconcile.List) {
+	list = c.sheet.CachedList
 	if c.file.Store == nil && c.file.Peers == nil {
 		return nil, list
 	}
-	memory, err := c.parts.Memory(c.file, c.sheet.Name, c.log)
+	memory, err := c.parts.WarmState(c.file, c.sheet.Name, c.log)
 	if err != nil {
 		c.log.WithField("reason", "store").Errorf("nothing is kept over crashes: %v", err)
 		return nil, list
 	}
-	if known, ok := memory.Known(); ok && (c.file.Registry != nil || known.Revision >= list.Revision) {
+	if known, ok := memory.InitialList(); ok && (c.file.Registry != nil || known.Revision >= list.Revision) {
 		list = known
 		fields := logrus.Fields{"revision": known.Revision, "backends": len(known.Members)}
 		c.log.WithFields(fields).Info("the list to begin with is from the store or from peers")
@@ -166,13 +166,13 @@
 }
 
 // setFactSink has what the decisions learn kept and shown on the channel.
-func (c *controller) setFactSink(loop *eventloop.Loop, memory Memory) {
+func (c *controller) setFactSink(loop *eventloop.Loop, memory WarmState) {
 	if memory == nil && c.file.Channel == nil {
 		return
 	}
 	loop.SetFactSink(func(facts []warmstart.Fact) {
 		if memory != nil {
-			memory.Learn(facts)
+			memory.RecordFacts(facts)
 		}
 		if served := c.lists.channel.Load(); served != nil {
 			(*served).Look(facts)
@@ -189,10 +189,10 @@
 	if err != nil {
 		return err
 	}
-	if c.file.Member.Sums {
+	if c.file.Member.ShareTotals {
 		loop.SetObserver(m)
 	}
-	c.more = m.More
+	c.more = m.HandleRequest
 	fields := logrus.Fields{"member": m.Addr(), "site": c.file.Member.Site}
 	c.log.WithFields(fields).Info("takes part in the fleet")
 	return nil
@@ -248,10 +248,10 @@
 		c.queue <- eventloop.Command{Message: tenancy.PlanUpdate{}}
 		return
 	}
-	if names := f.Beyond(c.sheet.Deployment.Proxies); len(names) > 0 {
+	if names := f.TenantsWithUnknownProxies(c.sheet.Deployment.Proxies); len(names) > 0 {
 		c.log.WithField("tenants", names).Warn("proxies of these tenants are not among the settings'")
 	}
-	c.queue <- eventloop.Command{Message: tenancy.PlanUpdate{Plan: f.For(c.sheet.Deployment)}}
+	c.queue <- eventloop.Command{Message: tenancy.PlanUpdate{Plan: f.PlanFor(c.sheet.Deployment)}}
 }
 
 // replan takes over another operator file's cells and control. A plan that cannot hold with the list in force is
@@ -261,7 +261,7 @@
 		if file.Cells != nil {
 			list, err := ask(c.queue, func(to chan []tenancy.Backend) any { return eventloop.FleetQuery{Reply: to} })
 			if err == nil {
-				err = file.Cells.Lacks(c.sheet.Deployment, list)
+				err = file.Cells.Validate(c.sheet.Deployment, list)
 			}
 			if err != nil {
 				return err
@@ -304,12 +304,12 @@
 // reload takes over a file that was replaced. One that is broken, half written or missing changes nothing;
 // streams, tables and the list held stay in any case.
 func (c *controller) reload() {
-	next, err := config.Read(os.Getenv, os.ReadFile)
+	next, err := config.Load(os.Getenv, os.ReadFile)
 	if err != nil {
 		c.log.WithField("reason", "settings").Errorf("the configuration stays as it was: %v", err)
 		return
 	}
-	if keys := c.sheet.Kept(next); len(keys) > 0 {
+	if keys := c.sheet.KeysNeedingRestart(next); len(keys) > 0 {
 		c.log.WithField("keys", keys).Warn("these changes wait for a restart")
 	}
 	file, err := c.file, error(nil)
@@ -349,7 +349,7 @@
 		}
 	}
 	allow(next)
-	c.streams.Allow(next.MemoryMB<<20, next.Sockets)
+	c.streams.SetLimits(next.MemoryMB<<20, next.Sockets)
 	c.log.WithFields(logrus.Fields{"discovery": next.Discovery, "memory_mb": next.MemoryMB, "sockets": next.Sockets,
 		"cores": next.Cores}).Info("configuration taken over")
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -20,7 +20,7 @@
 // The test's own binary is the controller when it is told so.
 func TestMain(m *testing.M) {
 	if os.Getenv("ELMFOLD_SERVE") != "" {
-		os.Exit(Run(os.Getenv("EDGE_OPERATOR"), Parts{}))
+		os.Exit(Run(os.Getenv("EDGE_OPERATOR"), Extensions{}))
 	}
 	os.Exit(m.Run())
 }
--- a/internal/controller/operatorfile/cells.go
+++ b/internal/controller/operatorfile/cells.go
@@ -15,9 +15,9 @@
 // Cells is what a file says of cells and tenants; the places of products, zones and the cold time are the
 // platform's to tell.
 type Cells struct {
-	Plan  tenancy.Plan
-	File  string
-	Lines []int // of the tenants' sections
+	Plan        tenancy.Plan
+	File        string
+	TenantLines []int // of the tenants' sections
 }
 
 // Control is the socket at which a running controller answers its operators.
@@ -195,18 +195,18 @@
 	if len(tenants) > mostTenants {
 		r.fault(lines[mostTenants], "put some together", "more than %d tenants", mostTenants)
 	}
-	p.Tenants, f.Cells.Lines = tenants, lines
+	p.Tenants, f.Cells.TenantLines = tenants, lines
 }
 
-// For gives the plan with what the platform's settings say of products and zones.
-func (c *Cells) For(d policy.Deployment) tenancy.Plan {
+// PlanFor returns the plan with what the platform's settings say of products and zones.
+func (c *Cells) PlanFor(d policy.Deployment) tenancy.Plan {
 	p := c.Plan
 	p.Products, p.Zones, p.Cold = d.Products, d.Zones, d.WarmupTime
 	return p
 }
 
-// Beyond names tenants with proxies that the settings do not have.
-func (c *Cells) Beyond(proxies int) (names []string) {
+// TenantsWithUnknownProxies names tenants with proxies that the settings do not have.
+func (c *Cells) TenantsWithUnknownProxies(proxies int) (names []string) {
 	beyond := map[string]bool{}
 	for _, t := range c.Plan.Tenants {
 		for _, at := range t.Proxies {
@@ -218,9 +218,9 @@
 	return slices.Sorted(maps.Keys(beyond))
 }
 
-// Lacks are the faults of a plan that cannot hold with a list. The error is Faults.
-func (c *Cells) Lacks(d policy.Deployment, list []tenancy.Backend) error {
-	p := c.For(d)
+// Validate checks the plan against a backend list. A non-nil error is of type FileErrors.
+func (c *Cells) Validate(d policy.Deployment, list []tenancy.Backend) error {
+	p := c.PlanFor(d)
 	var faults FileErrors
 	for _, l := range p.Lacks(list) {
 		mend := "give its cell a larger part, or put it into another"
@@ -229,7 +229,7 @@
 		}
 		faults = append(
 			faults,
-			FileError{c.File, c.Lines[l.Tenant], fmt.Sprintf("tenant %s: %s", p.Tenants[l.Tenant].Name, l.Why), mend},
+			FileError{c.File, c.TenantLines[l.Tenant], fmt.Sprintf("tenant %s: %s", p.Tenants[l.Tenant].Name, l.Why), mend},
 		)
 	}
 	if len(faults) == 0 {
@@ -240,7 +240,7 @@
 
 // Warnings name the tenants that can touch more of the others' strength than the file says is meant.
 func (c *Cells) Warnings(d policy.Deployment, list []tenancy.Backend) (all []string) {
-	p := c.For(d)
+	p := c.PlanFor(d)
 	radii, _ := p.Radii(list)
 	for i, r := range radii {
 		if p.Warn > 0 && r.Mean > p.Warn {
@@ -248,7 +248,7 @@
 				all,
 				FileError{
 					c.File,
-					c.Lines[i],
+					c.TenantLines[i],
 					fmt.Sprintf(
 						"warning: tenant %s can touch %.0f%% of the others' strength, %.0f%% of that of %s",
 						r.Tenant,
--- a/internal/controller/operatorfile/operator.go
+++ b/internal/controller/operatorfile/operatorfile.go
@@ -30,19 +30,19 @@
 // Jobs is where jobs and their edits are kept.
 type Jobs struct {
 	Path  string
-	Count []string // for whom edits are kept; none: for whoever was ever there
+	Peers []string // for whom edits are kept; none: for whoever was ever there
 }
 
 // Member is this instance's part in a fleet of many.
 type Member struct {
-	Listen string
-	Site   string
-	Join   []string
-	Via    map[string]string // by name: where one is reached in place of where it listens
-	Sums   bool              // sums are told on
+	Listen           string
+	Site             string
+	Join             []string
+	AddressOverrides map[string]string // by name: where one is reached in place of where it listens
+	ShareTotals      bool              // sums are told on
 	// Where connections of other instances are taken, and where some are reached in place of where they say.
-	Streams    string
-	StreamsVia map[string]string
+	Streams                string
+	StreamAddressOverrides map[string]string
 }
 
 // Channel is where the pub-sub channel is served.
@@ -54,9 +54,9 @@
 
 // Peers are instances that tell each other what they know.
 type Peers struct {
-	Listen string   // where we tell; empty: we do not
-	Ask    []string // whom we ask at a start
-	Within time.Duration
+	Listen       string   // where we tell; empty: we do not
+	Addresses    []string // whom we ask at a start
+	QueryTimeout time.Duration
 }
 
 // Store is where what is known is kept over crashes.
@@ -71,7 +71,7 @@
 	Kind      string // Etcd or Consul
 	Endpoints []string
 	Access    discovery.Access
-	Plan      reconcile.Config // without a seed
+	Config    reconcile.Config // without a seed
 }
 
 // Kinds of registry.
@@ -84,7 +84,7 @@
 func Read(path string) (File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return File{}, FileErrors{{File: path, What: err.Error(), Mend: "name a file that can be read"}}
+		return File{}, FileErrors{{File: path, Problem: err.Error(), Fix: "name a file that can be read"}}
 	}
 	return Parse(path, string(text))
 }
@@ -309,7 +309,7 @@
 	j := &Jobs{}
 	at := r.obey(s, map[string]rule{
 		"file":  r.parseWord(&j.Path, "/var/lib/elmfold/jobs"),
-		"count": {1, many, "n1 n2", func(_ directive, w []string) { j.Count = append(j.Count, w...) }},
+		"count": {1, many, "n1 n2", func(_ directive, w []string) { j.Peers = append(j.Peers, w...) }},
 	})
 	if at["file"] == 0 {
 		r.fault(s.line, "add a line such as: file /var/lib/elmfold/jobs", "jobs has no file")
@@ -319,17 +319,17 @@
 
 // member reads the section member.
 func (r *reader) member(s section) *Member {
-	m := &Member{Via: map[string]string{}, StreamsVia: map[string]string{}}
+	m := &Member{AddressOverrides: map[string]string{}, StreamAddressOverrides: map[string]string{}}
 	var listen, streams []string
 	at := r.obey(s, map[string]rule{
 		"listen":  r.addresses(&listen),
 		"site":    r.parseWord(&m.Site, "hall-a"),
 		"join":    r.addresses(&m.Join),
 		"streams": r.addresses(&streams),
-		"sums":    {0, 0, "", func(directive, []string) { m.Sums = true }},
+		"sums":    {0, 0, "", func(directive, []string) { m.ShareTotals = true }},
 		"via": {2, many, "NAME 10.0.0.9:7946", func(d directive, w []string) {
 			var addr []string
-			if _, twice := m.Via[w[0]]; twice || len(w) > 3 {
+			if _, twice := m.AddressOverrides[w[0]]; twice || len(w) > 3 {
 				r.fault(
 					d.line,
 					"write one line for each: via NAME HOST:PORT, and HOST:PORT of its streams",
@@ -339,10 +339,10 @@
 				return
 			}
 			if r.addresses(&addr).read(d, w[1:]); len(addr) > 0 {
-				m.Via[w[0]] = addr[0]
+				m.AddressOverrides[w[0]] = addr[0]
 			}
 			if len(addr) > 1 {
-				m.StreamsVia[w[0]] = addr[1]
+				m.StreamAddressOverrides[w[0]] = addr[1]
 			}
 		}},
 	})
@@ -369,28 +369,28 @@
 
 // peers reads the section peers.
 func (r *reader) peers(s section) *Peers {
-	p := &Peers{Within: 3 * time.Second}
+	p := &Peers{QueryTimeout: 3 * time.Second}
 	var listen []string
 	at := r.obey(s, map[string]rule{
 		"listen": r.addresses(&listen),
-		"ask":    r.addresses(&p.Ask),
-		"within": r.span(&p.Within, 100*time.Millisecond, time.Minute),
+		"ask":    r.addresses(&p.Addresses),
+		"within": r.span(&p.QueryTimeout, 100*time.Millisecond, time.Minute),
 	})
 	if p.Listen = strings.Join(listen, " "); len(listen) > 1 {
 		r.fault(at["listen"], "write one address", "listen says too much: %q", listen[1])
 	}
-	if len(listen) == 0 && len(p.Ask) == 0 {
+	if len(listen) == 0 && len(p.Addresses) == 0 {
 		r.fault(s.line, "add a line such as: ask 10.0.0.2:7947", "peers neither listen nor ask")
 	}
 	return p
 }
 
 func (r *reader) registry(s section) *Registry {
-	g := &Registry{Plan: reconcile.DefaultConfig()}
+	g := &Registry{Config: reconcile.DefaultConfig()}
 	if len(s.arguments) == 1 {
 		g.Kind = s.arguments[0]
 	}
-	p, a := &g.Plan, &g.Access
+	p, a := &g.Config, &g.Access
 	p.Prefix = "elmfold/backends"
 	switch g.Kind {
 	case Etcd:
@@ -503,7 +503,12 @@
 	if g := f.Registry; g != nil {
 		on = append(
 			on,
-			fmt.Sprintf("the list of backends comes from %s, %d endpoints, prefix %s", g.Kind, len(g.Endpoints), g.Plan.Prefix),
+			fmt.Sprintf(
+				"the list of backends comes from %s, %d endpoints, prefix %s",
+				g.Kind,
+				len(g.Endpoints),
+				g.Config.Prefix,
+			),
 		)
 	}
 	if c := f.Cells; c != nil {
@@ -525,7 +530,7 @@
 				"it is a member of site %s at %s, sums are %stold on",
 				m.Site,
 				m.Listen,
-				map[bool]string{false: "not "}[m.Sums],
+				map[bool]string{false: "not "}[m.ShareTotals],
 			),
 		)
 	}
@@ -533,7 +538,7 @@
 		on = append(on, "jobs are kept in "+f.Jobs.Path)
 	}
 	if f.Peers != nil {
-		on = append(on, fmt.Sprintf("%d instances are asked at a start", len(f.Peers.Ask)))
+		on = append(on, fmt.Sprintf("%d instances are asked at a start", len(f.Peers.Addresses)))
 	}
 	if len(on) == 0 {
 		return "it turns on nothing"
--- a/internal/controller/operatorfile/operator_test.go
+++ b/internal/controller/operatorfile/operatorfile_test.go
@@ -27,7 +27,7 @@
 	want.Endpoints, want.Prefix, want.WatchSendsChanges, want.SupportsCheck = 3, "/elmfold/back ends", true, true
 	want.PageSize, want.MaxValueSize, want.HistoryHold = 1000, 4<<10, 45*time.Second
 	want.ShrinkWarnRatio, want.AuditInterval = 0.3, 0
-	if g := f.Registry; g.Kind != Etcd || g.Plan != want ||
+	if g := f.Registry; g.Kind != Etcd || g.Config != want ||
 		!reflect.DeepEqual(g.Endpoints, []string{"10.3.0.1:2379", "10.3.0.2:2379", "[fd00::3]:2379"}) ||
 		!reflect.DeepEqual(
 			g.Access,
@@ -40,8 +40,8 @@
 		t.Errorf("read %+v", g)
 	}
 	f, err = Read("testdata/good-consul.conf")
-	if g := f.Registry; err != nil || g.Kind != Consul || g.Plan.WatchSendsChanges ||
-		g.Plan.Prefix != "elmfold/backends" ||
+	if g := f.Registry; err != nil || g.Kind != Consul || g.Config.WatchSendsChanges ||
+		g.Config.Prefix != "elmfold/backends" ||
 		g.Access.TokenFile == "" ||
 		g.Access.TLS != nil {
 		t.Errorf("read %+v, %v", g, err)
@@ -52,7 +52,7 @@
 		!reflect.DeepEqual(c.Plan.Tenants[0], tenancy.Tenant{Name: "acme", Proxies: []int{0, 1, 2, 3, 9}, Cell: "red"}) ||
 		c.Plan.Tenants[1].Name != "two words" ||
 		f.Control.Path != "/run/elmfold.sock" ||
-		!reflect.DeepEqual(c.Beyond(9), []string{"acme"}) {
+		!reflect.DeepEqual(c.TenantsWithUnknownProxies(9), []string{"acme"}) {
 		t.Errorf("read %+v, %v", f, err)
 	}
 	f, err = Read("testdata/good-store.conf")
@@ -71,15 +71,15 @@
 				Listen: "10.0.0.1:7946",
 				Site:   "hall-a",
 				Join:   []string{"10.0.0.2:7946", "10.0.0.3:7946"},
-				Via: map[string]string{
+				AddressOverrides: map[string]string{
 					"n2": "10.9.0.2:7946",
 				},
-				Sums:       true,
-				Streams:    "10.0.0.1:7951",
-				StreamsVia: map[string]string{"n2": "10.9.0.2:7951"},
+				ShareTotals:            true,
+				Streams:                "10.0.0.1:7951",
+				StreamAddressOverrides: map[string]string{"n2": "10.9.0.2:7951"},
 			},
 		) ||
-		!reflect.DeepEqual(*f.Jobs, Jobs{Path: "/var/lib/elmfold/jobs", Count: []string{"n1", "n2"}}) {
+		!reflect.DeepEqual(*f.Jobs, Jobs{Path: "/var/lib/elmfold/jobs", Peers: []string{"n1", "n2"}}) {
 		t.Errorf("read %+v, %v", f.Member, err)
 	}
 	if f, err = Read("testdata/empty.conf"); err != nil || f.Registry != nil {
@@ -171,13 +171,13 @@
 		f, err := Parse("f", string(text))
 		var faults FileErrors
 		if err == nil {
-			return f.Registry == nil || f.Registry.Plan.Endpoints > 0
+			return f.Registry == nil || f.Registry.Config.Endpoints > 0
 		}
 		if !errors.As(err, &faults) || len(faults) == 0 {
 			return false
 		}
 		for _, one := range faults {
-			if one.Line < 1 || one.Line > strings.Count(string(text), "\n")+1 || one.Mend == "" || one.What == "" {
+			if one.Line < 1 || one.Line > strings.Count(string(text), "\n")+1 || one.Fix == "" || one.Problem == "" {
 				return false
 			}
 		}
--- a/internal/controller/operatorfile/text.go
+++ b/internal/controller/operatorfile/parser.go
@@ -19,17 +19,17 @@
 
 // FileError is one thing that is wrong with a file.
 type FileError struct {
-	File string
-	Line int
-	What string
-	Mend string
+	File    string
+	Line    int
+	Problem string
+	Fix     string
 }
 
 func (f FileError) Error() string {
 	if f.Line == 0 {
-		return fmt.Sprintf("%s: %s; %s", f.File, f.What, f.Mend)
+		return fmt.Sprintf("%s: %s; %s", f.File, f.Problem, f.Fix)
 	}
-	return fmt.Sprintf("%s:%d: %s; %s", f.File, f.Line, f.What, f.Mend)
+	return fmt.Sprintf("%s:%d: %s; %s", f.File, f.Line, f.Problem, f.Fix)
 }
 
 // FileErrors are all that are wrong with a file, in the order of its lines.
--- a/internal/controller/pubsub/channel_test.go
+++ b/internal/controller/pubsub/channel_test.go
@@ -308,7 +308,10 @@
 	if err := <-f.downs; !strings.Contains(err.Error(), string(session.Replaced)) {
 		t.Errorf("the older one ended with %v", err)
 	}
-	h.queue <- eventloop.Command{From: line{sockets.Next()}, Message: textproto.Subscribe{Proxy: 3, Zone: "a", Rate: 5}}
+	h.queue <- eventloop.Command{
+		From:    line{sockets.NextSequence()},
+		Message: textproto.Subscribe{Proxy: 3, Zone: "a", Rate: 5},
+	}
 	if err := <-g.downs; !strings.Contains(err.Error(), string(session.Replaced)) {
 		t.Errorf("the newer one ended with %v", err)
 	}
--- a/internal/controller/pubsub/hub.go
+++ b/internal/controller/pubsub/hub.go
@@ -207,7 +207,7 @@
 			return // it is gone again, and its Closed is on the way
 		}
 		at, _ = proxyOf(o.Topic)
-		s := &stream{hub: h, topic: o.Topic, openedAt: sockets.Next()}
+		s := &stream{hub: h, topic: o.Topic, openedAt: sockets.NextSequence()}
 		h.streams[o.Topic] = s
 		h.handler(
 			eventloop.Command{
@@ -404,7 +404,7 @@
 	) && hello.Rate >= 0 && hello.Rate < 1e6):
 		return nil
 	case reports && slices.Contains(h.names.Zones, zone):
-		c.from = &source{openedAt: sockets.Next(), c: c}
+		c.from = &source{openedAt: sockets.NextSequence(), c: c}
 		h.handler(eventloop.Command{From: c.from, Message: textproto.Source{Zone: zone}})
 		return nil
 	}
--- a/internal/controller/server/stream.go
+++ b/internal/controller/server/listener.go
@@ -25,19 +25,19 @@
 
 // Reasons.
 const (
-	Closed      Reason = "closed"   // by the other side
-	Reset       Reason = "reset"    // by the other side or the network
-	Replaced    Reason = "replaced" // by a newer stream of the same proxy
-	JoinTimeout Reason = "silent"   // a stranger that did not say in time whose it is
-	Crowded     Reason = "crowded"  // a stranger that made room, or found none
-	TooLong     Reason = "too-long" // a line beyond what a message may hold
-	Memory      Reason = "memory"   // unfinished lines of all connections together hold too much
-	Unread      Reason = "unread"   // the other side does not read what is written to it
-	Garbage     Reason = "garbage"  // what came is no message
-	Unjoined    Reason = "unjoined" // a stranger's message that was no joining
-	Refused     Reason = "refused"  // a joining of a proxy or a collector that is not known
-	Broken      Reason = "broken"   // any other failure of the socket
-	Stopped     Reason = "stopped"  // with the listener
+	ReasonClosed          Reason = "closed"   // by the other side
+	ReasonReset           Reason = "reset"    // by the other side or the network
+	ReasonReplaced        Reason = "replaced" // by a newer stream of the same proxy
+	ReasonJoinTimeout     Reason = "silent"   // a stranger that did not say in time whose it is
+	ReasonConnectionLimit Reason = "crowded"  // a stranger that made room, or found none
+	ReasonLineTooLong     Reason = "too-long" // a line beyond what a message may hold
+	ReasonMemoryLimit     Reason = "memory"   // unfinished lines of all connections together hold too much
+	ReasonWriteBacklog    Reason = "unread"   // the other side does not read what is written to it
+	ReasonMalformed       Reason = "garbage"  // what came is no message
+	ReasonNotJoined       Reason = "unjoined" // a stranger's message that was no joining
+	ReasonRefused         Reason = "refused"  // a joining of a proxy or a collector that is not known
+	ReasonSocketError     Reason = "broken"   // any other failure of the socket
+	ReasonShutdown        Reason = "stopped"  // with the listener
 )
 
 // limits bound what a connection may cost, whatever is configured.
@@ -64,8 +64,8 @@
 
 var accepted atomic.Uint64
 
-// Next numbers whatever may be a stream of a proxy in the order in which it was taken, on sockets and channels alike.
-func Next() uint64 { return accepted.Add(1) }
+// NextSequence returns a number that orders streams by when they were opened, on sockets and the pub-sub channel.
+func NextSequence() uint64 { return accepted.Add(1) }
 
 // Listener takes connections.
 type Listener struct {
@@ -95,13 +95,13 @@
 		return nil, err
 	}
 	l := &Listener{net: ln, handler: hear, log: newEndings(log), limits: usual, conns: map[*Conn]struct{}{}}
-	l.Allow(memory, sockets)
+	l.SetLimits(memory, sockets)
 	return l, nil
 }
 
-// Allow shares out so many bytes and descriptors, now and after a change: what waits to be read and to be
+// SetLimits shares out so many bytes and descriptors, now and after a change: what waits to be read and to be
 // written stays well within the memory, however many connections there are.
-func (l *Listener) Allow(memory, sockets int) {
+func (l *Listener) SetLimits(memory, sockets int) {
 	l.maxConns.Store(int64(max(sockets-spareFDs, fewest)))
 	l.maxLineMemory.Store(int64(memory / 8))
 	l.maxUnread.Store(int64(min(max(memory/4/max(sockets, 1), 32<<10), 1<<20)))
@@ -116,7 +116,7 @@
 	l.mu.Lock()
 	l.closed = true
 	for c := range l.conns {
-		c.end(Stopped)
+		c.end(ReasonShutdown)
 	}
 	l.mu.Unlock()
 	l.running.Wait()
@@ -144,12 +144,12 @@
 
 func (l *Listener) take(nc net.Conn) {
 	l.mu.Lock()
-	c := &Conn{net: nc, l: l, openedAt: Next(), began: time.Now(), wake: make(chan struct{}, 1)}
+	c := &Conn{net: nc, l: l, openedAt: NextSequence(), began: time.Now(), wake: make(chan struct{}, 1)}
 	full := len(l.conns) >= int(l.maxConns.Load())
 	l.mu.Unlock()
 	_ = nc.SetReadDeadline(c.began.Add(l.joinTimeout))
 	if full && !l.shed() {
-		c.end(Crowded)
+		c.end(ReasonConnectionLimit)
 		l.log.add(c)
 		return
 	}
@@ -181,7 +181,7 @@
 	delete(l.conns, goes)
 	l.mu.Unlock()
 	if goes != nil {
-		goes.end(Crowded)
+		goes.end(ReasonConnectionLimit)
 	}
 	return goes != nil
 }
@@ -217,10 +217,10 @@
 }
 
 // CloseRefused ends a connection that is nobody's.
-func (c *Conn) CloseRefused() { c.end(Refused) }
+func (c *Conn) CloseRefused() { c.end(ReasonRefused) }
 
 // CloseReplaced ends a stream that another one of the same proxy follows.
-func (c *Conn) CloseReplaced() { c.end(Replaced) }
+func (c *Conn) CloseReplaced() { c.end(ReasonReplaced) }
 
 // RecordFault keeps what was wrong with a message; the line about the connection's end shows the first.
 func (c *Conn) RecordFault(err error) {
@@ -252,7 +252,7 @@
 	}
 	c.mu.Unlock()
 	if over {
-		c.end(Unread)
+		c.end(ReasonWriteBacklog)
 	}
 }
 
@@ -293,13 +293,13 @@
 	var timeout net.Error
 	switch {
 	case errors.Is(err, io.EOF):
-		return Closed
+		return ReasonClosed
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
-		return Reset
+		return ReasonReset
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return JoinTimeout
+		return ReasonJoinTimeout
 	}
-	return Broken
+	return ReasonSocketError
 }
 
 // ending is an error that has a code of its own.
@@ -380,7 +380,7 @@
 		}
 	}
 	if !textproto.MayBecomeMessage(rest) {
-		return ending(Garbage)
+		return ending(ReasonMalformed)
 	}
 	b.length = copy(b.bytes, rest)
 	return nil
@@ -395,11 +395,11 @@
 		b.account(0)
 	case b.length < len(b.bytes):
 	case !opened || b.length >= b.conn.l.maxLine:
-		return ending(TooLong)
+		return ending(ReasonLineTooLong)
 	default:
 		b.bytes = append(make([]byte, 0, 2*b.length), b.bytes...)[:2*b.length]
 		if !b.account(len(b.bytes)) {
-			return ending(Memory)
+			return ending(ReasonMemoryLimit)
 		}
 	}
 	return nil
@@ -420,10 +420,10 @@
 	switch said.(type) {
 	case nil:
 		if errors.Is(err, textproto.ErrNotMessage) {
-			return ending(Garbage)
+			return ending(ReasonMalformed)
 		}
 		if !opened {
-			return ending(Unjoined)
+			return ending(ReasonNotJoined)
 		}
 		return nil
 	case textproto.Ping:
@@ -436,7 +436,7 @@
 		}
 	default:
 		if !opened {
-			return ending(Unjoined)
+			return ending(ReasonNotJoined)
 		}
 	}
 	c.l.handler(c, said)
--- a/internal/controller/server/stream_test.go
+++ b/internal/controller/server/listener_test.go
@@ -126,20 +126,22 @@
 		reason Reason
 		play   func(h *hall)
 	}{
-		{JoinTimeout, says("")}, {JoinTimeout, says("SUBSCRIBE no")}, {JoinTimeout, says("PING\r\n")},
-		{Garbage, says("GET / HTTP/1.1\r\n")}, {Garbage, says("\xff\x00")}, {Garbage, says("$999999\r\n")},
-		{Unjoined, says("\r\n")}, {Garbage, says("Host: x")}, {Garbage, says("THISKINDISFARTOOLONG")},
-		{Garbage, says(joins + "\x80\x81")}, {Garbage, says(collects + "PING\r\nX \x80\r\n")},
-		{Unjoined, says("CONFIG whole=1\r\n")}, {Unjoined, says("SUBSCRIBE node=-1 locality=a w=1 cold=0\r\n")},
-		{Unjoined, says("PING\r\nACK node=1 nonce=1 latency=1\r\n")}, {TooLong, says("SUBSCRIBE node=" + long)},
-		{TooLong, says(collects + "RATE node=" + long)},
-		{Memory, func(h *hall) {
+		{ReasonJoinTimeout, says("")}, {ReasonJoinTimeout, says("SUBSCRIBE no")}, {ReasonJoinTimeout, says("PING\r\n")},
+		{ReasonMalformed, says("GET / HTTP/1.1\r\n")}, {ReasonMalformed, says("\xff\x00")},
+		{ReasonMalformed, says("$999999\r\n")},
+		{ReasonNotJoined, says("\r\n")}, {ReasonMalformed, says("Host: x")}, {ReasonMalformed, says("THISKINDISFARTOOLONG")},
+		{ReasonMalformed, says(joins + "\x80\x81")}, {ReasonMalformed, says(collects + "PING\r\nX \x80\r\n")},
+		{ReasonNotJoined, says("CONFIG whole=1\r\n")}, {ReasonNotJoined, says("SUBSCRIBE node=-1 locality=a w=1 cold=0\r\n")},
+		{ReasonNotJoined, says("PING\r\nACK node=1 nonce=1 latency=1\r\n")},
+		{ReasonLineTooLong, says("SUBSCRIBE node=" + long)},
+		{ReasonLineTooLong, says(collects + "RATE node=" + long)},
+		{ReasonMemoryLimit, func(h *hall) {
 			for range 3 {
 				h.dial(t, collects+"LOAD locality="+long[:40<<10])
 				<-h.heard
 			}
 		}},
-		{Reset, func(h *hall) {
+		{ReasonReset, func(h *hall) {
 			c := h.dial(t, collects)
 			<-h.heard
 			if tcp, ok := c.(*net.TCPConn); ok {
@@ -147,15 +149,15 @@
 			}
 			_ = c.Close()
 		}},
-		{Replaced, func(h *hall) {
+		{ReasonReplaced, func(h *hall) {
 			h.dial(t, joins)
 			(<-h.heard).from.CloseReplaced()
 		}},
-		{Refused, func(h *hall) {
+		{ReasonRefused, func(h *hall) {
 			h.dial(t, joins)
 			(<-h.heard).from.CloseRefused()
 		}},
-		{Unread, func(h *hall) {
+		{ReasonWriteBacklog, func(h *hall) {
 			h.dial(t, joins)
 			from := (<-h.heard).from
 			for done := false; !done; {
@@ -170,7 +172,7 @@
 			l.joinTimeout, l.lastLook, l.maxLine = time.Hour, time.Millisecond, 64<<10
 			l.maxLineMemory.Store(150 << 10)
 			l.maxUnread.Store(1 << 10)
-			if c.reason == JoinTimeout {
+			if c.reason == ReasonJoinTimeout {
 				l.joinTimeout = 50 * time.Millisecond
 			}
 		})
@@ -243,7 +245,7 @@
 func TestFlood(t *testing.T) {
 	h, second := open(t, nil), int64(1)
 	h.log.now = func() int64 { return second }
-	c := &Conn{net: h.dial(t, ""), reason: JoinTimeout}
+	c := &Conn{net: h.dial(t, ""), reason: ReasonJoinTimeout}
 	for range 3 * mostEndings {
 		h.log.add(c)
 	}
--- a/internal/controller/sources.go
+++ b/internal/controller/sources.go
@@ -24,36 +24,36 @@
 // OpenRegistry begins to follow a key-value registry and hands on each reconcile.List and reconcile.Failed.
 type OpenRegistry func(o operatorfile.Registry, name string, tell func(any), log *logrus.Entry) Source
 
-// Memory keeps the list over crashes. Neither method waits.
-type Memory interface {
-	Known() (l reconcile.List, ok bool) // what was held last, where it is young enough
-	Keep(said any)                      // each reconcile.List and reconcile.Failed that the desk is told
-	Figures() []warmstart.Believe       // what else is believed of what was known before
-	Learn(facts []warmstart.Fact)       // what the decisions know, a part of it each second
+// WarmState keeps the list over crashes. Neither method waits.
+type WarmState interface {
+	InitialList() (l reconcile.List, ok bool) // what was held last, where it is young enough
+	Update(said any)                          // each reconcile.List and reconcile.Failed that the desk is told
+	InitialBeliefs() []warmstart.Believe      // what else is believed of what was known before
+	RecordFacts(facts []warmstart.Fact)       // what the decisions know, a part of it each second
 }
 
-// OpenMemory opens the store that an operator file names and asks its peers; without an error there is a Memory.
-type OpenMemory func(o operatorfile.File, name string, log *logrus.Entry) (Memory, error)
+// OpenWarmState opens the state store of an operator file and queries its peers. A nil error comes with a WarmState.
+type OpenWarmState func(o operatorfile.File, name string, log *logrus.Entry) (WarmState, error)
 
-// Parts are what the full program adds to a controller; nil in the bare one.
-type Parts struct {
-	Registry OpenRegistry
-	Memory   OpenMemory
-	Channel  OpenChannel
-	Member   OpenMember
+// Extensions are what the full program adds to a controller; nil in the bare one.
+type Extensions struct {
+	Registry  OpenRegistry
+	WarmState OpenWarmState
+	Channel   OpenChannel
+	Member    OpenMember
 }
 
 // Member is this instance's part in a fleet. None of its methods waits.
 type Member interface {
 	eventloop.Observer
 	Addr() string
-	More(r Request) (body json.RawMessage, ok bool, err error)
+	HandleRequest(r Request) (body json.RawMessage, ok bool, err error)
 }
 
 // OpenMember takes part as an operator file says; hear is given what others tell.
 type OpenMember func(
 	o operatorfile.File,
-	sheet config.Sheet,
+	sheet config.Config,
 	hear func(eventloop.Command),
 	log *logrus.Entry,
 ) (Member, error)
@@ -81,7 +81,7 @@
 // whole list: until then the old one is followed, so nothing is undone by one that cannot be reached.
 type sources struct {
 	queue   chan<- eventloop.Command
-	memory  Memory                  // nil: nothing is kept
+	memory  WarmState               // nil: nothing is kept
 	channel atomic.Pointer[Channel] // nil: nobody looks on
 	log     *logrus.Entry
 	now     atomic.Pointer[slot] // the desk asks here and never waits
@@ -118,7 +118,7 @@
 	}
 	if from == s.now.Load() {
 		if s.memory != nil {
-			s.memory.Keep(said)
+			s.memory.Update(said)
 		}
 		if c := s.channel.Load(); c != nil {
 			if l, ok := said.(reconcile.List); ok {
