--- a/internal/controller/eventloop/eventloop_test.go
+++ b/internal/controller/eventloop/eventloop_test.go
@@ -23,27 +23,27 @@
 	"elmfold/internal/policy"
 )
 
-// line is a stream without a socket.
-type line struct {
-	since         uint64
-	sent          []string
-	known         string
-	over, refused bool
-	faults        []error
+// testStream is a stream that records what is sent to it.
+type testStream struct {
+	sequence          uint64
+	sent              []string
+	peer              string
+	replaced, refused bool
+	faults            []error
 }
 
-func (l *line) Sequence() uint64      { return l.since }
-func (l *line) Send(b []byte)         { l.sent = append(l.sent, string(b)) }
-func (l *line) SetPeer(of string)     { l.known = of }
-func (l *line) CloseReplaced()        { l.over = true }
-func (l *line) CloseRefused()         { l.refused = true }
-func (l *line) RecordFault(err error) { l.faults = append(l.faults, err) }
-func (l *line) take() (s []string)    { s, l.sent = l.sent, nil; return s }
+func (l *testStream) Sequence() uint64      { return l.sequence }
+func (l *testStream) Send(b []byte)         { l.sent = append(l.sent, string(b)) }
+func (l *testStream) SetPeer(of string)     { l.peer = of }
+func (l *testStream) CloseReplaced()        { l.replaced = true }
+func (l *testStream) CloseRefused()         { l.refused = true }
+func (l *testStream) RecordFault(err error) { l.faults = append(l.faults, err) }
+func (l *testStream) take() (s []string)    { s, l.sent = l.sent, nil; return s }
 
-type asked struct{ follow, reload int }
+type testLists struct{ follow, reload int }
 
-func (a *asked) Follow(bool) { a.follow++ }
-func (a *asked) Reload()     { a.reload++ }
+func (a *testLists) Follow(bool) { a.follow++ }
+func (a *testLists) Reload()     { a.reload++ }
 
 var names = flatsettings.Names{
 	Products: []string{"look", "order", "pay"},
@@ -69,10 +69,10 @@
 	}
 }
 
-func newDesk(proxies int) *Loop {
+func newTestLoop(proxies int) *Loop {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return New(deploymentOf(proxies), names, &asked{}, logrus.NewEntry(log))
+	return New(deploymentOf(proxies), names, &testLists{}, logrus.NewEntry(log))
 }
 
 func list(whole bool, members ...reconcile.Member) reconcile.List {
@@ -83,21 +83,20 @@
 	return reconcile.Member{ID: id, Zone: "a", Kind: "s", Phase: reconcile.Serving, Weight: 1}
 }
 
-func (l *Loop) heard() []policy.Event {
+func (l *Loop) takeEvents() []policy.Event {
 	e := l.events
 	l.events = nil
 	return e
 }
 
-// The life of a proxy's streams: what comes late from one that was replaced is nobody's, and of two the one
-// that was opened later holds, in whatever order their first lines are read.
+// Messages of a replaced stream are ignored. Of two streams of a proxy, the newer one wins.
 func TestStreams(t *testing.T) {
-	d := newDesk(4)
+	d := newTestLoop(4)
 	join := textproto.Subscribe{Proxy: 2, Zone: "b", Rate: 7}
 	used := textproto.UsageReport{Proxy: 2, Product: "order", Txns: 3, Period: 10000}
-	older, first, second := &line{since: 1}, &line{since: 2}, &line{since: 3}
+	older, first, second := &testStream{sequence: 1}, &testStream{sequence: 2}, &testStream{sequence: 3}
 	for i, c := range []struct {
-		from *line
+		from *testStream
 		said any
 		want []policy.Event
 	}{
@@ -120,31 +119,31 @@
 		{second, textproto.Closed{}, nil},
 	} {
 		d.Handle(Command{c.from, c.said})
-		if got := d.heard(); !reflect.DeepEqual(got, c.want) {
+		if got := d.takeEvents(); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%d: %+v, want %+v", i, got, c.want)
 		}
 	}
-	if !older.over || !first.over || second.over || len(d.proxyOf) > 0 {
-		t.Errorf("replaced %v %v %v, %d streams kept", older.over, first.over, second.over, len(d.proxyOf))
+	if !older.replaced || !first.replaced || second.replaced || len(d.proxyOf) > 0 {
+		t.Errorf("replaced %v %v %v, %d streams kept", older.replaced, first.replaced, second.replaced, len(d.proxyOf))
 	}
 }
 
-// What names somebody nobody knows, or comes from a stranger, costs that message and no more.
-func TestUnknown(t *testing.T) {
-	d := newDesk(4)
+// A message from an unknown sender, or with an unknown name, is rejected and has no other effect.
+func TestUnknownSendersAndNames(t *testing.T) {
+	d := newTestLoop(4)
 	d.SetCachedList(list(true, serving("s-1")))
-	stranger, source, stream := &line{}, &line{}, &line{}
+	stranger, source, stream := &testStream{}, &testStream{}, &testStream{}
 	d.Handle(Command{source, textproto.Source{Zone: "a"}})
 	d.Handle(Command{stream, textproto.Subscribe{Proxy: 1, Zone: "a"}})
-	d.heard()
-	heard := textproto.BackendReport{Zone: "a", Backend: "s-1", Attempts: 2}
+	d.takeEvents()
+	report := textproto.BackendReport{Zone: "a", Backend: "s-1", Attempts: 2}
 	for i, c := range []struct {
-		from *line
+		from *testStream
 		said any
 		want error
 	}{
 		{stranger, textproto.Source{Zone: "x"}, errZone}, {stranger, textproto.Subscribe{Proxy: 4, Zone: "a"}, errProxy},
-		{stranger, textproto.Subscribe{Proxy: 3, Zone: "x"}, errZone}, {stranger, heard, errUnknownSender},
+		{stranger, textproto.Subscribe{Proxy: 3, Zone: "x"}, errZone}, {stranger, report, errUnknownSender},
 		{
 			stranger,
 			textproto.UsageReport{Proxy: 1, Product: "look"},
@@ -165,27 +164,27 @@
 		c.from.faults = nil
 		d.Handle(Command{c.from, c.said})
 		if got := errors.Join(
-			c.from.faults...); len(d.heard()) > 0 || !errors.Is(got, c.want) ||
+			c.from.faults...); len(d.takeEvents()) > 0 || !errors.Is(got, c.want) ||
 			(got == nil) != (c.want == nil) {
 			t.Errorf("%d: fault %v, want %v", i, got, c.want)
 		}
 	}
 	d.Handle(Command{source, textproto.UsageReport{Proxy: 1, Product: "look", Txns: 1}})
-	d.Handle(Command{source, heard})
+	d.Handle(Command{source, report})
 	want := []policy.Event{policy.UsageReport{Proxy: 1, Txns: 1}, policy.BackendReport{Attempts: 2}}
-	if got := d.heard(); !reflect.DeepEqual(got, want) {
+	if got := d.takeEvents(); !reflect.DeepEqual(got, want) {
 		t.Errorf("from a collector: %+v", got)
 	}
 	if !stranger.refused || source.refused || stream.refused {
-		t.Error("who joins as nobody is refused, and no one else")
+		t.Error("only the stream with an unknown zone or proxy may be refused")
 	}
-	if stranger.known != "" || source.known != "collector a" || stream.known != "proxy 1" {
-		t.Errorf("known as %q, %q, %q", stranger.known, source.known, stream.known)
+	if stranger.peer != "" || source.peer != "collector a" || stream.peer != "proxy 1" {
+		t.Errorf("peers %q, %q, %q", stranger.peer, source.peer, stream.peer)
 	}
 }
 
 func TestLists(t *testing.T) {
-	d := newDesk(4)
+	d := newTestLoop(4)
 	odd := serving("s-3")
 	odd.Phase = "RESTING"
 	lost := serving("s-4")
@@ -203,14 +202,14 @@
 		policy.ListUpdate{Kind: policy.ListFull, Entries: []policy.Entry{{Backend: 1, Status: policy.Ready, Weight: 1}}},
 		policy.ListUpdate{Kind: policy.ListFailed},
 	}
-	if got := d.heard(); !reflect.DeepEqual(got, want) {
+	if got := d.takeEvents(); !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 }
 
-// The text of orders: whole tables, levels by product, later changes, shut-outs that a proxy brings, marks.
+// Messages contain full tables, admissions by product, later changes, withdrawals of earlier controllers, and markers.
 func TestOrders(t *testing.T) {
-	d, brings, fresh := newDesk(4), &line{}, &line{}
+	d, brings, fresh := newTestLoop(4), &testStream{}, &testStream{}
 	d.SetCachedList(list(true, serving("s-0"), serving("s-1"), serving("s-2")))
 	d.Handle(Command{brings, textproto.Subscribe{Proxy: 0, Zone: "a"}})
 	d.Handle(Command{fresh, textproto.Subscribe{Proxy: 1, Zone: "a", Fresh: true}})
@@ -262,39 +261,39 @@
 	} {
 		d.execute(c.orders)
 		if got := strings.Join(brings.take(), "|"); got != c.brings {
-			t.Errorf("%d: one that brings tables got\n%s, want\n%s", i, got, c.brings)
+			t.Errorf("%d: the proxy with earlier tables got\n%s, want\n%s", i, got, c.brings)
 		}
 		if got := strings.Join(fresh.take(), "|"); got != c.cold {
-			t.Errorf("%d: a fresh one got\n%s, want\n%s", i, got, c.cold)
+			t.Errorf("%d: the fresh proxy got\n%s, want\n%s", i, got, c.cold)
 		}
 	}
 	d.execute([]policy.Order{policy.WatchList{Enabled: true}, policy.ReloadList{}})
-	if got, ok := d.lists.(*asked); !ok || *got != (asked{1, 1}) {
-		t.Errorf("lists were asked for %+v", got)
+	if got, ok := d.lists.(*testLists); !ok || *got != (testLists{1, 1}) {
+		t.Errorf("calls of the list source: %+v", got)
 	}
-	d.heard()
-	for _, number := range []int{9, 9, 12} { // each mark is answered once
+	d.takeEvents()
+	for _, number := range []int{9, 9, 12} { // each marker is acknowledged once
 		d.Handle(Command{brings, textproto.Ack{Proxy: 0, Marker: number}})
 	}
-	if got := d.heard(); len(got) != 1 {
-		t.Errorf("answers to marks: %+v", got)
+	if got := d.takeEvents(); len(got) != 1 {
+		t.Errorf("acknowledgements: %+v", got)
 	}
 }
 
-// told hands on what is sent to it.
-type told struct {
-	line
+// channelStream is a stream that passes messages to a channel.
+type channelStream struct {
+	testStream
 	messages chan string
 }
 
-func (t *told) Send(b []byte) { t.messages <- string(b) }
+func (t *channelStream) Send(b []byte) { t.messages <- string(b) }
 
-// What waits on the queue is one moment: one step, and one message for each proxy, with the same mark.
-func TestMoment(t *testing.T) {
-	d, queue, messages := newDesk(4), make(chan Command, 100), make(chan string, 100)
+// Queued commands are handled in one step, which sends one message with the same marker to each proxy.
+func TestOneMessagePerTick(t *testing.T) {
+	d, queue, messages := newTestLoop(4), make(chan Command, 100), make(chan string, 100)
 	d.SetCachedList(list(true, serving("s-0"), serving("s-1")))
 	for i := range 4 {
-		stream := &told{line{since: uint64(i)}, messages}
+		stream := &channelStream{testStream{sequence: uint64(i)}, messages}
 		queue <- Command{stream, textproto.Subscribe{Proxy: i, Zone: "a", Rate: 1, Fresh: true}}
 	}
 	now := 1000 * policy.Second
@@ -306,23 +305,31 @@
 	}
 }
 
-// held is what a proxy goes by for a product.
-type held struct {
+// tableState is the state of a proxy for a product.
+type tableState struct {
 	lines map[string]float64
 	level float64
 	retry int
 }
 
-// reader is a plain proxy: it applies the text that it is sent.
-type reader struct {
-	line
-	tables map[string]held
-	shut   map[string]bool
-	cost   int // lines of the last messages, and their parts
-	parts  int
+// testProxy applies the messages that it receives.
+type testProxy struct {
+	testStream
+	tables    map[string]tableState
+	withdrawn map[string]bool
+	cost      int // lines of the last messages
+	parts     int
 }
 
-func (r *reader) apply(t *testing.T) {
+func newTestProxy(sequence int) *testProxy {
+	return &testProxy{
+		testStream: testStream{sequence: uint64(sequence)},
+		tables:     map[string]tableState{},
+		withdrawn:  map[string]bool{},
+	}
+}
+
+func (r *testProxy) apply(t *testing.T) {
 	r.cost, r.parts = 0, 0
 	for _, message := range r.take() {
 		parts := strings.Split(strings.TrimSuffix(message, "\r\n"), "\r\n")
@@ -342,7 +349,7 @@
 			for _, k := range pick("classes", "+") {
 				h := r.tables[k]
 				if h.lines == nil || f["whole"] == "1" {
-					h = held{lines: map[string]float64{}}
+					h = tableState{lines: map[string]float64{}}
 				}
 				for _, s := range pick("lines", ",") {
 					b, w, _ := strings.Cut(s, ":")
@@ -357,10 +364,10 @@
 				r.tables[k] = h
 			}
 			for _, b := range pick("out", ",") {
-				r.shut[b] = true
+				r.withdrawn[b] = true
 			}
 			for _, b := range pick("back", ",") {
-				delete(r.shut, b)
+				delete(r.withdrawn, b)
 			}
 			r.cost += len(pick("lines", ",")) + len(pick("out", ",")) + len(pick("back", ","))
 			for _, name := range []string{"whole", "level", "ticket"} {
@@ -374,12 +381,11 @@
 
 const fleetSize, proxyCount, tableCount = 5, 3, 6
 
-// Thousands of backends come, drain and go under new ids, proxies leave and come: places are given back when
-// no proxy has a line of them, what is told of a place that is used again is as for a new one, and no late
-// report is taken for another backend's.
-func TestReplaced(t *testing.T) {
-	d, source, now := newDesk(3), &line{}, 1000*policy.Second
-	mark := func(l *line) (n int) {
+// Indices of removed backends are released once no proxy has an entry for them, and a late report is not attributed to
+// the backend that has the index now.
+func TestIndicesAreReused(t *testing.T) {
+	d, source, now := newTestLoop(3), &testStream{}, 1000*policy.Second
+	marker := func(l *testStream) (n int) {
 		_, text, _ := strings.Cut(strings.Join(l.take(), ""), "ticket=")
 		n, _ = strconv.Atoi(strings.TrimSpace(strings.SplitN(text, "\r", 2)[0]))
 		return n
@@ -390,18 +396,18 @@
 	}
 	d.SetCachedList(list(true, zone(serving("s-0"), 0), zone(serving("s-1"), 1)))
 	d.Handle(Command{source, textproto.Source{Zone: "a"}})
-	proxies := make([]*line, 3)
+	proxies := make([]*testStream, 3)
 	most, early := 0, uint64(0)
 	for i := range 4000 {
 		if i == 500 {
-			early = live()
+			early = liveHeap()
 		}
 		at, id := i%3, fmt.Sprint("s-", i)
 		if i%10 < 3 {
 			if proxies[at] != nil {
 				d.Handle(Command{proxies[at], textproto.Closed{}})
 			}
-			proxies[at] = &line{since: uint64(i)}
+			proxies[at] = &testStream{sequence: uint64(i)}
 			d.Handle(Command{proxies[at], textproto.Subscribe{Proxy: at, Zone: "a", Rate: 5, Fresh: i%20 < 10}})
 		}
 		d.Handle(Command{Message: list(false, zone(serving(fmt.Sprint("s-", i+2)), i))})
@@ -415,7 +421,7 @@
 			d.Step(now)
 			for p, l := range proxies {
 				if l != nil && len(l.sent) > 0 {
-					d.Handle(Command{l, textproto.Ack{Proxy: p, Marker: mark(l)}})
+					d.Handle(Command{l, textproto.Ack{Proxy: p, Marker: marker(l)}})
 				}
 			}
 		}
@@ -425,8 +431,8 @@
 			Command{source, textproto.BackendReport{Zone: "a", Backend: fmt.Sprint("s-", i-60), Attempts: 9, Latency: 500}},
 		)
 		for _, e := range d.events {
-			if heard, ok := e.(policy.BackendReport); ok && i > 60 {
-				t.Fatalf("%d: heard of place %d, which is %s now", i, heard.Backend, d.backends[heard.Backend])
+			if report, ok := e.(policy.BackendReport); ok && i > 60 {
+				t.Fatalf("%d: a late report counts for index %d, which is %s now", i, report.Backend, d.backends[report.Backend])
 			}
 		}
 		if most = max(
@@ -434,39 +440,39 @@
 			len(d.backends),
 		); most > 40 || len(d.index) > 40 || len(d.proxyOf) > 3 ||
 			len(d.proxies[at].notified) > 40 {
-			t.Fatalf("%d: %d places, %d names, %d streams", i, most, len(d.index), len(d.proxyOf))
+			t.Fatalf("%d: %d indices, %d names, %d streams", i, most, len(d.index), len(d.proxyOf))
 		}
 	}
-	late := live()
+	late := liveHeap()
 	runtime.KeepAlive(d)
 	if late > early+256<<10 {
 		t.Errorf("%d bytes live after 500 backends, %d after 4,000", early, late)
 	}
 }
 
-// live is the heap after a collection.
-func live() uint64 {
+// liveHeap returns the size of the heap after a garbage collection.
+func liveHeap() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// What a proxy goes by after the text is what the orders mean, whatever it brought along.
-func TestMeaning(t *testing.T) {
+// A proxy that applies the messages has the state that the orders describe, whatever tables it had before.
+func TestProxyStateMatchesOrders(t *testing.T) {
 	same := func(seed int64) bool {
-		rnd, d := rand.New(rand.NewSource(seed)), newDesk(proxyCount)
+		rnd, d := rand.New(rand.NewSource(seed)), newTestLoop(proxyCount)
 		var members []reconcile.Member
 		for b := range fleetSize {
 			members = append(members, serving(fmt.Sprint("s-", b)))
 		}
 		d.SetCachedList(list(true, members...))
-		proxies, uses := make([]*reader, proxyCount), make([][]int, proxyCount)
-		tables, out := make([]map[string]held, tableCount), map[string]bool{} // by product
+		proxies, uses := make([]*testProxy, proxyCount), make([][]int, proxyCount)
+		tables, out := make([]map[string]tableState, tableCount), map[string]bool{} // by product
 		clearTable := func(id int) {
-			tables[id] = map[string]held{}
+			tables[id] = map[string]tableState{}
 			for _, k := range names.Products {
-				tables[id][k] = held{lines: map[string]float64{}}
+				tables[id][k] = tableState{lines: map[string]float64{}}
 			}
 		}
 		for id := range tables {
@@ -475,13 +481,13 @@
 		for step := range 30 {
 			var orders []policy.Order
 			for i := range proxies {
-				if rnd.Intn(8) == 0 || step == 0 { // a new stream, of a fresh proxy or one that brings things
-					p := &reader{line: line{since: uint64(step)}, tables: map[string]held{}, shut: map[string]bool{}}
+				if rnd.Intn(8) == 0 || step == 0 { // a new stream, of a fresh proxy or one with earlier tables
+					p := newTestProxy(step)
 					if fresh := rnd.Intn(2) == 0; !fresh {
-						p.shut[fmt.Sprint("s-", rnd.Intn(fleetSize))] = true
-						p.tables["look"] = held{lines: map[string]float64{"s-0": 1}, level: 3}
+						p.withdrawn[fmt.Sprint("s-", rnd.Intn(fleetSize))] = true
+						p.tables["look"] = tableState{lines: map[string]float64{"s-0": 1}, level: 3}
 					}
-					d.Handle(Command{p, textproto.Subscribe{Proxy: i, Zone: "a", Fresh: len(p.shut) == 0}})
+					d.Handle(Command{p, textproto.Subscribe{Proxy: i, Zone: "a", Fresh: len(p.withdrawn) == 0}})
 					proxies[i], uses[i] = p, nil
 				}
 			}
@@ -538,15 +544,15 @@
 						continue
 					}
 					want, got := tables[uses[i][k]][name], p.tables[name]
-					open := func(h held, shut map[string]bool) map[string]float64 {
+					usable := func(h tableState, withdrawn map[string]bool) map[string]float64 {
 						left := maps.Clone(h.lines)
-						maps.DeleteFunc(left, func(b string, _ float64) bool { return shut[b] })
+						maps.DeleteFunc(left, func(b string, _ float64) bool { return withdrawn[b] })
 						return left
 					}
 					if !maps.Equal(want.lines, got.lines) || want.level != got.level || want.retry != got.retry ||
-						!maps.Equal(open(want, out), open(got, p.shut)) {
+						!maps.Equal(usable(want, out), usable(got, p.withdrawn)) {
 						t.Errorf("seed %d, step %d, proxy %d, %s: holds %+v without %v, want %+v without %v", seed, step, i, name,
-							got, p.shut, want, out)
+							got, p.withdrawn, want, out)
 						return false
 					}
 				}
@@ -559,13 +565,12 @@
 	}
 }
 
-// What is written to the proxies stays within what the module charges for it, and the channel within its
-// limit, on days on which backends come and go, proxies move between controllers, and marks are answered
-// late.
-func TestCharge(t *testing.T) {
+// The lines sent to proxies stay within what the policy charges, and the queue within its limit, while backends and
+// proxies come and go and acknowledgements are late.
+func TestLinesStayWithinCharge(t *testing.T) {
 	const proxyCount = 12
 	kept := func(seed int64) bool {
-		rnd, d := rand.New(rand.NewSource(seed)), newDesk(proxyCount)
+		rnd, d := rand.New(rand.NewSource(seed)), newTestLoop(proxyCount)
 		var members []reconcile.Member
 		for b := range 14 {
 			m := serving(fmt.Sprint("s-", b))
@@ -574,17 +579,17 @@
 		}
 		d.SetCachedList(list(true, members...))
 		dep := deploymentOf(proxyCount)
-		proxies, owner := make([]*reader, proxyCount), map[int]int{}
+		proxies, owner := make([]*testProxy, proxyCount), map[int]int{}
 		queue, mosts := 0.0, 0.0
 		type answer struct{ step, proxy, number int }
 		var answers []answer
-		source := &line{}
+		source := &testStream{}
 		d.Handle(Command{source, textproto.Source{Zone: "a"}})
 		for step := range 400 {
 			now := policy.Time(step+1) * policy.Second / 10
 			for i, p := range proxies {
 				if rnd.Intn(150) == 0 || step == i/4 {
-					p = &reader{line: line{since: uint64(step)}, tables: map[string]held{}, shut: map[string]bool{}}
+					p = newTestProxy(step)
 					proxies[i] = p
 					d.Handle(Command{p, textproto.Subscribe{Proxy: i, Zone: names.Zones[i%2], Rate: 5, Fresh: rnd.Intn(2) == 0}})
 				}
@@ -619,13 +624,13 @@
 				}
 				return a.step <= step
 			})
-			// As Step does, with a look at the orders before they are written.
+			// The same as Step, but the orders are inspected before they are executed.
 			due := func(w timer) bool { return w.at <= now }
 			if slices.ContainsFunc(d.timers, due) {
 				d.events = append(d.events, policy.TimerFired{})
 			}
 			d.timers, d.now = slices.DeleteFunc(d.timers, due), now
-			orders := d.assigner.Step(now, d.heard())
+			orders := d.assigner.Step(now, d.takeEvents())
 			charge, ticket, cleared := make([]float64, proxyCount), 0, map[int]bool{}
 			for _, o := range orders {
 				if use, ok := o.(policy.AssignTable); ok {
@@ -638,10 +643,10 @@
 					charge[owner[o.Table]]++
 					held := !cleared[o.Table] && o.Backend < len(d.tables[o.Table].weight) && d.tables[o.Table].weight[o.Backend] > 0
 					if !held && d.proxies[owner[o.Table]].initial == usabilityUnknown {
-						charge[owner[o.Table]]++ // which settles a shut-out that it may have brought
+						charge[owner[o.Table]]++ // ends a withdrawal of an earlier controller
 					}
 					if o.Weight == 0 && d.withdrawn[o.Backend] {
-						charge[owner[o.Table]]++ // which lets back what is gone
+						charge[owner[o.Table]]++ // restores a backend that left the table
 					}
 				case policy.ClearTable:
 					charge[owner[o.Table]]++
--- a/internal/controller/eventloop/scale_test.go
+++ b/internal/controller/eventloop/scale_test.go
@@ -15,12 +15,12 @@
 	"elmfold/internal/policy"
 )
 
-// Reports come faster than a step takes them: what is taken in a moment is bounded, the rest waits at its senders, and
-// a drain that is there before the moment ends is in its step, behind however many reports.
-func TestManyCase6Reports(t *testing.T) {
-	d, queue, lists, over := newDesk(4), make(chan Command, 8), make(chan Command, 4), make(chan time.Time, 1)
+// If reports arrive faster than they are handled, a step handles a bounded number of them, and a drain that arrives
+// before the end of the tick is part of its step.
+func TestDrainIsNotDelayedByReports(t *testing.T) {
+	d, queue, lists, over := newTestLoop(4), make(chan Command, 8), make(chan Command, 4), make(chan time.Time, 1)
 	d.SetCachedList(list(true, serving("s-0"), serving("s-1")))
-	stream := &line{since: 1}
+	stream := &testStream{sequence: 1}
 	d.Handle(Command{stream, textproto.Subscribe{Proxy: 0, Zone: "a", Rate: 1, Fresh: true}})
 	d.Step(1000 * policy.Second)
 	const reports = 5000
@@ -50,25 +50,25 @@
 	stream.take()
 	d.Step(1001 * policy.Second)
 	if text := fmt.Sprint(stream.take()); !strings.Contains(text, "out=s-0") {
-		t.Errorf("the drain is not told in its step: %s", text)
+		t.Errorf("the step does not send the drain: %s", text)
 	}
-	// Until the select meets the end of the moment it takes one piece after the other; then only what had come.
+	// collect handles commands until the end of the tick, then at most a full queue.
 	if n := <-sent; n > taken+cap(queue)+1 {
-		t.Errorf("%d reports were taken off their senders, %d are in the step", n, taken)
+		t.Errorf("%d reports were read from the queue, %d are in the step", n, taken)
 	}
 }
 
-// bigFleet is a desk at full size, its streams and what each second brings.
+// bigFleet is a loop with many proxies and backends.
 type bigFleet struct {
 	d       *Loop
-	streams []*line
+	streams []*testStream
 	now     policy.Time
-	made    int // backends so far
+	made    int // number of backends created
 	here    []reconcile.Member
 }
 
 func newBigFleet(proxies, backends int) *bigFleet {
-	f := &bigFleet{d: newDesk(proxies), now: 1000 * policy.Second, streams: make([]*line, proxies)}
+	f := &bigFleet{d: newTestLoop(proxies), now: 1000 * policy.Second, streams: make([]*testStream, proxies)}
 	for range backends {
 		f.here = append(f.here, f.backend())
 	}
@@ -88,12 +88,12 @@
 		if f.streams[i] != nil {
 			f.d.Handle(Command{f.streams[i], textproto.Closed{}})
 		}
-		f.streams[i] = &line{since: since}
+		f.streams[i] = &testStream{sequence: since}
 		f.d.Handle(Command{f.streams[i], textproto.Subscribe{Proxy: i, Zone: names.Zones[i%2], Rate: 5}})
 	}
 }
 
-// second lets all proxies report and answer, and the module tick.
+// second lets all proxies report and acknowledge, and runs a step.
 func (f *bigFleet) second() {
 	for i, s := range f.streams {
 		if s == nil {
@@ -111,9 +111,8 @@
 	f.d.Step(f.now)
 }
 
-// A controller that owned a fifth of the fleet owns all of it a second later: what it keeps stays within half of the
-// memory that the smallest such controller has, sockets and all, and falls again when they leave.
-func TestTrialCase6OwnsAll(t *testing.T) {
+// Memory stays bounded when a controller with a fifth of the proxies gets all of them within a second.
+func TestMemoryWithAllProxiesConnected(t *testing.T) {
 	const proxies, backends = 2400, 200
 	f := newBigFleet(proxies, backends)
 	f.join(0, proxies/5, 1)
@@ -125,18 +124,17 @@
 		f.second()
 	}
 	if n := len(f.d.proxyOf); n != proxies {
-		t.Fatalf("%d joined", n)
+		t.Fatalf("%d proxies connected", n)
 	}
-	// A connection costs about 20 kB beside this: its goroutines, buffers and descriptors.
-	if all := live(); all > 48<<20 {
-		t.Errorf("%d MB live with all proxies joined", all>>20)
+	// Connections need further memory for goroutines and buffers.
+	if all := liveHeap(); all > 48<<20 {
+		t.Errorf("%d MB of heap with all proxies connected", all>>20)
 	}
 	runtime.KeepAlive(f)
 }
 
-// Ten days of churn in a row, each with a release of six in ten backends and all proxies joining anew twice: live
-// heap and the count of what is kept stay level.
-func TestManyCase8TenDays(t *testing.T) {
+// Memory does not grow over ten days, each with a replacement of most backends and two reconnects of all proxies.
+func TestMemoryUnderChurn(t *testing.T) {
 	const proxies, backends = 60, 40
 	f := newBigFleet(proxies, backends)
 	var heap []uint64
@@ -155,13 +153,13 @@
 				f.second()
 			}
 		}
-		for range 70 { // until what is gone has given its place back
+		for range 70 { // until the indices of removed backends are released
 			f.second()
 		}
-		heap = append(heap, live())
+		heap = append(heap, liveHeap())
 		kept = append(kept, len(f.d.backends)+len(f.d.index)+len(f.d.proxyOf)+len(f.d.tables)+len(f.d.timers))
 		t.Logf(
-			"day %d: %d kB live; %d places, %d names, %d streams, %d tables, %d wakes",
+			"day %d: %d kB of heap; %d indices, %d names, %d streams, %d tables, %d timers",
 			day+1,
 			heap[day]>>10,
 			len(f.d.backends),
@@ -173,35 +171,33 @@
 	}
 	runtime.KeepAlive(f)
 	if heap[9] > heap[2]+heap[2]/20+64<<10 || kept[9] > kept[2] {
-		t.Errorf("live heap by days %v, what is kept %v", heap, kept)
+		t.Errorf("heap by day %v, objects by day %v", heap, kept)
 	}
 }
 
-// A proxy that waits for its first table is told of the drains that are ordered meanwhile, one line each as they
-// were charged, and not with each of them of all that are shut out: at full size those were more than the channel
-// holds. Where telling all that wait would take longer than a table with few lines, those that brought tables are
-// told with it.
-func TestShutWhileWaiting(t *testing.T) {
+// A proxy that waits for its first table is notified only of new withdrawals, not of all earlier ones with each
+// message. If lines are so scarce that a small table arrives sooner, it is notified with that table.
+func TestWithdrawalsBeforeFirstTable(t *testing.T) {
 	for _, speed := range []float64{100, 30} {
-		shutWhileWaiting(t, speed, speed < 50)
+		testWithdrawalsBeforeFirstTable(t, speed, speed < 50)
 	}
 }
 
-func shutWhileWaiting(t *testing.T, speed float64, slow bool) {
+func testWithdrawalsBeforeFirstTable(t *testing.T, speed float64, slow bool) {
 	dep := deploymentOf(40)
 	dep.LinesPerSecond, dep.MaxQueuedLines = speed, 6000
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	d := New(dep, names, &asked{}, logrus.NewEntry(log))
+	d := New(dep, names, &testLists{}, logrus.NewEntry(log))
 	whole := list(true)
 	for i := range 12 {
 		whole.Members = append(whole.Members, serving(fmt.Sprint("s-", i)))
 	}
 	d.SetCachedList(whole)
-	streams := make([]*line, dep.Proxies)
+	streams := make([]*testStream, dep.Proxies)
 	join := func(from, to int) {
 		for i := from; i < to; i++ {
-			streams[i] = &line{since: uint64(i + 1)}
+			streams[i] = &testStream{sequence: uint64(i + 1)}
 			d.Handle(Command{streams[i], textproto.Subscribe{Proxy: i, Zone: "a", Rate: 5, Fresh: i%2 == 0}})
 		}
 	}
@@ -210,7 +206,7 @@
 	d.Step(now)
 	waiting := 0
 	for i := range 8 {
-		if i == 4 { // these come when four are shut out
+		if i == 4 { // these connect after four withdrawals
 			join(20, 40)
 		}
 		drain := serving(fmt.Sprint("s-", i))
@@ -228,21 +224,20 @@
 			}
 			waiting++
 			if !strings.Contains(text, fmt.Sprintf(" out=s-%d ", i)) || slow {
-				t.Fatalf("drain %d: proxy %d, which waits, is told %q", i, p, text)
+				t.Fatalf("drain %d: proxy %d, which has no table, got %q", i, p, text)
 			}
 		}
 	}
 	if waiting < 60 && !slow {
-		t.Errorf("%d messages to proxies that wait", waiting)
+		t.Errorf("%d messages to proxies without a table", waiting)
 	}
 }
 
-// Clients' repeats come beside spoilt reports: one that cannot be read, or is about nobody, counts for nothing, and the
-// good ones around it count whole.
-func TestTrialCase5Spoilt(t *testing.T) {
-	d, s := newDesk(4), &line{since: 1}
+// A report that is malformed or has unknown names is ignored, and valid ones around it still count.
+func TestInvalidReportsAreIgnored(t *testing.T) {
+	d, s := newTestLoop(4), &testStream{sequence: 1}
 	d.SetCachedList(list(true, serving("s-0")))
-	hear := func(text string) {
+	receive := func(text string) {
 		said, err := textproto.Parse([]byte(text))
 		if said != nil {
 			d.Handle(Command{s, said})
@@ -250,9 +245,9 @@
 			s.RecordFault(err)
 		}
 	}
-	hear("SUBSCRIBE node=0 locality=a w=5 cold=1")
-	d.heard()
-	for _, spoilt := range []string{"RATE node=0 route=look total=-4 errors=0 interval=1000", "RATE node=0 " +
+	receive("SUBSCRIBE node=0 locality=a w=5 cold=1")
+	d.takeEvents()
+	for _, invalid := range []string{"RATE node=0 route=look total=-4 errors=0 interval=1000", "RATE node=0 " +
 		"route=look total=1e99 errors=0 interval=1000",
 		"RATE node=0 route=look errors=0 interval=1000",
 		"RATE node=0 route=none total=4 errors=0 interval=1000",
@@ -261,14 +256,14 @@
 			"interval=1000",
 		"LOAD locality=a endpoint=s-0 total=9 errors=12 rtt=3 interval=1000", "LOAD locality=z endpoint=s-0 total=9 " +
 			"errors=1 rtt=3 interval=1000"} {
-		hear("RATE node=0 route=look total=9 errors=1 interval=1000")
-		hear(spoilt)
-		events := d.heard()
+		receive("RATE node=0 route=look total=9 errors=1 interval=1000")
+		receive(invalid)
+		events := d.takeEvents()
 		if len(events) != 1 || events[0] != (policy.UsageReport{Proxy: 0, Txns: 9, Failed: 1, Period: policy.Second}) {
-			t.Errorf("beside %q: %v", spoilt, events)
+			t.Errorf("with %q: %v", invalid, events)
 		}
 	}
-	if len(s.faults) < 7 || s.over {
-		t.Errorf("%d faults are noted, ended %v", len(s.faults), s.over)
+	if len(s.faults) < 7 || s.replaced {
+		t.Errorf("%d faults are recorded, replaced %v", len(s.faults), s.replaced)
 	}
 }
--- a/internal/controller/eventloop/snapshot_test.go
+++ b/internal/controller/eventloop/snapshot_test.go
@@ -10,9 +10,8 @@
 	"elmfold/internal/policy"
 )
 
-// What a desk tells its keeper puts another one where it was: relief, use and pace. A backend or product that is not
-// known any more costs that fact alone.
-func TestRecalled(t *testing.T) {
+// A loop that restores the snapshot of another one has the same estimates. Facts with unknown names are ignored.
+func TestSnapshotIsRestored(t *testing.T) {
 	kept := map[string]warmstart.Fact{}
 	keep := func(facts []warmstart.Fact) {
 		for _, f := range facts {
@@ -20,8 +19,8 @@
 		}
 	}
 	members := []string{"s-0", "s-1", "s-2", "s-3", "s-4", "s-5"}
-	begin := func() (*Loop, *line) {
-		d, l := newDesk(2), &line{since: 1}
+	begin := func() (*Loop, *testStream) {
+		d, l := newTestLoop(2), &testStream{sequence: 1}
 		whole := list(true)
 		for _, id := range members {
 			whole.Members = append(whole.Members, serving(id))
@@ -53,7 +52,7 @@
 		t.Fatalf("kept %v", kept)
 	}
 	if f := kept["use 0/look"]; f.Value < 30 || f.Age > 9*time.Second {
-		t.Errorf("use kept as %v", f)
+		t.Errorf("usage stored as %v", f)
 	}
 	if _, ok := kept["relief s-1"]; ok || kept["pace "].Value <= 0 {
 		t.Errorf("kept %v", kept)
@@ -74,16 +73,16 @@
 		{Fact: warmstart.Fact{Kind: warmstart.Withdrawal, Key: "s-0"}}} {
 		before := len(next.events)
 		if _ = next.onRestored(odd); len(next.events) != before {
-			t.Errorf("%v counts", odd)
+			t.Errorf("%v has an effect", odd)
 		}
 	}
 	next.Handle(Command{l, textproto.Subscribe{Proxy: 0, Zone: "a", Rate: 30, Fresh: true}})
 	next.Step(now + policy.Second)
-	// as near as is worth a line
+	// The policy does not send smaller differences of weight.
 	if got := weight(next, 2); got < 0.88*want || got > want/0.88 || weight(next, 1) != weight(d, 1) {
 		t.Errorf("weight %v after the restart, %v before", got, want)
 	}
-	// What is heard at first hand holds against what is recalled.
+	// A report overrides a restored estimate.
 	next.Handle(Command{l, textproto.BackendReport{Zone: "a", Backend: "s-1", Attempts: 20, Latency: 900}})
 	next.Step(now + 2*policy.Second)
 	next.Handle(
@@ -91,12 +90,12 @@
 	)
 	next.Step(now + 3*policy.Second)
 	if weight(next, 1) != weight(d, 1) {
-		t.Errorf("weight %v of one that was heard of meanwhile", weight(next, 1))
+		t.Errorf("weight %v of a backend with a report", weight(next, 1))
 	}
 }
 
-// The keeper gets a part of all each second, so that a second costs little; over a round it gets all.
-func TestKeepsInTurns(t *testing.T) {
+// The sink receives a part of the snapshot per second, and all of it over a round.
+func TestSnapshotIsTakenInParts(t *testing.T) {
 	const proxies = 80
 	f := newBigFleet(proxies, 20)
 	var sizes []int
@@ -112,6 +111,6 @@
 		f.second()
 	}
 	if len(seen) < proxies*len(names.Products) || slices.Max(sizes) > 2*proxies*len(names.Products)/snapshotParts {
-		t.Errorf("%d facts in all, at once %v", len(seen), sizes)
+		t.Errorf("%d facts in total, by second %v", len(seen), sizes)
 	}
 }
--- a/internal/controller/reconcile/eventloop_test.go
+++ b/internal/controller/reconcile/eventloop_test.go
@@ -19,7 +19,7 @@
 	"elmfold/internal/policy"
 )
 
-// proxy is a joined stream that does as it is told.
+// proxy is the stream of a proxy that applies the messages it receives.
 type proxy struct {
 	lines map[string]string
 	out   map[string]bool
@@ -56,8 +56,8 @@
 	}
 }
 
-// picks is where the proxy may send.
-func (p *proxy) picks() (ids []string) {
+// usable returns the backends that the proxy may select.
+func (p *proxy) usable() (ids []string) {
 	for _, id := range slices.Sorted(maps.Keys(p.lines)) {
 		if !p.out[id] {
 			ids = append(ids, id)
@@ -66,13 +66,13 @@
 	return ids
 }
 
-type nobody struct{}
+type noLists struct{}
 
-func (nobody) Follow(bool) {}
-func (nobody) Reload()     {}
+func (noLists) Follow(bool) {}
+func (noLists) Reload()     {}
 
-// house is a Roster before a desk with the real module and one proxy, in virtual time.
-type house struct {
+// harness connects a reconciler, an event loop with the real policy and one proxy in virtual time.
+type harness struct {
 	*testing.T
 	r   *reconcile.Reconciler
 	d   *eventloop.Loop
@@ -82,12 +82,12 @@
 	out []reconcile.Order
 }
 
-func newHouse(t *testing.T, binds bool) *house {
+func newHarness(t *testing.T, honorRemovals bool) *harness {
 	plan := reconcile.DefaultConfig()
 	plan.Seed, plan.Prefix, plan.WatchSendsChanges = "n1", "p", true
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	h := &house{
+	h := &harness{
 		T:   t,
 		r:   reconcile.New(plan),
 		p:   &proxy{lines: map[string]string{}, out: map[string]bool{}},
@@ -98,7 +98,7 @@
 			Products:        []policy.Product{{Revenue: 1, SLA: 8000}},
 			Zones:           1,
 			Proxies:         1,
-			HonorRemovals:   binds,
+			HonorRemovals:   honorRemovals,
 			WarmupTime:      policy.Second,
 			WarmupCapacity:  0.5,
 			WarmupOverload:  3,
@@ -113,15 +113,15 @@
 			Zones:    []string{"a"},
 			Kinds:    []string{"m"},
 		},
-		nobody{},
+		noLists{},
 		logrus.NewEntry(log),
 	)
 	h.d.Handle(eventloop.Command{From: h.p, Message: textproto.Subscribe{Proxy: 0, Zone: "a", Rate: 10, Fresh: true}})
 	return h
 }
 
-// step lets the Roster, then the desk, take their turn.
-func (h *house) step(events ...reconcile.Event) {
+// step runs a step of the reconciler, then one of the event loop.
+func (h *harness) step(events ...reconcile.Event) {
 	h.out = h.r.Step(h.now, events)
 	for _, o := range h.out {
 		switch o := o.(type) {
@@ -136,8 +136,8 @@
 	h.d.Step(policy.Time(h.now / (100 * time.Microsecond)))
 }
 
-// pass lets time go by in steps, the source speaking.
-func (h *house) pass(span time.Duration, history uint64, revision int64) {
+// pass advances the time while the source reports progress.
+func (h *harness) pass(span time.Duration, history uint64, revision int64) {
 	for end := h.now + span; h.now < end; {
 		h.now += 100 * time.Millisecond
 		h.step(reconcile.Progress{Attempt: h.try, ClusterID: history, Revision: revision})
@@ -159,8 +159,8 @@
 	return all
 }
 
-// begin reads the whole list, of n serving backends but the first, which drains.
-func (h *house) begin(n int) {
+// begin reads a list of n backends, of which the first drains and the others serve.
+func (h *harness) begin(n int) {
 	entries := []reconcile.KeyValue{entry("s-00", reconcile.Draining, 50)}
 	for i, id := range ids(1, n) {
 		entries = append(entries, entry(id, reconcile.Serving, int64(i+1)))
@@ -168,24 +168,23 @@
 	h.step()
 	h.step(reconcile.Page{Attempt: h.try, ClusterID: 7, Revision: 50, Entries: entries})
 	h.pass(5*time.Second, 7, 50)
-	if got := h.p.picks(); !slices.Equal(got, ids(1, n)) {
-		h.Fatalf("the proxy picks from %v", got)
+	if got := h.p.usable(); !slices.Equal(got, ids(1, n)) {
+		h.Fatalf("the proxy selects from %v", got)
 	}
 }
 
-// A restored list without two backends, on which the draining one serves: the drain stands; who it lacks stays
-// in the tables where gone alone does not bind, and leaves them where it does. The proxy always has somewhere
-// to go.
-func TestOlderListAtTheProxy(t *testing.T) {
-	for _, binds := range []bool{false, true} {
-		h := newHouse(t, binds)
+// A list from a restored registry does not undo a drain. Backends that it lacks leave the tables only if removals are
+// honored.
+func TestOlderListAtProxy(t *testing.T) {
+	for _, honorRemovals := range []bool{false, true} {
+		h := newHarness(t, honorRemovals)
 		h.begin(8)
 		h.step(reconcile.AttemptFailed{Attempt: h.try, Reason: reconcile.ConnectionLost, Err: errors.New("reset")})
 		for before := h.try; h.try == before; h.now += 10 * time.Millisecond {
 			h.step()
 		}
-		if got := h.p.picks(); !slices.Equal(got, ids(1, 8)) {
-			t.Errorf("a break leaves %v", got)
+		if got := h.p.usable(); !slices.Equal(got, ids(1, 8)) {
+			t.Errorf("after a failure the proxy selects from %v", got)
 		}
 		h.step(reconcile.WatchOpened{Attempt: h.try, ClusterID: 9, Revision: 6})
 		for before := h.try; h.try == before; h.now += 10 * time.Millisecond {
@@ -198,28 +197,28 @@
 		h.step(reconcile.Page{Attempt: h.try, ClusterID: 9, Revision: 6, Entries: older})
 		h.pass(2*time.Second, 9, 6)
 		want := ids(1, 8)
-		if binds {
+		if honorRemovals {
 			want = ids(1, 6)
 		}
-		if got := h.p.picks(); !slices.Equal(got, want) || !h.p.out["s-00"] && h.p.lines["s-00"] != "" {
-			t.Errorf("gone binds %v: 2 s after the older list %v, want %v", binds, got, want)
+		if got := h.p.usable(); !slices.Equal(got, want) || !h.p.out["s-00"] && h.p.lines["s-00"] != "" {
+			t.Errorf("removals honored %v: 2 s after the older list %v, want %v", honorRemovals, got, want)
 		}
 		h.pass(26*time.Second, 9, 6)
-		if slices.Contains(h.p.picks(), "s-00") {
-			t.Errorf("the drain is undone within the hold")
+		if slices.Contains(h.p.usable(), "s-00") {
+			t.Errorf("the drain is undone during the hold")
 		}
 		h.pass(10*time.Second, 9, 6)
-		if !slices.Contains(h.p.picks(), "s-00") {
-			t.Errorf("after the hold the proxy picks from %v", h.p.picks())
+		if !slices.Contains(h.p.usable(), "s-00") {
+			t.Errorf("after the hold the proxy selects from %v", h.p.usable())
 		}
 	}
 }
 
-// A registry that is emptied by mistake looks like a fleet that died: where gone alone does not bind, who
-// answers stays; where it binds, all who were there go, and come back with the list.
-func TestEmptiedListAtTheProxy(t *testing.T) {
-	for _, binds := range []bool{false, true} {
-		h := newHouse(t, binds)
+// Backends of a registry that was emptied by mistake stay in the tables unless removals are honored. In that case they
+// return with the list.
+func TestEmptiedListAtProxy(t *testing.T) {
+	for _, honorRemovals := range []bool{false, true} {
+		h := newHarness(t, honorRemovals)
 		h.begin(11)
 		var gone, back []reconcile.KeyValue
 		for i, id := range ids(1, 10) {
@@ -229,16 +228,16 @@
 		h.step(reconcile.Changes{Attempt: h.try, ClusterID: 7, Entries: gone})
 		h.pass(2*time.Second, 7, 51)
 		want := ids(1, 11)
-		if binds {
+		if honorRemovals {
 			want = ids(10, 11)
 		}
-		if got := h.p.picks(); !slices.Equal(got, want) {
-			t.Errorf("gone binds %v: emptied, the proxy picks from %v, want %v", binds, got, want)
+		if got := h.p.usable(); !slices.Equal(got, want) {
+			t.Errorf("removals honored %v: with the emptied list the proxy selects from %v, want %v", honorRemovals, got, want)
 		}
 		h.step(reconcile.Changes{Attempt: h.try, ClusterID: 7, Entries: back})
 		h.pass(10*time.Second, 7, 70)
-		if got := h.p.picks(); !slices.Equal(got, ids(1, 11)) {
-			t.Errorf("gone binds %v: filled again, the proxy picks from %v", binds, got)
+		if got := h.p.usable(); !slices.Equal(got, ids(1, 11)) {
+			t.Errorf("removals honored %v: with the full list the proxy selects from %v", honorRemovals, got)
 		}
 	}
 }
--- a/internal/controller/reconcile/model_test.go
+++ b/internal/controller/reconcile/model_test.go
@@ -25,21 +25,21 @@
 	os.Exit(m.Run())
 }
 
-// store is a registry in a few lines: every change by revision, in the history that holds now.
-type store struct {
+// modelRegistry is a simple registry that keeps all changes of its current history.
+type modelRegistry struct {
 	id        uint64
-	log       []KeyValue // a change a revision
+	log       []KeyValue // one change per revision
 	revision  int64
 	compacted int64
 }
 
-func (s *store) put(key, value string, gone bool) {
+func (s *modelRegistry) put(key, value string, gone bool) {
 	s.revision++
 	s.log = append(s.log, KeyValue{Key: key, Value: []byte(value), ModRevision: s.revision, Deleted: gone})
 }
 
-// at is the list at a revision, the slow way.
-func (s *store) at(revision int64) map[string]KeyValue {
+// at returns the list at a revision.
+func (s *modelRegistry) at(revision int64) map[string]KeyValue {
 	m := map[string]KeyValue{}
 	for _, c := range s.log {
 		if c.ModRevision > revision {
@@ -52,8 +52,8 @@
 	return m
 }
 
-// last is the revision that a key was last changed at.
-func (s *store) last(key string) (at int64) {
+// last returns the revision of the last change of a key.
+func (s *modelRegistry) last(key string) (at int64) {
 	for _, c := range s.log {
 		if c.Key == key {
 			at = c.ModRevision
@@ -62,7 +62,7 @@
 	return at
 }
 
-func (s *store) answer(o Order) Event {
+func (s *modelRegistry) answer(o Order) Event {
 	switch o := o.(type) {
 	case ReadPage:
 		at := o.Revision
@@ -104,9 +104,8 @@
 	return fmt.Sprintf(`{"locality":"a","flavor":"m","phase":%q,"size":%d}`, phase, size)
 }
 
-// readable is what the list says at a revision, the slow way: the last value of each key that can be read, if
-// the key is there.
-func (s *store) readable(revision int64) map[string]Member {
+// readable returns the members at a revision. Keys with an invalid value are Unreadable.
+func (s *modelRegistry) readable(revision int64) map[string]Member {
 	m := map[string]Member{}
 	for key, c := range s.at(revision) {
 		if e, err := ParseValue("p", key, c.Value, 1000); err == nil && e.Phase != Deleted {
@@ -118,32 +117,33 @@
 	return m
 }
 
-// stand is a drain or an end told before a restore: till then, unless its key changes after a revision.
-type stand struct {
+// expectedHold is a drain or a removal that was published before a restore. It must hold until a time, unless its key
+// changes after a revision.
+type expectedHold struct {
 	at   int64
 	till Time
 }
 
-// world is a roster with a registry, and what the desk was told.
-type world struct {
+// model is a reconciler with a registry, and the list that it published.
+type model struct {
 	*rapid.T
 	r       *Reconciler
-	s       store
+	s       modelRegistry
 	now     Time
 	told    map[string]Member
-	watch   *Watch // under way
-	sent    int64  // up to this revision
+	watch   *Watch // the current one
+	sent    int64  // revision that the watch has delivered
 	waiting []Event
-	mute    bool // orders find no answer
+	mute    bool // orders are not answered
 	ends    map[string]bool
-	firm    map[string]*stand
-	seen    store // before restores that it has not seen
-	blind   bool  // the roster has not seen yet that the registry was restored
-	fresh   bool  // the registry that holds now has answered the present try
-	till    Time  // ... after which its drains and ends stand till then
+	firm    map[string]*expectedHold
+	seen    modelRegistry // the registry before restores that the reconciler has not detected
+	blind   bool          // the reconciler has not yet detected the restore
+	fresh   bool          // the current registry has answered the current attempt
+	till    Time          // end of the holds after a detected restore
 }
 
-func (w *world) step(events ...Event) {
+func (w *model) step(events ...Event) {
 	before := w.r.revision
 	for _, o := range w.r.Step(w.now, events) {
 		switch o := o.(type) {
@@ -174,7 +174,7 @@
 	w.check()
 }
 
-func (w *world) hear(o PublishList, before int64) {
+func (w *model) hear(o PublishList, before int64) {
 	if o.Complete {
 		w.told = map[string]Member{}
 	}
@@ -183,29 +183,29 @@
 		was, there := w.told[key]
 		if f := w.firm[key]; f != nil && m.Phase == Serving && w.s.last(key) <= f.at &&
 			(w.blind && f.till == 0 || w.now < f.till) {
-			w.Fatalf("%s, told as %+v, is undone by an older list at %v, before %v", key, was, w.now, f.till)
+			w.Fatalf("%s, published as %+v, is undone by an older list at %v, before %v", key, was, w.now, f.till)
 		}
 		delete(w.firm, key)
 		switch {
 		case m.Phase == Deleted && !there:
-			w.Fatalf("told twice that %s is gone", key)
+			w.Fatalf("the removal of %s is published twice", key)
 		case m.Phase == Deleted:
 			delete(w.told, key)
 			w.ends[key] = true
 		case there && was == m:
-			w.Fatalf("told twice: %+v", m)
+			w.Fatalf("published twice: %+v", m)
 		default:
 			w.told[key] = m
 			delete(w.ends, key)
 		}
 	}
 	if o.Revision < before && !w.blind {
-		w.Fatalf("told of revision %d after %d", o.Revision, before)
+		w.Fatalf("published revision %d after %d", o.Revision, before)
 	}
 }
 
-// check compares what was told with what the registry held at the revision that the roster says it knows.
-func (w *world) check() {
+// check compares the published list with the registry at the reconciler's revision.
+func (w *model) check() {
 	if w.blind && w.r.phase == watching && (w.r.config.WatchSendsChanges || w.fresh) {
 		w.blind, w.till = false, w.now+w.r.config.HistoryHold
 		for _, f := range w.firm {
@@ -218,7 +218,7 @@
 		return
 	}
 	if len(w.r.unpublished) > 0 {
-		w.Fatal("changes are not told")
+		w.Fatal("changes are not published")
 	}
 	want := w.s.readable(w.r.revision)
 	for _, key := range keysOf(want, w.told) {
@@ -232,7 +232,7 @@
 		if w.now < w.till && (drain || end) {
 			continue
 		}
-		w.Fatalf("%s at revision %d: told %+v (%v), the registry held %+v (%v)", key, w.r.revision, got, told, m, listed)
+		w.Fatalf("%s at revision %d: published %+v (%v), the registry has %+v (%v)", key, w.r.revision, got, told, m, listed)
 	}
 }
 
@@ -246,8 +246,8 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// flow hands on up to n changes of the watch that is under way, or that it is compacted.
-func (w *world) flow(n int) {
+// flow delivers up to n changes of the current watch, or its compaction.
+func (w *model) flow(n int) {
 	if w.watch == nil {
 		return
 	}
@@ -271,7 +271,7 @@
 	}
 }
 
-func (w *world) deliver() {
+func (w *model) deliver() {
 	events := w.waiting
 	w.waiting = nil
 	for _, e := range events {
@@ -285,33 +285,33 @@
 	w.step(events...)
 }
 
-func newWorld(t *rapid.T, changes bool) *world {
+func newModel(t *rapid.T, changes bool) *model {
 	plan := DefaultConfig()
 	plan.Seed, plan.Prefix, plan.PageSize, plan.Endpoints = "m", "p", 3, 3
 	plan.WatchSendsChanges, plan.SupportsCheck = changes, changes
 	plan.MaxValueSize, plan.HistoryHold = 1000, 5*time.Second
-	return &world{T: t, r: New(plan), s: store{id: 7}, told: map[string]Member{}, ends: map[string]bool{},
-		firm: map[string]*stand{}}
+	return &model{T: t, r: New(plan), s: modelRegistry{id: 7}, told: map[string]Member{}, ends: map[string]bool{},
+		firm: map[string]*expectedHold{}}
 }
 
-// For every history of changes, cuts, silences, compactions, repeats and restores, what was told is what the
-// registry held, each change once; a drain or an end stands against an older list for the hold; and when the
-// faults end, all is told.
+// With any sequence of changes, failures, silences, compactions, repetitions and restores, the published list is that
+// of the registry and each change is published once. Drains and removals are held against an older list. After the
+// faults end, the list is current.
 func TestModel(t *testing.T) {
 	t.Run("changes", func(t *testing.T) { rapid.Check(t, func(t *rapid.T) { history(t, true) }) })
 	t.Run("index", func(t *testing.T) { rapid.Check(t, func(t *rapid.T) { history(t, false) }) })
 }
 
-// history plays one, at a registry whose watch brings changes, or one that tells an index and no more.
+// history runs a random sequence against a registry whose watch delivers either changes or only an index.
 func history(t *rapid.T, changes bool) {
-	w := newWorld(t, changes)
+	w := newModel(t, changes)
 	keys := []string{"p/a", "p/b", "p/c", "p/d", "p/e", "p/f", "p/g"}
-	old, restored := []store{}, 0
+	old, restored := []modelRegistry{}, 0
 	var again []Event
 	act := map[string]func(*rapid.T){
 		"put": func(t *rapid.T) {
 			if !changes && w.blind {
-				return // an index can come to stand where it stood, and nobody sees it
+				return // the index may reach its former value, which cannot be detected
 			}
 			key := rapid.SampledFrom(keys).Draw(t, "key")
 			text := rapid.SampledFrom([]string{value(Serving, 1), value(Draining, 1), value(Serving, 2),
@@ -368,7 +368,7 @@
 				s.id++
 			}
 			restoredAt := s.revision
-			for range rapid.IntRange(0, 3).Draw(t, "on") { // it may pass the revision held before we are back
+			for range rapid.IntRange(0, 3).Draw(t, "on") { // the registry may pass the last known revision
 				s.put(rapid.SampledFrom(keys).Draw(t, "key"), value(Serving, 100+restored), false)
 				restored++
 			}
@@ -381,20 +381,20 @@
 			}
 			other := w.seen.id != s.id || s.revision < w.r.revision ||
 				!reflect.DeepEqual(s.at(w.r.revision), w.seen.at(w.r.revision))
-			if !changes { // what a whole list can show is that an old entry is not the one held
+			if !changes { // a whole list only shows a difference of entries that are older than the revision
 				other = s.revision < w.r.revision
 				for key, c := range s.at(w.r.revision) {
 					other = other || !reflect.DeepEqual(c, w.seen.at(w.r.revision)[key]) && s.last(key) == c.ModRevision
 				}
 			}
-			maps.DeleteFunc(w.firm, func(_ string, f *stand) bool { return f.till == 0 })
+			maps.DeleteFunc(w.firm, func(_ string, f *expectedHold) bool { return f.till == 0 })
 			for _, f := range w.firm {
 				f.at = min(f.at, restoredAt)
 			}
 			for _, key := range keys {
 				m, told := w.told[key]
 				if other && w.firm[key] == nil && (told && m.Phase == Draining || !told && w.ends[key]) {
-					w.firm[key] = &stand{at: restoredAt}
+					w.firm[key] = &expectedHold{at: restoredAt}
 				}
 			}
 			w.s, w.waiting, w.watch, w.blind, w.fresh = s, nil, nil, true, false
@@ -402,7 +402,7 @@
 		},
 	}
 	t.Repeat(act)
-	// The faults end: at most a pause, the spread and an audit later all is known; then holds are over.
+	// Without faults, the list is current after a backoff, a reload and an audit. All holds have ended by then.
 	w.mute = false
 	for end := w.now + 100*time.Second; w.now < end; {
 		w.flow(100)
@@ -410,7 +410,7 @@
 		w.now = max(w.now+time.Millisecond, min(w.r.NextDeadline(), w.now+time.Second))
 		w.step()
 	}
-	w.till = 0 // 100 s are more than any hold
+	w.till = 0 // 100 s exceed any hold
 	if w.r.phase != watching || w.r.clusterID != w.s.id || w.r.revision != w.s.revision {
 		t.Fatalf("phase %d, revision %d of %d", w.r.phase, w.r.revision, w.s.revision)
 	}
