--- a/internal/controller/reconcile/model_test.go
+++ b/internal/controller/reconcile/model_test.go
@@ -33,9 +33,9 @@
 	compacted int64
 }
 
-func (s *modelRegistry) put(key, value string, gone bool) {
+func (s *modelRegistry) put(key, value string, deleted bool) {
 	s.revision++
-	s.log = append(s.log, KeyValue{Key: key, Value: []byte(value), ModRevision: s.revision, Deleted: gone})
+	s.log = append(s.log, KeyValue{Key: key, Value: []byte(value), ModRevision: s.revision, Deleted: deleted})
 }
 
 // at returns the list at a revision.
@@ -120,27 +120,27 @@
 // expectedHold is a drain or a removal that was published before a restore. It must hold until a time, unless its key
 // changes after a revision.
 type expectedHold struct {
-	at   int64
-	till Time
+	revision int64
+	until    Time
 }
 
 // model is a reconciler with a registry, and the list that it published.
 type model struct {
 	*rapid.T
-	r       *Reconciler
-	s       modelRegistry
-	now     Time
-	told    map[string]Member
-	watch   *Watch // the current one
-	sent    int64  // revision that the watch has delivered
-	waiting []Event
-	mute    bool // orders are not answered
-	ends    map[string]bool
-	firm    map[string]*expectedHold
-	seen    modelRegistry // the registry before restores that the reconciler has not detected
-	blind   bool          // the reconciler has not yet detected the restore
-	fresh   bool          // the current registry has answered the current attempt
-	till    Time          // end of the holds after a detected restore
+	r                 *Reconciler
+	s                 modelRegistry
+	now               Time
+	published         map[string]Member
+	watch             *Watch // the current one
+	sent              int64  // revision that the watch has delivered
+	queued            []Event
+	silent            bool // orders are not answered
+	removed           map[string]bool
+	holds             map[string]*expectedHold
+	lastSeen          modelRegistry // the registry before restores that the reconciler has not detected
+	restoreUndetected bool          // the reconciler has not yet detected the restore
+	currentAnswered   bool          // the current registry has answered the current attempt
+	holdsEnd          Time          // end of the holds after a detected restore
 }
 
 func (w *model) step(events ...Event) {
@@ -148,24 +148,24 @@
 	for _, o := range w.r.Step(w.now, events) {
 		switch o := o.(type) {
 		case PublishList:
-			w.hear(o, before)
+			w.onPublish(o, before)
 		case Watch:
-			if !w.mute {
+			if !w.silent {
 				w.watch, w.sent = &o, o.AfterRevision
 				if !w.r.config.WatchSendsChanges {
-					w.flow(1)
+					w.deliverChanges(1)
 					continue
 				}
-				w.waiting = append(w.waiting, WatchOpened{Attempt: o.Attempt, ClusterID: w.s.id, Revision: w.s.revision})
+				w.queued = append(w.queued, WatchOpened{Attempt: o.Attempt, ClusterID: w.s.id, Revision: w.s.revision})
 			}
 		case ReadPage, Check:
-			if !w.mute {
-				w.waiting = append(w.waiting, w.s.answer(o))
+			if !w.silent {
+				w.queued = append(w.queued, w.s.answer(o))
 			}
 		case RequestProgress:
-			if !w.mute && w.watch != nil {
-				w.flow(1 << 30)
-				w.waiting = append(w.waiting, Progress{Attempt: o.Attempt, ClusterID: w.s.id, Revision: w.s.revision})
+			if !w.silent && w.watch != nil {
+				w.deliverChanges(1 << 30)
+				w.queued = append(w.queued, Progress{Attempt: o.Attempt, ClusterID: w.s.id, Revision: w.s.revision})
 			}
 		case Cancel:
 			w.watch = nil
@@ -174,65 +174,66 @@
 	w.check()
 }
 
-func (w *model) hear(o PublishList, before int64) {
+func (w *model) onPublish(o PublishList, before int64) {
 	if o.Complete {
-		w.told = map[string]Member{}
+		w.published = map[string]Member{}
 	}
 	for _, m := range o.Members {
 		key := "p/" + m.ID
-		was, there := w.told[key]
-		if f := w.firm[key]; f != nil && m.Phase == Serving && w.s.last(key) <= f.at &&
-			(w.blind && f.till == 0 || w.now < f.till) {
-			w.Fatalf("%s, published as %+v, is undone by an older list at %v, before %v", key, was, w.now, f.till)
+		was, there := w.published[key]
+		if f := w.holds[key]; f != nil && m.Phase == Serving && w.s.last(key) <= f.revision &&
+			(w.restoreUndetected && f.until == 0 || w.now < f.until) {
+			w.Fatalf("%s, published as %+v, is undone by an older list at %v, before %v", key, was, w.now, f.until)
 		}
-		delete(w.firm, key)
+		delete(w.holds, key)
 		switch {
 		case m.Phase == Deleted && !there:
 			w.Fatalf("the removal of %s is published twice", key)
 		case m.Phase == Deleted:
-			delete(w.told, key)
-			w.ends[key] = true
+			delete(w.published, key)
+			w.removed[key] = true
 		case there && was == m:
 			w.Fatalf("published twice: %+v", m)
 		default:
-			w.told[key] = m
-			delete(w.ends, key)
+			w.published[key] = m
+			delete(w.removed, key)
 		}
 	}
-	if o.Revision < before && !w.blind {
+	if o.Revision < before && !w.restoreUndetected {
 		w.Fatalf("published revision %d after %d", o.Revision, before)
 	}
 }
 
 // check compares the published list with the registry at the reconciler's revision.
 func (w *model) check() {
-	if w.blind && w.r.phase == watching && (w.r.config.WatchSendsChanges || w.fresh) {
-		w.blind, w.till = false, w.now+w.r.config.HistoryHold
-		for _, f := range w.firm {
-			if f.till == 0 {
-				f.till = w.till
+	if w.restoreUndetected && w.r.phase == watching && (w.r.config.WatchSendsChanges || w.currentAnswered) {
+		w.restoreUndetected, w.holdsEnd = false, w.now+w.r.config.HistoryHold
+		for _, f := range w.holds {
+			if f.until == 0 {
+				f.until = w.holdsEnd
 			}
 		}
 	}
-	if !w.r.hasList || w.blind {
+	if !w.r.hasList || w.restoreUndetected {
 		return
 	}
 	if len(w.r.unpublished) > 0 {
 		w.Fatal("changes are not published")
 	}
 	want := w.s.readable(w.r.revision)
-	for _, key := range keysOf(want, w.told) {
+	for _, key := range keysOf(want, w.published) {
 		m, listed := want[key]
-		got, told := w.told[key]
-		if m.Phase == Unreadable || listed == told && m == got {
+		got, isPublished := w.published[key]
+		if m.Phase == Unreadable || listed == isPublished && m == got {
 			continue
 		}
-		drain := told && got.Phase == Draining && listed && m.Phase == Serving
-		end := !told && listed && w.ends[key]
-		if w.now < w.till && (drain || end) {
+		drain := isPublished && got.Phase == Draining && listed && m.Phase == Serving
+		removal := !isPublished && listed && w.removed[key]
+		if w.now < w.holdsEnd && (drain || removal) {
 			continue
 		}
-		w.Fatalf("%s at revision %d: published %+v (%v), the registry has %+v (%v)", key, w.r.revision, got, told, m, listed)
+		w.Fatalf("%s at revision %d: published %+v (%v), the registry has %+v (%v)",
+			key, w.r.revision, got, isPublished, m, listed)
 	}
 }
 
@@ -246,17 +247,17 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// flow delivers up to n changes of the current watch, or its compaction.
-func (w *model) flow(n int) {
+// deliverChanges delivers up to n changes of the current watch, or its compaction.
+func (w *model) deliverChanges(n int) {
 	if w.watch == nil {
 		return
 	}
 	if !w.r.config.WatchSendsChanges {
-		w.waiting = append(w.waiting, Progress{Attempt: w.watch.Attempt, ClusterID: w.s.id, Revision: w.s.revision})
+		w.queued = append(w.queued, Progress{Attempt: w.watch.Attempt, ClusterID: w.s.id, Revision: w.s.revision})
 		return
 	}
 	if w.sent+1 < w.s.compacted {
-		w.waiting = append(w.waiting, Compacted{Attempt: w.watch.Attempt, OldestRevision: w.s.compacted})
+		w.queued = append(w.queued, Compacted{Attempt: w.watch.Attempt, OldestRevision: w.s.compacted})
 		w.watch = nil
 		return
 	}
@@ -267,19 +268,19 @@
 		}
 	}
 	if len(e.Entries) > 0 {
-		w.waiting = append(w.waiting, e)
+		w.queued = append(w.queued, e)
 	}
 }
 
 func (w *model) deliver() {
-	events := w.waiting
-	w.waiting = nil
+	events := w.queued
+	w.queued = nil
 	for _, e := range events {
 		switch e := e.(type) {
 		case Progress:
-			w.fresh = w.fresh || e.Attempt == w.r.attempt && w.r.phase == watching
+			w.currentAnswered = w.currentAnswered || e.Attempt == w.r.attempt && w.r.phase == watching
 		case Page:
-			w.fresh = w.fresh || e.Attempt == w.r.attempt && w.r.phase == reading
+			w.currentAnswered = w.currentAnswered || e.Attempt == w.r.attempt && w.r.phase == reading
 		}
 	}
 	w.step(events...)
@@ -290,27 +291,27 @@
 	plan.Seed, plan.Prefix, plan.PageSize, plan.Endpoints = "m", "p", 3, 3
 	plan.WatchSendsChanges, plan.SupportsCheck = changes, changes
 	plan.MaxValueSize, plan.HistoryHold = 1000, 5*time.Second
-	return &model{T: t, r: New(plan), s: modelRegistry{id: 7}, told: map[string]Member{}, ends: map[string]bool{},
-		firm: map[string]*expectedHold{}}
+	return &model{T: t, r: New(plan), s: modelRegistry{id: 7}, published: map[string]Member{}, removed: map[string]bool{},
+		holds: map[string]*expectedHold{}}
 }
 
 // With any sequence of changes, failures, silences, compactions, repetitions and restores, the published list is that
 // of the registry and each change is published once. Drains and removals are held against an older list. After the
 // faults end, the list is current.
 func TestModel(t *testing.T) {
-	t.Run("changes", func(t *testing.T) { rapid.Check(t, func(t *rapid.T) { history(t, true) }) })
-	t.Run("index", func(t *testing.T) { rapid.Check(t, func(t *rapid.T) { history(t, false) }) })
+	t.Run("changes", func(t *testing.T) { rapid.Check(t, func(t *rapid.T) { runHistory(t, true) }) })
+	t.Run("index", func(t *testing.T) { rapid.Check(t, func(t *rapid.T) { runHistory(t, false) }) })
 }
 
-// history runs a random sequence against a registry whose watch delivers either changes or only an index.
-func history(t *rapid.T, changes bool) {
+// runHistory runs a random sequence against a registry whose watch delivers either changes or only an index.
+func runHistory(t *rapid.T, changes bool) {
 	w := newModel(t, changes)
 	keys := []string{"p/a", "p/b", "p/c", "p/d", "p/e", "p/f", "p/g"}
 	old, restored := []modelRegistry{}, 0
 	var again []Event
 	act := map[string]func(*rapid.T){
 		"put": func(t *rapid.T) {
-			if !changes && w.blind {
+			if !changes && w.restoreUndetected {
 				return // the index may reach its former value, which cannot be detected
 			}
 			key := rapid.SampledFrom(keys).Draw(t, "key")
@@ -319,7 +320,7 @@
 			w.s.put(key, text, false)
 		},
 		"delete": func(t *rapid.T) {
-			if !changes && w.blind {
+			if !changes && w.restoreUndetected {
 				return
 			}
 			key := rapid.SampledFrom(keys).Draw(t, "key")
@@ -327,20 +328,20 @@
 				w.s.put(key, "", true)
 			}
 		},
-		"flow":    func(t *rapid.T) { w.flow(rapid.IntRange(1, 4).Draw(t, "n")) },
-		"deliver": func(*rapid.T) { again = slices.Clone(w.waiting); w.deliver() },
+		"flow":    func(t *rapid.T) { w.deliverChanges(rapid.IntRange(1, 4).Draw(t, "n")) },
+		"deliver": func(*rapid.T) { again = slices.Clone(w.queued); w.deliver() },
 		"repeat":  func(*rapid.T) { w.step(again...) },
 		"half": func(t *rapid.T) {
-			if n := len(w.waiting); n > 0 {
-				w.waiting = w.waiting[:rapid.IntRange(0, n-1).Draw(t, "kept")]
+			if n := len(w.queued); n > 0 {
+				w.queued = w.queued[:rapid.IntRange(0, n-1).Draw(t, "kept")]
 			}
 			w.step(AttemptFailed{Attempt: w.r.attempt, Reason: ConnectionLost, Err: errors.New("cut")})
 		},
 		"refuse": func(*rapid.T) {
 			w.step(AttemptFailed{Attempt: w.r.attempt, Reason: InvalidToken, Err: errors.New("expired")})
 		},
-		"mute":  func(*rapid.T) { w.mute, w.waiting, w.watch = true, nil, nil },
-		"speak": func(*rapid.T) { w.mute = false },
+		"mute":  func(*rapid.T) { w.silent, w.queued, w.watch = true, nil, nil },
+		"speak": func(*rapid.T) { w.silent = false },
 		"wait": func(t *rapid.T) {
 			w.now += Time(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond
 			w.step()
@@ -358,7 +359,7 @@
 			old = append(old, s)
 		},
 		"restore": func(t *rapid.T) {
-			if len(old) == 0 || !changes && w.blind {
+			if len(old) == 0 || !changes && w.restoreUndetected {
 				return
 			}
 			s := rapid.SampledFrom(old).Draw(t, "which")
@@ -376,41 +377,41 @@
 				s.put(keys[0], value(Serving, 100+restored), false)
 				restored++
 			}
-			if !w.blind {
-				w.seen = w.s
+			if !w.restoreUndetected {
+				w.lastSeen = w.s
 			}
-			other := w.seen.id != s.id || s.revision < w.r.revision ||
-				!reflect.DeepEqual(s.at(w.r.revision), w.seen.at(w.r.revision))
+			other := w.lastSeen.id != s.id || s.revision < w.r.revision ||
+				!reflect.DeepEqual(s.at(w.r.revision), w.lastSeen.at(w.r.revision))
 			if !changes { // a whole list only shows a difference of entries that are older than the revision
 				other = s.revision < w.r.revision
 				for key, c := range s.at(w.r.revision) {
-					other = other || !reflect.DeepEqual(c, w.seen.at(w.r.revision)[key]) && s.last(key) == c.ModRevision
+					other = other || !reflect.DeepEqual(c, w.lastSeen.at(w.r.revision)[key]) && s.last(key) == c.ModRevision
 				}
 			}
-			maps.DeleteFunc(w.firm, func(_ string, f *expectedHold) bool { return f.till == 0 })
-			for _, f := range w.firm {
-				f.at = min(f.at, restoredAt)
+			maps.DeleteFunc(w.holds, func(_ string, f *expectedHold) bool { return f.until == 0 })
+			for _, f := range w.holds {
+				f.revision = min(f.revision, restoredAt)
 			}
 			for _, key := range keys {
-				m, told := w.told[key]
-				if other && w.firm[key] == nil && (told && m.Phase == Draining || !told && w.ends[key]) {
-					w.firm[key] = &expectedHold{at: restoredAt}
+				m, isPublished := w.published[key]
+				if other && w.holds[key] == nil && (isPublished && m.Phase == Draining || !isPublished && w.removed[key]) {
+					w.holds[key] = &expectedHold{revision: restoredAt}
 				}
 			}
-			w.s, w.waiting, w.watch, w.blind, w.fresh = s, nil, nil, true, false
+			w.s, w.queued, w.watch, w.restoreUndetected, w.currentAnswered = s, nil, nil, true, false
 			w.step(AttemptFailed{Attempt: w.r.attempt, Reason: ConnectionLost, Err: errors.New("restored")})
 		},
 	}
 	t.Repeat(act)
 	// Without faults, the list is current after a backoff, a reload and an audit. All holds have ended by then.
-	w.mute = false
+	w.silent = false
 	for end := w.now + 100*time.Second; w.now < end; {
-		w.flow(100)
+		w.deliverChanges(100)
 		w.deliver()
 		w.now = max(w.now+time.Millisecond, min(w.r.NextDeadline(), w.now+time.Second))
 		w.step()
 	}
-	w.till = 0 // 100 s exceed any hold
+	w.holdsEnd = 0 // 100 s exceed any hold
 	if w.r.phase != watching || w.r.clusterID != w.s.id || w.r.revision != w.s.revision {
 		t.Fatalf("phase %d, revision %d of %d", w.r.phase, w.r.revision, w.s.revision)
 	}
--- a/internal/controller/reconcile/reconciler.go
+++ b/internal/controller/reconcile/reconciler.go
@@ -197,7 +197,7 @@
 func (r *Reconciler) startWatch() {
 	r.phase, r.lastMessageAt, r.progressRequested, r.auditing = watching, r.now, false, false
 	r.nextAuditAt = r.now + r.config.AuditInterval
-	// After a failure the index of the registry may be lower than before. A blocking query would then never return.
+	// The index of the registry may have decreased during a failure. A blocking query for a higher one would not return.
 	r.emit(Watch{Attempt: r.attempt, Endpoint: r.endpoint(), AfterRevision: r.revision,
 		Immediate: !r.config.WatchSendsChanges && !r.verified})
 }
--- a/internal/controller/reconcile/reconciler_test.go
+++ b/internal/controller/reconcile/reconciler_test.go
@@ -71,9 +71,9 @@
 	}
 	b.readAllPages()
 	w := only[Watch](b)
-	told := b.out
+	orders := b.out
 	b.step(WatchOpened{Attempt: w.Attempt, ClusterID: b.s.id, Revision: b.s.revision})
-	b.out = told
+	b.out = orders
 	return w
 }
 
@@ -440,7 +440,7 @@
 		notes := find[LogEntry](b)
 		if len(only[PublishList](b).Members) != n || len(notes) != want ||
 			want > 0 && !strings.Contains(notes[0].Reason, "6 of 10") {
-			t.Errorf("%d of 10 gone: %+v", n, b.out)
+			t.Errorf("%d of 10 removed: %+v", n, b.out)
 		}
 	}
 }
@@ -469,11 +469,11 @@
 		b.disconnect()
 		b.s.put("p/a", value(Draining, 1), false)
 		b.s.compacted = b.s.revision
-		toldAt := Time(0)
-		for b.now < began+down+10*time.Second && toldAt == 0 {
+		publishedAt := Time(0)
+		for b.now < began+down+10*time.Second && publishedAt == 0 {
 			b.now += step
 			b.step()
-			for busy := true; busy && toldAt == 0; {
+			for busy := true; busy && publishedAt == 0; {
 				busy = false
 				var answer Event
 				switch {
@@ -484,7 +484,7 @@
 					reads[(b.now-began)/(100*time.Millisecond)]++
 				}
 				if len(find[PublishList](b)) > 0 {
-					toldAt = b.now
+					publishedAt = b.now
 				}
 				if answer != nil && b.now < began+down {
 					calls[(b.now-began)/(100*time.Millisecond)]++
@@ -496,10 +496,10 @@
 				}
 			}
 		}
-		if toldAt == 0 {
+		if publishedAt == 0 {
 			t.Fatalf("controller %d published nothing", i)
 		}
-		latest = max(latest, toldAt-began-down)
+		latest = max(latest, publishedAt-began-down)
 	}
 	most, waiting := 0, 0
 	for at, n := range reads {
