--- a/internal/controller/eventloop/eventloop_test.go
+++ b/internal/controller/eventloop/eventloop_test.go
@@ -91,7 +91,7 @@
 
 // Messages of a replaced stream are ignored. Of two streams of a proxy, the newer one wins.
 func TestStreams(t *testing.T) {
-	d := newTestLoop(4)
+	loop := newTestLoop(4)
 	join := textproto.Subscribe{Proxy: 2, Zone: "b", Rate: 7}
 	used := textproto.UsageReport{Proxy: 2, Product: "order", Txns: 3, Period: 10000}
 	older, first, second := &testStream{sequence: 1}, &testStream{sequence: 2}, &testStream{sequence: 3}
@@ -118,24 +118,24 @@
 		{second, textproto.Closed{}, []policy.Event{policy.ProxyDisconnected{Proxy: 2}}},
 		{second, textproto.Closed{}, nil},
 	} {
-		d.Handle(Command{c.from, c.said})
-		if got := d.takeEvents(); !reflect.DeepEqual(got, c.want) {
+		loop.Handle(Command{c.from, c.said})
+		if got := loop.takeEvents(); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%d: %+v, want %+v", i, got, c.want)
 		}
 	}
-	if !older.replaced || !first.replaced || second.replaced || len(d.proxyOf) > 0 {
-		t.Errorf("replaced %v %v %v, %d streams kept", older.replaced, first.replaced, second.replaced, len(d.proxyOf))
+	if !older.replaced || !first.replaced || second.replaced || len(loop.proxyOf) > 0 {
+		t.Errorf("replaced %v %v %v, %d streams kept", older.replaced, first.replaced, second.replaced, len(loop.proxyOf))
 	}
 }
 
 // A message from an unknown sender, or with an unknown name, is rejected and has no other effect.
 func TestUnknownSendersAndNames(t *testing.T) {
-	d := newTestLoop(4)
-	d.SetCachedList(list(true, serving("s-1")))
+	loop := newTestLoop(4)
+	loop.SetCachedList(list(true, serving("s-1")))
 	stranger, source, stream := &testStream{}, &testStream{}, &testStream{}
-	d.Handle(Command{source, textproto.Source{Zone: "a"}})
-	d.Handle(Command{stream, textproto.Subscribe{Proxy: 1, Zone: "a"}})
-	d.takeEvents()
+	loop.Handle(Command{source, textproto.Source{Zone: "a"}})
+	loop.Handle(Command{stream, textproto.Subscribe{Proxy: 1, Zone: "a"}})
+	loop.takeEvents()
 	report := textproto.BackendReport{Zone: "a", Backend: "s-1", Attempts: 2}
 	for i, c := range []struct {
 		from *testStream
@@ -162,17 +162,17 @@
 		{source, textproto.UsageReport{Proxy: 3, Product: "look"}, nil}, {stream, textproto.Ack{Proxy: 1, Marker: 77}, nil},
 	} {
 		c.from.faults = nil
-		d.Handle(Command{c.from, c.said})
+		loop.Handle(Command{c.from, c.said})
 		if got := errors.Join(
-			c.from.faults...); len(d.takeEvents()) > 0 || !errors.Is(got, c.want) ||
+			c.from.faults...); len(loop.takeEvents()) > 0 || !errors.Is(got, c.want) ||
 			(got == nil) != (c.want == nil) {
 			t.Errorf("%d: fault %v, want %v", i, got, c.want)
 		}
 	}
-	d.Handle(Command{source, textproto.UsageReport{Proxy: 1, Product: "look", Txns: 1}})
-	d.Handle(Command{source, report})
+	loop.Handle(Command{source, textproto.UsageReport{Proxy: 1, Product: "look", Txns: 1}})
+	loop.Handle(Command{source, report})
 	want := []policy.Event{policy.UsageReport{Proxy: 1, Txns: 1}, policy.BackendReport{Attempts: 2}}
-	if got := d.takeEvents(); !reflect.DeepEqual(got, want) {
+	if got := loop.takeEvents(); !reflect.DeepEqual(got, want) {
 		t.Errorf("from a collector: %+v", got)
 	}
 	if !stranger.refused || source.refused || stream.refused {
@@ -184,17 +184,18 @@
 }
 
 func TestLists(t *testing.T) {
-	d := newTestLoop(4)
-	odd := serving("s-3")
-	odd.Phase = "RESTING"
-	lost := serving("s-4")
-	lost.Zone = "x"
-	gone := reconcile.Member{ID: "s-1", Phase: reconcile.Deleted}
-	warm := reconcile.Member{ID: "s-2", Zone: "b", Kind: "new", Phase: reconcile.Draining, Weight: 2, UpSince: 1234.56}
-	d.SetCachedList(list(true, serving("s-1")))
-	d.Handle(Command{Message: list(false, odd, lost, gone, warm, reconcile.Member{ID: "s-5", Phase: reconcile.Deleted})})
-	d.Handle(Command{Message: list(true, serving("s-2"))})
-	d.Handle(Command{Message: reconcile.SourceFailed{}})
+	loop := newTestLoop(4)
+	unknownPhase := serving("s-3")
+	unknownPhase.Phase = "RESTING"
+	unknownZone := serving("s-4")
+	unknownZone.Zone = "x"
+	removed := reconcile.Member{ID: "s-1", Phase: reconcile.Deleted}
+	draining := reconcile.Member{ID: "s-2", Zone: "b", Kind: "new", Phase: reconcile.Draining, Weight: 2, UpSince: 1234.56}
+	loop.SetCachedList(list(true, serving("s-1")))
+	unlisted := reconcile.Member{ID: "s-5", Phase: reconcile.Deleted}
+	loop.Handle(Command{Message: list(false, unknownPhase, unknownZone, removed, draining, unlisted)})
+	loop.Handle(Command{Message: list(true, serving("s-2"))})
+	loop.Handle(Command{Message: reconcile.SourceFailed{}})
 	want := []policy.Event{
 		policy.ListUpdate{Kind: policy.ListCached, Entries: []policy.Entry{{Status: policy.Ready, Weight: 1}}},
 		policy.ListUpdate{Kind: policy.ListChange, Entries: []policy.Entry{{Zone: -1, Kind: -1, Status: policy.Gone},
@@ -202,17 +203,17 @@
 		policy.ListUpdate{Kind: policy.ListFull, Entries: []policy.Entry{{Backend: 1, Status: policy.Ready, Weight: 1}}},
 		policy.ListUpdate{Kind: policy.ListFailed},
 	}
-	if got := d.takeEvents(); !reflect.DeepEqual(got, want) {
+	if got := loop.takeEvents(); !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 }
 
 // Messages contain full tables, admissions by product, later changes, withdrawals of earlier controllers, and markers.
 func TestOrders(t *testing.T) {
-	d, brings, fresh := newTestLoop(4), &testStream{}, &testStream{}
-	d.SetCachedList(list(true, serving("s-0"), serving("s-1"), serving("s-2")))
-	d.Handle(Command{brings, textproto.Subscribe{Proxy: 0, Zone: "a"}})
-	d.Handle(Command{fresh, textproto.Subscribe{Proxy: 1, Zone: "a", Fresh: true}})
+	loop, brings, fresh := newTestLoop(4), &testStream{}, &testStream{}
+	loop.SetCachedList(list(true, serving("s-0"), serving("s-1"), serving("s-2")))
+	loop.Handle(Command{brings, textproto.Subscribe{Proxy: 0, Zone: "a"}})
+	loop.Handle(Command{fresh, textproto.Subscribe{Proxy: 1, Zone: "a", Fresh: true}})
 	bind := func(p int) []policy.Order {
 		return []policy.Order{
 			policy.ClearTable{Table: p},
@@ -259,7 +260,7 @@
 			policy.PeerMessage{}, policy.Probe{}},
 			"", ""},
 	} {
-		d.execute(c.orders)
+		loop.execute(c.orders)
 		if got := strings.Join(brings.take(), "|"); got != c.brings {
 			t.Errorf("%d: the proxy with earlier tables got\n%s, want\n%s", i, got, c.brings)
 		}
@@ -267,15 +268,15 @@
 			t.Errorf("%d: the fresh proxy got\n%s, want\n%s", i, got, c.cold)
 		}
 	}
-	d.execute([]policy.Order{policy.WatchList{Enabled: true}, policy.ReloadList{}})
-	if got, ok := d.lists.(*testLists); !ok || *got != (testLists{1, 1}) {
+	loop.execute([]policy.Order{policy.WatchList{Enabled: true}, policy.ReloadList{}})
+	if got, ok := loop.lists.(*testLists); !ok || *got != (testLists{1, 1}) {
 		t.Errorf("calls of the list source: %+v", got)
 	}
-	d.takeEvents()
+	loop.takeEvents()
 	for _, number := range []int{9, 9, 12} { // each marker is acknowledged once
-		d.Handle(Command{brings, textproto.Ack{Proxy: 0, Marker: number}})
+		loop.Handle(Command{brings, textproto.Ack{Proxy: 0, Marker: number}})
 	}
-	if got := d.takeEvents(); len(got) != 1 {
+	if got := loop.takeEvents(); len(got) != 1 {
 		t.Errorf("acknowledgements: %+v", got)
 	}
 }
@@ -290,14 +291,14 @@
 
 // Queued commands are handled in one step, which sends one message with the same marker to each proxy.
 func TestOneMessagePerTick(t *testing.T) {
-	d, queue, messages := newTestLoop(4), make(chan Command, 100), make(chan string, 100)
-	d.SetCachedList(list(true, serving("s-0"), serving("s-1")))
+	loop, queue, messages := newTestLoop(4), make(chan Command, 100), make(chan string, 100)
+	loop.SetCachedList(list(true, serving("s-0"), serving("s-1")))
 	for i := range 4 {
 		stream := &channelStream{testStream{sequence: uint64(i)}, messages}
 		queue <- Command{stream, textproto.Subscribe{Proxy: i, Zone: "a", Rate: 1, Fresh: true}}
 	}
 	now := 1000 * policy.Second
-	go d.Run(queue, nil, time.Nanosecond, func() policy.Time { return now })
+	go loop.Run(queue, nil, time.Nanosecond, func() policy.Time { return now })
 	for range 4 {
 		if m := <-messages; !strings.HasSuffix(m, " ticket=1\r\n") || !strings.Contains(m, "lines=s-0:1,s-1:1") {
 			t.Errorf("first message %q", m)
@@ -384,7 +385,7 @@
 // Indices of removed backends are released once no proxy has an entry for them, and a late report is not attributed to
 // the backend that has the index now.
 func TestIndicesAreReused(t *testing.T) {
-	d, source, now := newTestLoop(3), &testStream{}, 1000*policy.Second
+	loop, source, now := newTestLoop(3), &testStream{}, 1000*policy.Second
 	marker := func(l *testStream) (n int) {
 		_, text, _ := strings.Cut(strings.Join(l.take(), ""), "ticket=")
 		n, _ = strconv.Atoi(strings.TrimSpace(strings.SplitN(text, "\r", 2)[0]))
@@ -394,8 +395,8 @@
 		m.Zone = names.Zones[at%2]
 		return m
 	}
-	d.SetCachedList(list(true, zone(serving("s-0"), 0), zone(serving("s-1"), 1)))
-	d.Handle(Command{source, textproto.Source{Zone: "a"}})
+	loop.SetCachedList(list(true, zone(serving("s-0"), 0), zone(serving("s-1"), 1)))
+	loop.Handle(Command{source, textproto.Source{Zone: "a"}})
 	proxies := make([]*testStream, 3)
 	most, early := 0, uint64(0)
 	for i := range 4000 {
@@ -405,46 +406,46 @@
 		at, id := i%3, fmt.Sprint("s-", i)
 		if i%10 < 3 {
 			if proxies[at] != nil {
-				d.Handle(Command{proxies[at], textproto.Closed{}})
+				loop.Handle(Command{proxies[at], textproto.Closed{}})
 			}
 			proxies[at] = &testStream{sequence: uint64(i)}
-			d.Handle(Command{proxies[at], textproto.Subscribe{Proxy: at, Zone: "a", Rate: 5, Fresh: i%20 < 10}})
+			loop.Handle(Command{proxies[at], textproto.Subscribe{Proxy: at, Zone: "a", Rate: 5, Fresh: i%20 < 10}})
 		}
-		d.Handle(Command{Message: list(false, zone(serving(fmt.Sprint("s-", i+2)), i))})
+		loop.Handle(Command{Message: list(false, zone(serving(fmt.Sprint("s-", i+2)), i))})
 		gone := reconcile.Member{ID: id, Zone: names.Zones[i%2], Kind: "s", Phase: reconcile.Draining, Weight: 1}
 		if i%2 == 0 {
 			gone.Phase = reconcile.Deleted
 		}
-		d.Handle(Command{Message: list(false, gone)})
+		loop.Handle(Command{Message: list(false, gone)})
 		for range 4 {
 			now += policy.Second / 2
-			d.Step(now)
+			loop.Step(now)
 			for p, l := range proxies {
 				if l != nil && len(l.sent) > 0 {
-					d.Handle(Command{l, textproto.Ack{Proxy: p, Marker: marker(l)}})
+					loop.Handle(Command{l, textproto.Ack{Proxy: p, Marker: marker(l)}})
 				}
 			}
 		}
 		gone.Phase = reconcile.Deleted
-		d.Handle(Command{Message: list(false, gone)})
-		d.Handle(
+		loop.Handle(Command{Message: list(false, gone)})
+		loop.Handle(
 			Command{source, textproto.BackendReport{Zone: "a", Backend: fmt.Sprint("s-", i-60), Attempts: 9, Latency: 500}},
 		)
-		for _, e := range d.events {
+		for _, e := range loop.events {
 			if report, ok := e.(policy.BackendReport); ok && i > 60 {
-				t.Fatalf("%d: a late report counts for index %d, which is %s now", i, report.Backend, d.backends[report.Backend])
+				t.Fatalf("%d: a late report counts for index %d, which is %s now", i, report.Backend, loop.backends[report.Backend])
 			}
 		}
 		if most = max(
 			most,
-			len(d.backends),
-		); most > 40 || len(d.index) > 40 || len(d.proxyOf) > 3 ||
-			len(d.proxies[at].notified) > 40 {
-			t.Fatalf("%d: %d indices, %d names, %d streams", i, most, len(d.index), len(d.proxyOf))
+			len(loop.backends),
+		); most > 40 || len(loop.index) > 40 || len(loop.proxyOf) > 3 ||
+			len(loop.proxies[at].notified) > 40 {
+			t.Fatalf("%d: %d indices, %d names, %d streams", i, most, len(loop.index), len(loop.proxyOf))
 		}
 	}
 	late := liveHeap()
-	runtime.KeepAlive(d)
+	runtime.KeepAlive(loop)
 	if late > early+256<<10 {
 		t.Errorf("%d bytes live after 500 backends, %d after 4,000", early, late)
 	}
@@ -461,12 +462,12 @@
 // A proxy that applies the messages has the state that the orders describe, whatever tables it had before.
 func TestProxyStateMatchesOrders(t *testing.T) {
 	same := func(seed int64) bool {
-		rnd, d := rand.New(rand.NewSource(seed)), newTestLoop(proxyCount)
+		rnd, loop := rand.New(rand.NewSource(seed)), newTestLoop(proxyCount)
 		var members []reconcile.Member
 		for b := range fleetSize {
 			members = append(members, serving(fmt.Sprint("s-", b)))
 		}
-		d.SetCachedList(list(true, members...))
+		loop.SetCachedList(list(true, members...))
 		proxies, uses := make([]*testProxy, proxyCount), make([][]int, proxyCount)
 		tables, out := make([]map[string]tableState, tableCount), map[string]bool{} // by product
 		clearTable := func(id int) {
@@ -487,7 +488,7 @@
 						p.withdrawn[fmt.Sprint("s-", rnd.Intn(fleetSize))] = true
 						p.tables["look"] = tableState{lines: map[string]float64{"s-0": 1}, level: 3}
 					}
-					d.Handle(Command{p, textproto.Subscribe{Proxy: i, Zone: "a", Fresh: len(p.withdrawn) == 0}})
+					loop.Handle(Command{p, textproto.Subscribe{Proxy: i, Zone: "a", Fresh: len(p.withdrawn) == 0}})
 					proxies[i], uses[i] = p, nil
 				}
 			}
@@ -533,7 +534,7 @@
 					uses[i] = []int{id, id, other}
 				}
 			}
-			d.execute(orders)
+			loop.execute(orders)
 			for i, p := range proxies {
 				p.apply(t)
 				if p.parts > textproto.MaxParts {
@@ -570,32 +571,32 @@
 func TestLinesStayWithinCharge(t *testing.T) {
 	const proxyCount = 12
 	kept := func(seed int64) bool {
-		rnd, d := rand.New(rand.NewSource(seed)), newTestLoop(proxyCount)
+		rnd, loop := rand.New(rand.NewSource(seed)), newTestLoop(proxyCount)
 		var members []reconcile.Member
 		for b := range 14 {
 			m := serving(fmt.Sprint("s-", b))
 			m.Zone, m.Weight = names.Zones[b%2], 1+rnd.Float64()
 			members = append(members, m)
 		}
-		d.SetCachedList(list(true, members...))
+		loop.SetCachedList(list(true, members...))
 		dep := deploymentOf(proxyCount)
 		proxies, owner := make([]*testProxy, proxyCount), map[int]int{}
 		queue, mosts := 0.0, 0.0
 		type answer struct{ step, proxy, number int }
 		var answers []answer
 		source := &testStream{}
-		d.Handle(Command{source, textproto.Source{Zone: "a"}})
+		loop.Handle(Command{source, textproto.Source{Zone: "a"}})
 		for step := range 400 {
 			now := policy.Time(step+1) * policy.Second / 10
 			for i, p := range proxies {
 				if rnd.Intn(150) == 0 || step == i/4 {
 					p = newTestProxy(step)
 					proxies[i] = p
-					d.Handle(Command{p, textproto.Subscribe{Proxy: i, Zone: names.Zones[i%2], Rate: 5, Fresh: rnd.Intn(2) == 0}})
+					loop.Handle(Command{p, textproto.Subscribe{Proxy: i, Zone: names.Zones[i%2], Rate: 5, Fresh: rnd.Intn(2) == 0}})
 				}
 				if p != nil && step%10 == 0 {
 					for _, k := range names.Products {
-						d.Handle(
+						loop.Handle(
 							Command{p, textproto.UsageReport{Proxy: i, Product: k, Txns: float64(rnd.Intn(12)), Failed: float64(rnd.Intn(2)),
 								Period: policy.Second}},
 						)
@@ -604,7 +605,7 @@
 			}
 			if step%10 == 5 {
 				for _, m := range members {
-					d.Handle(
+					loop.Handle(
 						Command{source, textproto.BackendReport{Zone: "a", Backend: m.ID, Attempts: 9, Failed: float64(rnd.Intn(3)),
 							Latency: policy.Time(500 + rnd.Intn(9000))}},
 					)
@@ -616,21 +617,21 @@
 				if m.Phase == reconcile.Serving {
 					m.UpSince = float64(now) / 10
 				}
-				d.Handle(Command{Message: list(false, *m)})
+				loop.Handle(Command{Message: list(false, *m)})
 			}
 			answers = slices.DeleteFunc(answers, func(a answer) bool {
 				if a.step <= step {
-					d.Handle(Command{proxies[a.proxy], textproto.Ack{Proxy: a.proxy, Marker: a.number}})
+					loop.Handle(Command{proxies[a.proxy], textproto.Ack{Proxy: a.proxy, Marker: a.number}})
 				}
 				return a.step <= step
 			})
 			// The same as Step, but the orders are inspected before they are executed.
 			due := func(w timer) bool { return w.at <= now }
-			if slices.ContainsFunc(d.timers, due) {
-				d.events = append(d.events, policy.TimerFired{})
+			if slices.ContainsFunc(loop.timers, due) {
+				loop.events = append(loop.events, policy.TimerFired{})
 			}
-			d.timers, d.now = slices.DeleteFunc(d.timers, due), now
-			orders := d.assigner.Step(now, d.takeEvents())
+			loop.timers, loop.now = slices.DeleteFunc(loop.timers, due), now
+			orders := loop.assigner.Step(now, loop.takeEvents())
 			charge, ticket, cleared := make([]float64, proxyCount), 0, map[int]bool{}
 			for _, o := range orders {
 				if use, ok := o.(policy.AssignTable); ok {
@@ -641,11 +642,12 @@
 				switch o := o.(type) {
 				case policy.SetWeight:
 					charge[owner[o.Table]]++
-					held := !cleared[o.Table] && o.Backend < len(d.tables[o.Table].weight) && d.tables[o.Table].weight[o.Backend] > 0
-					if !held && d.proxies[owner[o.Table]].initial == usabilityUnknown {
+					hasEntry := !cleared[o.Table] && o.Backend < len(loop.tables[o.Table].weight) &&
+						loop.tables[o.Table].weight[o.Backend] > 0
+					if !hasEntry && loop.proxies[owner[o.Table]].initial == usabilityUnknown {
 						charge[owner[o.Table]]++ // ends a withdrawal of an earlier controller
 					}
-					if o.Weight == 0 && d.withdrawn[o.Backend] {
+					if o.Weight == 0 && loop.withdrawn[o.Backend] {
 						charge[owner[o.Table]]++ // restores a backend that left the table
 					}
 				case policy.ClearTable:
@@ -656,8 +658,8 @@
 				case policy.AssignTable:
 					charge[o.Proxy]++
 				case policy.Withdraw:
-					for i := range d.proxies {
-						if d.proxies[i].stream != nil && d.mayHaveEntry(&d.proxies[i], o.Backend) {
+					for i := range loop.proxies {
+						if loop.proxies[i].stream != nil && loop.mayHaveEntry(&loop.proxies[i], o.Backend) {
 							charge[i]++
 						}
 					}
@@ -665,7 +667,7 @@
 					ticket = o.Number
 				}
 			}
-			d.execute(orders)
+			loop.execute(orders)
 			queue = max(queue-dep.LinesPerSecond/10, 0)
 			for i, p := range proxies {
 				if p == nil || len(p.sent) == 0 {
--- a/internal/controller/eventloop/scale_test.go
+++ b/internal/controller/eventloop/scale_test.go
@@ -18,11 +18,11 @@
 // If reports arrive faster than they are handled, a step handles a bounded number of them, and a drain that arrives
 // before the end of the tick is part of its step.
 func TestDrainIsNotDelayedByReports(t *testing.T) {
-	d, queue, lists, over := newTestLoop(4), make(chan Command, 8), make(chan Command, 4), make(chan time.Time, 1)
-	d.SetCachedList(list(true, serving("s-0"), serving("s-1")))
+	loop, queue, lists, over := newTestLoop(4), make(chan Command, 8), make(chan Command, 4), make(chan time.Time, 1)
+	loop.SetCachedList(list(true, serving("s-0"), serving("s-1")))
 	stream := &testStream{sequence: 1}
-	d.Handle(Command{stream, textproto.Subscribe{Proxy: 0, Zone: "a", Rate: 1, Fresh: true}})
-	d.Step(1000 * policy.Second)
+	loop.Handle(Command{stream, textproto.Subscribe{Proxy: 0, Zone: "a", Rate: 1, Fresh: true}})
+	loop.Step(1000 * policy.Second)
 	const reports = 5000
 	sent, stop := make(chan int, 1), make(chan bool)
 	go func() {
@@ -44,11 +44,11 @@
 	drain.Phase = reconcile.Draining
 	lists <- Command{Message: list(false, drain)}
 	over <- time.Time{}
-	d.collect(queue, lists, over)
+	loop.collect(queue, lists, over)
 	close(stop)
-	taken := len(d.events)
+	taken := len(loop.events)
 	stream.take()
-	d.Step(1001 * policy.Second)
+	loop.Step(1001 * policy.Second)
 	if text := fmt.Sprint(stream.take()); !strings.Contains(text, "out=s-0") {
 		t.Errorf("the step does not send the drain: %s", text)
 	}
@@ -60,36 +60,36 @@
 
 // bigFleet is a loop with many proxies and backends.
 type bigFleet struct {
-	d       *Loop
+	loop    *Loop
 	streams []*testStream
 	now     policy.Time
-	made    int // number of backends created
-	here    []reconcile.Member
+	created int // backends
+	members []reconcile.Member
 }
 
 func newBigFleet(proxies, backends int) *bigFleet {
-	f := &bigFleet{d: newTestLoop(proxies), now: 1000 * policy.Second, streams: make([]*testStream, proxies)}
+	f := &bigFleet{loop: newTestLoop(proxies), now: 1000 * policy.Second, streams: make([]*testStream, proxies)}
 	for range backends {
-		f.here = append(f.here, f.backend())
+		f.members = append(f.members, f.backend())
 	}
-	f.d.SetCachedList(list(true, f.here...))
+	f.loop.SetCachedList(list(true, f.members...))
 	return f
 }
 
 func (f *bigFleet) backend() reconcile.Member {
-	m := serving(fmt.Sprint("s-", f.made))
-	m.Zone = names.Zones[f.made%2]
-	f.made++
+	m := serving(fmt.Sprint("s-", f.created))
+	m.Zone = names.Zones[f.created%2]
+	f.created++
 	return m
 }
 
-func (f *bigFleet) join(from, to int, since uint64) {
+func (f *bigFleet) connect(from, to int, sequence uint64) {
 	for i := from; i < to; i++ {
 		if f.streams[i] != nil {
-			f.d.Handle(Command{f.streams[i], textproto.Closed{}})
+			f.loop.Handle(Command{f.streams[i], textproto.Closed{}})
 		}
-		f.streams[i] = &testStream{sequence: since}
-		f.d.Handle(Command{f.streams[i], textproto.Subscribe{Proxy: i, Zone: names.Zones[i%2], Rate: 5}})
+		f.streams[i] = &testStream{sequence: sequence}
+		f.loop.Handle(Command{f.streams[i], textproto.Subscribe{Proxy: i, Zone: names.Zones[i%2], Rate: 5}})
 	}
 }
 
@@ -100,30 +100,30 @@
 			continue
 		}
 		for _, k := range names.Products {
-			f.d.Handle(Command{s, textproto.UsageReport{Proxy: i, Product: k, Txns: float64(i % 7), Period: policy.Second}})
+			f.loop.Handle(Command{s, textproto.UsageReport{Proxy: i, Product: k, Txns: float64(i % 7), Period: policy.Second}})
 		}
-		for _, m := range f.d.proxies[i].pendingMarkers {
-			f.d.Handle(Command{s, textproto.Ack{Proxy: i, Marker: m}})
+		for _, m := range f.loop.proxies[i].pendingMarkers {
+			f.loop.Handle(Command{s, textproto.Ack{Proxy: i, Marker: m}})
 		}
 		s.sent = nil
 	}
 	f.now += policy.Second
-	f.d.Step(f.now)
+	f.loop.Step(f.now)
 }
 
 // Memory stays bounded when a controller with a fifth of the proxies gets all of them within a second.
 func TestMemoryWithAllProxiesConnected(t *testing.T) {
 	const proxies, backends = 2400, 200
 	f := newBigFleet(proxies, backends)
-	f.join(0, proxies/5, 1)
+	f.connect(0, proxies/5, 1)
 	for range 3 {
 		f.second()
 	}
-	f.join(proxies/5, proxies, 2)
+	f.connect(proxies/5, proxies, 2)
 	for range 3 {
 		f.second()
 	}
-	if n := len(f.d.proxyOf); n != proxies {
+	if n := len(f.loop.proxyOf); n != proxies {
 		t.Fatalf("%d proxies connected", n)
 	}
 	// Connections need further memory for goroutines and buffers.
@@ -141,15 +141,15 @@
 	var kept []int
 	for day := range 10 {
 		for turn := range 2 {
-			f.join(0, proxies, uint64(2*day+turn+1))
+			f.connect(0, proxies, uint64(2*day+turn+1))
 			f.second()
 		}
-		for i := range f.here {
+		for i := range f.members {
 			if i%5 < 3 {
-				gone := f.here[i]
+				gone := f.members[i]
 				gone.Phase = reconcile.Deleted
-				f.here[i] = f.backend()
-				f.d.Handle(Command{Message: list(false, gone, f.here[i])})
+				f.members[i] = f.backend()
+				f.loop.Handle(Command{Message: list(false, gone, f.members[i])})
 				f.second()
 			}
 		}
@@ -157,16 +157,16 @@
 			f.second()
 		}
 		heap = append(heap, liveHeap())
-		kept = append(kept, len(f.d.backends)+len(f.d.index)+len(f.d.proxyOf)+len(f.d.tables)+len(f.d.timers))
+		kept = append(kept, len(f.loop.backends)+len(f.loop.index)+len(f.loop.proxyOf)+len(f.loop.tables)+len(f.loop.timers))
 		t.Logf(
 			"day %d: %d kB of heap; %d indices, %d names, %d streams, %d tables, %d timers",
 			day+1,
 			heap[day]>>10,
-			len(f.d.backends),
-			len(f.d.index),
-			len(f.d.proxyOf),
-			len(f.d.tables),
-			len(f.d.timers),
+			len(f.loop.backends),
+			len(f.loop.index),
+			len(f.loop.proxyOf),
+			len(f.loop.tables),
+			len(f.loop.timers),
 		)
 	}
 	runtime.KeepAlive(f)
@@ -188,22 +188,22 @@
 	dep.LinesPerSecond, dep.MaxQueuedLines = speed, 6000
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	d := New(dep, names, &testLists{}, logrus.NewEntry(log))
+	loop := New(dep, names, &testLists{}, logrus.NewEntry(log))
 	whole := list(true)
 	for i := range 12 {
 		whole.Members = append(whole.Members, serving(fmt.Sprint("s-", i)))
 	}
-	d.SetCachedList(whole)
+	loop.SetCachedList(whole)
 	streams := make([]*testStream, dep.Proxies)
 	join := func(from, to int) {
 		for i := from; i < to; i++ {
 			streams[i] = &testStream{sequence: uint64(i + 1)}
-			d.Handle(Command{streams[i], textproto.Subscribe{Proxy: i, Zone: "a", Rate: 5, Fresh: i%2 == 0}})
+			loop.Handle(Command{streams[i], textproto.Subscribe{Proxy: i, Zone: "a", Rate: 5, Fresh: i%2 == 0}})
 		}
 	}
 	join(0, 20)
 	now := 1000 * policy.Second
-	d.Step(now)
+	loop.Step(now)
 	waiting := 0
 	for i := range 8 {
 		if i == 4 { // these connect after four withdrawals
@@ -211,15 +211,15 @@
 		}
 		drain := serving(fmt.Sprint("s-", i))
 		drain.Phase = reconcile.Draining
-		d.Handle(Command{Message: list(false, drain)})
+		loop.Handle(Command{Message: list(false, drain)})
 		now += policy.Second / 10
-		d.Step(now)
+		loop.Step(now)
 		for p, s := range streams {
 			if s == nil {
 				continue
 			}
 			text := strings.Join(s.take(), "")
-			if d.proxies[p].tables[0] != none || text == "" {
+			if loop.proxies[p].tables[0] != none || text == "" {
 				continue
 			}
 			waiting++
@@ -235,18 +235,18 @@
 
 // A report that is malformed or has unknown names is ignored, and valid ones around it still count.
 func TestInvalidReportsAreIgnored(t *testing.T) {
-	d, s := newTestLoop(4), &testStream{sequence: 1}
-	d.SetCachedList(list(true, serving("s-0")))
+	loop, s := newTestLoop(4), &testStream{sequence: 1}
+	loop.SetCachedList(list(true, serving("s-0")))
 	receive := func(text string) {
 		said, err := textproto.Parse([]byte(text))
 		if said != nil {
-			d.Handle(Command{s, said})
+			loop.Handle(Command{s, said})
 		} else {
 			s.RecordFault(err)
 		}
 	}
 	receive("SUBSCRIBE node=0 locality=a w=5 cold=1")
-	d.takeEvents()
+	loop.takeEvents()
 	for _, invalid := range []string{"RATE node=0 route=look total=-4 errors=0 interval=1000", "RATE node=0 " +
 		"route=look total=1e99 errors=0 interval=1000",
 		"RATE node=0 route=look errors=0 interval=1000",
@@ -258,7 +258,7 @@
 			"errors=1 rtt=3 interval=1000"} {
 		receive("RATE node=0 route=look total=9 errors=1 interval=1000")
 		receive(invalid)
-		events := d.takeEvents()
+		events := loop.takeEvents()
 		if len(events) != 1 || events[0] != (policy.UsageReport{Proxy: 0, Txns: 9, Failed: 1, Period: policy.Second}) {
 			t.Errorf("with %q: %v", invalid, events)
 		}
--- a/internal/controller/eventloop/snapshot_test.go
+++ b/internal/controller/eventloop/snapshot_test.go
@@ -20,33 +20,33 @@
 	}
 	members := []string{"s-0", "s-1", "s-2", "s-3", "s-4", "s-5"}
 	begin := func() (*Loop, *testStream) {
-		d, l := newTestLoop(2), &testStream{sequence: 1}
+		loop, l := newTestLoop(2), &testStream{sequence: 1}
 		whole := list(true)
 		for _, id := range members {
 			whole.Members = append(whole.Members, serving(id))
 		}
-		d.SetCachedList(whole)
-		return d, l
+		loop.SetCachedList(whole)
+		return loop, l
 	}
-	weight := func(d *Loop, at int) float64 { return d.tables[d.proxies[0].tables[0]].weight[at] }
-	d, l := begin()
-	d.SetFactSink(keep)
+	weight := func(loop *Loop, at int) float64 { return loop.tables[loop.proxies[0].tables[0]].weight[at] }
+	loop, l := begin()
+	loop.SetFactSink(keep)
 	now := 1000 * policy.Second
-	d.Handle(Command{l, textproto.Subscribe{Proxy: 0, Zone: "a", Rate: 30, Fresh: true}})
+	loop.Handle(Command{l, textproto.Subscribe{Proxy: 0, Zone: "a", Rate: 30, Fresh: true}})
 	for range 20 {
 		for i, id := range members {
 			took := policy.Time(1000)
 			if i == 2 {
 				took = 7000
 			}
-			d.Handle(Command{l, textproto.BackendReport{Zone: "a", Backend: id, Attempts: 20, Latency: took}})
+			loop.Handle(Command{l, textproto.BackendReport{Zone: "a", Backend: id, Attempts: 20, Latency: took}})
 		}
-		d.Handle(Command{l, textproto.UsageReport{Proxy: 0, Product: "look", Txns: 33, Period: policy.Second}})
-		for _, m := range d.proxies[0].pendingMarkers {
-			d.Handle(Command{l, textproto.Ack{Proxy: 0, Marker: m}})
+		loop.Handle(Command{l, textproto.UsageReport{Proxy: 0, Product: "look", Txns: 33, Period: policy.Second}})
+		for _, m := range loop.proxies[0].pendingMarkers {
+			loop.Handle(Command{l, textproto.Ack{Proxy: 0, Marker: m}})
 		}
 		now += policy.Second
-		d.Step(now)
+		loop.Step(now)
 	}
 	if f := kept["relief s-2"]; f.Value >= 1 || f.Value <= 0 {
 		t.Fatalf("kept %v", kept)
@@ -57,7 +57,7 @@
 	if _, ok := kept["relief s-1"]; ok || kept["pace "].Value <= 0 {
 		t.Errorf("kept %v", kept)
 	}
-	want := weight(d, 2)
+	want := weight(loop, 2)
 	next, l := begin()
 	for _, f := range kept {
 		f.Origin = "n1"
@@ -79,7 +79,7 @@
 	next.Handle(Command{l, textproto.Subscribe{Proxy: 0, Zone: "a", Rate: 30, Fresh: true}})
 	next.Step(now + policy.Second)
 	// The policy does not send smaller differences of weight.
-	if got := weight(next, 2); got < 0.88*want || got > want/0.88 || weight(next, 1) != weight(d, 1) {
+	if got := weight(next, 2); got < 0.88*want || got > want/0.88 || weight(next, 1) != weight(loop, 1) {
 		t.Errorf("weight %v after the restart, %v before", got, want)
 	}
 	// A report overrides a restored estimate.
@@ -89,7 +89,7 @@
 		Command{nil, warmstart.Believe{Fact: warmstart.Fact{Kind: warmstart.Relief, Key: "s-1", Value: 0.3}, Part: 1}},
 	)
 	next.Step(now + 3*policy.Second)
-	if weight(next, 1) != weight(d, 1) {
+	if weight(next, 1) != weight(loop, 1) {
 		t.Errorf("weight %v of a backend with a report", weight(next, 1))
 	}
 }
@@ -100,13 +100,13 @@
 	f := newBigFleet(proxies, 20)
 	var sizes []int
 	seen := map[string]bool{}
-	f.d.SetFactSink(func(facts []warmstart.Fact) {
+	f.loop.SetFactSink(func(facts []warmstart.Fact) {
 		sizes = append(sizes, len(facts))
 		for _, x := range facts {
 			seen[x.Key] = true
 		}
 	})
-	f.join(0, proxies, 1)
+	f.connect(0, proxies, 1)
 	for range snapshotParts + 1 {
 		f.second()
 	}
