--- a/internal/controller/server/listener.go
+++ b/internal/controller/server/listener.go
@@ -1,6 +1,8 @@
-// Package server holds the connections that proxies and collectors open: it takes lines off them, hands on
-// what they say, and writes whole messages. Limits of memory, descriptors and time are kept here; nothing is
-// decided.
+// Package server accepts TCP connections from proxies and load collectors. It parses the lines that they send,
+// passes the messages to a Handler and writes messages back. It enforces limits on memory, file descriptors and time.
+//
+// A connection joins with its first Subscribe or Source message. Until then it is unjoined: its limits are lower,
+// and it is evicted when connections run out.
 package server
 
 import (
@@ -20,109 +22,115 @@
 	"elmfold/internal/controller/textproto"
 )
 
-// Reason is the code of why a connection ended.
+// Reason is why a connection ended, as written to the log.
 type Reason string
 
-// Reasons.
+// Reasons for the end of a connection.
 const (
-	ReasonClosed          Reason = "closed"   // by the other side
-	ReasonReset           Reason = "reset"    // by the other side or the network
+	ReasonClosed          Reason = "closed"   // by the peer
+	ReasonReset           Reason = "reset"    // by the peer or the network
 	ReasonReplaced        Reason = "replaced" // by a newer stream of the same proxy
-	ReasonJoinTimeout     Reason = "silent"   // a stranger that did not say in time whose it is
-	ReasonConnectionLimit Reason = "crowded"  // a stranger that made room, or found none
-	ReasonLineTooLong     Reason = "too-long" // a line beyond what a message may hold
-	ReasonMemoryLimit     Reason = "memory"   // unfinished lines of all connections together hold too much
-	ReasonWriteBacklog    Reason = "unread"   // the other side does not read what is written to it
-	ReasonMalformed       Reason = "garbage"  // what came is no message
-	ReasonNotJoined       Reason = "unjoined" // a stranger's message that was no joining
-	ReasonRefused         Reason = "refused"  // a joining of a proxy or a collector that is not known
-	ReasonSocketError     Reason = "broken"   // any other failure of the socket
-	ReasonShutdown        Reason = "stopped"  // with the listener
+	ReasonJoinTimeout     Reason = "silent"   // the connection did not join in time
+	ReasonConnectionLimit Reason = "crowded"  // evicted, or not accepted, because connections ran out
+	ReasonLineTooLong     Reason = "too-long" // a line exceeds its limit
+	ReasonMemoryLimit     Reason = "memory"   // long incomplete lines of all connections exceed their limit
+	ReasonWriteBacklog    Reason = "unread"   // the peer does not read what is sent to it
+	ReasonMalformed       Reason = "garbage"  // the peer sent something other than a message
+	ReasonNotJoined       Reason = "unjoined" // a message other than Ping before the join
+	ReasonRefused         Reason = "refused"  // the proxy or collector is unknown
+	ReasonSocketError     Reason = "broken"   // any other socket error
+	ReasonShutdown        Reason = "stopped"  // the listener was closed
 )
 
-// limits bound what a connection may cost, whatever is configured.
+// limits are the limits of one connection that do not depend on the configuration. Sizes are in bytes.
 type limits struct {
-	maxLine, maxFirstLine int           // bytes of a line; of a stranger's
-	first                 int           // that a stranger may leave unread
-	joinTimeout           time.Duration // from being taken to the end of the joining
-	lastLook              time.Duration // for what had arrived by then and was not read yet
+	maxLine           int           // of a joined connection
+	maxJoinLine       int           // of an unjoined connection
+	maxUnjoinedUnsent int           // messages that wait to be written to an unjoined connection
+	joinTimeout       time.Duration // from accept to join
+	lateReadWindow    time.Duration // after joinTimeout, to read input that has already arrived
 }
 
-var usual = limits{maxLine: 1 << 20, maxFirstLine: 1 << 10, first: 4 << 10, joinTimeout: 1500 * time.Millisecond,
-	lastLook: 20 * time.Millisecond}
+var defaultLimits = limits{
+	maxLine:           1 << 20,
+	maxJoinLine:       1 << 10,
+	maxUnjoinedUnsent: 4 << 10,
+	joinTimeout:       1500 * time.Millisecond,
+	lateReadWindow:    20 * time.Millisecond,
+}
 
 const (
-	bufferBytes = 4 << 10
-	spareFDs    = 20 // descriptors for all else; about ten are used
-	fewest      = 8  // connections
-	acceptPause = 20 * time.Millisecond
-	listenTries = 100
+	readBufferBytes  = 4 << 10
+	reservedFDs      = 20 // descriptors that are not connections
+	minConns         = 8
+	retryInterval    = 20 * time.Millisecond // between attempts to listen or accept
+	maxListenRetries = 100
 )
 
-// Handler takes what a connection says, and at last that it ended.
-type Handler func(from *Conn, said any)
+// Handler receives each message of a joined connection, and textproto.Closed when the connection has ended.
+type Handler func(from *Conn, message any)
 
-var accepted atomic.Uint64
+var lastSequence atomic.Uint64
 
 // NextSequence returns a number that orders streams by when they were opened, on sockets and the pub-sub channel.
-func NextSequence() uint64 { return accepted.Add(1) }
+func NextSequence() uint64 { return lastSequence.Add(1) }
 
-// Listener takes connections.
+// Listener accepts connections and owns them.
 type Listener struct {
 	net     net.Listener
 	handler Handler
-	log     *endings
+	endLog  *endLog
 	limits
 	maxConns      atomic.Int64
-	maxLineMemory atomic.Int64 // bytes of all long lines
-	maxUnread     atomic.Int64 // bytes that a proxy may leave unread
-	lineMemory    atomic.Int64
-	running       sync.WaitGroup
+	maxLineMemory atomic.Int64 // bytes; limit of lineMemory
+	maxUnsent     atomic.Int64 // bytes that wait to be written to a joined connection
+	lineMemory    atomic.Int64 // bytes of read buffers that were grown for long lines
+	goroutines    sync.WaitGroup
 
 	mu     sync.Mutex
 	conns  map[*Conn]struct{}
 	closed bool
 }
 
-// Listen opens the address for up to so many bytes and descriptors.
-func Listen(addr string, memory, sockets int, hear Handler, log *logrus.Entry) (*Listener, error) {
+// Listen opens addr. memory, in bytes, and sockets are as for SetLimits.
+func Listen(addr string, memory, sockets int, handler Handler, log *logrus.Entry) (*Listener, error) {
 	ln, err := net.Listen("tcp", addr)
-	for tries := 0; errors.Is(err, syscall.EADDRINUSE) && tries < listenTries; tries++ {
-		time.Sleep(acceptPause) // the one that was here before is still on its way out
+	for retries := 0; errors.Is(err, syscall.EADDRINUSE) && retries < maxListenRetries; retries++ {
+		time.Sleep(retryInterval) // a previous process may still be shutting down
 		ln, err = net.Listen("tcp", addr)
 	}
 	if err != nil {
 		return nil, err
 	}
-	l := &Listener{net: ln, handler: hear, log: newEndings(log), limits: usual, conns: map[*Conn]struct{}{}}
+	l := &Listener{net: ln, handler: handler, endLog: newEndLog(log), limits: defaultLimits, conns: map[*Conn]struct{}{}}
 	l.SetLimits(memory, sockets)
 	return l, nil
 }
 
-// SetLimits shares out so many bytes and descriptors, now and after a change: what waits to be read and to be
-// written stays well within the memory, however many connections there are.
+// SetLimits derives the limits of the connections from the memory, in bytes, and the descriptors of the process, so
+// that all input and output buffers together stay well below memory. It may be called again at any time.
 func (l *Listener) SetLimits(memory, sockets int) {
-	l.maxConns.Store(int64(max(sockets-spareFDs, fewest)))
+	l.maxConns.Store(int64(max(sockets-reservedFDs, minConns)))
 	l.maxLineMemory.Store(int64(memory / 8))
-	l.maxUnread.Store(int64(min(max(memory/4/max(sockets, 1), 32<<10), 1<<20)))
+	l.maxUnsent.Store(int64(min(max(memory/4/max(sockets, 1), 32<<10), 1<<20)))
 }
 
-// Addr is where it listens.
+// Addr returns the address of the listener.
 func (l *Listener) Addr() net.Addr { return l.net.Addr() }
 
-// Close stops listening, ends all connections and waits until nothing is left of them.
+// Close stops listening, closes all connections and waits for their goroutines.
 func (l *Listener) Close() {
 	_ = l.net.Close()
 	l.mu.Lock()
 	l.closed = true
 	for c := range l.conns {
-		c.end(ReasonShutdown)
+		c.closeWith(ReasonShutdown)
 	}
 	l.mu.Unlock()
-	l.running.Wait()
+	l.goroutines.Wait()
 }
 
-// Serve takes connections until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (l *Listener) Serve() error {
 	for {
 		nc, err := l.net.Accept()
@@ -130,27 +138,29 @@
 			return err
 		}
 		if err != nil {
-			// Out of descriptors, or reset before it was taken: neither may end the controller. Where a stranger
-			// made room the next one is taken at once: behind it a proxy may be waiting.
-			none := errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
-			if !none || !l.shed() {
-				time.Sleep(acceptPause)
+			// Descriptors ran out, or the peer reset the connection before accept. After an eviction the next
+			// connection is accepted without delay, as proxies may be waiting in the backlog.
+			outOfFDs := errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
+			if !outOfFDs || !l.evictUnjoined() {
+				time.Sleep(retryInterval)
 			}
 			continue
 		}
-		l.take(nc)
+		l.addConn(nc)
 	}
 }
 
-func (l *Listener) take(nc net.Conn) {
+// addConn registers an accepted connection and starts to read from it. When the limit of connections is reached it
+// evicts an unjoined one, or refuses nc if there is none.
+func (l *Listener) addConn(nc net.Conn) {
 	l.mu.Lock()
-	c := &Conn{net: nc, l: l, openedAt: NextSequence(), began: time.Now(), wake: make(chan struct{}, 1)}
+	c := &Conn{net: nc, listener: l, sequence: NextSequence(), openedAt: time.Now(), wake: make(chan struct{}, 1)}
 	full := len(l.conns) >= int(l.maxConns.Load())
 	l.mu.Unlock()
-	_ = nc.SetReadDeadline(c.began.Add(l.joinTimeout))
-	if full && !l.shed() {
-		c.end(ReasonConnectionLimit)
-		l.log.add(c)
+	_ = nc.SetReadDeadline(c.openedAt.Add(l.joinTimeout))
+	if full && !l.evictUnjoined() {
+		c.closeWith(ReasonConnectionLimit)
+		l.endLog.record(c)
 		return
 	}
 	l.mu.Lock()
@@ -160,90 +170,91 @@
 		return
 	}
 	l.conns[c] = struct{}{}
-	l.running.Go(c.read)
+	l.goroutines.Go(c.readAndClose)
 }
 
-// shed ends the stranger that has been here for longest, so that proxies get in. One whose first words have
-// arrived and were not read yet, as after this process had no turn, goes only where there is no other.
-func (l *Listener) shed() bool {
+// evictUnjoined closes the oldest unjoined connection and reports whether there was one. Connections without unread
+// input are evicted first: unread input may be a join that this process had no time to read.
+func (l *Listener) evictUnjoined() bool {
 	l.mu.Lock()
-	var strangers []*Conn
+	var unjoined []*Conn
 	for c := range l.conns {
-		if !c.opened.Load() {
-			strangers = append(strangers, c)
+		if !c.joined.Load() {
+			unjoined = append(unjoined, c)
 		}
 	}
-	slices.SortFunc(strangers, func(c, d *Conn) int { return cmp.Compare(c.openedAt, d.openedAt) })
-	var goes *Conn
-	if at := slices.IndexFunc(strangers, func(c *Conn) bool { return !c.hasUnread() }); len(strangers) > 0 {
-		goes = strangers[max(at, 0)]
+	slices.SortFunc(unjoined, func(c, d *Conn) int { return cmp.Compare(c.sequence, d.sequence) })
+	var evicted *Conn
+	if i := slices.IndexFunc(unjoined, func(c *Conn) bool { return !c.hasUnreadInput() }); len(unjoined) > 0 {
+		evicted = unjoined[max(i, 0)]
 	}
-	delete(l.conns, goes)
+	delete(l.conns, evicted)
 	l.mu.Unlock()
-	if goes != nil {
-		goes.end(ReasonConnectionLimit)
+	if evicted != nil {
+		evicted.closeWith(ReasonConnectionLimit)
 	}
-	return goes != nil
+	return evicted != nil
 }
 
-// Conn is one connection.
+// Conn is a connection from a proxy or a collector.
 type Conn struct {
 	net      net.Conn
-	l        *Listener
-	openedAt uint64
-	began    time.Time
-
-	opened   atomic.Bool // it said whose it is, and what it says is handed on
-	messages int
-	wake     chan struct{}
-
-	mu      sync.Mutex
-	writes  bool // its writer runs
-	out     []byte
-	reason  Reason
-	fault   error
-	faults  int
-	subject string
+	listener *Listener
+	sequence uint64
+	openedAt time.Time
+
+	joined   atomic.Bool   // a Subscribe or Source message was received
+	messages int           // lines received
+	wake     chan struct{} // wakes the writer
+
+	mu            sync.Mutex
+	writerRunning bool
+	unsent        []byte // messages for the writer
+	reason        Reason // empty while the connection is open
+	firstFault    error
+	faultCount    int
+	peer          string // name of the proxy or collector in log lines
 }
 
-// Sequence tells connections apart by the order in which they were taken.
-func (c *Conn) Sequence() uint64 { return c.openedAt }
+// Sequence returns the number that orders connections by when they were accepted.
+func (c *Conn) Sequence() uint64 { return c.sequence }
 
-// SetPeer says whose it is.
-func (c *Conn) SetPeer(subject string) {
+// SetPeer sets the name of the proxy or collector for log lines.
+func (c *Conn) SetPeer(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.subject = subject
+	c.peer = name
 }
 
-// CloseRefused ends a connection that is nobody's.
-func (c *Conn) CloseRefused() { c.end(ReasonRefused) }
+// CloseRefused closes a connection whose proxy or collector is unknown.
+func (c *Conn) CloseRefused() { c.closeWith(ReasonRefused) }
 
-// CloseReplaced ends a stream that another one of the same proxy follows.
-func (c *Conn) CloseReplaced() { c.end(ReasonReplaced) }
+// CloseReplaced closes a stream that a newer stream of the same proxy replaces.
+func (c *Conn) CloseReplaced() { c.closeWith(ReasonReplaced) }
 
-// RecordFault keeps what was wrong with a message; the line about the connection's end shows the first.
+// RecordFault counts an invalid message. The log line for the end of the connection holds the count and the first
+// error.
 func (c *Conn) RecordFault(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.faults++; c.fault == nil {
-		c.fault = err
+	if c.faultCount++; c.firstFault == nil {
+		c.firstFault = err
 	}
 }
 
-// Send writes a whole message after those before it. It never waits.
+// Send queues a message for writing. It never blocks: a connection whose queue exceeds its limit is closed.
 func (c *Conn) Send(message []byte) {
 	c.mu.Lock()
-	most := c.l.first
-	if c.opened.Load() {
-		most = int(c.l.maxUnread.Load())
+	limit := c.listener.maxUnjoinedUnsent
+	if c.joined.Load() {
+		limit = int(c.listener.maxUnsent.Load())
 	}
-	over := len(c.out)+len(message) > most
-	if c.reason == "" && !over {
-		c.out = append(c.out, message...)
-		if !c.writes {
-			c.writes = true
-			c.l.running.Go(c.write)
+	overLimit := len(c.unsent)+len(message) > limit
+	if c.reason == "" && !overLimit {
+		c.unsent = append(c.unsent, message...)
+		if !c.writerRunning {
+			c.writerRunning = true
+			c.listener.goroutines.Go(c.write)
 		}
 		select {
 		case c.wake <- struct{}{}:
@@ -251,35 +262,36 @@
 		}
 	}
 	c.mu.Unlock()
-	if over {
-		c.end(ReasonWriteBacklog)
+	if overLimit {
+		c.closeWith(ReasonWriteBacklog)
 	}
 }
 
+// write sends queued messages until the connection ends.
 func (c *Conn) write() {
 	var spare []byte
 	for range c.wake {
 		c.mu.Lock()
-		out := c.out
-		c.out = spare[:0]
-		over := c.reason != ""
+		out := c.unsent
+		c.unsent = spare[:0]
+		closed := c.reason != ""
 		c.mu.Unlock()
-		if over {
+		if closed {
 			return
 		}
 		if _, err := c.net.Write(out); err != nil {
-			c.end(reasonOf(err))
+			c.closeWith(reasonOf(err))
 			return
 		}
 		spare = out
 	}
 }
 
-// end closes the socket; the first reason holds.
-func (c *Conn) end(why Reason) {
+// closeWith closes the socket. The reason of the first call is kept.
+func (c *Conn) closeWith(reason Reason) {
 	c.mu.Lock()
 	if c.reason == "" {
-		c.reason = why
+		c.reason = reason
 	}
 	c.mu.Unlock()
 	_ = c.net.Close()
@@ -289,6 +301,7 @@
 	}
 }
 
+// reasonOf returns the reason for a socket error.
 func reasonOf(err error) Reason {
 	var timeout net.Error
 	switch {
@@ -302,48 +315,49 @@
 	return ReasonSocketError
 }
 
-// ending is an error that has a code of its own.
-type ending Reason
+// reasonError is a Reason as an error.
+type reasonError Reason
 
-func (e ending) Error() string { return string(e) }
+func (e reasonError) Error() string { return string(e) }
 
-func (c *Conn) read() {
+// readAndClose reads until the connection ends, then closes and unregisters it.
+func (c *Conn) readAndClose() {
 	err := c.readLines()
-	var why ending
-	if errors.As(err, &why) {
-		c.end(Reason(why))
+	var reason reasonError
+	if errors.As(err, &reason) {
+		c.closeWith(Reason(reason))
 	} else {
-		c.end(reasonOf(err))
+		c.closeWith(reasonOf(err))
 	}
-	c.l.mu.Lock()
-	delete(c.l.conns, c)
-	c.l.mu.Unlock()
-	if c.opened.Load() {
-		c.l.handler(c, textproto.Closed{})
+	c.listener.mu.Lock()
+	delete(c.listener.conns, c)
+	c.listener.mu.Unlock()
+	if c.joined.Load() {
+		c.listener.handler(c, textproto.Closed{})
 	}
-	c.l.log.add(c)
+	c.listener.endLog.record(c)
 }
 
-// readLines takes lines off the socket until it ends or is of no further use. A stranger has the time that
-// it was given when it was taken, whatever it says meanwhile. What of its words lay unread when that was over
-// is looked at once more: a joining that had arrived counts, also where this process had no turn.
+// readLines reads and handles lines until an error ends the connection. The deadline to join is fixed at accept. It is
+// extended once, by lateReadWindow, so that a join which arrived in time counts even if this process was too busy to
+// read it.
 func (c *Conn) readLines() error {
-	buf := &lineBuffer{conn: c, bytes: make([]byte, c.l.maxFirstLine)}
+	buf := &lineBuffer{conn: c, bytes: make([]byte, c.listener.maxJoinLine)}
 	defer buf.account(0)
-	looked := false
+	extended := false
 	for {
 		n, err := c.net.Read(buf.bytes[buf.length:])
-		if err := buf.takeLines(n); err != nil {
+		if err := buf.handleLines(n); err != nil {
 			return err
 		}
-		if err := buf.makeRoom(); err != nil {
+		if err := buf.resize(); err != nil {
 			return err
 		}
 		var timeout net.Error
-		if errors.As(err, &timeout) && timeout.Timeout() && (c.opened.Load() || !looked) {
-			looked, err = true, nil
-			if !c.opened.Load() {
-				_ = c.net.SetReadDeadline(time.Now().Add(c.l.lastLook))
+		if errors.As(err, &timeout) && timeout.Timeout() && (c.joined.Load() || !extended) {
+			extended, err = true, nil
+			if !c.joined.Load() {
+				_ = c.net.SetReadDeadline(time.Now().Add(c.listener.lateReadWindow))
 			}
 		}
 		if err != nil {
@@ -352,99 +366,101 @@
 	}
 }
 
-// lineBuffer has the begin of a line, whose end is still to come.
+// lineBuffer holds the start of an incomplete line.
 type lineBuffer struct {
 	conn      *Conn
-	bytes     []byte // bytes[:held] are the begin
+	bytes     []byte // bytes[:length] are in use
 	length    int
-	accounted int // of the memory for long lines
+	accounted int // bytes counted in Listener.lineMemory
 }
 
-// account accounts for memory; it reports whether all connections together stay within what is allowed.
+// account counts bytes in place of the former size in Listener.lineMemory. It reports whether all connections
+// together are within maxLineMemory.
 func (b *lineBuffer) account(bytes int) bool {
-	l := b.conn.l
+	l := b.conn.listener
 	l.lineMemory.Add(int64(bytes - b.accounted))
 	b.accounted = bytes
 	return l.lineMemory.Load() <= l.maxLineMemory.Load()
 }
 
-// takeLines hands on the lines that are complete with n more bytes. What cannot be the begin of a message is not waited
-// on for its end.
-func (b *lineBuffer) takeLines(n int) error {
+// handleLines handles the lines that are complete after a read of n bytes. It fails early if the remaining bytes cannot
+// be the start of a message.
+func (b *lineBuffer) handleLines(n int) error {
 	rest, from := b.bytes[:b.length+n], b.length
-	for at := bytes.IndexByte(rest[from:], '\n'); at >= 0; at = bytes.IndexByte(rest, '\n') {
-		line := rest[:from+at]
-		rest, from = rest[from+at+1:], 0
-		if err := b.conn.take(line); err != nil {
+	for end := bytes.IndexByte(rest[from:], '\n'); end >= 0; end = bytes.IndexByte(rest, '\n') {
+		line := rest[:from+end]
+		rest, from = rest[from+end+1:], 0
+		if err := b.conn.handleLine(line); err != nil {
 			return err
 		}
 	}
 	if !textproto.MayBecomeMessage(rest) {
-		return ending(ReasonMalformed)
+		return reasonError(ReasonMalformed)
 	}
 	b.length = copy(b.bytes, rest)
 	return nil
 }
 
-// makeRoom grows a buffer that is full, and shrinks a large one that is empty.
-func (b *lineBuffer) makeRoom() error {
-	opened := b.conn.opened.Load()
+// resize doubles a full buffer, and gives a joined connection's empty buffer its standard size.
+func (b *lineBuffer) resize() error {
+	joined := b.conn.joined.Load()
 	switch {
-	case opened && b.length == 0 && len(b.bytes) != bufferBytes:
-		b.bytes = make([]byte, bufferBytes)
+	case joined && b.length == 0 && len(b.bytes) != readBufferBytes:
+		b.bytes = make([]byte, readBufferBytes)
 		b.account(0)
 	case b.length < len(b.bytes):
-	case !opened || b.length >= b.conn.l.maxLine:
-		return ending(ReasonLineTooLong)
+	case !joined || b.length >= b.conn.listener.maxLine:
+		return reasonError(ReasonLineTooLong)
 	default:
 		b.bytes = append(make([]byte, 0, 2*b.length), b.bytes...)[:2*b.length]
 		if !b.account(len(b.bytes)) {
-			return ending(ReasonMemoryLimit)
+			return reasonError(ReasonMemoryLimit)
 		}
 	}
 	return nil
 }
 
-// take hands a line on. One faulty message of a proxy or a collector is read past; what is no message ends
-// any connection, and a stranger's ends with all but a joining.
-func (c *Conn) take(line []byte) error {
+// handleLine parses a line and passes its message to the handler. An error ends the connection: for a line that is not
+// a message, and, while the connection is unjoined, for a message that does not join. Other invalid messages are
+// recorded and skipped.
+func (c *Conn) handleLine(line []byte) error {
 	if n := len(line); n > 0 && line[n-1] == '\r' {
 		line = line[:n-1]
 	}
 	c.messages++
-	said, err := textproto.Parse(line)
+	message, err := textproto.Parse(line)
 	if err != nil {
 		c.RecordFault(err)
 	}
-	opened := c.opened.Load()
-	switch said.(type) {
+	joined := c.joined.Load()
+	switch message.(type) {
 	case nil:
 		if errors.Is(err, textproto.ErrNotMessage) {
-			return ending(ReasonMalformed)
+			return reasonError(ReasonMalformed)
 		}
-		if !opened {
-			return ending(ReasonNotJoined)
+		if !joined {
+			return reasonError(ReasonNotJoined)
 		}
 		return nil
 	case textproto.Ping:
 		c.Send([]byte(textproto.Pong))
 		return nil
 	case textproto.Subscribe, textproto.Source:
-		if !opened {
-			c.opened.Store(true)
+		if !joined {
+			c.joined.Store(true)
 			_ = c.net.SetReadDeadline(time.Time{})
 		}
 	default:
-		if !opened {
-			return ending(ReasonNotJoined)
+		if !joined {
+			return reasonError(ReasonNotJoined)
 		}
 	}
-	c.l.handler(c, said)
+	c.listener.handler(c, message)
 	return nil
 }
 
-// hasUnread says whether something lies in the kernel that was not read yet.
-func (c *Conn) hasUnread() bool {
+// hasUnreadInput reports whether the kernel holds input of the connection that was not read yet.
+func (c *Conn) hasUnreadInput() bool {
 	tcp, ok := c.net.(*net.TCPConn)
 	if !ok {
 		return false
