--- a/internal/controller/command/command_test.go
+++ b/internal/controller/command/command_test.go
@@ -277,19 +277,19 @@
 	first.Put("one/s-2", value(reconcile.Draining))
 	shuts(t, in, out, "s-2")
 	again("registry etcd\n  endpont "+m.Addr()+"\n", "stays as it was", "op.conf:2", "write endpoint")
-	again("registry etcd\n  endpoint "+m.Addr()+"\n  prefix two\n", "the list comes from the new source")
+	again("registry etcd\n  endpoint "+m.Addr()+"\n  prefix two\n", "switched to the new source of the backend list")
 	shuts(t, in, out, "s-1") // s-2 serves on the new list
 	again("registry consul\n  endpoint "+l.Addr()+"\n  prefix three\n", "registry fails", l.Addr())
 	first.Put("two/s-3", value(reconcile.Draining)) // the old source is followed while the new one is away
 	shuts(t, in, out, "s-1", "s-3")
 	l.Refuse(false)
-	find(t, c.log, "the list comes from the new source")
+	find(t, c.log, "switched to the new source of the backend list")
 	shuts(t, in, out)
 	second.Put("three/s-2", value(reconcile.Draining))
 	shuts(t, in, out, "s-2")
 	// What the sources before still say is nobody's.
 	first.Put("two/s-1", value(reconcile.Serving))
-	again("", "configuration taken over")
+	again("", "configuration reloaded")
 	_ = c.Process.Signal(syscall.SIGTERM)
 	find(t, c.log, "stopping")
 }
@@ -410,7 +410,7 @@
 		"op.conf:10",
 		"larger part",
 	)
-	again("control\n  socket "+socket+"\n", "configuration taken over")
+	again("control\n  socket "+socket+"\n", "configuration reloaded")
 	until(append(slices.Clone(red), blue...))
 	if text, code := run("cells", "show"); code != 0 || strings.Contains(text, "acme") {
 		t.Errorf("without cells: %d, %s", code, text)
--- a/internal/controller/command/memory_test.go
+++ b/internal/controller/command/memory_test.go
@@ -324,7 +324,7 @@
 	_ = free.Close()
 	file := write(t, "op.conf", "channel\n  listen "+addr+"\n")
 	p := start(t, false, []string{"EDGE_CONFIG=" + write(t, "config.json", settings), "EDGE_OPERATOR=" + file})
-	find(t, p.log, "the channel is served")
+	find(t, p.log, "pub-sub channel is open")
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
 	held := 0
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -15,25 +15,25 @@
 	"elmfold/internal/controller/tenancy"
 )
 
-// Request is what an operator asks of a running controller, a line of JSON; the answer is a Reply, one too.
+// Request is an operator's request to a running controller: a line of JSON, answered with a Reply on a line.
 type Request struct {
 	Action string          `json:"Do"` // ActionShowCells, ActionMoveCell or ActionUndoMove
 	Tenant string          `json:",omitempty"`
 	Cell   string          `json:",omitempty"`
-	Body   json.RawMessage `json:",omitempty"` // of what the full program adds
+	Body   json.RawMessage `json:",omitempty"` // for a RequestHandler
 }
 
-// Reply answers a Request; Error is empty where it was done.
+// Reply answers a Request. Error is empty on success.
 type Reply struct {
 	Error string `json:",omitempty"`
 	Cells tenancy.View
 	Body  json.RawMessage `json:",omitempty"`
 }
 
-// RequestHandler answers requests of the full program's parts; ok is whether it is one of them.
+// RequestHandler handles requests of an extension. ok is false for a request that is not one of them.
 type RequestHandler func(r Request) (body json.RawMessage, ok bool, err error)
 
-// What a Request can ask for.
+// Actions of a Request.
 const (
 	ActionShowCells = "cells show"
 	ActionMoveCell  = "cells move"
@@ -41,29 +41,31 @@
 )
 
 const (
-	askTimeout      = 5 * time.Second
-	maxRequestBytes = 64 << 10
-	controlMode     = 0o600
+	controlTimeout    = 5 * time.Second
+	maxRequestBytes   = 64 << 10
+	stepDelay         = 200 * time.Millisecond // until the event loop has applied a move, so that the reply shows it
+	controlSocketMode = 0o600
 )
 
-// control answers operators at a socket of this machine until it is closed. It reaches the desk by the queue.
-type control struct {
-	listener net.Listener
-	queue    chan<- eventloop.Command
-	more     RequestHandler // nil: none
-	log      *logrus.Entry
+// controlSocket answers requests on a Unix socket. It reaches the event loop through queue.
+type controlSocket struct {
+	listener  net.Listener
+	queue     chan<- eventloop.Command
+	extension RequestHandler // is tried first; nil: none
+	log       *logrus.Entry
 }
 
-func openControl(
+// openControlSocket listens at path. It removes the socket that a killed process left there, but fails if another
+// process still answers.
+func openControlSocket(
 	path string,
 	queue chan<- eventloop.Command,
-	more RequestHandler,
+	extension RequestHandler,
 	log *logrus.Entry,
-) (*control, error) {
-	// A socket that nobody answers at was left by one that was killed.
+) (*controlSocket, error) {
 	if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
 		_ = c.Close()
-		return nil, errors.New(path + ": another controller answers there")
+		return nil, errors.New(path + ": another controller listens there")
 	} else if errors.Is(err, os.ErrNotExist) {
 	} else if info, e := os.Lstat(path); e == nil && info.Mode()&os.ModeSocket != 0 {
 		_ = os.Remove(path)
@@ -72,57 +74,57 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := os.Chmod(path, controlMode); err != nil {
+	if err := os.Chmod(path, controlSocketMode); err != nil {
 		_ = ln.Close()
 		return nil, err
 	}
-	c := &control{ln, queue, more, log}
+	c := &controlSocket{ln, queue, extension, log}
 	go c.serve()
 	return c, nil
 }
 
-func (c *control) close() { _ = c.listener.Close() }
+func (c *controlSocket) close() { _ = c.listener.Close() }
 
-func (c *control) serve() {
+func (c *controlSocket) serve() {
 	for {
 		conn, err := c.listener.Accept()
 		if err != nil {
 			return
 		}
-		go c.answer(conn)
+		go c.serveConn(conn)
 	}
 }
 
-// answer takes requests, a line each, until the connection ends or is silent.
-func (c *control) answer(conn net.Conn) {
+// serveConn answers requests, one a line, until the connection ends or none arrives within controlTimeout.
+func (c *controlSocket) serveConn(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	for in := bufio.NewReaderSize(conn, maxRequestBytes); ; {
-		_ = conn.SetDeadline(time.Now().Add(askTimeout))
+		_ = conn.SetDeadline(time.Now().Add(controlTimeout))
 		line, err := in.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			_ = json.NewEncoder(conn).Encode(Reply{Error: fmt.Sprintf("a request has %d bytes at most", maxRequestBytes)})
+			_ = json.NewEncoder(conn).Encode(Reply{Error: fmt.Sprintf("request exceeds %d bytes", maxRequestBytes)})
 		}
 		if err != nil {
 			return
 		}
 		var r Request
 		reply := Reply{}
-		more := false
+		handled := false
 		if err := json.Unmarshal(line, &r); err != nil {
-			reply.Error = "not a request: " + err.Error()
-		} else if c.more != nil {
-			if reply.Body, more, err = c.more(r); err != nil {
+			reply.Error = "invalid request: " + err.Error()
+		} else if c.extension != nil {
+			if reply.Body, handled, err = c.extension(r); err != nil {
 				reply.Error = err.Error()
 			}
 		}
-		if !more && reply.Error == "" {
-			if reply, err = c.do(r); err != nil {
+		if !handled && reply.Error == "" {
+			if reply, err = c.handle(r); err != nil {
 				reply.Error = err.Error()
 			}
 			c.log.WithFields(
 				logrus.Fields{"do": r.Action, "tenant": r.Tenant, "cell": r.Cell, "error": reply.Error},
 			).Info(
-				"an operator asked",
+				"operator request",
 			)
 		}
 		if json.NewEncoder(conn).Encode(reply) != nil {
@@ -131,10 +133,11 @@
 	}
 }
 
-var errUnknown = errors.New("no such request")
+var errUnknownAction = errors.New("unknown request")
 
-func (c *control) do(r Request) (reply Reply, err error) {
-	view, err := ask(c.queue, func(to chan tenancy.View) any { return eventloop.CellsQuery{Reply: to} })
+// handle carries out an action on cells.
+func (c *controlSocket) handle(r Request) (reply Reply, err error) {
+	view, err := query(c.queue, func(reply chan tenancy.View) any { return eventloop.CellsQuery{Reply: reply} })
 	if err != nil {
 		return reply, err
 	}
@@ -149,28 +152,28 @@
 		if !known {
 			return reply, errors.New("no tenant " + r.Tenant)
 		}
-		said := any(tenancy.Move{Tenant: r.Tenant, Cell: r.Cell})
+		message := any(tenancy.Move{Tenant: r.Tenant, Cell: r.Cell})
 		if r.Action == ActionUndoMove {
-			said = tenancy.Undo{Tenant: r.Tenant}
+			message = tenancy.Undo{Tenant: r.Tenant}
 		}
-		c.queue <- eventloop.Command{Message: said}
-		// It counts from the next step on; what became of it is shown then.
-		time.Sleep(200 * time.Millisecond)
-		reply.Cells, err = ask(c.queue, func(to chan tenancy.View) any { return eventloop.CellsQuery{Reply: to} })
+		c.queue <- eventloop.Command{Message: message}
+		time.Sleep(stepDelay)
+		reply.Cells, err = query(c.queue, func(reply chan tenancy.View) any { return eventloop.CellsQuery{Reply: reply} })
 	default:
-		return reply, errUnknown
+		return reply, errUnknownAction
 	}
 	return reply, err
 }
 
-// ask puts a question to the desk, which has room to answer and so does not wait.
-func ask[T any](queue chan<- eventloop.Command, question func(to chan T) any) (answer T, err error) {
-	to := make(chan T, 1)
-	queue <- eventloop.Command{Message: question(to)}
+// query sends a query to the event loop and waits for its answer. The reply channel is buffered, so that the event
+// loop never blocks on it.
+func query[T any](queue chan<- eventloop.Command, newQuery func(reply chan T) any) (answer T, err error) {
+	reply := make(chan T, 1)
+	queue <- eventloop.Command{Message: newQuery(reply)}
 	select {
-	case answer = <-to:
+	case answer = <-reply:
 		return answer, nil
-	case <-time.After(askTimeout):
-		return answer, errors.New("the controller is busy")
+	case <-time.After(controlTimeout):
+		return answer, errors.New("the controller did not answer in time")
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,5 +1,5 @@
-// Package controller holds a whole controller: it listens for proxies and collectors, follows discovery or a
-// key-value registry, and lets the module decide.
+// Package controller runs a controller process: it accepts connections from proxies and load collectors, follows the
+// list of backends in a discovery service or key-value registry, and runs the event loop that decides.
 package controller
 
 import (
@@ -27,41 +27,41 @@
 )
 
 const (
-	queueLength = 4096
-	listsLength = 64
-	heapPart    = 0.7 // of the memory allowed, that the collector of garbage aims to stay under
+	commandQueueLength = 4096
+	listQueueLength    = 64
+	heapFraction       = 0.7 // of the configured memory; soft limit of the Go runtime
 )
 
-// Run reads what the controller is told and holds it until a signal ends it or its listener fails; it returns
-// the exit code. path is that of the operator file, empty for none.
-func Run(path string, parts Extensions) int {
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, syscall.SIGHUP)
+// Run loads the settings and the operator file at path, if that is not empty, and runs a controller until SIGTERM,
+// SIGINT or a failure of its listener. SIGHUP reloads both. Run returns the exit code of the process.
+func Run(path string, extensions Extensions) int {
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP)
 	log := logrus.New()
 	log.SetFormatter(&logrus.TextFormatter{FullTimestamp: true, TimestampFormat: "15:04:05.000"})
-	sheet, err := config.Load(os.Getenv, os.ReadFile)
+	cfg, err := config.Load(os.Getenv, os.ReadFile)
 	if err != nil {
 		log.WithField("reason", "settings").Error(err)
 		return 2
 	}
-	entry := log.WithField("name", sheet.Name)
+	entry := log.WithField("name", cfg.Name)
 	var file operatorfile.File
 	if path != "" {
 		if file, err = operatorfile.Read(path); err != nil {
-			faulty(entry, "the start ends", err)
+			logFileErrors(entry, "cannot start", err)
 			return 2
 		}
 	}
 
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	c := &controller{sheet: sheet, path: path, file: file, parts: parts, log: entry}
-	if err := c.open(); err != nil {
+	c := &controller{config: cfg, operatorPath: path, operatorFile: file, extensions: extensions, log: entry}
+	if err := c.start(); err != nil {
 		entry.WithField("reason", "listen").Error(err)
 		return 1
 	}
 	failed := make(chan error, 1)
-	go func() { failed <- c.streams.Serve() }()
+	go func() { failed <- c.listener.Serve() }()
 	for {
 		select {
 		case s := <-stop:
@@ -70,73 +70,73 @@
 		case err := <-failed:
 			entry.WithField("reason", "listen").Error(err)
 			return 1
-		case <-again:
+		case <-hangup:
 			c.reload()
 		}
 	}
 }
 
-// faulty logs a line for each fault of an operator file.
-func faulty(log *logrus.Entry, text string, err error) {
-	var faults operatorfile.FileErrors
-	if !errors.As(err, &faults) {
+// logFileErrors logs a line for each error of an operator file.
+func logFileErrors(log *logrus.Entry, text string, err error) {
+	var fileErrors operatorfile.FileErrors
+	if !errors.As(err, &fileErrors) {
 		log.WithField("reason", "operator").Errorf("%s: %v", text, err)
 	}
-	for _, f := range faults {
-		log.WithField("reason", "operator").Errorf("%s: %v", text, f)
+	for _, fileError := range fileErrors {
+		log.WithField("reason", "operator").Errorf("%s: %v", text, fileError)
 	}
 }
 
-// controller is what runs, and what it was told last.
+// controller is a running controller with its current configuration.
 type controller struct {
-	sheet   config.Config
-	path    string // of the operator file
-	file    operatorfile.File
-	parts   Extensions
-	lists   *sources
-	queue   chan eventloop.Command
-	control *control       // nil: operators are not answered
-	more    RequestHandler // requests beside the cells'; nil: none
-	streams *server.Listener
-	log     *logrus.Entry
+	config       config.Config
+	operatorPath string // empty: no operator file
+	operatorFile operatorfile.File
+	extensions   Extensions
+	sources      *sources
+	queue        chan eventloop.Command
+	control      *controlSocket // nil: none is configured
+	extension    RequestHandler // requests that controlSocket does not handle; nil: none
+	listener     *server.Listener
+	log          *logrus.Entry
 }
 
-// allow sets the limits of the process.
-func allow(s config.Config) {
-	runtime.GOMAXPROCS(max(1, int(math.Round(s.Cores))))
-	debug.SetMemoryLimit(int64(heapPart * float64(s.MemoryMB) * (1 << 20)))
+// setProcessLimits applies the limits of cores and memory to the Go runtime.
+func setProcessLimits(cfg config.Config) {
+	runtime.GOMAXPROCS(max(1, int(math.Round(cfg.Cores))))
+	debug.SetMemoryLimit(int64(heapFraction * float64(cfg.MemoryMB) * (1 << 20)))
 }
 
-// open starts the parts. The desk has the list known at the start before anyone can connect.
-func (c *controller) open() error {
-	sheet := c.sheet
-	allow(sheet)
-	queue, lists := make(chan eventloop.Command, queueLength), make(chan eventloop.Command, listsLength)
-	c.queue, c.lists = queue, &sources{queue: lists, log: c.log}
-	memory, list := c.openMemory()
-	if c.file.Registry == nil {
-		c.discover(list)
+// start starts all components. The event loop has the initial backend list before proxies can connect.
+func (c *controller) start() error {
+	cfg := c.config
+	setProcessLimits(cfg)
+	queue, lists := make(chan eventloop.Command, commandQueueLength), make(chan eventloop.Command, listQueueLength)
+	c.queue, c.sources = queue, &sources{queue: lists, log: c.log}
+	state, list := c.openWarmState()
+	if c.operatorFile.Registry == nil {
+		c.followDiscovery(list)
 	} else {
-		c.follow()
+		c.followRegistry()
 	}
-	loop := eventloop.New(sheet.Deployment, sheet.Names, c.lists, c.log)
+	loop := eventloop.New(cfg.Deployment, cfg.Names, c.sources, c.log)
 	loop.SetCachedList(list)
-	if memory != nil {
-		for _, figure := range memory.InitialBeliefs() {
-			loop.Handle(eventloop.Command{Message: figure})
+	if state != nil {
+		for _, belief := range state.InitialBeliefs() {
+			loop.Handle(eventloop.Command{Message: belief})
 		}
 	}
-	c.setFactSink(loop, memory)
+	c.setFactSink(loop, state)
 	if err := c.joinFleet(loop); err != nil {
 		return err
 	}
-	loop.Step(clock())
-	go loop.Run(queue, lists, sheet.Tick, clock)
+	loop.Step(now())
+	go loop.Run(queue, lists, cfg.Tick, now)
 	if err := c.listen(list); err != nil {
 		return err
 	}
-	if f := c.file.Cells; f != nil {
-		c.plan(f)
+	if f := c.operatorFile.Cells; f != nil {
+		c.applyCells(f)
 	}
 	if err := c.openChannel(list); err != nil {
 		return err
@@ -145,218 +145,222 @@
 	return nil
 }
 
-// openMemory opens what is kept over crashes, if anything is; list is the one to begin with.
-func (c *controller) openMemory() (memory WarmState, list reconcile.List) {
-	list = c.sheet.CachedList
-	if c.file.Store == nil && c.file.Peers == nil {
+// openWarmState opens the warm state, if the operator file has a store or peers, and returns the initial backend list.
+// state is nil where there is none.
+func (c *controller) openWarmState() (state WarmState, list reconcile.List) {
+	list = c.config.CachedList
+	if c.operatorFile.Store == nil && c.operatorFile.Peers == nil {
 		return nil, list
 	}
-	memory, err := c.parts.WarmState(c.file, c.sheet.Name, c.log)
+	state, err := c.extensions.WarmState(c.operatorFile, c.config.Name, c.log)
 	if err != nil {
-		c.log.WithField("reason", "store").Errorf("nothing is kept over crashes: %v", err)
+		c.log.WithField("reason", "store").Errorf("warm state is not available: %v", err)
 		return nil, list
 	}
-	if known, ok := memory.InitialList(); ok && (c.file.Registry != nil || known.Revision >= list.Revision) {
+	if known, ok := state.InitialList(); ok && (c.operatorFile.Registry != nil || known.Revision >= list.Revision) {
 		list = known
 		fields := logrus.Fields{"revision": known.Revision, "backends": len(known.Members)}
-		c.log.WithFields(fields).Info("the list to begin with is from the store or from peers")
+		c.log.WithFields(fields).Info("initial backend list restored from the store or from peers")
 	}
-	c.lists.memory = memory
-	return memory, list
+	c.sources.warmState = state
+	return state, list
 }
 
-// setFactSink has what the decisions learn kept and shown on the channel.
-func (c *controller) setFactSink(loop *eventloop.Loop, memory WarmState) {
-	if memory == nil && c.file.Channel == nil {
+// setFactSink passes the facts of the event loop to the warm state and the pub-sub channel.
+func (c *controller) setFactSink(loop *eventloop.Loop, state WarmState) {
+	if state == nil && c.operatorFile.Channel == nil {
 		return
 	}
 	loop.SetFactSink(func(facts []warmstart.Fact) {
-		if memory != nil {
-			memory.RecordFacts(facts)
+		if state != nil {
+			state.RecordFacts(facts)
 		}
-		if served := c.lists.channel.Load(); served != nil {
-			(*served).Look(facts)
+		if channel := c.sources.channel.Load(); channel != nil {
+			(*channel).Look(facts)
 		}
 	})
 }
 
-// joinFleet joins the other members of the fleet, where the operator file names them.
+// joinFleet joins the fleet, if the operator file has a member section.
 func (c *controller) joinFleet(loop *eventloop.Loop) error {
-	if c.file.Member == nil || c.parts.Member == nil {
+	if c.operatorFile.Member == nil || c.extensions.Member == nil {
 		return nil
 	}
-	m, err := c.parts.Member(c.file, c.sheet, func(n eventloop.Command) { c.queue <- n }, c.log)
+	send := func(command eventloop.Command) { c.queue <- command }
+	m, err := c.extensions.Member(c.operatorFile, c.config, send, c.log)
 	if err != nil {
 		return err
 	}
-	if c.file.Member.ShareTotals {
+	if c.operatorFile.Member.ShareTotals {
 		loop.SetObserver(m)
 	}
-	c.more = m.HandleRequest
-	fields := logrus.Fields{"member": m.Addr(), "site": c.file.Member.Site}
-	c.log.WithFields(fields).Info("takes part in the fleet")
+	c.extension = m.HandleRequest
+	fields := logrus.Fields{"member": m.Addr(), "site": c.operatorFile.Member.Site}
+	c.log.WithFields(fields).Info("joined the fleet")
 	return nil
 }
 
-// listen takes connections of proxies and collectors from now on.
+// listen opens the listener for proxies and collectors.
 func (c *controller) listen(list reconcile.List) error {
-	sheet := c.sheet
-	handle := func(from *server.Conn, said any) { c.queue <- eventloop.Command{From: from, Message: said} }
-	ln, err := server.Listen(sheet.Listen, sheet.MemoryMB<<20, sheet.Sockets, handle, c.log)
+	cfg := c.config
+	handler := func(from *server.Conn, message any) { c.queue <- eventloop.Command{From: from, Message: message} }
+	ln, err := server.Listen(cfg.Listen, cfg.MemoryMB<<20, cfg.Sockets, handler, c.log)
 	if err != nil {
 		return err
 	}
-	c.log.WithFields(logrus.Fields{"listen": ln.Addr().String(), "discovery": sheet.Discovery,
-		"backends": len(list.Members), "proxies": sheet.Deployment.Proxies,
+	c.log.WithFields(logrus.Fields{"listen": ln.Addr().String(), "discovery": cfg.Discovery,
+		"backends": len(list.Members), "proxies": cfg.Deployment.Proxies,
 		"revision": list.Revision}).Info("ready")
-	c.streams = ln
+	c.listener = ln
 	return nil
 }
 
-// openChannel serves the pub-sub channel, where the operator file has one.
+// openChannel opens the pub-sub channel, if the operator file has one.
 func (c *controller) openChannel(list reconcile.List) error {
-	f := c.file.Channel
-	if f == nil || c.parts.Channel == nil {
+	f := c.operatorFile.Channel
+	if f == nil || c.extensions.Channel == nil {
 		return nil
 	}
-	handle := func(n eventloop.Command) { c.queue <- n }
-	served, err := c.parts.Channel(*f, c.sheet.Deployment.Proxies, c.sheet.Names, handle, c.log)
+	send := func(command eventloop.Command) { c.queue <- command }
+	channel, err := c.extensions.Channel(*f, c.config.Deployment.Proxies, c.config.Names, send, c.log)
 	if err != nil {
 		return err
 	}
-	served.Tell(list)
-	c.lists.channel.Store(&served)
-	c.log.WithField("channel", served.Addr()).Info("the channel is served")
+	channel.Tell(list)
+	c.sources.channel.Store(&channel)
+	c.log.WithField("channel", channel.Addr()).Info("pub-sub channel is open")
 	return nil
 }
 
-// openControl answers operators, where the operator file names a socket.
+// openControl opens the control socket, if the operator file has one.
 func (c *controller) openControl() {
-	f := c.file.Control
+	f := c.operatorFile.Control
 	if f == nil {
 		return
 	}
 	var err error
-	if c.control, err = openControl(f.Path, c.queue, c.more, c.log); err != nil {
-		c.log.WithField("reason", "control").Errorf("operators are not answered: %v", err)
+	if c.control, err = openControlSocket(f.Path, c.queue, c.extension, c.log); err != nil {
+		c.log.WithField("reason", "control").Errorf("control socket is not available: %v", err)
 	}
 }
 
-// plan hands the cells of the operator file to the desk; none free everybody.
-func (c *controller) plan(f *operatorfile.Cells) {
-	if f == nil {
+// applyCells sends the plan of cells to the event loop. nil removes all cells.
+func (c *controller) applyCells(cells *operatorfile.Cells) {
+	if cells == nil {
 		c.queue <- eventloop.Command{Message: tenancy.PlanUpdate{}}
 		return
 	}
-	if names := f.TenantsWithUnknownProxies(c.sheet.Deployment.Proxies); len(names) > 0 {
-		c.log.WithField("tenants", names).Warn("proxies of these tenants are not among the settings'")
+	if names := cells.TenantsWithUnknownProxies(c.config.Deployment.Proxies); len(names) > 0 {
+		c.log.WithField("tenants", names).Warn("these tenants have proxies beyond the ProxyCount of the settings")
 	}
-	c.queue <- eventloop.Command{Message: tenancy.PlanUpdate{Plan: f.PlanFor(c.sheet.Deployment)}}
+	c.queue <- eventloop.Command{Message: tenancy.PlanUpdate{Plan: cells.PlanFor(c.config.Deployment)}}
 }
 
-// replan takes over another operator file's cells and control. A plan that cannot hold with the list in force is
-// refused, and the former one stays.
-func (c *controller) replan(file operatorfile.File) error {
-	if !reflect.DeepEqual(c.file.Cells, file.Cells) {
+// applyCellsAndControl applies the changed cells and control sections of a new operator file. It changes nothing and
+// returns an error if the plan of cells is not valid for the current list of backends.
+func (c *controller) applyCellsAndControl(file operatorfile.File) error {
+	if !reflect.DeepEqual(c.operatorFile.Cells, file.Cells) {
 		if file.Cells != nil {
-			list, err := ask(c.queue, func(to chan []tenancy.Backend) any { return eventloop.FleetQuery{Reply: to} })
+			list, err := query(c.queue, func(reply chan []tenancy.Backend) any {
+				return eventloop.FleetQuery{Reply: reply}
+			})
 			if err == nil {
-				err = file.Cells.Validate(c.sheet.Deployment, list)
+				err = file.Cells.Validate(c.config.Deployment, list)
 			}
 			if err != nil {
 				return err
 			}
 		}
-		c.plan(file.Cells)
+		c.applyCells(file.Cells)
 	}
-	if !reflect.DeepEqual(c.file.Control, file.Control) {
+	if !reflect.DeepEqual(c.operatorFile.Control, file.Control) {
 		if c.control != nil {
 			c.control.close()
 			c.control = nil
 		}
 		if file.Control != nil {
 			var err error
-			if c.control, err = openControl(file.Control.Path, c.queue, c.more, c.log); err != nil {
-				c.log.WithField("reason", "control").Errorf("operators are not answered: %v", err)
+			if c.control, err = openControlSocket(file.Control.Path, c.queue, c.extension, c.log); err != nil {
+				c.log.WithField("reason", "control").Errorf("control socket is not available: %v", err)
 			}
 		}
 	}
 	return nil
 }
 
-// discover follows the platform's discovery, on from a list that is known.
-func (c *controller) discover(known reconcile.List) {
-	c.lists.begin(func(tell func(any)) Source {
-		r := discovery.New(c.sheet.Discovery, tell, c.log)
-		r.From(known)
-		go r.Run(!c.sheet.Deployment.ListOnRequest || !known.Complete)
-		return r
+// followDiscovery follows the platform's discovery service, starting from a known list.
+func (c *controller) followDiscovery(known reconcile.List) {
+	c.sources.follow(func(send func(any)) Source {
+		registry := discovery.New(c.config.Discovery, send, c.log)
+		registry.From(known)
+		go registry.Run(!c.config.Deployment.ListOnRequest || !known.Complete)
+		return registry
 	})
 }
 
-// follow follows the key-value registry of the operator file.
-func (c *controller) follow() {
-	c.lists.begin(func(tell func(any)) Source {
-		return c.parts.Registry(*c.file.Registry, c.sheet.Name, tell, c.log)
+// followRegistry follows the key-value registry of the operator file.
+func (c *controller) followRegistry() {
+	c.sources.follow(func(send func(any)) Source {
+		return c.extensions.Registry(*c.operatorFile.Registry, c.config.Name, send, c.log)
 	})
 }
 
-// reload takes over a file that was replaced. One that is broken, half written or missing changes nothing;
-// streams, tables and the list held stay in any case.
+// reload applies changes of the settings and the operator file. If either is missing or invalid, neither is applied.
+// Connections, routing tables and the list of backends are kept in any case.
 func (c *controller) reload() {
 	next, err := config.Load(os.Getenv, os.ReadFile)
 	if err != nil {
-		c.log.WithField("reason", "settings").Errorf("the configuration stays as it was: %v", err)
+		c.log.WithField("reason", "settings").Errorf("reload failed; the configuration stays as it was: %v", err)
 		return
 	}
-	if keys := c.sheet.KeysNeedingRestart(next); len(keys) > 0 {
-		c.log.WithField("keys", keys).Warn("these changes wait for a restart")
+	if keys := c.config.KeysNeedingRestart(next); len(keys) > 0 {
+		c.log.WithField("keys", keys).Warn("these changes take effect after a restart")
 	}
-	file, err := c.file, error(nil)
-	if c.path != "" {
-		if file, err = operatorfile.Read(c.path); err != nil {
-			faulty(c.log, "the configuration stays as it was", err)
+	file, err := c.operatorFile, error(nil)
+	if c.operatorPath != "" {
+		if file, err = operatorfile.Read(c.operatorPath); err != nil {
+			logFileErrors(c.log, "reload failed; the configuration stays as it was", err)
 			return
 		}
-		if err = c.replan(file); err != nil {
-			faulty(c.log, "the configuration stays as it was", err)
+		if err = c.applyCellsAndControl(file); err != nil {
+			logFileErrors(c.log, "reload failed; the configuration stays as it was", err)
 			return
 		}
 	}
-	moved := next.Discovery != c.sheet.Discovery
-	c.sheet.Discovery = next.Discovery
-	if !reflect.DeepEqual(c.file.Store, file.Store) || !reflect.DeepEqual(c.file.Peers, file.Peers) {
-		c.log.WithField("keys", "store, peers").Warn("these changes wait for a restart")
+	addressChanged := next.Discovery != c.config.Discovery
+	c.config.Discovery = next.Discovery
+	if !reflect.DeepEqual(c.operatorFile.Store, file.Store) || !reflect.DeepEqual(c.operatorFile.Peers, file.Peers) {
+		c.log.WithField("keys", "store, peers").Warn("these changes take effect after a restart")
 	}
-	if !reflect.DeepEqual(c.file.Channel, file.Channel) {
-		c.log.WithField("keys", "channel").Warn("these changes wait for a restart")
+	if !reflect.DeepEqual(c.operatorFile.Channel, file.Channel) {
+		c.log.WithField("keys", "channel").Warn("these changes take effect after a restart")
 	}
-	if !reflect.DeepEqual(c.file.Member, file.Member) {
-		c.log.WithField("keys", "member").Warn("these changes wait for a restart")
+	if !reflect.DeepEqual(c.operatorFile.Member, file.Member) {
+		c.log.WithField("keys", "member").Warn("these changes take effect after a restart")
 	}
-	was := c.file.Registry
-	c.file = file
+	previous := c.operatorFile.Registry
+	c.operatorFile = file
 	switch {
-	case !reflect.DeepEqual(was, file.Registry):
+	case !reflect.DeepEqual(previous, file.Registry):
 		if file.Registry != nil {
-			c.follow()
+			c.followRegistry()
 		} else {
-			c.discover(reconcile.List{})
+			c.followDiscovery(reconcile.List{})
 		}
-	case moved && was == nil:
-		if r, ok := c.lists.source().(*discovery.Registry); ok {
-			r.Move(next.Discovery)
+	case addressChanged && previous == nil:
+		if registry, ok := c.sources.latest().(*discovery.Registry); ok {
+			registry.Move(next.Discovery)
 		}
 	}
-	allow(next)
-	c.streams.SetLimits(next.MemoryMB<<20, next.Sockets)
+	setProcessLimits(next)
+	c.listener.SetLimits(next.MemoryMB<<20, next.Sockets)
 	c.log.WithFields(logrus.Fields{"discovery": next.Discovery, "memory_mb": next.MemoryMB, "sockets": next.Sockets,
-		"cores": next.Cores}).Info("configuration taken over")
+		"cores": next.Cores}).Info("configuration reloaded")
 }
 
-var began = time.Now()
+var startTime = time.Now()
 
-// clock is the wall's time at the start and what has passed since, so that it never goes back.
-func clock() policy.Time {
-	return policy.Time((began.UnixNano() + time.Since(began).Nanoseconds()) / (1e9 / int64(policy.Second)))
+// now returns the wall-clock time at the start plus the monotonic time since, so that it never goes back.
+func now() policy.Time {
+	return policy.Time((startTime.UnixNano() + time.Since(startTime).Nanoseconds()) / (1e9 / int64(policy.Second)))
 }
--- a/internal/controller/sources.go
+++ b/internal/controller/sources.go
@@ -15,27 +15,27 @@
 	"elmfold/internal/controller/warmstart"
 )
 
-// Source is where the list of backends comes from: the platform's discovery, or a key-value registry.
+// Source provides the list of backends, from the platform's discovery service or a key-value registry.
 type Source interface {
 	eventloop.Lists
 	Stop()
 }
 
-// OpenRegistry begins to follow a key-value registry and hands on each reconcile.List and reconcile.Failed.
-type OpenRegistry func(o operatorfile.Registry, name string, tell func(any), log *logrus.Entry) Source
+// OpenRegistry starts to follow a key-value registry. It passes each reconcile.List and reconcile.SourceFailed to send.
+type OpenRegistry func(o operatorfile.Registry, name string, send func(any), log *logrus.Entry) Source
 
-// WarmState keeps the list over crashes. Neither method waits.
+// WarmState keeps the list of backends and learned facts for the next start. Its methods do not block.
 type WarmState interface {
-	InitialList() (l reconcile.List, ok bool) // what was held last, where it is young enough
-	Update(said any)                          // each reconcile.List and reconcile.Failed that the desk is told
-	InitialBeliefs() []warmstart.Believe      // what else is believed of what was known before
-	RecordFacts(facts []warmstart.Fact)       // what the decisions know, a part of it each second
+	InitialList() (l reconcile.List, ok bool) // the last list, unless it is too old
+	Update(message any)                       // a reconcile.List or reconcile.SourceFailed sent to the event loop
+	InitialBeliefs() []warmstart.Believe      // other facts that are still believed
+	RecordFacts(facts []warmstart.Fact)       // facts of the event loop, a part of them each second
 }
 
 // OpenWarmState opens the state store of an operator file and queries its peers. A nil error comes with a WarmState.
 type OpenWarmState func(o operatorfile.File, name string, log *logrus.Entry) (WarmState, error)
 
-// Extensions are what the full program adds to a controller; nil in the bare one.
+// Extensions are the components that only the full program has. Those of the minimal program are nil.
 type Extensions struct {
 	Registry  OpenRegistry
 	WarmState OpenWarmState
@@ -43,103 +43,106 @@
 	Member    OpenMember
 }
 
-// Member is this instance's part in a fleet. None of its methods waits.
+// Member is the membership of this instance in a fleet. Its methods do not block.
 type Member interface {
 	eventloop.Observer
 	Addr() string
 	HandleRequest(r Request) (body json.RawMessage, ok bool, err error)
 }
 
-// OpenMember takes part as an operator file says; hear is given what others tell.
+// OpenMember joins the fleet of an operator file. Messages of other members are passed to send.
 type OpenMember func(
 	o operatorfile.File,
-	sheet config.Config,
-	hear func(eventloop.Command),
+	cfg config.Config,
+	send func(eventloop.Command),
 	log *logrus.Entry,
 ) (Member, error)
 
-// Channel is the pub-sub channel that is served. Neither method waits.
+// Channel is the server side of the pub-sub channel. Its methods do not block.
 type Channel interface {
-	Tell(reconcile.List)         // each list that the desk is told
-	Look(facts []warmstart.Fact) // what the decisions know, a part of it each second
+	Tell(reconcile.List)         // publishes a list sent to the event loop
+	Look(facts []warmstart.Fact) // publishes facts of the event loop, a part of them each second
 	Addr() string
 }
 
-// OpenChannel serves the channel of an operator file; hear is given what comes by it.
+// OpenChannel opens the channel of an operator file. Messages from its clients are passed to send.
 type OpenChannel func(
 	o operatorfile.Channel,
 	proxies int,
 	names flatsettings.Names,
-	hear func(eventloop.Command),
+	send func(eventloop.Command),
 	log *logrus.Entry,
 ) (Channel, error)
 
-// slot is a Source that is followed; it is known before the Source tells anything.
-type slot struct{ Source }
+// sourceSlot identifies a Source from before it is opened, as it may send a message while it is.
+type sourceSlot struct{ Source }
 
-// sources is the one way from Sources to the desk. Of two the new one takes the old one's place with its first
-// whole list: until then the old one is followed, so nothing is undone by one that cannot be reached.
+// sources forwards messages from the active Source to the event loop. A new Source replaces the active one with its
+// first complete list. Until then the active one stays in use, so that an unreachable new Source does no harm.
 type sources struct {
-	queue   chan<- eventloop.Command
-	memory  WarmState               // nil: nothing is kept
-	channel atomic.Pointer[Channel] // nil: nobody looks on
-	log     *logrus.Entry
-	now     atomic.Pointer[slot] // the desk asks here and never waits
+	queue     chan<- eventloop.Command
+	warmState WarmState               // nil: none
+	channel   atomic.Pointer[Channel] // nil: none
+	log       *logrus.Entry
+	active    atomic.Pointer[sourceSlot] // read without a lock, so that the event loop never blocks
 
 	mu   sync.Mutex
-	next *slot
+	next *sourceSlot // replaces active; nil: none
 }
 
-// begin follows a further Source; the first one holds at once.
-func (s *sources) begin(open func(tell func(any)) Source) {
-	at := &slot{}
+// follow opens a Source. The first one is active at once; any other replaces one that is not yet active.
+func (s *sources) follow(open func(send func(any)) Source) {
+	slot := &sourceSlot{}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if old := s.next; old != nil {
 		go old.Stop()
 	}
-	if s.now.Load() == nil {
-		s.now.Store(at)
+	if s.active.Load() == nil {
+		s.active.Store(slot)
 	} else {
-		s.next = at
+		s.next = slot
 	}
-	at.Source = open(func(said any) { s.tell(at, said) })
+	slot.Source = open(func(message any) { s.forward(slot, message) })
 }
 
-func (s *sources) tell(from *slot, said any) {
+// forward sends a message of the active Source to the event loop, and drops one of any other Source. The first complete
+// list of the next Source makes it the active one.
+func (s *sources) forward(from *sourceSlot, message any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l, ok := said.(reconcile.List); ok && l.Complete && from == s.next {
-		old := s.now.Swap(from)
+	if l, ok := message.(reconcile.List); ok && l.Complete && from == s.next {
+		old := s.active.Swap(from)
 		s.next = nil
-		go old.Stop() // it may wait for this very call
+		go old.Stop() // may wait for a concurrent call of forward
 		s.log.WithFields(logrus.Fields{"revision": l.Revision, "backends": len(l.Members)}).
-			Info("the list comes from the new source")
+			Info("switched to the new source of the backend list")
 	}
-	if from == s.now.Load() {
-		if s.memory != nil {
-			s.memory.Update(said)
+	if from == s.active.Load() {
+		if s.warmState != nil {
+			s.warmState.Update(message)
 		}
 		if c := s.channel.Load(); c != nil {
-			if l, ok := said.(reconcile.List); ok {
+			if l, ok := message.(reconcile.List); ok {
 				(*c).Tell(l)
 			}
 		}
-		s.queue <- eventloop.Command{Message: said}
+		s.queue <- eventloop.Command{Message: message}
 	}
 }
 
-// Follow and Reload are the desk's.
-func (s *sources) Follow(on bool) { s.now.Load().Follow(on) }
+// Follow implements eventloop.Lists with the active Source.
+func (s *sources) Follow(on bool) { s.active.Load().Follow(on) }
 
-func (s *sources) Reload() { s.now.Load().Reload() }
+// Reload implements eventloop.Lists with the active Source.
+func (s *sources) Reload() { s.active.Load().Reload() }
 
-// source is the one that holds, or that is to hold.
-func (s *sources) source() Source {
+// latest returns the Source that was opened last.
+func (s *sources) latest() Source {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.next != nil {
 		return s.next.Source
 	}
-	return s.now.Load().Source
+	return s.active.Load().Source
 }
