--- a/internal/controller/command/command_test.go
+++ b/internal/controller/command/command_test.go
@@ -424,7 +424,7 @@
 	wide := write(t, "wide.conf", "cells shuffle\n  size 3\ntenant a\n  proxies 0\ntenant b\n  proxies 1\n")
 	var out, errs bytes.Buffer
 	if code := Run([]string{"check", "--against", config, wide}, &out, &errs); code != 0 ||
-		!strings.Contains(errs.String(), "wide.conf:3: warning: tenant a can touch 100% of the others' strength") {
+		!strings.Contains(errs.String(), "wide.conf:3: warning: tenant a can affect 100% of the other tenants' capacity") {
 		t.Errorf("exit %d, %q, %q", code, out.String(), errs.String())
 	}
 	errs.Reset()
--- a/internal/controller/operatorfile/cells.go
+++ b/internal/controller/operatorfile/cells.go
@@ -12,113 +12,112 @@
 	"elmfold/internal/policy"
 )
 
-// Cells is what a file says of cells and tenants; the places of products, zones and the cold time are the
-// platform's to tell.
+// Cells configures cells and tenants. Plan lacks the fields that come from the platform's settings; see PlanFor.
 type Cells struct {
 	Plan        tenancy.Plan
 	File        string
-	TenantLines []int // of the tenants' sections
+	TenantLines []int // of the tenant sections, by tenant
 }
 
-// Control is the socket at which a running controller answers its operators.
+// Control configures the control socket for operators.
 type Control struct{ Path string }
 
-func ticks(d time.Duration) policy.Time { return policy.Time(d / (100 * time.Microsecond)) }
+func policyTime(d time.Duration) policy.Time { return policy.Time(d / (100 * time.Microsecond)) }
 
 const (
-	mostTenants = 10000
-	mostProxies = 100000
+	maxTenants = 10000
+	maxProxies = 100000
 )
 
-// cells reads the section that turns cells on: cells fixed, or cells shuffle.
-func (r *reader) cells(s section) *Cells {
-	c := &Cells{Plan: tenancy.Usual(), File: r.file}
-	p := &c.Plan
-	switch way := strings.Join(s.arguments, " "); way {
+// parseCells parses a section cells fixed or cells shuffle.
+func (p *parser) parseCells(s section) *Cells {
+	c := &Cells{Plan: tenancy.Usual(), File: p.file}
+	plan := &c.Plan
+	switch mode := strings.Join(s.arguments, " "); mode {
 	case "fixed", "shuffle":
-		p.Shuffle = way == "shuffle"
+		plan.Shuffle = mode == "shuffle"
 	default:
-		r.fault(s.line, "write cells fixed or cells shuffle", "cells %q is no known way", way)
+		p.addError(s.line, "write cells fixed or cells shuffle", "unknown mode of cells %q", mode)
 		return c
 	}
-	span := func(into *policy.Time, most time.Duration) rule {
+	duration := func(into *policy.Time, most time.Duration) rule {
 		return rule{1, 1, "30s", func(d directive, w []string) {
 			v := -time.Second
-			if r.span(&v, time.Second, most).read(d, w); v >= 0 {
-				*into = ticks(v)
+			if p.durationRule(&v, time.Second, most).apply(d, w); v >= 0 {
+				*into = policyTime(v)
 			}
 		}}
 	}
 	rules := map[string]rule{
-		"loan":      r.count(&p.Loan, 0, 1000),
-		"loan-time": span(&p.LoanFor, time.Hour),
-		"lost":      r.count(&p.Lost, 0, 1000),
-		"lost-time": span(&p.LostOver, 24*time.Hour),
-		"trickle":   r.rate(&p.Trickle, 0.01, 1000),
-		"settle":    span(&p.Settle, 10*time.Minute),
-		"prepare":   span(&p.Prepare, time.Hour),
-		"part":      r.part(&p.Part),
-		"warn":      r.part(&p.Warn),
+		"loan":      p.countRule(&plan.Loan, 0, 1000),
+		"loan-time": duration(&plan.LoanFor, time.Hour),
+		"lost":      p.countRule(&plan.Lost, 0, 1000),
+		"lost-time": duration(&plan.LostOver, 24*time.Hour),
+		"trickle":   p.rateRule(&plan.Trickle, 0.01, 1000),
+		"settle":    duration(&plan.Settle, 10*time.Minute),
+		"prepare":   duration(&plan.Prepare, time.Hour),
+		"part":      p.percentRule(&plan.Part),
+		"warn":      p.percentRule(&plan.Warn),
 	}
-	if p.Shuffle {
-		rules["size"] = r.count(&p.Size, 1, 1000)
+	if plan.Shuffle {
+		rules["size"] = p.countRule(&plan.Size, 1, 1000)
 	} else {
-		rules["cell"] = rule{1, many, "NAME", func(d directive, w []string) {
+		rules["cell"] = rule{1, maxListArgs, "NAME", func(d directive, w []string) {
 			part := 1.0
 			if len(w) == 3 && w[1] == "part" {
 				v, err := strconv.ParseFloat(w[2], 64)
 				if err != nil || v <= 0 || v > 1000 {
-					r.fault(d.line, "write a number above 0, such as: cell blue part 2", "part %q is none", w[2])
+					p.addError(d.line, "write a number above 0, such as: cell blue part 2", "part %q is not valid", w[2])
 					return
 				}
 				part = v
 			} else if len(w) != 1 {
-				r.fault(d.line, "write cell NAME or cell NAME part 2", "cell says too much: %q", w[1])
+				p.addError(d.line, "write cell NAME or cell NAME part 2", "cell has too many arguments: %q", w[1])
 				return
 			}
-			if slices.ContainsFunc(p.Cells, func(c tenancy.Cell) bool { return c.Name == w[0] }) {
-				r.fault(d.line, "take one of them out", "cell %s stands there twice", w[0])
+			if slices.ContainsFunc(plan.Cells, func(c tenancy.Cell) bool { return c.Name == w[0] }) {
+				p.addError(d.line, "remove one of them", "cell %s is listed twice", w[0])
 				return
 			}
-			p.Cells = append(p.Cells, tenancy.Cell{Name: w[0], Part: part})
+			plan.Cells = append(plan.Cells, tenancy.Cell{Name: w[0], Part: part})
 		}}
 	}
-	faults := len(r.faults)
-	at := r.obey(s, rules)
+	errorsBefore := len(p.errors)
+	lines := p.parseDirectives(s, rules)
 	switch {
-	case len(r.faults) > faults:
-	case !p.Shuffle && len(p.Cells) < 2:
-		r.fault(s.line, "add lines such as: cell blue", "%d cells confine nobody", len(p.Cells))
-	case p.Part == 0:
-		r.fault(at["part"], "write a part above 0%", "a move of no proxies never ends")
+	case len(p.errors) > errorsBefore:
+	case !plan.Shuffle && len(plan.Cells) < 2:
+		p.addError(s.line, "add lines such as: cell blue", "%d cells are too few, at least 2 are required", len(plan.Cells))
+	case plan.Part == 0:
+		p.addError(lines["part"], "write a percentage above 0%", "part is 0%%, so a move would never end")
 	}
 	return c
 }
 
-// rate reads so many a second.
-func (r *reader) rate(into *float64, least, most float64) rule {
+// rateRule accepts a rate per second from least to most.
+func (p *parser) rateRule(into *float64, least, most float64) rule {
 	return rule{1, 1, "0.5/s", func(d directive, w []string) {
 		text, ok := strings.CutSuffix(w[0], "/s")
 		v, err := strconv.ParseFloat(text, 64)
 		if !ok || err != nil || !(v >= least && v <= most) {
-			r.fault(d.line, fmt.Sprintf("write a rate from %g/s to %g/s", least, most), "%s %q is none", d.name, w[0])
+			p.addError(d.line, fmt.Sprintf("write a rate from %g/s to %g/s", least, most), "%s %q is not valid", d.name, w[0])
 			return
 		}
 		*into = v
 	}}
 }
 
-// tenant reads a section tenant NAME.
-func (r *reader) tenant(s section) (t tenancy.Tenant) {
+// parseTenant parses a section tenant NAME.
+func (p *parser) parseTenant(s section) (t tenancy.Tenant) {
 	if len(s.arguments) != 1 {
-		r.fault(s.line, "write tenant NAME", "a tenant has one name")
+		p.addError(s.line, "write tenant NAME", "tenant requires exactly one name")
 		return t
 	}
 	t.Name = s.arguments[0]
-	at := r.obey(s, map[string]rule{
-		"cell": r.parseWord(&t.Cell, "blue"),
-		"size": r.count(&t.Size, 1, 1000),
-		"proxies": {1, many, "0-4 7", func(d directive, w []string) {
+	lines := p.parseDirectives(s, map[string]rule{
+		"cell": p.wordRule(&t.Cell, "blue"),
+		"size": p.countRule(&t.Size, 1, 1000),
+		"proxies": {1, maxListArgs, "0-4 7", func(d directive, w []string) {
 			for _, word := range w {
 				from, to, ranged := strings.Cut(word, "-")
 				if !ranged {
@@ -126,8 +125,8 @@
 				}
 				a, errA := strconv.Atoi(from)
 				b, errB := strconv.Atoi(to)
-				if errA != nil || errB != nil || a < 0 || b < a || b >= mostProxies {
-					r.fault(d.line, "write numbers and spans of them, such as: proxies 0-4 7", "proxies %q is none", word)
+				if errA != nil || errB != nil || a < 0 || b < a || b >= maxProxies {
+					p.addError(d.line, "write numbers and ranges, such as: proxies 0-4 7", "proxies %q is not valid", word)
 					return
 				}
 				for i := a; i <= b; i++ {
@@ -136,127 +135,133 @@
 			}
 		}},
 	})
-	if at["proxies"] == 0 {
-		r.fault(s.line, "add a line such as: proxies 0-4", "tenant %s has no proxies", t.Name)
+	if lines["proxies"] == 0 {
+		p.addError(s.line, "add a line such as: proxies 0-4", "tenant %s has no proxies", t.Name)
 	}
 	return t
 }
 
-// control reads the section control.
-func (r *reader) control(s section) *Control {
+// parseControl parses a control section.
+func (p *parser) parseControl(s section) *Control {
 	c := &Control{}
-	at := r.obey(s, map[string]rule{"socket": r.parseWord(&c.Path, "/run/elmfold.sock")})
-	if at["socket"] == 0 {
-		r.fault(s.line, "add a line such as: socket /run/elmfold.sock", "control has no socket")
+	lines := p.parseDirectives(s, map[string]rule{"socket": p.wordRule(&c.Path, "/run/elmfold.sock")})
+	if lines["socket"] == 0 {
+		p.addError(s.line, "add a line such as: socket /run/elmfold.sock", "control has no socket")
 	}
 	return c
 }
 
-// fit checks what tenants and cells say of each other. lines are those of the tenants' sections.
-func (r *reader) fit(f *File, tenants []tenancy.Tenant, lines []int) {
+// checkTenants checks the tenants against the cells and stores them in the plan. lines are those of their sections.
+func (p *parser) checkTenants(f *File, tenants []tenancy.Tenant, lines []int) {
 	if len(tenants) == 0 {
 		return
 	}
 	if f.Cells == nil {
-		r.fault(lines[0], "add a section: cells fixed or cells shuffle", "a tenant without cells")
+		p.addError(lines[0], "add a section: cells fixed or cells shuffle", "tenant requires a cells section")
 		return
 	}
-	p := &f.Cells.Plan
+	plan := &f.Cells.Plan
 	owner := map[int]string{}
 	for i, t := range tenants {
 		named := func(c tenancy.Cell) bool { return c.Name == t.Cell }
 		switch {
-		case p.Shuffle && t.Cell != "":
-			r.fault(
+		case plan.Shuffle && t.Cell != "":
+			p.addError(
 				lines[i],
-				"take the line cell out, or write cells fixed",
-				"tenant %s names a cell where there are none",
+				"remove the line cell, or write cells fixed",
+				"tenant %s names a cell, but cells are shuffled",
 				t.Name,
 			)
-		case !p.Shuffle && t.Size != 0:
-			r.fault(lines[i], "take the line size out, or write cells shuffle", "tenant %s has a size in a fixed cell", t.Name)
-		case !p.Shuffle && !slices.ContainsFunc(p.Cells, named):
+		case !plan.Shuffle && t.Size != 0:
+			p.addError(
+				lines[i],
+				"remove the line size, or write cells shuffle",
+				"tenant %s has a size, but cells are fixed",
+				t.Name,
+			)
+		case !plan.Shuffle && !slices.ContainsFunc(plan.Cells, named):
 			var names []string
-			for _, c := range p.Cells {
+			for _, c := range plan.Cells {
 				names = append(names, c.Name)
 			}
 			if len(names) > 0 {
-				r.fault(lines[i], nearest(t.Cell, names), "tenant %s is in no known cell %q", t.Name, t.Cell)
+				p.addError(lines[i], suggest(t.Cell, names), "tenant %s is in unknown cell %q", t.Name, t.Cell)
 			}
 		}
-		for _, at := range t.Proxies {
-			if other, taken := owner[at]; taken {
-				r.fault(lines[i], "give it to one of them", "proxy %d is of tenant %s and of tenant %s", at, other, t.Name)
+		for _, proxy := range t.Proxies {
+			if other, taken := owner[proxy]; taken {
+				p.addError(lines[i], "assign it to one of them", "proxy %d is in tenant %s and in tenant %s", proxy, other, t.Name)
 				break
 			}
-			owner[at] = t.Name
+			owner[proxy] = t.Name
 		}
 	}
-	if len(tenants) > mostTenants {
-		r.fault(lines[mostTenants], "put some together", "more than %d tenants", mostTenants)
+	if len(tenants) > maxTenants {
+		p.addError(lines[maxTenants], "merge some of them", "more than %d tenants", maxTenants)
 	}
-	p.Tenants, f.Cells.TenantLines = tenants, lines
+	plan.Tenants, f.Cells.TenantLines = tenants, lines
 }
 
-// PlanFor returns the plan with what the platform's settings say of products and zones.
+// PlanFor returns the plan completed with the products, zones and warmup time of the platform's settings.
 func (c *Cells) PlanFor(d policy.Deployment) tenancy.Plan {
-	p := c.Plan
-	p.Products, p.Zones, p.Cold = d.Products, d.Zones, d.WarmupTime
-	return p
+	plan := c.Plan
+	plan.Products, plan.Zones, plan.Cold = d.Products, d.Zones, d.WarmupTime
+	return plan
 }
 
-// TenantsWithUnknownProxies names tenants with proxies that the settings do not have.
+// TenantsWithUnknownProxies returns the sorted names of tenants with a proxy number that is not below proxies.
 func (c *Cells) TenantsWithUnknownProxies(proxies int) (names []string) {
-	beyond := map[string]bool{}
+	tenants := map[string]bool{}
 	for _, t := range c.Plan.Tenants {
-		for _, at := range t.Proxies {
-			if at >= proxies {
-				beyond[t.Name] = true
+		for _, proxy := range t.Proxies {
+			if proxy >= proxies {
+				tenants[t.Name] = true
 			}
 		}
 	}
-	return slices.Sorted(maps.Keys(beyond))
+	return slices.Sorted(maps.Keys(tenants))
 }
 
 // Validate checks the plan against a backend list. A non-nil error is of type FileErrors.
 func (c *Cells) Validate(d policy.Deployment, list []tenancy.Backend) error {
-	p := c.PlanFor(d)
-	var faults FileErrors
-	for _, l := range p.Lacks(list) {
-		mend := "give its cell a larger part, or put it into another"
-		if p.Shuffle {
-			mend = "give it a larger size"
+	plan := c.PlanFor(d)
+	var fileErrors FileErrors
+	for _, l := range plan.Lacks(list) {
+		fix := "give its cell a larger part, or move it to another cell"
+		if plan.Shuffle {
+			fix = "give it a larger size"
 		}
-		faults = append(
-			faults,
-			FileError{c.File, c.TenantLines[l.Tenant], fmt.Sprintf("tenant %s: %s", p.Tenants[l.Tenant].Name, l.Why), mend},
+		fileErrors = append(
+			fileErrors,
+			FileError{c.File, c.TenantLines[l.Tenant], fmt.Sprintf("tenant %s: %s", plan.Tenants[l.Tenant].Name, l.Why), fix},
 		)
 	}
-	if len(faults) == 0 {
+	if len(fileErrors) == 0 {
 		return nil
 	}
-	return faults
+	return fileErrors
 }
 
-// Warnings name the tenants that can touch more of the others' strength than the file says is meant.
+// Warnings returns a line for each tenant that can affect more of the other tenants' capacity than the warn directive
+// allows.
 func (c *Cells) Warnings(d policy.Deployment, list []tenancy.Backend) (all []string) {
-	p := c.PlanFor(d)
-	radii, _ := p.Radii(list)
-	for i, r := range radii {
-		if p.Warn > 0 && r.Mean > p.Warn {
+	plan := c.PlanFor(d)
+	radii, _ := plan.Radii(list)
+	for i, radius := range radii {
+		if plan.Warn > 0 && radius.Mean > plan.Warn {
 			all = append(
 				all,
 				FileError{
 					c.File,
 					c.TenantLines[i],
 					fmt.Sprintf(
-						"warning: tenant %s can touch %.0f%% of the others' strength, %.0f%% of that of %s",
-						r.Tenant,
-						100*r.Mean,
-						100*r.Most,
-						r.With,
+						"warning: tenant %s can affect %.0f%% of the other tenants' capacity, %.0f%% of that of %s",
+						radius.Tenant,
+						100*radius.Mean,
+						100*radius.Most,
+						radius.With,
 					),
-					fmt.Sprintf("use more cells or a smaller size, or write warn above %.0f%%", 100*r.Mean),
+					fmt.Sprintf("use more cells or a smaller size, or write warn above %.0f%%", 100*radius.Mean),
 				}.Error(),
 			)
 		}
--- a/internal/controller/operatorfile/operatorfile.go
+++ b/internal/controller/operatorfile/operatorfile.go
@@ -15,7 +15,7 @@
 	"elmfold/internal/controller/tenancy"
 )
 
-// File is what an operator file says. What it has no section for is off.
+// File is the content of an operator file. A feature without a section is nil and turned off.
 type File struct {
 	Registry *Registry
 	Cells    *Cells
@@ -27,51 +27,50 @@
 	Jobs     *Jobs
 }
 
-// Jobs is where jobs and their edits are kept.
+// Jobs configures the storage of jobs and their edits.
 type Jobs struct {
 	Path  string
-	Peers []string // for whom edits are kept; none: for whoever was ever there
+	Peers []string // members that must see an edit before it is compacted; empty: all members ever seen
 }
 
-// Member is this instance's part in a fleet of many.
+// Member configures the membership of this instance in a fleet.
 type Member struct {
-	Listen           string
-	Site             string
-	Join             []string
-	AddressOverrides map[string]string // by name: where one is reached in place of where it listens
-	ShareTotals      bool              // sums are told on
-	// Where connections of other instances are taken, and where some are reached in place of where they say.
-	Streams                string
-	StreamAddressOverrides map[string]string
+	Listen                 string
+	Site                   string
+	Join                   []string
+	AddressOverrides       map[string]string // by member name; in place of the listen address
+	ShareTotals            bool              // with the other members
+	Streams                string            // listen address for streams of other members
+	StreamAddressOverrides map[string]string // by member name; in place of the address that the member announces
 }
 
-// Channel is where the pub-sub channel is served.
+// Channel configures the pub-sub channel.
 type Channel struct {
 	Listen    string
-	Linger    time.Duration // that a subscriber may be away before it has left
-	Onlookers int           // of a topic, at most
+	Linger    time.Duration // how long a disconnected subscriber is kept
+	Onlookers int           // limit per topic
 }
 
-// Peers are instances that tell each other what they know.
+// Peers configures the instances that exchange their warm state.
 type Peers struct {
-	Listen       string   // where we tell; empty: we do not
-	Addresses    []string // whom we ask at a start
+	Listen       string   // empty: serve no peers
+	Addresses    []string // queried at the start
 	QueryTimeout time.Duration
 }
 
-// Store is where what is known is kept over crashes.
+// Store configures the file that keeps the warm state across restarts.
 type Store struct {
 	Path  string
-	Limit int // bytes
-	Grace time.Duration
+	Limit int           // bytes
+	Grace time.Duration // maximum age of state to restore
 }
 
-// Registry is a key-value registry that holds the list of backends.
+// Registry configures the key-value registry that holds the list of backends.
 type Registry struct {
 	Kind      string // Etcd or Consul
 	Endpoints []string
 	Access    discovery.Access
-	Config    reconcile.Config // without a seed
+	Config    reconcile.Config // without its seed
 }
 
 // Kinds of registry.
@@ -80,192 +79,199 @@
 	Consul = "consul"
 )
 
-// Read takes a file from disk. The error is Faults.
+// Read parses the file at path. A non-nil error is of type FileErrors.
 func Read(path string) (File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return File{}, FileErrors{{File: path, Problem: err.Error(), Fix: "name a file that can be read"}}
+		return File{}, FileErrors{{File: path, Problem: err.Error(), Fix: "name a readable file"}}
 	}
 	return Parse(path, string(text))
 }
 
-// Parse takes a file's text; name stands in the errors, which are Faults.
+// Parse parses the text of a file. name is the file name in errors. A non-nil error is of type FileErrors.
 func Parse(name, text string) (File, error) {
-	r := &reader{file: name}
+	p := &parser{file: name}
 	var f File
 	seen := map[string]int{}
 	var tenants []tenancy.Tenant
 	var lines []int
-	for _, s := range r.sections(text) {
+	for _, s := range p.parseSections(text) {
 		name := s.name
 		if s.name == "tenant" && len(s.arguments) == 1 {
 			name += " " + s.arguments[0]
 		}
 		if first := seen[name]; first > 0 {
-			r.fault(s.line, "put both into one", "a second section %s; the first is in line %d", name, first)
+			p.addError(s.line, "merge the sections", "duplicate section %s, first in line %d", name, first)
 			continue
 		}
 		seen[name] = s.line
 		switch s.name {
 		case "registry":
-			f.Registry = r.registry(s)
+			f.Registry = p.parseRegistry(s)
 		case "cells":
-			f.Cells = r.cells(s)
+			f.Cells = p.parseCells(s)
 		case "tenant":
-			tenants, lines = append(tenants, r.tenant(s)), append(lines, s.line)
+			tenants, lines = append(tenants, p.parseTenant(s)), append(lines, s.line)
 		case "control":
-			f.Control = r.control(s)
+			f.Control = p.parseControl(s)
 		case "store":
-			f.Store = r.store(s)
+			f.Store = p.parseStore(s)
 		case "peers":
-			f.Peers = r.peers(s)
+			f.Peers = p.parsePeers(s)
 		case "channel":
-			f.Channel = r.channel(s)
+			f.Channel = p.parseChannel(s)
 		case "member":
-			f.Member = r.member(s)
+			f.Member = p.parseMember(s)
 		case "jobs":
-			f.Jobs = r.jobs(s)
+			f.Jobs = p.parseJobs(s)
 		default:
-			r.fault(
+			p.addError(
 				s.line,
-				nearest(s.name, []string{"cells", "channel", "control", "jobs", "member", "peers", "registry", "store", "tenant"}),
-				"no section is named %q",
+				suggest(s.name, []string{"cells", "channel", "control", "jobs", "member", "peers", "registry", "store", "tenant"}),
+				"unknown section %q",
 				s.name,
 			)
 		}
 	}
 	if f.Jobs != nil && (f.Member == nil || f.Member.Streams == "") {
-		r.fault(
+		p.addError(
 			seen["jobs"],
-			"add a section member with a line such as: streams 10.0.0.1:7951",
-			"jobs has no member with streams",
+			"add a member section with a line such as: streams 10.0.0.1:7951",
+			"jobs requires a member section with streams",
 		)
 	}
-	if len(r.faults) == 0 {
-		r.fit(&f, tenants, lines)
+	if len(p.errors) == 0 {
+		p.checkTenants(&f, tenants, lines)
 	}
-	if len(r.faults) > 0 {
-		slices.SortStableFunc(r.faults, func(a, b FileError) int { return a.Line - b.Line })
-		return File{}, r.faults
+	if len(p.errors) > 0 {
+		slices.SortStableFunc(p.errors, func(a, b FileError) int { return a.Line - b.Line })
+		return File{}, p.errors
 	}
 	return f, nil
 }
 
-// rule reads one directive's words into where it belongs. least and most bound how many there are.
+// rule checks and stores the arguments of a directive. apply is called only with minArgs to maxArgs of them.
 type rule struct {
-	least, most int
-	example     string
-	read        func(d directive, words []string)
+	minArgs, maxArgs int
+	example          string
+	apply            func(d directive, words []string)
 }
 
-// obey reads the directives of a section; each may stand once, unless its rule takes any number of words.
-func (r *reader) obey(s section, rules map[string]rule) (at map[string]int) {
-	at = map[string]int{}
-	for _, d := range s.inner {
+// parseDirectives applies rules to the directives of a section. A directive may be repeated only if its rule accepts
+// a list. The result maps directives to the lines of their first use.
+func (p *parser) parseDirectives(s section, rules map[string]rule) (lines map[string]int) {
+	lines = map[string]int{}
+	for _, d := range s.directives {
 		rule, ok := rules[d.name]
-		switch first := at[d.name]; {
+		switch first := lines[d.name]; {
 		case !ok:
-			r.fault(d.line, nearest(d.name, slices.Sorted(maps.Keys(rules))), "%s has no directive %q", s.name, d.name)
+			known := slices.Sorted(maps.Keys(rules))
+			p.addError(d.line, suggest(d.name, known), "unknown directive %q in section %s", d.name, s.name)
 			continue
-		case first > 0 && rule.most < many:
-			r.fault(d.line, "take one of them out", "%s stands in line %d already", d.name, first)
+		case first > 0 && rule.maxArgs < maxListArgs:
+			p.addError(d.line, "remove one of them", "duplicate directive %s, first in line %d", d.name, first)
 			continue
-		case len(d.arguments) < rule.least:
-			r.fault(d.line, "write "+d.name+" "+rule.example, "%s says too little", d.name)
-		case len(d.arguments) > rule.most:
-			r.fault(d.line, "write "+d.name+" "+rule.example, "%s says too much: %q", d.name, d.arguments[rule.most])
+		case len(d.arguments) < rule.minArgs:
+			p.addError(d.line, "write "+d.name+" "+rule.example, "%s has too few arguments", d.name)
+		case len(d.arguments) > rule.maxArgs:
+			extra := d.arguments[rule.maxArgs]
+			p.addError(d.line, "write "+d.name+" "+rule.example, "%s has too many arguments: %q", d.name, extra)
 		default:
-			rule.read(d, d.arguments)
+			rule.apply(d, d.arguments)
 		}
-		if at[d.name] == 0 {
-			at[d.name] = d.line
+		if lines[d.name] == 0 {
+			lines[d.name] = d.line
 		}
 	}
-	return at
+	return lines
 }
 
-const many = 64
+// maxListArgs is the limit of arguments for a directive that accepts a list.
+const maxListArgs = 64
 
-// span reads a time of at least one and at most another.
-func (r *reader) span(into *time.Duration, least, most time.Duration) rule {
+// durationRule accepts a duration from least to most.
+func (p *parser) durationRule(into *time.Duration, least, most time.Duration) rule {
 	return rule{1, 1, least.String(), func(d directive, w []string) {
 		v, err := time.ParseDuration(w[0])
 		if _, plain := strconv.ParseFloat(w[0], 64); plain == nil && w[0] != "0" {
-			r.fault(
+			p.addError(
 				d.line,
-				fmt.Sprintf("write %s %ss or %sms, as is meant", d.name, w[0], w[0]),
+				fmt.Sprintf("write %s %ss or %sms", d.name, w[0], w[0]),
 				"%s %q has no unit",
 				d.name,
 				w[0],
 			)
 		} else if err != nil {
-			r.fault(d.line, "write a span such as "+d.name+" 1.5s", "%s %q is no span of time", d.name, w[0])
+			p.addError(d.line, "write a duration such as "+d.name+" 1.5s", "%s %q is not a duration", d.name, w[0])
 		} else if v < least || v > most {
-			r.fault(d.line, fmt.Sprintf("write a span from %v to %v", least, most), "%s %v is out of range", d.name, v)
+			p.addError(d.line, fmt.Sprintf("write a duration from %v to %v", least, most), "%s %v is out of range", d.name, v)
 		} else {
 			*into = v
 		}
 	}}
 }
 
-func (r *reader) count(into *int, least, most int) rule {
+// countRule accepts a whole number from least to most.
+func (p *parser) countRule(into *int, least, most int) rule {
 	return rule{1, 1, strconv.Itoa(least), func(d directive, w []string) {
 		v, err := strconv.Atoi(w[0])
 		if err != nil || v < least || v > most {
-			r.fault(d.line, fmt.Sprintf("write a whole number from %d to %d", least, most), "%s %q is none", d.name, w[0])
+			fix := fmt.Sprintf("write a whole number from %d to %d", least, most)
+			p.addError(d.line, fix, "%s %q is not valid", d.name, w[0])
 			return
 		}
 		*into = v
 	}}
 }
 
-var sizes = []struct {
+var sizeUnits = []struct {
 	unit  string
 	bytes int
 }{{"KB", 1 << 10}, {"MB", 1 << 20}, {"B", 1}}
 
-func (r *reader) size(into *int, least, most int) rule {
+// sizeRule accepts a size from least to most bytes.
+func (p *parser) sizeRule(into *int, least, most int) rule {
 	return rule{1, 1, "64KB", func(d directive, w []string) {
-		for _, s := range sizes {
+		for _, s := range sizeUnits {
 			text, ok := strings.CutSuffix(w[0], s.unit)
 			if v, err := strconv.Atoi(text); ok && err == nil && v >= 0 && v <= most/s.bytes && v*s.bytes >= least {
 				*into = v * s.bytes
 				return
 			}
 		}
-		r.fault(d.line, fmt.Sprintf("write a size from %dB to %dKB", least, most>>10), "%s %q is none", d.name, w[0])
+		p.addError(d.line, fmt.Sprintf("write a size from %dB to %dKB", least, most>>10), "%s %q is not valid", d.name, w[0])
 	}}
 }
 
-// part reads a percentage; 0% is never.
-func (r *reader) part(into *float64) rule {
+// percentRule accepts a percentage and stores it as a fraction.
+func (p *parser) percentRule(into *float64) rule {
 	return rule{1, 1, "50%", func(d directive, w []string) {
 		text, ok := strings.CutSuffix(w[0], "%")
 		v, err := strconv.ParseFloat(text, 64)
 		if !ok || err != nil || !(v >= 0 && v <= 100) {
-			r.fault(d.line, "write a part from 0% to 100%", "%s %q is none", d.name, w[0])
+			p.addError(d.line, "write a percentage from 0% to 100%", "%s %q is not valid", d.name, w[0])
 			return
 		}
 		*into = v / 100
 	}}
 }
 
-// parseWord reads a name or a path, which need not be there yet.
-func (r *reader) parseWord(into *string, example string) rule {
+// wordRule accepts any word. A path need not exist.
+func (p *parser) wordRule(into *string, example string) rule {
 	return rule{1, 1, example, func(_ directive, w []string) { *into = w[0] }}
 }
 
-// addresses reads any number of HOST:PORT.
-func (r *reader) addresses(into *[]string) rule {
-	return rule{1, many, "10.0.0.1:2379", func(d directive, w []string) {
+// addressesRule accepts a list of HOST:PORT without duplicates.
+func (p *parser) addressesRule(into *[]string) rule {
+	return rule{1, maxListArgs, "10.0.0.1:2379", func(d directive, w []string) {
 		for _, a := range w {
 			host, port, err := net.SplitHostPort(a)
-			n, bad := strconv.ParseUint(port, 10, 16)
+			n, portErr := strconv.ParseUint(port, 10, 16)
 			switch {
-			case err != nil || host == "" || bad != nil || n == 0:
-				r.fault(d.line, "write HOST:PORT, and [HOST]:PORT for IPv6", "%s %q is no address", d.name, a)
+			case err != nil || host == "" || portErr != nil || n == 0:
+				p.addError(d.line, "write HOST:PORT, and [HOST]:PORT for IPv6", "%s %q is not a valid address", d.name, a)
 			case slices.Contains(*into, a):
-				r.fault(d.line, "take one of them out", "%s %s stands there twice", d.name, a)
+				p.addError(d.line, "remove one of them", "%s %s is listed twice", d.name, a)
 			default:
 				*into = append(*into, a)
 			}
@@ -273,72 +279,72 @@
 	}}
 }
 
-// store reads the section store.
-func (r *reader) store(s section) *Store {
+// parseStore parses a store section.
+func (p *parser) parseStore(s section) *Store {
 	f := &Store{Limit: 64 << 20, Grace: 10 * time.Minute}
-	at := r.obey(s, map[string]rule{
-		"file":  r.parseWord(&f.Path, "/var/lib/elmfold/state"),
-		"limit": r.size(&f.Limit, 1<<20, 1<<30),
-		"grace": r.span(&f.Grace, time.Second, 24*time.Hour),
+	lines := p.parseDirectives(s, map[string]rule{
+		"file":  p.wordRule(&f.Path, "/var/lib/elmfold/state"),
+		"limit": p.sizeRule(&f.Limit, 1<<20, 1<<30),
+		"grace": p.durationRule(&f.Grace, time.Second, 24*time.Hour),
 	})
-	if at["file"] == 0 {
-		r.fault(s.line, "add a line such as: file /var/lib/elmfold/state", "store has no file")
+	if lines["file"] == 0 {
+		p.addError(s.line, "add a line such as: file /var/lib/elmfold/state", "store has no file")
 	}
 	return f
 }
 
-// channel reads the section channel.
-func (r *reader) channel(s section) *Channel {
+// parseChannel parses a channel section.
+func (p *parser) parseChannel(s section) *Channel {
 	c := &Channel{Linger: 5 * time.Second, Onlookers: 64}
 	var listen []string
-	at := r.obey(s, map[string]rule{
-		"listen":    r.addresses(&listen),
-		"linger":    r.span(&c.Linger, 100*time.Millisecond, time.Minute),
-		"onlookers": r.count(&c.Onlookers, 0, 10000),
+	lines := p.parseDirectives(s, map[string]rule{
+		"listen":    p.addressesRule(&listen),
+		"linger":    p.durationRule(&c.Linger, 100*time.Millisecond, time.Minute),
+		"onlookers": p.countRule(&c.Onlookers, 0, 10000),
 	})
 	if c.Listen = strings.Join(listen, " "); len(listen) > 1 {
-		r.fault(at["listen"], "write one address", "listen says too much: %q", listen[1])
+		p.addError(lines["listen"], "write one address", "listen has too many arguments: %q", listen[1])
 	} else if len(listen) == 0 {
-		r.fault(s.line, "add a line such as: listen 10.0.0.1:7950", "channel has no listen")
+		p.addError(s.line, "add a line such as: listen 10.0.0.1:7950", "channel has no listen")
 	}
 	return c
 }
 
-// jobs reads the section jobs.
-func (r *reader) jobs(s section) *Jobs {
+// parseJobs parses a jobs section.
+func (p *parser) parseJobs(s section) *Jobs {
 	j := &Jobs{}
-	at := r.obey(s, map[string]rule{
-		"file":  r.parseWord(&j.Path, "/var/lib/elmfold/jobs"),
-		"count": {1, many, "n1 n2", func(_ directive, w []string) { j.Peers = append(j.Peers, w...) }},
+	lines := p.parseDirectives(s, map[string]rule{
+		"file":  p.wordRule(&j.Path, "/var/lib/elmfold/jobs"),
+		"count": {1, maxListArgs, "n1 n2", func(_ directive, w []string) { j.Peers = append(j.Peers, w...) }},
 	})
-	if at["file"] == 0 {
-		r.fault(s.line, "add a line such as: file /var/lib/elmfold/jobs", "jobs has no file")
+	if lines["file"] == 0 {
+		p.addError(s.line, "add a line such as: file /var/lib/elmfold/jobs", "jobs has no file")
 	}
 	return j
 }
 
-// member reads the section member.
-func (r *reader) member(s section) *Member {
+// parseMember parses a member section.
+func (p *parser) parseMember(s section) *Member {
 	m := &Member{AddressOverrides: map[string]string{}, StreamAddressOverrides: map[string]string{}}
 	var listen, streams []string
-	at := r.obey(s, map[string]rule{
-		"listen":  r.addresses(&listen),
-		"site":    r.parseWord(&m.Site, "hall-a"),
-		"join":    r.addresses(&m.Join),
-		"streams": r.addresses(&streams),
+	lines := p.parseDirectives(s, map[string]rule{
+		"listen":  p.addressesRule(&listen),
+		"site":    p.wordRule(&m.Site, "hall-a"),
+		"join":    p.addressesRule(&m.Join),
+		"streams": p.addressesRule(&streams),
 		"sums":    {0, 0, "", func(directive, []string) { m.ShareTotals = true }},
-		"via": {2, many, "NAME 10.0.0.9:7946", func(d directive, w []string) {
+		"via": {2, maxListArgs, "NAME 10.0.0.9:7946", func(d directive, w []string) {
 			var addr []string
 			if _, twice := m.AddressOverrides[w[0]]; twice || len(w) > 3 {
-				r.fault(
+				p.addError(
 					d.line,
-					"write one line for each: via NAME HOST:PORT, and HOST:PORT of its streams",
-					"via says too much of %q",
+					"write one line for each member: via NAME HOST:PORT, optionally followed by HOST:PORT for its streams",
+					"via %q is a duplicate or has too many arguments",
 					w[0],
 				)
 				return
 			}
-			if r.addresses(&addr).read(d, w[1:]); len(addr) > 0 {
+			if p.addressesRule(&addr).apply(d, w[1:]); len(addr) > 0 {
 				m.AddressOverrides[w[0]] = addr[0]
 			}
 			if len(addr) > 1 {
@@ -347,164 +353,173 @@
 		}},
 	})
 	if m.Streams = strings.Join(streams, " "); len(streams) > 1 {
-		r.fault(at["streams"], "write one address", "streams says too much: %q", streams[1])
+		p.addError(lines["streams"], "write one address", "streams has too many arguments: %q", streams[1])
 	}
 	if m.Listen = strings.Join(listen, " "); len(listen) > 1 {
-		r.fault(at["listen"], "write one address", "listen says too much: %q", listen[1])
+		p.addError(lines["listen"], "write one address", "listen has too many arguments: %q", listen[1])
 	} else if len(listen) == 0 {
-		r.fault(s.line, "add a line such as: listen 10.0.0.1:7946", "member has no listen")
+		p.addError(s.line, "add a line such as: listen 10.0.0.1:7946", "member has no listen")
 	} else if host, _, _ := net.SplitHostPort(listen[0]); net.ParseIP(host).To4() == nil {
-		r.fault(
-			at["listen"],
-			"write the IPv4 address at which the others reach this one",
-			"listen %q is no IPv4 address",
+		p.addError(
+			lines["listen"],
+			"write the IPv4 address at which the other members reach this one",
+			"listen %q is not an IPv4 address",
 			listen[0],
 		)
 	}
-	if at["site"] == 0 {
-		r.fault(s.line, "add a line such as: site hall-a", "member has no site")
+	if lines["site"] == 0 {
+		p.addError(s.line, "add a line such as: site hall-a", "member has no site")
 	}
 	return m
 }
 
-// peers reads the section peers.
-func (r *reader) peers(s section) *Peers {
-	p := &Peers{QueryTimeout: 3 * time.Second}
+// parsePeers parses a peers section.
+func (p *parser) parsePeers(s section) *Peers {
+	peers := &Peers{QueryTimeout: 3 * time.Second}
 	var listen []string
-	at := r.obey(s, map[string]rule{
-		"listen": r.addresses(&listen),
-		"ask":    r.addresses(&p.Addresses),
-		"within": r.span(&p.QueryTimeout, 100*time.Millisecond, time.Minute),
+	lines := p.parseDirectives(s, map[string]rule{
+		"listen": p.addressesRule(&listen),
+		"ask":    p.addressesRule(&peers.Addresses),
+		"within": p.durationRule(&peers.QueryTimeout, 100*time.Millisecond, time.Minute),
 	})
-	if p.Listen = strings.Join(listen, " "); len(listen) > 1 {
-		r.fault(at["listen"], "write one address", "listen says too much: %q", listen[1])
+	if peers.Listen = strings.Join(listen, " "); len(listen) > 1 {
+		p.addError(lines["listen"], "write one address", "listen has too many arguments: %q", listen[1])
 	}
-	if len(listen) == 0 && len(p.Addresses) == 0 {
-		r.fault(s.line, "add a line such as: ask 10.0.0.2:7947", "peers neither listen nor ask")
+	if len(listen) == 0 && len(peers.Addresses) == 0 {
+		p.addError(s.line, "add a line such as: ask 10.0.0.2:7947", "peers has neither listen nor ask")
 	}
-	return p
+	return peers
 }
 
-func (r *reader) registry(s section) *Registry {
+// parseRegistry parses a registry section. Its defaults depend on the kind of registry.
+func (p *parser) parseRegistry(s section) *Registry {
 	g := &Registry{Config: reconcile.DefaultConfig()}
 	if len(s.arguments) == 1 {
 		g.Kind = s.arguments[0]
 	}
-	p, a := &g.Config, &g.Access
-	p.Prefix = "elmfold/backends"
+	config, access := &g.Config, &g.Access
+	config.Prefix = "elmfold/backends"
 	switch g.Kind {
 	case Etcd:
-		p.WatchSendsChanges, p.SupportsCheck, p.Prefix = true, true, "/elmfold/backends"
+		config.WatchSendsChanges, config.SupportsCheck, config.Prefix = true, true, "/elmfold/backends"
 	case Consul:
-		p.ResponseTimeout, p.AuditInterval = 4*time.Second, 0 // the whole list comes in one answer
+		config.ResponseTimeout, config.AuditInterval = 4*time.Second, 0 // each answer holds the complete list
 	default:
-		r.fault(
+		p.addError(
 			s.line,
 			"write registry etcd or registry consul",
-			"registry %q is of no known kind",
+			"unknown kind of registry %q",
 			strings.Join(s.arguments, " "),
 		)
 		return nil
 	}
 	var files discovery.Files
-	tls, quietest := false, 200*time.Millisecond
+	tls, minSilence := false, 200*time.Millisecond
 	if g.Kind == Consul {
-		quietest = 1500 * time.Millisecond // a read there blocks for a second
+		minSilence = 1500 * time.Millisecond // a blocking query takes up to one second
 	}
 	rules := map[string]rule{
-		"endpoint":      r.addresses(&g.Endpoints),
-		"prefix":        r.parseWord(&p.Prefix, "/elmfold/backends"),
-		"token-file":    r.parseWord(&a.TokenFile, "/etc/elmfold/token"),
+		"endpoint":      p.addressesRule(&g.Endpoints),
+		"prefix":        p.wordRule(&config.Prefix, "/elmfold/backends"),
+		"token-file":    p.wordRule(&access.TokenFile, "/etc/elmfold/token"),
 		"tls":           {0, 0, "", func(directive, []string) { tls = true }},
-		"tls-ca":        r.parseWord(&files.CA, "/etc/elmfold/ca.pem"),
-		"tls-cert":      r.parseWord(&files.Cert, "/etc/elmfold/cert.pem"),
-		"tls-key":       r.parseWord(&files.Key, "/etc/elmfold/key.pem"),
-		"tls-name":      r.parseWord(&files.Name, "registry.example"),
-		"value-limit":   r.size(&p.MaxValueSize, 64, 1<<20),
-		"keys-limit":    r.count(&p.MaxKeys, 1, 1_000_000),
-		"answer":        r.span(&p.ResponseTimeout, 100*time.Millisecond, time.Minute),
-		"silence":       r.span(&p.WatchTimeout, quietest, 10*time.Second),
-		"pause":         r.span(&p.MinBackoff, time.Millisecond, 10*time.Second),
-		"pause-limit":   r.span(&p.MaxBackoff, time.Millisecond, time.Minute),
-		"refusal-limit": r.span(&p.MaxRejectedBackoff, time.Millisecond, time.Hour),
-		"spread":        r.span(&p.ReloadJitter, 0, time.Minute),
-		"read-gap":      r.span(&p.MinReloadInterval, 0, time.Minute),
-		"hold":          r.span(&p.HistoryHold, 0, time.Hour),
-		"keep-ends":     r.span(&p.TombstoneRetention, time.Second, 240*time.Hour),
-		"ends-limit":    r.count(&p.MaxTombstones, 0, 1_000_000),
-		"shrink":        r.part(&p.ShrinkWarnRatio),
+		"tls-ca":        p.wordRule(&files.CA, "/etc/elmfold/ca.pem"),
+		"tls-cert":      p.wordRule(&files.Cert, "/etc/elmfold/cert.pem"),
+		"tls-key":       p.wordRule(&files.Key, "/etc/elmfold/key.pem"),
+		"tls-name":      p.wordRule(&files.Name, "registry.example"),
+		"value-limit":   p.sizeRule(&config.MaxValueSize, 64, 1<<20),
+		"keys-limit":    p.countRule(&config.MaxKeys, 1, 1_000_000),
+		"answer":        p.durationRule(&config.ResponseTimeout, 100*time.Millisecond, time.Minute),
+		"silence":       p.durationRule(&config.WatchTimeout, minSilence, 10*time.Second),
+		"pause":         p.durationRule(&config.MinBackoff, time.Millisecond, 10*time.Second),
+		"pause-limit":   p.durationRule(&config.MaxBackoff, time.Millisecond, time.Minute),
+		"refusal-limit": p.durationRule(&config.MaxRejectedBackoff, time.Millisecond, time.Hour),
+		"spread":        p.durationRule(&config.ReloadJitter, 0, time.Minute),
+		"read-gap":      p.durationRule(&config.MinReloadInterval, 0, time.Minute),
+		"hold":          p.durationRule(&config.HistoryHold, 0, time.Hour),
+		"keep-ends":     p.durationRule(&config.TombstoneRetention, time.Second, 240*time.Hour),
+		"ends-limit":    p.countRule(&config.MaxTombstones, 0, 1_000_000),
+		"shrink":        p.percentRule(&config.ShrinkWarnRatio),
 	}
 	if g.Kind == Etcd {
-		rules["user"] = r.parseWord(&a.User, "elmfold")
-		rules["password-file"] = r.parseWord(&a.PasswordFile, "/etc/elmfold/password")
-		rules["page"] = r.count(&p.PageSize, 1, 10000)
-		rules["ask"] = r.span(&p.ProgressInterval, 50*time.Millisecond, 10*time.Second)
-		rules["audit"] = r.span(&p.AuditInterval, 0, 24*time.Hour)
+		rules["user"] = p.wordRule(&access.User, "elmfold")
+		rules["password-file"] = p.wordRule(&access.PasswordFile, "/etc/elmfold/password")
+		rules["page"] = p.countRule(&config.PageSize, 1, 10000)
+		rules["ask"] = p.durationRule(&config.ProgressInterval, 50*time.Millisecond, 10*time.Second)
+		rules["audit"] = p.durationRule(&config.AuditInterval, 0, 24*time.Hour)
 	} else {
 		rules["login"] = rule{
 			2,
 			2,
 			"METHOD /etc/elmfold/bearer",
-			func(_ directive, w []string) { a.Method, a.BearerFile = w[0], w[1] },
+			func(_ directive, w []string) { access.Method, access.BearerFile = w[0], w[1] },
 		}
 	}
-	faults := len(r.faults)
-	at := r.obey(s, rules)
-	p.Prefix = strings.TrimSuffix(p.Prefix, "/")
-	p.Endpoints = len(g.Endpoints)
-	p.MaxPageSize = max(p.MaxPageSize, p.PageSize)
-	last := func(names ...string) (line int) {
+	errorsBefore := len(p.errors)
+	lines := p.parseDirectives(s, rules)
+	config.Prefix = strings.TrimSuffix(config.Prefix, "/")
+	config.Endpoints = len(g.Endpoints)
+	config.MaxPageSize = max(config.MaxPageSize, config.PageSize)
+	lastLine := func(names ...string) (line int) {
 		for _, n := range names {
-			line = max(line, at[n])
+			line = max(line, lines[n])
 		}
 		return line
 	}
 	switch {
-	case len(r.faults) > faults: // what follows from them is no news
-	case at["endpoint"] == 0:
-		r.fault(s.line, "add a line such as: endpoint 10.0.0.1:2379", "registry %s has no endpoint", g.Kind)
-	case p.Prefix == "" || g.Kind == Consul && strings.HasPrefix(p.Prefix, "/"):
-		r.fault(
-			last("prefix"),
-			"write a prefix that is not empty, for Consul without the first /",
-			"prefix %q is none",
-			p.Prefix,
+	case len(p.errors) > errorsBefore: // further errors would only follow from these
+	case lines["endpoint"] == 0:
+		p.addError(s.line, "add a line such as: endpoint 10.0.0.1:2379", "registry %s has no endpoint", g.Kind)
+	case config.Prefix == "" || g.Kind == Consul && strings.HasPrefix(config.Prefix, "/"):
+		p.addError(
+			lastLine("prefix"),
+			"write a non-empty prefix, for Consul without a leading /",
+			"prefix %q is not valid",
+			config.Prefix,
 		)
-	case (a.User == "") != (a.PasswordFile == ""):
-		r.fault(last("user", "password-file"), "write user and password-file, both", "half of a user and a password")
-	case a.TokenFile != "" && (a.User != "" || a.Method != ""):
-		r.fault(last("token-file", "user", "login"), "keep one of them", "a token and another way to be let in")
+	case (access.User == "") != (access.PasswordFile == ""):
+		p.addError(
+			lastLine("user", "password-file"),
+			"write both user and password-file",
+			"user and password-file require each other",
+		)
+	case access.TokenFile != "" && (access.User != "" || access.Method != ""):
+		p.addError(lastLine("token-file", "user", "login"), "keep one of them", "token-file excludes user and login")
 	case (files.Cert == "") != (files.Key == ""):
-		r.fault(last("tls-cert", "tls-key"), "write tls-cert and tls-key, both", "half of a certificate and its key")
-	case g.Kind == Etcd && p.ProgressInterval >= p.WatchTimeout:
-		r.fault(
-			last("ask", "silence"),
-			fmt.Sprintf("write ask under silence, which is %v", p.WatchTimeout),
-			"ask %v leaves no time to answer",
-			p.ProgressInterval,
+		p.addError(
+			lastLine("tls-cert", "tls-key"),
+			"write both tls-cert and tls-key",
+			"tls-cert and tls-key require each other",
+		)
+	case g.Kind == Etcd && config.ProgressInterval >= config.WatchTimeout:
+		p.addError(
+			lastLine("ask", "silence"),
+			fmt.Sprintf("write ask under silence, which is %v", config.WatchTimeout),
+			"ask %v is not under silence",
+			config.ProgressInterval,
 		)
-	case p.MinBackoff > p.MaxBackoff:
-		r.fault(
-			last("pause", "pause-limit"),
-			fmt.Sprintf("write pause up to pause-limit, which is %v", p.MaxBackoff),
-			"pause %v is over its limit",
-			p.MinBackoff,
+	case config.MinBackoff > config.MaxBackoff:
+		p.addError(
+			lastLine("pause", "pause-limit"),
+			fmt.Sprintf("write pause up to pause-limit, which is %v", config.MaxBackoff),
+			"pause %v exceeds pause-limit",
+			config.MinBackoff,
 		)
 	}
 	if tls || files != (discovery.Files{}) {
-		a.TLS = &files
+		access.TLS = &files
 	}
 	return g
 }
 
-// String says in a few words what a file turns on.
+// String summarizes the enabled features.
 func (f File) String() string {
-	var on []string
+	var features []string
 	if g := f.Registry; g != nil {
-		on = append(
-			on,
+		features = append(
+			features,
 			fmt.Sprintf(
-				"the list of backends comes from %s, %d endpoints, prefix %s",
+				"backends from %s, %d endpoints, prefix %s",
 				g.Kind,
 				len(g.Endpoints),
 				g.Config.Prefix,
@@ -512,22 +527,22 @@
 		)
 	}
 	if c := f.Cells; c != nil {
-		on = append(on, fmt.Sprintf("%d tenants are confined", len(c.Plan.Tenants)))
+		features = append(features, fmt.Sprintf("%d tenants confined to cells", len(c.Plan.Tenants)))
 	}
 	if f.Control != nil {
-		on = append(on, "operators are answered at "+f.Control.Path)
+		features = append(features, "control socket at "+f.Control.Path)
 	}
 	if f.Store != nil {
-		on = append(on, "what is known is kept in "+f.Store.Path)
+		features = append(features, "warm state in "+f.Store.Path)
 	}
 	if f.Channel != nil {
-		on = append(on, "the channel is served at "+f.Channel.Listen)
+		features = append(features, "pub-sub channel at "+f.Channel.Listen)
 	}
 	if m := f.Member; m != nil {
-		on = append(
-			on,
+		features = append(
+			features,
 			fmt.Sprintf(
-				"it is a member of site %s at %s, sums are %stold on",
+				"member of site %s at %s, totals %sshared",
 				m.Site,
 				m.Listen,
 				map[bool]string{false: "not "}[m.ShareTotals],
@@ -535,13 +550,13 @@
 		)
 	}
 	if f.Jobs != nil {
-		on = append(on, "jobs are kept in "+f.Jobs.Path)
+		features = append(features, "jobs in "+f.Jobs.Path)
 	}
 	if f.Peers != nil {
-		on = append(on, fmt.Sprintf("%d instances are asked at a start", len(f.Peers.Addresses)))
+		features = append(features, fmt.Sprintf("%d peers queried at the start", len(f.Peers.Addresses)))
 	}
-	if len(on) == 0 {
-		return "it turns on nothing"
+	if len(features) == 0 {
+		return "no feature enabled"
 	}
-	return strings.Join(on, "; ")
+	return strings.Join(features, "; ")
 }
--- a/internal/controller/operatorfile/operatorfile_test.go
+++ b/internal/controller/operatorfile/operatorfile_test.go
@@ -18,7 +18,7 @@
 	"elmfold/internal/controller/tenancy"
 )
 
-func TestGood(t *testing.T) {
+func TestParseValidFiles(t *testing.T) {
 	f, err := Read("testdata/good.conf")
 	if err != nil {
 		t.Fatal(err)
@@ -87,46 +87,46 @@
 	}
 }
 
-// Each broken file gives one line that names the file and the line, and the mend.
-func TestBroken(t *testing.T) {
+// Each broken file gives one error line with the file, the line, the problem and a fix.
+func TestParseErrors(t *testing.T) {
 	want := map[string]string{
 		"channel":       ":1: channel has no listen; add a line",
-		"section":       `:1: no section is named "registri"; write registry`,
+		"section":       `:1: unknown section "registri"; write registry`,
 		"kind":          ":1: .*zookeeper.*; write registry etcd",
-		"directive":     `:3: .*"hodl"; write hold`,
+		"directive":     `:3: unknown directive "hodl" in section registry; write hold`,
 		"unit":          ":3: .*no unit; write hold 2.5s or 2.5ms",
 		"range":         ":3: .*out of range; .* to 10s",
-		"address":       ":2: .*no address; write HOST:PORT",
+		"address":       ":2: .*not a valid address; write HOST:PORT",
 		"missing":       ":1: .*no endpoint; add a line",
-		"twice":         ":4: hold stands in line 3 already; take",
-		"quote":         ":3: a quote is not ended; ",
-		"nosection":     ":1: .*in no section; begin",
-		"half":          ":3: .*; write user and password-file, both",
-		"words":         `:3: hold says too much: "2s"; write hold`,
-		"little":        ":3: hold says too little; write hold",
-		"part":          ":3: shrink .*; write a part",
+		"twice":         ":4: duplicate directive hold, first in line 3; remove",
+		"quote":         ":3: a quoted word is not closed; ",
+		"nosection":     ":1: .*outside any section; start",
+		"half":          ":3: .*; write both user and password-file",
+		"words":         `:3: hold has too many arguments: "2s"; write hold`,
+		"little":        ":3: hold has too few arguments; write hold",
+		"part":          ":3: shrink .*; write a percentage",
 		"size":          ":3: value-limit .*; write a size",
-		"ask":           ":3: ask 2s leaves .*; write ask under silence",
-		"foreign":       `:3: registry has no directive "user"; `,
-		"secondsection": ":3: a second section registry; the first is in line 1; put",
-		"prefix":        ":3: prefix .*; write a prefix",
+		"ask":           ":3: ask 2s is not under silence; write ask under silence",
+		"foreign":       `:3: unknown directive "user" in section registry; `,
+		"secondsection": ":3: duplicate section registry, first in line 1; merge",
+		"prefix":        ":3: prefix .*; write a non-empty prefix",
 		"cells-way":     ":1: .*random.*; write cells fixed or",
-		"cells-one":     ":1: 1 cells confine nobody; add",
-		"cells-none":    ":1: a tenant without cells; add",
+		"cells-one":     ":1: 1 cells are too few, at least 2 are required; add",
+		"cells-none":    ":1: tenant requires a cells section; add",
 		"cells-cell":    `:4: .*"bleu"; write blue`,
-		"cells-proxy":   ":4: proxy 3 is of tenant a and of tenant b; give",
+		"cells-proxy":   ":4: proxy 3 is in tenant a and in tenant b; assign",
 		"cells-span":    `:3: proxies "4-1" .*; write numbers`,
 		"cells-rate":    ":2: trickle .*; write a rate",
-		"cells-size":    ":4: tenant a has a size .*; take",
+		"cells-size":    ":4: tenant a has a size, .*; remove",
 		"cells-noproxy": ":2: .*no proxies; add",
 		"control":       ":1: .*no socket; add",
 		"store":         ":1: .*no file; add",
-		"peers":         ":1: .*neither listen nor ask; add",
+		"peers":         ":1: peers has neither listen nor ask; add",
 		"member-site":   ":1: member has no site; add",
-		"member-via":    ":4: via says too much .*; write one line",
-		"member-listen": ":3: .*no IPv4 address; write the IPv4",
-		"jobs-streams":  ":1: jobs has no member with streams; add a section member",
-		"binary":        ":3: byte 13 is no text; write",
+		"member-via":    ":4: via .* too many arguments; write one line",
+		"member-listen": ":3: .*not an IPv4 address; write the IPv4",
+		"jobs-streams":  ":1: jobs requires a member section with streams; add a member section",
+		"binary":        ":3: byte 13 is not valid text; write",
 	}
 	files, _ := filepath.Glob("testdata/broken/*.conf")
 	if len(files) != len(want) {
@@ -134,8 +134,8 @@
 	}
 	for _, path := range files {
 		_, err := Read(path)
-		var faults FileErrors
-		if !errors.As(err, &faults) || len(faults) != 1 || strings.Contains(err.Error(), "\n") {
+		var fileErrors FileErrors
+		if !errors.As(err, &fileErrors) || len(fileErrors) != 1 || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", path, err)
 			continue
 		}
@@ -149,41 +149,42 @@
 	}
 }
 
-// Whatever a file holds, reading ends with a File or with faults that each have a line of it and a mend.
+// Any text gives a File or errors that each have a line of the file, a problem and a fix.
 func TestAnyText(t *testing.T) {
 	good, err := os.ReadFile("testdata/good.conf")
 	if err != nil {
 		t.Fatal(err)
 	}
-	spoil := func(seed int64) bool {
-		chance := rand.New(rand.NewSource(seed))
+	corrupt := func(seed int64) bool {
+		random := rand.New(rand.NewSource(seed))
 		text := []byte(string(good))
-		for range 1 + chance.Intn(6) {
-			switch at := chance.Intn(len(text)); chance.Intn(3) {
+		for range 1 + random.Intn(6) {
+			switch at := random.Intn(len(text)); random.Intn(3) {
 			case 0:
-				text[at] = byte(chance.Intn(256))
+				text[at] = byte(random.Intn(256))
 			case 1:
-				text = append(text[:at], text[min(len(text), at+1+chance.Intn(20)):]...)
+				text = append(text[:at], text[min(len(text), at+1+random.Intn(20)):]...)
 			case 2:
 				text = append(text[:at:at], append([]byte("\n\""), text[at:]...)...)
 			}
 		}
 		f, err := Parse("f", string(text))
-		var faults FileErrors
+		var fileErrors FileErrors
 		if err == nil {
 			return f.Registry == nil || f.Registry.Config.Endpoints > 0
 		}
-		if !errors.As(err, &faults) || len(faults) == 0 {
+		if !errors.As(err, &fileErrors) || len(fileErrors) == 0 {
 			return false
 		}
-		for _, one := range faults {
-			if one.Line < 1 || one.Line > strings.Count(string(text), "\n")+1 || one.Fix == "" || one.Problem == "" {
+		for _, fileError := range fileErrors {
+			if fileError.Line < 1 || fileError.Line > strings.Count(string(text), "\n")+1 ||
+				fileError.Fix == "" || fileError.Problem == "" {
 				return false
 			}
 		}
 		return true
 	}
-	if err := quick.Check(spoil, &quick.Config{MaxCount: 5000, Rand: rand.New(rand.NewSource(16))}); err != nil {
+	if err := quick.Check(corrupt, &quick.Config{MaxCount: 5000, Rand: rand.New(rand.NewSource(16))}); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/controller/operatorfile/parser.go
+++ b/internal/controller/operatorfile/parser.go
@@ -1,13 +1,13 @@
-// Package operatorfile reads the operator file: what a controller may do beyond the platform, in sections of one
-// directive a line. Its grammar stands here in one place:
+// Package operatorfile parses the operator file, which configures the optional features of a controller. The file
+// consists of sections with one directive per line:
 //
 //	file      = { line } .
 //	line      = [ section | directive ] [ "#" comment ] newline .
-//	section   = name { word } .              at the beginning of a line
+//	section   = name { word } .              at the start of a line
 //	directive = blank name { word } .        indented; it belongs to the section above
 //	word      = plain | '"' { character | `\"` | `\\` } '"' .
 //
-// Spans carry a unit (ms, s, m, h), sizes too (B, KB, MB, of 1024), parts are percentages.
+// A duration has a unit (ms, s, m, h), and so has a size (B, KB, MB, in powers of 1024).
 package operatorfile
 
 import (
@@ -17,7 +17,7 @@
 	"strings"
 )
 
-// FileError is one thing that is wrong with a file.
+// FileError is an error in an operator file. Line is 0 if the file could not be read.
 type FileError struct {
 	File    string
 	Line    int
@@ -32,13 +32,13 @@
 	return fmt.Sprintf("%s:%d: %s; %s", f.File, f.Line, f.Problem, f.Fix)
 }
 
-// FileErrors are all that are wrong with a file, in the order of its lines.
+// FileErrors are all errors of an operator file, ordered by line.
 type FileErrors []FileError
 
 func (f FileErrors) Error() string {
 	lines := make([]string, len(f))
-	for i, one := range f {
-		lines[i] = one.Error()
+	for i, fileError := range f {
+		lines[i] = fileError.Error()
 	}
 	return strings.Join(lines, "\n")
 }
@@ -51,84 +51,84 @@
 
 type section struct {
 	directive
-	inner []directive
+	directives []directive
 }
 
 const maxLineBytes = 4096
 
-// reader keeps the faults met.
-type reader struct {
+// parser collects the errors of a file.
+type parser struct {
 	file   string
-	faults FileErrors
+	errors FileErrors
 }
 
-func (r *reader) fault(line int, mend, what string, args ...any) {
-	r.faults = append(r.faults, FileError{r.file, line, fmt.Sprintf(what, args...), mend})
+func (p *parser) addError(line int, fix, problem string, args ...any) {
+	p.errors = append(p.errors, FileError{p.file, line, fmt.Sprintf(problem, args...), fix})
 }
 
-// sections splits a text.
-func (r *reader) sections(text string) (all []section) {
-	lost := false // directives of a section that could not be read are not looked at
+// parseSections splits a text into sections.
+func (p *parser) parseSections(text string) (all []section) {
+	skip := false // the directives of a section whose first line is invalid
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSuffix(line, "\r")
 		indented := strings.HasPrefix(line, " ") || strings.HasPrefix(line, "\t")
-		words, mend, what := split(line)
+		words, fix, problem := splitWords(line)
 		switch {
-		case what != "":
-			r.fault(i+1, mend, "%s", what)
-			lost = lost || !indented
+		case problem != "":
+			p.addError(i+1, fix, "%s", problem)
+			skip = skip || !indented
 		case len(words) == 0:
 		case !indented:
-			all, lost = append(all, section{directive: directive{words[0], words[1:], i + 1}}), false
-		case lost:
+			all, skip = append(all, section{directive: directive{words[0], words[1:], i + 1}}), false
+		case skip:
 		case len(all) == 0:
-			r.fault(i+1, "begin a section first, such as: registry etcd", "%q stands in no section", words[0])
+			p.addError(i+1, "start a section first, such as: registry etcd", "%q is outside any section", words[0])
 		default:
 			s := &all[len(all)-1]
-			s.inner = append(s.inner, directive{words[0], words[1:], i + 1})
+			s.directives = append(s.directives, directive{words[0], words[1:], i + 1})
 		}
 	}
 	return all
 }
 
-// split takes a line apart; where it cannot, it says what is wrong and how to mend it.
-func split(line string) (words []string, mend, what string) {
+// splitWords splits a line into words. For an invalid line it returns the problem and a fix.
+func splitWords(line string) (words []string, fix, problem string) {
 	if len(line) > maxLineBytes {
-		return nil, "split it into several lines", fmt.Sprintf("the line has over %d bytes", maxLineBytes)
+		return nil, "split it into several lines", fmt.Sprintf("the line exceeds %d bytes", maxLineBytes)
 	}
-	isNoText := func(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f || c == '\ufffd' }
-	if at := strings.IndexFunc(line, isNoText); at >= 0 {
-		return nil, "write it in plain UTF-8 text", fmt.Sprintf("byte %d is no text", at+1)
+	isInvalid := func(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f || c == '\ufffd' }
+	if at := strings.IndexFunc(line, isInvalid); at >= 0 {
+		return nil, "write it in plain UTF-8 text", fmt.Sprintf("byte %d is not valid text", at+1)
 	}
 	for rest := strings.TrimLeft(line, " \t"); rest != "" && rest[0] != '#'; rest = strings.TrimLeft(rest, " \t") {
 		var word string
 		if rest[0] == '"' {
-			word, rest, mend, what = splitQuoted(rest)
+			word, rest, fix, problem = splitQuoted(rest)
 		} else {
-			word, rest, mend, what = splitPlain(rest)
+			word, rest, fix, problem = splitPlain(rest)
 		}
-		if what != "" {
-			return nil, mend, what
+		if problem != "" {
+			return nil, fix, problem
 		}
 		words = append(words, word)
 	}
 	return words, "", ""
 }
 
-// splitPlain takes a word without quotes off a line.
-func splitPlain(line string) (word, rest, mend, what string) {
+// splitPlain splits an unquoted word off a line.
+func splitPlain(line string) (word, rest, fix, problem string) {
 	end := strings.IndexAny(line, " \t#\"")
 	if end < 0 {
 		return line, "", "", ""
 	}
 	if line[end] == '"' {
-		return "", "", "put the whole word into quotes", fmt.Sprintf("a quote within the word %q", line[:end])
+		return "", "", "quote the whole word", fmt.Sprintf("a quote inside the word %q", line[:end])
 	}
 	return line[:end], line[end:], "", ""
 }
 
-// splitQuoted takes a word in quotes off a line; a backslash stands before a quote or a backslash within.
-func splitQuoted(line string) (word, rest, mend, what string) {
+// splitQuoted splits a quoted word off a line. A backslash escapes the next character.
+func splitQuoted(line string) (word, rest, fix, problem string) {
 	var b strings.Builder
 	at := 1
 	for ; at < len(line) && line[at] != '"'; at++ {
@@ -138,22 +138,24 @@
 		b.WriteByte(line[at])
 	}
 	if at == len(line) {
-		return "", "", `end it with "`, "a quote is not ended"
+		return "", "", `close it with "`, "a quoted word is not closed"
 	}
 	return b.String(), line[at+1:], "", ""
 }
 
-// nearest is the known name that a wrong one was meant to be, or all of them.
-func nearest(name string, known []string) string {
-	best := slices.MinFunc(known, func(a, b string) int { return cmp.Compare(distance(name, a), distance(name, b)) })
-	if distance(name, best) <= 1+len(name)/3 {
+// suggest returns a fix for an unknown name: the most similar known name, or all of them if none is similar.
+func suggest(name string, known []string) string {
+	best := slices.MinFunc(known, func(a, b string) int {
+		return cmp.Compare(editDistance(name, a), editDistance(name, b))
+	})
+	if editDistance(name, best) <= 1+len(name)/3 {
 		return "write " + best
 	}
-	return "known here: " + strings.Join(known, ", ")
+	return "known names: " + strings.Join(known, ", ")
 }
 
-// distance counts the letters to put in, take out or change between two names.
-func distance(a, b string) int {
+// editDistance returns the Levenshtein distance of two names.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
