--- a/internal/controller/config/config_test.go
+++ b/internal/controller/config/config_test.go
@@ -54,7 +54,7 @@
 		"m",
 	}
 	if !reflect.DeepEqual(s, want) {
-		t.Errorf("read %+v, want %+v", s, want)
+		t.Errorf("loaded %+v, want %+v", s, want)
 	}
 	look, pay := d.Products[0], d.Products[1]
 	if look.SLA != 8000 || look.Revenue != 2 || look.OwnZone || !pay.OwnZone || pay.OnlyZones[0] != 1 ||
@@ -119,10 +119,10 @@
 	for i := range 5 {
 		env := map[string]string{"EDGE_CONFIG": "here", "EDGE_NAME": fmt.Sprint("n", i)}
 		s, err := load(env, settingsFile)
-		again, _ := load(env, settingsFile)
+		restarted, _ := load(env, settingsFile)
 		at := s.Deployment.FirstTick
-		if err != nil || at != again.Deployment.FirstTick || at < 1 || at > policy.Second {
-			t.Fatalf("n%d: first tick after %v, then %v, %v", i, at, again.Deployment.FirstTick, err)
+		if err != nil || at != restarted.Deployment.FirstTick || at < 1 || at > policy.Second {
+			t.Fatalf("n%d: first tick %v, after a restart %v, error %v", i, at, restarted.Deployment.FirstTick, err)
 		}
 		for other := range seen {
 			if gap := max(at-other, other-at); min(gap, policy.Second-gap) < policy.Second/50 {
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -47,7 +47,7 @@
 	controlSocketMode = 0o600
 )
 
-// controlSocket answers requests on a Unix socket. It reaches the event loop through queue.
+// controlSocket answers operator requests on a Unix socket. Commands for the event loop go through queue.
 type controlSocket struct {
 	listener  net.Listener
 	queue     chan<- eventloop.Command
@@ -95,7 +95,7 @@
 	}
 }
 
-// serveConn answers requests, one a line, until the connection ends or none arrives within controlTimeout.
+// serveConn answers requests, one per line, until the connection ends or no request arrives within controlTimeout.
 func (c *controlSocket) serveConn(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	for in := bufio.NewReaderSize(conn, maxRequestBytes); ; {
@@ -135,7 +135,7 @@
 
 var errUnknownAction = errors.New("unknown request")
 
-// handle carries out an action on cells.
+// handle carries out a request about cells.
 func (c *controlSocket) handle(r Request) (reply Reply, err error) {
 	view, err := query(c.queue, func(reply chan tenancy.View) any { return eventloop.CellsQuery{Reply: reply} })
 	if err != nil {
--- a/internal/controller/operatorfile/operatorfile_test.go
+++ b/internal/controller/operatorfile/operatorfile_test.go
@@ -155,7 +155,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	corrupt := func(seed int64) bool {
+	parsesCorrupted := func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		text := []byte(string(good))
 		for range 1 + random.Intn(6) {
@@ -184,7 +184,7 @@
 		}
 		return true
 	}
-	if err := quick.Check(corrupt, &quick.Config{MaxCount: 5000, Rand: rand.New(rand.NewSource(16))}); err != nil {
+	if err := quick.Check(parsesCorrupted, &quick.Config{MaxCount: 5000, Rand: rand.New(rand.NewSource(16))}); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/controller/server/listener.go
+++ b/internal/controller/server/listener.go
@@ -2,7 +2,7 @@
 // passes the messages to a Handler and writes messages back. It enforces limits on memory, file descriptors and time.
 //
 // A connection joins with its first Subscribe or Source message. Until then it is unjoined: its limits are lower,
-// and it is evicted when connections run out.
+// and it may be evicted when connections run out.
 package server
 
 import (
@@ -173,8 +173,8 @@
 	l.goroutines.Go(c.readAndClose)
 }
 
-// evictUnjoined closes the oldest unjoined connection and reports whether there was one. Connections without unread
-// input are evicted first: unread input may be a join that this process had no time to read.
+// evictUnjoined closes the oldest unjoined connection and reports whether there was one. It prefers connections without
+// unread input, as that input may be a join.
 func (l *Listener) evictUnjoined() bool {
 	l.mu.Lock()
 	var unjoined []*Conn
@@ -242,7 +242,7 @@
 	}
 }
 
-// Send queues a message for writing. It never blocks: a connection whose queue exceeds its limit is closed.
+// Send queues a message for writing and never blocks. If the queue would exceed its limit, the connection is closed.
 func (c *Conn) Send(message []byte) {
 	c.mu.Lock()
 	limit := c.listener.maxUnjoinedUnsent
--- a/internal/controller/sources.go
+++ b/internal/controller/sources.go
@@ -32,7 +32,7 @@
 	RecordFacts(facts []warmstart.Fact)       // facts of the event loop, a part of them each second
 }
 
-// OpenWarmState opens the state store of an operator file and queries its peers. A nil error comes with a WarmState.
+// OpenWarmState opens the state store of an operator file and queries its peers.
 type OpenWarmState func(o operatorfile.File, name string, log *logrus.Entry) (WarmState, error)
 
 // Extensions are the components that only the full program has. Those of the minimal program are nil.
@@ -74,7 +74,7 @@
 	log *logrus.Entry,
 ) (Channel, error)
 
-// sourceSlot identifies a Source from before it is opened, as it may send a message while it is.
+// sourceSlot holds a Source. It identifies the Source before it is open, when messages of it may already arrive.
 type sourceSlot struct{ Source }
 
 // sources forwards messages from the active Source to the event loop. A new Source replaces the active one with its
@@ -87,10 +87,10 @@
 	active    atomic.Pointer[sourceSlot] // read without a lock, so that the event loop never blocks
 
 	mu   sync.Mutex
-	next *sourceSlot // replaces active; nil: none
+	next *sourceSlot // replaces active with its first complete list; nil: none
 }
 
-// follow opens a Source. The first one is active at once; any other replaces one that is not yet active.
+// follow opens a Source. The first Source is active at once. Any other becomes next and replaces a former next.
 func (s *sources) follow(open func(send func(any)) Source) {
 	slot := &sourceSlot{}
 	s.mu.Lock()
@@ -106,15 +106,15 @@
 	slot.Source = open(func(message any) { s.forward(slot, message) })
 }
 
-// forward sends a message of the active Source to the event loop, and drops one of any other Source. The first complete
-// list of the next Source makes it the active one.
+// forward sends a message of the active Source to the event loop and drops messages of other Sources. The first
+// complete list of next makes it active.
 func (s *sources) forward(from *sourceSlot, message any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l, ok := message.(reconcile.List); ok && l.Complete && from == s.next {
 		old := s.active.Swap(from)
 		s.next = nil
-		go old.Stop() // may wait for a concurrent call of forward
+		go old.Stop() // may wait for this call of forward
 		s.log.WithFields(logrus.Fields{"revision": l.Revision, "backends": len(l.Members)}).
 			Info("switched to the new source of the backend list")
 	}
