--- a/internal/bench/discovery/registry.go
+++ b/internal/bench/discovery/registry.go
@@ -264,7 +264,7 @@
 		o.Config.ResponseTimeout, o.Config.AuditInterval = 4*time.Second, 0
 	}
 	mine, naive := newWatcher(book), newWatcher(book)
-	follower := command.Follower(o, fmt.Sprint("lab", seed), func(said any) {
+	follower := command.NewFollower(o, fmt.Sprint("lab", seed), func(said any) {
 		if l, ok := said.(reconcile.List); ok {
 			mine.handle(l)
 		}
@@ -567,7 +567,7 @@
 		whole := make(chan int, 1)
 		f := footprint{Before: resident()}
 		began := time.Now()
-		follower := command.Follower(
+		follower := command.NewFollower(
 			operatorfile.Registry{Kind: kind, Endpoints: []string{endpoint}, Config: plan},
 			"size",
 			func(said any) {
--- a/internal/controller/command/registry.go
+++ b/internal/controller/command/registry.go
@@ -22,8 +22,8 @@
 	"elmfold/internal/controller/reconcile"
 )
 
-// Follower makes a follower of a registry. Its chance depends on the controller's name and on when it was made.
-func Follower(o operatorfile.Registry, name string, tell func(any), log *logrus.Entry) *watch.Follower {
+// NewFollower makes a follower of a registry. Its chance depends on the controller's name and on when it was made.
+func NewFollower(o operatorfile.Registry, name string, tell func(any), log *logrus.Entry) *watch.Follower {
 	plan := o.Config
 	plan.Seed = name + " " + strconv.FormatInt(time.Now().UnixNano(), 36)
 	var s watch.Source
@@ -37,7 +37,7 @@
 
 // OpenRegistry is the controller.OpenRegistry of this program.
 func OpenRegistry(o operatorfile.Registry, name string, tell func(any), log *logrus.Entry) controller.Source {
-	f := Follower(o, name, tell, log)
+	f := NewFollower(o, name, tell, log)
 	go f.Run()
 	return f
 }
@@ -66,7 +66,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard) // notes are printed here
 	orders := make(chan reconcile.Order, 1024)
-	follower := Follower(*f.Registry, "command", func(any) {}, logrus.NewEntry(log))
+	follower := NewFollower(*f.Registry, "command", func(any) {}, logrus.NewEntry(log))
 	follower.See(func(o reconcile.Order) { orders <- o })
 	go follower.Run()
 	stop := make(chan os.Signal, 1)
