--- a/internal/controller/command/cells.go
+++ b/internal/controller/command/cells.go
@@ -28,7 +28,7 @@
 			if len(args) > 1 {
 				r.Cell = args[1]
 			}
-			return request(*file, r, out, errs)
+			return executeRequest(*file, r, out, errs)
 		}
 	}
 	c.AddCommand(
@@ -46,8 +46,8 @@
 	return c
 }
 
-// request asks the controller whose socket the operator file names.
-func request(file string, r controller.Request, out, errs io.Writer) error {
+// executeRequest asks the controller whose socket the operator file names.
+func executeRequest(file string, r controller.Request, out, errs io.Writer) error {
 	f, err := operatorFile(file, errs)
 	if err != nil {
 		return err
@@ -55,19 +55,19 @@
 	if f.Control == nil {
 		return fmt.Errorf("%s: no section control; add one with a line such as: socket /run/elmfold.sock", file)
 	}
-	reply, err := send(f.Control.Path, r)
+	reply, err := sendRequest(f.Control.Path, r)
 	if err == nil && reply.Error != "" {
 		err = errors.New(reply.Error)
 	}
 	if err != nil {
 		_, _ = fmt.Fprintf(errs, "elmfold: %v\n", err)
-		return exit(1)
+		return exitCode(1)
 	}
-	show(out, reply.Cells)
+	printView(out, reply.Cells)
 	return nil
 }
 
-func send(path string, r controller.Request) (reply controller.Reply, err error) {
+func sendRequest(path string, r controller.Request) (reply controller.Reply, err error) {
 	conn, err := net.DialTimeout("unix", path, 2*time.Second)
 	if err != nil {
 		return reply, err
@@ -80,8 +80,8 @@
 	return reply, json.NewDecoder(bufio.NewReader(conn)).Decode(&reply)
 }
 
-// show prints tenants, then backends, as tables.
-func show(out io.Writer, v tenancy.View) {
+// printView prints tenants, then backends, as tables.
+func printView(out io.Writer, v tenancy.View) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "tenant\tcell\tstands\tmoved\tbackends\tlent\tbound\ttouches of the others\tmost")
 	for _, s := range v.Tenants {
--- a/internal/controller/command/channel.go
+++ b/internal/controller/command/channel.go
@@ -67,7 +67,7 @@
 					slices.Sort(keys)
 					for _, k := range keys {
 						v, there := c.State[k]
-						_, _ = fmt.Fprintf(out, "%s %d %s\n", time.Now().Format("15:04:05.000"), c.Seq, describe(k, v, there))
+						_, _ = fmt.Fprintf(out, "%s %d %s\n", time.Now().Format("15:04:05.000"), c.Seq, formatValue(k, v, there))
 					}
 					if once {
 						stop()
@@ -86,8 +86,8 @@
 	return c
 }
 
-// describe writes a value of a topic for people.
-func describe(key string, v session.Value, there bool) string {
+// formatValue writes a value of a topic for people.
+func formatValue(key string, v session.Value, there bool) string {
 	parts := strings.Join(session.Split(key), " ")
 	switch {
 	case !there:
--- a/internal/controller/command/command.go
+++ b/internal/controller/command/command.go
@@ -18,10 +18,10 @@
 	"elmfold/internal/policy"
 )
 
-// exit is an exit code on its way to Run; what there was to say has been said.
-type exit int
+// exitCode is an exitCode code on its way to Run; what there was to say has been said.
+type exitCode int
 
-func (e exit) Error() string { return fmt.Sprint("exit ", int(e)) }
+func (e exitCode) Error() string { return fmt.Sprint("exit ", int(e)) }
 
 // Run carries out a command line and returns the exit code: 0 for done, 1 for failed, 2 for a wrong line or
 // file.
@@ -37,7 +37,7 @@
 			file,
 			controller.Extensions{Registry: OpenRegistry, WarmState: OpenWarmState, Channel: OpenChannel, Member: OpenMember},
 		); code != 0 {
-			return exit(code)
+			return exitCode(code)
 		}
 		return nil
 	}
@@ -47,7 +47,7 @@
 		Short: "run the controller until a signal ends it",
 		Args:  cobra.NoArgs,
 		RunE:  run,
-	}, check(
+	}, checkCommand(
 		out,
 		errs,
 	), registryCommand(
@@ -63,7 +63,7 @@
 	root.SetOut(out)
 	root.SetErr(errs)
 	err := root.Execute()
-	var code exit
+	var code exitCode
 	switch {
 	case err == nil:
 		return 0
@@ -82,14 +82,14 @@
 	f, err := operatorfile.Read(path)
 	if err != nil {
 		_, _ = fmt.Fprintln(errs, err)
-		return f, exit(2)
+		return f, exitCode(2)
 	}
 	return f, nil
 }
 
-// check reads operator files and says what is wrong with them, a line each; beside a platform's configuration it
+// checkCommand reads operator files and says what is wrong with them, a line each; beside a platform's configuration it
 // also says whether its cells can hold with the list there, and warns of tenants that can harm many.
-func check(out, errs io.Writer) *cobra.Command {
+func checkCommand(out, errs io.Writer) *cobra.Command {
 	var against string
 	c := &cobra.Command{Use: "check FILE...", Short: "check operator files", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, files []string) error {
@@ -108,11 +108,11 @@
 				}
 				sheet = &s
 			}
-			code := exit(0)
+			code := exitCode(0)
 			for _, path := range files {
 				f, err := operatorfile.Read(path)
 				if err == nil && sheet != nil && f.Cells != nil {
-					list := backendsOf(*sheet)
+					list := servingBackends(*sheet)
 					err = f.Cells.Validate(sheet.Deployment, list)
 					for _, line := range f.Cells.Warnings(sheet.Deployment, list) {
 						_, _ = fmt.Fprintln(errs, line)
@@ -139,8 +139,8 @@
 	return c
 }
 
-// backendsOf is the list that a configuration knows.
-func backendsOf(s config.Config) (all []tenancy.Backend) {
+// servingBackends is the list that a configuration knows.
+func servingBackends(s config.Config) (all []tenancy.Backend) {
 	for _, m := range s.CachedList.Members {
 		if zone := slices.Index(s.Names.Zones, m.Zone); zone >= 0 && m.Phase == reconcile.Serving {
 			all = append(all, tenancy.Backend{At: len(all), ID: m.ID, Zone: zone, Kind: slices.Index(s.Names.Kinds, m.Kind),
--- a/internal/controller/command/command_test.go
+++ b/internal/controller/command/command_test.go
@@ -31,14 +31,14 @@
 	os.Exit(m.Run())
 }
 
-func write(t *testing.T, name, text string) string {
+func writeTempFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
-	rewrite(t, path, text)
+	writeFile(t, path, text)
 	return path
 }
 
-func rewrite(t *testing.T, path, text string) {
+func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -80,21 +80,21 @@
 	}
 }
 
-func value(phase string) string {
+func entryJSON(phase string) string {
 	return fmt.Sprintf(`{"locality":"a","flavor":"s","phase":%q}`, phase)
 }
 
 // The whole list is printed with its revision; one that cannot be had ends with 1.
 func TestList(t *testing.T) {
 	store := kv.New(1)
-	store.Put("/elmfold/backends/s-1", value(reconcile.Serving))
-	store.Put("/elmfold/backends/s-2", value(reconcile.Draining))
+	store.Put("/elmfold/backends/s-1", entryJSON(reconcile.Serving))
+	store.Put("/elmfold/backends/s-2", entryJSON(reconcile.Draining))
 	store.Put("/elmfold/backends/s-3", "-")
 	m, err := etcd.Start(store, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	file := write(t, "op.conf", "registry etcd\n  endpoint "+m.Addr()+"\n")
+	file := writeTempFile(t, "op.conf", "registry etcd\n  endpoint "+m.Addr()+"\n")
 	var out, errs bytes.Buffer
 	if code := Run([]string{"registry", "list", "--operator", file}, &out, &errs); code != 0 ||
 		!strings.Contains(
@@ -112,14 +112,14 @@
 	}
 }
 
-// child is the program, run as a process of its own.
-type child struct {
+// process is the program, run as a process of its own.
+type process struct {
 	*testing.T
 	*exec.Cmd
-	log *bufio.Reader
+	output *bufio.Reader
 }
 
-func start(t *testing.T, stdout bool, env []string, args ...string) *child {
+func startProcess(t *testing.T, stdout bool, env []string, args ...string) *process {
 	t.Helper()
 	c := exec.Command(os.Args[0], args...)
 	c.Env = append(append(os.Environ(), "ELMFOLD_SERVE=1"), env...)
@@ -135,19 +135,19 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Process.Kill(); _ = c.Wait() })
-	return &child{t, c, bufio.NewReader(out)}
+	return &process{t, c, bufio.NewReader(out)}
 }
 
-// listens waits until it is ready and gives its address.
-func (c *child) listens() string {
+// awaitReady waits until it is ready and gives its address.
+func (c *process) awaitReady() string {
 	c.Helper()
-	_, addr, _ := strings.Cut(find(c.T, c.log, "msg=ready"), `listen="`)
+	_, addr, _ := strings.Cut(awaitLine(c.T, c.output, "msg=ready"), `listen="`)
 	addr, _, _ = strings.Cut(addr, `"`)
 	return addr
 }
 
-// find reads on until a line holds all words.
-func find(t *testing.T, in *bufio.Reader, words ...string) string {
+// awaitLine reads on until a line holds all words.
+func awaitLine(t *testing.T, in *bufio.Reader, words ...string) string {
 	t.Helper()
 	for {
 		line, err := in.ReadString('\n')
@@ -167,26 +167,26 @@
 // Each change is shown as it comes, with its revision, and what was decided about a list of another history.
 func TestWatch(t *testing.T) {
 	store := kv.New(1)
-	store.Put("elm/s-1", value(reconcile.Serving))
+	store.Put("elm/s-1", entryJSON(reconcile.Serving))
 	old := store.Save()
 	m, err := etcd.Start(store, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer m.Stop()
-	file := write(t, "op.conf", "registry etcd\n  endpoint "+m.Addr()+"\n  prefix elm\n  spread 10ms\n")
-	c := start(t, true, nil, "registry", "watch", "--operator", file)
-	find(t, c.log, "revision 1: whole list, 1 backends")
-	store.Put("elm/s-1", value(reconcile.Draining))
-	find(t, c.log, "revision 2: s-1", "DRAINING")
-	store.Put("elm/s-2", value(reconcile.Serving))
-	find(t, c.log, "revision 3: s-2", "SERVING")
+	file := writeTempFile(t, "op.conf", "registry etcd\n  endpoint "+m.Addr()+"\n  prefix elm\n  spread 10ms\n")
+	c := startProcess(t, true, nil, "registry", "watch", "--operator", file)
+	awaitLine(t, c.output, "revision 1: whole list, 1 backends")
+	store.Put("elm/s-1", entryJSON(reconcile.Draining))
+	awaitLine(t, c.output, "revision 2: s-1", "DRAINING")
+	store.Put("elm/s-2", entryJSON(reconcile.Serving))
+	awaitLine(t, c.output, "revision 3: s-2", "SERVING")
 	store.Restore(old, 2)
-	find(t, c.log, "revision 1: s-2", "DELETED")
+	awaitLine(t, c.output, "revision 1: s-2", "DELETED")
 }
 
-// shuts reads orders until who is shut out is as wanted, and gives the last line.
-func shuts(t *testing.T, in *bufio.Reader, out map[string]bool, want ...string) string {
+// awaitShutOut reads orders until who is shut out is as wanted, and gives the last line.
+func awaitShutOut(t *testing.T, in *bufio.Reader, out map[string]bool, want ...string) string {
 	t.Helper()
 	for {
 		line, err := in.ReadString('\n')
@@ -214,7 +214,7 @@
 	}
 }
 
-const settings = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:9",` +
+const platformConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:9",` +
 	`"limits":{"cores":1,"memory_mb":192,"sockets":64},
  "known":{"revision":1,"complete":true,"members":[
   {"id":"s-1","locality":"a","flavor":"s","phase":"SERVING","size":1.0,"up_since_ms":0},
@@ -232,11 +232,11 @@
 func TestCase9Moves(t *testing.T) {
 	first, second := kv.New(1), kv.New(2)
 	for _, id := range []string{"s-1", "s-2", "s-3"} {
-		first.Put("one/"+id, value(reconcile.Serving))
-		first.Put("two/"+id, value(reconcile.Serving))
-		second.Put("three/"+id, value(reconcile.Serving))
+		first.Put("one/"+id, entryJSON(reconcile.Serving))
+		first.Put("two/"+id, entryJSON(reconcile.Serving))
+		second.Put("three/"+id, entryJSON(reconcile.Serving))
 	}
-	first.Put("two/s-1", value(reconcile.Draining))
+	first.Put("two/s-1", entryJSON(reconcile.Draining))
 	m, err := etcd.Start(first, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -254,10 +254,10 @@
 	defer l.Close()
 	l.Refuse(true)
 
-	config := write(t, "config.json", settings)
-	file := write(t, "op.conf", "registry etcd\n  endpoint "+m.Addr()+"\n  prefix one\n")
-	c := start(t, false, []string{"EDGE_CONFIG=" + config, "EDGE_OPERATOR=" + file})
-	addr := c.listens()
+	config := writeTempFile(t, "config.json", platformConfig)
+	file := writeTempFile(t, "op.conf", "registry etcd\n  endpoint "+m.Addr()+"\n  prefix one\n")
+	c := startProcess(t, false, []string{"EDGE_CONFIG=" + config, "EDGE_OPERATOR=" + file})
+	addr := c.awaitReady()
 	stream, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -266,32 +266,32 @@
 	_ = stream.SetDeadline(time.Now().Add(time.Minute))
 	in := bufio.NewReader(stream)
 	_, _ = io.WriteString(stream, "SUBSCRIBE node=2 locality=a w=5 cold=1\r\n")
-	find(t, in, "whole=1", "s-1:1", "s-2:1", "s-3:1")
+	awaitLine(t, in, "whole=1", "s-1:1", "s-2:1", "s-3:1")
 	again := func(text string, words ...string) {
 		t.Helper()
-		rewrite(t, file, text)
+		writeFile(t, file, text)
 		_ = c.Process.Signal(syscall.SIGHUP)
-		find(t, c.log, words...)
+		awaitLine(t, c.output, words...)
 	}
 	out := map[string]bool{}
-	first.Put("one/s-2", value(reconcile.Draining))
-	shuts(t, in, out, "s-2")
+	first.Put("one/s-2", entryJSON(reconcile.Draining))
+	awaitShutOut(t, in, out, "s-2")
 	again("registry etcd\n  endpont "+m.Addr()+"\n", "stays as it was", "op.conf:2", "write endpoint")
 	again("registry etcd\n  endpoint "+m.Addr()+"\n  prefix two\n", "switched to the new source of the backend list")
-	shuts(t, in, out, "s-1") // s-2 serves on the new list
+	awaitShutOut(t, in, out, "s-1") // s-2 serves on the new list
 	again("registry consul\n  endpoint "+l.Addr()+"\n  prefix three\n", "registry fails", l.Addr())
-	first.Put("two/s-3", value(reconcile.Draining)) // the old source is followed while the new one is away
-	shuts(t, in, out, "s-1", "s-3")
+	first.Put("two/s-3", entryJSON(reconcile.Draining)) // the old source is followed while the new one is away
+	awaitShutOut(t, in, out, "s-1", "s-3")
 	l.Refuse(false)
-	find(t, c.log, "switched to the new source of the backend list")
-	shuts(t, in, out)
-	second.Put("three/s-2", value(reconcile.Draining))
-	shuts(t, in, out, "s-2")
+	awaitLine(t, c.output, "switched to the new source of the backend list")
+	awaitShutOut(t, in, out)
+	second.Put("three/s-2", entryJSON(reconcile.Draining))
+	awaitShutOut(t, in, out, "s-2")
 	// What the sources before still say is nobody's.
-	first.Put("two/s-1", value(reconcile.Serving))
+	first.Put("two/s-1", entryJSON(reconcile.Serving))
 	again("", "configuration reloaded")
 	_ = c.Process.Signal(syscall.SIGTERM)
-	find(t, c.log, "stopping")
+	awaitLine(t, c.output, "stopping")
 }
 
 // Cells on a running controller: a proxy is given its cell's backends only, a move ordered at the control socket
@@ -302,20 +302,20 @@
 	for i := range 12 {
 		members += fmt.Sprintf(`,{"id":"s-%02d","locality":"a","flavor":"s","phase":"SERVING","size":1,"up_since_ms":0}`, i)
 	}
-	config := write(
+	config := writeTempFile(
 		t,
 		"config.json",
-		strings.Replace(settings, `"members":[`, `"members":[`+strings.TrimPrefix(members, ",")+",", 1),
+		strings.Replace(platformConfig, `"members":[`, `"members":[`+strings.TrimPrefix(members, ",")+",", 1),
 	)
 	socket := filepath.Join(t.TempDir(), "c")
 	text := "cells fixed\n  cell red\n  cell blue\n  settle 1s\n" +
 		"tenant acme\n  proxies 2\n  cell red\ncontrol\n  socket " + socket + "\n"
-	file := write(t, "op.conf", text)
-	c := start(t, false, []string{"EDGE_CONFIG=" + config, "EDGE_OPERATOR=" + file})
-	addr := c.listens()
+	file := writeTempFile(t, "op.conf", text)
+	c := startProcess(t, false, []string{"EDGE_CONFIG=" + config, "EDGE_OPERATOR=" + file})
+	addr := c.awaitReady()
 	var red, blue []string
 	for over := time.Now().Add(20 * time.Second); len(red) == 0 && time.Now().Before(over); {
-		reply, err := send(socket, controller.Request{Action: controller.ActionShowCells})
+		reply, err := sendRequest(socket, controller.Request{Action: controller.ActionShowCells})
 		if err == nil && len(reply.Cells.Tenants) > 0 {
 			red = reply.Cells.Tenants[0].Backends
 		}
@@ -381,7 +381,7 @@
 	if text, code := run("cells", "move", "acme", "green"); code != 0 || !strings.Contains(text, "settled") {
 		t.Errorf("to nowhere: %d, %s", code, text)
 	}
-	find(t, c.log, "no fixed cell green")
+	awaitLine(t, c.output, "no fixed cell green")
 	if text, code := run(
 		"cells",
 		"show",
@@ -397,12 +397,12 @@
 	}
 	until(append(slices.Clone(red), blue...))
 	until(blue)
-	find(t, c.log, "has moved from red to blue")
+	awaitLine(t, c.output, "has moved from red to blue")
 	again := func(text string, words ...string) {
 		t.Helper()
-		rewrite(t, file, text)
+		writeFile(t, file, text)
 		_ = c.Process.Signal(syscall.SIGHUP)
-		find(t, c.log, words...)
+		awaitLine(t, c.output, words...)
 	}
 	again(
 		strings.Replace(text, "cell blue", "cell blue part 0.001", 1)+"tenant two\n  proxies 3\n  cell blue\n",
@@ -420,15 +420,15 @@
 // A file is held against the platform's list: a tenant that can touch too much of the others' strength is a
 // warning, one that has nowhere to go a fault.
 func TestCheckAgainst(t *testing.T) {
-	config := write(t, "config.json", settings)
-	wide := write(t, "wide.conf", "cells shuffle\n  size 3\ntenant a\n  proxies 0\ntenant b\n  proxies 1\n")
+	config := writeTempFile(t, "config.json", platformConfig)
+	wide := writeTempFile(t, "wide.conf", "cells shuffle\n  size 3\ntenant a\n  proxies 0\ntenant b\n  proxies 1\n")
 	var out, errs bytes.Buffer
 	if code := Run([]string{"check", "--against", config, wide}, &out, &errs); code != 0 ||
 		!strings.Contains(errs.String(), "wide.conf:3: warning: tenant a can affect 100% of the other tenants' capacity") {
 		t.Errorf("exit %d, %q, %q", code, out.String(), errs.String())
 	}
 	errs.Reset()
-	lacks := write(
+	lacks := writeTempFile(
 		t,
 		"lacks.conf",
 		"cells fixed\n  cell red part 1000\n  cell blue part 0.001\ntenant a\n  proxies 0\n  cell blue\n",
--- a/internal/controller/command/member.go
+++ b/internal/controller/command/member.go
@@ -26,8 +26,8 @@
 	"elmfold/internal/policy"
 )
 
-// fleet is this instance's part in a fleet.
-type fleet struct {
+// member is this instance's part in a member.
+type member struct {
 	*membership.LoadAggregator
 	*membership.Fleet
 	streams *membership.Streams
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &fleet{Fleet: all, sheet: sheet}
+	p := &member{Fleet: all, sheet: sheet}
 	if o.ShareTotals {
 		totals := make(chan aggregation.Summary, 1) // holds the newest total, so that the sender never blocks
 		p.LoadAggregator = all.StartLoadAggregator(func(s aggregation.Summary) {
@@ -71,7 +71,7 @@
 			}
 			totals <- s
 		})
-		go handOn(totals, hear, log)
+		go forwardTotals(totals, hear, log)
 	}
 	if ln != nil {
 		p.streams = all.ServeStreams(ln, o.StreamAddressOverrides)
@@ -80,7 +80,7 @@
 		life := make([]byte, 8)
 		_, _ = rand.Read(life)
 		if p.jobs, err = jobs.Open(
-			jobs.Config{Path: j.Path, Peers: j.Peers, Authorize: p.allowEdit, Incarnation: hex.EncodeToString(life)},
+			jobs.Config{Path: j.Path, Peers: j.Peers, Authorize: p.authorizeEdit, Incarnation: hex.EncodeToString(life)},
 			all,
 			p.streams,
 			log,
@@ -91,8 +91,8 @@
 	return p, nil
 }
 
-// allowEdit says whether the decisions permit what an edit asks for: a product goes to its zones only.
-func (p *fleet) allowEdit(e jobs.Edit, v jobs.View) error {
+// authorizeEdit says whether the decisions permit what an edit asks for: a product goes to its zones only.
+func (p *member) authorizeEdit(e jobs.Edit, v jobs.View) error {
 	product, places := v.Job.Product, e.Places
 	if e.Job != nil {
 		product, places = e.Job.Product, e.Job.Places
@@ -117,25 +117,25 @@
 
 // What a Request can ask of jobs; the body is an Edit, an ID, or nothing.
 const (
-	DoJobEdit = "job edit"
-	DoJobShow = "job show"
-	DoJobs    = "jobs"
-	DoJobSums = "jobs sizes"
+	DoJobEdit  = "job edit"
+	DoJobShow  = "job show"
+	DoJobs     = "jobs"
+	DoJobSizes = "jobs sizes"
 )
 
 const editTimeout = 4 * time.Second
 
 // HandleRequest answers requests of operators and of sources that are about jobs.
-func (p *fleet) HandleRequest(r controller.Request) (body json.RawMessage, ok bool, err error) {
+func (p *member) HandleRequest(r controller.Request) (body json.RawMessage, ok bool, err error) {
 	var said any
 	switch {
-	case r.Action != DoJobEdit && r.Action != DoJobShow && r.Action != DoJobs && r.Action != DoJobSums:
+	case r.Action != DoJobEdit && r.Action != DoJobShow && r.Action != DoJobs && r.Action != DoJobSizes:
 		return nil, false, nil
 	case p.jobs == nil:
 		return nil, true, errors.New("no jobs are kept here; add a section jobs to the operator file")
 	case r.Action == DoJobEdit:
 		var e jobs.Edit
-		if err := strict(r.Body, &e); err != nil {
+		if err := decodeStrict(r.Body, &e); err != nil {
 			return nil, true, err
 		}
 		ctx, stop := context.WithTimeout(context.Background(), editTimeout)
@@ -146,7 +146,7 @@
 		said = e
 	case r.Action == DoJobShow:
 		var id jobs.ID
-		if err := strict(r.Body, &id); err != nil {
+		if err := decodeStrict(r.Body, &id); err != nil {
 			return nil, true, err
 		}
 		v, known := p.jobs.View(id)
@@ -164,8 +164,8 @@
 	return body, true, err
 }
 
-// strict reads a body; what is not known there is an error that names it.
-func strict(raw json.RawMessage, into any) error {
+// decodeStrict reads a body; what is not known there is an error that names it.
+func decodeStrict(raw json.RawMessage, into any) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
@@ -174,10 +174,10 @@
 	return nil
 }
 
-const unheard = 5 * time.Second
+const sumsTimeout = 5 * time.Second
 
-// handOn gives totals to the desk; it says when they begin and when they stay away.
-func handOn(totals <-chan aggregation.Summary, hear func(eventloop.Command), log *logrus.Entry) {
+// forwardTotals gives totals to the desk; it says when they begin and when they stay away.
+func forwardTotals(totals <-chan aggregation.Summary, hear func(eventloop.Command), log *logrus.Entry) {
 	for heard := false; ; {
 		select {
 		case s := <-totals:
@@ -189,18 +189,18 @@
 				)
 			}
 			heard = true
-			hear(eventloop.Command{Message: remoteSumsOf(s)})
-		case <-time.After(unheard):
+			hear(eventloop.Command{Message: remoteSums(s)})
+		case <-time.After(sumsTimeout):
 			if heard {
-				log.WithField("after", unheard).Warn("no sums of the fleet are heard: what is seen here decides")
+				log.WithField("after", sumsTimeout).Warn("no sums of the fleet are heard: what is seen here decides")
 			}
 			heard = false
 		}
 	}
 }
 
-// remoteSumsOf is a total as the desk takes it.
-func remoteSumsOf(s aggregation.Summary) eventloop.RemoteSums {
+// remoteSums is a total as the desk takes it.
+func remoteSums(s aggregation.Summary) eventloop.RemoteSums {
 	said := eventloop.RemoteSums{Age: policy.Time(s.Age * time.Duration(policy.Second) / time.Second)}
 	for _, w := range s.Reports {
 		h := textproto.BackendReport{Backend: w.Backend, Attempts: w.Attempts, Failed: w.Failed}
--- a/internal/controller/command/plugin.go
+++ b/internal/controller/command/plugin.go
@@ -20,8 +20,8 @@
 	"elmfold/pluginsdk/moment"
 )
 
-// kinds are the proposals of plug-ins, as hook has them.
-var kinds = map[string]pluginguard.Kind{
+// proposalKinds are the proposals of plug-ins, as hook has them.
+var proposalKinds = map[string]pluginguard.Kind{
 	moment.Allow: pluginguard.Allow,
 	moment.Cap:   pluginguard.Cap,
 	moment.Shed:  pluginguard.Shed,
@@ -46,7 +46,7 @@
 			Short: "load plug-ins, and say what is wrong with one that cannot be",
 			Args:  cobra.MinimumNArgs(1),
 			RunE: func(_ *cobra.Command, files []string) error {
-				code := exit(0)
+				code := exitCode(0)
 				for _, path := range files {
 					p, err := load(path)
 					if err != nil {
@@ -106,7 +106,7 @@
 		began := time.Now()
 		a, err := p.Propose(m)
 		took := time.Since(began)
-		events := eventsOf(m)
+		events := eventsFromMoment(m)
 		if err != nil {
 			events = append(events, pluginguard.Faulted{Plugin: p.Name, Why: err.Error()})
 		} else {
@@ -114,7 +114,7 @@
 			for _, x := range a.Proposals {
 				wanted.All = append(
 					wanted.All,
-					pluginguard.Proposal{Kind: kinds[x.Kind], Tenant: x.Tenant, Backends: x.Backends, Figure: x.Figure},
+					pluginguard.Proposal{Kind: proposalKinds[x.Kind], Tenant: x.Tenant, Backends: x.Backends, Figure: x.Figure},
 				)
 			}
 			events = append(events, wanted)
@@ -134,7 +134,7 @@
 					out,
 					"  %s: would go to %v, at most %g txns/s (0: no bound)\n",
 					o.Tenant,
-					either(o.Backends == nil, []string{"all"}, o.Backends),
+					choose(o.Backends == nil, []string{"all"}, o.Backends),
 					o.Most,
 				)
 			case pluginguard.Refused:
@@ -149,8 +149,8 @@
 	return in.Err()
 }
 
-// eventsOf is a moment as the controller's own events would have it. Products may go anywhere: a moment says no more.
-func eventsOf(m moment.Moment) []pluginguard.Event {
+// eventsFromMoment is a moment as the controller's own events would have it. Products may go anywhere: a moment says no more.
+func eventsFromMoment(m moment.Moment) []pluginguard.Event {
 	var zones []string
 	zone := func(name string) int {
 		if !slices.Contains(zones, name) {
@@ -160,7 +160,7 @@
 	}
 	l := pluginguard.Listed{Revision: m.Revision, Ramp: map[string]float64{}}
 	for i, b := range m.Backends {
-		status := either(b.Drains, policy.Draining, policy.Ready)
+		status := choose(b.Drains, policy.Draining, policy.Ready)
 		l.Backends = append(
 			l.Backends,
 			tenancy.Backend{At: i, ID: b.ID, Zone: zone(b.Zone), Status: status, Weight: b.Weight},
@@ -193,7 +193,7 @@
 	return append([]pluginguard.Event{planned, l}, asked...)
 }
 
-func either[T any](is bool, yes, no T) T {
+func choose[T any](is bool, yes, no T) T {
 	if is {
 		return yes
 	}
--- a/internal/controller/command/plugin_test.go
+++ b/internal/controller/command/plugin_test.go
@@ -25,7 +25,7 @@
 	if code, out, errs := run("check", path); code != 0 || !strings.Contains(out, "in order; interface version 1") {
 		t.Errorf("check ends with %d: %q %q", code, out, errs)
 	}
-	broken := write(t, "broken.wasm", "no module")
+	broken := writeTempFile(t, "broken.wasm", "no module")
 	if code, _, errs := run(
 		"check",
 		broken,
@@ -37,7 +37,7 @@
 		`{"ID":"s-2","Zone":"a","Kind":"m","Weight":1},{"ID":"s-3","Zone":"a","Kind":"m","Weight":1}`
 	tenants := `"Tenants":[{"Name":"acme","Rates":[5],"Proxies":1,"Zones":["a"]},` +
 		`{"Name":"beta","Rates":[5],"Proxies":3,"Zones":["a"]}]`
-	moments := write(t, "moments", `{"Now":1000,"Revision":4,"Backends":[`+backends+`],`+tenants+`}
+	moments := writeTempFile(t, "moments", `{"Now":1000,"Revision":4,"Backends":[`+backends+`],`+tenants+`}
 {"Now":2000,"Revision":5,"Backends":[{"ID":"s-1","Zone":"a","Kind":"old","Weight":1}],`+tenants+"}\n")
 	code, out, errs := run("try", path, "--moments", moments)
 	for _, want := range []string{
@@ -55,7 +55,7 @@
 		"try",
 		path,
 		"--moments",
-		write(t, "odd", "{}\n{\"Nowt\":1}\n"),
+		writeTempFile(t, "odd", "{}\n{\"Nowt\":1}\n"),
 	); code != 2 ||
 		!strings.Contains(errs, ":2: ") {
 		t.Errorf("an odd line ends with %d: %q", code, errs)
--- a/internal/controller/command/registry.go
+++ b/internal/controller/command/registry.go
@@ -46,16 +46,16 @@
 	c := &cobra.Command{Use: "registry", Short: "look at the list of backends in the registry"}
 	var within time.Duration
 	list := &cobra.Command{Use: "list", Short: "print the whole list once", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return look(*file, out, errs, within, false) }}
+		RunE: func(*cobra.Command, []string) error { return printRegistry(*file, out, errs, within, false) }}
 	list.Flags().DurationVar(&within, "within", 10*time.Second, "time that the registry may take")
 	watch := &cobra.Command{Use: "watch", Short: "print each change as it comes, until a signal",
-		Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return look(*file, out, errs, 0, true) }}
+		Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return printRegistry(*file, out, errs, 0, true) }}
 	c.AddCommand(list, watch)
 	return c
 }
 
-// look follows the registry of an operator file as a controller would, and prints what it is told.
-func look(file string, out, errs io.Writer, within time.Duration, on bool) error {
+// printRegistry follows the registry of an operator file as a controller would, and prints what it is told.
+func printRegistry(file string, out, errs io.Writer, within time.Duration, on bool) error {
 	f, err := operatorFile(file, errs)
 	if err != nil {
 		return err
@@ -76,7 +76,7 @@
 	if within > 0 {
 		over = time.After(within)
 	}
-	p := printer{out: out, errs: errs, now: time.Now}
+	p := orderPrinter{out: out, errs: errs, now: time.Now}
 	for {
 		select {
 		case o := <-orders:
@@ -85,21 +85,21 @@
 			}
 		case <-over:
 			_, _ = fmt.Fprintf(errs, "elmfold: no whole list within %v\n", within)
-			return exit(1)
+			return exitCode(1)
 		case <-stop:
 			return nil
 		}
 	}
 }
 
-// printer prints what a Roster tells.
-type printer struct {
+// orderPrinter prints what a Roster tells.
+type orderPrinter struct {
 	out, errs io.Writer
 	now       func() time.Time
 }
 
 // print prints an order; whole is whether it was a whole list.
-func (p printer) print(o reconcile.Order, stamped bool) (whole bool) {
+func (p orderPrinter) print(o reconcile.Order, stamped bool) (whole bool) {
 	stamp := ""
 	if stamped {
 		stamp = p.now().Format("15:04:05.000 ")
--- a/internal/controller/command/warmstart.go
+++ b/internal/controller/command/warmstart.go
@@ -24,37 +24,37 @@
 )
 
 const (
-	seenEvery  = time.Second // while the source answers, the list is known to hold
-	usualGrace = 10 * time.Minute
-	healthy    = 30 * time.Second // that a program must run not to be in a crash loop
-	seenKey    = ""               // no backend has an empty id
-	figureTTL  = time.Minute      // a figure is worth nothing after that
+	confirmInterval  = time.Second // while the source answers, the list is known to hold
+	defaultGrace     = 10 * time.Minute
+	healthyUptime    = 30 * time.Second // that a program must run not to be in a crash loop
+	listConfirmedKey = ""               // no backend has an empty id
+	measurementTTL   = time.Minute      // a figure is worth nothing after that
 )
 
-// memory keeps the list in a store, and tells it to peers.
-type memory struct {
-	name      string
-	store     *statestore.Store // nil: nothing is kept
-	now       func() time.Time
-	began     time.Time
-	knownList reconcile.List
-	ok        bool
-	figures   []warmstart.Believe // what else is believed
+// factCache keeps the list in a store, and tells it to peers.
+type factCache struct {
+	name              string
+	store             *statestore.Store // nil: nothing is kept
+	now               func() time.Time
+	startTime         time.Time
+	startList         reconcile.List
+	hasStartList      bool
+	startMeasurements []warmstart.Believe // what else is believed
 
-	mu       sync.Mutex
-	session  *warmstart.Session
-	listed   map[string]reconcile.Member
-	revision int64
-	holdings bool             // the source answers
-	seen     time.Time        // ... when it did last; zero: not yet
-	learnt   map[learnt]known // of the decisions
+	mu            sync.Mutex
+	session       *warmstart.Session
+	members       map[string]reconcile.Member
+	revision      int64
+	sourceHealthy bool                           // the source answers
+	lastConfirmed time.Time                      // ... when it did last; zero: not yet
+	measurements  map[measurementKey]measurement // of the decisions
 }
 
 // OpenWarmState is the controller.OpenWarmState of this program. It takes as long as the peers are given to answer.
 func OpenWarmState(f operatorfile.File, name string, log *logrus.Entry) (controller.WarmState, error) {
-	m := &memory{name: name, now: time.Now, listed: map[string]reconcile.Member{}, learnt: map[learnt]known{}}
+	m := &factCache{name: name, now: time.Now, members: map[string]reconcile.Member{}, measurements: map[measurementKey]measurement{}}
 	plan := warmstart.Usual()
-	plan.Name, plan.Grace = name, usualGrace
+	plan.Name, plan.Grace = name, defaultGrace
 	var events []warmstart.Event
 	if o := f.Store; o != nil {
 		plan.Grace = o.Grace
@@ -66,7 +66,7 @@
 			log.WithField("reason", "store").Warn(err)
 		}
 		m.store = s
-		events = append(events, warmstart.Offered{Source: "store", Facts: facts(records, name, m.now())})
+		events = append(events, warmstart.Offered{Source: "store", Facts: factsFromRecords(records, name, m.now())})
 	}
 	began := m.now()
 	if p := f.Peers; p != nil {
@@ -81,41 +81,41 @@
 			log.WithFields(logrus.Fields{"peer": a.Source, "facts": a.Facts, "error": a.Err}).Info("a peer was asked")
 		}
 	}
-	m.session, m.began = warmstart.New(plan), began
+	m.session, m.startTime = warmstart.New(plan), began
 	var refused []warmstart.Refuse
-	m.knownList, refused, m.ok = m.believe(events)
+	m.startList, refused, m.hasStartList = m.acceptFacts(events)
 	for _, r := range refused {
 		log.WithFields(logrus.Fields{"source": r.Source, "reason": r.Reason, "count": r.Count}).Warn("facts are refused")
 	}
-	for _, x := range m.knownList.Members {
-		m.listed[x.ID] = x
+	for _, x := range m.startList.Members {
+		m.members[x.ID] = x
 	}
 	if p := f.Peers; p != nil && p.Listen != "" {
-		if _, err := peersync.Listen(p.Listen, m.tell, log); err != nil {
+		if _, err := peersync.Listen(p.Listen, m.currentFacts, log); err != nil {
 			log.WithField("reason", "peers").Errorf("nothing is told to peers: %v", err)
 		}
 	}
 	if m.store != nil {
-		go m.run()
+		go m.maintainStore()
 	}
 	return m, nil
 }
 
-// tell is what a peer may know: the list at first hand while our source answers; until it has, what we were told
+// currentFacts is what a peer may know: the list at first hand while our source answers; until it has, what we were told
 // ourselves, at its age and by whom.
-func (m *memory) tell() (all []warmstart.Fact) {
+func (m *factCache) currentFacts() (all []warmstart.Fact) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.seen.IsZero() {
-		m.session.Step(m.now().Sub(m.began), nil)
+	if m.lastConfirmed.IsZero() {
+		m.session.Step(m.now().Sub(m.startTime), nil)
 		return m.session.Facts()
 	}
 	age := time.Duration(0)
-	if !m.holdings {
-		age = m.now().Sub(m.seen)
+	if !m.sourceHealthy {
+		age = m.now().Sub(m.lastConfirmed)
 	}
-	for _, id := range slices.Sorted(maps.Keys(m.listed)) {
-		x := m.listed[id]
+	for _, id := range slices.Sorted(maps.Keys(m.members)) {
+		x := m.members[id]
 		note, _ := json.Marshal(x)
 		all = append(
 			all,
@@ -131,26 +131,26 @@
 		)
 	}
 	for _, at := range slices.SortedFunc(
-		maps.Keys(m.learnt),
-		func(a, b learnt) int { return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.key, b.key)) },
+		maps.Keys(m.measurements),
+		func(a, b measurementKey) int { return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.key, b.key)) },
 	) {
-		f := m.learnt[at].Fact
-		f.Age = m.now().Sub(m.learnt[at].at)
+		f := m.measurements[at].Fact
+		f.Age = m.now().Sub(m.measurements[at].measuredAt)
 		all = append(all, f)
 	}
 	return all
 }
 
-// facts are those of records at a moment. The list as a whole was known to hold when it was last seen.
-func facts(records []statestore.Record, name string, now time.Time) (all []warmstart.Fact) {
+// factsFromRecords are those of records at a moment. The list as a whole was known to hold when it was last seen.
+func factsFromRecords(records []statestore.Record, name string, now time.Time) (all []warmstart.Fact) {
 	seen := int64(0)
 	for _, r := range records {
-		if r.Kind == warmstart.Backend && r.Key == seenKey {
+		if r.Kind == warmstart.Backend && r.Key == listConfirmedKey {
 			seen = r.At
 		}
 	}
 	for _, r := range records {
-		if r.Kind == warmstart.Backend && r.Key == seenKey {
+		if r.Kind == warmstart.Backend && r.Key == listConfirmedKey {
 			continue
 		}
 		at := r.At
@@ -166,17 +166,17 @@
 	return all
 }
 
-// believe is the list that what was offered gives.
-func (m *memory) believe(events []warmstart.Event) (l reconcile.List, refused []warmstart.Refuse, ok bool) {
+// acceptFacts is the list that what was offered gives.
+func (m *factCache) acceptFacts(events []warmstart.Event) (l reconcile.List, refused []warmstart.Refuse, ok bool) {
 	l.Complete = true
-	for _, o := range m.session.Step(m.now().Sub(m.began), events) {
+	for _, o := range m.session.Step(m.now().Sub(m.startTime), events) {
 		switch o := o.(type) {
 		case warmstart.Refuse:
 			refused = append(refused, o)
 		case warmstart.Believe:
 			var x reconcile.Member
 			if o.Kind != warmstart.Backend {
-				m.figures = append(m.figures, o)
+				m.startMeasurements = append(m.startMeasurements, o)
 				continue
 			}
 			if json.Unmarshal([]byte(o.Note), &x) != nil {
@@ -192,22 +192,22 @@
 }
 
 // InitialList is what the store held at the start.
-func (m *memory) InitialList() (reconcile.List, bool) { return m.knownList, m.ok }
+func (m *factCache) InitialList() (reconcile.List, bool) { return m.startList, m.hasStartList }
 
 // Update hands on what has changed.
-func (m *memory) Update(said any) {
+func (m *factCache) Update(said any) {
 	l, ok := said.(reconcile.List)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !ok {
-		if m.holdings {
-			m.seen = m.now()
+		if m.sourceHealthy {
+			m.lastConfirmed = m.now()
 		}
-		m.holdings = false
+		m.sourceHealthy = false
 		return
 	}
-	m.holdings = true
-	m.revision, m.seen = l.Revision, m.now()
+	m.sourceHealthy = true
+	m.revision, m.lastConfirmed = l.Revision, m.now()
 	at := m.now().UnixMilli()
 	var records []statestore.Record
 	record := func(x reconcile.Member) {
@@ -230,56 +230,56 @@
 			continue
 		}
 		named[x.ID] = true
-		if was, there := m.listed[x.ID]; !there || was != x {
+		if was, there := m.members[x.ID]; !there || was != x {
 			record(x)
 		}
-		if m.listed[x.ID] = x; x.Phase == reconcile.Deleted {
-			delete(m.listed, x.ID)
+		if m.members[x.ID] = x; x.Phase == reconcile.Deleted {
+			delete(m.members, x.ID)
 		}
 	}
-	for id, x := range m.listed {
+	for id, x := range m.members {
 		if l.Complete && !named[id] {
 			x.Phase = reconcile.Deleted
 			record(x)
-			delete(m.listed, id)
+			delete(m.members, id)
 		}
 	}
 	if m.store != nil {
-		m.store.Put(append(records, statestore.Record{Kind: warmstart.Backend, Key: seenKey, At: at})...)
+		m.store.Put(append(records, statestore.Record{Kind: warmstart.Backend, Key: listConfirmedKey, At: at})...)
 	}
 }
 
-// learnt names a figure, known is one with the moment at which it was true.
-type learnt struct {
+// measurementKey names a figure, known is one with the moment at which it was true.
+type measurementKey struct {
 	kind warmstart.Kind
 	key  string
 }
 
-type known struct {
+type measurement struct {
 	warmstart.Fact
-	at time.Time
+	measuredAt time.Time
 }
 
 // InitialBeliefs is what was believed at the start of use, relief and totals.
-func (m *memory) InitialBeliefs() []warmstart.Believe { return m.figures }
+func (m *factCache) InitialBeliefs() []warmstart.Believe { return m.startMeasurements }
 
 // RecordFacts keeps figures of the decisions, for a start after this one and for peers.
-func (m *memory) RecordFacts(facts []warmstart.Fact) {
+func (m *factCache) RecordFacts(facts []warmstart.Fact) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
 	var records []statestore.Record
 	for _, f := range facts {
 		f.Origin = m.name
-		m.learnt[learnt{f.Kind, f.Key}] = known{f, now.Add(-f.Age)}
+		m.measurements[measurementKey{f.Kind, f.Key}] = measurement{f, now.Add(-f.Age)}
 		records = append(
 			records,
 			statestore.Record{Kind: f.Kind, Key: f.Key, Value: f.Value, At: now.Add(-f.Age).UnixMilli()},
 		)
 	}
-	for at, k := range m.learnt { // proxies and backends come and go for ever
-		if now.Sub(k.at) > figureTTL {
-			delete(m.learnt, at)
+	for at, k := range m.measurements { // proxies and backends come and go for ever
+		if now.Sub(k.measuredAt) > measurementTTL {
+			delete(m.measurements, at)
 		}
 	}
 	if m.store != nil {
@@ -287,17 +287,17 @@
 	}
 }
 
-// run notes that the list holds, and after a while that the program does.
-func (m *memory) run() {
+// maintainStore notes that the list holds, and after a while that the program does.
+func (m *factCache) maintainStore() {
 	began := m.now()
-	for settled := false; ; time.Sleep(seenEvery) {
+	for settled := false; ; time.Sleep(confirmInterval) {
 		m.mu.Lock()
-		holds := m.holdings
+		holds := m.sourceHealthy
 		m.mu.Unlock()
 		if holds {
-			m.store.Put(statestore.Record{Kind: warmstart.Backend, Key: seenKey, At: m.now().UnixMilli()})
+			m.store.Put(statestore.Record{Kind: warmstart.Backend, Key: listConfirmedKey, At: m.now().UnixMilli()})
 		}
-		if !settled && m.now().Sub(began) > healthy {
+		if !settled && m.now().Sub(began) > healthyUptime {
 			settled = m.store.Healthy() == nil
 		}
 	}
@@ -318,7 +318,7 @@
 			name, records, err := statestore.Look(f.Store.Path)
 			if err != nil {
 				_, _ = fmt.Fprintf(errs, "elmfold: %v\n", err)
-				return exit(1)
+				return exitCode(1)
 			}
 			slices.SortFunc(records, func(a, b statestore.Record) int {
 				return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Key, b.Key))
@@ -336,7 +336,7 @@
 			RunE: look(func(o operatorfile.Store, name string, records []statestore.Record) error {
 				w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 				_, _ = fmt.Fprintln(w, "kind\tkey\tstate\trevision\tage\tat a start")
-				for _, f := range facts(records, name, time.Now()) {
+				for _, f := range factsFromRecords(records, name, time.Now()) {
 					use := "believed"
 					if f.Age > o.Grace {
 						use = fmt.Sprintf("refused: older than the grace of %v", o.Grace)
--- a/internal/controller/command/warmstart_test.go
+++ b/internal/controller/command/warmstart_test.go
@@ -29,26 +29,26 @@
 func TestKilled(t *testing.T) {
 	held := kv.New(1)
 	for _, id := range []string{"s-1", "s-2", "s-7"} {
-		held.Put("elm/"+id, value(reconcile.Serving))
+		held.Put("elm/"+id, entryJSON(reconcile.Serving))
 	}
 	m, err := etcd.Start(held, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	file := write(
+	file := writeTempFile(
 		t,
 		"op.conf",
 		"registry etcd\n  endpoint "+m.Addr()+"\n  prefix elm\nstore\n  file "+filepath.Join(dir, "state")+"\n",
 	)
-	config := write(t, "config.json", settings)
+	config := writeTempFile(t, "config.json", platformConfig)
 	env := []string{"EDGE_CONFIG=" + config, "EDGE_OPERATOR=" + file}
-	first := start(t, false, env)
-	addr := first.listens()
-	in := join(t, addr)
-	find(t, in, "s-7:1")
-	held.Put("elm/s-2", value(reconcile.Draining))
-	find(t, in, "out=s-2")
+	first := startProcess(t, false, env)
+	addr := first.awaitReady()
+	in := subscribe(t, addr)
+	awaitLine(t, in, "s-7:1")
+	held.Put("elm/s-2", entryJSON(reconcile.Draining))
+	awaitLine(t, in, "out=s-2")
 	state := func(what string) string {
 		var out bytes.Buffer
 		Run([]string{"state", what, "--operator", file}, &out, &out)
@@ -64,8 +64,8 @@
 		if strings.Contains(state("show"), "s-2  DRAINING") {
 			break
 		}
-		first = start(t, false, env)
-		find(t, first.log, "msg=ready")
+		first = startProcess(t, false, env)
+		awaitLine(t, first.output, "msg=ready")
 	}
 	m.Stop()
 	if text := state("check"); !strings.Contains(text, "in order; of n3, 4 facts") {
@@ -74,18 +74,18 @@
 	if text := state("export"); strings.Count(text, "\n") != 4 {
 		t.Errorf("state export: %q", text)
 	}
-	second := start(t, false, env)
-	if line := find(t, second.log, "from the store or from peers"); !strings.Contains(line, "backends=3") {
+	second := startProcess(t, false, env)
+	if line := awaitLine(t, second.output, "from the store or from peers"); !strings.Contains(line, "backends=3") {
 		t.Errorf("the next start: %q", line)
 	}
-	addr = second.listens()
-	table := find(t, join(t, addr), "whole=1")
+	addr = second.awaitReady()
+	table := awaitLine(t, subscribe(t, addr), "whole=1")
 	if !strings.Contains(table, "s-1:") || !strings.Contains(table, "s-7:") || strings.Contains(table, "s-2:") {
 		t.Errorf("the first table is %q", table)
 	}
 }
 
-func join(t *testing.T, addr string) *bufio.Reader {
+func subscribe(t *testing.T, addr string) *bufio.Reader {
 	t.Helper()
 	stream, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -102,18 +102,18 @@
 func TestFigures(t *testing.T) {
 	dir := t.TempDir()
 	now := time.UnixMilli(5_000_000_000)
-	s, _, err := statestore.Open(filepath.Join(dir, "state"), "n3", 0, silent())
+	s, _, err := statestore.Open(filepath.Join(dir, "state"), "n3", 0, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	// No goroutine of its own runs beside it: its clock is the test's.
-	m := &memory{
-		name:    "n3",
-		store:   s,
-		now:     func() time.Time { return now },
-		listed:  map[string]reconcile.Member{},
-		learnt:  map[learnt]known{},
-		session: warmstart.New(warmstart.Plan{Grace: 10 * time.Minute, Half: 10 * time.Second, Most: 1000}),
+	m := &factCache{
+		name:         "n3",
+		store:        s,
+		now:          func() time.Time { return now },
+		members:      map[string]reconcile.Member{},
+		measurements: map[measurementKey]measurement{},
+		session:      warmstart.New(warmstart.Plan{Grace: 10 * time.Minute, Half: 10 * time.Second, Most: 1000}),
 	}
 	m.Update(
 		reconcile.List{
@@ -131,7 +131,7 @@
 	)
 	now = now.Add(2 * time.Second)
 	ages := map[string]time.Duration{}
-	for _, f := range m.tell() {
+	for _, f := range m.currentFacts() {
 		if f.Origin != "n3" {
 			t.Errorf("told as %q's: %v", f.Origin, f)
 		}
@@ -148,14 +148,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := memory{
-		name:    "n3",
-		now:     func() time.Time { return now },
-		began:   now,
-		session: warmstart.New(warmstart.Plan{Grace: 10 * time.Minute, Half: 10 * time.Second, Most: 1000}),
+	again := factCache{
+		name:      "n3",
+		now:       func() time.Time { return now },
+		startTime: now,
+		session:   warmstart.New(warmstart.Plan{Grace: 10 * time.Minute, Half: 10 * time.Second, Most: 1000}),
 	}
-	l, refused, ok := again.believe(
-		[]warmstart.Event{warmstart.Offered{Source: "store", Facts: facts(records, "n3", now)}},
+	l, refused, ok := again.acceptFacts(
+		[]warmstart.Event{warmstart.Offered{Source: "store", Facts: factsFromRecords(records, "n3", now)}},
 	)
 	got := map[warmstart.Kind]warmstart.Believe{}
 	for _, b := range again.InitialBeliefs() {
@@ -167,17 +167,17 @@
 		got[warmstart.Relief].Part > 0.9 {
 		t.Errorf("believed %v, refused %v, list %v", got, refused, l)
 	}
-	now = now.Add(2 * figureTTL)
+	now = now.Add(2 * measurementTTL)
 	for i := range 1000 { // ids without end
 		now = now.Add(time.Second)
 		m.RecordFacts([]warmstart.Fact{{Kind: warmstart.Relief, Key: fmt.Sprint("s-", i), Value: 0.5}})
 	}
-	if n := len(m.learnt); n > int(figureTTL/time.Second)+1 {
+	if n := len(m.measurements); n > int(measurementTTL/time.Second)+1 {
 		t.Errorf("%d figures are held", n)
 	}
 }
 
-func silent() *logrus.Entry {
+func discardLogger() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return logrus.NewEntry(log)
@@ -196,12 +196,12 @@
 		)
 	}
 	seen := began.Add(time.Hour)
-	records = append(records, statestore.Record{Kind: warmstart.Backend, Key: seenKey, At: seen.UnixMilli()})
+	records = append(records, statestore.Record{Kind: warmstart.Backend, Key: listConfirmedKey, At: seen.UnixMilli()})
 	believed := func(at time.Time) (reconcile.List, []warmstart.Refuse, bool) {
 		plan := warmstart.Usual()
 		plan.Grace = time.Minute
-		m := &memory{now: func() time.Time { return at }, began: at, session: warmstart.New(plan)}
-		return m.believe([]warmstart.Event{warmstart.Offered{Source: "store", Facts: facts(records, "n1", at)}})
+		m := &factCache{now: func() time.Time { return at }, startTime: at, session: warmstart.New(plan)}
+		return m.acceptFacts([]warmstart.Event{warmstart.Offered{Source: "store", Facts: factsFromRecords(records, "n1", at)}})
 	}
 	l, refused, ok := believed(seen.Add(59 * time.Second))
 	if !ok || len(refused) > 0 || len(l.Members) != 2 || l.Members[1].Phase != reconcile.Draining || l.Revision != 3 ||
@@ -225,8 +225,8 @@
 // two that start together, neither of which knows anything, neither is made sure.
 func TestPeers(t *testing.T) {
 	held := kv.New(1)
-	held.Put("elm/s-7", value(reconcile.Serving))
-	held.Put("elm/s-8", value(reconcile.Draining))
+	held.Put("elm/s-7", entryJSON(reconcile.Serving))
+	held.Put("elm/s-8", entryJSON(reconcile.Draining))
 	m, err := etcd.Start(held, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -240,31 +240,31 @@
 		return ln.Addr().String()
 	}
 	at := free()
-	config := write(t, "config.json", settings)
-	running := start(t, false, []string{"EDGE_CONFIG=" + config, "EDGE_OPERATOR=" + write(t, "a.conf",
+	config := writeTempFile(t, "config.json", platformConfig)
+	running := startProcess(t, false, []string{"EDGE_CONFIG=" + config, "EDGE_OPERATOR=" + writeTempFile(t, "a.conf",
 		"registry etcd\n  endpoint "+m.Addr()+"\n  prefix elm\npeers\n  listen "+at+"\n")})
-	addr := running.listens()
-	find(t, join(t, addr), "s-7:")
+	addr := running.awaitReady()
+	awaitLine(t, subscribe(t, addr), "s-7:")
 	m.Stop()
 	file := func(listen, ask string) string {
-		return write(
+		return writeTempFile(
 			t,
 			"b.conf",
 			"registry etcd\n  endpoint "+m.Addr()+"\n  prefix elm\npeers\n  listen "+listen+"\n  ask "+ask+"\n",
 		)
 	}
-	second := start(t, false, []string{"EDGE_CONFIG=" + config, "EDGE_OPERATOR=" + file(free(), at)})
-	if line := find(t, second.log, "from the store or from peers"); !strings.Contains(line, "backends=2") {
+	second := startProcess(t, false, []string{"EDGE_CONFIG=" + config, "EDGE_OPERATOR=" + file(free(), at)})
+	if line := awaitLine(t, second.output, "from the store or from peers"); !strings.Contains(line, "backends=2") {
 		t.Errorf("with a peer: %q", line)
 	}
-	if line := find(t, second.log, "msg=ready"); !strings.Contains(line, "backends=2") {
+	if line := awaitLine(t, second.output, "msg=ready"); !strings.Contains(line, "backends=2") {
 		t.Errorf("with a peer: %q", line)
 	}
 	one, two := free(), free()
-	third := start(t, false, []string{"EDGE_CONFIG=" + config, "EDGE_OPERATOR=" + file(one, two)})
-	fourth := start(t, false, []string{"EDGE_CONFIG=" + config, "EDGE_OPERATOR=" + file(two, one)})
-	for _, c := range []*child{third, fourth} {
-		if line := find(t, c.log, "msg=ready"); !strings.Contains(line, "backends=3") { // those of the platform's file
+	third := startProcess(t, false, []string{"EDGE_CONFIG=" + config, "EDGE_OPERATOR=" + file(one, two)})
+	fourth := startProcess(t, false, []string{"EDGE_CONFIG=" + config, "EDGE_OPERATOR=" + file(two, one)})
+	for _, c := range []*process{third, fourth} {
+		if line := awaitLine(t, c.output, "msg=ready"); !strings.Contains(line, "backends=3") { // those of the platform's file
 			t.Errorf("of two that start together: %q", line)
 		}
 	}
@@ -274,15 +274,15 @@
 // is ours, and grows old from when it failed.
 func TestHearsay(t *testing.T) {
 	at := time.UnixMilli(1_000_000_000)
-	m := &memory{
-		name:    "n1",
-		now:     func() time.Time { return at },
-		began:   at,
-		session: warmstart.New(warmstart.Usual()),
-		listed:  map[string]reconcile.Member{},
+	m := &factCache{
+		name:      "n1",
+		now:       func() time.Time { return at },
+		startTime: at,
+		session:   warmstart.New(warmstart.Usual()),
+		members:   map[string]reconcile.Member{},
 	}
 	note := `{"id":"s-1","locality":"a","phase":"SERVING"}`
-	m.believe(
+	m.acceptFacts(
 		[]warmstart.Event{
 			warmstart.Offered{
 				Source: "x",
@@ -293,7 +293,7 @@
 	)
 	m.Update(reconcile.SourceFailed{})
 	at = at.Add(10 * time.Second)
-	if f := m.tell(); len(f) != 1 || f[0].Origin != "n2" || f[0].Age != 15*time.Second {
+	if f := m.currentFacts(); len(f) != 1 || f[0].Origin != "n2" || f[0].Age != 15*time.Second {
 		t.Errorf("before our source answers %+v", f)
 	}
 	m.Update(
@@ -304,12 +304,12 @@
 		},
 	)
 	at = at.Add(10 * time.Second)
-	if f := m.tell(); len(f) != 1 || f[0].Key != "s-2" || f[0].Origin != "n1" || f[0].Age != 0 || f[0].Revision != 3 {
+	if f := m.currentFacts(); len(f) != 1 || f[0].Key != "s-2" || f[0].Origin != "n1" || f[0].Age != 0 || f[0].Revision != 3 {
 		t.Errorf("while it does %+v", f)
 	}
 	m.Update(reconcile.SourceFailed{})
 	at = at.Add(20 * time.Second)
-	if f := m.tell(); len(f) != 1 || f[0].Age != 20*time.Second {
+	if f := m.currentFacts(); len(f) != 1 || f[0].Age != 20*time.Second {
 		t.Errorf("when it failed %+v", f)
 	}
 }
@@ -322,9 +322,9 @@
 	}
 	addr := free.Addr().String()
 	_ = free.Close()
-	file := write(t, "op.conf", "channel\n  listen "+addr+"\n")
-	p := start(t, false, []string{"EDGE_CONFIG=" + write(t, "config.json", settings), "EDGE_OPERATOR=" + file})
-	find(t, p.log, "pub-sub channel is open")
+	file := writeTempFile(t, "op.conf", "channel\n  listen "+addr+"\n")
+	p := startProcess(t, false, []string{"EDGE_CONFIG=" + writeTempFile(t, "config.json", platformConfig), "EDGE_OPERATOR=" + file})
+	awaitLine(t, p.output, "pub-sub channel is open")
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
 	held := 0
