--- a/internal/controller/command/cells.go
+++ b/internal/controller/command/cells.go
@@ -17,38 +17,43 @@
 	"elmfold/internal/controller/tenancy"
 )
 
-func cellsCommand(file *string, out, errs io.Writer) *cobra.Command {
-	c := &cobra.Command{Use: "cells", Short: "look at a running controller's cells, and move tenants"}
-	do := func(what string) func(*cobra.Command, []string) error {
+const (
+	dialTimeout    = 2 * time.Second
+	requestTimeout = 10 * time.Second
+)
+
+func cellsCommand(file *string, stdout, stderr io.Writer) *cobra.Command {
+	c := &cobra.Command{Use: "cells", Short: "show the cells of a running controller, and move tenants"}
+	request := func(action string) func(*cobra.Command, []string) error {
 		return func(_ *cobra.Command, args []string) error {
-			r := controller.Request{Action: what}
+			r := controller.Request{Action: action}
 			if len(args) > 0 {
 				r.Tenant = args[0]
 			}
 			if len(args) > 1 {
 				r.Cell = args[1]
 			}
-			return executeRequest(*file, r, out, errs)
+			return executeRequest(*file, r, stdout, stderr)
 		}
 	}
 	c.AddCommand(
-		&cobra.Command{Use: "show", Short: "print how each tenant stands", Args: cobra.NoArgs,
-			RunE: do(controller.ActionShowCells)},
+		&cobra.Command{Use: "show", Short: "print the state of each tenant", Args: cobra.NoArgs,
+			RunE: request(controller.ActionShowCells)},
 		&cobra.Command{Use: "move TENANT CELL", Short: "move a tenant to another cell, a part of its proxies at a time",
-			Args: cobra.ExactArgs(2), RunE: do(controller.ActionMoveCell)},
+			Args: cobra.ExactArgs(2), RunE: request(controller.ActionMoveCell)},
 		&cobra.Command{
 			Use:   "undo TENANT",
-			Short: "take back a move that is under way",
+			Short: "undo a move in progress",
 			Args:  cobra.ExactArgs(1),
-			RunE:  do(controller.ActionUndoMove),
+			RunE:  request(controller.ActionUndoMove),
 		},
 	)
 	return c
 }
 
-// executeRequest asks the controller whose socket the operator file names.
-func executeRequest(file string, r controller.Request, out, errs io.Writer) error {
-	f, err := operatorFile(file, errs)
+// executeRequest sends a request to the controller at the control socket of the operator file, and prints the reply.
+func executeRequest(file string, r controller.Request, stdout, stderr io.Writer) error {
+	f, err := readOperatorFile(file, stderr)
 	if err != nil {
 		return err
 	}
@@ -60,32 +65,32 @@
 		err = errors.New(reply.Error)
 	}
 	if err != nil {
-		_, _ = fmt.Fprintf(errs, "elmfold: %v\n", err)
-		return exitCode(1)
+		_, _ = fmt.Fprintf(stderr, "elmfold: %v\n", err)
+		return exitError(exitFailure)
 	}
-	printView(out, reply.Cells)
+	printCells(stdout, reply.Cells)
 	return nil
 }
 
 func sendRequest(path string, r controller.Request) (reply controller.Reply, err error) {
-	conn, err := net.DialTimeout("unix", path, 2*time.Second)
+	conn, err := net.DialTimeout("unix", path, dialTimeout)
 	if err != nil {
 		return reply, err
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
+	_ = conn.SetDeadline(time.Now().Add(requestTimeout))
 	if err := json.NewEncoder(conn).Encode(r); err != nil {
 		return reply, err
 	}
 	return reply, json.NewDecoder(bufio.NewReader(conn)).Decode(&reply)
 }
 
-// printView prints tenants, then backends, as tables.
-func printView(out io.Writer, v tenancy.View) {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(w, "tenant\tcell\tstands\tmoved\tbackends\tlent\tbound\ttouches of the others\tmost")
+// printCells prints a table of tenants, then a table of backends.
+func printCells(stdout io.Writer, v tenancy.View) {
+	table := tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
+	_, _ = fmt.Fprintln(table, "tenant\tcell\tphase\tmoved\tbackends\tborrowed\tlimit\tmean overlap\tlargest overlap")
 	for _, s := range v.Tenants {
-		cell, bound, lent, stands := s.Cell, "none", "none", s.Phase
+		cell, limit, borrowed, phase := s.Cell, "none", "none", s.Phase
 		if cell == "" {
 			cell = "shuffled"
 		}
@@ -93,39 +98,39 @@
 			cell = s.From + " to " + s.Cell
 		}
 		if s.Bound > 0 {
-			bound = fmt.Sprintf("%.1f/s", s.Bound)
+			limit = fmt.Sprintf("%.1f/s", s.Bound)
 		}
 		if s.ShutIn {
-			stands = "shut in"
+			phase = "contained"
 		}
 		if len(s.Lent) > 0 {
-			lent = strings.Join(s.Lent, ",")
+			borrowed = strings.Join(s.Lent, ",")
 		}
 		_, _ = fmt.Fprintf(
-			w,
+			table,
 			"%s\t%s\t%s\t%d/%d\t%s\t%s\t%s\t%.1f%%\t%.1f%% of %s\n",
 			s.Tenant,
 			cell,
-			stands,
+			phase,
 			s.Moved,
 			s.Proxies,
 			strings.Join(s.Backends, ","),
-			lent,
-			bound,
+			borrowed,
+			limit,
 			100*s.Mean,
 			100*s.Most,
 			s.With,
 		)
 	}
-	_ = w.Flush()
+	_ = table.Flush()
 	if len(v.Backends) == 0 {
 		return
 	}
-	_, _ = fmt.Fprintln(out)
-	w = tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(w, "backend\tof all tenants' strength\ttenants that have it")
+	_, _ = fmt.Fprintln(stdout)
+	table = tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
+	_, _ = fmt.Fprintln(table, "backend\tshare of the tenants' capacity\ttenants")
 	for _, b := range v.Backends {
-		_, _ = fmt.Fprintf(w, "%s\t%.1f%%\t%d of %d\n", b.Backend, 100*b.Part, b.Tenants, len(v.Tenants))
+		_, _ = fmt.Fprintf(table, "%s\t%.1f%%\t%d of %d\n", b.Backend, 100*b.Part, b.Tenants, len(v.Tenants))
 	}
-	_ = w.Flush()
+	_ = table.Flush()
 }
--- a/internal/controller/command/channel.go
+++ b/internal/controller/command/channel.go
@@ -23,51 +23,50 @@
 	"elmfold/internal/controller/pubsub/session"
 )
 
-// OpenChannel is the controller.OpenChannel of this program.
+// OpenChannel implements controller.OpenChannel.
 func OpenChannel(
 	o operatorfile.Channel,
 	proxies int,
 	names flatsettings.Names,
-	hear func(eventloop.Command),
+	post func(eventloop.Command),
 	log *logrus.Entry,
 ) (controller.Channel, error) {
 	return pubsub.Listen(
 		pubsub.Plan{Listen: o.Listen, Linger: o.Linger, Onlookers: o.Onlookers},
 		proxies,
 		names,
-		hear,
+		post,
 		log,
 	)
 }
 
-// channelCommand looks at topics of a running controller.
-func channelCommand(file *string, out, errs io.Writer) *cobra.Command {
-	var connect string
+func channelCommand(file *string, stdout, stderr io.Writer) *cobra.Command {
+	var address string
 	var once bool
-	c := &cobra.Command{Use: "channel", Short: "look at the pub-sub channel"}
+	c := &cobra.Command{Use: "channel", Short: "show the pub-sub channel"}
 	tail := &cobra.Command{
 		Use:   "tail TOPIC",
-		Short: "show a topic live: list, or orders/N of a proxy; as an onlooker, who changes nothing",
+		Short: "print the changes of a topic, read-only: list, or orders/N for a proxy",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			if connect == "" {
-				f, err := operatorFile(*file, errs)
+			if address == "" {
+				f, err := readOperatorFile(*file, stderr)
 				if err != nil {
 					return err
 				}
 				if f.Channel == nil {
-					return errors.New("the operator file has no section channel; or name an address with --connect")
+					return errors.New("the operator file has no section channel; add one or set the address with --connect")
 				}
-				connect = f.Channel.Listen
+				address = f.Channel.Listen
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			return client.Run(ctx, client.Options{Addresses: []string{connect}, Hello: pubsub.Hello{Topic: args[0]},
+			return client.Run(ctx, client.Options{Addresses: []string{address}, Hello: pubsub.Hello{Topic: args[0]},
 				Changed: func(c *session.Copy, keys []string) {
 					slices.Sort(keys)
 					for _, k := range keys {
-						v, there := c.State[k]
-						_, _ = fmt.Fprintf(out, "%s %d %s\n", time.Now().Format("15:04:05.000"), c.Seq, formatValue(k, v, there))
+						v, exists := c.State[k]
+						_, _ = fmt.Fprintf(stdout, "%s %d %s\n", time.Now().Format("15:04:05.000"), c.Seq, formatValue(k, v, exists))
 					}
 					if once {
 						stop()
@@ -75,23 +74,23 @@
 				},
 				Down: func(err error) {
 					if err != nil {
-						_, _ = fmt.Fprintf(errs, "elmfold: %s: %v\n", connect, err)
+						_, _ = fmt.Fprintf(stderr, "elmfold: %s: %v\n", address, err)
 					}
 				}})
 		},
 	}
-	tail.Flags().StringVar(&connect, "connect", "", "address of the channel, in place of the operator file's")
-	tail.Flags().BoolVar(&once, "once", false, "end after the snapshot")
+	tail.Flags().StringVar(&address, "connect", "", "address of the channel; defaults to that in the operator file")
+	tail.Flags().BoolVar(&once, "once", false, "exit after the snapshot")
 	c.AddCommand(tail)
 	return c
 }
 
-// formatValue writes a value of a topic for people.
-func formatValue(key string, v session.Value, there bool) string {
+// formatValue formats a value of a topic for display.
+func formatValue(key string, v session.Value, exists bool) string {
 	parts := strings.Join(session.Split(key), " ")
 	switch {
-	case !there:
-		return parts + " gone"
+	case !exists:
+		return parts + " deleted"
 	case v.Text != "":
 		return v.Text
 	}
--- a/internal/controller/command/command.go
+++ b/internal/controller/command/command.go
@@ -1,4 +1,4 @@
-// Package command is elmfold's command line.
+// Package command implements the command line of elmfold-full.
 package command
 
 import (
@@ -18,84 +18,87 @@
 	"elmfold/internal/policy"
 )
 
-// exitCode is an exitCode code on its way to Run; what there was to say has been said.
-type exitCode int
+// Exit codes.
+const (
+	exitFailure = 1
+	exitUsage   = 2 // invalid command line or file
+)
+
+// exitError carries an exit code to Run. The command has already printed the cause.
+type exitError int
 
-func (e exitCode) Error() string { return fmt.Sprint("exit ", int(e)) }
+func (e exitError) Error() string { return fmt.Sprint("exit ", int(e)) }
 
-// Run carries out a command line and returns the exit code: 0 for done, 1 for failed, 2 for a wrong line or
-// file.
-func Run(args []string, out, errs io.Writer) int {
+// Run executes a command line and returns the exit code: 0 for success, 1 for a failure, 2 for an invalid command line
+// or file.
+func Run(args []string, stdout, stderr io.Writer) int {
 	var file string
-	root := &cobra.Command{Use: "elmfold", Short: "a controller that tells proxies where work goes",
-		Long: "elmfold tells proxies where work goes. Without a sub-command it runs the controller.",
+	root := &cobra.Command{Use: "elmfold", Short: "a controller that assigns backends to proxies",
+		Long: "elmfold assigns backends to proxies. Without a sub-command it runs the controller.",
 		Args: cobra.NoArgs, SilenceUsage: true, SilenceErrors: true}
 	root.PersistentFlags().StringVar(&file, "operator", os.Getenv("EDGE_OPERATOR"),
-		"the operator file (else EDGE_OPERATOR)")
+		"the operator file; defaults to EDGE_OPERATOR")
 	run := func(*cobra.Command, []string) error {
 		if code := controller.Run(
 			file,
 			controller.Extensions{Registry: OpenRegistry, WarmState: OpenWarmState, Channel: OpenChannel, Member: OpenMember},
 		); code != 0 {
-			return exitCode(code)
+			return exitError(code)
 		}
 		return nil
 	}
 	root.RunE = run
-	root.AddCommand(&cobra.Command{
-		Use:   "run",
-		Short: "run the controller until a signal ends it",
-		Args:  cobra.NoArgs,
-		RunE:  run,
-	}, checkCommand(
-		out,
-		errs,
-	), registryCommand(
-		&file,
-		out,
-		errs,
-	), cellsCommand(
-		&file,
-		out,
-		errs,
-	), stateCommand(&file, out, errs), channelCommand(&file, out, errs), pluginCommand(out, errs))
+	root.AddCommand(
+		&cobra.Command{
+			Use:   "run",
+			Short: "run the controller until it receives SIGINT or SIGTERM",
+			Args:  cobra.NoArgs,
+			RunE:  run,
+		},
+		checkCommand(stdout, stderr),
+		registryCommand(&file, stdout, stderr),
+		cellsCommand(&file, stdout, stderr),
+		stateCommand(&file, stdout, stderr),
+		channelCommand(&file, stdout, stderr),
+		pluginCommand(stdout, stderr),
+	)
 	root.SetArgs(args)
-	root.SetOut(out)
-	root.SetErr(errs)
+	root.SetOut(stdout)
+	root.SetErr(stderr)
 	err := root.Execute()
-	var code exitCode
+	var code exitError
 	switch {
 	case err == nil:
 		return 0
 	case errors.As(err, &code):
 		return int(code)
 	}
-	_, _ = fmt.Fprintf(errs, "elmfold: %v\n", err)
-	return 2
+	_, _ = fmt.Fprintf(stderr, "elmfold: %v\n", err)
+	return exitUsage
 }
 
-// operatorFile reads the file that a command was named; what is wrong with it has been said where it is faulty.
-func operatorFile(path string, errs io.Writer) (operatorfile.File, error) {
+// readOperatorFile reads the operator file at path. It prints the faults of an invalid file and returns an exitError.
+func readOperatorFile(path string, stderr io.Writer) (operatorfile.File, error) {
 	if path == "" {
-		return operatorfile.File{}, errors.New("name the operator file with --operator FILE or EDGE_OPERATOR")
+		return operatorfile.File{}, errors.New("no operator file; set it with --operator FILE or EDGE_OPERATOR")
 	}
 	f, err := operatorfile.Read(path)
 	if err != nil {
-		_, _ = fmt.Fprintln(errs, err)
-		return f, exitCode(2)
+		_, _ = fmt.Fprintln(stderr, err)
+		return f, exitError(exitUsage)
 	}
 	return f, nil
 }
 
-// checkCommand reads operator files and says what is wrong with them, a line each; beside a platform's configuration it
-// also says whether its cells can hold with the list there, and warns of tenants that can harm many.
-func checkCommand(out, errs io.Writer) *cobra.Command {
+// checkCommand validates operator files and prints one line per fault. With --against it also validates their cells
+// against the platform's configuration, and warns of tenants whose backends overlap much with those of others.
+func checkCommand(stdout, stderr io.Writer) *cobra.Command {
 	var against string
 	c := &cobra.Command{Use: "check FILE...", Short: "check operator files", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, files []string) error {
-			var sheet *config.Config
+			var platform *config.Config
 			if against != "" {
-				s, err := config.Load(func(name string) string {
+				loaded, err := config.Load(func(name string) string {
 					return map[string]string{
 						"EDGE_CONFIG":    against,
 						"EDGE_NAME":      "check",
@@ -106,24 +109,24 @@
 				if err != nil {
 					return fmt.Errorf("%s: %w", against, err)
 				}
-				sheet = &s
+				platform = &loaded
 			}
-			code := exitCode(0)
+			code := exitError(0)
 			for _, path := range files {
 				f, err := operatorfile.Read(path)
-				if err == nil && sheet != nil && f.Cells != nil {
-					list := servingBackends(*sheet)
-					err = f.Cells.Validate(sheet.Deployment, list)
-					for _, line := range f.Cells.Warnings(sheet.Deployment, list) {
-						_, _ = fmt.Fprintln(errs, line)
+				if err == nil && platform != nil && f.Cells != nil {
+					backends := servingBackends(*platform)
+					err = f.Cells.Validate(platform.Deployment, backends)
+					for _, line := range f.Cells.Warnings(platform.Deployment, backends) {
+						_, _ = fmt.Fprintln(stderr, line)
 					}
 				}
 				if err != nil {
-					_, _ = fmt.Fprintln(errs, err)
-					code = 2
+					_, _ = fmt.Fprintln(stderr, err)
+					code = exitUsage
 					continue
 				}
-				_, _ = fmt.Fprintf(out, "%s: in order; %s\n", path, f)
+				_, _ = fmt.Fprintf(stdout, "%s: valid; %s\n", path, f)
 			}
 			if code != 0 {
 				return code
@@ -134,18 +137,24 @@
 		&against,
 		"against",
 		"",
-		"the platform's configuration, whose list and settings the cells must hold with",
+		"the platform's configuration; cells are checked against its backends and settings",
 	)
 	return c
 }
 
-// servingBackends is the list that a configuration knows.
-func servingBackends(s config.Config) (all []tenancy.Backend) {
-	for _, m := range s.CachedList.Members {
-		if zone := slices.Index(s.Names.Zones, m.Zone); zone >= 0 && m.Phase == reconcile.Serving {
-			all = append(all, tenancy.Backend{At: len(all), ID: m.ID, Zone: zone, Kind: slices.Index(s.Names.Kinds, m.Kind),
-				Status: policy.Ready, Weight: m.Weight})
+// servingBackends returns the serving backends of the list in the configuration.
+func servingBackends(c config.Config) (backends []tenancy.Backend) {
+	for _, m := range c.CachedList.Members {
+		if zone := slices.Index(c.Names.Zones, m.Zone); zone >= 0 && m.Phase == reconcile.Serving {
+			backends = append(backends, tenancy.Backend{
+				At:     len(backends),
+				ID:     m.ID,
+				Zone:   zone,
+				Kind:   slices.Index(c.Names.Kinds, m.Kind),
+				Status: policy.Ready,
+				Weight: m.Weight,
+			})
 		}
 	}
-	return all
+	return backends
 }
--- a/internal/controller/command/command_test.go
+++ b/internal/controller/command/command_test.go
@@ -23,7 +23,7 @@
 	"elmfold/internal/fakes/link"
 )
 
-// The test's own binary is the program when it is told so.
+// TestMain runs elmfold in place of the tests if startProcess has started this binary.
 func TestMain(m *testing.M) {
 	if os.Getenv("ELMFOLD_SERVE") != "" {
 		os.Exit(Run(os.Args[1:], os.Stdout, os.Stderr))
@@ -45,34 +45,37 @@
 	}
 }
 
-// A good file ends with 0, each broken one with 2 and one line that names file, line and mend; the shipped
-// file is in order.
+// Checks that valid files exit with 0, and that each broken one exits with 2 and one line that starts with its path.
 func TestCheck(t *testing.T) {
 	broken, _ := filepath.Glob("../operatorfile/testdata/broken/*.conf")
 	if len(broken) < 10 {
-		t.Fatalf("%d broken files", len(broken))
+		t.Fatalf("found %d broken files, want at least 10", len(broken))
 	}
 	for _, path := range append(broken, "../operatorfile/testdata/good.conf", "../../../deploy/elmfold.conf") {
 		var out, errs bytes.Buffer
 		code := Run([]string{"check", path}, &out, &errs)
-		if bad := strings.Contains(
-			path,
-			"broken",
-		); bad &&
-			(code != 2 || strings.Count(errs.String(), "\n") != 1 || !strings.HasPrefix(errs.String(), path+":")) ||
-			!bad && (code != 0 || !strings.Contains(out.String(), "in order")) {
+		ok := code == 0 && strings.Contains(out.String(), ": valid; ")
+		if strings.Contains(path, "broken") {
+			ok = code == 2 && strings.Count(errs.String(), "\n") == 1 && strings.HasPrefix(errs.String(), path+":")
+		}
+		if !ok {
 			t.Errorf("%s: exit %d, %q, %q", path, code, out.String(), errs.String())
 		}
 	}
 }
 
-func TestWrongLines(t *testing.T) {
+// Checks that an invalid command line exits with 2 and one line on stderr.
+func TestInvalidCommandLines(t *testing.T) {
 	t.Setenv("EDGE_OPERATOR", "")
-	for _, args := range [][]string{{"chekc"}, {"check"}, {
-		"registry",
-		"list",
-	}, {"registry", "list", "--operator", "none.conf"},
-		{"registry", "watch", "--operator", "../../../deploy/elmfold.conf"}, {"--none"}, {"run", "x"}} {
+	for _, args := range [][]string{
+		{"chekc"},
+		{"check"},
+		{"registry", "list"},
+		{"registry", "list", "--operator", "none.conf"},
+		{"registry", "watch", "--operator", "../../../deploy/elmfold.conf"},
+		{"--none"},
+		{"run", "x"},
+	} {
 		var out, errs bytes.Buffer
 		if code := Run(args, &out, &errs); code != 2 || strings.Count(errs.String(), "\n") != 1 {
 			t.Errorf("%v: exit %d, %q", args, code, errs.String())
@@ -80,12 +83,13 @@
 	}
 }
 
+// entryJSON returns the value of a registry entry.
 func entryJSON(phase string) string {
 	return fmt.Sprintf(`{"locality":"a","flavor":"s","phase":%q}`, phase)
 }
 
-// The whole list is printed with its revision; one that cannot be had ends with 1.
-func TestList(t *testing.T) {
+// Checks that registry list prints the whole list with its revision, and exits with 1 after a timeout.
+func TestRegistryList(t *testing.T) {
 	store := kv.New(1)
 	store.Put("/elmfold/backends/s-1", entryJSON(reconcile.Serving))
 	store.Put("/elmfold/backends/s-2", entryJSON(reconcile.Draining))
@@ -97,28 +101,27 @@
 	file := writeTempFile(t, "op.conf", "registry etcd\n  endpoint "+m.Addr()+"\n")
 	var out, errs bytes.Buffer
 	if code := Run([]string{"registry", "list", "--operator", file}, &out, &errs); code != 0 ||
-		!strings.Contains(
-			out.String(),
-			"revision 3: whole list, 2 backends",
-		) || !strings.Contains(out.String(), "s-2  DRAINING  a") ||
+		!strings.Contains(out.String(), "revision 3: whole list, 2 backends") ||
+		!strings.Contains(out.String(), "s-2  DRAINING  a") ||
 		!strings.Contains(errs.String(), "/elmfold/backends/s-3: not a JSON object") {
 		t.Errorf("exit %d, %q, %q", code, out.String(), errs.String())
 	}
 	m.Stop()
 	errs.Reset()
 	if code := Run([]string{"registry", "list", "--operator", file, "--within", "300ms"}, &out, &errs); code != 1 ||
-		!strings.Contains(errs.String(), "lost: ") || !strings.Contains(errs.String(), "no whole list within 300ms") {
+		!strings.Contains(errs.String(), "lost: ") || !strings.Contains(errs.String(), "no whole list received within 300ms") {
 		t.Errorf("exit %d, %q", code, errs.String())
 	}
 }
 
-// process is the program, run as a process of its own.
+// process is a running elmfold process.
 type process struct {
 	*testing.T
 	*exec.Cmd
-	output *bufio.Reader
+	output *bufio.Reader // of stdout or stderr
 }
 
+// startProcess starts elmfold, and reads its stdout or else its stderr.
 func startProcess(t *testing.T, stdout bool, env []string, args ...string) *process {
 	t.Helper()
 	c := exec.Command(os.Args[0], args...)
@@ -138,7 +141,7 @@
 	return &process{t, c, bufio.NewReader(out)}
 }
 
-// awaitReady waits until it is ready and gives its address.
+// awaitReady waits for the log line that reports readiness, and returns the listening address.
 func (c *process) awaitReady() string {
 	c.Helper()
 	_, addr, _ := strings.Cut(awaitLine(c.T, c.output, "msg=ready"), `listen="`)
@@ -146,29 +149,29 @@
 	return addr
 }
 
-// awaitLine reads on until a line holds all words.
+// awaitLine reads until a line contains all words, and returns it.
 func awaitLine(t *testing.T, in *bufio.Reader, words ...string) string {
 	t.Helper()
 	for {
 		line, err := in.ReadString('\n')
-		has := true
+		containsAll := true
 		for _, w := range words {
-			has = has && strings.Contains(line, w)
+			containsAll = containsAll && strings.Contains(line, w)
 		}
-		if has && line != "" {
+		if containsAll && line != "" {
 			return line
 		}
 		if err != nil {
-			t.Fatalf("no line with %q before %v", words, err)
+			t.Fatalf("no line contains %q: %v", words, err)
 		}
 	}
 }
 
-// Each change is shown as it comes, with its revision, and what was decided about a list of another history.
-func TestWatch(t *testing.T) {
+// Checks that registry watch prints each change with its revision, also after the registry was restored from a backup.
+func TestRegistryWatch(t *testing.T) {
 	store := kv.New(1)
 	store.Put("elm/s-1", entryJSON(reconcile.Serving))
-	old := store.Save()
+	backup := store.Save()
 	m, err := etcd.Start(store, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -181,34 +184,34 @@
 	awaitLine(t, c.output, "revision 2: s-1", "DRAINING")
 	store.Put("elm/s-2", entryJSON(reconcile.Serving))
 	awaitLine(t, c.output, "revision 3: s-2", "SERVING")
-	store.Restore(old, 2)
+	store.Restore(backup, 2)
 	awaitLine(t, c.output, "revision 1: s-2", "DELETED")
 }
 
-// awaitShutOut reads orders until who is shut out is as wanted, and gives the last line.
-func awaitShutOut(t *testing.T, in *bufio.Reader, out map[string]bool, want ...string) string {
+// awaitShutOut reads orders and updates the set of shut-out backends until it equals want. It returns the last line.
+func awaitShutOut(t *testing.T, in *bufio.Reader, shutOut map[string]bool, want ...string) string {
 	t.Helper()
 	for {
 		line, err := in.ReadString('\n')
 		if err != nil {
-			t.Fatalf("out are %v, not %v: %v", out, want, err)
+			t.Fatalf("backends %v are shut out, want %v: %v", shutOut, want, err)
 		}
 		for _, word := range strings.Fields(line) {
 			name, ids, _ := strings.Cut(word, "=")
 			for _, id := range strings.Split(ids, ",") {
 				switch name {
 				case "out":
-					out[id] = true
+					shutOut[id] = true
 				case "back":
-					delete(out, id)
+					delete(shutOut, id)
 				}
 			}
 		}
-		same := len(out) == len(want)
+		equal := len(shutOut) == len(want)
 		for _, id := range want {
-			same = same && out[id]
+			equal = equal && shutOut[id]
 		}
-		if same {
+		if equal {
 			return line
 		}
 	}
@@ -226,10 +229,10 @@
   "Specifics":{"ProxyCount":4,"ThrottleBy":"rps","LinesPerS":3000,"PendingMax":3000,` +
 	`"Overhead":6,"SmallestConnTable":500}}}`
 
-// SIGHUP moves from etcd to another prefix, to Consul that cannot be reached at first, and back to the
-// platform's discovery, with a proxy joined: nothing is undone before the new source has told its whole list,
-// the old one is followed till then, and drains of each reach the proxy.
-func TestCase9Moves(t *testing.T) {
+// Changes the source of the list by SIGHUP from etcd to another prefix, to an unreachable Consul, and back to the
+// platform's discovery. Guards against a switch before the new source has provided its whole list, and against drains
+// that do not reach the proxy.
+func TestSourceSwitch(t *testing.T) {
 	first, second := kv.New(1), kv.New(2)
 	for _, id := range []string{"s-1", "s-2", "s-3"} {
 		first.Put("one/"+id, entryJSON(reconcile.Serving))
@@ -267,36 +270,36 @@
 	in := bufio.NewReader(stream)
 	_, _ = io.WriteString(stream, "SUBSCRIBE node=2 locality=a w=5 cold=1\r\n")
 	awaitLine(t, in, "whole=1", "s-1:1", "s-2:1", "s-3:1")
-	again := func(text string, words ...string) {
+	reload := func(text string, words ...string) {
 		t.Helper()
 		writeFile(t, file, text)
 		_ = c.Process.Signal(syscall.SIGHUP)
 		awaitLine(t, c.output, words...)
 	}
-	out := map[string]bool{}
+	shutOut := map[string]bool{}
 	first.Put("one/s-2", entryJSON(reconcile.Draining))
-	awaitShutOut(t, in, out, "s-2")
-	again("registry etcd\n  endpont "+m.Addr()+"\n", "stays as it was", "op.conf:2", "write endpoint")
-	again("registry etcd\n  endpoint "+m.Addr()+"\n  prefix two\n", "switched to the new source of the backend list")
-	awaitShutOut(t, in, out, "s-1") // s-2 serves on the new list
-	again("registry consul\n  endpoint "+l.Addr()+"\n  prefix three\n", "registry fails", l.Addr())
-	first.Put("two/s-3", entryJSON(reconcile.Draining)) // the old source is followed while the new one is away
-	awaitShutOut(t, in, out, "s-1", "s-3")
+	awaitShutOut(t, in, shutOut, "s-2")
+	reload("registry etcd\n  endpont "+m.Addr()+"\n", "stays as it was", "op.conf:2", "write endpoint")
+	reload("registry etcd\n  endpoint "+m.Addr()+"\n  prefix two\n", "switched to the new source of the backend list")
+	awaitShutOut(t, in, shutOut, "s-1") // s-2 is not draining in the new list
+	reload("registry consul\n  endpoint "+l.Addr()+"\n  prefix three\n", "registry fails", l.Addr())
+	first.Put("two/s-3", entryJSON(reconcile.Draining)) // the old source stays in use while the new one is unreachable
+	awaitShutOut(t, in, shutOut, "s-1", "s-3")
 	l.Refuse(false)
 	awaitLine(t, c.output, "switched to the new source of the backend list")
-	awaitShutOut(t, in, out)
+	awaitShutOut(t, in, shutOut)
 	second.Put("three/s-2", entryJSON(reconcile.Draining))
-	awaitShutOut(t, in, out, "s-2")
-	// What the sources before still say is nobody's.
+	awaitShutOut(t, in, shutOut, "s-2")
+	// Changes of the former sources have no effect.
 	first.Put("two/s-1", entryJSON(reconcile.Serving))
-	again("", "configuration reloaded")
+	reload("", "configuration reloaded")
 	_ = c.Process.Signal(syscall.SIGTERM)
 	awaitLine(t, c.output, "stopping")
 }
 
-// Cells on a running controller: a proxy is given its cell's backends only, a move ordered at the control socket
-// goes through both cells' lines, a file whose cell cannot hold is refused by file and line while the former plan
-// stays, and without the section the proxy is free.
+// Checks cells on a running controller: a proxy receives the backends of its cell only, and of both cells during a move.
+// An invalid file is refused with its line and leaves the cells unchanged. Without the section, a proxy receives all
+// backends.
 func TestCells(t *testing.T) {
 	members := ""
 	for i := range 12 {
@@ -314,7 +317,7 @@
 	c := startProcess(t, false, []string{"EDGE_CONFIG=" + config, "EDGE_OPERATOR=" + file})
 	addr := c.awaitReady()
 	var red, blue []string
-	for over := time.Now().Add(20 * time.Second); len(red) == 0 && time.Now().Before(over); {
+	for deadline := time.Now().Add(20 * time.Second); len(red) == 0 && time.Now().Before(deadline); {
 		reply, err := sendRequest(socket, controller.Request{Action: controller.ActionShowCells})
 		if err == nil && len(reply.Cells.Tenants) > 0 {
 			red = reply.Cells.Tenants[0].Backends
@@ -331,7 +334,7 @@
 		}
 	}
 	if len(red) == 0 || len(blue) == 0 {
-		t.Fatalf("cells %v and %v", red, blue)
+		t.Fatalf("cell red has %v and cell blue %v", red, blue)
 	}
 	stream, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -342,22 +345,21 @@
 	in := bufio.NewReader(stream)
 	_, _ = io.WriteString(stream, "SUBSCRIBE node=2 locality=a w=5 cold=1\r\n")
 	held := map[string]bool{}
-	until := func(want []string) {
+	awaitBackends := func(want []string) {
 		t.Helper()
 		for {
-			same := len(held) == len(want)
+			equal := len(held) == len(want)
 			for _, id := range want {
-				same = same && held[id]
+				equal = equal && held[id]
 			}
-			if same {
+			if equal {
 				return
 			}
 			line, err := in.ReadString('\n')
 			if err != nil {
-				t.Fatalf("it holds %v, not %v: %v", held, want, err)
+				t.Fatalf("the proxy has %v, want %v: %v", held, want, err)
 			}
-			whole := strings.Contains(line, "whole=1")
-			if whole {
+			if strings.Contains(line, "whole=1") {
 				clear(held)
 			}
 			for _, word := range strings.Fields(line) {
@@ -372,53 +374,50 @@
 			}
 		}
 	}
-	until(red)
+	awaitBackends(red)
 	run := func(args ...string) (string, int) {
 		var out bytes.Buffer
 		code := Run(append(args, "--operator", file), &out, &out)
 		return out.String(), code
 	}
 	if text, code := run("cells", "move", "acme", "green"); code != 0 || !strings.Contains(text, "settled") {
-		t.Errorf("to nowhere: %d, %s", code, text)
+		t.Errorf("move to an unknown cell: exit %d, %s", code, text)
 	}
 	awaitLine(t, c.output, "no fixed cell green")
-	if text, code := run(
-		"cells",
-		"show",
-	); code != 0 || !strings.Contains(text, red[0]+"  ") ||
+	if text, code := run("cells", "show"); code != 0 || !strings.Contains(text, red[0]+"  ") ||
 		!strings.Contains(text, "1 of 1") {
-		t.Errorf("show: %d, %s", code, text)
+		t.Errorf("show: exit %d, %s", code, text)
 	}
 	if text, code := run("cells", "move", "none", "blue"); code != 1 || !strings.Contains(text, "no tenant none") {
-		t.Errorf("of nobody: %d, %s", code, text)
+		t.Errorf("move of an unknown tenant: exit %d, %s", code, text)
 	}
 	if text, code := run("cells", "move", "acme", "blue"); code != 0 || !strings.Contains(text, "red to blue") {
-		t.Errorf("the move: %d, %s", code, text)
+		t.Errorf("move: exit %d, %s", code, text)
 	}
-	until(append(slices.Clone(red), blue...))
-	until(blue)
+	awaitBackends(append(slices.Clone(red), blue...))
+	awaitBackends(blue)
 	awaitLine(t, c.output, "has moved from red to blue")
-	again := func(text string, words ...string) {
+	reload := func(text string, words ...string) {
 		t.Helper()
 		writeFile(t, file, text)
 		_ = c.Process.Signal(syscall.SIGHUP)
 		awaitLine(t, c.output, words...)
 	}
-	again(
+	reload(
 		strings.Replace(text, "cell blue", "cell blue part 0.001", 1)+"tenant two\n  proxies 3\n  cell blue\n",
 		"stays as it was",
 		"op.conf:10",
 		"larger part",
 	)
-	again("control\n  socket "+socket+"\n", "configuration reloaded")
-	until(append(slices.Clone(red), blue...))
+	reload("control\n  socket "+socket+"\n", "configuration reloaded")
+	awaitBackends(append(slices.Clone(red), blue...))
 	if text, code := run("cells", "show"); code != 0 || strings.Contains(text, "acme") {
-		t.Errorf("without cells: %d, %s", code, text)
+		t.Errorf("show without cells: exit %d, %s", code, text)
 	}
 }
 
-// A file is held against the platform's list: a tenant that can touch too much of the others' strength is a
-// warning, one that has nowhere to go a fault.
+// Checks that check --against warns of a tenant that overlaps too much with the others, and fails for a tenant without
+// backends.
 func TestCheckAgainst(t *testing.T) {
 	config := writeTempFile(t, "config.json", platformConfig)
 	wide := writeTempFile(t, "wide.conf", "cells shuffle\n  size 3\ntenant a\n  proxies 0\ntenant b\n  proxies 1\n")
@@ -428,17 +427,13 @@
 		t.Errorf("exit %d, %q, %q", code, out.String(), errs.String())
 	}
 	errs.Reset()
-	lacks := writeTempFile(
+	lacking := writeTempFile(
 		t,
 		"lacks.conf",
 		"cells fixed\n  cell red part 1000\n  cell blue part 0.001\ntenant a\n  proxies 0\n  cell blue\n",
 	)
-	if code := Run(
-		[]string{"check", "--against", config, lacks},
-		&out,
-		&errs,
-	); code != 2 ||
-		!strings.Contains(errs.String(), "lacks.conf:4: tenant a: ") {
+	code := Run([]string{"check", "--against", config, lacking}, &out, &errs)
+	if code != 2 || !strings.Contains(errs.String(), "lacks.conf:4: tenant a: ") {
 		t.Errorf("exit %d, %q", code, errs.String())
 	}
 }
--- a/internal/controller/command/member.go
+++ b/internal/controller/command/member.go
@@ -26,191 +26,199 @@
 	"elmfold/internal/policy"
 )
 
-// member is this instance's part in a member.
+// member connects this controller to the other controllers of the fleet.
 type member struct {
 	*membership.LoadAggregator
 	*membership.Fleet
-	streams *membership.Streams
-	jobs    *jobs.Node // nil: none are kept
-	sheet   config.Config
+	streams  *membership.Streams
+	jobs     *jobs.Node // nil without a section jobs
+	settings config.Config
 }
 
-// OpenMember is the controller.OpenMember of this program.
+// OpenMember implements controller.OpenMember.
 func OpenMember(
 	f operatorfile.File,
-	sheet config.Config,
-	hear func(eventloop.Command),
+	settings config.Config,
+	post func(eventloop.Command),
 	log *logrus.Entry,
 ) (controller.Member, error) {
 	o := f.Member
-	var ln net.Listener
-	streams := ""
+	var listener net.Listener
+	streamAddress := ""
 	if o.Streams != "" {
 		var err error
-		if ln, err = net.Listen("tcp4", o.Streams); err != nil {
+		if listener, err = net.Listen("tcp4", o.Streams); err != nil {
 			return nil, err
 		}
-		streams = ln.Addr().String()
+		streamAddress = listener.Addr().String()
 	}
-	all, err := membership.Open(
-		membership.Config{Name: sheet.Name, Site: o.Site, Listen: o.Listen, Join: o.Join, Via: o.AddressOverrides},
-		streams,
+	fleet, err := membership.Open(
+		membership.Config{Name: settings.Name, Site: o.Site, Listen: o.Listen, Join: o.Join, Via: o.AddressOverrides},
+		streamAddress,
 		nil,
 		log,
 	)
 	if err != nil {
 		return nil, err
 	}
-	p := &member{Fleet: all, sheet: sheet}
+	m := &member{Fleet: fleet, settings: settings}
 	if o.ShareTotals {
 		totals := make(chan aggregation.Summary, 1) // holds the newest total, so that the sender never blocks
-		p.LoadAggregator = all.StartLoadAggregator(func(s aggregation.Summary) {
+		m.LoadAggregator = fleet.StartLoadAggregator(func(s aggregation.Summary) {
 			select {
 			case <-totals:
 			default:
 			}
 			totals <- s
 		})
-		go forwardTotals(totals, hear, log)
+		go forwardTotals(totals, post, log)
 	}
-	if ln != nil {
-		p.streams = all.ServeStreams(ln, o.StreamAddressOverrides)
+	if listener != nil {
+		m.streams = fleet.ServeStreams(listener, o.StreamAddressOverrides)
 	}
 	if j := f.Jobs; j != nil {
-		life := make([]byte, 8)
-		_, _ = rand.Read(life)
-		if p.jobs, err = jobs.Open(
-			jobs.Config{Path: j.Path, Peers: j.Peers, Authorize: p.authorizeEdit, Incarnation: hex.EncodeToString(life)},
-			all,
-			p.streams,
+		incarnation := make([]byte, 8)
+		_, _ = rand.Read(incarnation)
+		if m.jobs, err = jobs.Open(
+			jobs.Config{
+				Path:        j.Path,
+				Peers:       j.Peers,
+				Authorize:   m.authorizeEdit,
+				Incarnation: hex.EncodeToString(incarnation),
+			},
+			fleet,
+			m.streams,
 			log,
 		); err != nil {
 			return nil, err
 		}
 	}
-	return p, nil
+	return m, nil
 }
 
-// authorizeEdit says whether the decisions permit what an edit asks for: a product goes to its zones only.
-func (p *member) authorizeEdit(e jobs.Edit, v jobs.View) error {
+// authorizeEdit returns an error if an edit places a job in a zone where the settings do not allow its product.
+func (m *member) authorizeEdit(e jobs.Edit, v jobs.View) error {
 	product, places := v.Job.Product, e.Places
 	if e.Job != nil {
 		product, places = e.Job.Product, e.Job.Places
 	}
-	k := slices.Index(p.sheet.Names.Products, product)
+	k := slices.Index(m.settings.Names.Products, product)
 	if e.Job != nil && k < 0 {
-		return fmt.Errorf("product: %q is none of %s", product, strings.Join(p.sheet.Names.Products, ", "))
+		return fmt.Errorf("product: %q is unknown; use one of %s", product, strings.Join(m.settings.Names.Products, ", "))
 	}
 	for _, place := range places {
-		z := slices.Index(p.sheet.Names.Zones, place)
+		z := slices.Index(m.settings.Names.Zones, place)
 		if z < 0 {
-			return fmt.Errorf("places: %q is none of %s", place, strings.Join(p.sheet.Names.Zones, ", "))
+			return fmt.Errorf("places: zone %q is unknown; use one of %s", place, strings.Join(m.settings.Names.Zones, ", "))
 		}
 		if k >= 0 {
-			if only := p.sheet.Deployment.Products[k].OnlyZones; only != nil && !slices.Contains(only, z) {
-				return fmt.Errorf("places: %s may not go to %s", product, place)
+			if only := m.settings.Deployment.Products[k].OnlyZones; only != nil && !slices.Contains(only, z) {
+				return fmt.Errorf("places: product %s is not allowed in zone %s", product, place)
 			}
 		}
 	}
 	return nil
 }
 
-// What a Request can ask of jobs; the body is an Edit, an ID, or nothing.
+// Values of Request.Action for jobs. The body is a jobs.Edit, a jobs.ID, or absent.
 const (
-	DoJobEdit  = "job edit"
-	DoJobShow  = "job show"
-	DoJobs     = "jobs"
-	DoJobSizes = "jobs sizes"
+	ActionEditJob      = "job edit"
+	ActionShowJob      = "job show"
+	ActionListJobs     = "jobs"
+	ActionShowJobSizes = "jobs sizes"
 )
 
 const editTimeout = 4 * time.Second
 
-// HandleRequest answers requests of operators and of sources that are about jobs.
-func (p *member) HandleRequest(r controller.Request) (body json.RawMessage, ok bool, err error) {
-	var said any
+// HandleRequest executes a request about jobs. It returns false for any other request.
+func (m *member) HandleRequest(r controller.Request) (body json.RawMessage, ok bool, err error) {
+	var reply any
 	switch {
-	case r.Action != DoJobEdit && r.Action != DoJobShow && r.Action != DoJobs && r.Action != DoJobSizes:
+	case r.Action != ActionEditJob && r.Action != ActionShowJob && r.Action != ActionListJobs &&
+		r.Action != ActionShowJobSizes:
 		return nil, false, nil
-	case p.jobs == nil:
-		return nil, true, errors.New("no jobs are kept here; add a section jobs to the operator file")
-	case r.Action == DoJobEdit:
+	case m.jobs == nil:
+		return nil, true, errors.New("this controller keeps no jobs; add a section jobs to the operator file")
+	case r.Action == ActionEditJob:
 		var e jobs.Edit
 		if err := decodeStrict(r.Body, &e); err != nil {
 			return nil, true, err
 		}
-		ctx, stop := context.WithTimeout(context.Background(), editTimeout)
-		defer stop()
-		if e, err = p.jobs.Submit(ctx, e); err != nil {
+		ctx, cancel := context.WithTimeout(context.Background(), editTimeout)
+		defer cancel()
+		if e, err = m.jobs.Submit(ctx, e); err != nil {
 			return nil, true, err
 		}
-		said = e
-	case r.Action == DoJobShow:
+		reply = e
+	case r.Action == ActionShowJob:
 		var id jobs.ID
 		if err := decodeStrict(r.Body, &id); err != nil {
 			return nil, true, err
 		}
-		v, known := p.jobs.View(id)
+		view, known := m.jobs.View(id)
 		if !known {
-			return nil, true, fmt.Errorf("%s: no such job is known here, or it has ended and all know", id)
+			return nil, true, fmt.Errorf("%s: job is unknown, or ended and compacted", id)
 		}
-		said = v
-	case r.Action == DoJobs:
-		said = p.jobs.Views()
+		reply = view
+	case r.Action == ActionListJobs:
+		reply = m.jobs.Views()
 	default:
-		open, edits := p.jobs.Sizes()
-		said = map[string]any{"Jobs": open, "Edits": edits, "Knows": p.jobs.Versions(), "Sum": p.jobs.Checksum()}
+		open, edits := m.jobs.Sizes()
+		reply = map[string]any{"Jobs": open, "Edits": edits, "Knows": m.jobs.Versions(), "Sum": m.jobs.Checksum()}
 	}
-	body, err = json.Marshal(said)
+	body, err = json.Marshal(reply)
 	return body, true, err
 }
 
-// decodeStrict reads a body; what is not known there is an error that names it.
+// decodeStrict decodes a request body. It returns an error for an unknown field.
 func decodeStrict(raw json.RawMessage, into any) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		return fmt.Errorf("Body: %w", err) //nolint:staticcheck // the request's key, as its sender wrote it
+		return fmt.Errorf("Body: %w", err) //nolint:staticcheck // the JSON key of the request
 	}
 	return nil
 }
 
-const sumsTimeout = 5 * time.Second
+const totalsTimeout = 5 * time.Second
 
-// forwardTotals gives totals to the desk; it says when they begin and when they stay away.
-func forwardTotals(totals <-chan aggregation.Summary, hear func(eventloop.Command), log *logrus.Entry) {
-	for heard := false; ; {
+// forwardTotals posts the fleet's totals to the event loop. It logs when they start to arrive and when they stop.
+func forwardTotals(totals <-chan aggregation.Summary, post func(eventloop.Command), log *logrus.Entry) {
+	for receiving := false; ; {
 		select {
 		case s := <-totals:
-			if !heard {
+			if !receiving {
 				log.WithFields(
 					logrus.Fields{"instances": s.Origins, "backends": len(s.Reports), "age": s.Age.Round(time.Millisecond)},
 				).Info(
-					"sums of the fleet are heard",
+					"receiving load totals of the fleet",
 				)
 			}
-			heard = true
-			hear(eventloop.Command{Message: remoteSums(s)})
-		case <-time.After(sumsTimeout):
-			if heard {
-				log.WithField("after", sumsTimeout).Warn("no sums of the fleet are heard: what is seen here decides")
+			receiving = true
+			post(eventloop.Command{Message: remoteSums(s)})
+		case <-time.After(totalsTimeout):
+			if receiving {
+				log.WithField("after", totalsTimeout).
+					Warn("no load totals of the fleet received; using the reports of this controller's proxies only")
 			}
-			heard = false
+			receiving = false
 		}
 	}
 }
 
-// remoteSums is a total as the desk takes it.
+// remoteSums converts a total to the message of the event loop. The event loop takes the mean latency of successful
+// attempts in place of their sum.
 func remoteSums(s aggregation.Summary) eventloop.RemoteSums {
-	said := eventloop.RemoteSums{Age: policy.Time(s.Age * time.Duration(policy.Second) / time.Second)}
-	for _, w := range s.Reports {
-		h := textproto.BackendReport{Backend: w.Backend, Attempts: w.Attempts, Failed: w.Failed}
-		if good := w.Attempts - w.Failed; good > 0 {
-			h.Latency = policy.Time(w.TotalLatencyMS / good * float64(policy.Second) / 1000)
+	sums := eventloop.RemoteSums{Age: policy.Time(s.Age * time.Duration(policy.Second) / time.Second)}
+	for _, r := range s.Reports {
+		report := textproto.BackendReport{Backend: r.Backend, Attempts: r.Attempts, Failed: r.Failed}
+		if succeeded := r.Attempts - r.Failed; succeeded > 0 {
+			report.Latency = policy.Time(r.TotalLatencyMS / succeeded * float64(policy.Second) / 1000)
 		}
-		said.Reports = append(said.Reports, h)
+		sums.Reports = append(sums.Reports, report)
 	}
 	for _, u := range s.Usage {
-		said.Usage = append(said.Usage, eventloop.ZoneUsage(u))
+		sums.Usage = append(sums.Usage, eventloop.ZoneUsage(u))
 	}
-	return said
+	return sums
 }
--- a/internal/controller/command/plugin.go
+++ b/internal/controller/command/plugin.go
@@ -20,7 +20,7 @@
 	"elmfold/pluginsdk/moment"
 )
 
-// proposalKinds are the proposals of plug-ins, as hook has them.
+// proposalKinds maps the kinds of a plug-in's proposals to those of pluginguard. An unknown kind maps to 0.
 var proposalKinds = map[string]pluginguard.Kind{
 	moment.Allow: pluginguard.Allow,
 	moment.Cap:   pluginguard.Cap,
@@ -28,34 +28,33 @@
 	"retry":      pluginguard.Retry,
 }
 
-// pluginCommand tries plug-ins without a controller.
-func pluginCommand(out, errs io.Writer) *cobra.Command {
-	c := &cobra.Command{Use: "plugin", Short: "check and try plug-ins, without a controller"}
+func pluginCommand(stdout, stderr io.Writer) *cobra.Command {
+	c := &cobra.Command{Use: "plugin", Short: "check and test plug-ins without a controller"}
 	load := func(path string) (*pluginhost.Plugin, error) {
 		code, err := os.ReadFile(path)
 		if err != nil {
 			return nil, err
 		}
 		limits := pluginhost.Usual()
-		limits.Start, limits.Call = time.Minute, time.Second // how long it takes is shown; a machine at work is no fault
+		limits.Start, limits.Call = time.Minute, time.Second // a busy machine must not fail the check
 		return pluginhost.Load(path, code, limits)
 	}
 	c.AddCommand(
 		&cobra.Command{
 			Use:   "check FILE...",
-			Short: "load plug-ins, and say what is wrong with one that cannot be",
+			Short: "load plug-ins, and print why one fails to load",
 			Args:  cobra.MinimumNArgs(1),
 			RunE: func(_ *cobra.Command, files []string) error {
-				code := exitCode(0)
+				code := exitError(0)
 				for _, path := range files {
 					p, err := load(path)
 					if err != nil {
-						_, _ = fmt.Fprintf(errs, "elmfold: %s: %v\n", path, err)
-						code = 2
+						_, _ = fmt.Fprintf(stderr, "elmfold: %s: %v\n", path, err)
+						code = exitUsage
 						continue
 					}
 					p.Close()
-					_, _ = fmt.Fprintf(out, "%s: in order; interface version %d\n", path, moment.Version)
+					_, _ = fmt.Fprintf(stdout, "%s: valid; interface version %d\n", path, moment.Version)
 				}
 				if code != 0 {
 					return code
@@ -67,135 +66,138 @@
 	var moments string
 	try := &cobra.Command{
 		Use:   "try FILE --moments FILE",
-		Short: "tell a plug-in of recorded moments, and say what would become of what it wants",
+		Short: "call a plug-in with recorded moments, and print which proposals would take effect",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			text, err := os.ReadFile(moments)
 			if err != nil {
-				return fmt.Errorf("name the moments with --moments FILE: %w", err)
+				return fmt.Errorf("cannot read the moments; set the file with --moments FILE: %w", err)
 			}
 			p, err := load(args[0])
 			if err != nil {
 				return err
 			}
 			defer p.Close()
-			return tryMoments(p, text, moments, out)
+			return tryMoments(p, text, moments, stdout)
 		},
 	}
-	try.Flags().StringVar(&moments, "moments", "", "file of moments, one JSON object a line")
+	try.Flags().StringVar(&moments, "moments", "", "file of moments, one JSON object per line")
 	c.AddCommand(try)
 	return c
 }
 
-// tryMoments tells a plug-in of each moment of a file, and judges what it wants as a controller would.
-func tryMoments(p *pluginhost.Plugin, text []byte, path string, out io.Writer) error {
-	h := pluginguard.New(pluginguard.Usual())
-	h.Step(0, []pluginguard.Event{pluginguard.Loaded{Plugin: p.Name, Precedence: 1}})
-	in := bufio.NewScanner(bytes.NewReader(text))
-	in.Buffer(nil, 16<<20)
-	for line := 1; in.Scan(); line++ {
-		if len(bytes.TrimSpace(in.Bytes())) == 0 {
+const maxMomentBytes = 16 << 20
+
+// tryMoments calls a plug-in with each moment of a file, and prints which proposals a controller would apply or refuse.
+func tryMoments(p *pluginhost.Plugin, text []byte, path string, stdout io.Writer) error {
+	guard := pluginguard.New(pluginguard.Usual())
+	guard.Step(0, []pluginguard.Event{pluginguard.Loaded{Plugin: p.Name, Precedence: 1}})
+	lines := bufio.NewScanner(bytes.NewReader(text))
+	lines.Buffer(nil, maxMomentBytes)
+	for number := 1; lines.Scan(); number++ {
+		if len(bytes.TrimSpace(lines.Bytes())) == 0 {
 			continue
 		}
 		var m moment.Moment
-		decoder := json.NewDecoder(bytes.NewReader(in.Bytes()))
+		decoder := json.NewDecoder(bytes.NewReader(lines.Bytes()))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(&m); err != nil {
-			return fmt.Errorf("%s:%d: %w; write a moment as in docs/plugins.md", path, line, err)
+			return fmt.Errorf("%s:%d: %w; docs/plugins.md describes a moment", path, number, err)
 		}
-		began := time.Now()
-		a, err := p.Propose(m)
-		took := time.Since(began)
+		start := time.Now()
+		answer, err := p.Propose(m)
+		elapsed := time.Since(start)
 		events := eventsFromMoment(m)
 		if err != nil {
 			events = append(events, pluginguard.Faulted{Plugin: p.Name, Why: err.Error()})
 		} else {
-			wanted := pluginguard.Proposed{Plugin: p.Name, Revision: m.Revision}
-			for _, x := range a.Proposals {
-				wanted.All = append(
-					wanted.All,
+			proposed := pluginguard.Proposed{Plugin: p.Name, Revision: m.Revision}
+			for _, x := range answer.Proposals {
+				proposed.All = append(
+					proposed.All,
 					pluginguard.Proposal{Kind: proposalKinds[x.Kind], Tenant: x.Tenant, Backends: x.Backends, Figure: x.Figure},
 				)
 			}
-			events = append(events, wanted)
+			events = append(events, proposed)
 		}
 		_, _ = fmt.Fprintf(
-			out,
+			stdout,
 			"%s:%d: %d proposals in %.1f ms\n",
 			path,
-			line,
-			len(a.Proposals),
-			float64(took.Microseconds())/1000,
+			number,
+			len(answer.Proposals),
+			float64(elapsed.Microseconds())/1000,
 		)
-		for _, o := range h.Step(policy.Time(m.Now)*policy.Second/1000, events) {
+		for _, o := range guard.Step(policy.Time(m.Now)*policy.Second/1000, events) {
 			switch o := o.(type) {
 			case pluginguard.Limit:
 				_, _ = fmt.Fprintf(
-					out,
-					"  %s: would go to %v, at most %g txns/s (0: no bound)\n",
+					stdout,
+					"  %s: allowed backends %v, at most %g transactions/s (0: no limit)\n",
 					o.Tenant,
 					choose(o.Backends == nil, []string{"all"}, o.Backends),
 					o.Most,
 				)
 			case pluginguard.Refused:
-				_, _ = fmt.Fprintf(out, "  refused, %d times: %s (the first: %+v)\n", o.Count, o.Reason, o.First)
+				_, _ = fmt.Fprintf(stdout, "  refused %d proposals: %s (the first: %+v)\n", o.Count, o.Reason, o.First)
 			case pluginguard.Paused:
-				_, _ = fmt.Fprintf(out, "  paused: %s\n", o.Why)
+				_, _ = fmt.Fprintf(stdout, "  paused: %s\n", o.Why)
 			case pluginguard.PutOut:
-				return errors.New("put out: " + o.Why)
+				return errors.New("plug-in disabled: " + o.Why)
 			}
 		}
 	}
-	return in.Err()
+	return lines.Err()
 }
 
-// eventsFromMoment is a moment as the controller's own events would have it. Products may go anywhere: a moment says no more.
+// eventsFromMoment converts a moment to the events of a controller. Products are unrestricted, since a moment holds no
+// restrictions.
 func eventsFromMoment(m moment.Moment) []pluginguard.Event {
 	var zones []string
-	zone := func(name string) int {
+	zoneIndex := func(name string) int {
 		if !slices.Contains(zones, name) {
 			zones = append(zones, name)
 		}
 		return slices.Index(zones, name)
 	}
-	l := pluginguard.Listed{Revision: m.Revision, Ramp: map[string]float64{}}
+	list := pluginguard.Listed{Revision: m.Revision, Ramp: map[string]float64{}}
 	for i, b := range m.Backends {
 		status := choose(b.Drains, policy.Draining, policy.Ready)
-		l.Backends = append(
-			l.Backends,
-			tenancy.Backend{At: i, ID: b.ID, Zone: zone(b.Zone), Status: status, Weight: b.Weight},
+		list.Backends = append(
+			list.Backends,
+			tenancy.Backend{At: i, ID: b.ID, Zone: zoneIndex(b.Zone), Status: status, Weight: b.Weight},
 		)
 		if b.Ramp > 0 && b.Ramp < 1 {
-			l.Ramp[b.ID] = b.Ramp
+			list.Ramp[b.ID] = b.Ramp
 		}
 	}
 	planned := pluginguard.Planned{
 		Products: make([]policy.Product, max(len(m.Products), 1)),
 		Tenants:  map[string]pluginguard.Tenant{},
 	}
-	var asked []pluginguard.Event
+	var demands []pluginguard.Event
 	for _, t := range m.Tenants {
-		in := []int{}
+		tenantZones := []int{}
 		for _, z := range t.Zones {
-			in = append(in, zone(z))
+			tenantZones = append(tenantZones, zoneIndex(z))
 		}
-		if len(in) == 0 {
-			in = []int{0}
+		if len(tenantZones) == 0 {
+			tenantZones = []int{0}
 		}
-		planned.Tenants[t.Name] = pluginguard.Tenant{Proxies: max(t.Proxies, 1), Zones: in}
+		planned.Tenants[t.Name] = pluginguard.Tenant{Proxies: max(t.Proxies, 1), Zones: tenantZones}
 		planned.Proxies += max(t.Proxies, 1)
 		rate := 0.0
 		for _, r := range t.Rates {
 			rate += r
 		}
-		asked = append(asked, pluginguard.Asked{Tenant: t.Name, Rate: rate})
+		demands = append(demands, pluginguard.Asked{Tenant: t.Name, Rate: rate})
 	}
-	return append([]pluginguard.Event{planned, l}, asked...)
+	return append([]pluginguard.Event{planned, list}, demands...)
 }
 
-func choose[T any](is bool, yes, no T) T {
-	if is {
-		return yes
+func choose[T any](condition bool, ifTrue, ifFalse T) T {
+	if condition {
+		return ifTrue
 	}
-	return no
+	return ifFalse
 }
--- a/internal/controller/command/plugin_test.go
+++ b/internal/controller/command/plugin_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// check loads a plug-in or says in one line why not; try tells it of recorded moments and judges what it wants.
+// Checks that plugin check reports a broken plug-in in one line, and that plugin try prints which proposals of recorded
+// moments would be applied or refused.
 func TestPlugin(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "quirk.wasm")
 	build := exec.Command("go", "build", "-buildmode=c-shared", "-o", path, "elmfold/pluginsdk/examples/quirk")
@@ -22,16 +23,13 @@
 		code := Run(append([]string{"plugin"}, args...), &out, &errs)
 		return code, out.String(), errs.String()
 	}
-	if code, out, errs := run("check", path); code != 0 || !strings.Contains(out, "in order; interface version 1") {
-		t.Errorf("check ends with %d: %q %q", code, out, errs)
+	if code, out, errs := run("check", path); code != 0 || !strings.Contains(out, "valid; interface version 1") {
+		t.Errorf("check: exit %d: %q %q", code, out, errs)
 	}
 	broken := writeTempFile(t, "broken.wasm", "no module")
-	if code, _, errs := run(
-		"check",
-		broken,
-	); code != 2 || strings.Count(errs, "\n") != 1 ||
+	if code, _, errs := run("check", broken); code != 2 || strings.Count(errs, "\n") != 1 ||
 		!strings.Contains(errs, "no module that can be loaded") {
-		t.Errorf("check of a broken one ends with %d: %q", code, errs)
+		t.Errorf("check of a broken plug-in: exit %d: %q", code, errs)
 	}
 	backends := `{"ID":"s-1","Zone":"a","Kind":"old","Weight":1},` +
 		`{"ID":"s-2","Zone":"a","Kind":"m","Weight":1},{"ID":"s-3","Zone":"a","Kind":"m","Weight":1}`
@@ -42,22 +40,17 @@
 	code, out, errs := run("try", path, "--moments", moments)
 	for _, want := range []string{
 		":1: 1 proposals",
-		"acme: would go to [s-2 s-3], at most 0 txns/s",
+		"acme: allowed backends [s-2 s-3], at most 0 transactions/s",
 		":2: 1 proposals",
-		"refused, 1 times: leaves a product with nowhere to go",
-		"acme: would go to [all]",
+		"refused 1 proposals: leaves a product with nowhere to go",
+		"acme: allowed backends [all]",
 	} {
 		if code != 0 || !strings.Contains(out, want) {
-			t.Fatalf("try ends with %d, lacks %q: %s %s", code, want, out, errs)
+			t.Fatalf("try: exit %d, lacks %q: %s %s", code, want, out, errs)
 		}
 	}
-	if code, _, errs := run(
-		"try",
-		path,
-		"--moments",
-		writeTempFile(t, "odd", "{}\n{\"Nowt\":1}\n"),
-	); code != 2 ||
-		!strings.Contains(errs, ":2: ") {
-		t.Errorf("an odd line ends with %d: %q", code, errs)
+	invalid := writeTempFile(t, "invalid", "{}\n{\"Unknown\":1}\n")
+	if code, _, errs := run("try", path, "--moments", invalid); code != 2 || !strings.Contains(errs, ":2: ") {
+		t.Errorf("try with an invalid line: exit %d: %q", code, errs)
 	}
 }
--- a/internal/controller/command/registry.go
+++ b/internal/controller/command/registry.go
@@ -22,41 +22,49 @@
 	"elmfold/internal/controller/reconcile"
 )
 
-// NewFollower makes a follower of a registry. Its chance depends on the controller's name and on when it was made.
-func NewFollower(o operatorfile.Registry, name string, tell func(any), log *logrus.Entry) *watch.Follower {
-	plan := o.Config
-	plan.Seed = name + " " + strconv.FormatInt(time.Now().UnixNano(), 36)
-	var s watch.Source
+// NewFollower returns a follower of a registry. Its random seed combines the controller's name and the current time.
+// The publish function receives each reconcile.List and reconcile.SourceFailed.
+func NewFollower(
+	o operatorfile.Registry,
+	name string,
+	publish func(any),
+	log *logrus.Entry,
+) *watch.Follower {
+	settings := o.Config
+	settings.Seed = name + " " + strconv.FormatInt(time.Now().UnixNano(), 36)
+	var source watch.Source
 	if o.Kind == operatorfile.Consul {
-		s = consul.New(o.Endpoints, plan.Prefix, o.Access, plan.ResponseTimeout)
+		source = consul.New(o.Endpoints, settings.Prefix, o.Access, settings.ResponseTimeout)
 	} else {
-		s = etcd.New(o.Endpoints, plan.Prefix, o.Access)
+		source = etcd.New(o.Endpoints, settings.Prefix, o.Access)
 	}
-	return watch.New(plan, s, o.Endpoints, tell, log)
+	return watch.New(settings, source, o.Endpoints, publish, log)
 }
 
-// OpenRegistry is the controller.OpenRegistry of this program.
-func OpenRegistry(o operatorfile.Registry, name string, tell func(any), log *logrus.Entry) controller.Source {
-	f := NewFollower(o, name, tell, log)
+// OpenRegistry implements controller.OpenRegistry.
+func OpenRegistry(o operatorfile.Registry, name string, publish func(any), log *logrus.Entry) controller.Source {
+	f := NewFollower(o, name, publish, log)
 	go f.Run()
 	return f
 }
 
-func registryCommand(file *string, out, errs io.Writer) *cobra.Command {
-	c := &cobra.Command{Use: "registry", Short: "look at the list of backends in the registry"}
-	var within time.Duration
+func registryCommand(file *string, stdout, stderr io.Writer) *cobra.Command {
+	c := &cobra.Command{Use: "registry", Short: "show the list of backends in the registry"}
+	var timeout time.Duration
 	list := &cobra.Command{Use: "list", Short: "print the whole list once", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return printRegistry(*file, out, errs, within, false) }}
-	list.Flags().DurationVar(&within, "within", 10*time.Second, "time that the registry may take")
-	watch := &cobra.Command{Use: "watch", Short: "print each change as it comes, until a signal",
-		Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return printRegistry(*file, out, errs, 0, true) }}
+		RunE: func(*cobra.Command, []string) error { return printRegistry(*file, stdout, stderr, timeout, false) }}
+	list.Flags().DurationVar(&timeout, "within", 10*time.Second, "timeout")
+	watch := &cobra.Command{Use: "watch", Short: "print each change as it occurs, until SIGINT or SIGTERM",
+		Args: cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error { return printRegistry(*file, stdout, stderr, 0, true) }}
 	c.AddCommand(list, watch)
 	return c
 }
 
-// printRegistry follows the registry of an operator file as a controller would, and prints what it is told.
-func printRegistry(file string, out, errs io.Writer, within time.Duration, on bool) error {
-	f, err := operatorFile(file, errs)
+// printRegistry follows the registry of an operator file as a controller would, and prints lists and log entries. It
+// returns after the first whole list unless keepWatching is set. A timeout of 0 means none.
+func printRegistry(file string, stdout, stderr io.Writer, timeout time.Duration, keepWatching bool) error {
+	f, err := readOperatorFile(file, stderr)
 	if err != nil {
 		return err
 	}
@@ -64,7 +72,7 @@
 		return fmt.Errorf("%s: no section registry; add one such as: registry etcd", file)
 	}
 	log := logrus.New()
-	log.SetOutput(io.Discard) // notes are printed here
+	log.SetOutput(io.Discard) // orderPrinter prints the log entries
 	orders := make(chan reconcile.Order, 1024)
 	follower := NewFollower(*f.Registry, "command", func(any) {}, logrus.NewEntry(log))
 	follower.See(func(o reconcile.Order) { orders <- o })
@@ -72,63 +80,61 @@
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(stop)
-	var over <-chan time.Time
-	if within > 0 {
-		over = time.After(within)
+	var expired <-chan time.Time
+	if timeout > 0 {
+		expired = time.After(timeout)
 	}
-	p := orderPrinter{out: out, errs: errs, now: time.Now}
+	p := orderPrinter{stdout: stdout, stderr: stderr, now: time.Now}
 	for {
 		select {
 		case o := <-orders:
-			if p.print(o, on) && !on {
+			if p.print(o, keepWatching) && !keepWatching {
 				return nil
 			}
-		case <-over:
-			_, _ = fmt.Fprintf(errs, "elmfold: no whole list within %v\n", within)
-			return exitCode(1)
+		case <-expired:
+			_, _ = fmt.Fprintf(stderr, "elmfold: no whole list received within %v\n", timeout)
+			return exitError(exitFailure)
 		case <-stop:
 			return nil
 		}
 	}
 }
 
-// orderPrinter prints what a Roster tells.
+// orderPrinter prints the lists and log entries of a reconcile.Reconciler.
 type orderPrinter struct {
-	out, errs io.Writer
-	now       func() time.Time
+	stdout, stderr io.Writer
+	now            func() time.Time
 }
 
-// print prints an order; whole is whether it was a whole list.
-func (p orderPrinter) print(o reconcile.Order, stamped bool) (whole bool) {
+// print prints an order, and reports whether it is a whole list.
+func (p orderPrinter) print(o reconcile.Order, withTime bool) (complete bool) {
 	stamp := ""
-	if stamped {
+	if withTime {
 		stamp = p.now().Format("15:04:05.000 ")
 	}
 	switch o := o.(type) {
 	case reconcile.LogEntry:
-		words := []string{o.Text}
-		for _, w := range []string{o.Key, o.Reason} {
-			if w != "" {
-				words = append(words, w)
+		parts := []string{o.Text}
+		for _, part := range []string{o.Key, o.Reason} {
+			if part != "" {
+				parts = append(parts, part)
 			}
 		}
-		_, _ = fmt.Fprintf(p.errs, "%srevision %d: %s\n", stamp, o.Revision, strings.Join(words, ": "))
+		_, _ = fmt.Fprintf(p.stderr, "%srevision %d: %s\n", stamp, o.Revision, strings.Join(parts, ": "))
 	case reconcile.PublishList:
 		if o.Complete {
-			_, _ = fmt.Fprintf(p.out, "%srevision %d: whole list, %d backends\n", stamp, o.Revision, len(o.Members))
+			_, _ = fmt.Fprintf(p.stdout, "%srevision %d: whole list, %d backends\n", stamp, o.Revision, len(o.Members))
 		}
-		table := tabwriter.NewWriter(p.out, 0, 0, 2, ' ', 0)
+		table := tabwriter.NewWriter(p.stdout, 0, 0, 2, ' ', 0)
 		for _, m := range o.Members {
-			up := "long ago"
+			upSince := "long ago"
 			if m.UpSince > 0 {
-				up = time.UnixMilli(int64(m.UpSince)).UTC().Format(time.RFC3339)
+				upSince = time.UnixMilli(int64(m.UpSince)).UTC().Format(time.RFC3339)
 			}
-			if o.Complete {
-				_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%g\t%s\n", m.ID, m.Phase, m.Zone, m.Kind, m.Weight, up)
-			} else {
-				_, _ = fmt.Fprintf(table, "%srevision %d: %s\t%s\t%s\t%s\t%g\t%s\n", stamp, o.Revision, m.ID, m.Phase, m.Zone,
-					m.Kind, m.Weight, up)
+			if !o.Complete {
+				_, _ = fmt.Fprintf(table, "%srevision %d: ", stamp, o.Revision)
 			}
+			_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%g\t%s\n", m.ID, m.Phase, m.Zone, m.Kind, m.Weight, upSince)
 		}
 		_ = table.Flush()
 		return o.Complete
--- a/internal/controller/command/warmstart.go
+++ b/internal/controller/command/warmstart.go
@@ -24,129 +24,149 @@
 )
 
 const (
-	confirmInterval  = time.Second // while the source answers, the list is known to hold
-	defaultGrace     = 10 * time.Minute
-	healthyUptime    = 30 * time.Second // that a program must run not to be in a crash loop
-	listConfirmedKey = ""               // no backend has an empty id
-	measurementTTL   = time.Minute      // a figure is worth nothing after that
+	confirmInterval = time.Second // between records that the list is still valid
+	defaultGrace    = 10 * time.Minute
+	healthyUptime   = 30 * time.Second // uptime after which the start does not count as part of a crash loop
+	measurementTTL  = time.Minute
+
+	// listConfirmedKey is the key of the record that holds when the list was last valid. No backend has an empty ID.
+	listConfirmedKey = ""
 )
 
-// factCache keeps the list in a store, and tells it to peers.
+// factCache implements controller.WarmState. It keeps the list and measurements in a store, and serves them to peers.
 type factCache struct {
 	name              string
-	store             *statestore.Store // nil: nothing is kept
+	store             *statestore.Store // nil: nothing is stored
 	now               func() time.Time
 	startTime         time.Time
 	startList         reconcile.List
 	hasStartList      bool
-	startMeasurements []warmstart.Believe // what else is believed
+	startMeasurements []warmstart.Believe
 
 	mu            sync.Mutex
 	session       *warmstart.Session
 	members       map[string]reconcile.Member
 	revision      int64
-	sourceHealthy bool                           // the source answers
-	lastConfirmed time.Time                      // ... when it did last; zero: not yet
-	measurements  map[measurementKey]measurement // of the decisions
+	sourceHealthy bool
+	lastConfirmed time.Time // when the source last provided or confirmed the list; zero: never
+	measurements  map[measurementKey]measurement
+}
+
+// measurementKey identifies a measurement.
+type measurementKey struct {
+	kind warmstart.Kind
+	key  string
+}
+
+type measurement struct {
+	warmstart.Fact
+	measuredAt time.Time
 }
 
-// OpenWarmState is the controller.OpenWarmState of this program. It takes as long as the peers are given to answer.
+// OpenWarmState implements controller.OpenWarmState. It blocks until the peers have answered or their timeout expires.
 func OpenWarmState(f operatorfile.File, name string, log *logrus.Entry) (controller.WarmState, error) {
-	m := &factCache{name: name, now: time.Now, members: map[string]reconcile.Member{}, measurements: map[measurementKey]measurement{}}
+	c := &factCache{
+		name:         name,
+		now:          time.Now,
+		members:      map[string]reconcile.Member{},
+		measurements: map[measurementKey]measurement{},
+	}
 	plan := warmstart.Usual()
 	plan.Name, plan.Grace = name, defaultGrace
-	var events []warmstart.Event
+	var offers []warmstart.Event
 	if o := f.Store; o != nil {
 		plan.Grace = o.Grace
-		s, records, err := statestore.Open(o.Path, name, int64(o.Limit), log)
-		if s == nil && f.Peers == nil {
+		store, records, err := statestore.Open(o.Path, name, int64(o.Limit), log)
+		if store == nil && f.Peers == nil {
 			return nil, err
 		}
 		if err != nil {
 			log.WithField("reason", "store").Warn(err)
 		}
-		m.store = s
-		events = append(events, warmstart.Offered{Source: "store", Facts: factsFromRecords(records, name, m.now())})
+		c.store = store
+		offers = append(offers, warmstart.Offered{Source: "store", Facts: factsFromRecords(records, name, c.now())})
 	}
-	began := m.now()
+	startTime := c.now()
 	if p := f.Peers; p != nil {
-		seed := name + " " + strconv.FormatInt(began.UnixNano(), 36)
-		for _, a := range peersync.Fetch(
+		seed := name + " " + strconv.FormatInt(startTime.UnixNano(), 36)
+		for _, result := range peersync.Fetch(
 			p.Addresses,
 			name,
 			seed,
 			p.QueryTimeout,
-			func(o warmstart.Offered) { events = append(events, o) },
+			func(o warmstart.Offered) { offers = append(offers, o) },
 		) {
-			log.WithFields(logrus.Fields{"peer": a.Source, "facts": a.Facts, "error": a.Err}).Info("a peer was asked")
+			log.WithFields(logrus.Fields{"peer": result.Source, "facts": result.Facts, "error": result.Err}).
+				Info("requested facts from a peer")
 		}
 	}
-	m.session, m.startTime = warmstart.New(plan), began
+	c.session, c.startTime = warmstart.New(plan), startTime
 	var refused []warmstart.Refuse
-	m.startList, refused, m.hasStartList = m.acceptFacts(events)
+	c.startList, refused, c.hasStartList = c.acceptFacts(offers)
 	for _, r := range refused {
-		log.WithFields(logrus.Fields{"source": r.Source, "reason": r.Reason, "count": r.Count}).Warn("facts are refused")
+		log.WithFields(logrus.Fields{"source": r.Source, "reason": r.Reason, "count": r.Count}).Warn("refused facts")
 	}
-	for _, x := range m.startList.Members {
-		m.members[x.ID] = x
+	for _, member := range c.startList.Members {
+		c.members[member.ID] = member
 	}
 	if p := f.Peers; p != nil && p.Listen != "" {
-		if _, err := peersync.Listen(p.Listen, m.currentFacts, log); err != nil {
-			log.WithField("reason", "peers").Errorf("nothing is told to peers: %v", err)
+		if _, err := peersync.Listen(p.Listen, c.currentFacts, log); err != nil {
+			log.WithField("reason", "peers").Errorf("cannot serve facts to peers: %v", err)
 		}
 	}
-	if m.store != nil {
-		go m.maintainStore()
+	if c.store != nil {
+		go c.maintainStore()
 	}
-	return m, nil
+	return c, nil
 }
 
-// currentFacts is what a peer may know: the list at first hand while our source answers; until it has, what we were told
-// ourselves, at its age and by whom.
-func (m *factCache) currentFacts() (all []warmstart.Fact) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.lastConfirmed.IsZero() {
-		m.session.Step(m.now().Sub(m.startTime), nil)
-		return m.session.Facts()
+// currentFacts returns the facts for peers. Until this controller's source has provided a list, these are the facts
+// that it received at its start, with their age and origin. Afterwards they are its own list and measurements.
+func (c *factCache) currentFacts() (facts []warmstart.Fact) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.lastConfirmed.IsZero() {
+		c.session.Step(c.now().Sub(c.startTime), nil)
+		return c.session.Facts()
 	}
 	age := time.Duration(0)
-	if !m.sourceHealthy {
-		age = m.now().Sub(m.lastConfirmed)
+	if !c.sourceHealthy {
+		age = c.now().Sub(c.lastConfirmed)
 	}
-	for _, id := range slices.Sorted(maps.Keys(m.members)) {
-		x := m.members[id]
-		note, _ := json.Marshal(x)
-		all = append(
-			all,
+	for _, id := range slices.Sorted(maps.Keys(c.members)) {
+		member := c.members[id]
+		note, _ := json.Marshal(member)
+		facts = append(
+			facts,
 			warmstart.Fact{
 				Kind:     warmstart.Backend,
 				Key:      id,
-				State:    x.Phase,
+				State:    member.Phase,
 				Note:     string(note),
-				Revision: m.revision,
+				Revision: c.revision,
 				Age:      age,
-				Origin:   m.name,
+				Origin:   c.name,
 			},
 		)
 	}
-	for _, at := range slices.SortedFunc(
-		maps.Keys(m.measurements),
+	for _, key := range slices.SortedFunc(
+		maps.Keys(c.measurements),
 		func(a, b measurementKey) int { return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.key, b.key)) },
 	) {
-		f := m.measurements[at].Fact
-		f.Age = m.now().Sub(m.measurements[at].measuredAt)
-		all = append(all, f)
+		fact := c.measurements[key].Fact
+		fact.Age = c.now().Sub(c.measurements[key].measuredAt)
+		facts = append(facts, fact)
 	}
-	return all
+	return facts
 }
 
-// factsFromRecords are those of records at a moment. The list as a whole was known to hold when it was last seen.
-func factsFromRecords(records []statestore.Record, name string, now time.Time) (all []warmstart.Fact) {
-	seen := int64(0)
+// factsFromRecords converts stored records to facts. Facts about backends are at most as old as the last confirmation
+// of the list.
+func factsFromRecords(records []statestore.Record, name string, now time.Time) (facts []warmstart.Fact) {
+	confirmedAt := int64(0)
 	for _, r := range records {
 		if r.Kind == warmstart.Backend && r.Key == listConfirmedKey {
-			seen = r.At
+			confirmedAt = r.At
 		}
 	}
 	for _, r := range records {
@@ -155,160 +175,152 @@
 		}
 		at := r.At
 		if r.Kind == warmstart.Backend {
-			at = max(at, seen)
+			at = max(at, confirmedAt)
 		}
-		all = append(
-			all,
+		facts = append(
+			facts,
 			warmstart.Fact{Kind: r.Kind, Key: r.Key, State: r.State, Value: r.Value, Note: r.Note, Revision: r.Revision,
 				Age: time.Duration(now.UnixMilli()-at) * time.Millisecond, Origin: name},
 		)
 	}
-	return all
+	return facts
 }
 
-// acceptFacts is the list that what was offered gives.
-func (m *factCache) acceptFacts(events []warmstart.Event) (l reconcile.List, refused []warmstart.Refuse, ok bool) {
-	l.Complete = true
-	for _, o := range m.session.Step(m.now().Sub(m.startTime), events) {
+// acceptFacts passes offers to the session. It returns the list that results from the accepted facts, and adds the
+// accepted measurements to startMeasurements. ok is false if no fact about a backend was accepted.
+func (c *factCache) acceptFacts(offers []warmstart.Event) (list reconcile.List, refused []warmstart.Refuse, ok bool) {
+	list.Complete = true
+	for _, o := range c.session.Step(c.now().Sub(c.startTime), offers) {
 		switch o := o.(type) {
 		case warmstart.Refuse:
 			refused = append(refused, o)
 		case warmstart.Believe:
-			var x reconcile.Member
 			if o.Kind != warmstart.Backend {
-				m.startMeasurements = append(m.startMeasurements, o)
+				c.startMeasurements = append(c.startMeasurements, o)
 				continue
 			}
-			if json.Unmarshal([]byte(o.Note), &x) != nil {
+			var member reconcile.Member
+			if json.Unmarshal([]byte(o.Note), &member) != nil {
 				continue
 			}
-			ok, l.Revision = true, max(l.Revision, o.Revision)
-			if x.Phase = o.State; x.Phase != reconcile.Deleted {
-				l.Members = append(l.Members, x)
+			ok, list.Revision = true, max(list.Revision, o.Revision)
+			if member.Phase = o.State; member.Phase != reconcile.Deleted {
+				list.Members = append(list.Members, member)
 			}
 		}
 	}
-	return l, refused, ok
+	return list, refused, ok
 }
 
-// InitialList is what the store held at the start.
-func (m *factCache) InitialList() (reconcile.List, bool) { return m.startList, m.hasStartList }
+// InitialList returns the list accepted at the start, and whether there is one.
+func (c *factCache) InitialList() (reconcile.List, bool) { return c.startList, c.hasStartList }
 
-// Update hands on what has changed.
-func (m *factCache) Update(said any) {
-	l, ok := said.(reconcile.List)
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// Update stores the changes of a reconcile.List. Any other message reports that the source failed.
+func (c *factCache) Update(message any) {
+	list, ok := message.(reconcile.List)
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if !ok {
-		if m.sourceHealthy {
-			m.lastConfirmed = m.now()
+		if c.sourceHealthy {
+			c.lastConfirmed = c.now()
 		}
-		m.sourceHealthy = false
+		c.sourceHealthy = false
 		return
 	}
-	m.sourceHealthy = true
-	m.revision, m.lastConfirmed = l.Revision, m.now()
-	at := m.now().UnixMilli()
+	c.sourceHealthy = true
+	c.revision, c.lastConfirmed = list.Revision, c.now()
+	at := c.now().UnixMilli()
 	var records []statestore.Record
-	record := func(x reconcile.Member) {
-		note, _ := json.Marshal(x)
+	record := func(member reconcile.Member) {
+		note, _ := json.Marshal(member)
 		records = append(
 			records,
 			statestore.Record{
 				Kind:     warmstart.Backend,
-				Key:      x.ID,
-				State:    x.Phase,
+				Key:      member.ID,
+				State:    member.Phase,
 				Note:     string(note),
-				Revision: l.Revision,
+				Revision: list.Revision,
 				At:       at,
 			},
 		)
 	}
-	named := map[string]bool{}
-	for _, x := range l.Members {
-		if x.ID == "" {
+	listed := map[string]bool{}
+	for _, member := range list.Members {
+		if member.ID == "" {
 			continue
 		}
-		named[x.ID] = true
-		if was, there := m.members[x.ID]; !there || was != x {
-			record(x)
+		listed[member.ID] = true
+		if previous, exists := c.members[member.ID]; !exists || previous != member {
+			record(member)
 		}
-		if m.members[x.ID] = x; x.Phase == reconcile.Deleted {
-			delete(m.members, x.ID)
+		if c.members[member.ID] = member; member.Phase == reconcile.Deleted {
+			delete(c.members, member.ID)
 		}
 	}
-	for id, x := range m.members {
-		if l.Complete && !named[id] {
-			x.Phase = reconcile.Deleted
-			record(x)
-			delete(m.members, id)
+	for id, member := range c.members {
+		if list.Complete && !listed[id] {
+			member.Phase = reconcile.Deleted
+			record(member)
+			delete(c.members, id)
 		}
 	}
-	if m.store != nil {
-		m.store.Put(append(records, statestore.Record{Kind: warmstart.Backend, Key: listConfirmedKey, At: at})...)
+	if c.store != nil {
+		c.store.Put(append(records, statestore.Record{Kind: warmstart.Backend, Key: listConfirmedKey, At: at})...)
 	}
 }
 
-// measurementKey names a figure, known is one with the moment at which it was true.
-type measurementKey struct {
-	kind warmstart.Kind
-	key  string
-}
-
-type measurement struct {
-	warmstart.Fact
-	measuredAt time.Time
-}
-
-// InitialBeliefs is what was believed at the start of use, relief and totals.
-func (m *factCache) InitialBeliefs() []warmstart.Believe { return m.startMeasurements }
+// InitialBeliefs returns the measurements accepted at the start.
+func (c *factCache) InitialBeliefs() []warmstart.Believe { return c.startMeasurements }
 
-// RecordFacts keeps figures of the decisions, for a start after this one and for peers.
-func (m *factCache) RecordFacts(facts []warmstart.Fact) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	now := m.now()
+// RecordFacts stores measurements of the event loop, and drops expired ones.
+func (c *factCache) RecordFacts(facts []warmstart.Fact) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.now()
 	var records []statestore.Record
 	for _, f := range facts {
-		f.Origin = m.name
-		m.measurements[measurementKey{f.Kind, f.Key}] = measurement{f, now.Add(-f.Age)}
+		f.Origin = c.name
+		measuredAt := now.Add(-f.Age)
+		c.measurements[measurementKey{f.Kind, f.Key}] = measurement{f, measuredAt}
 		records = append(
 			records,
-			statestore.Record{Kind: f.Kind, Key: f.Key, Value: f.Value, At: now.Add(-f.Age).UnixMilli()},
+			statestore.Record{Kind: f.Kind, Key: f.Key, Value: f.Value, At: measuredAt.UnixMilli()},
 		)
 	}
-	for at, k := range m.measurements { // proxies and backends come and go for ever
-		if now.Sub(k.measuredAt) > measurementTTL {
-			delete(m.measurements, at)
+	for key, m := range c.measurements {
+		if now.Sub(m.measuredAt) > measurementTTL {
+			delete(c.measurements, key)
 		}
 	}
-	if m.store != nil {
-		m.store.Put(records...)
+	if c.store != nil {
+		c.store.Put(records...)
 	}
 }
 
-// maintainStore notes that the list holds, and after a while that the program does.
-func (m *factCache) maintainStore() {
-	began := m.now()
-	for settled := false; ; time.Sleep(confirmInterval) {
-		m.mu.Lock()
-		holds := m.sourceHealthy
-		m.mu.Unlock()
-		if holds {
-			m.store.Put(statestore.Record{Kind: warmstart.Backend, Key: listConfirmedKey, At: m.now().UnixMilli()})
+// maintainStore regularly records that the list is valid while the source is healthy. After healthyUptime it marks the
+// start as successful.
+func (c *factCache) maintainStore() {
+	start := c.now()
+	for markedHealthy := false; ; time.Sleep(confirmInterval) {
+		c.mu.Lock()
+		sourceHealthy := c.sourceHealthy
+		c.mu.Unlock()
+		if sourceHealthy {
+			c.store.Put(statestore.Record{Kind: warmstart.Backend, Key: listConfirmedKey, At: c.now().UnixMilli()})
 		}
-		if !settled && m.now().Sub(began) > healthyUptime {
-			settled = m.store.Healthy() == nil
+		if !markedHealthy && c.now().Sub(start) > healthyUptime {
+			markedHealthy = c.store.Healthy() == nil
 		}
 	}
 }
 
-func stateCommand(file *string, out, errs io.Writer) *cobra.Command {
-	c := &cobra.Command{Use: "state", Short: "look at what is kept over crashes"}
-	type show func(o operatorfile.Store, name string, records []statestore.Record) error
-	look := func(do show) func(*cobra.Command, []string) error {
+func stateCommand(file *string, stdout, stderr io.Writer) *cobra.Command {
+	c := &cobra.Command{Use: "state", Short: "show the stored state"}
+	type action func(o operatorfile.Store, name string, records []statestore.Record) error
+	withRecords := func(do action) func(*cobra.Command, []string) error {
 		return func(*cobra.Command, []string) error {
-			f, err := operatorFile(*file, errs)
+			f, err := readOperatorFile(*file, stderr)
 			if err != nil {
 				return err
 			}
@@ -317,8 +329,8 @@
 			}
 			name, records, err := statestore.Look(f.Store.Path)
 			if err != nil {
-				_, _ = fmt.Fprintf(errs, "elmfold: %v\n", err)
-				return exitCode(1)
+				_, _ = fmt.Fprintf(stderr, "elmfold: %v\n", err)
+				return exitError(exitFailure)
 			}
 			slices.SortFunc(records, func(a, b statestore.Record) int {
 				return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Key, b.Key))
@@ -327,40 +339,40 @@
 		}
 	}
 	c.AddCommand(
-		&cobra.Command{Use: "check", Short: "check that the store is whole", Args: cobra.NoArgs,
-			RunE: look(func(o operatorfile.Store, name string, records []statestore.Record) error {
-				_, _ = fmt.Fprintf(out, "%s: in order; of %s, %d facts\n", o.Path, name, len(records))
+		&cobra.Command{Use: "check", Short: "check the integrity of the store", Args: cobra.NoArgs,
+			RunE: withRecords(func(o operatorfile.Store, name string, records []statestore.Record) error {
+				_, _ = fmt.Fprintf(stdout, "%s: valid; written by %s, %d records\n", o.Path, name, len(records))
 				return nil
 			})},
-		&cobra.Command{Use: "show", Short: "print what is kept, and what of it a start would believe", Args: cobra.NoArgs,
-			RunE: look(func(o operatorfile.Store, name string, records []statestore.Record) error {
-				w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-				_, _ = fmt.Fprintln(w, "kind\tkey\tstate\trevision\tage\tat a start")
+		&cobra.Command{Use: "show", Short: "print the stored facts, and which ones a start would accept", Args: cobra.NoArgs,
+			RunE: withRecords(func(o operatorfile.Store, name string, records []statestore.Record) error {
+				table := tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
+				_, _ = fmt.Fprintln(table, "kind\tkey\tstate\trevision\tage\tat a start")
 				for _, f := range factsFromRecords(records, name, time.Now()) {
-					use := "believed"
+					verdict := "accepted"
 					if f.Age > o.Grace {
-						use = fmt.Sprintf("refused: older than the grace of %v", o.Grace)
+						verdict = fmt.Sprintf("refused: older than the grace period of %v", o.Grace)
 					} else if f.Age < 0 {
-						use = "refused: from the future"
+						verdict = "refused: timestamp in the future"
 					}
 					_, _ = fmt.Fprintf(
-						w,
+						table,
 						"%v\t%s\t%s\t%d\t%v\t%s\n",
 						f.Kind,
 						f.Key,
 						f.State,
 						f.Revision,
 						f.Age.Round(time.Second),
-						use,
+						verdict,
 					)
 				}
-				return w.Flush()
+				return table.Flush()
 			})},
-		&cobra.Command{Use: "export", Short: "print all facts as JSON, one a line", Args: cobra.NoArgs,
-			RunE: look(func(_ operatorfile.Store, _ string, records []statestore.Record) error {
-				to := json.NewEncoder(out)
+		&cobra.Command{Use: "export", Short: "print all records as JSON, one per line", Args: cobra.NoArgs,
+			RunE: withRecords(func(_ operatorfile.Store, _ string, records []statestore.Record) error {
+				encoder := json.NewEncoder(stdout)
 				for _, r := range records {
-					if err := to.Encode(r); err != nil {
+					if err := encoder.Encode(r); err != nil {
 						return err
 					}
 				}
