--- a/internal/controller/command/command_test.go
+++ b/internal/controller/command/command_test.go
@@ -109,7 +109,8 @@
 	m.Stop()
 	errs.Reset()
 	if code := Run([]string{"registry", "list", "--operator", file, "--within", "300ms"}, &out, &errs); code != 1 ||
-		!strings.Contains(errs.String(), "lost: ") || !strings.Contains(errs.String(), "no whole list received within 300ms") {
+		!strings.Contains(errs.String(), "lost: ") ||
+		!strings.Contains(errs.String(), "no whole list received within 300ms") {
 		t.Errorf("exit %d, %q", code, errs.String())
 	}
 }
@@ -297,9 +298,8 @@
 	awaitLine(t, c.output, "stopping")
 }
 
-// Checks cells on a running controller: a proxy receives the backends of its cell only, and of both cells during a move.
-// An invalid file is refused with its line and leaves the cells unchanged. Without the section, a proxy receives all
-// backends.
+// Checks that a proxy receives the backends of its cell only, and those of both cells during a move. An invalid file is
+// refused with its line and leaves the cells unchanged. Without the section, a proxy receives all backends.
 func TestCells(t *testing.T) {
 	members := ""
 	for i := range 12 {
--- a/internal/controller/command/warmstart_test.go
+++ b/internal/controller/command/warmstart_test.go
@@ -24,8 +24,8 @@
 	"elmfold/internal/fakes/kv"
 )
 
-// Checks that a controller that was killed restarts with the stored list while the registry is down, and that a drain in
-// the list stays in effect. Also checks the state commands.
+// Checks that a killed controller restarts with the stored list while the registry is down, and that a drain in the list
+// stays in effect. Also checks the state commands.
 func TestRestartAfterKill(t *testing.T) {
 	registry := kv.New(1)
 	for _, id := range []string{"s-1", "s-2", "s-7"} {
@@ -185,8 +185,8 @@
 	return logrus.NewEntry(log)
 }
 
-// Checks that the age of a stored list counts from its last confirmation, and that a list beyond the grace period or from
-// the future is refused.
+// Checks that the age of a stored list counts from its last confirmation, and that a list that is older than the grace
+// period or from the future is refused.
 func TestListGracePeriod(t *testing.T) {
 	start := time.UnixMilli(1_000_000_000)
 	var records []statestore.Record
@@ -222,8 +222,8 @@
 	}
 }
 
-// Checks that a controller without a store and a reachable registry starts with the list of a running peer. Two controllers
-// that start together and ask each other use the list of the platform's configuration.
+// Checks that a controller starts with the list of a running peer if it has no store and cannot reach its registry. Two
+// controllers that start together and query each other use the list of the platform's configuration.
 func TestStartFromPeers(t *testing.T) {
 	registry := kv.New(1)
 	registry.Put("elm/s-7", entryJSON(reconcile.Serving))
@@ -254,7 +254,8 @@
 			"registry etcd\n  endpoint "+m.Addr()+"\n  prefix elm\npeers\n  listen "+listen+"\n  ask "+ask+"\n",
 		)
 	}
-	second := startProcess(t, false, []string{"EDGE_CONFIG=" + config, "EDGE_OPERATOR=" + file(freeAddress(), peerAddress)})
+	secondFile := file(freeAddress(), peerAddress)
+	second := startProcess(t, false, []string{"EDGE_CONFIG=" + config, "EDGE_OPERATOR=" + secondFile})
 	if line := awaitLine(t, second.output, "from the store or from peers"); !strings.Contains(line, "backends=2") {
 		t.Errorf("start with a peer: %q", line)
 	}
@@ -272,8 +273,8 @@
 	}
 }
 
-// Checks that facts from a peer keep their origin and age when they are passed on. A list from the controller's own source
-// gets its own origin, and ages from the failure of the source.
+// Checks that facts from a peer keep their origin and age when they are passed on. A list from the controller's own
+// source has the controller as its origin, and ages from the failure of the source.
 func TestFactOrigin(t *testing.T) {
 	at := time.UnixMilli(1_000_000_000)
 	m := &factCache{
