--- a/internal/controller/command/channel.go
+++ b/internal/controller/command/channel.go
@@ -28,14 +28,14 @@
 	o operatorfile.Channel,
 	proxies int,
 	names flatsettings.Names,
-	post func(eventloop.Command),
+	send func(eventloop.Command),
 	log *logrus.Entry,
 ) (controller.Channel, error) {
 	return pubsub.Listen(
 		pubsub.Plan{Listen: o.Listen, Linger: o.Linger, Onlookers: o.Onlookers},
 		proxies,
 		names,
-		post,
+		send,
 		log,
 	)
 }
--- a/internal/controller/command/command_test.go
+++ b/internal/controller/command/command_test.go
@@ -218,6 +218,7 @@
 	}
 }
 
+// platformConfig has three serving backends.
 const platformConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:9",` +
 	`"limits":{"cores":1,"memory_mb":192,"sockets":64},
  "known":{"revision":1,"complete":true,"members":[
@@ -230,9 +231,9 @@
   "Specifics":{"ProxyCount":4,"ThrottleBy":"rps","LinesPerS":3000,"PendingMax":3000,` +
 	`"Overhead":6,"SmallestConnTable":500}}}`
 
-// Changes the source of the list by SIGHUP from etcd to another prefix, to an unreachable Consul, and back to the
-// platform's discovery. Guards against a switch before the new source has provided its whole list, and against drains
-// that do not reach the proxy.
+// Reloads the operator file to change the source of the list: from etcd to another prefix, to an unreachable Consul,
+// and back to the platform's discovery. Guards against a switch before the new source has provided its whole list, and
+// against drains that do not reach the proxy.
 func TestSourceSwitch(t *testing.T) {
 	first, second := kv.New(1), kv.New(2)
 	for _, id := range []string{"s-1", "s-2", "s-3"} {
@@ -241,25 +242,25 @@
 		second.Put("three/"+id, entryJSON(reconcile.Serving))
 	}
 	first.Put("two/s-1", entryJSON(reconcile.Draining))
-	m, err := etcd.Start(first, nil)
+	etcdServer, err := etcd.Start(first, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer m.Stop()
-	s, err := consul.Start(second, nil)
+	defer etcdServer.Stop()
+	consulServer, err := consul.Start(second, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Stop()
-	l, err := link.New(s.Addr(), nil)
+	defer consulServer.Stop()
+	consulLink, err := link.New(consulServer.Addr(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	l.Refuse(true)
+	defer consulLink.Close()
+	consulLink.Refuse(true)
 
 	config := writeTempFile(t, "config.json", platformConfig)
-	file := writeTempFile(t, "op.conf", "registry etcd\n  endpoint "+m.Addr()+"\n  prefix one\n")
+	file := writeTempFile(t, "op.conf", "registry etcd\n  endpoint "+etcdServer.Addr()+"\n  prefix one\n")
 	c := startProcess(t, false, []string{"EDGE_CONFIG=" + config, "EDGE_OPERATOR=" + file})
 	addr := c.awaitReady()
 	stream, err := net.Dial("tcp", addr)
@@ -280,13 +281,14 @@
 	shutOut := map[string]bool{}
 	first.Put("one/s-2", entryJSON(reconcile.Draining))
 	awaitShutOut(t, in, shutOut, "s-2")
-	reload("registry etcd\n  endpont "+m.Addr()+"\n", "stays as it was", "op.conf:2", "write endpoint")
-	reload("registry etcd\n  endpoint "+m.Addr()+"\n  prefix two\n", "switched to the new source of the backend list")
+	reload("registry etcd\n  endpont "+etcdServer.Addr()+"\n", "stays as it was", "op.conf:2", "write endpoint")
+	reload("registry etcd\n  endpoint "+etcdServer.Addr()+"\n  prefix two\n",
+		"switched to the new source of the backend list")
 	awaitShutOut(t, in, shutOut, "s-1") // s-2 is not draining in the new list
-	reload("registry consul\n  endpoint "+l.Addr()+"\n  prefix three\n", "registry fails", l.Addr())
+	reload("registry consul\n  endpoint "+consulLink.Addr()+"\n  prefix three\n", "registry fails", consulLink.Addr())
 	first.Put("two/s-3", entryJSON(reconcile.Draining)) // the old source stays in use while the new one is unreachable
 	awaitShutOut(t, in, shutOut, "s-1", "s-3")
-	l.Refuse(false)
+	consulLink.Refuse(false)
 	awaitLine(t, c.output, "switched to the new source of the backend list")
 	awaitShutOut(t, in, shutOut)
 	second.Put("three/s-2", entryJSON(reconcile.Draining))
@@ -344,30 +346,30 @@
 	_ = stream.SetDeadline(time.Now().Add(time.Minute))
 	in := bufio.NewReader(stream)
 	_, _ = io.WriteString(stream, "SUBSCRIBE node=2 locality=a w=5 cold=1\r\n")
-	held := map[string]bool{}
+	received := map[string]bool{}
 	awaitBackends := func(want []string) {
 		t.Helper()
 		for {
-			equal := len(held) == len(want)
+			equal := len(received) == len(want)
 			for _, id := range want {
-				equal = equal && held[id]
+				equal = equal && received[id]
 			}
 			if equal {
 				return
 			}
 			line, err := in.ReadString('\n')
 			if err != nil {
-				t.Fatalf("the proxy has %v, want %v: %v", held, want, err)
+				t.Fatalf("the proxy has %v, want %v: %v", received, want, err)
 			}
 			if strings.Contains(line, "whole=1") {
-				clear(held)
+				clear(received)
 			}
 			for _, word := range strings.Fields(line) {
 				if lines, ok := strings.CutPrefix(word, "lines="); ok {
 					for _, l := range strings.Split(lines, ",") {
 						id, weight, _ := strings.Cut(l, ":")
-						if held[id] = weight != "0"; weight == "0" {
-							delete(held, id)
+						if received[id] = weight != "0"; weight == "0" {
+							delete(received, id)
 						}
 					}
 				}
--- a/internal/controller/command/member.go
+++ b/internal/controller/command/member.go
@@ -39,7 +39,7 @@
 func OpenMember(
 	f operatorfile.File,
 	settings config.Config,
-	post func(eventloop.Command),
+	send func(eventloop.Command),
 	log *logrus.Entry,
 ) (controller.Member, error) {
 	o := f.Member
@@ -71,7 +71,7 @@
 			}
 			totals <- s
 		})
-		go forwardTotals(totals, post, log)
+		go forwardTotals(totals, send, log)
 	}
 	if listener != nil {
 		m.streams = fleet.ServeStreams(listener, o.StreamAddressOverrides)
@@ -183,7 +183,7 @@
 const totalsTimeout = 5 * time.Second
 
 // forwardTotals posts the fleet's totals to the event loop. It logs when they start to arrive and when they stop.
-func forwardTotals(totals <-chan aggregation.Summary, post func(eventloop.Command), log *logrus.Entry) {
+func forwardTotals(totals <-chan aggregation.Summary, send func(eventloop.Command), log *logrus.Entry) {
 	for receiving := false; ; {
 		select {
 		case s := <-totals:
@@ -195,7 +195,7 @@
 				)
 			}
 			receiving = true
-			post(eventloop.Command{Message: remoteSums(s)})
+			send(eventloop.Command{Message: remoteSums(s)})
 		case <-time.After(totalsTimeout):
 			if receiving {
 				log.WithField("after", totalsTimeout).
--- a/internal/controller/command/registry.go
+++ b/internal/controller/command/registry.go
@@ -23,11 +23,11 @@
 )
 
 // NewFollower returns a follower of a registry. Its random seed combines the controller's name and the current time.
-// The publish function receives each reconcile.List and reconcile.SourceFailed.
+// The send function receives each reconcile.List and reconcile.SourceFailed.
 func NewFollower(
 	o operatorfile.Registry,
 	name string,
-	publish func(any),
+	send func(any),
 	log *logrus.Entry,
 ) *watch.Follower {
 	settings := o.Config
@@ -38,12 +38,12 @@
 	} else {
 		source = etcd.New(o.Endpoints, settings.Prefix, o.Access)
 	}
-	return watch.New(settings, source, o.Endpoints, publish, log)
+	return watch.New(settings, source, o.Endpoints, send, log)
 }
 
 // OpenRegistry implements controller.OpenRegistry.
-func OpenRegistry(o operatorfile.Registry, name string, publish func(any), log *logrus.Entry) controller.Source {
-	f := NewFollower(o, name, publish, log)
+func OpenRegistry(o operatorfile.Registry, name string, send func(any), log *logrus.Entry) controller.Source {
+	f := NewFollower(o, name, send, log)
 	go f.Run()
 	return f
 }
--- a/internal/controller/command/warmstart.go
+++ b/internal/controller/command/warmstart.go
@@ -44,7 +44,7 @@
 	startMeasurements []warmstart.Believe
 
 	mu            sync.Mutex
-	session       *warmstart.Session
+	session       *warmstart.Session // decides which offered facts to accept
 	members       map[string]reconcile.Member
 	revision      int64
 	sourceHealthy bool
--- a/internal/controller/command/warmstart_test.go
+++ b/internal/controller/command/warmstart_test.go
@@ -24,8 +24,8 @@
 	"elmfold/internal/fakes/kv"
 )
 
-// Checks that a killed controller restarts with the stored list while the registry is down, and that a drain in the list
-// stays in effect. Also checks the state commands.
+// Checks that a killed controller restarts with the stored list while the registry is down, and that a drain in the
+// list stays in effect. Also checks the state commands.
 func TestRestartAfterKill(t *testing.T) {
 	registry := kv.New(1)
 	for _, id := range []string{"s-1", "s-2", "s-7"} {
@@ -108,7 +108,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Without OpenWarmState, no goroutine reads the clock of the test.
+	// Built without OpenWarmState, so that no other goroutine reads the clock of the test.
 	m := &factCache{
 		name:         "n3",
 		store:        s,
