--- a/internal/bench/eventloop/kept.go
+++ b/internal/bench/eventloop/kept.go
@@ -117,5 +117,5 @@
 	if err := s.Close(); err != nil {
 		return "", nil, err
 	}
-	return statestore.Look(path)
+	return statestore.Inspect(path)
 }
--- a/internal/bench/plugin/plugins.go
+++ b/internal/bench/plugin/plugins.go
@@ -68,8 +68,8 @@
 			},
 		)
 	}
-	limits := pluginhost.Usual()
-	limits.Start, limits.Call = time.Minute, time.Second
+	limits := pluginhost.DefaultLimits()
+	limits.StartTimeout, limits.CallTimeout = time.Minute, time.Second
 	held := func() float64 {
 		var s runtime.MemStats
 		runtime.GC()
--- a/internal/bench/warmstart/kills.go
+++ b/internal/bench/warmstart/kills.go
@@ -49,7 +49,7 @@
 		if err != nil {
 			return err
 		}
-		if err := s.Healthy(); err != nil { // it is killed on purpose
+		if err := s.ResetStartCount(); err != nil { // it is killed on purpose
 			return err
 		}
 		for n := from; ; n += killBatch {
@@ -58,7 +58,7 @@
 				batch = append(
 					batch,
 					statestore.Record{
-						Kind:  warmstart.Use,
+						Kind:  warmstart.Usage,
 						Key:   strconv.Itoa((n + i) % killKeys),
 						Value: float64(n + i),
 						At:    int64(n + i),
@@ -110,7 +110,7 @@
 		_ = c.Process.Kill()
 		last := <-said
 		_ = c.Wait()
-		_, records, err := statestore.Look(path)
+		_, records, err := statestore.Inspect(path)
 		if err != nil {
 			if last > 0 || written > 0 || (!errors.Is(err, os.ErrNotExist) && !errors.Is(err, statestore.ErrForeign)) {
 				corrupt++
--- a/internal/controller/command/plugin.go
+++ b/internal/controller/command/plugin.go
@@ -35,8 +35,8 @@
 		if err != nil {
 			return nil, err
 		}
-		limits := pluginhost.Usual()
-		limits.Start, limits.Call = time.Minute, time.Second // a busy machine must not fail the check
+		limits := pluginhost.DefaultLimits()
+		limits.StartTimeout, limits.CallTimeout = time.Minute, time.Second // a busy machine must not fail the check
 		return pluginhost.Load(path, code, limits)
 	}
 	c.AddCommand(
@@ -90,8 +90,8 @@
 
 // tryMoments calls a plug-in with each moment of a file, and prints which proposals a controller would apply or refuse.
 func tryMoments(p *pluginhost.Plugin, text []byte, path string, stdout io.Writer) error {
-	guard := pluginguard.New(pluginguard.Usual())
-	guard.Step(0, []pluginguard.Event{pluginguard.Loaded{Plugin: p.Name, Precedence: 1}})
+	guard := pluginguard.New(pluginguard.DefaultConfig())
+	guard.Step(0, []pluginguard.Event{pluginguard.PluginLoaded{Plugin: p.Name, Precedence: 1}})
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	lines.Buffer(nil, maxMomentBytes)
 	for number := 1; lines.Scan(); number++ {
@@ -109,12 +109,12 @@
 		elapsed := time.Since(start)
 		events := eventsFromMoment(m)
 		if err != nil {
-			events = append(events, pluginguard.Faulted{Plugin: p.Name, Why: err.Error()})
+			events = append(events, pluginguard.PluginFailed{Plugin: p.Name, Why: err.Error()})
 		} else {
-			proposed := pluginguard.Proposed{Plugin: p.Name, Revision: m.Revision}
+			proposed := pluginguard.ProposalsReceived{Plugin: p.Name, Revision: m.Revision}
 			for _, x := range answer.Proposals {
-				proposed.All = append(
-					proposed.All,
+				proposed.Proposals = append(
+					proposed.Proposals,
 					pluginguard.Proposal{Kind: proposalKinds[x.Kind], Tenant: x.Tenant, Backends: x.Backends, Figure: x.Figure},
 				)
 			}
@@ -136,13 +136,13 @@
 					"  %s: allowed backends %v, at most %g transactions/s (0: no limit)\n",
 					o.Tenant,
 					choose(o.Backends == nil, []string{"all"}, o.Backends),
-					o.Most,
+					o.MaxRate,
 				)
-			case pluginguard.Refused:
+			case pluginguard.Rejected:
 				_, _ = fmt.Fprintf(stdout, "  refused %d proposals: %s (the first: %+v)\n", o.Count, o.Reason, o.First)
-			case pluginguard.Paused:
+			case pluginguard.PluginPaused:
 				_, _ = fmt.Fprintf(stdout, "  paused: %s\n", o.Why)
-			case pluginguard.PutOut:
+			case pluginguard.PluginDisabled:
 				return errors.New("plug-in disabled: " + o.Why)
 			}
 		}
@@ -160,7 +160,7 @@
 		}
 		return slices.Index(zones, name)
 	}
-	list := pluginguard.Listed{Revision: m.Revision, Ramp: map[string]float64{}}
+	list := pluginguard.BackendsUpdated{Revision: m.Revision, Ramp: map[string]float64{}}
 	for i, b := range m.Backends {
 		status := choose(b.Drains, policy.Draining, policy.Ready)
 		list.Backends = append(
@@ -171,7 +171,7 @@
 			list.Ramp[b.ID] = b.Ramp
 		}
 	}
-	planned := pluginguard.Planned{
+	planned := pluginguard.TenantsUpdated{
 		Products: make([]policy.Product, max(len(m.Products), 1)),
 		Tenants:  map[string]pluginguard.Tenant{},
 	}
@@ -190,7 +190,7 @@
 		for _, r := range t.Rates {
 			rate += r
 		}
-		demands = append(demands, pluginguard.Asked{Tenant: t.Name, Rate: rate})
+		demands = append(demands, pluginguard.DemandUpdated{Tenant: t.Name, Rate: rate})
 	}
 	return append([]pluginguard.Event{planned, list}, demands...)
 }
--- a/internal/controller/command/warmstart.go
+++ b/internal/controller/command/warmstart.go
@@ -41,7 +41,7 @@
 	startTime         time.Time
 	startList         reconcile.List
 	hasStartList      bool
-	startMeasurements []warmstart.Believe
+	startMeasurements []warmstart.Accepted
 
 	mu            sync.Mutex
 	session       *warmstart.Session // decides which offered facts to accept
@@ -71,11 +71,11 @@
 		members:      map[string]reconcile.Member{},
 		measurements: map[measurementKey]measurement{},
 	}
-	plan := warmstart.Usual()
-	plan.Name, plan.Grace = name, defaultGrace
+	plan := warmstart.DefaultConfig()
+	plan.Name, plan.MaxAge = name, defaultGrace
 	var offers []warmstart.Event
 	if o := f.Store; o != nil {
-		plan.Grace = o.Grace
+		plan.MaxAge = o.Grace
 		store, records, err := statestore.Open(o.Path, name, int64(o.Limit), log)
 		if store == nil && f.Peers == nil {
 			return nil, err
@@ -84,7 +84,7 @@
 			log.WithField("reason", "store").Warn(err)
 		}
 		c.store = store
-		offers = append(offers, warmstart.Offered{Source: "store", Facts: factsFromRecords(records, name, c.now())})
+		offers = append(offers, warmstart.Received{Source: "store", Facts: factsFromRecords(records, name, c.now())})
 	}
 	startTime := c.now()
 	if p := f.Peers; p != nil {
@@ -94,14 +94,14 @@
 			name,
 			seed,
 			p.QueryTimeout,
-			func(o warmstart.Offered) { offers = append(offers, o) },
+			func(o warmstart.Received) { offers = append(offers, o) },
 		) {
 			log.WithFields(logrus.Fields{"peer": result.Source, "facts": result.Facts, "error": result.Err}).
 				Info("requested facts from a peer")
 		}
 	}
 	c.session, c.startTime = warmstart.New(plan), startTime
-	var refused []warmstart.Refuse
+	var refused []warmstart.Rejected
 	c.startList, refused, c.hasStartList = c.acceptFacts(offers)
 	for _, r := range refused {
 		log.WithFields(logrus.Fields{"source": r.Source, "reason": r.Reason, "count": r.Count}).Warn("refused facts")
@@ -188,13 +188,13 @@
 
 // acceptFacts passes offers to the session. It returns the list that results from the accepted facts, and adds the
 // accepted measurements to startMeasurements. ok is false if no fact about a backend was accepted.
-func (c *factCache) acceptFacts(offers []warmstart.Event) (list reconcile.List, refused []warmstart.Refuse, ok bool) {
+func (c *factCache) acceptFacts(offers []warmstart.Event) (list reconcile.List, refused []warmstart.Rejected, ok bool) {
 	list.Complete = true
 	for _, o := range c.session.Step(c.now().Sub(c.startTime), offers) {
 		switch o := o.(type) {
-		case warmstart.Refuse:
+		case warmstart.Rejected:
 			refused = append(refused, o)
-		case warmstart.Believe:
+		case warmstart.Accepted:
 			if o.Kind != warmstart.Backend {
 				c.startMeasurements = append(c.startMeasurements, o)
 				continue
@@ -271,7 +271,7 @@
 }
 
 // InitialBeliefs returns the measurements accepted at the start.
-func (c *factCache) InitialBeliefs() []warmstart.Believe { return c.startMeasurements }
+func (c *factCache) InitialBeliefs() []warmstart.Accepted { return c.startMeasurements }
 
 // RecordFacts stores measurements of the event loop, and drops expired ones.
 func (c *factCache) RecordFacts(facts []warmstart.Fact) {
@@ -310,7 +310,7 @@
 			c.store.Put(statestore.Record{Kind: warmstart.Backend, Key: listConfirmedKey, At: c.now().UnixMilli()})
 		}
 		if !markedHealthy && c.now().Sub(start) > healthyUptime {
-			markedHealthy = c.store.Healthy() == nil
+			markedHealthy = c.store.ResetStartCount() == nil
 		}
 	}
 }
@@ -327,7 +327,7 @@
 			if f.Store == nil {
 				return fmt.Errorf("%s: no section store; add one with a line such as: file /var/lib/elmfold/state", *file)
 			}
-			name, records, err := statestore.Look(f.Store.Path)
+			name, records, err := statestore.Inspect(f.Store.Path)
 			if err != nil {
 				_, _ = fmt.Fprintf(stderr, "elmfold: %v\n", err)
 				return exitError(exitFailure)
--- a/internal/controller/command/warmstart_test.go
+++ b/internal/controller/command/warmstart_test.go
@@ -115,7 +115,7 @@
 		now:          func() time.Time { return now },
 		members:      map[string]reconcile.Member{},
 		measurements: map[measurementKey]measurement{},
-		session:      warmstart.New(warmstart.Plan{Grace: 10 * time.Minute, Half: 10 * time.Second, Most: 1000}),
+		session:      warmstart.New(warmstart.Config{MaxAge: 10 * time.Minute, HalfLife: 10 * time.Second, MaxFacts: 1000}),
 	}
 	m.Update(
 		reconcile.List{
@@ -126,8 +126,8 @@
 	)
 	m.RecordFacts(
 		[]warmstart.Fact{
-			{Kind: warmstart.Use, Key: "4/look", Value: 12, Age: 3 * time.Second},
-			{Kind: warmstart.Relief, Key: "s-1", Value: 0.4},
+			{Kind: warmstart.Usage, Key: "4/look", Value: 12, Age: 3 * time.Second},
+			{Kind: warmstart.Derating, Key: "s-1", Value: 0.4},
 			{Kind: warmstart.Throughput, Value: 5},
 		},
 	)
@@ -146,7 +146,7 @@
 		t.Fatal(err)
 	}
 	m.store = nil
-	_, records, err := statestore.Look(filepath.Join(dir, "state"))
+	_, records, err := statestore.Inspect(filepath.Join(dir, "state"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,25 +154,25 @@
 		name:      "n3",
 		now:       func() time.Time { return now },
 		startTime: now,
-		session:   warmstart.New(warmstart.Plan{Grace: 10 * time.Minute, Half: 10 * time.Second, Most: 1000}),
+		session:   warmstart.New(warmstart.Config{MaxAge: 10 * time.Minute, HalfLife: 10 * time.Second, MaxFacts: 1000}),
 	}
 	l, refused, ok := restarted.acceptFacts(
-		[]warmstart.Event{warmstart.Offered{Source: "store", Facts: factsFromRecords(records, "n3", now)}},
+		[]warmstart.Event{warmstart.Received{Source: "store", Facts: factsFromRecords(records, "n3", now)}},
 	)
-	got := map[warmstart.Kind]warmstart.Believe{}
+	got := map[warmstart.Kind]warmstart.Accepted{}
 	for _, b := range restarted.InitialBeliefs() {
 		got[b.Kind] = b
 	}
-	if !ok || len(l.Members) != 1 || len(refused) > 0 || len(got) != 3 || got[warmstart.Use].Value != 12 ||
-		got[warmstart.Use].Age != 5*time.Second ||
-		got[warmstart.Relief].Part < 0.85 ||
-		got[warmstart.Relief].Part > 0.9 {
+	if !ok || len(l.Members) != 1 || len(refused) > 0 || len(got) != 3 || got[warmstart.Usage].Value != 12 ||
+		got[warmstart.Usage].Age != 5*time.Second ||
+		got[warmstart.Derating].Confidence < 0.85 ||
+		got[warmstart.Derating].Confidence > 0.9 {
 		t.Errorf("accepted %v, refused %v, list %v", got, refused, l)
 	}
 	now = now.Add(2 * measurementTTL)
 	for i := range 1000 {
 		now = now.Add(time.Second)
-		m.RecordFacts([]warmstart.Fact{{Kind: warmstart.Relief, Key: fmt.Sprint("s-", i), Value: 0.5}})
+		m.RecordFacts([]warmstart.Fact{{Kind: warmstart.Derating, Key: fmt.Sprint("s-", i), Value: 0.5}})
 	}
 	if n := len(m.measurements); n > int(measurementTTL/time.Second)+1 {
 		t.Errorf("%d measurements are kept", n)
@@ -199,12 +199,12 @@
 	}
 	confirmed := start.Add(time.Hour)
 	records = append(records, statestore.Record{Kind: warmstart.Backend, Key: listConfirmedKey, At: confirmed.UnixMilli()})
-	acceptAt := func(at time.Time) (reconcile.List, []warmstart.Refuse, bool) {
-		plan := warmstart.Usual()
-		plan.Grace = time.Minute
+	acceptAt := func(at time.Time) (reconcile.List, []warmstart.Rejected, bool) {
+		plan := warmstart.DefaultConfig()
+		plan.MaxAge = time.Minute
 		m := &factCache{now: func() time.Time { return at }, startTime: at, session: warmstart.New(plan)}
 		facts := factsFromRecords(records, "n1", at)
-		return m.acceptFacts([]warmstart.Event{warmstart.Offered{Source: "store", Facts: facts}})
+		return m.acceptFacts([]warmstart.Event{warmstart.Received{Source: "store", Facts: facts}})
 	}
 	l, refused, ok := acceptAt(confirmed.Add(59 * time.Second))
 	if !ok || len(refused) > 0 || len(l.Members) != 2 || l.Members[1].Phase != reconcile.Draining || l.Revision != 3 ||
@@ -281,13 +281,13 @@
 		name:      "n1",
 		now:       func() time.Time { return at },
 		startTime: at,
-		session:   warmstart.New(warmstart.Usual()),
+		session:   warmstart.New(warmstart.DefaultConfig()),
 		members:   map[string]reconcile.Member{},
 	}
 	note := `{"id":"s-1","locality":"a","phase":"SERVING"}`
 	m.acceptFacts(
 		[]warmstart.Event{
-			warmstart.Offered{
+			warmstart.Received{
 				Source: "x",
 				Facts: []warmstart.Fact{{Kind: warmstart.Backend, Key: "s-1", State: reconcile.Serving, Note: note,
 					Age: 5 * time.Second, Origin: "n2"}},
--- a/internal/controller/eventloop/eventloop.go
+++ b/internal/controller/eventloop/eventloop.go
@@ -270,7 +270,7 @@
 		l.onTenancy(m)
 	case RemoteSums:
 		l.onRemoteSums(m)
-	case warmstart.Believe:
+	case warmstart.Accepted:
 		return l.onRestored(m)
 	case CellsQuery:
 		m.Reply <- l.tenancyView()
--- a/internal/controller/eventloop/snapshot.go
+++ b/internal/controller/eventloop/snapshot.go
@@ -20,9 +20,9 @@
 func (l *Loop) SetFactSink(sink FactSink) { l.factSink = sink }
 
 var factKinds = map[policy.EstimateKind]warmstart.Kind{
-	policy.EstimateUsage:      warmstart.Use,
-	policy.EstimateDerating:   warmstart.Relief,
-	policy.EstimateTotalLimit: warmstart.Total,
+	policy.EstimateUsage:      warmstart.Usage,
+	policy.EstimateDerating:   warmstart.Derating,
+	policy.EstimateTotalLimit: warmstart.TotalLimit,
 	policy.EstimateKnee:       warmstart.Knee,
 	policy.EstimateThroughput: warmstart.Throughput,
 }
@@ -60,14 +60,14 @@
 }
 
 // onRestored passes an estimate from an earlier snapshot to the policy.
-func (l *Loop) onRestored(believed warmstart.Believe) error {
+func (l *Loop) onRestored(believed warmstart.Accepted) error {
 	r := policy.RestoredEstimate{
 		Value:      believed.Value,
 		Age:        policy.Time(believed.Age * time.Duration(policy.Second) / time.Second),
-		Confidence: believed.Part,
+		Confidence: believed.Confidence,
 	}
 	switch believed.Kind {
-	case warmstart.Use:
+	case warmstart.Usage:
 		proxy, product, _ := strings.Cut(believed.Key, "/")
 		at, err := strconv.Atoi(proxy)
 		if err != nil || at < 0 || at >= len(l.proxies) {
@@ -76,13 +76,13 @@
 		if r.Kind, r.Proxy, r.Product = policy.EstimateUsage, at, l.product(product); r.Product < 0 {
 			return fmt.Errorf("%w: %q", errProduct, believed.Key)
 		}
-	case warmstart.Relief:
+	case warmstart.Derating:
 		at, listed := l.index[believed.Key]
 		if !listed {
 			return fmt.Errorf("%w: %q", errBackend, believed.Key)
 		}
 		r.Kind, r.Backend = policy.EstimateDerating, at
-	case warmstart.Total:
+	case warmstart.TotalLimit:
 		r.Kind = policy.EstimateTotalLimit
 	case warmstart.Knee:
 		r.Kind = policy.EstimateKnee
--- a/internal/controller/eventloop/snapshot_test.go
+++ b/internal/controller/eventloop/snapshot_test.go
@@ -61,15 +61,15 @@
 	next, l := begin()
 	for _, f := range kept {
 		f.Origin = "n1"
-		next.Handle(Command{nil, warmstart.Believe{Fact: f, Part: 0.8}})
+		next.Handle(Command{nil, warmstart.Accepted{Fact: f, Confidence: 0.8}})
 	}
-	for _, odd := range []warmstart.Believe{{
-		Fact: warmstart.Fact{Kind: warmstart.Relief, Key: "s-9"},
-	}, {Fact: warmstart.Fact{Kind: warmstart.Use, Key: "7/look"}},
+	for _, odd := range []warmstart.Accepted{{
+		Fact: warmstart.Fact{Kind: warmstart.Derating, Key: "s-9"},
+	}, {Fact: warmstart.Fact{Kind: warmstart.Usage, Key: "7/look"}},
 		{
-			Fact: warmstart.Fact{Kind: warmstart.Use, Key: "0/none"},
+			Fact: warmstart.Fact{Kind: warmstart.Usage, Key: "0/none"},
 		},
-		{Fact: warmstart.Fact{Kind: warmstart.Use, Key: "x"}},
+		{Fact: warmstart.Fact{Kind: warmstart.Usage, Key: "x"}},
 		{Fact: warmstart.Fact{Kind: warmstart.Withdrawal, Key: "s-0"}}} {
 		before := len(next.events)
 		if _ = next.onRestored(odd); len(next.events) != before {
@@ -86,7 +86,8 @@
 	next.Handle(Command{l, textproto.BackendReport{Zone: "a", Backend: "s-1", Attempts: 20, Latency: 900}})
 	next.Step(now + 2*policy.Second)
 	next.Handle(
-		Command{nil, warmstart.Believe{Fact: warmstart.Fact{Kind: warmstart.Relief, Key: "s-1", Value: 0.3}, Part: 1}},
+		Command{nil, warmstart.Accepted{Fact: warmstart.Fact{Kind: warmstart.Derating, Key: "s-1", Value: 0.3},
+			Confidence: 1}},
 	)
 	next.Step(now + 3*policy.Second)
 	if weight(next, 1) != weight(loop, 1) {
--- a/internal/controller/peersync/peersync.go
+++ b/internal/controller/peersync/peersync.go
@@ -210,7 +210,7 @@
 	sources []string,
 	name, seed string,
 	timeout time.Duration,
-	offer func(warmstart.Offered),
+	offer func(warmstart.Received),
 ) (results []Result) {
 	order := slices.Clone(sources)
 	slices.SortFunc(order, func(a, b string) int {
@@ -225,7 +225,7 @@
 		r := request{Version: ProtocolVersion, Name: name}
 		offerFacts := func(facts []warmstart.Fact) {
 			result.Facts += len(facts)
-			offer(warmstart.Offered{Source: source, Facts: facts})
+			offer(warmstart.Received{Source: source, Facts: facts})
 		}
 		for range attemptsPerSource {
 			result.Err = fetchFrom(source, &r, deadline, offerFacts)
--- a/internal/controller/peersync/peersync_test.go
+++ b/internal/controller/peersync/peersync_test.go
@@ -19,7 +19,7 @@
 	for i := range n {
 		all = append(
 			all,
-			warmstart.Fact{Kind: warmstart.Use, Key: fmt.Sprint(i), Value: float64(i), Age: time.Second, Origin: "n2"},
+			warmstart.Fact{Kind: warmstart.Usage, Key: fmt.Sprint(i), Value: float64(i), Age: time.Second, Origin: "n2"},
 		)
 	}
 	return all
@@ -38,7 +38,7 @@
 // fetchAll counts how often each fact is offered. A fact with a wrong age or origin counts as "bad".
 func fetchAll(sources []string, timeout time.Duration) (counts map[string]int, results []Result) {
 	counts = map[string]int{}
-	results = Fetch(sources, "n1", "seed", timeout, func(o warmstart.Offered) {
+	results = Fetch(sources, "n1", "seed", timeout, func(o warmstart.Received) {
 		for _, f := range o.Facts {
 			if f.Age < time.Second || f.Origin != "n2" {
 				counts["bad"]++
--- a/internal/controller/pluginguard/hook.go
+++ b/internal/controller/pluginguard/guard.go
@@ -42,26 +42,26 @@
 
 // Reasons.
 const (
-	NoKind     Reason = "no such proposal"
-	NoTenant   Reason = "no such tenant"
-	NoFigure   Reason = "no figure that can be"
-	NoBackend  Reason = "names a backend that is not on the list"
-	Drains     Reason = "names a backend that drains"
-	Bare       Reason = "leaves a product with nowhere to go"
-	Cold       Reason = "puts too much on backends that are cold"
-	Narrow     Reason = "puts more on these backends than their part of the fleet"
-	OnceOnly   Reason = "a further try may take effect twice"
-	Stale      Reason = "made on a list that has changed since"
-	TooMany    Reason = "too many changes in a second"
-	Flaps      Reason = "goes back and forth"
-	OutOfForce Reason = "the plug-in is paused or put out"
+	UnknownKind          Reason = "no such proposal"
+	UnknownTenant        Reason = "no such tenant"
+	InvalidFigure        Reason = "no figure that can be"
+	UnknownBackend       Reason = "names a backend that is not on the list"
+	BackendDraining      Reason = "names a backend that drains"
+	NoEligibleBackend    Reason = "leaves a product with nowhere to go"
+	ColdBackends         Reason = "puts too much on backends that are cold"
+	InsufficientCapacity Reason = "puts more on these backends than their part of the fleet"
+	UnsafeRetry          Reason = "a further try may take effect twice"
+	StaleRevision        Reason = "made on a list that has changed since"
+	TooManyChanges       Reason = "too many changes in a second"
+	Flapping             Reason = "goes back and forth"
+	PluginInactive       Reason = "the plug-in is paused or put out"
 )
 
 // Event is one of the structs below.
 type Event any
 
-// Planned brings the tenants, with their proxies' zones, and the products.
-type Planned struct {
+// TenantsUpdated brings the tenants, with their proxies' zones, and the products.
+type TenantsUpdated struct {
 	Products []policy.Product
 	Tenants  map[string]Tenant
 	Proxies  int // of all
@@ -73,40 +73,42 @@
 	Zones   []int // in which it has proxies
 }
 
-// Listed brings the whole list. Cold is the part of a backend's weight that it has by now, by place in it; none: all.
-type Listed struct {
+// BackendsUpdated brings the whole list. Cold is the part of a backend's weight that it has by now, by place
+// in it; none: all.
+type BackendsUpdated struct {
 	Revision int64
 	Backends []tenancy.Backend
 	Ramp     map[string]float64
 }
 
-// Asked says what a tenant asks for now, in txns/s.
-type Asked struct {
+// DemandUpdated says what a tenant asks for now, in txns/s.
+type DemandUpdated struct {
 	Tenant string
 	Rate   float64
 }
 
-// Loaded says that a plug-in counts from now on. Of two that differ the one of the higher precedence holds.
-type Loaded struct {
+// PluginLoaded says that a plug-in counts from now on. Of two that differ the one of the higher precedence holds.
+type PluginLoaded struct {
 	Plugin     string
 	Precedence int
 }
 
-// Proposed brings what a plug-in wants as a whole, made on a revision of the list: what it does not name any more ends.
-type Proposed struct {
-	Plugin   string
-	Revision int64
-	All      []Proposal
+// ProposalsReceived brings what a plug-in wants as a whole, made on a revision of the list: what it does not
+// name any more ends.
+type ProposalsReceived struct {
+	Plugin    string
+	Revision  int64
+	Proposals []Proposal
 }
 
-// Faulted says that a plug-in looped, trapped, or said what cannot be read.
-type Faulted struct {
+// PluginFailed says that a plug-in looped, trapped, or said what cannot be read.
+type PluginFailed struct {
 	Plugin string
 	Why    string
 }
 
-// Removed says that a plug-in counts no longer.
-type Removed struct{ Plugin string }
+// PluginRemoved says that a plug-in counts no longer.
+type PluginRemoved struct{ Plugin string }
 
 // Order is one of the structs below.
 type Order any
@@ -115,55 +117,55 @@
 type Limit struct {
 	Tenant   string
 	Backends []string
-	Most     float64
+	MaxRate  float64
 }
 
-// Refused counts proposals that were refused for a reason, with the first of them.
-type Refused struct {
+// Rejected counts proposals that were refused for a reason, with the first of them.
+type Rejected struct {
 	Plugin string
 	Reason Reason
 	First  Proposal
 	Count  int
 }
 
-// Paused says that a plug-in is not asked until a moment; then it is tried.
-type Paused struct {
+// PluginPaused says that a plug-in is not asked until a moment; then it is tried.
+type PluginPaused struct {
 	Plugin string
 	Until  Time
 	Why    string
 }
 
-// PutOut says that a plug-in is not asked again.
-type PutOut struct{ Plugin, Why string }
+// PluginDisabled says that a plug-in is not asked again.
+type PluginDisabled struct{ Plugin, Why string }
 
-// Plan is what a Hook is given once.
-type Plan struct {
-	Hold      Time    // that a proposal is in force without being made again
-	Changes   int     // of what is in force, of a plug-in in a second
-	Least     float64 // part of its fair strength that a tenant must be left with
-	ColdMost  float64 // part of the strength left to a tenant that may be cold
-	Settle    Time    // between changes of one thing that goes back and forth; doubled each time
-	Settles   Time    // at most
-	Pause     Time    // after a fault; doubled each time
-	Faults    int     // in Forget, after which it is put out
-	Forget    Time    // that a fault is remembered
-	TakesBack int     // limits in a second that are taken back when a plug-in goes
+// Config is what a Hook is given once.
+type Config struct {
+	ProposalTTL         Time    // that a proposal is in force without being made again
+	MaxChangesPerSecond int     // of what is in force, of a plug-in in a second
+	MinCapacityShare    float64 // part of its fair strength that a tenant must be left with
+	MaxColdShare        float64 // part of the strength left to a tenant that may be cold
+	FlapDelay           Time    // between changes of one thing that goes back and forth; doubled each time
+	MaxFlapDelay        Time    // at most
+	Pause               Time    // after a fault; doubled each time
+	MaxFailures         int     // in Forget, after which it is put out
+	FailureWindow       Time    // that a fault is remembered
+	MaxLiftsPerSecond   int     // limits in a second that are taken back when a plug-in goes
 }
 
-// Usual is the Plan with every figure that may be left out.
-func Usual() Plan {
+// DefaultConfig is the Plan with every figure that may be left out.
+func DefaultConfig() Config {
 	const s = policy.Second
-	return Plan{
-		Hold:      10 * s,
-		Changes:   20,
-		Least:     0.5,
-		ColdMost:  0.5,
-		Settle:    2 * s,
-		Settles:   64 * s,
-		Pause:     s,
-		Faults:    6,
-		Forget:    600 * s,
-		TakesBack: 10,
+	return Config{
+		ProposalTTL:         10 * s,
+		MaxChangesPerSecond: 20,
+		MinCapacityShare:    0.5,
+		MaxColdShare:        0.5,
+		FlapDelay:           2 * s,
+		MaxFlapDelay:        64 * s,
+		Pause:               s,
+		MaxFailures:         6,
+		FailureWindow:       600 * s,
+		MaxLiftsPerSecond:   10,
 	}
 }
 
@@ -197,9 +199,9 @@
 	out        bool
 }
 
-// Hook holds the plug-ins' standing and what of theirs is in force.
-type Hook struct {
-	plan     Plan
+// Guard holds the plug-ins' standing and what of theirs is in force.
+type Guard struct {
+	plan     Config
 	now      Time
 	products []policy.Product
 	tenants  map[string]Tenant
@@ -218,8 +220,8 @@
 }
 
 // New makes a Hook without plug-ins.
-func New(plan Plan) *Hook {
-	return &Hook{
+func New(plan Config) *Guard {
+	return &Guard{
 		plan:     plan,
 		tenants:  map[string]Tenant{},
 		demand:   map[string]float64{},
@@ -232,17 +234,17 @@
 }
 
 // Step takes what happened in a moment and says what holds from then on.
-func (h *Hook) Step(now Time, events []Event) []Order {
+func (h *Guard) Step(now Time, events []Event) []Order {
 	h.now, h.orders = max(now, h.now), nil
 	for _, e := range events {
 		switch e := e.(type) {
-		case Planned:
+		case TenantsUpdated:
 			h.products, h.tenants, h.proxies = e.Products, e.Tenants, e.Proxies
-		case Listed:
+		case BackendsUpdated:
 			h.onList(e)
-		case Asked:
+		case DemandUpdated:
 			h.demand[e.Tenant] = e.Rate
-		case Loaded:
+		case PluginLoaded:
 			h.plugins[e.Plugin] = &plugin{
 				name:       e.Plugin,
 				precedence: e.Precedence,
@@ -250,15 +252,15 @@
 				changes:    map[thing]*change{},
 				pause:      h.plan.Pause,
 			}
-		case Proposed:
+		case ProposalsReceived:
 			if p := h.plugins[e.Plugin]; p != nil {
 				h.propose(p, e)
 			}
-		case Faulted:
+		case PluginFailed:
 			if p := h.plugins[e.Plugin]; p != nil && !p.out {
 				h.fault(p, e.Why)
 			}
-		case Removed:
+		case PluginRemoved:
 			delete(h.plugins, e.Plugin)
 		}
 	}
@@ -266,7 +268,7 @@
 	return h.orders
 }
 
-func (h *Hook) onList(e Listed) {
+func (h *Guard) onList(e BackendsUpdated) {
 	next := map[string]tenancy.Backend{}
 	for _, b := range e.Backends {
 		if was, there := h.list[b.ID]; !there || was.Status != b.Status {
@@ -289,41 +291,41 @@
 }
 
 // fault pauses a plug-in for longer and longer, and puts it out after so many.
-func (h *Hook) fault(p *plugin, why string) {
-	p.faults = append(slices.DeleteFunc(p.faults, func(at Time) bool { return h.now > at+h.plan.Forget }), h.now)
+func (h *Guard) fault(p *plugin, why string) {
+	p.faults = append(slices.DeleteFunc(p.faults, func(at Time) bool { return h.now > at+h.plan.FailureWindow }), h.now)
 	clear(p.active)
-	if len(p.faults) >= h.plan.Faults {
+	if len(p.faults) >= h.plan.MaxFailures {
 		p.out = true
-		h.orders = append(h.orders, PutOut{p.name, fmt.Sprintf("%d faults, the last: %s", len(p.faults), why)})
+		h.orders = append(h.orders, PluginDisabled{p.name, fmt.Sprintf("%d faults, the last: %s", len(p.faults), why)})
 		return
 	}
 	p.paused = h.now + p.pause
-	h.orders = append(h.orders, Paused{p.name, p.paused, why})
+	h.orders = append(h.orders, PluginPaused{p.name, p.paused, why})
 	p.pause *= 2
 }
 
 // propose judges each proposal by itself. One round without a fault after a pause, and the pause is short again.
-func (h *Hook) propose(p *plugin, e Proposed) {
-	refused := map[Reason]*Refused{}
+func (h *Guard) propose(p *plugin, e ProposalsReceived) {
+	refused := map[Reason]*Rejected{}
 	refuse := func(x Proposal, why Reason) {
 		if refused[why] == nil {
-			refused[why] = &Refused{Plugin: p.name, Reason: why, First: x}
+			refused[why] = &Rejected{Plugin: p.name, Reason: why, First: x}
 		}
 		refused[why].Count++
 	}
 	if p.out || h.now < p.paused {
-		for _, x := range e.All {
-			refuse(x, OutOfForce)
+		for _, x := range e.Proposals {
+			refuse(x, PluginInactive)
 		}
 	} else {
-		if p.paused > 0 && h.now >= p.paused+h.plan.Hold {
+		if p.paused > 0 && h.now >= p.paused+h.plan.ProposalTTL {
 			p.pause, p.paused = h.plan.Pause, 0
 		}
 		if h.now >= p.second+policy.Second {
 			p.second, p.count = h.now, 0
 		}
 		named := map[thing]bool{}
-		for _, x := range e.All {
+		for _, x := range e.Proposals {
 			if why := h.check(p, x, e.Revision); why != "" {
 				refuse(x, why)
 			} else {
@@ -331,7 +333,7 @@
 			}
 		}
 		for t := range p.active {
-			if !named[t] && !slices.ContainsFunc(e.All, func(x Proposal) bool { return t == thing{x.Tenant, x.Kind} }) {
+			if !named[t] && !slices.ContainsFunc(e.Proposals, func(x Proposal) bool { return t == thing{x.Tenant, x.Kind} }) {
 				delete(p.active, t) // it wants that no more; what was refused this time stays until it is old
 			}
 		}
@@ -342,70 +344,70 @@
 }
 
 // check takes a proposal into force, or says why not.
-func (h *Hook) check(p *plugin, x Proposal, revision int64) Reason {
+func (h *Guard) check(p *plugin, x Proposal, revision int64) Reason {
 	if why := h.fits(x, revision); why != "" {
 		return why
 	}
 	t := thing{x.Tenant, x.Kind}
 	text := fmt.Sprint(x.Backends, x.Figure)
 	if was, there := p.active[t]; there && fmt.Sprint(was.Backends, was.Figure) == text {
-		p.active[t] = activeProposal{x, h.now + h.plan.Hold}
+		p.active[t] = activeProposal{x, h.now + h.plan.ProposalTTL}
 		return ""
 	}
 	c := p.changes[t]
 	if c == nil {
-		c = &change{settle: h.plan.Settle}
+		c = &change{settle: h.plan.FlapDelay}
 		p.changes[t] = c
 	}
-	if p.count >= h.plan.Changes {
-		return TooMany
+	if p.count >= h.plan.MaxChangesPerSecond {
+		return TooManyChanges
 	}
 	switch {
 	case c.before == text && h.now < c.at+c.settle:
-		c.settle = min(2*c.settle, h.plan.Settles)
-		return Flaps
-	case h.now >= c.at+h.plan.Settles:
-		c.settle = h.plan.Settle
+		c.settle = min(2*c.settle, h.plan.MaxFlapDelay)
+		return Flapping
+	case h.now >= c.at+h.plan.MaxFlapDelay:
+		c.settle = h.plan.FlapDelay
 	}
 	p.count++
 	c.before, c.now, c.at = c.now, text, h.now
-	p.active[t] = activeProposal{x, h.now + h.plan.Hold}
+	p.active[t] = activeProposal{x, h.now + h.plan.ProposalTTL}
 	return ""
 }
 
 // fits holds a proposal against the rules, as the list and the tenants are now.
-func (h *Hook) fits(x Proposal, revision int64) Reason {
+func (h *Guard) fits(x Proposal, revision int64) Reason {
 	tenant, known := h.tenants[x.Tenant]
 	switch {
 	case x.Kind == Retry:
-		return OnceOnly
+		return UnsafeRetry
 	case x.Kind < Allow || x.Kind > Retry:
-		return NoKind
+		return UnknownKind
 	case !known:
-		return NoTenant
+		return UnknownTenant
 	case x.Kind != Allow && (math.IsNaN(x.Figure) || math.IsInf(
 		x.Figure,
 		0,
 	) || x.Figure <= 0 || x.Kind == Shed && x.Figure > 1):
-		return NoFigure
+		return InvalidFigure
 	case x.Kind != Allow:
 		return ""
 	}
 	for _, id := range x.Backends {
 		if h.changed[id] > revision {
-			return Stale
+			return StaleRevision
 		}
 		if b, there := h.list[id]; !there {
-			return NoBackend
+			return UnknownBackend
 		} else if b.Status != policy.Ready {
-			return Drains
+			return BackendDraining
 		}
 	}
 	return h.room(tenant, x.Backends)
 }
 
 // strength is a backend's weight, less while it is cold.
-func (h *Hook) strength(id string) float64 {
+func (h *Guard) strength(id string) float64 {
 	if r, there := h.ramp[id]; there {
 		return h.list[id].Weight * r
 	}
@@ -414,7 +416,7 @@
 
 // room says whether a tenant can be left with these backends: each of its products has somewhere to go from each of its
 // zones, it is left with a part of what is its fair share of the strength, and not mostly with cold ones.
-func (h *Hook) room(t Tenant, ids []string) Reason {
+func (h *Guard) room(t Tenant, ids []string) Reason {
 	for _, p := range h.products {
 		for _, zone := range t.Zones {
 			if reason := h.roomFor(p, zone, t, ids); reason != "" {
@@ -426,7 +428,7 @@
 }
 
 // roomFor is why backends are not enough for a product in a zone; empty: they are.
-func (h *Hook) roomFor(p policy.Product, zone int, t Tenant, ids []string) Reason {
+func (h *Guard) roomFor(p policy.Product, zone int, t Tenant, ids []string) Reason {
 	left, all, cold, might := 0.0, 0.0, 0.0, false
 	for _, id := range h.ids {
 		if !isOpen(p, zone, h.list[id]) {
@@ -443,11 +445,11 @@
 	}
 	switch {
 	case might && left == 0:
-		return Bare
-	case cold > h.plan.ColdMost*left:
-		return Cold
-	case left < h.plan.Least*all*float64(t.Proxies)/float64(max(h.proxies, 1)):
-		return Narrow
+		return NoEligibleBackend
+	case cold > h.plan.MaxColdShare*left:
+		return ColdBackends
+	case left < h.plan.MinCapacityShare*all*float64(t.Proxies)/float64(max(h.proxies, 1)):
+		return InsufficientCapacity
 	}
 	return ""
 }
@@ -461,7 +463,7 @@
 
 // join is what holds for a tenant: of allowed sets what all have in common, where that is enough, else that of the
 // higher precedence; of caps the least.
-func (h *Hook) join(tenant string) Limit {
+func (h *Guard) join(tenant string) Limit {
 	l := Limit{Tenant: tenant}
 	for _, p := range slices.SortedFunc(maps.Values(h.plugins), func(a, b *plugin) int {
 		return cmp.Or(cmp.Compare(b.precedence, a.precedence), cmp.Compare(a.name, b.name))
@@ -483,7 +485,7 @@
 }
 
 // applyTo tightens a limit by a proposal.
-func (h *Hook) applyTo(l *Limit, kind Kind, x Proposal) {
+func (h *Guard) applyTo(l *Limit, kind Kind, x Proposal) {
 	most := x.Figure
 	switch kind {
 	case Allow:
@@ -501,32 +503,32 @@
 		}
 	case Cap, Retry: // are a figure as they stand
 	}
-	if l.Most == 0 || most < l.Most {
-		l.Most = most
+	if l.MaxRate == 0 || most < l.MaxRate {
+		l.MaxRate = most
 	}
 }
 
 // tell says what has changed. What ends with a plug-in is taken back a few at a time: all at once would be a table for
 // each proxy, and all txns back on the same backends.
-func (h *Hook) tell() {
+func (h *Guard) tell() {
 	if h.now >= h.back+policy.Second {
 		h.back, h.backs = h.now, 0
 	}
 	for _, name := range slices.Sorted(maps.Keys(h.tenants)) {
 		next, was := h.join(name), h.notified[name]
 		was.Tenant = name
-		same := slices.Equal(next.Backends, was.Backends) && math.Abs(next.Most-was.Most) <= 0.05*was.Most
+		same := slices.Equal(next.Backends, was.Backends) && math.Abs(next.MaxRate-was.MaxRate) <= 0.05*was.MaxRate
 		if same {
 			continue
 		}
 		bare := was.Backends != nil && h.room(h.tenants[name], was.Backends) != "" // it cannot stay as it is
 		if ends := next.Backends == nil && was.Backends != nil; ends && !bare {
-			if h.backs >= h.plan.TakesBack {
+			if h.backs >= h.plan.MaxLiftsPerSecond {
 				continue
 			}
 			h.backs++
 		}
-		if h.notified[name] = next; next.Backends == nil && next.Most == 0 {
+		if h.notified[name] = next; next.Backends == nil && next.MaxRate == 0 {
 			delete(h.notified, name)
 		}
 		h.orders = append(h.orders, next)
@@ -538,5 +540,5 @@
 	}
 }
 
-// Waits says whether something is to be taken back, or ages, without further events.
-func (h *Hook) Waits() bool { return len(h.notified) > 0 }
+// Pending says whether something is to be taken back, or ages, without further events.
+func (h *Guard) Pending() bool { return len(h.notified) > 0 }
--- a/internal/controller/pluginguard/hook_test.go
+++ b/internal/controller/pluginguard/guard_test.go
@@ -27,12 +27,12 @@
 
 // plain has two zones with four backends each, a product that goes anywhere, one at home and one in zone 0 only.
 func plain() []Event {
-	l := Listed{Revision: 5, Ramp: map[string]float64{}}
+	l := BackendsUpdated{Revision: 5, Ramp: map[string]float64{}}
 	for i := range 8 {
 		l.Backends = append(l.Backends, backend(i, policy.Ready))
 	}
 	return []Event{
-		Planned{
+		TenantsUpdated{
 			Products: []policy.Product{{}, {OwnZone: true}, {OnlyZones: []int{0}}},
 			Proxies:  20,
 			Tenants: map[string]Tenant{
@@ -42,14 +42,14 @@
 			},
 		},
 		l,
-		Loaded{"one", 1},
-		Loaded{"two", 2},
+		PluginLoaded{"one", 1},
+		PluginLoaded{"two", 2},
 	}
 }
 
-func begin(t *testing.T) (*Hook, Time) {
+func begin(t *testing.T) (*Guard, Time) {
 	t.Helper()
-	h := New(Usual())
+	h := New(DefaultConfig())
 	h.Step(1000*second, plain())
 	return h, 1000 * second
 }
@@ -57,7 +57,7 @@
 func refusals(orders []Order) map[Reason]int {
 	all := map[Reason]int{}
 	for _, o := range orders {
-		if r, ok := o.(Refused); ok {
+		if r, ok := o.(Rejected); ok {
 			all[r.Reason] += r.Count
 		}
 	}
@@ -87,35 +87,36 @@
 		want Reason
 		p    Proposal
 	}{
-		"a second try of a once-only txn": {OnceOnly, Proposal{Kind: Retry, Tenant: "acme", Figure: 2}},
-		"nothing at all":                  {Bare, Proposal{Kind: Allow, Tenant: "acme"}},
-		"one zone for a product at home":  {Bare, Proposal{Kind: Allow, Tenant: "acme", Backends: ids(0, 2, 4)}},
-		"no backend of the only zone":     {Bare, Proposal{Kind: Allow, Tenant: "acme", Backends: ids(1, 5, 7)}},
-		"a draining one":                  {Drains, Proposal{Kind: Allow, Tenant: "acme", Backends: ids(0, 1, 3)}},
-		"one that is not there":           {NoBackend, Proposal{Kind: Allow, Tenant: "acme", Backends: ids(0, 1, 99)}},
-		"most of the fleet onto a few":    {Narrow, Proposal{Kind: Allow, Tenant: "vast", Backends: ids(0, 1)}},
-		"a weight that is no number":      {NoFigure, Proposal{Kind: Cap, Tenant: "acme", Figure: math.NaN()}},
-		"without end":                     {NoFigure, Proposal{Kind: Cap, Tenant: "acme", Figure: math.Inf(1)}},
-		"below zero":                      {NoFigure, Proposal{Kind: Cap, Tenant: "acme", Figure: -3}},
-		"to shed more than all":           {NoFigure, Proposal{Kind: Shed, Tenant: "acme", Figure: 1.5}},
-		"nobody":                          {NoTenant, Proposal{Kind: Cap, Tenant: "none", Figure: 3}},
-		"an order":                        {NoKind, Proposal{Kind: 99, Tenant: "acme"}},
+		"a second try of a once-only txn": {UnsafeRetry, Proposal{Kind: Retry, Tenant: "acme", Figure: 2}},
+		"nothing at all":                  {NoEligibleBackend, Proposal{Kind: Allow, Tenant: "acme"}},
+		"one zone for a product at home":  {NoEligibleBackend, Proposal{Kind: Allow, Tenant: "acme", Backends: ids(0, 2, 4)}},
+		"no backend of the only zone":     {NoEligibleBackend, Proposal{Kind: Allow, Tenant: "acme", Backends: ids(1, 5, 7)}},
+		"a draining one":                  {BackendDraining, Proposal{Kind: Allow, Tenant: "acme", Backends: ids(0, 1, 3)}},
+		"one that is not there":           {UnknownBackend, Proposal{Kind: Allow, Tenant: "acme", Backends: ids(0, 1, 99)}},
+		"most of the fleet onto a few":    {InsufficientCapacity, Proposal{Kind: Allow, Tenant: "vast", Backends: ids(0, 1)}},
+		"a weight that is no number":      {InvalidFigure, Proposal{Kind: Cap, Tenant: "acme", Figure: math.NaN()}},
+		"without end":                     {InvalidFigure, Proposal{Kind: Cap, Tenant: "acme", Figure: math.Inf(1)}},
+		"below zero":                      {InvalidFigure, Proposal{Kind: Cap, Tenant: "acme", Figure: -3}},
+		"to shed more than all":           {InvalidFigure, Proposal{Kind: Shed, Tenant: "acme", Figure: 1.5}},
+		"nobody":                          {UnknownTenant, Proposal{Kind: Cap, Tenant: "none", Figure: 3}},
+		"an order":                        {UnknownKind, Proposal{Kind: 99, Tenant: "acme"}},
 	} {
 		h, now := begin(t)
 		h.Step(now, []Event{draining})
-		orders := h.Step(now+second, []Event{Proposed{"one", 6, []Proposal{c.p, good}}})
+		orders := h.Step(now+second, []Event{ProposalsReceived{"one", 6, []Proposal{c.p, good}}})
 		if r := refusals(orders); r[c.want] != 1 || len(r) != 1 {
 			t.Errorf("%s: refused %v, want %q", name, r, c.want)
 		}
-		if l := limits(orders)["beta"]; l.Most != 40 {
+		if l := limits(orders)["beta"]; l.MaxRate != 40 {
 			t.Errorf("%s: the good one beside it gives %+v", name, l)
 		}
 	}
 	h, now = begin(t)
 	h.Step(now, []Event{cold})
 	if r := refusals(
-		h.Step(now+second, []Event{Proposed{"one", 5, []Proposal{{Kind: Allow, Tenant: "acme", Backends: ids(0, 1, 2)}}}}),
-	); r[Cold] != 1 {
+		h.Step(now+second, []Event{ProposalsReceived{"one", 5,
+			[]Proposal{{Kind: Allow, Tenant: "acme", Backends: ids(0, 1, 2)}}}}),
+	); r[ColdBackends] != 1 {
 		t.Errorf("onto cold ones: refused %v", r)
 	}
 	var many []Proposal
@@ -124,9 +125,10 @@
 		tenants[fmt.Sprint("t", i)] = Tenant{Proxies: 1, Zones: []int{0}}
 		many = append(many, Proposal{Kind: Cap, Tenant: fmt.Sprint("t", i), Figure: 5})
 	}
-	h.Step(now+2*second, []Event{Planned{Products: []policy.Product{{}}, Proxies: 500, Tenants: tenants}})
-	orders := h.Step(now+3*second, []Event{Proposed{"one", 5, many}})
-	if r := refusals(orders); r[TooMany] != 500-Usual().Changes || len(limits(orders)) != Usual().Changes {
+	h.Step(now+2*second, []Event{TenantsUpdated{Products: []policy.Product{{}}, Proxies: 500, Tenants: tenants}})
+	orders := h.Step(now+3*second, []Event{ProposalsReceived{"one", 5, many}})
+	if r := refusals(orders); r[TooManyChanges] != 500-DefaultConfig().MaxChangesPerSecond ||
+		len(limits(orders)) != DefaultConfig().MaxChangesPerSecond {
 		t.Errorf("500 changes at once: refused %v, %d in force", r, len(limits(orders)))
 	}
 }
@@ -136,7 +138,7 @@
 func TestCase3Stale(t *testing.T) {
 	h, now := begin(t)
 	want := Proposal{Kind: Allow, Tenant: "acme", Backends: ids(0, 1, 2, 3)}
-	if l := limits(h.Step(now, []Event{Proposed{"one", 5, []Proposal{want}}}))["acme"]; !reflect.DeepEqual(
+	if l := limits(h.Step(now, []Event{ProposalsReceived{"one", 5, []Proposal{want}}}))["acme"]; !reflect.DeepEqual(
 		l.Backends,
 		want.Backends,
 	) {
@@ -149,11 +151,12 @@
 	if l, told := limits(orders)["acme"]; !told || l.Backends != nil {
 		t.Errorf("after one of them is gone: %+v, %v", l, told)
 	}
-	if r := refusals(h.Step(now+2*second, []Event{Proposed{"one", 5, []Proposal{want}}})); r[Stale] != 1 {
+	if r := refusals(h.Step(now+2*second, []Event{ProposalsReceived{"one", 5, []Proposal{want}}})); r[StaleRevision] != 1 {
 		t.Errorf("three moments late: refused %v", r)
 	}
 	late := Proposal{Kind: Allow, Tenant: "acme", Backends: ids(1, 2, 3, 4)}
-	if l := limits(h.Step(now+3*second, []Event{Proposed{"one", 5, []Proposal{late}}}))["acme"]; len(l.Backends) != 4 {
+	if l := limits(h.Step(now+3*second, []Event{ProposalsReceived{"one", 5,
+		[]Proposal{late}}}))["acme"]; len(l.Backends) != 4 {
 		t.Errorf("late, but of none that changed: %+v", l)
 	}
 	// It ages out where it is not made again.
@@ -168,9 +171,9 @@
 	told, flaps := 0, 0
 	for i := range 60 {
 		p := Proposal{Kind: Cap, Tenant: "acme", Figure: float64(10 + 50*(i%2))}
-		orders := h.Step(now+Time(i)*second, []Event{Proposed{"one", 5, []Proposal{p}}})
+		orders := h.Step(now+Time(i)*second, []Event{ProposalsReceived{"one", 5, []Proposal{p}}})
 		told += len(limits(orders))
-		flaps += refusals(orders)[Flaps]
+		flaps += refusals(orders)[Flapping]
 	}
 	if told > 12 || flaps < 25 {
 		t.Errorf("told %d times in 60 s, %d refused", told, flaps)
@@ -178,7 +181,8 @@
 	steady := 0
 	for i := range 10 { // one that only changes its mind is not held up
 		p := Proposal{Kind: Cap, Tenant: "beta", Figure: float64(10 + i)}
-		if _, is := limits(h.Step(now+Time(100+3*i)*second, []Event{Proposed{"one", 5, []Proposal{p}}}))["beta"]; is {
+		if _, is := limits(h.Step(now+Time(100+3*i)*second,
+			[]Event{ProposalsReceived{"one", 5, []Proposal{p}}}))["beta"]; is {
 			steady++
 		}
 	}
@@ -192,12 +196,12 @@
 func TestCase5Opposed(t *testing.T) {
 	h, now := begin(t)
 	orders := h.Step(now, []Event{
-		Proposed{
+		ProposalsReceived{
 			"one",
 			5,
 			[]Proposal{{Kind: Allow, Tenant: "acme", Backends: ids(0, 1, 2, 3)}, {Kind: Cap, Tenant: "acme", Figure: 30}},
 		},
-		Proposed{
+		ProposalsReceived{
 			"two",
 			5,
 			[]Proposal{{Kind: Allow, Tenant: "acme", Backends: ids(4, 5, 6, 7)}, {Kind: Cap, Tenant: "acme", Figure: 70}},
@@ -208,7 +212,7 @@
 	}
 	orders = h.Step(
 		now+second,
-		[]Event{Proposed{"two", 5, []Proposal{{Kind: Allow, Tenant: "acme", Backends: ids(2, 3, 4, 5)}}}},
+		[]Event{ProposalsReceived{"two", 5, []Proposal{{Kind: Allow, Tenant: "acme", Backends: ids(2, 3, 4, 5)}}}},
 	)
 	if l := limits(orders)["acme"]; !reflect.DeepEqual(l.Backends, ids(2, 3)) {
 		t.Errorf("with some in common: %+v", l)
@@ -217,19 +221,19 @@
 	for i := range 40 {
 		tenants[fmt.Sprintf("t%02d", i)] = Tenant{Proxies: 1, Zones: []int{0, 1}}
 	}
-	h.Step(now+2*second, []Event{Planned{Products: []policy.Product{{}}, Proxies: 40, Tenants: tenants}})
+	h.Step(now+2*second, []Event{TenantsUpdated{Products: []policy.Product{{}}, Proxies: 40, Tenants: tenants}})
 	for s := range 3 {
 		var all []Proposal
 		for i := range 40 {
 			all = append(all, Proposal{Kind: Allow, Tenant: fmt.Sprintf("t%02d", i), Backends: ids(0, 1)})
 		}
-		h.Step(now+Time(3+s)*second, []Event{Proposed{"one", 5, all}})
+		h.Step(now+Time(3+s)*second, []Event{ProposalsReceived{"one", 5, all}})
 	}
 	if len(h.notified) != 40 {
 		t.Fatalf("%d limits hold", len(h.notified))
 	}
 	var back []int
-	why := []Event{Faulted{"one", "it loops"}}
+	why := []Event{PluginFailed{"one", "it loops"}}
 	for s := range 6 {
 		back = append(back, len(limits(h.Step(now+Time(7+s)*second, why))))
 		why = nil
@@ -245,18 +249,18 @@
 	h, now := begin(t)
 	var pauses []Time
 	for i := range 10 {
-		for _, o := range h.Step(now, []Event{Faulted{"one", fmt.Sprint("trap ", i)}}) {
+		for _, o := range h.Step(now, []Event{PluginFailed{"one", fmt.Sprint("trap ", i)}}) {
 			switch o := o.(type) {
-			case Paused:
+			case PluginPaused:
 				pauses = append(pauses, (o.Until-now)/second)
 				if r := refusals(
-					h.Step(o.Until-1, []Event{Proposed{"one", 5, []Proposal{{Kind: Cap, Tenant: "acme", Figure: 3}}}}),
-				); r[OutOfForce] != 1 {
+					h.Step(o.Until-1, []Event{ProposalsReceived{"one", 5, []Proposal{{Kind: Cap, Tenant: "acme", Figure: 3}}}}),
+				); r[PluginInactive] != 1 {
 					t.Errorf("while it is paused: %v", r)
 				}
 				now = o.Until
-			case PutOut:
-				if i != Usual().Faults-1 || o.Why != "6 faults, the last: trap 5" {
+			case PluginDisabled:
+				if i != DefaultConfig().MaxFailures-1 || o.Why != "6 faults, the last: trap 5" {
 					t.Errorf("put out at fault %d: %s", i, o.Why)
 				}
 			}
@@ -265,11 +269,11 @@
 	if !slices.Equal(pauses, []Time{1, 2, 4, 8, 16}) {
 		t.Errorf("pauses %v", pauses)
 	}
-	h.Step(now, []Event{Faulted{"two", "trap"}})
+	h.Step(now, []Event{PluginFailed{"two", "trap"}})
 	now += 20 * second
-	h.Step(now, []Event{Proposed{"two", 5, nil}})
-	for _, o := range h.Step(now, []Event{Faulted{"two", "trap"}}) {
-		if p, ok := o.(Paused); ok && p.Until != now+second {
+	h.Step(now, []Event{ProposalsReceived{"two", 5, nil}})
+	for _, o := range h.Step(now, []Event{PluginFailed{"two", "trap"}}) {
+		if p, ok := o.(PluginPaused); ok && p.Until != now+second {
 			t.Errorf("after it did well it is paused for %v", p.Until-now)
 		}
 	}
@@ -313,14 +317,14 @@
 				}
 				all = append(all, p)
 			}
-			events = append(events, Proposed{name, list.Revision - int64(chance.Intn(2)), all})
+			events = append(events, ProposalsReceived{name, list.Revision - int64(chance.Intn(2)), all})
 			if chance.Intn(30) == 0 {
-				events = append(events, Faulted{name, "trap"})
+				events = append(events, PluginFailed{name, "trap"})
 			}
 			h.Step(now, events)
 			for tenant, l := range h.notified {
-				if l.Most < 0 || math.IsNaN(l.Most) {
-					t.Fatalf("seed %d: cap %v", seed, l.Most)
+				if l.MaxRate < 0 || math.IsNaN(l.MaxRate) {
+					t.Fatalf("seed %d: cap %v", seed, l.MaxRate)
 				}
 				if l.Backends != nil {
 					if why := plainly(list, tenants, tenant, l.Backends); why != "" {
@@ -330,13 +334,13 @@
 			}
 		}
 		all := ids(0, 1, 2, 3, 4, 5, 6, 7) // harmless: all that serve, on the list of now
-		h.Step(now+100*second, []Event{plainList(list), Loaded{"three", 9}})
+		h.Step(now+100*second, []Event{plainList(list), PluginLoaded{"three", 9}})
 		list = plainList(list)
 		if r := refusals(
 			h.Step(
 				now+101*second,
 				[]Event{
-					Proposed{
+					ProposalsReceived{
 						"three",
 						list.Revision,
 						[]Proposal{{Kind: Allow, Tenant: "vast", Backends: all}, {Kind: Cap, Tenant: "acme", Figure: 9}},
@@ -351,24 +355,24 @@
 	}
 }
 
-func plainPlanned() Planned {
-	planned, _ := plain()[0].(Planned)
+func plainPlanned() TenantsUpdated {
+	planned, _ := plain()[0].(TenantsUpdated)
 	return planned
 }
 
-func plainListed() Listed {
-	listed, _ := plain()[1].(Listed)
+func plainListed() BackendsUpdated {
+	listed, _ := plain()[1].(BackendsUpdated)
 	return listed
 }
 
-func plainList(l Listed) Listed {
+func plainList(l BackendsUpdated) BackendsUpdated {
 	next := plainListed()
 	next.Revision = l.Revision + 1
 	return next
 }
 
 // plainly is the rules in their plainest form.
-func plainly(l Listed, all Planned, tenant string, allowed []string) string {
+func plainly(l BackendsUpdated, all TenantsUpdated, tenant string, allowed []string) string {
 	for _, p := range all.Products {
 		for _, zone := range all.Tenants[tenant].Zones {
 			left, cold, sum, might := 0.0, 0.0, 0.0, 0
--- a/internal/controller/pluginhost/plugin.go
+++ b/internal/controller/pluginhost/plugin.go
@@ -44,25 +44,26 @@
 
 // Limits bound a plug-in.
 type Limits struct {
-	Call   time.Duration // a call may take
-	Start  time.Duration // its start may
-	Memory int           // bytes
-	Says   int           // bytes of an answer
+	CallTimeout  time.Duration // a call may take
+	StartTimeout time.Duration // its start may
+	MaxMemory    int           // bytes
+	MaxAnswer    int           // bytes of an answer
 }
 
-// Usual are the Limits that hold where none are given.
-func Usual() Limits {
-	return Limits{Call: 50 * time.Millisecond, Start: 2 * time.Second, Memory: 32 << 20, Says: 256 << 10}
+// DefaultLimits are the Limits that hold where none are given.
+func DefaultLimits() Limits {
+	return Limits{CallTimeout: 50 * time.Millisecond, StartTimeout: 2 * time.Second,
+		MaxMemory: 32 << 20, MaxAnswer: 256 << 10}
 }
 
 // Why a plug-in faults; errors.Is tells them apart.
 var (
-	ErrModule  = errors.New("no module that can be loaded")
-	ErrImports = errors.New("it asks for what it may not have")
-	ErrExports = errors.New("it lacks what a plug-in exports")
-	ErrSlow    = errors.New("it takes too long")
-	ErrTrap    = errors.New("it trapped")
-	ErrSays    = errors.New("what it says cannot be read")
+	ErrInvalidModule   = errors.New("no module that can be loaded")
+	ErrForbiddenImport = errors.New("it asks for what it may not have")
+	ErrMissingExport   = errors.New("it lacks what a plug-in exports")
+	ErrTimeout         = errors.New("it takes too long")
+	ErrTrap            = errors.New("it trapped")
+	ErrInvalidAnswer   = errors.New("what it says cannot be read")
 )
 
 const pageBytes = 64 << 10
@@ -90,25 +91,25 @@
 
 // start makes a runtime and a module of its own: nothing is left of one that was stopped.
 func (p *Plugin) start() error {
-	ctx, cancel := context.WithTimeout(context.Background(), p.limits.Start)
+	ctx, cancel := context.WithTimeout(context.Background(), p.limits.StartTimeout)
 	defer cancel()
 	p.runtime = wazero.NewRuntimeWithConfig(ctx, wazero.NewRuntimeConfig().WithCloseOnContextDone(true).
-		WithMemoryLimitPages(uint32(max(p.limits.Memory/pageBytes, 1))))
+		WithMemoryLimitPages(uint32(max(p.limits.MaxMemory/pageBytes, 1))))
 	compiled, err := p.runtime.CompileModule(ctx, p.code)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrModule, err)
+		return fmt.Errorf("%w: %w", ErrInvalidModule, err)
 	}
 	for _, f := range compiled.ImportedFunctions() {
 		if from, name, _ := f.Import(); from != wasiName {
-			return fmt.Errorf("%w: %s.%s", ErrImports, from, name)
+			return fmt.Errorf("%w: %s.%s", ErrForbiddenImport, from, name)
 		}
 	}
 	if len(compiled.ImportedMemories()) > 0 {
-		return fmt.Errorf("%w: a memory of another", ErrImports)
+		return fmt.Errorf("%w: a memory of another", ErrForbiddenImport)
 	}
 	exports := compiled.ExportedFunctions()
 	if exports[allocName] == nil || exports[proposeName] == nil || len(compiled.ExportedMemories()) == 0 {
-		return fmt.Errorf("%w: %s, %s and a memory", ErrExports, allocName, proposeName)
+		return fmt.Errorf("%w: %s, %s and a memory", ErrMissingExport, allocName, proposeName)
 	}
 	// What a tool chain's run time asks for at its start is there, but empty: no file, no argument, a clock that
 	// stands, chance that is always the same.
@@ -132,7 +133,7 @@
 func (p *Plugin) fault(ctx context.Context, err error) error {
 	var exit *sys.ExitError
 	if ctx.Err() != nil || errors.As(err, &exit) && exit.ExitCode() == sys.ExitCodeDeadlineExceeded {
-		return ErrSlow
+		return ErrTimeout
 	}
 	return fmt.Errorf("%w: %.200s", ErrTrap, err.Error())
 }
@@ -159,32 +160,32 @@
 	if err != nil {
 		return a, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), p.limits.Call)
+	ctx, cancel := context.WithTimeout(context.Background(), p.limits.CallTimeout)
 	defer cancel()
 	at, err := p.module.ExportedFunction(allocName).Call(ctx, uint64(len(text)))
 	if err != nil {
 		return a, p.fault(ctx, err)
 	}
 	if len(at) != 1 || !p.module.Memory().Write(uint32(at[0]), text) {
-		return a, fmt.Errorf("%w: an address beyond its memory", ErrSays)
+		return a, fmt.Errorf("%w: an address beyond its memory", ErrInvalidAnswer)
 	}
 	said, err := p.module.ExportedFunction(proposeName).Call(ctx, at[0], uint64(len(text)))
 	if err != nil {
 		return a, p.fault(ctx, err)
 	}
 	if len(said) != 1 {
-		return a, fmt.Errorf("%w: nothing", ErrSays)
+		return a, fmt.Errorf("%w: nothing", ErrInvalidAnswer)
 	}
 	from, bytes := uint32(said[0]>>32), uint32(said[0])
-	if int(bytes) > p.limits.Says {
-		return a, fmt.Errorf("%w: %d bytes, %d are allowed", ErrSays, bytes, p.limits.Says)
+	if int(bytes) > p.limits.MaxAnswer {
+		return a, fmt.Errorf("%w: %d bytes, %d are allowed", ErrInvalidAnswer, bytes, p.limits.MaxAnswer)
 	}
 	answer, ok := p.module.Memory().Read(from, bytes)
 	if !ok {
-		return a, fmt.Errorf("%w: an address beyond its memory", ErrSays)
+		return a, fmt.Errorf("%w: an address beyond its memory", ErrInvalidAnswer)
 	}
 	if err := cbor.Unmarshal(answer, &a); err != nil {
-		return Answer{}, fmt.Errorf("%w: %.100s", ErrSays, err.Error())
+		return Answer{}, fmt.Errorf("%w: %.100s", ErrInvalidAnswer, err.Error())
 	}
 	return a, nil
 }
@@ -211,8 +212,8 @@
 	once    sync.Once
 }
 
-// Run begins; answered is given what each call gave, with the revision of the list that it was made on.
-func Run(p *Plugin, answered func(revision int64, a Answer, err error)) *Runner {
+// StartRunner begins; answered is given what each call gave, with the revision of the list that it was made on.
+func StartRunner(p *Plugin, answered func(revision int64, a Answer, err error)) *Runner {
 	r := &Runner{moments: make(chan Moment, 1), done: make(chan struct{})}
 	go func() {
 		defer p.Close()
@@ -229,8 +230,8 @@
 	return r
 }
 
-// Tell hands it a moment in place of one that still waits.
-func (r *Runner) Tell(m Moment) {
+// Submit hands it a moment in place of one that still waits.
+func (r *Runner) Submit(m Moment) {
 	for {
 		select {
 		case r.moments <- m:
--- a/internal/controller/pluginhost/plugin_test.go
+++ b/internal/controller/pluginhost/plugin_test.go
@@ -74,8 +74,8 @@
 
 // patient are limits that a machine at work, under the race detector, does not reach.
 func patient() Limits {
-	l := Usual()
-	l.Start, l.Call = time.Minute, time.Minute
+	l := DefaultLimits()
+	l.StartTimeout, l.CallTimeout = time.Minute, time.Minute
 	return l
 }
 
@@ -99,7 +99,7 @@
 		load error // at its load
 		call error
 	}{
-		"an endless loop": {wasm(place, []byte{0x03, 0x40, 0x0c, 0, 0x0b, 0x42, 0, 0x0b}, nil, ""), nil, ErrSlow},
+		"an endless loop": {wasm(place, []byte{0x03, 0x40, 0x0c, 0, 0x0b, 0x42, 0, 0x0b}, nil, ""), nil, ErrTimeout},
 		// its stack or its time ends it
 		"an endless recursion": {wasm(place, []byte{0x20, 0, 0x20, 1, 0x10, 1, 0x0b}, nil, ""), nil, nil},
 		"memory without end": {
@@ -108,24 +108,24 @@
 			ErrTrap,
 		},
 		"a trap":                 {wasm(place, []byte{0, 0x0b}, nil, ""), nil, ErrTrap},
-		"an answer of 100 MB":    {wasm(place, says(0, 100<<20), nil, ""), nil, ErrSays},
-		"an answer beyond":       {wasm(place, says(0x7fffff00, 64), nil, ""), nil, ErrSays},
-		"an answer at the end":   {wasm(place, says(65530, 64), nil, ""), nil, ErrSays},
-		"an invalid answer":      {wasm(place, says(0, 5), []byte("\xff\xfe\x00\x01\x02"), ""), nil, ErrSays},
-		"an answer of no struct": {wasm(place, says(0, 1), []byte{7}, ""), nil, ErrSays},
+		"an answer of 100 MB":    {wasm(place, says(0, 100<<20), nil, ""), nil, ErrInvalidAnswer},
+		"an answer beyond":       {wasm(place, says(0x7fffff00, 64), nil, ""), nil, ErrInvalidAnswer},
+		"an answer at the end":   {wasm(place, says(65530, 64), nil, ""), nil, ErrInvalidAnswer},
+		"an invalid answer":      {wasm(place, says(0, 5), []byte("\xff\xfe\x00\x01\x02"), ""), nil, ErrInvalidAnswer},
+		"an answer of no struct": {wasm(place, says(0, 1), []byte{7}, ""), nil, ErrInvalidAnswer},
 		"a place beyond": {
 			wasm(append([]byte{0x41}, append(sleb(0x7fffff00), 0x0b)...), says(0, 1), []byte{0xa0}, ""),
 			nil,
-			ErrSays,
+			ErrInvalidAnswer,
 		},
-		"no module":          {[]byte("#!/bin/sh"), ErrModule, nil},
-		"half a module":      {code[:len(code)/2], ErrModule, nil},
-		"imports it may not": {wasm(place, says(0, 1), nil, "open"), ErrImports, nil},
-		"no exports":         {[]byte("\x00asm\x01\x00\x00\x00"), ErrExports, nil},
+		"no module":          {[]byte("#!/bin/sh"), ErrInvalidModule, nil},
+		"half a module":      {code[:len(code)/2], ErrInvalidModule, nil},
+		"imports it may not": {wasm(place, says(0, 1), nil, "open"), ErrForbiddenImport, nil},
+		"no exports":         {[]byte("\x00asm\x01\x00\x00\x00"), ErrMissingExport, nil},
 	} {
 		limits := patient()
-		if limits.Memory = 1 << 20; c.call == nil || errors.Is(c.call, ErrSlow) { // these end by their time
-			limits.Call = Usual().Call
+		if limits.MaxMemory = 1 << 20; c.call == nil || errors.Is(c.call, ErrTimeout) { // these end by their time
+			limits.CallTimeout = DefaultLimits().CallTimeout
 		}
 		p, err := Load(name, c.code, limits)
 		if c.load != nil {
@@ -190,17 +190,17 @@
 		err      error
 	}
 	first, goOn, answers := make(chan bool), make(chan bool), make(chan answer, 10)
-	r := Run(p, func(revision int64, a Answer, err error) {
+	r := StartRunner(p, func(revision int64, a Answer, err error) {
 		if revision == 1 {
 			first <- true
 			<-goOn
 		}
 		answers <- answer{revision, a, err}
 	})
-	r.Tell(Moment{Revision: 1})
+	r.Submit(Moment{Revision: 1})
 	<-first
 	for i := range 100 {
-		r.Tell(Moment{Revision: int64(i + 2)})
+		r.Submit(Moment{Revision: int64(i + 2)})
 	}
 	goOn <- true
 	for _, revision := range []int64{1, 101} {
--- a/internal/controller/pubsub/channel_test.go
+++ b/internal/controller/pubsub/channel_test.go
@@ -468,16 +468,16 @@
 	}
 	h.hub.Look(
 		[]warmstart.Fact{
-			{Kind: warmstart.Relief, Key: "s-1", Value: 0.4},
+			{Kind: warmstart.Derating, Key: "s-1", Value: 0.4},
 			{Kind: warmstart.Throughput, Value: 5},
-			{Kind: warmstart.Use, Key: "1/look", Value: 9},
+			{Kind: warmstart.Usage, Key: "1/look", Value: 9},
 		},
 	)
 	look := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: pubsub.Hello{Topic: pubsub.LookTopic}})
 	if state := <-look.changed; len(state) != 2 || state[session.Join("relief", "s-1")].Figure != 0.4 {
 		t.Errorf("the onlooker of decisions holds %v", state)
 	}
-	h.hub.Look([]warmstart.Fact{{Kind: warmstart.Relief, Key: "s-1", Value: 1}})
+	h.hub.Look([]warmstart.Fact{{Kind: warmstart.Derating, Key: "s-1", Value: 1}})
 	if state := <-look.changed; len(state) != 1 {
 		t.Errorf("the onlooker of decisions holds %v", state)
 	}
--- a/internal/controller/pubsub/hub.go
+++ b/internal/controller/pubsub/hub.go
@@ -136,10 +136,10 @@
 func (h *Hub) Look(facts []warmstart.Fact) {
 	e := session.Changed{Topic: LookTopic}
 	for _, f := range facts {
-		if f.Kind != warmstart.Use {
+		if f.Kind != warmstart.Usage {
 			e.Sets = append(
 				e.Sets,
-				session.Set{Key: session.Join(f.Kind.String(), f.Key), Gone: f.Kind == warmstart.Relief && f.Value == 1,
+				session.Set{Key: session.Join(f.Kind.String(), f.Key), Gone: f.Kind == warmstart.Derating && f.Value == 1,
 					Value: session.Value{Figure: f.Value}},
 			)
 		}
--- a/internal/controller/sources.go
+++ b/internal/controller/sources.go
@@ -28,7 +28,7 @@
 type WarmState interface {
 	InitialList() (l reconcile.List, ok bool) // the last list, unless it is too old
 	Update(message any)                       // a reconcile.List or reconcile.SourceFailed sent to the event loop
-	InitialBeliefs() []warmstart.Believe      // other facts that are still believed
+	InitialBeliefs() []warmstart.Accepted     // other facts that are still believed
 	RecordFacts(facts []warmstart.Fact)       // facts of the event loop, a part of them each second
 }
 
--- a/internal/controller/statestore/store.go
+++ b/internal/controller/statestore/store.go
@@ -36,10 +36,10 @@
 
 // Why a store is not used; errors.Is tells them apart.
 var (
-	ErrNewer   = errors.New("it is of a newer version")
-	ErrForeign = errors.New("it is another controller's")
-	ErrBroken  = errors.New("it is broken")
-	ErrLoop    = errors.New("the program died three times right after it read it")
+	ErrNewer     = errors.New("it is of a newer version")
+	ErrForeign   = errors.New("it is another controller's")
+	ErrCorrupt   = errors.New("it is broken")
+	ErrCrashLoop = errors.New("the program died three times right after it read it")
 )
 
 var (
@@ -75,7 +75,7 @@
 // then says which, and the Store is there. One of a newer version or of another name is left alone: no Store.
 func Open(path, name string, mostBytes int64, log *logrus.Entry) (*Store, []Record, error) {
 	s, records, err := open(path, name)
-	if errors.Is(err, ErrBroken) || errors.Is(err, ErrLoop) {
+	if errors.Is(err, ErrCorrupt) || errors.Is(err, ErrCrashLoop) {
 		aside := fmt.Sprintf("%s.aside-%d", path, time.Now().Unix())
 		if e := os.Rename(path, aside); e != nil {
 			return nil, nil, fmt.Errorf("%s: %w, and cannot be set aside: %w", path, err, e)
@@ -107,7 +107,7 @@
 	var db *bbolt.DB
 	defer func() {
 		if p := recover(); p != nil {
-			s, records, err = nil, nil, fmt.Errorf("%w: %v", ErrBroken, p)
+			s, records, err = nil, nil, fmt.Errorf("%w: %v", ErrCorrupt, p)
 		}
 		if err != nil && db != nil {
 			closeBroken(db)
@@ -130,13 +130,13 @@
 			return err
 		}
 		for problem := range tx.Check() {
-			return fmt.Errorf("%w: %w", ErrBroken, problem)
+			return fmt.Errorf("%w: %w", ErrCorrupt, problem)
 		}
 		records, err = readFacts(facts)
 		return err
 	})
 	if err == nil && loop {
-		err = ErrLoop
+		err = ErrCrashLoop
 	}
 	if err != nil {
 		return nil, nil, err
@@ -152,7 +152,7 @@
 	if err == nil || errors.Is(err, os.ErrPermission) || errors.Is(err, bbolterrors.ErrTimeout) {
 		return db, err
 	}
-	return nil, fmt.Errorf("%w: %w", ErrBroken, err)
+	return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 }
 
 // checkFile refuses a file that cannot be a store; one that is missing is made.
@@ -162,7 +162,7 @@
 	case err != nil: // opening tells
 		return nil
 	case info.Size() == 0:
-		return fmt.Errorf("%w: empty", ErrBroken)
+		return fmt.Errorf("%w: empty", ErrCorrupt)
 	case !ours(path):
 		return fmt.Errorf("%w: not a store", ErrForeign)
 	}
@@ -206,12 +206,12 @@
 	return false, meta.Put(startsKey, binary.AppendUvarint(nil, starts+1))
 }
 
-// Look reads a store without changing it; it waits for nobody, so not while a controller holds it.
-func Look(path string) (name string, records []Record, err error) {
+// Inspect reads a store without changing it; it waits for nobody, so not while a controller holds it.
+func Inspect(path string) (name string, records []Record, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("%s: %w: %v", path, ErrBroken, p)
+			err = fmt.Errorf("%s: %w: %v", path, ErrCorrupt, p)
 		}
 	}()
 	if _, err := os.Stat(path); err != nil {
@@ -224,7 +224,7 @@
 	if errors.Is(err, bbolterrors.ErrTimeout) {
 		return "", nil, fmt.Errorf("%s: a controller holds it", path)
 	} else if err != nil {
-		return "", nil, fmt.Errorf("%s: %w: %w", path, ErrBroken, err)
+		return "", nil, fmt.Errorf("%s: %w: %w", path, ErrCorrupt, err)
 	}
 	defer func() { _ = db.Close() }()
 	err = db.View(func(tx *bbolt.Tx) error {
@@ -237,7 +237,7 @@
 		}
 		name = string(meta.Get(nameKey))
 		for problem := range tx.Check() {
-			return fmt.Errorf("%s: %w: %w", path, ErrBroken, problem)
+			return fmt.Errorf("%s: %w: %w", path, ErrCorrupt, problem)
 		}
 		return facts.ForEach(func(k, v []byte) error {
 			r, err := Decode(v)
@@ -304,8 +304,8 @@
 	}
 }
 
-// Healthy says that the program has run long enough not to be in a loop.
-func (s *Store) Healthy() error {
+// ResetStartCount says that the program has run long enough not to be in a loop.
+func (s *Store) ResetStartCount() error {
 	return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put(startsKey, nil) })
 }
 
--- a/internal/controller/statestore/store_test.go
+++ b/internal/controller/statestore/store_test.go
@@ -23,7 +23,7 @@
 }
 
 func record(i int, value float64) Record {
-	return Record{Kind: warmstart.Use, Key: fmt.Sprint(i), Value: value, At: 1000 + int64(i)}
+	return Record{Kind: warmstart.Usage, Key: fmt.Sprint(i), Value: value, At: 1000 + int64(i)}
 }
 
 // put writes a batch through an open store that is then closed as a program that ends well does.
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	s.Put(records...)
-	if err := errors.Join(s.Flush(), s.Healthy(), s.Close()); err != nil {
+	if err := errors.Join(s.Flush(), s.ResetStartCount(), s.Close()); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -45,7 +45,7 @@
 	if s == nil {
 		return nil, err
 	}
-	_ = s.Healthy()
+	_ = s.ResetStartCount()
 	_ = s.Close()
 	all := map[string]Record{}
 	for _, r := range records {
@@ -173,7 +173,7 @@
 		t.Errorf("%v, %d wait", err, len(s.waiting))
 	}
 	s.db = good
-	if err := errors.Join(s.Flush(), s.Healthy(), s.Close()); err != nil {
+	if err := errors.Join(s.Flush(), s.ResetStartCount(), s.Close()); err != nil {
 		t.Fatal(err)
 	}
 	if all, err := read(t, path); err != nil || len(all) != 1 {
@@ -195,7 +195,7 @@
 		_ = s.db.Close() // and dies
 	}
 	s, records, err := Open(path, "n1", 0, quiet())
-	if !errors.Is(err, ErrLoop) || len(records) != 0 || s == nil {
+	if !errors.Is(err, ErrCrashLoop) || len(records) != 0 || s == nil {
 		t.Fatalf("after three deaths: %d facts, %v", len(records), err)
 	}
 	_ = s.Close()
@@ -265,7 +265,7 @@
 			t.Fatal(err)
 		}
 	}
-	_ = s.Healthy()
+	_ = s.ResetStartCount()
 	_ = s.Close()
 	info, _ := os.Stat(path)
 	all, _ := read(t, path)
--- a/internal/controller/warmstart/recall.go
+++ b/internal/controller/warmstart/session.go
@@ -22,12 +22,12 @@
 const (
 	Backend    Kind = iota + 1 // Key: its id; State: one of the list's phases
 	Withdrawal                 // Key: a backend; State: Out or In
-	Moving                     // Key: a tenant; State: the cell that it is to be in
-	Use                        // Key: a proxy and product; txns/s
+	TenantCell                 // Key: a tenant; State: the cell that it is to be in
+	Usage                      // Key: a proxy and product; txns/s
 	Throughput                 // the most served, txns/s for a unit of the listed weight
-	Total                      // txns/s for a unit of the listed weight, 0 for unbounded
+	TotalLimit                 // txns/s for a unit of the listed weight, 0 for unbounded
 	Knee                       // the same
-	Relief                     // Key: a backend; part of its weight that it keeps
+	Derating                   // Key: a backend; part of its weight that it keeps
 	ends
 )
 
@@ -40,52 +40,54 @@
 
 // States of facts, the safer one of two that disagree being the later here.
 const (
-	In       = "in"
-	Serving  = "SERVING"
-	Out      = "out"
-	Draining = "DRAINING"
-	Ended    = "DELETED"
+	InRotation    = "in"
+	Serving       = "SERVING"
+	OutOfRotation = "out"
+	Draining      = "DRAINING"
+	Deleted       = "DELETED"
 )
 
-var safety = map[string]int{In: 1, Serving: 1, Out: 2, Draining: 3, Ended: 4}
+var safety = map[string]int{InRotation: 1, Serving: 1, OutOfRotation: 2, Draining: 3, Deleted: 4}
 
 // Fact is a piece of what somebody knows. Age is how long ago it was true at first hand, by the clock of who tells
 // it, so that clocks need not agree; Origin is who knew it at first hand, and Doubt, 0 to 1, how far that one was
 // warming up itself.
 type Fact struct {
-	Kind     Kind
-	Key      string
-	State    string
-	Value    float64
-	Note     string // whatever else goes with it, unread here
-	Revision int64  // of the list that a backend's state is from; 0: none
-	Age      Time
-	Origin   string
-	Doubt    float64
+	Kind        Kind
+	Key         string
+	State       string
+	Value       float64
+	Note        string // whatever else goes with it, unread here
+	Revision    int64  // of the list that a backend's state is from; 0: none
+	Age         Time
+	Origin      string
+	Uncertainty float64 `cbor:"Doubt"` // 0 to 1
 }
 
-// Plan is what a Recall is given once.
-type Plan struct {
-	Name  string // ours: what we knew ourselves before
-	Grace Time   // older facts are refused
-	Half  Time   // age at which a figure counts half
-	Most  int    // facts at most
+// Config is what a Recall is given once.
+type Config struct {
+	Name     string // ours: what we knew ourselves before
+	MaxAge   Time   // older facts are refused
+	HalfLife Time   // age at which a figure counts half
+	MaxFacts int    // facts at most
 }
 
-// Usual is the Plan with every figure that may be left out.
-func Usual() Plan { return Plan{Grace: 60 * time.Second, Half: 10 * time.Second, Most: 200000} }
+// DefaultConfig is the Plan with every figure that may be left out.
+func DefaultConfig() Config {
+	return Config{MaxAge: 60 * time.Second, HalfLife: 10 * time.Second, MaxFacts: 200000}
+}
 
 // Event is one of the structs below.
 type Event any
 
-// Offered brings facts from the store or an instance.
-type Offered struct {
+// Received brings facts from the store or an instance.
+type Received struct {
 	Source string
 	Facts  []Fact
 }
 
-// KnownFact is a fact at first hand: nothing that was offered stands against it any more.
-type KnownFact struct {
+// Observed is a fact at first hand: nothing that was offered stands against it any more.
+type Observed struct {
 	Kind Kind
 	Key  string
 }
@@ -93,24 +95,24 @@
 // Order is one of the structs below.
 type Order any
 
-// Believe says what to take a fact for, and how far: 1 for what was true a moment ago, less with age and doubt.
-type Believe struct {
+// Accepted says what to take a fact for, and how far: 1 for what was true a moment ago, less with age and doubt.
+type Accepted struct {
 	Fact
-	Part    float64
-	Sources int
+	Confidence float64
+	Sources    int
 }
 
-// Refuse says why facts were not taken, a line for each reason of an offer.
-type Refuse struct {
+// Rejected says why facts were not taken, a line for each reason of an offer.
+type Rejected struct {
 	Source, Reason string
 	Count          int
 }
 
-// Differ says that sources disagree about a state, and which one holds.
-type Differ struct {
-	Kind         Kind
-	Key          string
-	Holds, Other string
+// Conflict says that sources disagree about a state, and which one holds.
+type Conflict struct {
+	Kind          Kind
+	Key           string
+	Chosen, Other string
 }
 
 type heldFact struct {
@@ -120,12 +122,12 @@
 
 // Session joins what was offered.
 type Session struct {
-	plan     Plan
+	plan     Config
 	now      Time
 	facts    map[id]*heldFact
 	knownIDs map[id]bool
 	count    int
-	believed map[id]Believe
+	believed map[id]Accepted
 }
 
 type id struct {
@@ -134,8 +136,8 @@
 }
 
 // New makes a Recall that knows nothing.
-func New(plan Plan) *Session {
-	return &Session{plan: plan, facts: map[id]*heldFact{}, knownIDs: map[id]bool{}, believed: map[id]Believe{}}
+func New(plan Config) *Session {
+	return &Session{plan: plan, facts: map[id]*heldFact{}, knownIDs: map[id]bool{}, believed: map[id]Accepted{}}
 }
 
 // Step takes what was offered in a moment, and tells what changes in what is believed.
@@ -143,9 +145,9 @@
 	r.now = max(now, r.now)
 	for _, e := range events {
 		switch e := e.(type) {
-		case Offered:
+		case Received:
 			out = append(out, r.offered(e)...)
-		case KnownFact:
+		case Observed:
 			at := id{e.Kind, e.Key}
 			if h := r.facts[at]; h != nil {
 				r.count -= len(h.facts)
@@ -165,13 +167,14 @@
 		return "of a kind that is not known"
 	case f.Age < 0:
 		return "from the future"
-	case f.Age > r.plan.Grace:
+	case f.Age > r.plan.MaxAge:
 		return "older than the grace"
-	case f.Doubt < 0 || f.Doubt > 1 || math.IsNaN(f.Doubt) || math.IsNaN(f.Value) || math.IsInf(f.Value, 0) || f.Value < 0:
+	case f.Uncertainty < 0 || f.Uncertainty > 1 || math.IsNaN(f.Uncertainty) ||
+		math.IsNaN(f.Value) || math.IsInf(f.Value, 0) || f.Value < 0:
 		return "not a figure"
 	case f.Origin == "":
 		return "nobody's"
-	case f.Doubt == 1:
+	case f.Uncertainty == 1:
 		return "of one that is warming up itself"
 	case f.Kind <= Withdrawal && safety[f.State] == 0:
 		return "in a state that is not known"
@@ -183,11 +186,11 @@
 
 // offered keeps of each origin the youngest word: what one has from another adds nothing to what that one said.
 // Two that start together so cannot make each other sure.
-func (r *Session) offered(e Offered) (out []Order) {
+func (r *Session) offered(e Received) (out []Order) {
 	refused := map[string]int{}
 	for _, f := range e.Facts {
 		why := r.fault(f)
-		if why == "" && r.count >= r.plan.Most {
+		if why == "" && r.count >= r.plan.MaxFacts {
 			why = "beyond what is kept"
 		}
 		if why != "" {
@@ -210,7 +213,7 @@
 		}
 	}
 	for _, why := range slices.Sorted(maps.Keys(refused)) {
-		out = append(out, Refuse{e.Source, why, refused[why]})
+		out = append(out, Rejected{e.Source, why, refused[why]})
 	}
 	return out
 }
@@ -219,10 +222,10 @@
 
 // part is how far a fact counts at its age.
 func (r *Session) part(age Time, doubt float64) float64 {
-	if age > r.plan.Grace {
+	if age > r.plan.MaxAge {
 		return 0
 	}
-	return (1 - doubt) * math.Exp2(-float64(age)/float64(max(r.plan.Half, 1)))
+	return (1 - doubt) * math.Exp2(-float64(age)/float64(max(r.plan.HalfLife, 1)))
 }
 
 // tell joins the facts of each thing and says what has changed. What has become too old is forgotten.
@@ -232,7 +235,7 @@
 	}) {
 		h := r.facts[at]
 		for i := len(h.facts) - 1; i >= 0; i-- {
-			if r.age(h, i) > r.plan.Grace {
+			if r.age(h, i) > r.plan.MaxAge {
 				h.facts, h.at = slices.Delete(h.facts, i, i+1), slices.Delete(h.at, i, i+1)
 				r.count--
 			}
@@ -250,7 +253,7 @@
 		}
 		r.believed[at] = b
 		if other != "" {
-			out = append(out, Differ{at.kind, at.key, b.State, other})
+			out = append(out, Conflict{at.kind, at.key, b.State, other})
 		}
 		out = append(out, b)
 	}
@@ -259,7 +262,7 @@
 
 // join makes one of the facts of a thing. Of states the one of the newest list holds, but none that is less safe
 // than another of the grace; of figures the mean by age and doubt.
-func (r *Session) join(h *heldFact) (b Believe, other string) {
+func (r *Session) join(h *heldFact) (b Accepted, other string) {
 	b.Sources = len(h.facts)
 	order := make([]int, len(h.facts))
 	for i := range order {
@@ -273,8 +276,8 @@
 	first := order[0]
 	b.Fact = h.facts[first]
 	b.Age = r.age(h, first)
-	if b.Kind <= Moving {
-		if b.Kind == Moving { // no cell is safer than another: the youngest word holds
+	if b.Kind <= TenantCell {
+		if b.Kind == TenantCell { // no cell is safer than another: the youngest word holds
 			for _, i := range order {
 				if r.age(h, i) < b.Age {
 					b.Fact, b.Age = h.facts[i], r.age(h, i)
@@ -285,15 +288,15 @@
 			if h.facts[i].State != b.State {
 				other = h.facts[i].State
 			}
-			b.Part = max(b.Part, r.part(r.age(h, i), h.facts[i].Doubt))
+			b.Confidence = max(b.Confidence, r.part(r.age(h, i), h.facts[i].Uncertainty))
 		}
 		return b, other
 	}
-	sum, weight, youngest := 0.0, 0.0, r.plan.Grace
+	sum, weight, youngest := 0.0, 0.0, r.plan.MaxAge
 	for _, i := range order {
-		w := r.part(r.age(h, i), h.facts[i].Doubt)
+		w := r.part(r.age(h, i), h.facts[i].Uncertainty)
 		sum, weight, youngest = sum+w*h.facts[i].Value, weight+w, min(youngest, r.age(h, i))
-		b.Part = max(b.Part, w)
+		b.Confidence = max(b.Confidence, w)
 	}
 	b.Value, b.Age = sum/max(weight, 1e-12), youngest
 	return b, ""
@@ -304,7 +307,7 @@
 func (r *Session) Facts() (all []Fact) {
 	for _, h := range r.facts {
 		for i, f := range h.facts {
-			if f.Age = r.age(h, i); f.Age <= r.plan.Grace {
+			if f.Age = r.age(h, i); f.Age <= r.plan.MaxAge {
 				all = append(all, f)
 			}
 		}
--- a/internal/controller/warmstart/recall_test.go
+++ b/internal/controller/warmstart/session_test.go
@@ -28,32 +28,32 @@
 // Case 2: what is older than the grace, from the future, nobody's, or of one that warms up itself is refused in
 // words with a count; the rest of the offer counts.
 func TestCase2Liar(t *testing.T) {
-	r := New(Usual())
-	warming := fact(Total, "", "", 500, s, "n2")
-	warming.Doubt = 1
+	r := New(DefaultConfig())
+	warming := fact(TotalLimit, "", "", 500, s, "n2")
+	warming.Uncertainty = 1
 	out := r.Step(0, []Event{
-		Offered{
+		Received{
 			"n2",
 			[]Fact{
 				fact(
-					Use,
+					Usage,
 					"0/look",
 					"",
 					9,
 					2*s,
 					"n2",
 				),
-				fact(Use, "1/look", "", 9, 10*time.Minute, "n2"),
-				fact(Use, "2/look", "", 9, -30*s, "n2"),
+				fact(Usage, "1/look", "", 9, 10*time.Minute, "n2"),
+				fact(Usage, "2/look", "", 9, -30*s, "n2"),
 				fact(
-					Use,
+					Usage,
 					"3/look",
 					"",
 					math.NaN(),
 					s,
 					"n2",
 				),
-				fact(Use, "4/look", "", 9, s, ""),
+				fact(Usage, "4/look", "", 9, s, ""),
 				warming,
 				fact(99, "x", "", 1, s, "n2"),
 				fact(Backend, "s-1", "UP", 0, s, "n2"),
@@ -61,7 +61,7 @@
 		},
 	})
 	var reasons []string
-	for _, o := range find[Refuse](out) {
+	for _, o := range find[Rejected](out) {
 		reasons = append(reasons, fmt.Sprint(o.Reason, " ", o.Count))
 	}
 	want := []string{
@@ -73,7 +73,7 @@
 		"of one that is warming up itself 1",
 		"older than the grace 1",
 	}
-	if got := find[Believe](out); len(got) != 1 || got[0].Key != "0/look" || !slices.Equal(reasons, want) {
+	if got := find[Accepted](out); len(got) != 1 || got[0].Key != "0/look" || !slices.Equal(reasons, want) {
 		t.Errorf("believed %+v, refused %v", got, reasons)
 	}
 }
@@ -81,13 +81,13 @@
 // Case 2: two that start together and tell each other what they have heard do not make each other sure: what was
 // known at first hand grows old at both, and is gone after the grace.
 func TestCase2NoEcho(t *testing.T) {
-	a, b := New(Usual()), New(Usual())
-	a.Step(0, []Event{Offered{"store", []Fact{fact(Total, "", "", 300, 5*s, "n1")}}})
+	a, b := New(DefaultConfig()), New(DefaultConfig())
+	a.Step(0, []Event{Received{"store", []Fact{fact(TotalLimit, "", "", 300, 5*s, "n1")}}})
 	var last float64
 	for now := Time(0); now < 2*time.Minute; now += s {
 		a.Step(now, nil)
-		b.Step(now, []Event{Offered{"a", a.Facts()}})
-		a.Step(now, []Event{Offered{"b", b.Facts()}})
+		b.Step(now, []Event{Received{"a", a.Facts()}})
+		a.Step(now, []Event{Received{"b", b.Facts()}})
 		if f := b.Facts(); len(f) > 0 {
 			if f[0].Age != 5*s+now || f[0].Origin != "n1" {
 				t.Fatalf("at %v it is %v old", now, f[0].Age)
@@ -106,58 +106,60 @@
 	states := []Fact{
 		fact(Backend, "s-1", Serving, 0, s, "n2"),
 		fact(Backend, "s-1", Draining, 0, 20*s, "n3"),
-		fact(Backend, "s-1", Ended, 0, 40*s, "n4"),
+		fact(Backend, "s-1", Deleted, 0, 40*s, "n4"),
 	}
 	for _, order := range [][]int{{0, 1, 2}, {2, 1, 0}, {1, 2, 0}} {
-		r := New(Usual())
+		r := New(DefaultConfig())
 		holds := ""
 		for _, i := range order {
-			out := r.Step(0, []Event{Offered{"x", []Fact{states[i]}}})
-			if b := find[Believe](out); len(b) > 0 {
+			out := r.Step(0, []Event{Received{"x", []Fact{states[i]}}})
+			if b := find[Accepted](out); len(b) > 0 {
 				holds = b[0].State
 			}
 		}
-		if holds != Ended {
+		if holds != Deleted {
 			t.Errorf("in the order %v %s holds", order, holds)
 		}
 	}
-	r := New(Usual())
+	r := New(DefaultConfig())
 	out := r.Step(
 		0,
-		[]Event{Offered{"x", []Fact{fact(Withdrawal, "s-2", In, 0, s, "n2"), fact(Withdrawal, "s-2", Out, 0, 30*s, "n3"),
-			fact(Moving, "acme", "red", 0, 9*s, "n2"), fact(Moving, "acme", "blue", 0, 3*s, "n3")}}},
+		[]Event{Received{"x", []Fact{fact(Withdrawal, "s-2", InRotation, 0, s, "n2"),
+			fact(Withdrawal, "s-2", OutOfRotation, 0, 30*s, "n3"),
+			fact(TenantCell, "acme", "red", 0, 9*s, "n2"), fact(TenantCell, "acme", "blue", 0, 3*s, "n3")}}},
 	)
-	b := find[Believe](out)
-	if len(b) != 2 || b[0].State != Out || b[1].State != "blue" || len(find[Differ](out)) != 2 {
+	b := find[Accepted](out)
+	if len(b) != 2 || b[0].State != OutOfRotation || b[1].State != "blue" || len(find[Conflict](out)) != 2 {
 		t.Errorf("orders %+v", out)
 	}
 	// What we know at first hand stands against all of it, and is told no more.
-	out = r.Step(s, []Event{KnownFact{Withdrawal, "s-2"}, Offered{"x", []Fact{fact(Withdrawal, "s-2", Out, 0, 0, "n4")}}})
-	if len(find[Believe](out)) != 0 || find[Refuse](out)[0].Reason != "known at first hand" {
+	out = r.Step(s, []Event{Observed{Withdrawal, "s-2"},
+		Received{"x", []Fact{fact(Withdrawal, "s-2", OutOfRotation, 0, 0, "n4")}}})
+	if len(find[Accepted](out)) != 0 || find[Rejected](out)[0].Reason != "known at first hand" {
 		t.Errorf("orders %+v", out)
 	}
 }
 
 // Figures count by age and doubt: a younger one more, a doubtful one less.
 func TestFigures(t *testing.T) {
-	r := New(Usual())
-	doubtful := fact(Use, "1", "", 100, 0, "n3")
-	doubtful.Doubt = 0.75
-	out := r.Step(0, []Event{Offered{"x", []Fact{fact(Use, "0", "", 10, 0, "n2"), fact(Use, "0", "", 40, 10*s, "n3"),
-		fact(Use, "1", "", 10, 0, "n2"), doubtful}}})
-	b := find[Believe](out)
-	if len(b) != 2 || math.Abs(b[0].Value-20) > 1e-9 || math.Abs(b[1].Value-28) > 1e-9 || b[0].Part != 1 {
+	r := New(DefaultConfig())
+	doubtful := fact(Usage, "1", "", 100, 0, "n3")
+	doubtful.Uncertainty = 0.75
+	out := r.Step(0, []Event{Received{"x", []Fact{fact(Usage, "0", "", 10, 0, "n2"), fact(Usage, "0", "", 40, 10*s, "n3"),
+		fact(Usage, "1", "", 10, 0, "n2"), doubtful}}})
+	b := find[Accepted](out)
+	if len(b) != 2 || math.Abs(b[0].Value-20) > 1e-9 || math.Abs(b[1].Value-28) > 1e-9 || b[0].Confidence != 1 {
 		t.Errorf("believed %+v", b)
 	}
 }
 
 // Case 5: after the grace nothing is believed or told, and nothing is kept.
 func TestCase5Grace(t *testing.T) {
-	plan := Usual()
+	plan := DefaultConfig()
 	r := New(plan)
 	r.Step(
 		0,
-		[]Event{Offered{"store", []Fact{fact(Backend, "s-1", Draining, 0, 0, "n1"), fact(Use, "0", "", 5, 30*s, "n1")}}},
+		[]Event{Received{"store", []Fact{fact(Backend, "s-1", Draining, 0, 0, "n1"), fact(Usage, "0", "", 5, 30*s, "n1")}}},
 	)
 	r.Step(31*s, nil)
 	if f := r.Facts(); len(f) != 1 || f[0].Kind != Backend {
@@ -174,7 +176,7 @@
 func TestModel(t *testing.T) {
 	for seed := range uint64(150) {
 		chance := rand.New(rand.NewPCG(seed, 18))
-		plan := Usual()
+		plan := DefaultConfig()
 		r := New(plan)
 		type word struct {
 			Fact
@@ -182,42 +184,42 @@
 		}
 		var words []word
 		known := map[id]bool{}
-		believed := map[id]Believe{}
+		believed := map[id]Accepted{}
 		now := Time(0)
 		for range 60 {
 			now += Time(chance.IntN(8000)) * time.Millisecond
 			var events []Event
 			for range chance.IntN(4) {
 				f := Fact{
-					Kind:     Kind(1 + chance.IntN(5)),
-					Key:      fmt.Sprint(chance.IntN(3)),
-					Age:      Time(chance.IntN(70)) * s,
-					Origin:   fmt.Sprint("n", chance.IntN(3)),
-					Doubt:    float64(chance.IntN(5)) / 4,
-					Revision: int64(chance.IntN(3)),
+					Kind:        Kind(1 + chance.IntN(5)),
+					Key:         fmt.Sprint(chance.IntN(3)),
+					Age:         Time(chance.IntN(70)) * s,
+					Origin:      fmt.Sprint("n", chance.IntN(3)),
+					Uncertainty: float64(chance.IntN(5)) / 4,
+					Revision:    int64(chance.IntN(3)),
 				}
 				switch f.Kind {
 				case Backend:
-					f.State = []string{Serving, Draining, Ended}[chance.IntN(3)]
+					f.State = []string{Serving, Draining, Deleted}[chance.IntN(3)]
 				case Withdrawal:
-					f.State = []string{In, Out}[chance.IntN(2)]
-				case Moving:
+					f.State = []string{InRotation, OutOfRotation}[chance.IntN(2)]
+				case TenantCell:
 					f.State = []string{"red", "blue"}[chance.IntN(2)]
 				default:
 					f.Value = float64(chance.IntN(100))
 				}
-				events = append(events, Offered{"x", []Fact{f}})
-				if f.Age <= plan.Grace && f.Doubt < 1 && !known[id{f.Kind, f.Key}] {
+				events = append(events, Received{"x", []Fact{f}})
+				if f.Age <= plan.MaxAge && f.Uncertainty < 1 && !known[id{f.Kind, f.Key}] {
 					words = append(words, word{f, now})
 				}
 			}
 			if chance.IntN(10) == 0 {
-				k := KnownFact{Kind(1 + chance.IntN(5)), fmt.Sprint(chance.IntN(3))}
+				k := Observed{Kind(1 + chance.IntN(5)), fmt.Sprint(chance.IntN(3))}
 				events = append(events, k)
 				known[id{k.Kind, k.Key}] = true
 				delete(believed, id{k.Kind, k.Key})
 			}
-			for _, b := range find[Believe](r.Step(now, events)) {
+			for _, b := range find[Accepted](r.Step(now, events)) {
 				believed[id{b.Kind, b.Key}] = b
 			}
 			// Anew, from all words.
@@ -226,7 +228,7 @@
 					at := id{kind, fmt.Sprint(key)}
 					youngest := map[string]word{}
 					for _, w := range words {
-						if w.Kind != kind || w.Key != at.key || w.Age+now-w.at > plan.Grace {
+						if w.Kind != kind || w.Key != at.key || w.Age+now-w.at > plan.MaxAge {
 							continue
 						}
 						if was, ok := youngest[w.Origin]; !ok || w.Age-w.at < was.Age-was.at {
@@ -243,13 +245,13 @@
 					safest, sum, weight := 0, 0.0, 0.0
 					for _, w := range youngest {
 						safest = max(safest, safety[w.State])
-						p := (1 - w.Doubt) * math.Exp2(-float64(w.Age+now-w.at)/float64(plan.Half))
+						p := (1 - w.Uncertainty) * math.Exp2(-float64(w.Age+now-w.at)/float64(plan.HalfLife))
 						sum, weight = sum+p*w.Value, weight+p
 					}
 					if kind <= Withdrawal && safety[got.State] < safest {
 						t.Fatalf("seed %d, %v: %v holds %s, a safer one was told", seed, now, at, got.State)
 					}
-					if kind > Moving && math.Abs(got.Value-sum/weight) > 0.011*math.Max(got.Value, 1) {
+					if kind > TenantCell && math.Abs(got.Value-sum/weight) > 0.011*math.Max(got.Value, 1) {
 						t.Fatalf("seed %d, %v: %v is %v, the model %v", seed, now, at, got.Value, sum/weight)
 					}
 				}
@@ -260,14 +262,14 @@
 
 // What is kept has a bound, and the same offers give the same orders.
 func TestBoundAndReplay(t *testing.T) {
-	plan := Usual()
-	plan.Most = 50
+	plan := DefaultConfig()
+	plan.MaxFacts = 50
 	play := func() (all []Order, kept int) {
 		r := New(plan)
 		for i := range 200 {
 			all = append(
 				all,
-				r.Step(Time(i)*time.Millisecond, []Event{Offered{"x", []Fact{fact(Use, fmt.Sprint(i), "", 1, 0, "n2")}}})...)
+				r.Step(Time(i)*time.Millisecond, []Event{Received{"x", []Fact{fact(Usage, fmt.Sprint(i), "", 1, 0, "n2")}}})...)
 		}
 		return all, len(r.Facts())
 	}
--- a/internal/emulator/emu.go
+++ b/internal/emulator/emu.go
@@ -206,16 +206,16 @@
 func (c *controller) remember() {
 	var events []warmstart.Event
 	if c.w.Recall&FromStore != 0 {
-		events = append(events, warmstart.Offered{Source: "store", Facts: c.facts()})
+		events = append(events, warmstart.Received{Source: "store", Facts: c.facts()})
 	}
 	for i, other := range c.w.control {
 		if c.w.Recall&FromPeer != 0 && other != c && !other.down && len(other.copies) > 0 {
-			events = append(events, warmstart.Offered{Source: strconv.Itoa(i), Facts: other.facts()})
+			events = append(events, warmstart.Received{Source: strconv.Itoa(i), Facts: other.facts()})
 			break
 		}
 	}
-	for _, o := range warmstart.New(warmstart.Usual()).Step(0, events) {
-		if b, ok := o.(warmstart.Believe); ok {
+	for _, o := range warmstart.New(warmstart.DefaultConfig()).Step(0, events) {
+		if b, ok := o.(warmstart.Accepted); ok {
 			c.loop.Handle(eventloop.Command{Message: b})
 		}
 	}
