--- a/internal/controller/discovery/consul/consul.go
+++ b/internal/controller/discovery/consul/consul.go
@@ -1,6 +1,6 @@
-// Package consul asks Consul's key-value store by its published HTTP API, with reads that block. What it hears
-// it hands to a reconcile.Reconciler, which decides. The API tells no deletions and no changes, only an index: a small
-// read blocks on that, and the Roster asks for the whole list when it has moved.
+// Package consul reads the list of backends from Consul's key-value store over its HTTP API and reports the results as
+// events to a reconcile.Reconciler. The API reports neither deletions nor individual changes, only an index. A small
+// blocking query waits for that index, and the reconciler requests the whole list when the index changes.
 package consul
 
 import (
@@ -23,121 +23,128 @@
 )
 
 const (
-	mostAnswer  = 128 << 20 // bytes
-	dialTimeout = 1500 * time.Millisecond
-	wait        = time.Second            // that a read blocks: silence is noticed after that
-	grace       = 800 * time.Millisecond // more: Consul adds a sixteenth by chance
+	maxResponseBytes   = 128 << 20
+	maxErrorTextBytes  = 200
+	dialTimeout        = 1500 * time.Millisecond
+	blockingQueryWait  = time.Second
+	blockingQueryGrace = 800 * time.Millisecond // Consul adds up to 1/16 of the wait as jitter
 )
 
-// Source asks a cluster. Use New.
+// Source reads the backends from one Consul cluster. Use New.
 type Source struct {
-	endpoints []string
-	prefix    string
-	access    discovery.Access
-	answer    time.Duration
+	endpoints   []string
+	prefix      string
+	access      discovery.Access
+	readTimeout time.Duration
 
-	mu       sync.Mutex
-	client   *fasthttp.HostClient
-	ctx      context.Context // of the orders that client is for: once it ends so do its calls
-	at       int             // endpoint of client
-	answered bool            // it has answered
-	token    string
+	mu             sync.Mutex
+	client         *fasthttp.HostClient
+	clientCtx      context.Context // ends the calls of client
+	clientEndpoint int             // index in endpoints
+	answered       bool            // client has received a response
+	token          string
 }
 
-// New makes a Source of the keys under a prefix; endpoints are HOST:PORT. answer is what a read of the whole
-// list may take.
-func New(endpoints []string, prefix string, access discovery.Access, answer time.Duration) *Source {
-	return &Source{endpoints: endpoints, prefix: prefix, access: access, answer: answer}
+// New creates a Source for the keys under prefix. Each endpoint has the form HOST:PORT. readTimeout limits a read of
+// the whole list.
+func New(endpoints []string, prefix string, access discovery.Access, readTimeout time.Duration) *Source {
+	return &Source{endpoints: endpoints, prefix: prefix, access: access, readTimeout: readTimeout}
 }
 
-// Leave drops the connections.
+// Leave closes the idle connections; the next order dials again.
 func (s *Source) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leave()
+	s.disconnect()
 }
 
-func (s *Source) leave() {
+func (s *Source) disconnect() {
 	if s.client != nil {
 		s.client.CloseIdleConnections()
 	}
 	s.client = nil
 }
 
-// Close drops them; calls under way end with their contexts.
+// Close closes the idle connections. Calls in progress end with their contexts.
 func (s *Source) Close() { s.Leave() }
 
-func (s *Source) dial(ctx context.Context, endpoint int) (*fasthttp.HostClient, error) {
+// connect returns the client for an endpoint. It makes a new client if the endpoint has changed or the context of the
+// current client has ended.
+func (s *Source) connect(ctx context.Context, endpoint int) (*fasthttp.HostClient, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.client != nil && s.at == endpoint && s.ctx.Err() == nil {
+	if s.client != nil && s.clientEndpoint == endpoint && s.clientCtx.Err() == nil {
 		return s.client, nil
 	}
-	s.leave()
+	s.disconnect()
 	addr := s.endpoints[endpoint]
-	c := &fasthttp.HostClient{Addr: addr, MaxConns: 4, MaxResponseBodySize: mostAnswer, MaxIdemponentCallAttempts: 1,
+	c := &fasthttp.HostClient{
+		Addr: addr, MaxConns: 4, MaxResponseBodySize: maxResponseBytes, MaxIdemponentCallAttempts: 1,
 		NoDefaultUserAgentHeader: true,
-		Dial:                     discovery.NewConnections(ctx, dialTimeout).Dial}
-	if f := s.access.TLS; f != nil {
+		Dial:                     discovery.NewConnections(ctx, dialTimeout).Dial,
+	}
+	if files := s.access.TLS; files != nil {
 		host, _, _ := net.SplitHostPort(addr)
-		conf, err := f.Load(host)
+		tlsConfig, err := files.Load(host)
 		if err != nil {
 			return nil, &failure{reconcile.CertificateRejected, err.Error()}
 		}
-		c.IsTLS, c.TLSConfig = true, conf
+		c.IsTLS, c.TLSConfig = true, tlsConfig
 	}
-	s.client, s.ctx, s.at, s.answered = c, ctx, endpoint, false
+	s.client, s.clientCtx, s.clientEndpoint, s.answered = c, ctx, endpoint, false
 	return c, nil
 }
 
-// failure is an error whose kind is known.
+// failure is an error with a known reason.
 type failure struct {
-	why  reconcile.FailureReason
-	text string
+	reason reconcile.FailureReason
+	text   string
 }
 
 func (f *failure) Error() string { return f.text }
 
-func why(err error) reconcile.FailureReason {
+// failureReason classifies an error of a call.
+func failureReason(err error) reconcile.FailureReason {
 	var f *failure
-	var late net.Error
+	var netErr net.Error
 	switch {
 	case errors.As(err, &f):
-		return f.why
+		return f.reason
 	case errors.Is(err, fasthttp.ErrTimeout), errors.Is(err, fasthttp.ErrTLSHandshakeTimeout),
-		errors.As(err, &late) && late.Timeout():
+		errors.As(err, &netErr) && netErr.Timeout():
 		return reconcile.TimedOut
 	case discovery.Refuses(err):
 		return reconcile.CertificateRejected
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		return reconcile.InvalidResponse
 	}
-	var record tls.RecordHeaderError
-	if errors.As(err, &record) {
+	var recordErr tls.RecordHeaderError
+	if errors.As(err, &recordErr) {
 		return reconcile.CertificateRejected
 	}
 	return reconcile.ConnectionLost
 }
 
-// refused tells what a status with its text means.
-func refused(code int, body []byte) error {
-	text := strings.TrimSpace(string(body[:min(len(body), 200)]))
+// statusError classifies an error response by its status code and body.
+func statusError(code int, body []byte) error {
+	text := strings.TrimSpace(string(body[:min(len(body), maxErrorTextBytes)]))
 	f := &failure{reconcile.InvalidResponse, fmt.Sprintf("status %d: %s", code, text)}
 	switch {
 	case code == fasthttp.StatusForbidden && strings.Contains(text, "ACL not found"), code == fasthttp.StatusUnauthorized:
-		f.why = reconcile.InvalidToken
+		f.reason = reconcile.InvalidToken
 	case code == fasthttp.StatusForbidden && strings.Contains(text, "auth method"):
-		f.why = reconcile.BadCredentials
+		f.reason = reconcile.BadCredentials
 	case code == fasthttp.StatusForbidden:
-		f.why = reconcile.Forbidden
+		f.reason = reconcile.Forbidden
 	case code >= 500, code == fasthttp.StatusTooManyRequests:
-		f.why = reconcile.ConnectionLost // no leader, or too busy
+		f.reason = reconcile.ConnectionLost // the cluster has no leader or is overloaded
 	}
 	return f
 }
 
-// secret gives the token, one that it logs in for where there is none.
-func (s *Source) secret(c *fasthttp.HostClient) (string, error) {
+// currentToken returns the cached token. Without one, it reads the token file or logs in. Without access settings, it
+// returns an empty token.
+func (s *Source) currentToken(c *fasthttp.HostClient) (string, error) {
 	s.mu.Lock()
 	token := s.token
 	s.mu.Unlock()
@@ -158,29 +165,30 @@
 	return token, nil
 }
 
-// login changes a bearer for a token.
+// login exchanges the bearer token for a Consul token.
 func (s *Source) login(c *fasthttp.HostClient) (string, error) {
 	bearer, err := discovery.Secret(s.access.BearerFile)
 	if err != nil {
 		return "", &failure{reconcile.BadCredentials, err.Error()}
 	}
 	body, _ := json.Marshal(map[string]string{"AuthMethod": s.access.Method, "BearerToken": bearer})
-	var said struct{ SecretID string }
-	_, err = s.send(c, "POST", "/v1/acl/login", "", body, s.answer, &said)
+	var resp struct{ SecretID string }
+	_, err = s.send(c, "POST", "/v1/acl/login", "", body, s.readTimeout, &resp)
 	var f *failure
 	switch {
-	case errors.As(err, &f) && f.why >= reconcile.BadCredentials:
-		return "", &failure{reconcile.BadCredentials, "the log-in: " + f.text}
+	case errors.As(err, &f) && f.reason >= reconcile.BadCredentials:
+		return "", &failure{reconcile.BadCredentials, "login failed: " + f.text}
 	case err != nil:
 		return "", err
-	case said.SecretID == "":
-		return "", &failure{reconcile.InvalidResponse, "the log-in gave no token"}
+	case resp.SecretID == "":
+		return "", &failure{reconcile.InvalidResponse, "login response contains no token"}
 	}
-	return said.SecretID, nil
+	return resp.SecretID, nil
 }
 
-// send makes a call and reads its answer; none is there where the status is 404.
-func (s *Source) send(c *fasthttp.HostClient, method, path, token string, body []byte, within time.Duration,
+// send makes a call, decodes the response into the given value and returns Consul's index. After a 404 response, it
+// leaves the value unchanged.
+func (s *Source) send(c *fasthttp.HostClient, method, path, token string, body []byte, timeout time.Duration,
 	into any) (index int64, err error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -195,7 +203,7 @@
 		req.Header.Set("X-Consul-Token", token)
 	}
 	req.SetBody(body)
-	if err := c.DoTimeout(req, resp, within); err != nil {
+	if err := c.DoTimeout(req, resp, timeout); err != nil {
 		return 0, s.explainRefusal(c, err)
 	}
 	s.mu.Lock()
@@ -203,54 +211,54 @@
 	s.mu.Unlock()
 	code := resp.StatusCode()
 	if code != fasthttp.StatusOK && code != fasthttp.StatusNotFound {
-		return 0, refused(code, resp.Body())
+		return 0, statusError(code, resp.Body())
 	}
 	if string(resp.Header.Peek("X-Consul-Results-Filtered-By-ACLs")) == "true" {
-		return 0, &failure{reconcile.Forbidden, "the token may not see all of the list"}
+		return 0, &failure{reconcile.Forbidden, "the token has no access to part of the list"}
 	}
 	if text := resp.Header.Peek("X-Consul-Index"); len(text) > 0 {
 		if index, err = strconv.ParseInt(string(text), 10, 64); err != nil || index < 0 {
-			return 0, &failure{reconcile.InvalidResponse, fmt.Sprintf("X-Consul-Index %.40q", text)}
+			return 0, &failure{reconcile.InvalidResponse, fmt.Sprintf("invalid X-Consul-Index %.40q", text)}
 		}
 	}
 	if code == fasthttp.StatusNotFound {
 		return index, nil
 	}
 	if err := json.Unmarshal(resp.Body(), into); err != nil {
-		return 0, &failure{reconcile.InvalidResponse, "an answer that is not readable: " + err.Error()}
+		return 0, &failure{reconcile.InvalidResponse, "invalid JSON in the response: " + err.Error()}
 	}
 	return index, nil
 }
 
-// explainRefusal tells a connection that ends right after the TLS handshake, before any answer, from one that broke: a
-// server that refuses our certificate says so then, in a message that the reset often overtakes.
+// explainRefusal reports a connection that ends after the TLS handshake and before any response as a rejected client
+// certificate. The server's TLS alert is often lost because the connection reset arrives first.
 func (s *Source) explainRefusal(c *fasthttp.HostClient, err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var op *net.OpError
-	early := errors.Is(err, fasthttp.ErrConnectionClosed) || errors.As(err, &op) && op.Op != "dial"
-	if c.IsTLS && !s.answered && early {
+	var opErr *net.OpError
+	disconnected := errors.Is(err, fasthttp.ErrConnectionClosed) || errors.As(err, &opErr) && opErr.Op != "dial"
+	if c.IsTLS && !s.answered && disconnected {
 		return &failure{
 			reconcile.CertificateRejected,
-			"closed after the handshake, as by one that refuses our certificate: " + err.Error(),
+			"connection closed after the TLS handshake; the server probably rejected the client certificate: " + err.Error(),
 		}
 	}
 	return err
 }
 
-// get makes a call with a token; one that has expired is renewed, once.
-func (s *Source) get(ctx context.Context, endpoint int, path string, within time.Duration,
+// get makes a GET call with a token. If Consul rejects the token, get renews it and retries once.
+func (s *Source) get(ctx context.Context, endpoint int, path string, timeout time.Duration,
 	into any) (index int64, err error) {
-	c, err := s.dial(ctx, endpoint)
+	c, err := s.connect(ctx, endpoint)
 	if err != nil {
 		return 0, err
 	}
-	for again := false; ; again = true {
-		token, err := s.secret(c)
+	for retried := false; ; retried = true {
+		token, err := s.currentToken(c)
 		if err == nil {
-			index, err = s.send(c, "GET", path, token, nil, within, into)
+			index, err = s.send(c, "GET", path, token, nil, timeout, into)
 		}
-		if err == nil || why(err) != reconcile.InvalidToken || again {
+		if err == nil || failureReason(err) != reconcile.InvalidToken || retried {
 			return index, err
 		}
 		s.mu.Lock()
@@ -259,13 +267,13 @@
 	}
 }
 
-// Do carries out an order; see watch.Source. When ctx ends, the calls of all orders of that context end.
-func (s *Source) Do(ctx context.Context, o reconcile.Order, say func(reconcile.Event)) {
-	answer := make(chan reconcile.Event, 1)
-	wait := func(f func() reconcile.Event) (e reconcile.Event, ok bool) {
-		go func() { answer <- f() }()
+// Do carries out an order; see watch.Source. The end of ctx ends the calls of every order with that context.
+func (s *Source) Do(ctx context.Context, o reconcile.Order, report func(reconcile.Event)) {
+	events := make(chan reconcile.Event, 1)
+	await := func(f func() reconcile.Event) (e reconcile.Event, ok bool) {
+		go func() { events <- f() }()
 		select {
-		case e = <-answer:
+		case e = <-events:
 			return e, true
 		case <-ctx.Done():
 			return nil, false
@@ -273,53 +281,53 @@
 	}
 	switch o := o.(type) {
 	case reconcile.ReadPage:
-		if e, ok := wait(func() reconcile.Event { return s.read(ctx, o) }); ok {
-			say(e)
+		if e, ok := await(func() reconcile.Event { return s.read(ctx, o) }); ok {
+			report(e)
 		}
 	case reconcile.Watch:
 		for block := !o.Immediate; ; block = true {
-			e, ok := wait(func() reconcile.Event { return s.watch(ctx, o, block) })
+			e, ok := await(func() reconcile.Event { return s.watch(ctx, o, block) })
 			if !ok {
 				return
 			}
-			say(e)
+			report(e)
 			if p, ok := e.(reconcile.Progress); !ok || p.Revision != o.AfterRevision {
-				return // the Roster goes on from here
+				return // the reconciler issues the next order
 			}
 		}
 	}
 }
 
-// The prefix is asked for without its slash and with a separator, which folds all that is below into one
-// entry; the index is that of all.
+// watch queries the index of the prefix, and waits for a new index if block is set. The query names the prefix without
+// its slash and sets a separator, so that Consul folds all keys below it into one entry.
 func (s *Source) watch(ctx context.Context, o reconcile.Watch, block bool) reconcile.Event {
 	path := fmt.Sprintf("/v1/kv/%s?keys&separator=%%2F", escape(s.prefix))
-	if block { // an index of 0 would not, and below 1 none is valid
-		path += fmt.Sprintf("&index=%d&wait=%dms", max(o.AfterRevision, 1), wait.Milliseconds())
+	if block { // Consul blocks only on an index of at least 1
+		path += fmt.Sprintf("&index=%d&wait=%dms", max(o.AfterRevision, 1), blockingQueryWait.Milliseconds())
 	}
 	var keys []string
-	index, err := s.get(ctx, o.Endpoint, path, wait+grace, &keys)
+	index, err := s.get(ctx, o.Endpoint, path, blockingQueryWait+blockingQueryGrace, &keys)
 	if err != nil {
-		return reconcile.AttemptFailed{Attempt: o.Attempt, Reason: why(err), Err: err}
+		return reconcile.AttemptFailed{Attempt: o.Attempt, Reason: failureReason(err), Err: err}
 	}
 	return reconcile.Progress{Attempt: o.Attempt, Revision: index}
 }
 
-// read reads the whole list of the same prefix, so that both have the same index, and leaves out what merely
-// begins alike.
+// read reads the whole list. It queries the same prefix as watch, so that both return the same index, and drops keys
+// that only share the prefix as text.
 func (s *Source) read(ctx context.Context, o reconcile.ReadPage) reconcile.Event {
 	var pairs []struct {
 		Key         string
 		Value       []byte
 		ModifyIndex int64
 	}
-	index, err := s.get(ctx, o.Endpoint, "/v1/kv/"+escape(s.prefix)+"?recurse&consistent", s.answer, &pairs)
+	index, err := s.get(ctx, o.Endpoint, "/v1/kv/"+escape(s.prefix)+"?recurse&consistent", s.readTimeout, &pairs)
 	if err != nil {
-		return reconcile.AttemptFailed{Attempt: o.Attempt, Reason: why(err), Err: err}
+		return reconcile.AttemptFailed{Attempt: o.Attempt, Reason: failureReason(err), Err: err}
 	}
 	p := reconcile.Page{Attempt: o.Attempt, Revision: index}
 	for _, kv := range pairs {
-		if strings.HasPrefix(kv.Key, s.prefix+"/") && kv.Key != s.prefix+"/" { // folders have keys of their own
+		if strings.HasPrefix(kv.Key, s.prefix+"/") && kv.Key != s.prefix+"/" { // a folder has a key of its own
 			p.Entries = append(p.Entries, reconcile.KeyValue{Key: kv.Key, Value: kv.Value, ModRevision: kv.ModifyIndex})
 		}
 	}
--- a/internal/controller/discovery/consul/consul_test.go
+++ b/internal/controller/discovery/consul/consul_test.go
@@ -11,18 +11,18 @@
 	"elmfold/internal/controller/reconcile"
 )
 
-// patience is how long what happens at once may take on a busy machine. The calls here may last for many times as long.
-const patience = 10 * time.Second
+// testTimeout limits each step of a test. The calls under test have a timeout that is several times as long.
+const testTimeout = 10 * time.Second
 
-// Guards against calls that go on for as long as they may after the orders they were for have ended, and against a
-// later order whose call is broken off with them.
+// Guards against calls that outlive the context of their order, and against cancelling the call of a later order with
+// them.
 func TestCallsEndWithTheirContext(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = ln.Close() }()
-	asked, ended := make(chan struct{}, 10), make(chan struct{}, 10)
+	requested, disconnected := make(chan struct{}, 10), make(chan struct{}, 10)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -32,45 +32,47 @@
 			go func() {
 				defer func() { _ = c.Close() }()
 				if n, _ := c.Read(make([]byte, 4096)); n > 0 {
-					asked <- struct{}{}
+					requested <- struct{}{}
 				}
 				_, _ = io.Copy(io.Discard, c)
-				ended <- struct{}{}
+				disconnected <- struct{}{}
 			}()
 		}
 	}()
-	wait := func(what string, c <-chan struct{}) {
+	await := func(what string, c <-chan struct{}) {
 		t.Helper()
 		select {
 		case <-c:
-		case <-time.After(patience):
-			t.Fatalf("not within %v: %s", patience, what)
+		case <-time.After(testTimeout):
+			t.Fatalf("timed out after %v waiting for %s", testTimeout, what)
 		}
 	}
-	s := New([]string{ln.Addr().String()}, "elm/b", discovery.Access{}, 6*patience)
-	do := func(ctx context.Context, try int) (done chan struct{}) {
+	s := New([]string{ln.Addr().String()}, "elm/b", discovery.Access{}, 6*testTimeout)
+	do := func(ctx context.Context, attempt int) (done chan struct{}) {
 		done = make(chan struct{})
 		go func() {
 			defer close(done)
-			s.Do(ctx, reconcile.ReadPage{Attempt: try}, func(reconcile.Event) { t.Error("there is an answer") })
+			s.Do(ctx, reconcile.ReadPage{Attempt: attempt}, func(reconcile.Event) {
+				t.Error("a cancelled order reported an event")
+			})
 		}()
 		return done
 	}
-	first, endFirst := context.WithCancel(context.Background())
-	doneFirst := do(first, 1)
-	wait("the first call", asked)
-	endFirst()
-	wait("the end of its connection", ended)
-	wait("the end of the first order", doneFirst)
-	second, endSecond := context.WithCancel(context.Background())
-	defer endSecond()
-	doneSecond := do(second, 2)
-	wait("the second call", asked)
+	first, cancelFirst := context.WithCancel(context.Background())
+	firstDone := do(first, 1)
+	await("the first call", requested)
+	cancelFirst()
+	await("the end of its connection", disconnected)
+	await("the end of the first order", firstDone)
+	second, cancelSecond := context.WithCancel(context.Background())
+	defer cancelSecond()
+	secondDone := do(second, 2)
+	await("the second call", requested)
 	select {
-	case <-ended:
-		t.Error("the second call ended too")
+	case <-disconnected:
+		t.Error("the second call ended with the first")
 	case <-time.After(100 * time.Millisecond):
 	}
-	endSecond()
-	wait("the end of the second order", doneSecond)
+	cancelSecond()
+	await("the end of the second order", secondDone)
 }
