--- a/internal/controller/discovery/etcd/etcd.go
+++ b/internal/controller/discovery/etcd/etcd.go
@@ -1,6 +1,6 @@
-// Package etcd asks an etcd v3 cluster by its published API over gRPC. It uses the API's messages and not the
-// client library, which resumes watches by itself and so hides which registry answers after a break; see
-// docs/notes/registry.md. What it hears it hands to a reconcile.Reconciler, which decides.
+// Package etcd reads and watches the list of backends in an etcd v3 cluster over gRPC and reports the results as events
+// to a reconcile.Reconciler. It calls the gRPC API directly: etcd's client library resumes watches on its own, which
+// hides whether the same cluster responds after a lost connection. See docs/notes/registry.md.
 package etcd
 
 import (
@@ -30,77 +30,78 @@
 )
 
 const (
-	mostAnswer  = 32 << 20 // bytes
-	dialTimeout = 1500 * time.Millisecond
-	readBuffer  = 16 << 10
+	maxResponseBytes = 32 << 20
+	dialTimeout      = 1500 * time.Millisecond
+	ioBufferBytes    = 16 << 10
 )
 
-// Source asks a cluster. Use New.
+// Source reads and watches the backends in one etcd cluster. Use New.
 type Source struct {
-	endpoints []string
-	from, to  string // of the keys
-	access    discovery.Access
+	endpoints          []string
+	startKey, rangeEnd string // the keys from startKey up to, but not including, rangeEnd
+	access             discovery.Access
 
-	mu     sync.Mutex
-	conn   *grpc.ClientConn
-	at     int // endpoint of conn
-	token  string
-	watch  grpc.BidiStreamingClient[pb.WatchRequest, pb.WatchResponse]
-	ofTry  int
-	closed bool
+	mu           sync.Mutex
+	conn         *grpc.ClientConn
+	connEndpoint int // index in endpoints
+	token        string
+	watch        grpc.BidiStreamingClient[pb.WatchRequest, pb.WatchResponse]
+	watchAttempt int
+	closed       bool
 }
 
-// New makes a Source of the keys under a prefix; endpoints are HOST:PORT.
+// New creates a Source for the keys under prefix. Each endpoint has the form HOST:PORT.
 func New(endpoints []string, prefix string, access discovery.Access) *Source {
-	return &Source{endpoints: endpoints, from: prefix + "/", to: prefix + "0", access: access}
+	// "0" is the character after "/".
+	return &Source{endpoints: endpoints, startKey: prefix + "/", rangeEnd: prefix + "0", access: access}
 }
 
-// Leave drops the connection.
+// Leave closes the connection; the next order dials again.
 func (s *Source) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leave()
+	s.disconnect()
 }
 
-func (s *Source) leave() {
+func (s *Source) disconnect() {
 	if s.conn != nil {
 		_ = s.conn.Close()
 	}
 	s.conn, s.watch = nil, nil
 }
 
-// Close drops it for good.
+// Close closes the connection and makes later orders fail.
 func (s *Source) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	s.leave()
+	s.disconnect()
 }
 
-var errClosed = errors.New("closed")
+var errClosed = errors.New("the source is closed")
 
-// dial gives the connection to an endpoint. gRPC connects by itself with the first call; its own pauses never
-// come to bear, as a failed connection is left.
-func (s *Source) dial(endpoint int) (*grpc.ClientConn, error) {
+// connection returns the connection to an endpoint. gRPC dials with the first call. A failed connection is replaced, so
+// that gRPC's own reconnect backoff never applies.
+func (s *Source) connection(endpoint int) (*grpc.ClientConn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return nil, errClosed
 	}
-	if s.conn != nil && s.at == endpoint && s.conn.GetState() != connectivity.TransientFailure {
+	if s.conn != nil && s.connEndpoint == endpoint && s.conn.GetState() != connectivity.TransientFailure {
 		return s.conn, nil
 	}
-	s.leave()
+	s.disconnect()
 	addr := s.endpoints[endpoint]
 	creds := insecure.NewCredentials()
-	if f := s.access.TLS; f != nil {
+	if files := s.access.TLS; files != nil {
 		host, _, _ := net.SplitHostPort(addr)
-		conf, err := f.Load(host)
+		tlsConfig, err := files.Load(host)
 		if err != nil {
-			return nil, &refusal{reconcile.CertificateRejected, err}
+			return nil, &classifiedError{reconcile.CertificateRejected, err}
 		}
-		conf.NextProtos = []string{"h2"}
-		creds = credentials.NewTLS(conf)
+		tlsConfig.NextProtos = []string{"h2"}
+		creds = credentials.NewTLS(tlsConfig)
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(creds),
@@ -108,28 +109,28 @@
 			return dialer.DialContext(ctx, "tcp", addr)
 		}),
 		grpc.WithDisableRetry(), grpc.WithDisableServiceConfig(), grpc.WithNoProxy(),
-		grpc.WithReadBufferSize(readBuffer), grpc.WithWriteBufferSize(readBuffer),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(mostAnswer)))
+		grpc.WithReadBufferSize(ioBufferBytes), grpc.WithWriteBufferSize(ioBufferBytes),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxResponseBytes)))
 	if err != nil {
 		return nil, err
 	}
-	s.conn, s.at = conn, endpoint
+	s.conn, s.connEndpoint = conn, endpoint
 	return conn, nil
 }
 
-// refusal is an error whose kind is known already.
-type refusal struct {
-	why reconcile.FailureReason
-	err error
+// classifiedError is an error with a known reason.
+type classifiedError struct {
+	reason reconcile.FailureReason
+	err    error
 }
 
-func (r *refusal) Error() string { return r.err.Error() }
+func (e *classifiedError) Error() string { return e.err.Error() }
 
-// why tells what kind of failure an error is.
-func why(err error) reconcile.FailureReason {
-	var known *refusal
+// failureReason classifies an error of a call.
+func failureReason(err error) reconcile.FailureReason {
+	var known *classifiedError
 	if errors.As(err, &known) {
-		return known.why
+		return known.reason
 	}
 	if errors.Is(err, io.EOF) {
 		return reconcile.ConnectionLost
@@ -159,44 +160,45 @@
 	}
 }
 
-// explainRefusal tells a connection that ends right after the TLS handshake from one that broke: a server that refuses
-// our certificate says so then, in a message that the reset often overtakes.
+// explainRefusal reports a connection that ends right after the TLS handshake as a rejected client certificate. The
+// server's TLS alert is often lost because the connection reset arrives first.
 func (s *Source) explainRefusal(err error) error {
 	if s.access.TLS != nil && strings.Contains(err.Error(), "error reading server preface") {
-		return &refusal{reconcile.CertificateRejected, plain(err)}
+		return &classifiedError{reconcile.CertificateRejected, withoutStatus(err)}
 	}
 	return err
 }
 
-// plain is an error's text without gRPC's frame.
-func plain(err error) error {
+// withoutStatus reduces a gRPC status error to its message.
+func withoutStatus(err error) error {
 	if st, ok := status.FromError(err); ok && st.Code() != codes.Unknown {
 		return errors.New(st.Message())
 	}
 	return err
 }
 
-// with puts the token into a call's context, one that it asks for first where there is none.
-func (s *Source) with(ctx context.Context, conn *grpc.ClientConn) (context.Context, error) {
+// authenticate adds the token to the context of a call. Without a cached token, it logs in or reads the token file.
+func (s *Source) authenticate(ctx context.Context, conn *grpc.ClientConn) (context.Context, error) {
 	s.mu.Lock()
 	token := s.token
 	s.mu.Unlock()
 	var err error
-	switch a := s.access; {
+	switch access := s.access; {
 	case token != "":
-	case a.User != "":
+	case access.User != "":
 		var password string
-		if password, err = discovery.Secret(a.PasswordFile); err != nil {
-			return nil, &refusal{reconcile.BadCredentials, err}
+		if password, err = discovery.Secret(access.PasswordFile); err != nil {
+			return nil, &classifiedError{reconcile.BadCredentials, err}
 		}
-		resp, err := pb.NewAuthClient(conn).Authenticate(ctx, &pb.AuthenticateRequest{Name: a.User, Password: password})
+		request := &pb.AuthenticateRequest{Name: access.User, Password: password}
+		resp, err := pb.NewAuthClient(conn).Authenticate(ctx, request)
 		if err != nil {
 			return nil, err
 		}
 		token = resp.Token
-	case a.TokenFile != "":
-		if token, err = discovery.Secret(a.TokenFile); err != nil {
-			return nil, &refusal{reconcile.InvalidToken, err}
+	case access.TokenFile != "":
+		if token, err = discovery.Secret(access.TokenFile); err != nil {
+			return nil, &classifiedError{reconcile.InvalidToken, err}
 		}
 	default:
 		return ctx, nil
@@ -207,83 +209,84 @@
 	return metadata.AppendToOutgoingContext(ctx, rpctypes.TokenFieldNameGRPC, token), nil
 }
 
-func (s *Source) forget() {
+func (s *Source) discardToken() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.token = ""
 }
 
-// call makes a call with a token; one that has expired is renewed, once.
+// call runs f with a connection and a token. If etcd rejects the token, call renews it and retries once.
 func (s *Source) call(ctx context.Context, endpoint int, f func(context.Context, *grpc.ClientConn) error) error {
-	conn, err := s.dial(endpoint)
+	conn, err := s.connection(endpoint)
 	if err != nil {
 		return err
 	}
-	for again := false; ; again = true {
-		with, err := s.with(ctx, conn)
+	for retried := false; ; retried = true {
+		callCtx, err := s.authenticate(ctx, conn)
 		if err == nil {
-			err = f(with, conn)
+			err = f(callCtx, conn)
 		}
-		if err == nil || why(err) != reconcile.InvalidToken || again {
+		if err == nil || failureReason(err) != reconcile.InvalidToken || retried {
 			return err
 		}
-		s.forget()
+		s.discardToken()
 	}
 }
 
-// Do carries out an order; see follow.Source.
-func (s *Source) Do(ctx context.Context, o reconcile.Order, say func(reconcile.Event)) {
-	var try int
+// Do carries out an order; see watch.Source.
+func (s *Source) Do(ctx context.Context, o reconcile.Order, report func(reconcile.Event)) {
+	var attempt int
 	var err error
 	switch o := o.(type) {
 	case reconcile.ReadPage:
-		try, err = o.Attempt, s.read(ctx, o, say)
+		attempt, err = o.Attempt, s.read(ctx, o, report)
 	case reconcile.Check:
-		try, err = o.Attempt, s.check(ctx, o, say)
+		attempt, err = o.Attempt, s.check(ctx, o, report)
 	case reconcile.Watch:
-		try, err = o.Attempt, s.follow(ctx, o, say)
+		attempt, err = o.Attempt, s.follow(ctx, o, report)
 	case reconcile.RequestProgress:
-		s.ask(o.Attempt)
+		s.requestProgress(o.Attempt)
 	}
 	if err == nil || ctx.Err() != nil {
 		return
 	}
 	err = s.explainRefusal(err)
-	reason := why(err)
+	reason := failureReason(err)
 	if reason == reconcile.InvalidToken {
-		s.forget()
+		s.discardToken()
 	}
-	say(reconcile.AttemptFailed{Attempt: try, Reason: reason, Err: plain(err)})
+	report(reconcile.AttemptFailed{Attempt: attempt, Reason: reason, Err: withoutStatus(err)})
 }
 
-func raw(kv *mvccpb.KeyValue) reconcile.KeyValue {
+func toKeyValue(kv *mvccpb.KeyValue) reconcile.KeyValue {
 	return reconcile.KeyValue{Key: string(kv.Key), Value: kv.Value, ModRevision: kv.ModRevision}
 }
 
-func compacted(err error) bool { return errors.Is(rpctypes.Error(err), rpctypes.ErrCompacted) }
+func isCompacted(err error) bool { return errors.Is(rpctypes.Error(err), rpctypes.ErrCompacted) }
 
-func (s *Source) read(ctx context.Context, o reconcile.ReadPage, say func(reconcile.Event)) error {
-	from := s.from
+// read reads one page of the list.
+func (s *Source) read(ctx context.Context, o reconcile.ReadPage, report func(reconcile.Event)) error {
+	startKey := s.startKey
 	if o.AfterKey != "" {
-		from = o.AfterKey + "\x00"
+		startKey = o.AfterKey + "\x00"
 	}
 	var resp *pb.RangeResponse
 	err := s.call(ctx, o.Endpoint, func(ctx context.Context, conn *grpc.ClientConn) (err error) {
-		resp, err = pb.NewKVClient(conn).Range(ctx, &pb.RangeRequest{Key: []byte(from), RangeEnd: []byte(s.to),
+		resp, err = pb.NewKVClient(conn).Range(ctx, &pb.RangeRequest{Key: []byte(startKey), RangeEnd: []byte(s.rangeEnd),
 			Limit: int64(o.Limit), Revision: o.Revision})
 		return err
 	})
 	switch {
-	case err != nil && compacted(err):
-		say(reconcile.Compacted{Attempt: o.Attempt})
+	case err != nil && isCompacted(err):
+		report(reconcile.Compacted{Attempt: o.Attempt})
 		return nil
 	case status.Code(err) == codes.ResourceExhausted:
-		say(reconcile.PageTooLarge{Attempt: o.Attempt})
+		report(reconcile.PageTooLarge{Attempt: o.Attempt})
 		return nil
 	case err != nil:
 		return err
 	case resp.Header == nil:
-		return errHeader
+		return errNoHeader
 	}
 	p := reconcile.Page{Attempt: o.Attempt, ClusterID: resp.Header.ClusterId, Revision: resp.Header.Revision,
 		More: resp.More}
@@ -291,52 +294,54 @@
 		p.Revision = o.Revision
 	}
 	for _, kv := range resp.Kvs {
-		p.Entries = append(p.Entries, raw(kv))
+		p.Entries = append(p.Entries, toKeyValue(kv))
 	}
-	say(p)
+	report(p)
 	return nil
 }
 
-var errHeader = errors.New("an answer without a header")
+var errNoHeader = errors.New("response has no header")
 
-func (s *Source) check(ctx context.Context, o reconcile.Check, say func(reconcile.Event)) error {
+// check reads the number of keys and the most recently changed one at a known revision. The reconciler compares them
+// with its list, to detect a cluster with another history.
+func (s *Source) check(ctx context.Context, o reconcile.Check, report func(reconcile.Event)) error {
 	var resp *pb.RangeResponse
 	err := s.call(ctx, o.Endpoint, func(ctx context.Context, conn *grpc.ClientConn) (err error) {
-		resp, err = pb.NewKVClient(conn).Range(ctx, &pb.RangeRequest{Key: []byte(s.from), RangeEnd: []byte(s.to),
+		resp, err = pb.NewKVClient(conn).Range(ctx, &pb.RangeRequest{Key: []byte(s.startKey), RangeEnd: []byte(s.rangeEnd),
 			Revision: o.Revision, Limit: 1, SortOrder: pb.RangeRequest_DESCEND, SortTarget: pb.RangeRequest_MOD})
 		return err
 	})
 	switch {
-	case err != nil && compacted(err):
-		say(reconcile.Compacted{Attempt: o.Attempt, ForCheck: true})
+	case err != nil && isCompacted(err):
+		report(reconcile.Compacted{Attempt: o.Attempt, ForCheck: true})
 		return nil
 	case err != nil && errors.Is(rpctypes.Error(err), rpctypes.ErrFutureRev):
-		// The registry has not come as far as we have been told: it is an older one.
-		say(reconcile.CheckResult{Attempt: o.Attempt})
+		// The cluster has not reached the known revision, so it has another history.
+		report(reconcile.CheckResult{Attempt: o.Attempt})
 		return nil
 	case err != nil:
 		return err
 	case resp.Header == nil:
-		return errHeader
+		return errNoHeader
 	}
 	c := reconcile.CheckResult{Attempt: o.Attempt, ClusterID: resp.Header.ClusterId, Revision: resp.Header.Revision,
 		Count: int(resp.Count)}
 	if len(resp.Kvs) > 0 {
-		c.Last = raw(resp.Kvs[0])
+		c.Last = toKeyValue(resp.Kvs[0])
 	}
-	say(c)
+	report(c)
 	return nil
 }
 
-// follow watches until the stream ends.
-func (s *Source) follow(ctx context.Context, o reconcile.Watch, say func(reconcile.Event)) error {
+// follow watches the keys until the stream ends.
+func (s *Source) follow(ctx context.Context, o reconcile.Watch, report func(reconcile.Event)) error {
 	return s.call(ctx, o.Endpoint, func(ctx context.Context, conn *grpc.ClientConn) error {
 		stream, err := pb.NewWatchClient(conn).Watch(ctx)
 		if err != nil {
 			return err
 		}
 		err = stream.Send(&pb.WatchRequest{RequestUnion: &pb.WatchRequest_CreateRequest{
-			CreateRequest: &pb.WatchCreateRequest{Key: []byte(s.from), RangeEnd: []byte(s.to),
+			CreateRequest: &pb.WatchCreateRequest{Key: []byte(s.startKey), RangeEnd: []byte(s.rangeEnd),
 				StartRevision: o.AfterRevision + 1, Fragment: true}}})
 		for err == nil {
 			var resp *pb.WatchResponse
@@ -344,73 +349,77 @@
 				return err
 			}
 			if resp.Header != nil && resp.CompactRevision > 0 {
-				say(reconcile.Compacted{Attempt: o.Attempt, OldestRevision: resp.CompactRevision})
+				report(reconcile.Compacted{Attempt: o.Attempt, OldestRevision: resp.CompactRevision})
 				return nil
 			}
-			err = s.onWatchResponse(stream, resp, o.Attempt, say)
+			err = s.onWatchResponse(stream, resp, o.Attempt, report)
 		}
 		return err
 	})
 }
 
-// onWatchResponse hands on one response of a watch. Its error ends the watch.
-func (s *Source) onWatchResponse(stream pb.Watch_WatchClient, resp *pb.WatchResponse, try int,
-	say func(reconcile.Event)) error {
+// onWatchResponse reports one response of a watch. An error ends the watch.
+func (s *Source) onWatchResponse(stream pb.Watch_WatchClient, resp *pb.WatchResponse, attempt int,
+	report func(reconcile.Event)) error {
 	header := resp.Header
 	switch {
 	case header == nil:
-		return errHeader
+		return errNoHeader
 	case resp.Canceled:
-		return cancelled(resp.CancelReason)
+		return cancellationError(resp.CancelReason)
 	case resp.Created:
 		s.mu.Lock()
-		s.watch, s.ofTry = stream, try
+		s.watch, s.watchAttempt = stream, attempt
 		s.mu.Unlock()
-		say(reconcile.WatchOpened{Attempt: try, ClusterID: header.ClusterId, Revision: header.Revision})
+		report(reconcile.WatchOpened{Attempt: attempt, ClusterID: header.ClusterId, Revision: header.Revision})
 	case len(resp.Events) == 0 && !resp.Fragment:
-		say(reconcile.Progress{Attempt: try, ClusterID: header.ClusterId, Revision: header.Revision})
+		report(reconcile.Progress{Attempt: attempt, ClusterID: header.ClusterId, Revision: header.Revision})
 	default:
-		c := reconcile.Changes{Attempt: try, ClusterID: header.ClusterId, Partial: resp.Fragment}
-		for _, e := range resp.Events {
-			if e.Kv == nil {
-				return errors.New("a change without a key")
+		c := reconcile.Changes{Attempt: attempt, ClusterID: header.ClusterId, Partial: resp.Fragment}
+		for _, event := range resp.Events {
+			if event.Kv == nil {
+				return errors.New("watch event has no key")
 			}
-			change := raw(e.Kv)
-			change.Deleted = e.Type == mvccpb.DELETE
+			change := toKeyValue(event.Kv)
+			change.Deleted = event.Type == mvccpb.DELETE
 			c.Entries = append(c.Entries, change)
 		}
-		say(c)
+		report(c)
 	}
 	return nil
 }
 
-// cancelled names the refusals that a watch is told in words only.
-func cancelled(reason string) error {
-	err := fmt.Errorf("the watch was cancelled: %s", reason)
-	for words, why := range map[string]reconcile.FailureReason{"invalid auth token": reconcile.InvalidToken,
-		"revision of auth store is old": reconcile.InvalidToken, "permission denied": reconcile.Forbidden} {
-		if strings.Contains(reason, words) {
-			return &refusal{why, err}
+// cancellationError classifies the cancellation of a watch. etcd gives its reason only as text.
+func cancellationError(cancelReason string) error {
+	err := fmt.Errorf("the server cancelled the watch: %s", cancelReason)
+	for text, reason := range map[string]reconcile.FailureReason{
+		"invalid auth token":            reconcile.InvalidToken,
+		"revision of auth store is old": reconcile.InvalidToken,
+		"permission denied":             reconcile.Forbidden,
+	} {
+		if strings.Contains(cancelReason, text) {
+			return &classifiedError{reason, err}
 		}
 	}
 	return err
 }
 
-// ask asks the watch of a try for progress.
-func (s *Source) ask(try int) {
+// requestProgress requests a progress notification from the watch of an attempt. Without an open watch it does nothing:
+// the reconciler's timeout then ends the attempt.
+func (s *Source) requestProgress(attempt int) {
 	s.mu.Lock()
 	stream := s.watch
-	if s.ofTry != try {
+	if s.watchAttempt != attempt {
 		stream = nil
 	}
 	s.mu.Unlock()
-	if stream != nil { // else it is not open: silence ends it
+	if stream != nil {
 		_ = stream.Send(&pb.WatchRequest{RequestUnion: &pb.WatchRequest_ProgressRequest{
 			ProgressRequest: &pb.WatchProgressRequest{}}})
 	}
 }
 
-// isAny reports whether an error is one of the targets.
+// isAny reports whether err matches one of the targets.
 func isAny(err error, targets ...error) bool {
 	return slices.ContainsFunc(targets, func(target error) bool { return errors.Is(err, target) })
 }
