--- a/internal/controller/command/registry.go
+++ b/internal/controller/command/registry.go
@@ -75,7 +75,7 @@
 	log.SetOutput(io.Discard) // orderPrinter prints the log entries
 	orders := make(chan reconcile.Order, 1024)
 	follower := NewFollower(*f.Registry, "command", func(any) {}, logrus.NewEntry(log))
-	follower.See(func(o reconcile.Order) { orders <- o })
+	follower.SetObserver(func(o reconcile.Order) { orders <- o })
 	go follower.Run()
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -292,7 +292,7 @@
 func (c *controller) followDiscovery(known reconcile.List) {
 	c.sources.follow(func(send func(any)) Source {
 		registry := discovery.New(c.config.Discovery, send, c.log)
-		registry.From(known)
+		registry.SetKnownList(known)
 		go registry.Run(!c.config.Deployment.ListOnRequest || !known.Complete)
 		return registry
 	})
--- a/internal/controller/discovery/access.go
+++ b/internal/controller/discovery/access.go
@@ -21,8 +21,8 @@
 // Files are those of TLS. CA is empty for the system's; Cert and Key are empty where we show none.
 type Files struct{ CA, Cert, Key, Name string }
 
-// Secret reads a file's first line.
-func Secret(path string) (string, error) {
+// ReadSecret reads a file's first line.
+func ReadSecret(path string) (string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return "", err
@@ -59,8 +59,8 @@
 	return conf, nil
 }
 
-// Refuses says whether an error is that of a certificate: ours, or the other side's.
-func Refuses(err error) bool {
+// IsCertificateError says whether an error is that of a certificate: ours, or the other side's.
+func IsCertificateError(err error) bool {
 	var verify *tls.CertificateVerificationError
 	var alert tls.AlertError
 	var unknown x509.UnknownAuthorityError
--- a/internal/controller/discovery/connections_test.go
+++ b/internal/controller/discovery/connections_test.go
@@ -60,7 +60,7 @@
 		t.Run(name, func(t *testing.T) {
 			addr, asked, ended := silent(t)
 			r := New(addr, func(any) {}, quiet())
-			r.From(reconcile.List{Revision: 7, Complete: true})
+			r.SetKnownList(reconcile.List{Revision: 7, Complete: true})
 			r.wait, r.grace = 6*patience, 6*patience
 			done := make(chan struct{})
 			go func() { defer close(done); r.Run(true) }()
--- a/internal/controller/discovery/consul/consul.go
+++ b/internal/controller/discovery/consul/consul.go
@@ -51,8 +51,8 @@
 	return &Source{endpoints: endpoints, prefix: prefix, access: access, readTimeout: readTimeout}
 }
 
-// Leave closes the idle connections; the next order dials again.
-func (s *Source) Leave() {
+// Disconnect closes the idle connections; the next order dials again.
+func (s *Source) Disconnect() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.disconnect()
@@ -66,7 +66,7 @@
 }
 
 // Close closes the idle connections. Calls in progress end with their contexts.
-func (s *Source) Close() { s.Leave() }
+func (s *Source) Close() { s.Disconnect() }
 
 // connect returns the client for an endpoint. It makes a new client if the endpoint has changed or the context of the
 // current client has ended.
@@ -113,7 +113,7 @@
 	case errors.Is(err, fasthttp.ErrTimeout), errors.Is(err, fasthttp.ErrTLSHandshakeTimeout),
 		errors.As(err, &netErr) && netErr.Timeout():
 		return reconcile.TimedOut
-	case discovery.Refuses(err):
+	case discovery.IsCertificateError(err):
 		return reconcile.CertificateRejected
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		return reconcile.InvalidResponse
@@ -153,7 +153,7 @@
 	}
 	var err error
 	if s.access.TokenFile != "" {
-		if token, err = discovery.Secret(s.access.TokenFile); err != nil {
+		if token, err = discovery.ReadSecret(s.access.TokenFile); err != nil {
 			return "", &failure{reconcile.InvalidToken, err.Error()}
 		}
 	} else if token, err = s.login(c); err != nil {
@@ -167,7 +167,7 @@
 
 // login exchanges the bearer token for a Consul token.
 func (s *Source) login(c *fasthttp.HostClient) (string, error) {
-	bearer, err := discovery.Secret(s.access.BearerFile)
+	bearer, err := discovery.ReadSecret(s.access.BearerFile)
 	if err != nil {
 		return "", &failure{reconcile.BadCredentials, err.Error()}
 	}
--- a/internal/controller/discovery/etcd/etcd.go
+++ b/internal/controller/discovery/etcd/etcd.go
@@ -56,8 +56,8 @@
 	return &Source{endpoints: endpoints, startKey: prefix + "/", rangeEnd: prefix + "0", access: access}
 }
 
-// Leave closes the connection; the next order dials again.
-func (s *Source) Leave() {
+// Disconnect closes the connection; the next order dials again.
+func (s *Source) Disconnect() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.disconnect()
@@ -145,7 +145,7 @@
 	}
 	switch status.Code(err) {
 	case codes.Unavailable, codes.Canceled, codes.Aborted:
-		if discovery.Refuses(err) {
+		if discovery.IsCertificateError(err) {
 			return reconcile.CertificateRejected
 		}
 		return reconcile.ConnectionLost
@@ -187,7 +187,7 @@
 	case token != "":
 	case access.User != "":
 		var password string
-		if password, err = discovery.Secret(access.PasswordFile); err != nil {
+		if password, err = discovery.ReadSecret(access.PasswordFile); err != nil {
 			return nil, &classifiedError{reconcile.BadCredentials, err}
 		}
 		request := &pb.AuthenticateRequest{Name: access.User, Password: password}
@@ -197,7 +197,7 @@
 		}
 		token = resp.Token
 	case access.TokenFile != "":
-		if token, err = discovery.Secret(access.TokenFile); err != nil {
+		if token, err = discovery.ReadSecret(access.TokenFile); err != nil {
 			return nil, &classifiedError{reconcile.InvalidToken, err}
 		}
 	default:
--- a/internal/controller/discovery/registry.go
+++ b/internal/controller/discovery/registry.go
@@ -64,8 +64,8 @@
 	}, breakOff
 }
 
-// From says which revision is known already.
-func (r *Registry) From(l reconcile.List) {
+// SetKnownList says which revision is known already.
+func (r *Registry) SetKnownList(l reconcile.List) {
 	r.revision, r.knownList = l.Revision, l.Complete
 }
 
--- a/internal/controller/discovery/registry_test.go
+++ b/internal/controller/discovery/registry_test.go
@@ -110,7 +110,7 @@
 		revision(7, false, member),
 	)
 	r := New(addr, func(v any) { said <- v }, quiet())
-	r.From(reconcile.List{Revision: 41, Complete: true})
+	r.SetKnownList(reconcile.List{Revision: 41, Complete: true})
 	r.grace = time.Minute // what fails here does so at once
 	go r.Run(true)
 	for i, want := range []any{
@@ -150,7 +150,7 @@
 	said := make(chan any, 100)
 	addr, asked := discovery(t, "", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"rev", revision(7, false, member))
 	r := New(addr, func(v any) { said <- v }, quiet())
-	r.From(reconcile.List{Revision: 6, Complete: true})
+	r.SetKnownList(reconcile.List{Revision: 6, Complete: true})
 	r.wait, r.grace = time.Millisecond, 200*time.Millisecond
 	go r.Run(true)
 	if v := <-said; v != any(reconcile.SourceFailed{}) {
@@ -202,7 +202,7 @@
 	silent, first := discovery(t, "")
 	moved, asked := discovery(t, revision(3, true, member), revision(4, false, member))
 	r := New(silent, func(v any) { said <- v }, quiet())
-	r.From(reconcile.List{Revision: 41, Complete: true})
+	r.SetKnownList(reconcile.List{Revision: 41, Complete: true})
 	r.grace = time.Hour // so that no call ends by itself
 	go r.Run(true)
 	<-first
--- a/internal/controller/discovery/watch/cases_test.go
+++ b/internal/controller/discovery/watch/cases_test.go
@@ -135,7 +135,7 @@
 	log.SetOutput(io.Discard)
 	endpoints := []string{r.link.Addr()}
 	r.f = watch.New(p, r.source(endpoints, a), endpoints, func(any) {}, logrus.NewEntry(log))
-	r.f.See(func(o reconcile.Order) {
+	r.f.SetObserver(func(o reconcile.Order) {
 		switch o := o.(type) {
 		case reconcile.PublishList:
 			r.tells <- o
--- a/internal/controller/discovery/watch/follow.go
+++ b/internal/controller/discovery/watch/follow.go
@@ -13,11 +13,11 @@
 )
 
 // Source asks one kind of registry. Do carries out a Read, Check, Watch or Ask, hands each answer to say, and
-// returns when nothing more comes for that order; when ctx ends it does so at once. Leave drops the connections,
+// returns when nothing more comes for that order; when ctx ends it does so at once. Disconnect drops the connections,
 // so that what is asked next dials anew; Close ends them for good.
 type Source interface {
 	Do(ctx context.Context, o reconcile.Order, say func(reconcile.Event))
-	Leave()
+	Disconnect()
 	Close()
 }
 
@@ -43,8 +43,8 @@
 	return f
 }
 
-// See hands on each Tell and Note, before what is told goes to the desk.
-func (f *Follower) See(seen func(reconcile.Order)) { f.seen = seen }
+// SetObserver hands on each Tell and Note, before what is told goes to the desk.
+func (f *Follower) SetObserver(seen func(reconcile.Order)) { f.seen = seen }
 
 // Follow is what the module orders where lists are asked for: a registry is followed in any case.
 func (f *Follower) Follow(bool) {}
@@ -108,7 +108,7 @@
 				f.note(o)
 			case reconcile.Cancel:
 				leave()
-				f.source.Leave()
+				f.source.Disconnect()
 			case reconcile.ReadPage:
 				f.do(begin(o.Attempt), o)
 			case reconcile.Check:
