--- a/internal/bench/pubsub/channel.go
+++ b/internal/bench/pubsub/channel.go
@@ -80,7 +80,7 @@
 		}
 	}
 	hub, err := pubsub.Listen(
-		pubsub.Plan{Listen: "127.0.0.1:0", Linger: time.Minute, Onlookers: 4},
+		pubsub.Config{Listen: "127.0.0.1:0", Linger: time.Minute, MaxObservers: 4},
 		chanProxies,
 		names,
 		hear,
@@ -115,9 +115,9 @@
 		}
 		slow := i >= chanProxies-chanSlow
 		go func() {
-			_ = client.Run(ctx, client.Options{Addresses: []string{addr}, Pause: 20 * time.Millisecond,
-				Hello:   pubsub.Hello{Topic: fmt.Sprint(pubsub.OrdersTopic, i), Own: true, Zone: "a", Rate: 1},
-				Changed: func(c *session.Copy, keys []string) { s.took(c, keys, slow) }})
+			_ = client.Run(ctx, client.Options{Addresses: []string{addr}, MinBackoff: 20 * time.Millisecond,
+				Hello:    pubsub.Hello{Topic: fmt.Sprint(pubsub.OrdersTopicPrefix, i), Owner: true, Zone: "a", Rate: 1},
+				OnChange: func(c *session.Replica, keys []string) { s.took(c, keys, slow) }})
 		}()
 	}
 	for over := time.Now().Add(deliveryTimeout); joined.Load() < chanProxies; time.Sleep(10 * time.Millisecond) {
@@ -266,7 +266,7 @@
 }
 
 // took notes what took effect.
-func (s *subscriber) took(c *session.Copy, keys []string, slow bool) {
+func (s *subscriber) took(c *session.Replica, keys []string, slow bool) {
 	if slow {
 		time.Sleep(chanSlowness)
 	}
@@ -278,15 +278,15 @@
 	}
 	s.seen[number] = true
 	s.effects++
-	s.same = c.Same
+	s.same = c.Unchanged
 	s.largest = max(s.largest, len(keys))
 	for _, k := range keys {
 		v, there := c.State[k]
 		if s.table[k] = v; !there {
 			delete(s.table, k)
 		}
-		id := session.Split(k)[2]
-		if at, waits := s.at[id]; waits && there && v.Figure == s.want[id] {
+		id := session.SplitKey(k)[2]
+		if at, waits := s.at[id]; waits && there && v.Number == s.want[id] {
 			s.delays = append(s.delays, float64(time.Since(at))/float64(time.Millisecond))
 			delete(s.at, id)
 		}
@@ -298,12 +298,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, weight := range s.want {
-		if s.table[pubsub.LineKey("look", id)].Figure != weight {
+		if s.table[pubsub.WeightKey("look", id)].Number != weight {
 			n++
 		}
 	}
 	for key := range s.table {
-		if _, wanted := s.want[session.Split(key)[2]]; !wanted {
+		if _, wanted := s.want[session.SplitKey(key)[2]]; !wanted {
 			n++
 		}
 	}
@@ -318,7 +318,7 @@
 		return false
 	}
 	for id, weight := range s.want {
-		if s.table[pubsub.LineKey("look", id)].Figure != weight {
+		if s.table[pubsub.WeightKey("look", id)].Number != weight {
 			return false
 		}
 	}
@@ -328,13 +328,13 @@
 // sizes are bytes of a first table and of a change, as text of the platform and on the channel.
 func sizes() (text, packed [2]int) {
 	var lines []textproto.BackendWeight
-	var sets []session.Set
+	var sets []session.Update
 	for i := range 12 {
 		id := fmt.Sprintf("s-%08x", i*7919)
 		lines = append(lines, textproto.BackendWeight{Backend: id, Weight: 0.5 + float64(i)/7})
 		sets = append(
 			sets,
-			session.Set{Key: pubsub.LineKey("fetch-result", id), Value: session.Value{Figure: 0.5 + float64(i)/7}},
+			session.Update{Key: pubsub.WeightKey("fetch-result", id), Value: session.Value{Number: 0.5 + float64(i)/7}},
 		)
 	}
 	gate := textproto.Part{
@@ -351,9 +351,10 @@
 		nil,
 		[]textproto.Part{{Products: []string{"fetch-result"}, Weights: lines[:2], HasMarker: true, Marker: 906}},
 	)
-	sets = append(sets, session.Set{Key: pubsub.GateKey("fetch-result"), Value: session.Value{Figure: 12.5, Small: 1}})
+	admission := session.Value{Number: 12.5, Integer: 1}
+	sets = append(sets, session.Update{Key: pubsub.AdmissionKey("fetch-result"), Value: admission})
 	text = [2]int{len(whole), len(change)}
-	packed = [2]int{len(pubsub.Encode(pubsub.KindSnapshot, pubsub.Message{Epoch: 1 << 60, Seq: 900, Sets: sets})),
-		len(pubsub.Encode(pubsub.KindChange, pubsub.Message{Epoch: 1 << 60, Seq: 901, Prev: 900, Sets: sets[:2]}))}
+	packed = [2]int{len(pubsub.Encode(pubsub.KindSnapshot, pubsub.Message{Epoch: 1 << 60, Seq: 900, Updates: sets})),
+		len(pubsub.Encode(pubsub.KindChange, pubsub.Message{Epoch: 1 << 60, Seq: 901, Prev: 900, Updates: sets[:2]}))}
 	return text, packed
 }
--- a/internal/bench/pubsub/streams.go
+++ b/internal/bench/pubsub/streams.go
@@ -46,7 +46,7 @@
 		var lines []textproto.BackendWeight
 		for id, weight := range s.want {
 			lines = append(lines, textproto.BackendWeight{Backend: id, Weight: weight})
-			if s.table[pubsub.LineKey("look", id)].Figure == weight {
+			if s.table[pubsub.WeightKey("look", id)].Number == weight {
 				again.Add(1)
 			}
 		}
@@ -148,8 +148,8 @@
 			for _, l := range strings.Split(value, ",") {
 				id, text, _ := strings.Cut(l, ":")
 				weight, _ := strconv.ParseFloat(text, 64)
-				key := pubsub.LineKey("look", id)
-				if s.table[key] = (session.Value{Figure: weight}); weight == 0 {
+				key := pubsub.WeightKey("look", id)
+				if s.table[key] = (session.Value{Number: weight}); weight == 0 {
 					delete(s.table, key)
 				}
 				if at, waits := s.at[id]; waits && weight == s.want[id] {
@@ -178,16 +178,16 @@
 		buffer = textproto.Append(buffer[:0], parts)
 	}
 	text = float64(time.Since(began).Nanoseconds()) / rounds
-	all, orders := session.New(session.Usual(1)), pubsub.Orders{}
+	all, orders := session.New(session.DefaultConfig(1)), pubsub.OrderEncoder{}
 	all.Step(1, []session.Event{session.Opened{Conn: 1, Topic: "orders/1", Owner: true, Credit: 16}})
 	began = time.Now()
 	for i := range rounds {
 		parts[0].Weights[0].Weight = float64(i)
-		sets, mark := orders.Sets(nil, parts)
-		for _, o := range all.Step(1, []session.Event{session.Changed{Topic: "orders/1", Sets: sets, Mark: mark}}) {
+		sets, mark := orders.Updates(nil, parts)
+		for _, o := range all.Step(1, []session.Event{session.TopicChanged{Topic: "orders/1", Updates: sets, Marker: mark}}) {
 			if m, ok := o.(session.Send); ok {
-				_ = pubsub.Encode(pubsub.KindChange, pubsub.Message{Epoch: m.Epoch, Seq: m.Seq, Prev: m.Prev, Sets: m.Sets})
-				all.Step(1, []session.Event{session.Acked{Conn: 1, Epoch: m.Epoch, Seq: m.Seq, More: 1}})
+				_ = pubsub.Encode(pubsub.KindChange, pubsub.Message{Epoch: m.Epoch, Seq: m.Seq, Prev: m.Prev, Updates: m.Updates})
+				all.Step(1, []session.Event{session.Acked{Conn: 1, Epoch: m.Epoch, Seq: m.Seq, AddedCredit: 1}})
 			}
 		}
 	}
--- a/internal/bench/tenancy/cells.go
+++ b/internal/bench/tenancy/cells.go
@@ -185,7 +185,7 @@
 	chance := rand.New(rand.NewPCG(w.Seed, 5))
 	names := []string{"red", "blue", "green"}
 	d.Plan = d.Confine(0, names...)
-	d.Plan.Settle, d.Plan.Part = moveTime, 0.34
+	d.Plan.SettleTime, d.Plan.MoveFraction = moveTime, 0.34
 	// The file that a controller which starts anew reads; a move by hand is written into it, too.
 	file := *d.Plan
 	file.Tenants = slices.Clone(file.Tenants)
@@ -242,11 +242,11 @@
 	plan.Zones = d.Zones
 	var list []tenancy.Backend
 	for i, b := range d.Backends {
-		list = append(list, tenancy.Backend{At: i, ID: b.ID, Zone: b.Zone, Status: policy.Ready, Weight: 1})
+		list = append(list, tenancy.Backend{Index: i, ID: b.ID, Zone: b.Zone, Status: policy.Ready, Weight: 1})
 	}
 	for _, t := range plan.Tenants {
 		own := map[string]bool{}
-		for _, at := range plan.Own(t, list) {
+		for _, at := range plan.AssignedBackends(t, list) {
 			own[list[at].ID] = true
 		}
 		for _, proxy := range t.Proxies {
--- a/internal/bench/tenancy/step.go
+++ b/internal/bench/tenancy/step.go
@@ -30,7 +30,7 @@
 
 // stage is cells before the decisions, as the desk has them.
 type stage struct {
-	c   *tenancy.Cells
+	c   *tenancy.Manager
 	a   *policy.Assigner
 	now policy.Time
 }
@@ -67,13 +67,13 @@
 		MessageOverhead: 6,
 		MessageWindow:   10 * policy.Second,
 	}
-	plan.Products, plan.Zones, plan.Cold = d.Products, 2, d.WarmupTime
+	plan.Products, plan.Zones, plan.WarmupTime = d.Products, 2, d.WarmupTime
 	s := &stage{c: tenancy.New(stepProxies), a: policy.New(d), now: 1000 * policy.Second}
 	events := []tenancy.Event{tenancy.ListUpdate{Backends: list}, tenancy.PlanUpdate{Plan: plan}}
 	var also []policy.Event
 	entries := make([]policy.Entry, 0, len(list))
 	for _, b := range list {
-		entries = append(entries, policy.Entry{Backend: b.At, Zone: b.Zone, Status: policy.Ready, Weight: 1})
+		entries = append(entries, policy.Entry{Backend: b.Index, Zone: b.Zone, Status: policy.Ready, Weight: 1})
 	}
 	also = append(also, policy.ListUpdate{Kind: policy.ListFull, Entries: entries})
 	for i := range stepProxies {
@@ -92,13 +92,13 @@
 	for i := range stepBackends {
 		list = append(
 			list,
-			tenancy.Backend{At: i, ID: fmt.Sprintf("s-%d-%03d", w.Seed, i), Zone: i % 2, Status: policy.Ready, Weight: 1},
+			tenancy.Backend{Index: i, ID: fmt.Sprintf("s-%d-%03d", w.Seed, i), Zone: i % 2, Status: policy.Ready, Weight: 1},
 		)
 	}
-	shuffled, moved := tenancy.Usual(), tenancy.Usual()
-	shuffled.Shuffle, shuffled.Size = true, stepSize
+	shuffled, moved := tenancy.DefaultPlan(), tenancy.DefaultPlan()
+	shuffled.Shuffle, shuffled.ShardSize = true, stepSize
 	for i := range 20 {
-		moved.Cells = append(moved.Cells, tenancy.Cell{Name: fmt.Sprint("c", i), Part: 1})
+		moved.Cells = append(moved.Cells, tenancy.Cell{Name: fmt.Sprint("c", i), Share: 1})
 	}
 	for i := range stepProxies {
 		shuffled.Tenants = append(shuffled.Tenants, tenancy.Tenant{Name: fmt.Sprint("t", i), Proxies: []int{i}})
@@ -128,7 +128,7 @@
 	plan := shuffled
 	plan.Products, plan.Zones = []policy.Product{{}, {OwnZone: true}}, 2
 	for _, t := range plan.Tenants {
-		if slices.Contains(plan.Own(t, list), stepBackends-1) {
+		if slices.Contains(plan.AssignedBackends(t, list), stepBackends-1) {
 			enter++
 		}
 	}
--- a/internal/controller/command/cells.go
+++ b/internal/controller/command/cells.go
@@ -97,10 +97,10 @@
 		if s.From != "" {
 			cell = s.From + " to " + s.Cell
 		}
-		if s.Bound > 0 {
-			limit = fmt.Sprintf("%.1f/s", s.Bound)
+		if s.RateLimit > 0 {
+			limit = fmt.Sprintf("%.1f/s", s.RateLimit)
 		}
-		if s.ShutIn {
+		if s.Contained {
 			phase = "contained"
 		}
 		if len(s.Lent) > 0 {
@@ -118,8 +118,8 @@
 			borrowed,
 			limit,
 			100*s.Mean,
-			100*s.Most,
-			s.With,
+			100*s.Max,
+			s.MaxTenant,
 		)
 	}
 	_ = table.Flush()
@@ -130,7 +130,7 @@
 	table = tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "backend\tshare of the tenants' capacity\ttenants")
 	for _, b := range v.Backends {
-		_, _ = fmt.Fprintf(table, "%s\t%.1f%%\t%d of %d\n", b.Backend, 100*b.Part, b.Tenants, len(v.Tenants))
+		_, _ = fmt.Fprintf(table, "%s\t%.1f%%\t%d of %d\n", b.Backend, 100*b.Fraction, b.Tenants, len(v.Tenants))
 	}
 	_ = table.Flush()
 }
--- a/internal/controller/command/channel.go
+++ b/internal/controller/command/channel.go
@@ -32,7 +32,7 @@
 	log *logrus.Entry,
 ) (controller.Channel, error) {
 	return pubsub.Listen(
-		pubsub.Plan{Listen: o.Listen, Linger: o.Linger, Onlookers: o.Onlookers},
+		pubsub.Config{Listen: o.Listen, Linger: o.Linger, MaxObservers: o.Onlookers},
 		proxies,
 		names,
 		send,
@@ -62,7 +62,7 @@
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
 			return client.Run(ctx, client.Options{Addresses: []string{address}, Hello: pubsub.Hello{Topic: args[0]},
-				Changed: func(c *session.Copy, keys []string) {
+				OnChange: func(c *session.Replica, keys []string) {
 					slices.Sort(keys)
 					for _, k := range keys {
 						v, exists := c.State[k]
@@ -72,7 +72,7 @@
 						stop()
 					}
 				},
-				Down: func(err error) {
+				OnDisconnect: func(err error) {
 					if err != nil {
 						_, _ = fmt.Fprintf(stderr, "elmfold: %s: %v\n", address, err)
 					}
@@ -87,12 +87,12 @@
 
 // formatValue formats a value of a topic for display.
 func formatValue(key string, v session.Value, exists bool) string {
-	parts := strings.Join(session.Split(key), " ")
+	parts := strings.Join(session.SplitKey(key), " ")
 	switch {
 	case !exists:
 		return parts + " deleted"
 	case v.Text != "":
 		return v.Text
 	}
-	return fmt.Sprintf("%s %g %d", parts, v.Figure, v.Small)
+	return fmt.Sprintf("%s %g %d", parts, v.Number, v.Integer)
 }
--- a/internal/controller/command/command.go
+++ b/internal/controller/command/command.go
@@ -147,7 +147,7 @@
 	for _, m := range c.CachedList.Members {
 		if zone := slices.Index(c.Names.Zones, m.Zone); zone >= 0 && m.Phase == reconcile.Serving {
 			backends = append(backends, tenancy.Backend{
-				At:     len(backends),
+				Index:  len(backends),
 				ID:     m.ID,
 				Zone:   zone,
 				Kind:   slices.Index(c.Names.Kinds, m.Kind),
--- a/internal/controller/command/plugin.go
+++ b/internal/controller/command/plugin.go
@@ -165,7 +165,7 @@
 		status := choose(b.Drains, policy.Draining, policy.Ready)
 		list.Backends = append(
 			list.Backends,
-			tenancy.Backend{At: i, ID: b.ID, Zone: zoneIndex(b.Zone), Status: status, Weight: b.Weight},
+			tenancy.Backend{Index: i, ID: b.ID, Zone: zoneIndex(b.Zone), Status: status, Weight: b.Weight},
 		)
 		if b.Ramp > 0 && b.Ramp < 1 {
 			list.Ramp[b.ID] = b.Ramp
--- a/internal/controller/command/warmstart_test.go
+++ b/internal/controller/command/warmstart_test.go
@@ -335,9 +335,9 @@
 	tableCount := 0
 	err = client.Run(
 		ctx,
-		client.Options{Addresses: []string{addr}, Hello: pubsub.Hello{Topic: "orders/2", Own: true, Zone: "a", Rate: 5},
-			Changed: func(c *session.Copy, _ []string) {
-				_, tables := pubsub.Tables(c.State)
+		client.Options{Addresses: []string{addr}, Hello: pubsub.Hello{Topic: "orders/2", Owner: true, Zone: "a", Rate: 5},
+			OnChange: func(c *session.Replica, _ []string) {
+				_, tables := pubsub.RoutingTables(c.State)
 				if tableCount = len(tables); tableCount > 0 {
 					stop()
 				}
--- a/internal/controller/control.go
+++ b/internal/controller/control.go
@@ -154,7 +154,7 @@
 		}
 		message := any(tenancy.Move{Tenant: r.Tenant, Cell: r.Cell})
 		if r.Action == ActionUndoMove {
-			message = tenancy.Undo{Tenant: r.Tenant}
+			message = tenancy.CancelMove{Tenant: r.Tenant}
 		}
 		c.queue <- eventloop.Command{Message: message}
 		time.Sleep(stepDelay)
--- a/internal/controller/eventloop/eventloop.go
+++ b/internal/controller/eventloop/eventloop.go
@@ -156,8 +156,8 @@
 	factSink          FactSink    // optional
 	lastSnapshotAt    policy.Time
 	snapshotPart      int
-	observer          Observer       // optional
-	tenancy           *tenancy.Cells // nil until the first tenancy command
+	observer          Observer         // optional
+	tenancy           *tenancy.Manager // nil until the first tenancy command
 	honorRemovals     bool
 	warnedUnsupported bool // an unsupported order has been logged
 
@@ -266,7 +266,7 @@
 		return l.onBackendReport(from, m)
 	case textproto.Closed:
 		l.onClosed(from)
-	case tenancy.PlanUpdate, tenancy.Move, tenancy.Undo:
+	case tenancy.PlanUpdate, tenancy.Move, tenancy.CancelMove:
 		l.onTenancy(m)
 	case RemoteSums:
 		l.onRemoteSums(m)
--- a/internal/controller/eventloop/tenancy.go
+++ b/internal/controller/eventloop/tenancy.go
@@ -15,7 +15,7 @@
 	if l.tenancy == nil {
 		return tenancy.View{}
 	}
-	return l.tenancy.Show()
+	return l.tenancy.View()
 }
 
 // fleet returns the listed backends. Unless removals are honored, it includes backends that were removed from the list
@@ -24,8 +24,8 @@
 	for at, isListed := range l.listed {
 		e := l.lastEntries[at]
 		if isListed || !l.honorRemovals && l.backends[at] != "" && e.Status == policy.Ready {
-			all = append(all, tenancy.Backend{At: at, ID: l.backends[at], Zone: e.Zone, Kind: e.Kind, Status: e.Status,
-				Weight: e.Weight, Up: e.StartedAt})
+			all = append(all, tenancy.Backend{Index: at, ID: l.backends[at], Zone: e.Zone, Kind: e.Kind, Status: e.Status,
+				Weight: e.Weight, StartedAt: e.StartedAt})
 		}
 	}
 	return all
@@ -61,7 +61,7 @@
 	}
 	for _, o := range l.tenancy.Step(l.now, events) {
 		switch o := o.(type) {
-		case tenancy.Note:
+		case tenancy.LogMessage:
 			if o.Warn {
 				l.log.Warn(o.Text)
 			} else {
--- a/internal/controller/operatorfile/cells.go
+++ b/internal/controller/operatorfile/cells.go
@@ -31,7 +31,7 @@
 
 // parseCells parses a section cells fixed or cells shuffle.
 func (p *parser) parseCells(s section) *Cells {
-	c := &Cells{Plan: tenancy.Usual(), File: p.file}
+	c := &Cells{Plan: tenancy.DefaultPlan(), File: p.file}
 	plan := &c.Plan
 	switch mode := strings.Join(s.arguments, " "); mode {
 	case "fixed", "shuffle":
@@ -49,18 +49,18 @@
 		}}
 	}
 	rules := map[string]rule{
-		"loan":      p.countRule(&plan.Loan, 0, 1000),
-		"loan-time": duration(&plan.LoanFor, time.Hour),
-		"lost":      p.countRule(&plan.Lost, 0, 1000),
-		"lost-time": duration(&plan.LostOver, 24*time.Hour),
-		"trickle":   p.rateRule(&plan.Trickle, 0.01, 1000),
-		"settle":    duration(&plan.Settle, 10*time.Minute),
-		"prepare":   duration(&plan.Prepare, time.Hour),
-		"part":      p.percentRule(&plan.Part),
-		"warn":      p.percentRule(&plan.Warn),
+		"loan":      p.countRule(&plan.MaxLoans, 0, 1000),
+		"loan-time": duration(&plan.MinLoanTime, time.Hour),
+		"lost":      p.countRule(&plan.MaxLost, 0, 1000),
+		"lost-time": duration(&plan.LostWindow, 24*time.Hour),
+		"trickle":   p.rateRule(&plan.ContainedRate, 0.01, 1000),
+		"settle":    duration(&plan.SettleTime, 10*time.Minute),
+		"prepare":   duration(&plan.PrepareTimeout, time.Hour),
+		"part":      p.percentRule(&plan.MoveFraction),
+		"warn":      p.percentRule(&plan.WarnFraction),
 	}
 	if plan.Shuffle {
-		rules["size"] = p.countRule(&plan.Size, 1, 1000)
+		rules["size"] = p.countRule(&plan.ShardSize, 1, 1000)
 	} else {
 		rules["cell"] = rule{1, maxListArgs, "NAME", func(d directive, w []string) {
 			part := 1.0
@@ -79,7 +79,7 @@
 				p.addError(d.line, "remove one of them", "cell %s is listed twice", w[0])
 				return
 			}
-			plan.Cells = append(plan.Cells, tenancy.Cell{Name: w[0], Part: part})
+			plan.Cells = append(plan.Cells, tenancy.Cell{Name: w[0], Share: part})
 		}}
 	}
 	errorsBefore := len(p.errors)
@@ -88,7 +88,7 @@
 	case len(p.errors) > errorsBefore:
 	case !plan.Shuffle && len(plan.Cells) < 2:
 		p.addError(s.line, "add lines such as: cell blue", "%d cells are too few, at least 2 are required", len(plan.Cells))
-	case plan.Part == 0:
+	case plan.MoveFraction == 0:
 		p.addError(lines["part"], "write a percentage above 0%", "part is 0%%, so a move would never end")
 	}
 	return c
@@ -116,7 +116,7 @@
 	t.Name = s.arguments[0]
 	lines := p.parseDirectives(s, map[string]rule{
 		"cell": p.wordRule(&t.Cell, "blue"),
-		"size": p.countRule(&t.Size, 1, 1000),
+		"size": p.countRule(&t.ShardSize, 1, 1000),
 		"proxies": {1, maxListArgs, "0-4 7", func(d directive, w []string) {
 			for _, word := range w {
 				from, to, ranged := strings.Cut(word, "-")
@@ -172,7 +172,7 @@
 				"tenant %s names a cell, but cells are shuffled",
 				t.Name,
 			)
-		case !plan.Shuffle && t.Size != 0:
+		case !plan.Shuffle && t.ShardSize != 0:
 			p.addError(
 				lines[i],
 				"remove the line size, or write cells shuffle",
@@ -205,7 +205,7 @@
 // PlanFor returns the plan completed with the products, zones and warmup time of the platform's settings.
 func (c *Cells) PlanFor(d policy.Deployment) tenancy.Plan {
 	plan := c.Plan
-	plan.Products, plan.Zones, plan.Cold = d.Products, d.Zones, d.WarmupTime
+	plan.Products, plan.Zones, plan.WarmupTime = d.Products, d.Zones, d.WarmupTime
 	return plan
 }
 
@@ -226,14 +226,14 @@
 func (c *Cells) Validate(d policy.Deployment, list []tenancy.Backend) error {
 	plan := c.PlanFor(d)
 	var fileErrors FileErrors
-	for _, l := range plan.Lacks(list) {
+	for _, l := range plan.Shortfalls(list) {
 		fix := "give its cell a larger part, or move it to another cell"
 		if plan.Shuffle {
 			fix = "give it a larger size"
 		}
 		fileErrors = append(
 			fileErrors,
-			FileError{c.File, c.TenantLines[l.Tenant], fmt.Sprintf("tenant %s: %s", plan.Tenants[l.Tenant].Name, l.Why), fix},
+			FileError{c.File, c.TenantLines[l.Tenant], fmt.Sprintf("tenant %s: %s", plan.Tenants[l.Tenant].Name, l.Reason), fix},
 		)
 	}
 	if len(fileErrors) == 0 {
@@ -246,9 +246,9 @@
 // allows.
 func (c *Cells) Warnings(d policy.Deployment, list []tenancy.Backend) (all []string) {
 	plan := c.PlanFor(d)
-	radii, _ := plan.Radii(list)
+	radii, _ := plan.BlastRadii(list)
 	for i, radius := range radii {
-		if plan.Warn > 0 && radius.Mean > plan.Warn {
+		if plan.WarnFraction > 0 && radius.Mean > plan.WarnFraction {
 			all = append(
 				all,
 				FileError{
@@ -258,8 +258,8 @@
 						"warning: tenant %s can affect %.0f%% of the other tenants' capacity, %.0f%% of that of %s",
 						radius.Tenant,
 						100*radius.Mean,
-						100*radius.Most,
-						radius.With,
+						100*radius.Max,
+						radius.MaxTenant,
 					),
 					fmt.Sprintf("use more cells or a smaller size, or write warn above %.0f%%", 100*radius.Mean),
 				}.Error(),
--- a/internal/controller/operatorfile/operatorfile_test.go
+++ b/internal/controller/operatorfile/operatorfile_test.go
@@ -47,8 +47,8 @@
 		t.Errorf("read %+v, %v", g, err)
 	}
 	f, err = Read("testdata/good-cells.conf")
-	if c := f.Cells; err != nil || c.Plan.Shuffle || len(c.Plan.Cells) != 2 || c.Plan.Cells[1].Part != 2 ||
-		c.Plan.Settle != 50000 ||
+	if c := f.Cells; err != nil || c.Plan.Shuffle || len(c.Plan.Cells) != 2 || c.Plan.Cells[1].Share != 2 ||
+		c.Plan.SettleTime != 50000 ||
 		!reflect.DeepEqual(c.Plan.Tenants[0], tenancy.Tenant{Name: "acme", Proxies: []int{0, 1, 2, 3, 9}, Cell: "red"}) ||
 		c.Plan.Tenants[1].Name != "two words" ||
 		f.Control.Path != "/run/elmfold.sock" ||
--- a/internal/controller/pluginguard/guard_test.go
+++ b/internal/controller/pluginguard/guard_test.go
@@ -15,7 +15,7 @@
 const second = policy.Second
 
 func backend(i int, status policy.Status) tenancy.Backend {
-	return tenancy.Backend{At: i, ID: fmt.Sprint("s-", i), Zone: i % 2, Status: status, Weight: 1}
+	return tenancy.Backend{Index: i, ID: fmt.Sprint("s-", i), Zone: i % 2, Status: status, Weight: 1}
 }
 
 func ids(numbers ...int) (all []string) {
--- a/internal/controller/pubsub/channel_test.go
+++ b/internal/controller/pubsub/channel_test.go
@@ -51,7 +51,7 @@
 	return logrus.NewEntry(log)
 }
 
-func open(t *testing.T, plan pubsub.Plan, backends ...string) *house {
+func open(t *testing.T, plan pubsub.Config, backends ...string) *house {
 	t.Helper()
 	h := &house{
 		t:     t,
@@ -96,8 +96,8 @@
 	if plan.Listen = "127.0.0.1:0"; plan.Linger == 0 {
 		plan.Linger = time.Hour
 	}
-	if plan.Onlookers == 0 {
-		plan.Onlookers = 4
+	if plan.MaxObservers == 0 {
+		plan.MaxObservers = 4
 	}
 	var err error
 	if h.hub, err = pubsub.Listen(plan, 4, names, hear, silent()); err != nil {
@@ -139,16 +139,16 @@
 	ctx, stop := context.WithCancel(context.Background())
 	f := &follower{t: t, stop: stop, done: make(chan error, 1), changed: make(chan map[string]session.Value, 10000),
 		ups: make(chan *client.Publisher, 10000), downs: make(chan error, 10000), seen: map[string]int{}}
-	o.Changed = func(c *session.Copy, _ []string) {
+	o.OnChange = func(c *session.Replica, _ []string) {
 		f.mu.Lock()
 		f.seen[fmt.Sprint(c.Epoch, " ", c.Seq)]++
 		f.mu.Unlock()
 		f.changed <- maps.Clone(c.State)
 	}
-	o.Up = func(p *client.Publisher) { f.ups <- p }
-	o.Down = func(err error) { f.downs <- err }
-	if o.Pause == 0 {
-		o.Pause = time.Millisecond
+	o.OnConnect = func(p *client.Publisher) { f.ups <- p }
+	o.OnDisconnect = func(err error) { f.downs <- err }
+	if o.MinBackoff == 0 {
+		o.MinBackoff = time.Millisecond
 	}
 	go func() { f.done <- client.Run(ctx, o) }()
 	t.Cleanup(func() { stop() })
@@ -156,13 +156,13 @@
 }
 
 // until waits for a copy in which something holds.
-func (f *follower) until(what string, holds func(out map[string]bool, tables map[string]*pubsub.Table) bool) {
+func (f *follower) until(what string, holds func(out map[string]bool, tables map[string]*pubsub.RoutingTable) bool) {
 	f.t.Helper()
 	over := time.After(time.Minute)
 	for {
 		select {
 		case state := <-f.changed:
-			if holds(pubsub.Tables(state)) {
+			if holds(pubsub.RoutingTables(state)) {
 				return
 			}
 		case <-over:
@@ -183,18 +183,18 @@
 }
 
 func hello(proxy int) pubsub.Hello {
-	return pubsub.Hello{Topic: fmt.Sprint(pubsub.OrdersTopic, proxy), Own: true, Zone: "a", Rate: 5}
+	return pubsub.Hello{Topic: fmt.Sprint(pubsub.OrdersTopicPrefix, proxy), Owner: true, Zone: "a", Rate: 5}
 }
 
 // full says whether a proxy holds lines to these backends for both products, and levels.
-func full(ids ...string) func(map[string]bool, map[string]*pubsub.Table) bool {
-	return func(_ map[string]bool, tables map[string]*pubsub.Table) bool {
+func full(ids ...string) func(map[string]bool, map[string]*pubsub.RoutingTable) bool {
+	return func(_ map[string]bool, tables map[string]*pubsub.RoutingTable) bool {
 		for _, k := range names.Products {
-			if tables[k] == nil || len(tables[k].Lines) != len(ids) || tables[k].Level < 0 {
+			if tables[k] == nil || len(tables[k].Weights) != len(ids) || tables[k].RateLimit < 0 {
 				return false
 			}
 			for _, id := range ids {
-				if tables[k].Lines[id] <= 0 {
+				if tables[k].Weights[id] <= 0 {
 					return false
 				}
 			}
@@ -206,15 +206,15 @@
 // A proxy on the channel gets its tables, is told of a drain, and its reports reach the desk as those of its own; the
 // marks of the desk are answered by what took effect.
 func TestServe(t *testing.T) {
-	h := open(t, pubsub.Plan{}, "s-0", "s-1", "s-2")
+	h := open(t, pubsub.Config{}, "s-0", "s-1", "s-2")
 	f := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: hello(1)})
 	f.until("tables", full("s-0", "s-1", "s-2"))
 	p := <-f.ups
-	if err := p.Used(pubsub.Used{Product: "look", Txns: 9, Millis: 1000}); err != nil {
+	if err := p.ReportUsage(pubsub.UsageReport{Product: "look", Txns: 9, Millis: 1000}); err != nil {
 		t.Fatal(err)
 	}
 	h.drain("s-1")
-	f.until("a drain", func(out map[string]bool, _ map[string]*pubsub.Table) bool { return out["s-1"] })
+	f.until("a drain", func(out map[string]bool, _ map[string]*pubsub.RoutingTable) bool { return out["s-1"] })
 	for deadline := time.Now().Add(time.Minute); h.times(textproto.Ack{}) == 0 ||
 		h.times(textproto.UsageReport{}) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -231,7 +231,7 @@
 // snapshot and changes. What was half taken is not half applied, nothing takes effect twice, and all this is one
 // joining.
 func TestCase1CutAtEachByte(t *testing.T) {
-	h := open(t, pubsub.Plan{}, "s-0", "s-1", "s-2", "s-3")
+	h := open(t, pubsub.Config{}, "s-0", "s-1", "s-2", "s-3")
 	l, err := link.New(h.hub.Addr(), func(n int) link.Script {
 		s := link.Calm
 		s.Down = link.Disturbance{After: int64(n) * 7, Kind: link.Break}
@@ -245,7 +245,7 @@
 	f := follow(t, client.Options{Addresses: []string{l.Addr()}, Hello: hello(2), Credit: 2})
 	f.until("tables", full("s-0", "s-1", "s-2", "s-3"))
 	h.drain("s-3")
-	f.until("a drain", func(out map[string]bool, _ map[string]*pubsub.Table) bool { return out["s-3"] })
+	f.until("a drain", func(out map[string]bool, _ map[string]*pubsub.RoutingTable) bool { return out["s-3"] })
 	f.once()
 	if n := h.times(textproto.Subscribe{}); n != 1 || l.Taken() < 20 || h.times(textproto.Closed{}) != 0 {
 		t.Errorf("joined %d times over %d connections", n, l.Taken())
@@ -255,8 +255,8 @@
 // Case 2 on sockets: the controller ends, another one takes over with numbers of its own; and a client that starts
 // again goes on after what it kept.
 func TestCase2AnotherHub(t *testing.T) {
-	keep := client.File(filepath.Join(t.TempDir(), "copy"))
-	one, two := open(t, pubsub.Plan{}, "s-0", "s-1"), open(t, pubsub.Plan{}, "s-0", "s-1", "s-2")
+	keep := client.FileStorage(filepath.Join(t.TempDir(), "copy"))
+	one, two := open(t, pubsub.Config{}, "s-0", "s-1"), open(t, pubsub.Config{}, "s-0", "s-1", "s-2")
 	o := client.Options{Addresses: []string{one.hub.Addr(), two.hub.Addr()}, Hello: hello(0), Storage: keep}
 	f := follow(t, o)
 	f.until("tables", full("s-0", "s-1"))
@@ -267,21 +267,21 @@
 		t.Fatal(err)
 	}
 	before, err := keep.Load()
-	if err != nil || !full("s-0", "s-1", "s-2")(pubsub.Tables(before.State)) {
+	if err != nil || !full("s-0", "s-1", "s-2")(pubsub.RoutingTables(before.State)) {
 		t.Fatalf("kept %+v, %v", before, err)
 	}
 	o.Addresses = o.Addresses[1:]
 	f = follow(t, o)
 	<-f.ups
 	two.drain("s-2")
-	f.until("a drain", func(out map[string]bool, _ map[string]*pubsub.Table) bool { return out["s-2"] })
+	f.until("a drain", func(out map[string]bool, _ map[string]*pubsub.RoutingTable) bool { return out["s-2"] })
 	f.once()
 	after, _ := keep.Load()
-	if after.Epoch != before.Epoch || after.Effect-before.Effect > 3 || two.times(textproto.Subscribe{}) != 1 {
+	if after.Epoch != before.Epoch || after.Applied-before.Applied > 3 || two.times(textproto.Subscribe{}) != 1 {
 		t.Errorf(
 			"it went on from %d to %d effects, joined %d times",
-			before.Effect,
-			after.Effect,
+			before.Applied,
+			after.Applied,
 			two.times(textproto.Subscribe{}),
 		)
 	}
@@ -300,19 +300,19 @@
 // Case 5 on sockets: a newer connection of the same proxy goes on where the older one was; a platform stream that comes
 // later takes the proxy over, and the channel lets it go with a code.
 func TestCase5TwoSessions(t *testing.T) {
-	h := open(t, pubsub.Plan{}, "s-0", "s-1")
-	f := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: hello(3), Pause: time.Hour})
+	h := open(t, pubsub.Config{}, "s-0", "s-1")
+	f := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: hello(3), MinBackoff: time.Hour})
 	f.until("tables", full("s-0", "s-1"))
-	g := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: hello(3), Pause: time.Hour})
+	g := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: hello(3), MinBackoff: time.Hour})
 	g.until("tables of the newer", full("s-0", "s-1"))
-	if err := <-f.downs; !strings.Contains(err.Error(), string(session.Replaced)) {
+	if err := <-f.downs; !strings.Contains(err.Error(), string(session.ReasonReplaced)) {
 		t.Errorf("the older one ended with %v", err)
 	}
 	h.queue <- eventloop.Command{
 		From:    line{sockets.NextSequence()},
 		Message: textproto.Subscribe{Proxy: 3, Zone: "a", Rate: 5},
 	}
-	if err := <-g.downs; !strings.Contains(err.Error(), string(session.Replaced)) {
+	if err := <-g.downs; !strings.Contains(err.Error(), string(session.ReasonReplaced)) {
 		t.Errorf("the newer one ended with %v", err)
 	}
 	if n := h.times(textproto.Subscribe{}); n != 1 {
@@ -322,7 +322,7 @@
 
 // Case 6: what a client must not do ends its connection with a code, and no other's.
 func TestCase6Misuse(t *testing.T) {
-	h := open(t, pubsub.Plan{Conns: 12}, "s-0", "s-1")
+	h := open(t, pubsub.Config{MaxConns: 12}, "s-0", "s-1")
 	good := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: hello(1)})
 	good.until("tables", full("s-0", "s-1"))
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -370,24 +370,27 @@
 		"another version": {pubsub.CodeVersion, [][]byte{say(pubsub.Hello{Version: 9, Topic: own.Topic})}},
 		"no such topic":   {pubsub.CodeTopic, [][]byte{say(pubsub.Hello{Topic: "all"})}},
 		"no such proxy":   {pubsub.CodeTopic, [][]byte{say(pubsub.Hello{Topic: "orders/9"})}},
-		"no such zone":    {pubsub.CodeTopic, [][]byte{say(pubsub.Hello{Topic: "orders/2", Own: true, Zone: "x"})}},
+		"no such zone":    {pubsub.CodeTopic, [][]byte{say(pubsub.Hello{Topic: "orders/2", Owner: true, Zone: "x"})}},
 		"reports of another": {
-			pubsub.CodeNotOwn,
+			pubsub.CodeNotOwner,
 			[][]byte{
 				say(own),
-				pubsub.Encode(pubsub.KindBackendReport, pubsub.BackendReport{Backend: "s-0", Tries: 1, Millis: 1000}),
+				pubsub.Encode(pubsub.KindBackendReport, pubsub.BackendReport{Backend: "s-0", Attempts: 1, Millis: 1000}),
 			},
 		},
 		"use as an onlooker": {
-			pubsub.CodeNotOwn,
+			pubsub.CodeNotOwner,
 			[][]byte{
 				say(pubsub.Hello{Topic: "orders/1"}),
-				pubsub.Encode(pubsub.KindUsed, pubsub.Used{Product: "look", Millis: 1}),
+				pubsub.Encode(pubsub.KindUsageReport, pubsub.UsageReport{Product: "look", Millis: 1}),
 			},
 		},
 		"a figure that cannot": {
 			pubsub.CodeMessage,
-			[][]byte{say(own), pubsub.Encode(pubsub.KindUsed, pubsub.Used{Product: "look", Txns: -1, Millis: 1000})},
+			[][]byte{
+				say(own),
+				pubsub.Encode(pubsub.KindUsageReport, pubsub.UsageReport{Product: "look", Txns: -1, Millis: 1000}),
+			},
 		},
 		"10 MB": {"StatusMessageTooBig", [][]byte{say(own), make([]byte, 10<<20)}},
 	} {
@@ -405,10 +408,10 @@
 		_ = never.Write(
 			ctx,
 			websocket.MessageBinary,
-			pubsub.Encode(pubsub.KindAck, pubsub.Ack{Epoch: m.Epoch, Seq: m.Seq + 77, More: 1}),
+			pubsub.Encode(pubsub.KindAck, pubsub.Ack{Epoch: m.Epoch, Seq: m.Seq + 77, AddedCredit: 1}),
 		)
 		_, text, _ = never.Read(ctx)
-		if e, _ := pubsub.Decode(text); !reflect.DeepEqual(e, pubsub.Error{Code: string(session.Unknown)}) {
+		if e, _ := pubsub.Decode(text); !reflect.DeepEqual(e, pubsub.Error{Code: string(session.ReasonUnknownSequence)}) {
 			t.Errorf("a number never sent is answered with %v", e)
 		}
 	}
@@ -418,10 +421,10 @@
 		ws := dial()
 		held = append(held, ws)
 	}
-	crowded := 0
+	crowded, rejection := 0, pubsub.Error{Code: pubsub.CodeTooManyConnections}
 	for _, ws := range held {
 		_, text, err := ws.Read(ctx)
-		if e, _ := pubsub.Decode(text); err == nil && reflect.DeepEqual(e, pubsub.Error{Code: pubsub.CodeCrowded}) {
+		if e, _ := pubsub.Decode(text); err == nil && reflect.DeepEqual(e, rejection) {
 			crowded++
 		}
 		_ = ws.CloseNow()
@@ -430,7 +433,9 @@
 		t.Errorf("%d of 30 beyond the limit are told so", crowded)
 	}
 	h.drain("s-1")
-	good.until("a drain after all that", func(out map[string]bool, _ map[string]*pubsub.Table) bool { return out["s-1"] })
+	good.until("a drain after all that", func(out map[string]bool, _ map[string]*pubsub.RoutingTable) bool {
+		return out["s-1"]
+	})
 	if n := len(good.downs); n > 0 {
 		t.Errorf("the good client was let go of %d times: %v", n, <-good.downs)
 	}
@@ -438,13 +443,13 @@
 
 // A collector publishes the reports of its zone; an onlooker sees the list, and a drain in it.
 func TestReportsAndList(t *testing.T) {
-	h := open(t, pubsub.Plan{}, "s-0", "s-1")
+	h := open(t, pubsub.Config{}, "s-0", "s-1")
 	zone := follow(
 		t,
-		client.Options{Addresses: []string{h.hub.Addr()}, Hello: pubsub.Hello{Topic: pubsub.ReportsTopic + "a"}},
+		client.Options{Addresses: []string{h.hub.Addr()}, Hello: pubsub.Hello{Topic: pubsub.ReportsTopicPrefix + "a"}},
 	)
 	if err := (<-zone.ups).ReportBackend(
-		pubsub.BackendReport{Backend: "s-0", Tries: 9, Took: 120, Millis: 1000},
+		pubsub.BackendReport{Backend: "s-0", Attempts: 9, Latency: 120, Millis: 1000},
 	); err != nil {
 		t.Fatal(err)
 	}
@@ -473,8 +478,8 @@
 			{Kind: warmstart.Usage, Key: "1/look", Value: 9},
 		},
 	)
-	look := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: pubsub.Hello{Topic: pubsub.LookTopic}})
-	if state := <-look.changed; len(state) != 2 || state[session.Join("relief", "s-1")].Figure != 0.4 {
+	look := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: pubsub.Hello{Topic: pubsub.DecisionsTopic}})
+	if state := <-look.changed; len(state) != 2 || state[session.JoinKey("relief", "s-1")].Number != 0.4 {
 		t.Errorf("the onlooker of decisions holds %v", state)
 	}
 	h.hub.Look([]warmstart.Fact{{Kind: warmstart.Derating, Key: "s-1", Value: 1}})
@@ -486,12 +491,12 @@
 // Whatever bytes come for a message, reading them ends with one or an error.
 func FuzzDecode(f *testing.F) {
 	f.Add(pubsub.Encode(pubsub.KindHello, hello(1)))
-	f.Add(pubsub.Encode(pubsub.KindAck, pubsub.Ack{Epoch: 1 << 60, Seq: 1<<32 - 1, More: 3}))
-	f.Add(pubsub.Encode(pubsub.KindUsed, pubsub.Used{Product: "look", Txns: 3, Millis: 1000}))
+	f.Add(pubsub.Encode(pubsub.KindAck, pubsub.Ack{Epoch: 1 << 60, Seq: 1<<32 - 1, AddedCredit: 3}))
+	f.Add(pubsub.Encode(pubsub.KindUsageReport, pubsub.UsageReport{Product: "look", Txns: 3, Millis: 1000}))
 	f.Add(
 		pubsub.Encode(
 			pubsub.KindChange,
-			pubsub.Message{Epoch: 1, Seq: 3, Prev: 2, Sets: []session.Set{{Key: pubsub.OutKey("s-1")}}},
+			pubsub.Message{Epoch: 1, Seq: 3, Prev: 2, Updates: []session.Update{{Key: pubsub.WithdrawnKey("s-1")}}},
 		),
 	)
 	f.Add([]byte{})
@@ -499,9 +504,9 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		said, err := pubsub.Decode(text)
 		if m, ok := said.(session.Send); ok && err == nil {
-			var c session.Copy
+			var c session.Replica
 			_, _, _ = c.Apply(m)
-			pubsub.Tables(c.State)
+			pubsub.RoutingTables(c.State)
 		}
 	})
 }
--- a/internal/controller/pubsub/client/client.go
+++ b/internal/controller/pubsub/client/client.go
@@ -20,15 +20,15 @@
 
 // Storage keeps what took effect.
 type Storage interface {
-	Load() (session.Copy, error) // none: an empty one
-	Save(session.Copy) error     // whole or not at all
+	Load() (session.Replica, error) // none: an empty one
+	Save(session.Replica) error     // whole or not at all
 }
 
-// File keeps it in a file, replaced at each change.
-type File string
+// FileStorage keeps it in a file, replaced at each change.
+type FileStorage string
 
 // Load reads the file.
-func (f File) Load() (c session.Copy, err error) {
+func (f FileStorage) Load() (c session.Replica, err error) {
 	text, err := os.ReadFile(string(f))
 	if errors.Is(err, os.ErrNotExist) {
 		return c, nil
@@ -40,7 +40,7 @@
 }
 
 // Save replaces the file.
-func (f File) Save(c session.Copy) error {
+func (f FileStorage) Save(c session.Replica) error {
 	text, err := cbor.Marshal(c)
 	if err != nil {
 		return err
@@ -57,17 +57,17 @@
 	Addresses []string // of controllers, host and port; the next one is tried where one does not answer
 	Hello     pubsub.Hello
 	Storage   Storage // nil: nothing is kept over starts
-	// Changed is called in turn, with the keys that now stand otherwise, after a message took effect. The copy is the
-	// client's: it is to be read until Changed returns.
-	Changed func(c *session.Copy, keys []string)
-	// Up is called with each connection that was opened; what it is given may be used to publish until the next call.
-	Up func(p *Publisher)
-	// Down is called with why a connection ended.
-	Down   func(err error)
-	Credit int           // messages that may be on the way; 0: 8
-	Pause  time.Duration // the shortest before it dials again; 0: 100 ms; it grows to 32 times that
-	// Acked, where it is given, may swallow an acknowledgement, for tests of what follows.
-	Acked func(seq uint32) bool
+	// OnChange is called in turn, with the keys that now stand otherwise, after a message took effect. The copy is the
+	// client's: it is to be read until OnChange returns.
+	OnChange func(c *session.Replica, keys []string)
+	// OnConnect is called with the publisher of each new connection; the publisher is valid until the next call.
+	OnConnect func(p *Publisher)
+	// OnDisconnect is called with why a connection ended.
+	OnDisconnect func(err error)
+	Credit       int           // messages that may be on the way; 0: 8
+	MinBackoff   time.Duration // the shortest before it dials again; 0: 100 ms; it grows to 32 times that
+	// ShouldAck, where it is given, may swallow an acknowledgement, for tests of what follows.
+	ShouldAck func(seq uint32) bool
 }
 
 // Publisher sends reports on the connection that is open.
@@ -76,8 +76,10 @@
 	ws  *websocket.Conn
 }
 
-// Used publishes what came to the proxy.
-func (p *Publisher) Used(u pubsub.Used) error { return p.write(pubsub.KindUsed, u) }
+// ReportUsage publishes what came to the proxy.
+func (p *Publisher) ReportUsage(u pubsub.UsageReport) error {
+	return p.write(pubsub.KindUsageReport, u)
+}
 
 // ReportBackend publishes what the proxies of a zone met.
 func (p *Publisher) ReportBackend(h pubsub.BackendReport) error {
@@ -90,14 +92,14 @@
 
 // Run subscribes until the context ends, or until what was kept cannot be read.
 func Run(ctx context.Context, o Options) error {
-	c := session.Copy{}
+	c := session.Replica{}
 	if o.Storage != nil {
 		var err error
 		if c, err = o.Storage.Load(); err != nil {
 			return fmt.Errorf("what took effect cannot be read: %w", err)
 		}
 	}
-	pause := o.Pause
+	pause := o.MinBackoff
 	if pause == 0 {
 		pause = 100 * time.Millisecond
 	}
@@ -107,8 +109,8 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		if o.Down != nil {
-			o.Down(err)
+		if o.OnDisconnect != nil {
+			o.OnDisconnect(err)
 		}
 		if errors.Is(err, session.ErrGap) {
 			c.Epoch, c.Seq = 0, 0 // all is asked for
@@ -130,7 +132,7 @@
 }
 
 // once holds one connection.
-func once(ctx context.Context, o Options, c *session.Copy, address string) error {
+func once(ctx context.Context, o Options, c *session.Replica, address string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ws, err := connect(ctx, o, c, address)
@@ -138,8 +140,8 @@
 		return err
 	}
 	defer func() { _ = ws.CloseNow() }()
-	if o.Up != nil {
-		o.Up(&Publisher{ctx: ctx, ws: ws})
+	if o.OnConnect != nil {
+		o.OnConnect(&Publisher{ctx: ctx, ws: ws})
 	}
 	for {
 		_, text, err := ws.Read(ctx)
@@ -162,7 +164,7 @@
 }
 
 // connect dials and says hello: what is known here, and how much may be sent.
-func connect(ctx context.Context, o Options, c *session.Copy, address string) (*websocket.Conn, error) {
+func connect(ctx context.Context, o Options, c *session.Replica, address string) (*websocket.Conn, error) {
 	ws, _, err := websocket.Dial(
 		ctx,
 		"ws://"+address+"/",
@@ -185,7 +187,7 @@
 }
 
 // apply applies a change to the copy, keeps it, and acknowledges it.
-func apply(ctx context.Context, ws *websocket.Conn, o Options, c *session.Copy, m session.Send) error {
+func apply(ctx context.Context, ws *websocket.Conn, o Options, c *session.Replica, m session.Send) error {
 	keys, fresh, err := c.Apply(m)
 	if err != nil {
 		return err
@@ -195,12 +197,12 @@
 			return err
 		}
 	}
-	if fresh && o.Changed != nil {
-		o.Changed(c, keys)
+	if fresh && o.OnChange != nil {
+		o.OnChange(c, keys)
 	}
-	if o.Acked != nil && !o.Acked(m.Seq) {
+	if o.ShouldAck != nil && !o.ShouldAck(m.Seq) {
 		return nil
 	}
-	ack := pubsub.Encode(pubsub.KindAck, pubsub.Ack{Epoch: m.Epoch, Seq: m.Seq, More: 1})
+	ack := pubsub.Encode(pubsub.KindAck, pubsub.Ack{Epoch: m.Epoch, Seq: m.Seq, AddedCredit: 1})
 	return ws.Write(ctx, websocket.MessageBinary, ack)
 }
--- a/internal/controller/pubsub/hub.go
+++ b/internal/controller/pubsub/hub.go
@@ -31,17 +31,17 @@
 	spareConns   = 64       // over proxies and zones, at least
 )
 
-// Plan is what a Hub is given.
-type Plan struct {
-	Listen    string
-	Linger    time.Duration // that a proxy may be away before it has left
-	Onlookers int           // of a topic
-	Conns     int           // at most; 0: a few more than there are proxies
+// Config is what a Hub is given.
+type Config struct {
+	Listen       string
+	Linger       time.Duration // that a proxy may be away before it has left
+	MaxObservers int           // of a topic
+	MaxConns     int           // at most; 0: a few more than there are proxies
 }
 
 // Hub serves the channel.
 type Hub struct {
-	plan    Plan
+	plan    Config
 	names   flatsettings.Names
 	proxies int
 	handler func(eventloop.Command)
@@ -73,7 +73,7 @@
 
 // Listen serves the channel. hear is given what proxies and collectors say; it may wait, the desk does not.
 func Listen(
-	plan Plan,
+	plan Config,
 	proxies int,
 	names flatsettings.Names,
 	hear func(eventloop.Command),
@@ -83,8 +83,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if plan.Conns == 0 {
-		plan.Conns = proxies + len(names.Zones) + spareConns
+	if plan.MaxConns == 0 {
+		plan.MaxConns = proxies + len(names.Zones) + spareConns
 	}
 	h := &Hub{
 		plan:    plan,
@@ -121,12 +121,12 @@
 
 // Tell hands on the list, for onlookers. It never waits.
 func (h *Hub) Tell(l reconcile.List) {
-	e := session.Changed{Topic: ListTopic}
+	e := session.TopicChanged{Topic: ListTopic}
 	for _, m := range l.Members {
 		text, _ := json.Marshal(m)
-		e.Sets = append(
-			e.Sets,
-			session.Set{Key: m.ID, Gone: m.Phase == reconcile.Deleted, Value: session.Value{Text: string(text)}},
+		e.Updates = append(
+			e.Updates,
+			session.Update{Key: m.ID, Deleted: m.Phase == reconcile.Deleted, Value: session.Value{Text: string(text)}},
 		)
 	}
 	h.tell(e)
@@ -134,13 +134,16 @@
 
 // Look hands on what the decisions know, but for the use of proxies, for onlookers. It never waits.
 func (h *Hub) Look(facts []warmstart.Fact) {
-	e := session.Changed{Topic: LookTopic}
+	e := session.TopicChanged{Topic: DecisionsTopic}
 	for _, f := range facts {
 		if f.Kind != warmstart.Usage {
-			e.Sets = append(
-				e.Sets,
-				session.Set{Key: session.Join(f.Kind.String(), f.Key), Gone: f.Kind == warmstart.Derating && f.Value == 1,
-					Value: session.Value{Figure: f.Value}},
+			e.Updates = append(
+				e.Updates,
+				session.Update{
+					Key:     session.JoinKey(f.Kind.String(), f.Key),
+					Deleted: f.Kind == warmstart.Derating && f.Value == 1,
+					Value:   session.Value{Number: f.Value},
+				},
 			)
 		}
 	}
@@ -160,8 +163,8 @@
 
 // run is the hub: it owns the sessions.
 func (h *Hub) run() {
-	plan := session.Usual(uint64(h.began.UnixNano()))
-	plan.Linger, plan.Onlookers = session.Time(h.plan.Linger/time.Millisecond), h.plan.Onlookers
+	plan := session.DefaultConfig(uint64(h.began.UnixNano()))
+	plan.Linger, plan.MaxObservers = session.Time(h.plan.Linger/time.Millisecond), h.plan.MaxObservers
 	all := session.New(plan)
 	idle := time.NewTimer(time.Hour)
 	for {
@@ -184,14 +187,14 @@
 			}
 		}
 		next := time.Hour
-		if at, some := all.Due(); some {
+		if at, some := all.NextDeadline(); some {
 			next = max(time.Duration(at)*time.Millisecond-time.Since(h.began), time.Millisecond)
 		}
 		idle.Reset(next)
 	}
 }
 
-func (h *Hub) carry(o session.Order) {
+func (h *Hub) carry(o session.Action) {
 	switch o := o.(type) {
 	case session.Send:
 		if c := h.conn(o.Conn); c != nil {
@@ -201,7 +204,7 @@
 		if c := h.conn(o.Conn); c != nil {
 			c.end(string(o.Reason), "")
 		}
-	case session.Joined:
+	case session.OwnerJoined:
 		c, at := h.conn(o.Conn), 0
 		if c == nil {
 			return // it is gone again, and its Closed is on the way
@@ -221,10 +224,10 @@
 			h.log.WithFields(logrus.Fields{"reason": "away", "of": o.Topic}).Info("a subscriber has left")
 			h.handler(eventloop.Command{From: s, Message: textproto.Closed{}})
 		}
-	case session.Answered:
+	case session.MarkerAcked:
 		if s := h.streams[o.Topic]; s != nil {
 			at, _ := proxyOf(o.Topic)
-			h.handler(eventloop.Command{From: s, Message: textproto.Ack{Proxy: at, Marker: o.Mark}})
+			h.handler(eventloop.Command{From: s, Message: textproto.Ack{Proxy: at, Marker: o.Marker}})
 		}
 	}
 }
@@ -239,7 +242,7 @@
 func (h *Hub) accept(w http.ResponseWriter, r *http.Request) {
 	h.mu.Lock()
 	h.count++
-	id, full := h.count, len(h.conns) >= h.plan.Conns
+	id, full := h.count, len(h.conns) >= h.plan.MaxConns
 	h.mu.Unlock()
 	ws, err := websocket.Accept(
 		w,
@@ -251,10 +254,10 @@
 	}
 	ws.SetReadLimit(mostMessage)
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &conn{id: id, ws: ws, out: make(chan []byte, session.Usual(1).MostCredit+4), ended: cancel}
+	c := &conn{id: id, ws: ws, out: make(chan []byte, session.DefaultConfig(1).MaxCredit+4), ended: cancel}
 	defer func() { _ = ws.CloseNow() }()
 	if full {
-		c.say(ctx, Error{Code: CodeCrowded})
+		c.say(ctx, Error{Code: CodeTooManyConnections})
 		return
 	}
 	h.mu.Lock()
@@ -318,7 +321,7 @@
 			session.Opened{
 				Conn:   c.id,
 				Topic:  c.hello.Topic,
-				Owner:  c.hello.Own,
+				Owner:  c.hello.Owner,
 				Epoch:  c.hello.Epoch,
 				Seq:    c.hello.Seq,
 				Credit: c.hello.Credit,
@@ -335,7 +338,7 @@
 			err = h.take(c, message)
 		}
 		if err != nil {
-			return c.refuse(ctx, either(errors.Is(err, errNotOwn), CodeNotOwn, CodeMessage), err)
+			return c.refuse(ctx, either(errors.Is(err, errNotOwn), CodeNotOwner, CodeMessage), err)
 		}
 	}
 }
@@ -374,7 +377,7 @@
 	select {
 	case err := <-failed:
 		if err != nil {
-			return CodeUnread, err
+			return CodeWriteTimeout, err
 		}
 	default:
 	}
@@ -394,11 +397,11 @@
 // open checks what a connection asks for. A collector is made known to the desk.
 func (h *Hub) open(c *conn, hello Hello) error {
 	at, orders := proxyOf(hello.Topic)
-	zone, reports := strings.CutPrefix(hello.Topic, ReportsTopic)
+	zone, reports := strings.CutPrefix(hello.Topic, ReportsTopicPrefix)
 	switch {
-	case (hello.Topic == ListTopic || hello.Topic == LookTopic) && !hello.Own:
+	case (hello.Topic == ListTopic || hello.Topic == DecisionsTopic) && !hello.Owner:
 		return nil
-	case orders && at < h.proxies && (!hello.Own || slices.Contains(
+	case orders && at < h.proxies && (!hello.Owner || slices.Contains(
 		h.names.Zones,
 		hello.Zone,
 	) && hello.Rate >= 0 && hello.Rate < 1e6):
@@ -419,9 +422,9 @@
 		if c.from != nil {
 			return errNotOwn
 		}
-		h.tell(session.Acked{Conn: c.id, Epoch: said.Epoch, Seq: said.Seq, More: said.More})
-	case Used:
-		if !c.hello.Own {
+		h.tell(session.Acked{Conn: c.id, Epoch: said.Epoch, Seq: said.Seq, AddedCredit: said.AddedCredit})
+	case UsageReport:
+		if !c.hello.Owner {
 			return errNotOwn
 		}
 		u := textproto.UsageReport{
@@ -436,16 +439,16 @@
 		}
 		h.tell(publish{c.hello.Topic, u})
 	case BackendReport:
-		zone, ok := strings.CutPrefix(c.hello.Topic, ReportsTopic)
+		zone, ok := strings.CutPrefix(c.hello.Topic, ReportsTopicPrefix)
 		if !ok {
 			return errNotOwn
 		}
 		e := textproto.BackendReport{
 			Zone:     zone,
 			Backend:  said.Backend,
-			Attempts: said.Tries,
+			Attempts: said.Attempts,
 			Failed:   said.Failed,
-			Latency:  textproto.DurationFromMillis(said.Took),
+			Latency:  textproto.DurationFromMillis(said.Latency),
 		}
 		if err := e.Validate(textproto.DurationFromMillis(said.Millis)); err != nil {
 			return err
--- a/internal/controller/pubsub/session/session.go
+++ b/internal/controller/pubsub/session/session.go
@@ -17,16 +17,16 @@
 
 // Value is what stands under a key: a figure, a small number beside it, or a text.
 type Value struct {
-	Figure float64 `cbor:"1,keyasint,omitempty"`
-	Small  int     `cbor:"2,keyasint,omitempty"`
-	Text   string  `cbor:"3,keyasint,omitempty"`
+	Number  float64 `cbor:"1,keyasint,omitempty"`
+	Integer int     `cbor:"2,keyasint,omitempty"`
+	Text    string  `cbor:"3,keyasint,omitempty"`
 }
 
-// Set puts a value under a key, or takes the key away. Keys sort by urgency: those that come first are sent first.
-type Set struct {
-	Key   string `cbor:"1,keyasint"`
-	Gone  bool   `cbor:"2,keyasint,omitempty"`
-	Value Value  `cbor:"3,keyasint,omitempty"`
+// Update puts a value under a key, or takes the key away. Keys sort by urgency: those that come first are sent first.
+type Update struct {
+	Key     string `cbor:"1,keyasint"`
+	Deleted bool   `cbor:"2,keyasint,omitempty"`
+	Value   Value  `cbor:"3,keyasint,omitempty"`
 }
 
 // Reason says why a subscriber is let go.
@@ -34,20 +34,20 @@
 
 // Reasons.
 const (
-	Replaced Reason = "replaced" // by a newer connection, or a stream elsewhere, of the same owner
-	Unknown  Reason = "unknown"  // acknowledged a number that was never sent
-	Ended    Reason = "ended"    // the topic has ended
-	Crowded  Reason = "crowded"  // more onlookers than a topic may have
+	ReasonReplaced         Reason = "replaced" // by a newer connection, or a stream elsewhere, of the same owner
+	ReasonUnknownSequence  Reason = "unknown"  // acknowledged a number that was never sent
+	ReasonTopicEnded       Reason = "ended"    // the topic has ended
+	ReasonTooManyObservers Reason = "crowded"  // more onlookers than a topic may have
 )
 
 // Event is one of the structs below, in the order in which they happened.
 type Event any
 
-// Changed sets values of a topic. Mark, unless 0, is to be answered once all of it took effect with the owner.
-type Changed struct {
-	Topic string
-	Sets  []Set
-	Mark  int
+// TopicChanged sets values of a topic. Mark, unless 0, is to be answered once all of it took effect with the owner.
+type TopicChanged struct {
+	Topic   string
+	Updates []Update
+	Marker  int
 }
 
 // Opened is a connection that subscribes, going on from what took effect with it. An owner is one for each topic; the
@@ -63,20 +63,20 @@
 
 // Acked says that all up to a number took effect, and that so many more messages may be sent.
 type Acked struct {
-	Conn  int
-	Epoch uint64
-	Seq   uint32
-	More  int
+	Conn        int
+	Epoch       uint64
+	Seq         uint32
+	AddedCredit int
 }
 
 // Closed is a connection that ended.
 type Closed struct{ Conn int }
 
-// Dropped ends a topic: its owner is served elsewhere.
-type Dropped struct{ Topic string }
+// TopicDropped ends a topic: its owner is served elsewhere.
+type TopicDropped struct{ Topic string }
 
-// Order is one of the structs below.
-type Order any
+// Action is one of the structs below.
+type Action any
 
 // Send is a message for a connection. A snapshot stands for all; a change goes on from the number before it.
 type Send struct {
@@ -85,11 +85,11 @@
 	Seq      uint32
 	Prev     uint32
 	Snapshot bool
-	Sets     []Set
+	Updates  []Update
 }
 
-// Joined says that the owner of a topic is there, and was not: a connection that resumes is no joining.
-type Joined struct {
+// OwnerJoined says that the owner of a topic is there, and was not: a connection that resumes is no joining.
+type OwnerJoined struct {
 	Topic string
 	Conn  int
 }
@@ -97,10 +97,10 @@
 // OwnerLeft says that the owner has been gone for the linger.
 type OwnerLeft struct{ Topic string }
 
-// Answered is a mark of which all took effect.
-type Answered struct {
-	Topic string
-	Mark  int
+// MarkerAcked is a mark of which all took effect.
+type MarkerAcked struct {
+	Topic  string
+	Marker int
 }
 
 // Close ends a connection.
@@ -109,27 +109,27 @@
 	Reason Reason
 }
 
-// Plan is what Sessions are given once.
-type Plan struct {
-	Epoch      uint64 // of this start; never that of another, and not 0
-	Linger     Time   // that an owner may be away
-	PerMessage int    // sets in a change, at most
-	MostCredit int
-	Onlookers  int // of a topic, at most
+// Config is what Sessions are given once.
+type Config struct {
+	Epoch                uint64 // of this start; never that of another, and not 0
+	Linger               Time   // that an owner may be away
+	MaxUpdatesPerMessage int    // sets in a change, at most
+	MaxCredit            int
+	MaxObservers         int // of a topic, at most
 }
 
-// Usual is the Plan with every figure that may be left out.
-func Usual(epoch uint64) Plan {
-	return Plan{Epoch: max(epoch, 1), Linger: 5000, PerMessage: 400, MostCredit: 16, Onlookers: 64}
+// DefaultConfig is the Plan with every figure that may be left out.
+func DefaultConfig(epoch uint64) Config {
+	return Config{Epoch: max(epoch, 1), Linger: 5000, MaxUpdatesPerMessage: 400, MaxCredit: 16, MaxObservers: 64}
 }
 
-// Sessions holds all topics.
-type Sessions struct {
-	plan   Plan
+// Broker holds all topics.
+type Broker struct {
+	plan   Config
 	now    Time
 	topics map[string]*topic
 	conns  map[int]*subscriber
-	out    []Order
+	out    []Action
 }
 
 type topic struct {
@@ -160,17 +160,17 @@
 }
 
 // New makes Sessions without topics.
-func New(plan Plan) *Sessions {
-	return &Sessions{plan: plan, topics: map[string]*topic{}, conns: map[int]*subscriber{}}
+func New(plan Config) *Broker {
+	return &Broker{plan: plan, topics: map[string]*topic{}, conns: map[int]*subscriber{}}
 }
 
 // Step takes what happened and tells what to do.
-func (s *Sessions) Step(now Time, events []Event) []Order {
+func (s *Broker) Step(now Time, events []Event) []Action {
 	s.now, s.out = max(now, s.now), nil
 	touched := map[*topic]bool{}
 	for _, e := range events {
 		switch e := e.(type) {
-		case Changed:
+		case TopicChanged:
 			touched[s.changed(e)] = true
 		case Opened:
 			touched[s.opened(e)] = true
@@ -183,16 +183,16 @@
 			if x := s.conns[e.Conn]; x != nil {
 				s.let(x)
 			}
-		case Dropped:
+		case TopicDropped:
 			if t := s.topics[e.Topic]; t != nil {
-				s.end(t, Replaced)
+				s.end(t, ReasonReplaced)
 			}
 		}
 	}
 	for _, t := range sorted(s.topics) {
 		if t.away > 0 && s.now >= t.away+s.plan.Linger {
 			s.out = append(s.out, OwnerLeft{t.name})
-			s.end(t, Ended)
+			s.end(t, ReasonTopicEnded)
 		} else if touched[t] {
 			for _, x := range t.all {
 				s.flush(x)
@@ -202,8 +202,8 @@
 	return s.out
 }
 
-// Due is when Step has something to do though nothing happens; false: never.
-func (s *Sessions) Due() (at Time, some bool) {
+// NextDeadline is when Step has something to do though nothing happens; false: never.
+func (s *Broker) NextDeadline() (at Time, some bool) {
 	for _, t := range s.topics {
 		if t.away > 0 && (!some || t.away+s.plan.Linger < at) {
 			at, some = t.away+s.plan.Linger, true
@@ -216,7 +216,7 @@
 	return slices.SortedFunc(maps.Values(topics), func(t, u *topic) int { return cmp.Compare(t.name, u.name) })
 }
 
-func (s *Sessions) topic(name string) *topic {
+func (s *Broker) topic(name string) *topic {
 	t := s.topics[name]
 	if t == nil {
 		t = &topic{name: name, state: map[string]Value{}}
@@ -225,14 +225,14 @@
 	return t
 }
 
-func (s *Sessions) changed(e Changed) *topic {
+func (s *Broker) changed(e TopicChanged) *topic {
 	t := s.topic(e.Topic)
-	for _, set := range e.Sets {
+	for _, set := range e.Updates {
 		was, there := t.state[set.Key]
-		if set.Gone != there && (set.Gone || was == set.Value) {
+		if set.Deleted != there && (set.Deleted || was == set.Value) {
 			continue // it stands there, or is gone, already
 		}
-		if set.Gone {
+		if set.Deleted {
 			delete(t.state, set.Key)
 		} else {
 			t.state[set.Key] = set.Value
@@ -241,41 +241,41 @@
 			x.dirty[set.Key] = true
 		}
 	}
-	if e.Mark != 0 && t.owner != nil {
-		t.owner.marks = append(t.owner.marks, e.Mark)
+	if e.Marker != 0 && t.owner != nil {
+		t.owner.marks = append(t.owner.marks, e.Marker)
 	}
 	return t
 }
 
-func (s *Sessions) opened(e Opened) *topic {
+func (s *Broker) opened(e Opened) *topic {
 	t := s.topic(e.Topic)
 	x := &subscriber{topic: t, needsSnapshot: true, dirty: map[string]bool{}}
 	switch {
-	case !e.Owner && len(t.all) > s.plan.Onlookers:
-		s.out = append(s.out, Close{e.Conn, Crowded})
+	case !e.Owner && len(t.all) > s.plan.MaxObservers:
+		s.out = append(s.out, Close{e.Conn, ReasonTooManyObservers})
 		return t
 	case !e.Owner || t.owner == nil:
 		t.all = append(t.all, x)
 	default: // the newer connection holds, and goes on where the older one was
 		if x = t.owner; x.conn != 0 {
-			s.out = append(s.out, Close{x.conn, Replaced})
+			s.out = append(s.out, Close{x.conn, ReasonReplaced})
 			delete(s.conns, x.conn)
 		}
 		s.resume(x, e.Epoch, e.Seq)
 	}
 	if e.Owner {
 		if t.owner == nil {
-			s.out = append(s.out, Joined{t.name, e.Conn})
+			s.out = append(s.out, OwnerJoined{t.name, e.Conn})
 		}
 		t.owner, t.away = x, 0
 	}
-	x.conn, x.credit = e.Conn, min(max(e.Credit, 0), s.plan.MostCredit)
+	x.conn, x.credit = e.Conn, min(max(e.Credit, 0), s.plan.MaxCredit)
 	s.conns[e.Conn] = x
 	return t
 }
 
 // resume goes on after what took effect: what was sent since is what it may lack.
-func (s *Sessions) resume(x *subscriber, epoch uint64, seq uint32) {
+func (s *Broker) resume(x *subscriber, epoch uint64, seq uint32) {
 	at := slices.IndexFunc(x.flight, func(m sent) bool { return m.seq == seq })
 	first := len(x.flight) == 0 && seq == x.seq || len(x.flight) > 0 && seq+1 == x.flight[0].seq
 	if epoch != s.plan.Epoch || at < 0 && !first || seq == 0 {
@@ -295,28 +295,28 @@
 }
 
 // step takes so many of what was sent for having taken effect.
-func (s *Sessions) step(x *subscriber, n int) {
+func (s *Broker) step(x *subscriber, n int) {
 	for _, m := range x.flight[:n] {
 		for _, mark := range m.marks {
-			s.out = append(s.out, Answered{x.topic.name, mark})
+			s.out = append(s.out, MarkerAcked{x.topic.name, mark})
 		}
 	}
 	x.flight = slices.Delete(x.flight, 0, n)
 }
 
-func (s *Sessions) acked(x *subscriber, e Acked) {
-	x.credit = min(x.credit+max(e.More, 0), s.plan.MostCredit)
+func (s *Broker) acked(x *subscriber, e Acked) {
+	x.credit = min(x.credit+max(e.AddedCredit, 0), s.plan.MaxCredit)
 	switch at := slices.IndexFunc(x.flight, func(m sent) bool { return m.seq == e.Seq }); {
 	case e.Epoch == s.plan.Epoch && at >= 0:
 		s.step(x, at+1)
 	case e.Epoch == s.plan.Epoch && int32(e.Seq-x.seq) > 0: // late ones and repeats are nothing new
-		s.out = append(s.out, Close{x.conn, Unknown})
+		s.out = append(s.out, Close{x.conn, ReasonUnknownSequence})
 		s.let(x)
 	}
 }
 
 // let parts a subscriber from its connection. What was on the way to it may have taken effect or not.
-func (s *Sessions) let(x *subscriber) {
+func (s *Broker) let(x *subscriber) {
 	delete(s.conns, x.conn)
 	x.conn, x.credit = 0, 0
 	if t := x.topic; x == t.owner {
@@ -330,10 +330,10 @@
 }
 
 // end forgets a topic and lets all of it go.
-func (s *Sessions) end(t *topic, why Reason) {
+func (s *Broker) end(t *topic, why Reason) {
 	for _, x := range t.all {
 		if x.conn != 0 {
-			s.out = append(s.out, Close{x.conn, either(x == t.owner, why, Ended)})
+			s.out = append(s.out, Close{x.conn, either(x == t.owner, why, ReasonTopicEnded)})
 			delete(s.conns, x.conn)
 		}
 	}
@@ -341,7 +341,7 @@
 }
 
 // flush sends what a subscriber may be sent now. An owner is sent nothing before there is something to hold.
-func (s *Sessions) flush(x *subscriber) {
+func (s *Broker) flush(x *subscriber) {
 	for x.conn != 0 && x.credit > 0 {
 		keys, ok := s.nextKeys(x)
 		if !ok {
@@ -352,7 +352,7 @@
 }
 
 // nextKeys are the keys of the next message; it reports whether there is one to send.
-func (s *Sessions) nextKeys(x *subscriber) (keys []string, ok bool) {
+func (s *Broker) nextKeys(x *subscriber) (keys []string, ok bool) {
 	switch {
 	case x.needsSnapshot && len(x.topic.state) == 0:
 		return nil, false
@@ -360,8 +360,8 @@
 		clear(x.dirty)
 		return slices.Sorted(maps.Keys(x.topic.state)), true
 	case len(x.dirty) > 0:
-		if keys = slices.Sorted(maps.Keys(x.dirty)); len(keys) > s.plan.PerMessage {
-			keys = keys[:s.plan.PerMessage]
+		if keys = slices.Sorted(maps.Keys(x.dirty)); len(keys) > s.plan.MaxUpdatesPerMessage {
+			keys = keys[:s.plan.MaxUpdatesPerMessage]
 		}
 		for _, k := range keys {
 			delete(x.dirty, k)
@@ -371,18 +371,18 @@
 	return nil, len(x.marks) > 0
 }
 
-func (s *Sessions) sendKeys(x *subscriber, keys []string) {
+func (s *Broker) sendKeys(x *subscriber, keys []string) {
 	m := Send{Conn: x.conn, Epoch: s.plan.Epoch, Prev: x.prev, Snapshot: x.needsSnapshot}
 	for _, k := range keys {
 		v, there := x.topic.state[k]
-		m.Sets = append(m.Sets, Set{Key: k, Gone: !there, Value: v})
+		m.Updates = append(m.Updates, Update{Key: k, Deleted: !there, Value: v})
 	}
 	if x.seq++; x.seq == 0 { // numbers are used up: the next one stands for all
 		x.seq, x.needsSnapshot, x.flight = 1, true, nil
 		m.Prev, m.Snapshot = 0, true
-		m.Sets = nil
+		m.Updates = nil
 		for _, k := range slices.Sorted(maps.Keys(x.topic.state)) {
-			m.Sets = append(m.Sets, Set{Key: k, Value: x.topic.state[k]})
+			m.Updates = append(m.Updates, Update{Key: k, Value: x.topic.state[k]})
 		}
 	}
 	m.Seq, x.prev = x.seq, x.seq
@@ -398,8 +398,8 @@
 	s.out = append(s.out, m)
 }
 
-// Waits are the sets that a topic's owner has still to be sent, and the messages on the way to it.
-func (s *Sessions) Waits(topic string) (sets, messages int) {
+// Pending are the sets that a topic's owner has still to be sent, and the messages on the way to it.
+func (s *Broker) Pending(topic string) (sets, messages int) {
 	if t := s.topics[topic]; t != nil && t.owner != nil {
 		sets = len(t.owner.dirty)
 		if t.owner.needsSnapshot {
@@ -411,7 +411,7 @@
 }
 
 // Size counts what is kept, for a look from outside.
-func (s *Sessions) Size() (topics, conns, values int) {
+func (s *Broker) Size() (topics, conns, values int) {
 	for _, t := range s.topics {
 		values += len(t.state)
 	}
@@ -425,8 +425,8 @@
 	return no
 }
 
-// Join makes a key of its parts, Split takes it apart.
-func Join(parts ...string) string { return strings.Join(parts, "\x00") }
+// JoinKey makes a key of its parts, Split takes it apart.
+func JoinKey(parts ...string) string { return strings.Join(parts, "\x00") }
 
-// Split gives the parts of a key.
-func Split(key string) []string { return strings.Split(key, "\x00") }
+// SplitKey gives the parts of a key.
+func SplitKey(key string) []string { return strings.Split(key, "\x00") }
--- a/internal/controller/pubsub/session/session_test.go
+++ b/internal/controller/pubsub/session/session_test.go
@@ -10,18 +10,18 @@
 	"testing"
 )
 
-func set(key string, figure float64) Set { return Set{Key: key, Value: Value{Figure: figure}} }
+func set(key string, figure float64) Update { return Update{Key: key, Value: Value{Number: figure}} }
 
 // rig is Sessions with one owner on the other side of a link that can be cut.
 type rig struct {
 	t      *testing.T
-	s      *Sessions
+	s      *Broker
 	now    Time
-	copy   Copy
+	copy   Replica
 	conn   int
 	conns  int
 	link   []Send // on the way to the copy
-	orders []Order
+	orders []Action
 	want   map[string]Value // the plain model: each order applied when it was made
 	marks  []int            // answered
 	joined int
@@ -29,15 +29,15 @@
 	closed []Reason
 }
 
-func newRig(t *testing.T, plan Plan) *rig {
+func newRig(t *testing.T, plan Config) *rig {
 	return &rig{t: t, s: New(plan), now: 10, want: map[string]Value{}}
 }
 
 func (r *rig) step(events ...Event) {
 	for _, e := range events {
-		if c, ok := e.(Changed); ok {
-			for _, x := range c.Sets {
-				if x.Gone {
+		if c, ok := e.(TopicChanged); ok {
+			for _, x := range c.Updates {
+				if x.Deleted {
 					delete(r.want, x.Key)
 				} else {
 					r.want[x.Key] = x.Value
@@ -52,9 +52,9 @@
 			if o.Conn == r.conn {
 				r.link = append(r.link, o)
 			}
-		case Answered:
-			r.marks = append(r.marks, o.Mark)
-		case Joined:
+		case MarkerAcked:
+			r.marks = append(r.marks, o.Marker)
+		case OwnerJoined:
 			r.joined++
 		case OwnerLeft:
 			r.left++
@@ -78,7 +78,7 @@
 		r.t.Fatalf("%v: %+v at %d", err, m, r.copy.Seq)
 	}
 	if !lost {
-		r.step(Acked{Conn: r.conn, Epoch: r.copy.Epoch, Seq: r.copy.Seq, More: 1})
+		r.step(Acked{Conn: r.conn, Epoch: r.copy.Epoch, Seq: r.copy.Seq, AddedCredit: 1})
 	}
 }
 
@@ -96,25 +96,26 @@
 func TestModel(t *testing.T) {
 	for seed := range int64(150) {
 		chance := rand.New(rand.NewSource(seed))
-		plan := Usual(uint64(seed + 1))
-		plan.PerMessage, plan.Linger = 1+chance.Intn(6), 1<<40
+		plan := DefaultConfig(uint64(seed + 1))
+		plan.MaxUpdatesPerMessage, plan.Linger = 1+chance.Intn(6), 1<<40
 		r := newRig(t, plan)
 		mark, seen := 0, map[int]bool{}
 		for range 400 {
 			r.now++
 			switch n := chance.Intn(20); {
 			case n < 8:
-				var sets []Set
+				var sets []Update
 				for range 1 + chance.Intn(5) {
 					key := fmt.Sprintf("%c%d", 'a'+rune(chance.Intn(3)), chance.Intn(6))
-					sets = append(sets, Set{Key: key, Gone: chance.Intn(4) == 0, Value: Value{Figure: float64(chance.Intn(4))}})
+					sets = append(sets, Update{Key: key, Deleted: chance.Intn(4) == 0, Value: Value{Number: float64(chance.Intn(4))}})
 				}
 				mark++
-				r.step(Changed{Topic: "p", Sets: sets, Mark: mark})
+				r.step(TopicChanged{Topic: "p", Updates: sets, Marker: mark})
 			case n < 14 && len(r.link) > 0:
 				r.take(chance.Intn(5) == 0)
 			case n == 14 && r.conn > 0: // late and doubled acknowledgements
-				r.step(Acked{Conn: r.conn, Epoch: r.copy.Epoch, Seq: r.copy.Seq - uint32(chance.Intn(2)), More: chance.Intn(2)})
+				seq := r.copy.Seq - uint32(chance.Intn(2))
+				r.step(Acked{Conn: r.conn, Epoch: r.copy.Epoch, Seq: seq, AddedCredit: chance.Intn(2)})
 			case n == 15 && r.conn > 0: // cut; what was on the way is lost
 				r.step(Closed{r.conn})
 				r.conn, r.link = 0, nil
@@ -123,12 +124,12 @@
 			case n == 19 && chance.Intn(6) == 0: // another controller, which is told the same orders
 				plan.Epoch += 1000
 				r.s = New(plan)
-				var sets []Set
+				var sets []Update
 				for _, k := range slices.Sorted(maps.Keys(r.want)) {
-					sets = append(sets, Set{Key: k, Value: r.want[k]})
+					sets = append(sets, Update{Key: k, Value: r.want[k]})
 				}
 				r.conn, r.link = 0, nil
-				r.step(Changed{Topic: "p", Sets: sets})
+				r.step(TopicChanged{Topic: "p", Updates: sets})
 			}
 			for _, m := range r.marks {
 				if seen[m] {
@@ -137,7 +138,7 @@
 				seen[m] = true
 			}
 			r.marks = nil
-			if sets, _ := r.s.Waits("p"); sets > 18 {
+			if sets, _ := r.s.Pending("p"); sets > 18 {
 				t.Fatalf("seed %d: %d sets wait of 18 keys", seed, sets)
 			}
 		}
@@ -152,11 +153,11 @@
 // Case 1: whatever of what was sent took effect before a cut, resuming goes on after it, with nothing twice.
 func TestCase1Cut(t *testing.T) {
 	for effect := range 6 {
-		r := newRig(t, Usual(7))
-		r.step(Changed{Topic: "p", Sets: []Set{set("b1", 1), set("b2", 2)}})
+		r := newRig(t, DefaultConfig(7))
+		r.step(TopicChanged{Topic: "p", Updates: []Update{set("b1", 1), set("b2", 2)}})
 		r.open(8)
 		for i := range 4 {
-			r.step(Changed{Topic: "p", Sets: []Set{set("b1", float64(10+i))}, Mark: i + 1})
+			r.step(TopicChanged{Topic: "p", Updates: []Update{set("b1", float64(10+i))}, Marker: i + 1})
 		}
 		if len(r.link) != 5 || !r.link[0].Snapshot {
 			t.Fatalf("sent %+v", r.link)
@@ -165,7 +166,7 @@
 			r.take(true)
 		}
 		r.step(Closed{r.conn})
-		before := r.copy.Effect
+		before := r.copy.Applied
 		r.open(8)
 		again := len(r.link)
 		r.settle()
@@ -173,8 +174,8 @@
 			t.Errorf("after %d: holds %v, joined %d times, marks %v", effect, r.copy.State, r.joined, r.marks)
 		}
 		// What may be missing is sent as one; what took effect is not sent again.
-		if want := either(effect < 5, 1, 0); again != want || r.copy.Effect != before+want {
-			t.Errorf("after %d: %d messages on resuming, %d effects", effect, again, r.copy.Effect-before)
+		if want := either(effect < 5, 1, 0); again != want || r.copy.Applied != before+want {
+			t.Errorf("after %d: %d messages on resuming, %d effects", effect, again, r.copy.Applied-before)
 		}
 	}
 }
@@ -182,26 +183,26 @@
 // Case 2: to a controller that does not know it, a subscriber is sent all; numbers that are lower there are no reason
 // to pass it over. An epoch of a start within the same second is another.
 func TestCase2AnotherController(t *testing.T) {
-	r := newRig(t, Usual(7))
-	r.step(Changed{Topic: "p", Sets: []Set{set("b1", 1), set("b2", 2)}})
+	r := newRig(t, DefaultConfig(7))
+	r.step(TopicChanged{Topic: "p", Updates: []Update{set("b1", 1), set("b2", 2)}})
 	r.open(8)
 	for i := range 20 {
-		r.step(Changed{Topic: "p", Sets: []Set{set("b1", float64(i))}})
+		r.step(TopicChanged{Topic: "p", Updates: []Update{set("b1", float64(i))}})
 		r.settle()
 	}
 	old := r.copy.Seq
-	r.s = New(Usual(8))
+	r.s = New(DefaultConfig(8))
 	r.want = map[string]Value{}
-	r.step(Changed{Topic: "p", Sets: []Set{set("b3", 3)}})
+	r.step(TopicChanged{Topic: "p", Updates: []Update{set("b3", 3)}})
 	r.open(8)
-	r.step(Changed{Topic: "p", Sets: []Set{set("b4", 4)}})
+	r.step(TopicChanged{Topic: "p", Updates: []Update{set("b4", 4)}})
 	r.settle()
 	if !reflect.DeepEqual(r.copy.State, r.want) || r.copy.Seq >= old || r.copy.Epoch != 8 {
 		t.Errorf("holds %v at %d of %d", r.copy.State, r.copy.Seq, r.copy.Epoch)
 	}
 	// A change of the old one that comes late is nobody's.
 	if _, fresh, err := r.copy.Apply(
-		Send{Epoch: 7, Seq: old + 1, Prev: old, Sets: []Set{set("b1", 99)}},
+		Send{Epoch: 7, Seq: old + 1, Prev: old, Updates: []Update{set("b1", 99)}},
 	); fresh ||
 		!errors.Is(err, ErrGap) {
 		t.Errorf("a late change of another epoch: %v, %v", fresh, err)
@@ -211,35 +212,35 @@
 // Case 3: one that reads nothing costs what the topic holds and no more; what it reads last is what holds then, and
 // what sorts first, as drains do, is read first.
 func TestCase3Slow(t *testing.T) {
-	plan := Usual(7)
-	plan.PerMessage = 50
+	plan := DefaultConfig(7)
+	plan.MaxUpdatesPerMessage = 50
 	r := newRig(t, plan)
-	r.step(Changed{Topic: "p", Sets: []Set{set("b0", 0)}})
+	r.step(TopicChanged{Topic: "p", Updates: []Update{set("b0", 0)}})
 	r.open(1)
 	for i := range 20000 {
-		r.step(Changed{Topic: "p", Sets: []Set{set(fmt.Sprintf("b%d", i%200), float64(i))}, Mark: i + 1})
+		r.step(TopicChanged{Topic: "p", Updates: []Update{set(fmt.Sprintf("b%d", i%200), float64(i))}, Marker: i + 1})
 	}
-	r.step(Changed{Topic: "p", Sets: []Set{set("a-drain", 1)}})
-	if sets, messages := r.s.Waits("p"); sets > 201 || messages != 1 || len(r.link) != 1 {
+	r.step(TopicChanged{Topic: "p", Updates: []Update{set("a-drain", 1)}})
+	if sets, messages := r.s.Pending("p"); sets > 201 || messages != 1 || len(r.link) != 1 {
 		t.Fatalf("%d sets and %d messages wait", sets, messages)
 	}
 	r.take(false)
-	if first := r.link[0]; first.Sets[0].Key != "a-drain" || len(first.Sets) != 50 {
-		t.Errorf("the first of what waited is %+v", first.Sets[0])
+	if first := r.link[0]; first.Updates[0].Key != "a-drain" || len(first.Updates) != 50 {
+		t.Errorf("the first of what waited is %+v", first.Updates[0])
 	}
 	r.settle()
-	if !reflect.DeepEqual(r.copy.State, r.want) || r.copy.Effect != 6 || len(r.marks) != 20000 {
-		t.Errorf("%d effects, %d marks answered", r.copy.Effect, len(r.marks))
+	if !reflect.DeepEqual(r.copy.State, r.want) || r.copy.Applied != 6 || len(r.marks) != 20000 {
+		t.Errorf("%d effects, %d marks answered", r.copy.Applied, len(r.marks))
 	}
 }
 
 // Case 4: acknowledgements that are lost, doubled, late, of a connection that was replaced, for numbers never sent.
 func TestCase4Acknowledgements(t *testing.T) {
-	r := newRig(t, Usual(7))
+	r := newRig(t, DefaultConfig(7))
 	r.open(8)
-	r.step(Changed{Topic: "p", Sets: []Set{set("b1", 1)}, Mark: 1})
+	r.step(TopicChanged{Topic: "p", Updates: []Update{set("b1", 1)}, Marker: 1})
 	first := r.conn
-	r.step(Changed{Topic: "p", Sets: []Set{set("b1", 2)}, Mark: 2})
+	r.step(TopicChanged{Topic: "p", Updates: []Update{set("b1", 2)}, Marker: 2})
 	r.step(Acked{Conn: r.conn, Epoch: 7, Seq: 2}) // of both
 	r.step(
 		Acked{Conn: r.conn, Epoch: 7, Seq: 1},
@@ -251,13 +252,13 @@
 	}
 	r.copy.Epoch, r.copy.Seq = 7, 2
 	r.open(8)
-	r.step(Changed{Topic: "p", Sets: []Set{set("b1", 3)}, Mark: 3})
+	r.step(TopicChanged{Topic: "p", Updates: []Update{set("b1", 3)}, Marker: 3})
 	r.step(Acked{Conn: first, Epoch: 7, Seq: 3})
-	if len(r.marks) != 2 || !slices.Equal(r.closed, []Reason{Replaced}) {
+	if len(r.marks) != 2 || !slices.Equal(r.closed, []Reason{ReasonReplaced}) {
 		t.Errorf("marks %v by a connection that was replaced, closed %v", r.marks, r.closed)
 	}
 	r.step(Acked{Conn: r.conn, Epoch: 7, Seq: 4})
-	if len(r.marks) != 2 || r.closed[1] != Unknown {
+	if len(r.marks) != 2 || r.closed[1] != ReasonUnknownSequence {
 		t.Errorf("a number never sent: marks %v, closed %v", r.marks, r.closed)
 	}
 	if _, conns, _ := r.s.Size(); conns != 0 {
@@ -268,8 +269,8 @@
 // Case 5: of two connections the newer holds; that is no leaving and no joining. Served elsewhere, a topic ends at
 // once; gone for the linger, its owner has left, once.
 func TestCase5Newer(t *testing.T) {
-	r := newRig(t, Usual(7))
-	r.step(Changed{Topic: "p", Sets: []Set{set("b1", 1)}})
+	r := newRig(t, DefaultConfig(7))
+	r.step(TopicChanged{Topic: "p", Updates: []Update{set("b1", 1)}})
 	r.open(8)
 	r.settle()
 	old := r.conn
@@ -279,7 +280,7 @@
 		t.Errorf("joined %d times, left %d", r.joined, r.left)
 	}
 	r.step(Closed{r.conn})
-	at, some := r.s.Due()
+	at, some := r.s.NextDeadline()
 	if !some || at != r.now+r.s.plan.Linger {
 		t.Errorf("due at %v, %v", at, some)
 	}
@@ -291,10 +292,10 @@
 	if r.left != 1 {
 		t.Errorf("left %d times", r.left)
 	}
-	r.step(Changed{Topic: "p", Sets: []Set{set("b1", 1)}})
+	r.step(TopicChanged{Topic: "p", Updates: []Update{set("b1", 1)}})
 	r.open(8)
-	r.step(Dropped{"p"})
-	if topics, conns, values := r.s.Size(); r.left != 1 || r.closed[len(r.closed)-1] != Replaced ||
+	r.step(TopicDropped{"p"})
+	if topics, conns, values := r.s.Size(); r.left != 1 || r.closed[len(r.closed)-1] != ReasonReplaced ||
 		topics+conns+values != 0 {
 		t.Errorf("left %d, closed %v, %d topics, %d connections, %d values are held", r.left, r.closed, topics, conns, values)
 	}
@@ -302,17 +303,18 @@
 
 // Case 6: onlookers are bounded and let go of, and none of them makes the owner wait.
 func TestCase6Onlookers(t *testing.T) {
-	r := newRig(t, Usual(7))
-	r.step(Changed{Topic: "p", Sets: []Set{set("b1", 1)}})
+	r := newRig(t, DefaultConfig(7))
+	r.step(TopicChanged{Topic: "p", Updates: []Update{set("b1", 1)}})
 	r.open(8)
 	for i := range 200 {
 		r.step(Opened{Conn: 1000 + i, Topic: "p", Credit: 0}) // never any credit
 	}
-	if _, conns, _ := r.s.Size(); conns > 2+r.s.plan.Onlookers || len(r.closed) < 130 || r.closed[0] != Crowded {
+	if _, conns, _ := r.s.Size(); conns > 2+r.s.plan.MaxObservers || len(r.closed) < 130 ||
+		r.closed[0] != ReasonTooManyObservers {
 		t.Errorf("%d connections, closed %d", conns, len(r.closed))
 	}
-	r.step(Changed{Topic: "p", Sets: []Set{set("b1", 2)}})
-	if r.settle(); r.copy.State["b1"].Figure != 2 {
+	r.step(TopicChanged{Topic: "p", Updates: []Update{set("b1", 2)}})
+	if r.settle(); r.copy.State["b1"].Number != 2 {
 		t.Errorf("the owner holds %v", r.copy.State)
 	}
 	for i := range 200 {
@@ -325,14 +327,14 @@
 
 // Case 7: numbers come to their end: the next message stands for all, and late acknowledgements are of before.
 func TestCase7Wrap(t *testing.T) {
-	r := newRig(t, Usual(7))
-	r.step(Changed{Topic: "p", Sets: []Set{set("b1", 1), set("b2", 2)}})
+	r := newRig(t, DefaultConfig(7))
+	r.step(TopicChanged{Topic: "p", Updates: []Update{set("b1", 1), set("b2", 2)}})
 	r.open(8)
 	r.settle()
 	o := r.s.topics["p"].owner
 	o.seq, o.prev, r.copy.Seq = 1<<32-2, 1<<32-2, 1<<32-2
 	for i := range 4 {
-		r.step(Changed{Topic: "p", Sets: []Set{set("b1", float64(i+5))}})
+		r.step(TopicChanged{Topic: "p", Updates: []Update{set("b1", float64(i+5))}})
 		r.settle()
 	}
 	r.step(Acked{Conn: r.conn, Epoch: 7, Seq: 1<<32 - 1})
--- a/internal/controller/pubsub/stream.go
+++ b/internal/controller/pubsub/stream.go
@@ -13,7 +13,7 @@
 	topic    string
 	openedAt uint64
 
-	orders Orders // the desk's goroutine alone looks
+	orders OrderEncoder // the desk's goroutine alone looks
 
 	mu     sync.Mutex
 	ended  bool // the desk let it go
@@ -35,7 +35,7 @@
 	s.mu.Lock()
 	s.ended = true
 	s.mu.Unlock()
-	s.hub.tell(session.Dropped{Topic: s.topic})
+	s.hub.tell(session.TopicDropped{Topic: s.topic})
 }
 
 // RecordFault keeps what was wrong with a report; the line about the end of the stream shows the first.
@@ -52,29 +52,29 @@
 
 // SendParts hands the hub the values that the parts of a message stand for. It never waits.
 func (s *stream) SendParts(parts []textproto.Part) {
-	e := session.Changed{Topic: s.topic}
-	e.Sets, e.Mark = s.orders.Sets(s.hub.names.Products, parts)
+	e := session.TopicChanged{Topic: s.topic}
+	e.Updates, e.Marker = s.orders.Updates(s.hub.names.Products, parts)
 	s.hub.tell(e)
 }
 
-// Orders turns the messages to a proxy into values, in the order in which they are made.
-type Orders struct {
+// OrderEncoder turns the messages to a proxy into values, in the order in which they are made.
+type OrderEncoder struct {
 	installed map[string]map[string]bool // by product, that it has
 }
 
-// Sets are the values that a message changes, and the mark that it asks an answer for, 0 for none. Of a key that is
+// Updates are the values that a message changes, and the mark that it asks an answer for, 0 for none. Of a key that is
 // named twice the last one holds. Parts that name no products mean all.
-func (o *Orders) Sets(products []string, parts []textproto.Part) (sets []session.Set, mark int) {
+func (o *OrderEncoder) Updates(products []string, parts []textproto.Part) (sets []session.Update, mark int) {
 	if o.installed == nil {
 		o.installed = map[string]map[string]bool{}
 	}
 	c := changeSet{at: map[string]int{}}
 	for _, p := range parts {
 		for _, id := range p.Withdrawn {
-			c.put(session.Set{Key: OutKey(id)})
+			c.put(session.Update{Key: WithdrawnKey(id)})
 		}
 		for _, id := range p.Restored {
-			c.put(session.Set{Key: OutKey(id), Gone: true})
+			c.put(session.Update{Key: WithdrawnKey(id), Deleted: true})
 		}
 		named := p.Products
 		if named == nil {
@@ -92,11 +92,11 @@
 
 // changeSet has the newest Set of each key, in the order in which the keys came first.
 type changeSet struct {
-	sets []session.Set
+	sets []session.Update
 	at   map[string]int
 }
 
-func (c *changeSet) put(x session.Set) {
+func (c *changeSet) put(x session.Update) {
 	if i, ok := c.at[x.Key]; ok {
 		c.sets[i] = x
 		return
@@ -105,27 +105,27 @@
 	c.sets = append(c.sets, x)
 }
 
-func (o *Orders) setProduct(c *changeSet, product string, p textproto.Part) {
+func (o *OrderEncoder) setProduct(c *changeSet, product string, p textproto.Part) {
 	if o.installed[product] == nil {
 		o.installed[product] = map[string]bool{}
 	}
 	lines := o.installed[product]
 	if p.Full {
 		for id := range lines {
-			c.put(session.Set{Key: LineKey(product, id), Gone: true})
+			c.put(session.Update{Key: WeightKey(product, id), Deleted: true})
 		}
 		clear(lines)
-		c.put(session.Set{Key: GateKey(product), Gone: true})
+		c.put(session.Update{Key: AdmissionKey(product), Deleted: true})
 	}
 	for _, l := range p.Weights {
-		value := session.Value{Figure: l.Weight}
-		c.put(session.Set{Key: LineKey(product, l.Backend), Gone: l.Weight <= 0, Value: value})
+		value := session.Value{Number: l.Weight}
+		c.put(session.Update{Key: WeightKey(product, l.Backend), Deleted: l.Weight <= 0, Value: value})
 		if lines[l.Backend] = true; l.Weight <= 0 {
 			delete(lines, l.Backend)
 		}
 	}
 	if a := p.Admission; a != nil {
-		value := session.Value{Figure: a.RateLimit, Small: int(a.Retries)}
-		c.put(session.Set{Key: GateKey(product), Value: value})
+		value := session.Value{Number: a.RateLimit, Integer: int(a.Retries)}
+		c.put(session.Update{Key: AdmissionKey(product), Value: value})
 	}
 }
--- a/internal/controller/pubsub/wire.go
+++ b/internal/controller/pubsub/wire.go
@@ -24,7 +24,7 @@
 const (
 	KindHello         = 'H'
 	KindAck           = 'A'
-	KindUsed          = 'U'
+	KindUsageReport   = 'U'
 	KindBackendReport = 'R'
 	KindSnapshot      = 'S'
 	KindChange        = 'C'
@@ -33,10 +33,10 @@
 
 // Topics.
 const (
-	OrdersTopic  = "orders/"  // and the number of a proxy
-	ReportsTopic = "reports/" // and a zone: published to, never sent
-	ListTopic    = "list"
-	LookTopic    = "decisions" // reliefs, total, knee and pace
+	OrdersTopicPrefix  = "orders/"  // and the number of a proxy
+	ReportsTopicPrefix = "reports/" // and a zone: published to, never sent
+	ListTopic          = "list"
+	DecisionsTopic     = "decisions" // reliefs, total, knee and pace
 )
 
 // Hello opens a connection: it names a topic and what took effect of it. Own says that the proxy of the topic itself
@@ -44,7 +44,7 @@
 type Hello struct {
 	Version int     `cbor:"1,keyasint"`
 	Topic   string  `cbor:"2,keyasint"`
-	Own     bool    `cbor:"3,keyasint,omitempty"`
+	Owner   bool    `cbor:"3,keyasint,omitempty"`
 	Zone    string  `cbor:"4,keyasint,omitempty"`
 	Rate    float64 `cbor:"5,keyasint,omitempty"`
 	Epoch   uint64  `cbor:"6,keyasint,omitempty"`
@@ -54,13 +54,13 @@
 
 // Ack says that all up to a number took effect, and that so many more messages may come.
 type Ack struct {
-	Epoch uint64 `cbor:"1,keyasint"`
-	Seq   uint32 `cbor:"2,keyasint"`
-	More  int    `cbor:"3,keyasint,omitempty"`
+	Epoch       uint64 `cbor:"1,keyasint"`
+	Seq         uint32 `cbor:"2,keyasint"`
+	AddedCredit int    `cbor:"3,keyasint,omitempty"`
 }
 
-// Used sums the txns of a product that came to the proxy in so many ms.
-type Used struct {
+// UsageReport sums the txns of a product that came to the proxy in so many ms.
+type UsageReport struct {
 	Product string  `cbor:"1,keyasint"`
 	Txns    float64 `cbor:"2,keyasint"`
 	Failed  float64 `cbor:"3,keyasint,omitempty"`
@@ -69,19 +69,19 @@
 
 // BackendReport sums what the proxies of a zone met at a backend in so many ms; Took is the mean time of answers in ms.
 type BackendReport struct {
-	Backend string  `cbor:"1,keyasint"`
-	Tries   float64 `cbor:"2,keyasint"`
-	Failed  float64 `cbor:"3,keyasint,omitempty"`
-	Took    float64 `cbor:"4,keyasint,omitempty"`
-	Millis  float64 `cbor:"5,keyasint"`
+	Backend  string  `cbor:"1,keyasint"`
+	Attempts float64 `cbor:"2,keyasint"`
+	Failed   float64 `cbor:"3,keyasint,omitempty"`
+	Latency  float64 `cbor:"4,keyasint,omitempty"`
+	Millis   float64 `cbor:"5,keyasint"`
 }
 
 // Message is a snapshot or a change.
 type Message struct {
-	Epoch uint64        `cbor:"1,keyasint"`
-	Seq   uint32        `cbor:"2,keyasint"`
-	Prev  uint32        `cbor:"3,keyasint,omitempty"`
-	Sets  []session.Set `cbor:"4,keyasint"`
+	Epoch   uint64           `cbor:"1,keyasint"`
+	Seq     uint32           `cbor:"2,keyasint"`
+	Prev    uint32           `cbor:"3,keyasint,omitempty"`
+	Updates []session.Update `cbor:"4,keyasint"`
 }
 
 // Error says why a connection ends.
@@ -92,15 +92,15 @@
 
 // Codes of Error, beside the reasons of a session.
 const (
-	CodeVersion      = "version"  // another version of the protocol
-	CodeTopic        = "topic"    // no such topic, or not for the one that asks
-	CodeMessage      = "message"  // what came is no message of the protocol
-	CodeNotOwn       = "not-own"  // it publishes what only another may
-	CodeCrowded      = "crowded"  // no more connections are taken
-	CodeRefused      = "refused"  // a proxy or zone that the settings do not have
-	CodeHelloTimeout = "silent"   // no hello in time
-	CodeUnread       = "unread"   // what is sent is not read in time
-	CodeStopped      = "stopping" // the controller ends
+	CodeVersion            = "version"  // another version of the protocol
+	CodeTopic              = "topic"    // no such topic, or not for the one that asks
+	CodeMessage            = "message"  // what came is no message of the protocol
+	CodeNotOwner           = "not-own"  // it publishes what only another may
+	CodeTooManyConnections = "crowded"  // no more connections are taken
+	CodeRefused            = "refused"  // a proxy or zone that the settings do not have
+	CodeHelloTimeout       = "silent"   // no hello in time
+	CodeWriteTimeout       = "unread"   // what is sent is not read in time
+	CodeStopped            = "stopping" // the controller ends
 )
 
 // Encode writes a message of a kind.
@@ -134,8 +134,8 @@
 		var a Ack
 		err := read(&a)
 		return a, err
-	case KindUsed:
-		var u Used
+	case KindUsageReport:
+		var u UsageReport
 		err := read(&u)
 		return u, err
 	case KindBackendReport:
@@ -149,7 +149,8 @@
 	case KindSnapshot, KindChange:
 		var m Message
 		err := read(&m)
-		return session.Send{Epoch: m.Epoch, Seq: m.Seq, Prev: m.Prev, Snapshot: text[0] == KindSnapshot, Sets: m.Sets}, err
+		snapshot := text[0] == KindSnapshot
+		return session.Send{Epoch: m.Epoch, Seq: m.Seq, Prev: m.Prev, Snapshot: snapshot, Updates: m.Updates}, err
 	}
 	return nil, fmt.Errorf("%w: kind %q", errMessage, text[0])
 }
@@ -159,7 +160,7 @@
 	if m.Snapshot {
 		kind = KindSnapshot
 	}
-	return Encode(kind, Message{Epoch: m.Epoch, Seq: m.Seq, Prev: m.Prev, Sets: m.Sets})
+	return Encode(kind, Message{Epoch: m.Epoch, Seq: m.Seq, Prev: m.Prev, Updates: m.Updates})
 }
 
 // Keys of a topic of orders, the most urgent first: who is shut out, lines, gates.
@@ -169,40 +170,40 @@
 	gateKey = "c"
 )
 
-// OutKey stands while a backend is shut out.
-func OutKey(backend string) string { return session.Join(outKey, backend) }
+// WithdrawnKey stands while a backend is shut out.
+func WithdrawnKey(backend string) string { return session.JoinKey(outKey, backend) }
 
-// LineKey holds the weight of a backend's line for a product.
-func LineKey(product, backend string) string { return session.Join(lineKey, product, backend) }
+// WeightKey holds the weight of a backend's line for a product.
+func WeightKey(product, backend string) string { return session.JoinKey(lineKey, product, backend) }
 
-// GateKey holds the level of a product and its way of trying again.
-func GateKey(product string) string { return session.Join(gateKey, product) }
+// AdmissionKey holds the level of a product and its way of trying again.
+func AdmissionKey(product string) string { return session.JoinKey(gateKey, product) }
 
-// Table is what a proxy goes by for a product.
-type Table struct {
-	Lines map[string]float64
-	Level float64 // below 0: none was set
-	Tries int
+// RoutingTable is what a proxy goes by for a product.
+type RoutingTable struct {
+	Weights   map[string]float64
+	RateLimit float64 // below 0: none was set
+	Retries   int
 }
 
-// Tables reads the values of a topic of orders: who is shut out, and a table by product.
-func Tables(state map[string]session.Value) (out map[string]bool, tables map[string]*Table) {
-	out, tables = map[string]bool{}, map[string]*Table{}
-	table := func(product string) *Table {
+// RoutingTables reads the values of a topic of orders: who is shut out, and a table by product.
+func RoutingTables(state map[string]session.Value) (out map[string]bool, tables map[string]*RoutingTable) {
+	out, tables = map[string]bool{}, map[string]*RoutingTable{}
+	table := func(product string) *RoutingTable {
 		if tables[product] == nil {
-			tables[product] = &Table{Lines: map[string]float64{}, Level: -1}
+			tables[product] = &RoutingTable{Weights: map[string]float64{}, RateLimit: -1}
 		}
 		return tables[product]
 	}
 	for key, v := range state {
-		switch parts := session.Split(key); {
+		switch parts := session.SplitKey(key); {
 		case len(parts) == 2 && parts[0] == outKey:
 			out[parts[1]] = true
 		case len(parts) == 3 && parts[0] == lineKey:
-			table(parts[1]).Lines[parts[2]] = v.Figure
+			table(parts[1]).Weights[parts[2]] = v.Number
 		case len(parts) == 2 && parts[0] == gateKey:
 			t := table(parts[1])
-			t.Level, t.Tries = v.Figure, v.Small
+			t.RateLimit, t.Retries = v.Number, v.Integer
 		}
 	}
 	return out, tables
@@ -210,7 +211,7 @@
 
 // proxyOf reads the number of a topic of orders.
 func proxyOf(topic string) (int, bool) {
-	text, ok := strings.CutPrefix(topic, OrdersTopic)
+	text, ok := strings.CutPrefix(topic, OrdersTopicPrefix)
 	n, err := strconv.Atoi(text)
 	return n, ok && err == nil && n >= 0 && strconv.Itoa(n) == text
 }
--- a/internal/controller/tenancy/cells.go
+++ b/internal/controller/tenancy/cells.go
@@ -40,14 +40,14 @@
 // Move moves a tenant to a fixed cell.
 type Move struct{ Tenant, Cell string }
 
-// Undo reverts a move that is under way.
-type Undo struct{ Tenant string }
+// CancelMove reverts a move that is under way.
+type CancelMove struct{ Tenant string }
 
-// Order is a policy.ProxyRestricted or a Note.
-type Order any
+// Action is a policy.ProxyRestricted or a Note.
+type Action any
 
-// Note is a line for people.
-type Note struct {
+// LogMessage is a line for people.
+type LogMessage struct {
 	Warn bool
 	Text string
 }
@@ -144,8 +144,8 @@
 
 type backendStats struct{ attempts, failed, good, spent float64 }
 
-// Cells settles for one controller. Use New.
-type Cells struct {
+// Manager settles for one controller. Use New.
+type Manager struct {
 	plan    Plan
 	on      bool
 	now     Time
@@ -160,12 +160,12 @@
 	failed  []Time // ends of backends without a drain, of late
 	tickAt  Time
 	dirty   bool
-	out     []Order
+	out     []Action
 }
 
 // New makes Cells that confine nobody until a plan is there.
-func New(proxies int) *Cells {
-	c := &Cells{proxies: make([]proxy, proxies), reports: map[int]*backendStats{}}
+func New(proxies int) *Manager {
+	c := &Manager{proxies: make([]proxy, proxies), reports: map[int]*backendStats{}}
 	for i := range c.proxies {
 		c.proxies[i].tenant = -1
 	}
@@ -173,7 +173,7 @@
 }
 
 // Next is the moment at which Step is due without an event; 0 where none is.
-func (c *Cells) Next() Time {
+func (c *Manager) Next() Time {
 	if !c.on {
 		return 0
 	}
@@ -181,7 +181,7 @@
 }
 
 // Step takes what happened in a moment.
-func (c *Cells) Step(now Time, events []Event) []Order {
+func (c *Manager) Step(now Time, events []Event) []Action {
 	c.now, c.out = max(now, c.now), nil
 	for _, e := range events {
 		c.handle(e)
@@ -205,11 +205,11 @@
 	return c.out
 }
 
-func (c *Cells) note(warn bool, format string, v ...any) {
-	c.out = append(c.out, Note{warn, fmt.Sprintf(format, v...)})
+func (c *Manager) note(warn bool, format string, v ...any) {
+	c.out = append(c.out, LogMessage{warn, fmt.Sprintf(format, v...)})
 }
 
-func (c *Cells) handle(e Event) {
+func (c *Manager) handle(e Event) {
 	switch e := e.(type) {
 	case ListUpdate:
 		c.relist(e.Backends)
@@ -245,7 +245,7 @@
 		c.replan(e.Plan)
 	case Move:
 		c.begin(e.Tenant, e.Cell)
-	case Undo:
+	case CancelMove:
 		if t := c.named(e.Tenant); t != nil && t.phase != steady {
 			c.undo(t, "it was asked for")
 		}
@@ -253,13 +253,13 @@
 }
 
 // relist takes the list as it is now; only tenants that a change can concern are looked at anew.
-func (c *Cells) relist(all []Backend) {
+func (c *Manager) relist(all []Backend) {
 	before := c.byAt
 	c.list = slices.SortedFunc(slices.Values(all), func(a, b Backend) int { return cmp.Compare(a.ID, b.ID) })
 	c.byAt = nil
 	for _, b := range c.list {
-		c.byAt = append(c.byAt, make([]Backend, max(b.At+1-len(c.byAt), 0))...)
-		c.byAt[b.At] = b
+		c.byAt = append(c.byAt, make([]Backend, max(b.Index+1-len(c.byAt), 0))...)
+		c.byAt[b.Index] = b
 	}
 	moved, failed := c.compareLists(before)
 	c.resplit()
@@ -276,7 +276,7 @@
 
 // compareLists is which backends left, came or changed, and which failed: gone without a drain, or started anew while
 // they served.
-func (c *Cells) compareLists(before []Backend) (moved, failed []Backend) {
+func (c *Manager) compareLists(before []Backend) (moved, failed []Backend) {
 	at := func(list []Backend, i int) (b Backend) {
 		if i < len(list) {
 			b = list[i]
@@ -291,7 +291,7 @@
 		if c.dirty = true; was.ID != is.ID {
 			delete(c.reports, i)
 		}
-		if was.Status == policy.Ready && (is.ID != was.ID || is.Status == policy.Gone || is.Up > was.Up) {
+		if was.Status == policy.Ready && (is.ID != was.ID || is.Status == policy.Gone || is.StartedAt > was.StartedAt) {
 			failed = append(failed, was)
 		}
 		// Start time and weight change no set.
@@ -309,11 +309,11 @@
 
 // noteFailed notes a failure at the tenants that use the backend. That their own fail can have any cause, also all at
 // once; that those fail which a tenant got for them is a sign.
-func (c *Cells) noteFailed(b Backend) {
+func (c *Manager) noteFailed(b Backend) {
 	c.failed = append(c.failed, c.now)
 	for _, t := range c.tenants {
 		lent := slices.ContainsFunc(t.loans, func(l loan) bool { return l.id == b.ID })
-		if !lent && !has(t.own, b.At) && !has(t.former, b.At) {
+		if !lent && !has(t.own, b.Index) && !has(t.former, b.Index) {
 			continue
 		}
 		if t.failAt = c.now; lent || !t.base[b.ID] {
@@ -322,20 +322,20 @@
 	}
 }
 
-func (c *Cells) resplit() {
+func (c *Manager) resplit() {
 	if c.split = nil; !c.plan.Shuffle {
 		c.split = c.plan.split(c.list)
 	}
 }
 
 // assign works out a tenant's own set.
-func (c *Cells) assign(t *tenant) {
+func (c *Manager) assign(t *tenant) {
 	own := c.plan.own(t.Tenant, c.list, c.split)
 	if t.contained { // it gets nobody new
 		own = slices.DeleteFunc(own, func(at int) bool { return !has(t.own, at) })
 	}
 	t.own, t.former, c.dirty = own, nil, true
-	if t.failAt == 0 || c.now > t.failAt+c.plan.LostOver {
+	if t.failAt == 0 || c.now > t.failAt+c.plan.LostWindow {
 		t.base, t.failAt = map[string]bool{}, 0
 		for _, at := range own {
 			t.base[c.byAt[at].ID] = true
@@ -349,7 +349,7 @@
 	if !c.plan.Shuffle {
 		return
 	}
-	size, seed := cmp.Or(t.Size, c.plan.Size), tenantSeed(t.Name)
+	size, seed := cmp.Or(t.ShardSize, c.plan.ShardSize), tenantSeed(t.Name)
 	t.lowestScores = nil
 	for _, need := range c.needs {
 		scores := make([][]float64, c.plan.Zones)
@@ -368,14 +368,14 @@
 	}
 }
 
-func (c *Cells) at(proxy int) *proxy {
+func (c *Manager) at(proxy int) *proxy {
 	if proxy < 0 || proxy >= len(c.proxies) {
 		return nil
 	}
 	return &c.proxies[proxy]
 }
 
-func (c *Cells) named(name string) *tenant {
+func (c *Manager) named(name string) *tenant {
 	for _, t := range c.tenants {
 		if t.Name == name {
 			return t
@@ -385,7 +385,7 @@
 }
 
 // replan takes another plan. What is known of a tenant that stays goes on; one whose cell differs moves.
-func (c *Cells) replan(p Plan) {
+func (c *Manager) replan(p Plan) {
 	before := map[string]*tenant{}
 	for _, t := range c.tenants {
 		before[t.Name] = t
@@ -410,7 +410,7 @@
 }
 
 // replanTenant adds a tenant; one that was there before, if it was, goes on in its cell until it has moved.
-func (c *Cells) replanTenant(i int, planned Tenant, t *tenant) {
+func (c *Manager) replanTenant(i int, planned Tenant, t *tenant) {
 	known := t != nil
 	if !known {
 		t = &tenant{Tenant: planned}
@@ -434,7 +434,7 @@
 }
 
 // begin orders a move. One that is under way is turned round or ended first by its own steps.
-func (c *Cells) begin(name, cell string) {
+func (c *Manager) begin(name, cell string) {
 	t := c.named(name)
 	named := func(one Cell) bool { return one.Name == cell }
 	switch {
@@ -453,17 +453,17 @@
 	}
 }
 
-func (c *Cells) undo(t *tenant, why string) {
+func (c *Manager) undo(t *tenant, why string) {
 	c.note(true, "tenant %s stays in %s: the move to %s is undone at %d of %d proxies, %s", t.Name, t.from, t.Cell, t.both,
 		len(t.Proxies), why)
 	t.phase, t.Cell, t.from, t.done, t.both, t.usual = steady, t.from, "", 0, 0, map[demandPoint]float64{}
 	t.wanted = ""
-	t.calm = c.now + c.plan.Settle
+	t.calm = c.now + c.plan.SettleTime
 	c.assign(t)
 }
 
 // warm is the strength of a set for a product that is ready and no longer cold, in a zone or in all (-1).
-func (c *Cells) warm(s []int, need policy.Product, zone int) (ready, warm float64) {
+func (c *Manager) warm(s []int, need policy.Product, zone int) (ready, warm float64) {
 	for _, at := range s {
 		if b := c.byAt[at]; b.Status == policy.Ready && fits(need, b) && (zone < 0 || b.Zone == zone) {
 			ready += b.Weight
@@ -475,11 +475,13 @@
 	return ready, warm
 }
 
-func (c *Cells) isWarm(b Backend) bool { return b.Up == 0 || c.now >= b.Up+c.plan.Cold }
+func (c *Manager) isWarm(b Backend) bool {
+	return b.StartedAt == 0 || c.now >= b.StartedAt+c.plan.WarmupTime
+}
 
 // advance takes a move its next step. Guards a cell of freshly started backends: it is entered when most of it is
 // warm, by a part of the proxies at a time; and a cell that dies under a move, which is undone.
-func (c *Cells) advance(t *tenant) {
+func (c *Manager) advance(t *tenant) {
 	if t.phase == steady && t.wanted != "" && t.wanted != t.Cell {
 		c.begin(t.Name, t.wanted) // a file that came during a move
 	}
@@ -493,23 +495,23 @@
 			fit = fit && warm > 0 && warm >= lendUnder*ready
 		}
 	}
-	part := max(1, int(c.plan.Part*float64(len(t.Proxies))+0.5))
+	part := max(1, int(c.plan.MoveFraction*float64(len(t.Proxies))+0.5))
 	switch {
 	case t.phase == prepared && !fit:
-		if c.now >= t.at+c.plan.Prepare {
+		if c.now >= t.at+c.plan.PrepareTimeout {
 			c.undo(t, "the cell did not become warm")
 		}
 	case !fit:
 		c.undo(t, "the cell has lost what a product needs")
 	case t.phase == prepared:
 		t.phase, t.both, t.at = moving, min(part, len(t.Proxies)), c.now
-	case c.now < t.at+c.plan.Settle:
+	case c.now < t.at+c.plan.SettleTime:
 	case t.done < t.both:
 		t.done, t.at = t.both, c.now
 		t.both = min(t.done+part, len(t.Proxies))
 		if t.done == len(t.Proxies) {
 			c.note(false, "tenant %s has moved from %s to %s, %d proxies", t.Name, t.from, t.Cell, t.done)
-			t.phase, t.from, t.calm, t.former = steady, "", c.now+c.plan.Settle, nil
+			t.phase, t.from, t.calm, t.former = steady, "", c.now+c.plan.SettleTime, nil
 			t.usual = map[demandPoint]float64{}
 		}
 	default: // of no proxies
@@ -519,7 +521,7 @@
 
 // zonesOf are those in which a product of a tenant needs backends: each of its joined proxies' where it must stay
 // at home, else any.
-func (c *Cells) zonesOf(t *tenant, need policy.Product) (zones []int) {
+func (c *Manager) zonesOf(t *tenant, need policy.Product) (zones []int) {
 	if !need.OwnZone {
 		return []int{-1}
 	}
@@ -535,10 +537,10 @@
 // lend gives a tenant that has lost much of its cell backends of others, the next in its order that are warm. A
 // loan lasts for a while at least, and goes back when the cell is there again. A tenant
 // that is shut in gets one for each need, so that rule 1 is kept.
-func (c *Cells) lend(t *tenant) {
+func (c *Manager) lend(t *tenant) {
 	t.loans = slices.DeleteFunc(t.loans, func(l loan) bool {
 		b := c.found(l.id)
-		return b.Status != policy.Ready || b.Up > l.up
+		return b.Status != policy.Ready || b.StartedAt > l.up
 	})
 	c.checkContainment(t)
 	own, lent := union(t.own, t.former), c.lent(t)
@@ -564,7 +566,7 @@
 
 // usualStrength is the strength of a tenant's own warm backends, and what is usual at a place. At each tick the
 // usual one fades a little.
-func (c *Cells) usualStrength(t *tenant, own []int, at demandPoint) (warm, usual float64) {
+func (c *Manager) usualStrength(t *tenant, own []int, at demandPoint) (warm, usual float64) {
 	keep := 1.0
 	if c.now == c.tickAt-tick {
 		keep = usualDecay
@@ -579,11 +581,11 @@
 }
 
 // lendFor lends a tenant backends for a place until it has enough; it returns all that are lent.
-func (c *Cells) lendFor(t *tenant, own, lent []int, at demandPoint, warm, usual float64) []int {
+func (c *Manager) lendFor(t *tenant, own, lent []int, at demandPoint, warm, usual float64) []int {
 	need, want := c.needs[at.need], lendUnder*usual
 	isEnough := func() bool {
 		_, more := c.warm(lent, need, at.zone)
-		return warm+more > 0 && (warm+more >= want || t.contained || len(t.loans) >= c.plan.Loan)
+		return warm+more > 0 && (warm+more >= want || t.contained || len(t.loans) >= c.plan.MaxLoans)
 	}
 	if isEnough() {
 		return lent
@@ -592,9 +594,9 @@
 		if isEnough() {
 			break
 		}
-		if !has(own, b.At) && !has(lent, b.At) && b.Status == policy.Ready && c.isWarm(b) && fits(need, b) &&
+		if !has(own, b.Index) && !has(lent, b.Index) && b.Status == policy.Ready && c.isWarm(b) && fits(need, b) &&
 			(at.zone < 0 || b.Zone == at.zone) {
-			t.loans = append(t.loans, loan{b.ID, b.Up, c.now + c.plan.LoanFor})
+			t.loans = append(t.loans, loan{b.ID, b.StartedAt, c.now + c.plan.MinLoanTime})
 			lent = c.lent(t)
 			c.note(true, "tenant %s is lent %s: %.1f of its usual %.1f are ready and warm", t.Name, b.ID, warm, usual)
 		}
@@ -604,12 +606,12 @@
 
 // checkContainment contains a tenant when too many of the backends that it was given failed of late, and a far larger
 // part of them than of the fleet: a bad release fails everywhere and is no tenant's fault.
-func (c *Cells) checkContainment(t *tenant) {
-	old := func(at Time) bool { return c.now > at+c.plan.LostOver }
+func (c *Manager) checkContainment(t *tenant) {
+	old := func(at Time) bool { return c.now > at+c.plan.LostWindow }
 	t.lost, c.failed = slices.DeleteFunc(t.lost, old), slices.DeleteFunc(c.failed, old)
 	n, all := float64(len(t.lost)), float64(len(c.failed))
 	part, fleet := n/max(n+float64(len(t.own)), 1), all/max(all+float64(len(c.list)), 1)
-	shut := c.plan.Lost > 0 && len(t.lost) >= c.plan.Lost && (t.contained || part > lostOver*fleet)
+	shut := c.plan.MaxLost > 0 && len(t.lost) >= c.plan.MaxLost && (t.contained || part > lostOver*fleet)
 	if shut == t.contained {
 		return
 	}
@@ -620,7 +622,7 @@
 			t.Name,
 			len(t.lost),
 			len(c.failed),
-			c.plan.Trickle,
+			c.plan.ContainedRate,
 		)
 	} else {
 		c.note(false, "tenant %s is no longer shut in", t.Name)
@@ -629,10 +631,10 @@
 }
 
 // lent are the backends lent to a tenant.
-func (c *Cells) lent(t *tenant) (set []int) {
+func (c *Manager) lent(t *tenant) (set []int) {
 	for _, l := range t.loans {
 		if b := c.found(l.id); b.ID != "" {
-			set = append(set, b.At)
+			set = append(set, b.Index)
 		}
 	}
 	slices.Sort(set)
@@ -640,7 +642,7 @@
 }
 
 // found is a backend of the list; one without an id where it is not there.
-func (c *Cells) found(id string) Backend {
+func (c *Manager) found(id string) Backend {
 	if i, ok := slices.BinarySearchFunc(c.list, id, func(b Backend, id string) int { return cmp.Compare(b.ID, id) }); ok {
 		return c.list[i]
 	}
@@ -648,7 +650,7 @@
 }
 
 // limit judges each cell against the others, once a tick, and bounds what the tenants of one in trouble let in.
-func (c *Cells) limit() {
+func (c *Manager) limit() {
 	fails, took := c.reported()
 	badAll, allFails := middle(fails, nil)
 	slowAll, allTook := middle(took, nil)
@@ -690,7 +692,7 @@
 
 // reported is what part failed at each backend, and how long responses took, by index; below 0 where too little was
 // reported. Older reports fade.
-func (c *Cells) reported() (fails, took []float64) {
+func (c *Manager) reported() (fails, took []float64) {
 	fails, took = slices.Repeat([]float64{-1}, len(c.byAt)), slices.Repeat([]float64{-1}, len(c.byAt))
 	for at, n := range c.reports {
 		if at < len(c.byAt) && n.attempts >= fewTries {
@@ -706,7 +708,7 @@
 }
 
 // sumUse sums up a tenant's use, and what of it is served.
-func (c *Cells) sumUse(t *tenant) {
+func (c *Manager) sumUse(t *tenant) {
 	t.use, t.served = 0, 0
 	for _, at := range t.Proxies {
 		if p := c.at(at); p != nil && p.joined {
@@ -717,7 +719,7 @@
 
 // limitPools binds the tenants, and withdraws retries from those in a pool where too much fails. The tenants of a fixed
 // cell are a pool; a shuffled one is a pool of its own.
-func (c *Cells) limitPools() {
+func (c *Manager) limitPools() {
 	type sums struct{ use, served float64 }
 	pools := map[string]sums{}
 	pool := func(t *tenant) string { return either(c.plan.Shuffle, "tenant "+t.Name, "cell "+t.Cell) }
@@ -734,8 +736,8 @@
 
 // bind bounds a tenant whose cell is in trouble. Of several in one cell those come first that ask for far more
 // than they usually do; the others are bounded when that has not helped.
-func (c *Cells) bind(t *tenant) {
-	least := func(u *tenant) float64 { return c.plan.Trickle * float64(len(u.Proxies)) }
+func (c *Manager) bind(t *tenant) {
+	least := func(u *tenant) float64 { return c.plan.ContainedRate * float64(len(u.Proxies)) }
 	rises := func(u *tenant) bool { return u.use > risen*u.usualUse }
 	blamed := func(u *tenant) bool {
 		return u != t && u.bad >= troubled && rises(u) && slices.Equal(u.own, t.own) && (u.bound == 0 || u.bound > 2*least(u))
@@ -798,7 +800,7 @@
 }
 
 // tell orders what differs from what each joined proxy was told.
-func (c *Cells) tell() {
+func (c *Manager) tell() {
 	for _, t := range c.tenants {
 		lent := c.lent(t)
 		settled, leaving := union(t.own, lent), union(t.former, lent)
@@ -826,12 +828,12 @@
 }
 
 // shares parts what a tenant may let in among its proxies: none gets more than it is asked for while others lack.
-func (c *Cells) shares(t *tenant) []float64 {
+func (c *Manager) shares(t *tenant) []float64 {
 	shares := make([]float64, len(t.Proxies))
 	total := t.bound
 	if t.contained {
 		for i := range shares {
-			shares[i] = c.plan.Trickle
+			shares[i] = c.plan.ContainedRate
 		}
 		return shares
 	}
@@ -849,16 +851,16 @@
 	})
 	for n, i := range open {
 		part := left / float64(len(open)-n)
-		shares[i] = max(min(part, sum(c.proxies[t.Proxies[i]].txns)), c.plan.Trickle)
+		shares[i] = max(min(part, sum(c.proxies[t.Proxies[i]].txns)), c.plan.ContainedRate)
 		if n == len(open)-1 {
-			shares[i] = max(part, c.plan.Trickle)
+			shares[i] = max(part, c.plan.ContainedRate)
 		}
 		left -= min(shares[i], left)
 	}
 	return shares
 }
 
-func (c *Cells) send(p *proxy, o policy.ProxyRestricted) {
+func (c *Manager) send(p *proxy, o policy.ProxyRestricted) {
 	was := p.confinement
 	near := was.MaxRate > 0 && o.MaxRate > 0 && o.MaxRate < was.MaxRate*(1+leastTell) &&
 		o.MaxRate > was.MaxRate*(1-leastTell)
@@ -871,45 +873,45 @@
 	c.out = append(c.out, o)
 }
 
-// State is what people see of a tenant.
-type State struct {
+// TenantStatus is what people see of a tenant.
+type TenantStatus struct {
 	Tenant, Cell, Phase string
 	From                string
 	Moved, Proxies      int // of its proxies, those that have left the former cell
 	Backends, Lent      []string
-	ShutIn              bool
-	Bound               float64 // txns/s; 0: none
-	Radius
+	Contained           bool    `json:"ShutIn"`
+	RateLimit           float64 `json:"Bound"` // txns/s; 0: none
+	BlastRadius
 }
 
-// Overlap is what a backend is to the tenants: the part of all their strength, and how many have it.
-type Overlap struct {
-	Backend string
-	Part    float64
-	Tenants int
+// BackendShare is what a backend is to the tenants: the part of all their strength, and how many have it.
+type BackendShare struct {
+	Backend  string
+	Fraction float64 `json:"Part"`
+	Tenants  int
 }
 
 // View is all of it: tenants in the order of the plan, backends in that of their ids.
 type View struct {
-	Tenants  []State
-	Backends []Overlap
+	Tenants  []TenantStatus
+	Backends []BackendShare
 }
 
-// Show tells how tenants and backends stand.
-func (c *Cells) Show() (v View) {
-	radii, parts := c.plan.Radii(c.list)
+// View tells how tenants and backends stand.
+func (c *Manager) View() (v View) {
+	radii, parts := c.plan.BlastRadii(c.list)
 	having := map[int]int{}
 	for i, t := range c.tenants {
-		s := State{
-			Tenant:  t.Name,
-			Cell:    t.Cell,
-			Phase:   t.phase.String(),
-			From:    t.from,
-			Moved:   t.done,
-			Proxies: len(t.Proxies),
-			ShutIn:  t.contained,
-			Bound:   t.bound,
-			Radius:  radii[i],
+		s := TenantStatus{
+			Tenant:      t.Name,
+			Cell:        t.Cell,
+			Phase:       t.phase.String(),
+			From:        t.from,
+			Moved:       t.done,
+			Proxies:     len(t.Proxies),
+			Contained:   t.contained,
+			RateLimit:   t.bound,
+			BlastRadius: radii[i],
 		}
 		for _, at := range t.own {
 			s.Backends = append(s.Backends, c.byAt[at].ID)
@@ -922,8 +924,8 @@
 		v.Tenants = append(v.Tenants, s)
 	}
 	for _, b := range c.list {
-		if having[b.At] > 0 {
-			v.Backends = append(v.Backends, Overlap{b.ID, parts[b.At], having[b.At]})
+		if having[b.Index] > 0 {
+			v.Backends = append(v.Backends, BackendShare{b.ID, parts[b.Index], having[b.Index]})
 		}
 	}
 	return v
--- a/internal/controller/tenancy/cells_test.go
+++ b/internal/controller/tenancy/cells_test.go
@@ -20,7 +20,7 @@
 		all = append(
 			all,
 			Backend{
-				At:     i,
+				Index:  i,
 				ID:     fmt.Sprintf("s-%03d", i),
 				Zone:   i % zones,
 				Kind:   i / zones % 4 / 3,
@@ -33,8 +33,8 @@
 }
 
 func fixed(names ...string) Plan {
-	p := Usual()
-	p.Zones, p.Cold = 2, 10*second
+	p := DefaultPlan()
+	p.Zones, p.WarmupTime = 2, 10*second
 	for _, n := range names {
 		p.Cells = append(p.Cells, Cell{n, 1})
 	}
@@ -42,8 +42,8 @@
 }
 
 func shuffled(size, tenants, each int) Plan {
-	p := Usual()
-	p.Zones, p.Cold, p.Shuffle, p.Size = 2, 10*second, true, size
+	p := DefaultPlan()
+	p.Zones, p.WarmupTime, p.Shuffle, p.ShardSize = 2, 10*second, true, size
 	for i := range tenants {
 		t := Tenant{Name: fmt.Sprint("t", i)}
 		for j := range each {
@@ -57,7 +57,7 @@
 // day drives Cells; may is what each proxy was told last.
 type day struct {
 	*testing.T
-	c     *Cells
+	c     *Manager
 	now   Time
 	list  []Backend
 	may   map[int]policy.ProxyRestricted
@@ -82,7 +82,7 @@
 		case policy.ProxyRestricted:
 			d.may[o.Proxy] = o
 			d.sent++
-		case Note:
+		case LogMessage:
 			d.notes = append(d.notes, o.Text)
 		}
 	}
@@ -101,7 +101,7 @@
 func (d *day) change(f func(b *Backend), ats ...int) {
 	d.list = slices.Clone(d.list)
 	for i := range d.list {
-		if slices.Contains(ats, d.list[i].At) {
+		if slices.Contains(ats, d.list[i].Index) {
 			f(&d.list[i])
 		}
 	}
@@ -123,23 +123,23 @@
 	for seed := range uint64(40) {
 		chance := rand.New(rand.NewPCG(seed, 17))
 		p := shuffled(1+chance.IntN(4), 30, 1)
-		p.Lost = 0
+		p.MaxLost = 0
 		p.Products = []policy.Product{{}, {OwnZone: true}, {OnlyZones: []int{1}}, {OnlyKinds: []int{1}}}
 		d := newDay(t, p, fleet(16), 30)
 		plain := func(tenant string) (own []int) {
 			for _, need := range p.Products {
 				for zone := range p.Zones {
 					taken := map[int]bool{}
-					for range p.Size {
+					for range p.ShardSize {
 						best, most := -1, -1.0
 						for _, b := range d.list {
-							ok := b.Status == policy.Ready && b.Zone == zone && !taken[b.At] &&
+							ok := b.Status == policy.Ready && b.Zone == zone && !taken[b.Index] &&
 								(need.OnlyZones == nil || slices.Contains(
 									need.OnlyZones,
 									zone,
 								)) && (need.OnlyKinds == nil || slices.Contains(need.OnlyKinds, b.Kind))
 							if s := score(tenantSeed(tenant), b.ID); ok && s > most {
-								best, most = b.At, s
+								best, most = b.Index, s
 							}
 						}
 						if best >= 0 {
@@ -182,11 +182,11 @@
 	chance := rand.New(rand.NewPCG(1, 2))
 	chance.Shuffle(len(b), func(i, j int) { b[i], b[j] = b[j], b[i] })
 	for i := range b {
-		b[i].At = 29 - i
+		b[i].Index = 29 - i
 	}
 	ids := func(own []int, list []Backend) (names []string) {
 		for _, x := range list {
-			if has(own, x.At) {
+			if has(own, x.Index) {
 				names = append(names, x.ID)
 			}
 		}
@@ -194,7 +194,8 @@
 		return names
 	}
 	for _, tt := range p.Tenants {
-		if x, y := ids(p.Own(tt, a), a), ids(p.Own(tt, b), b); !reflect.DeepEqual(x, y) || len(x) != 6 {
+		x, y := ids(p.AssignedBackends(tt, a), a), ids(p.AssignedBackends(tt, b), b)
+		if !reflect.DeepEqual(x, y) || len(x) != 6 {
 			t.Errorf("%s: %v and %v", tt.Name, x, y)
 		}
 	}
@@ -206,7 +207,7 @@
 	for name, f := range map[string]func(*Backend){
 		"die":   func(b *Backend) { b.Status = policy.Gone },
 		"drain": func(b *Backend) { b.Status = policy.Draining },
-		"cold":  func(b *Backend) { b.Up = 1003 * second },
+		"cold":  func(b *Backend) { b.StartedAt = 1003 * second },
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := fixed("red", "blue")
@@ -217,10 +218,10 @@
 			d.change(f, own...)
 			got := d.may[0].Backends
 			lent := slices.DeleteFunc(slices.Clone(got), func(at int) bool { return slices.Contains(own, at) })
-			if len(lent) == 0 || len(lent) > p.Loan || !holds(d.notes, "is lent") {
+			if len(lent) == 0 || len(lent) > p.MaxLoans || !holds(d.notes, "is lent") {
 				t.Fatalf("of %v are lent %v, notes %v", own, lent, d.notes)
 			}
-			d.change(func(b *Backend) { b.Status, b.Up = policy.Ready, 0 }, own...)
+			d.change(func(b *Backend) { b.Status, b.StartedAt = policy.Ready, 0 }, own...)
 			at := d.notes
 			if notes := d.pass(25); holds(at, "gives") || holds(notes, "gives") {
 				t.Errorf("given back before 30 s: %v", notes)
@@ -248,7 +249,7 @@
 				alive = append(alive, at)
 			}
 		}
-		if d.may[0].MaxRate > 0 && d.may[0].MaxRate <= p.Trickle {
+		if d.may[0].MaxRate > 0 && d.may[0].MaxRate <= p.ContainedRate {
 			break // what it lets in kills nobody
 		}
 		killed += len(alive)
@@ -258,7 +259,7 @@
 	if !holds(notes, "is shut in") || killed > 20 {
 		t.Errorf("%d of 40 are killed; %v", killed, notes)
 	}
-	if got := d.may[0]; len(got.Backends) == 0 || got.MaxRate != p.Trickle {
+	if got := d.may[0]; len(got.Backends) == 0 || got.MaxRate != p.ContainedRate {
 		t.Errorf("shut in with %+v", got)
 	}
 }
@@ -272,7 +273,7 @@
 		{Name: "other", Proxies: []int{8}, Cell: "red"},
 	}
 	d := newDay(t, p, fleet(20), 9)
-	red, blue := d.may[0].Backends, p.Own(Tenant{Cell: "blue"}, d.list)
+	red, blue := d.may[0].Backends, p.AssignedBackends(Tenant{Cell: "blue"}, d.list)
 	d.step(Move{Tenant: "acme", Cell: "blue"})
 	both := union(red, blue)
 	for part := range 4 {
@@ -287,7 +288,7 @@
 				t.Errorf("part %d, proxy %d: %+v, want %v", part, i, got, want)
 			}
 		}
-		if notes := d.pass(int(p.Settle / second)); part == 3 && !holds(notes, "has moved") {
+		if notes := d.pass(int(p.SettleTime / second)); part == 3 && !holds(notes, "has moved") {
 			t.Errorf("notes %v", notes)
 		}
 	}
@@ -310,7 +311,7 @@
 	if !holds(d.notes, "no fixed cell green") || !holds(d.notes, "no tenant none") || !holds(d.notes, "moves already") {
 		t.Errorf("notes %v", d.notes)
 	}
-	d.step(Undo{"acme"})
+	d.step(CancelMove{"acme"})
 	if got := d.may[0]; !slices.Equal(got.Backends, blue) || !got.NoRetries {
 		t.Errorf("undone, proxy 0 has %+v", got)
 	}
@@ -322,10 +323,10 @@
 	p := fixed("red", "blue")
 	p.Tenants = []Tenant{{Name: "acme", Proxies: []int{0, 1, 2, 3}, Cell: "red"}}
 	list := fleet(20)
-	blue := p.Own(Tenant{Cell: "blue"}, list)
+	blue := p.AssignedBackends(Tenant{Cell: "blue"}, list)
 	d := newDay(t, p, list, 4)
 	red := d.may[0].Backends
-	d.change(func(b *Backend) { b.Up = d.now }, blue...)
+	d.change(func(b *Backend) { b.StartedAt = d.now }, blue...)
 	d.step(Move{Tenant: "acme", Cell: "blue"})
 	d.pass(9)
 	if got := d.may[0].Backends; !slices.Equal(got, red) {
@@ -354,7 +355,7 @@
 	there := p
 	there.Tenants = []Tenant{{Name: "acme", Proxies: []int{0, 1, 2, 3}, Cell: "blue"}}
 	list := fleet(20)
-	red, blue := p.Own(p.Tenants[0], list), p.Own(there.Tenants[0], list)
+	red, blue := p.AssignedBackends(p.Tenants[0], list), p.AssignedBackends(there.Tenants[0], list)
 	for at := range 20 {
 		d := newDay(t, p, list, 4)
 		d.step(PlanUpdate{there})
@@ -405,7 +406,7 @@
 				ready := map[int]bool{}
 				for _, x := range d.list {
 					if x.Status == policy.Ready {
-						ready[x.At] = true
+						ready[x.Index] = true
 					}
 				}
 				for i := range 12 {
@@ -429,7 +430,7 @@
 	d.step(ListUpdate{list})
 	enter := 0
 	for _, tt := range p.Tenants {
-		if slices.Contains(p.Own(tt, list), 499) {
+		if slices.Contains(p.AssignedBackends(tt, list), 499) {
 			enter++
 		}
 	}
@@ -518,8 +519,8 @@
 	p := fixed("red", "blue")
 	p.Tenants = []Tenant{{Name: "a", Cell: "red"}, {Name: "b", Cell: "red"}, {Name: "c", Cell: "blue"}}
 	list := fleet(20)
-	tenants, backends := p.Radii(list)
-	if tenants[0].Mean != 0.5 || tenants[0].Most != 1 || tenants[0].With != "b" || tenants[2].Mean != 0 {
+	tenants, backends := p.BlastRadii(list)
+	if tenants[0].Mean != 0.5 || tenants[0].Max != 1 || tenants[0].MaxTenant != "b" || tenants[2].Mean != 0 {
 		t.Errorf("radii %+v", tenants)
 	}
 	total := 0.0
--- a/internal/controller/tenancy/moves_model_test.go
+++ b/internal/controller/tenancy/moves_model_test.go
@@ -24,8 +24,8 @@
 	for seed := range uint64(120) {
 		chance := rand.New(rand.NewPCG(seed, 33))
 		p := fixed("red", "blue", "green")
-		p.Loan, p.Lost, p.Part = 0, 0, []float64{0.25, 0.5, 1}[chance.IntN(3)]
-		p.Prepare = 20 * second
+		p.MaxLoans, p.MaxLost, p.MoveFraction = 0, 0, []float64{0.25, 0.5, 1}[chance.IntN(3)]
+		p.PrepareTimeout = 20 * second
 		size := 1 + chance.IntN(6)
 		tenant := Tenant{Name: "a", Cell: "red"}
 		for i := range size {
@@ -35,12 +35,12 @@
 		list := fleet(24)
 		d := newDay(t, p, list, size)
 		m := plainMove{cell: "red"}
-		part := max(1, int(p.Part*float64(size)+0.5))
-		in := func(cell string) []int { return p.Own(Tenant{Cell: cell}, d.list) }
+		part := max(1, int(p.MoveFraction*float64(size)+0.5))
+		in := func(cell string) []int { return p.AssignedBackends(Tenant{Cell: cell}, d.list) }
 		fit := func(cell string) bool { // half of what is ready there is warm
 			ready, warm := 0.0, 0.0
 			for _, at := range in(cell) {
-				if ready++; d.list[at].Up == 0 || d.now >= d.list[at].Up+p.Cold {
+				if ready++; d.list[at].StartedAt == 0 || d.now >= d.list[at].StartedAt+p.WarmupTime {
 					warm++
 				}
 			}
@@ -49,11 +49,11 @@
 		turn := func() {
 			switch {
 			case m.from == "":
-			case !fit(m.cell) && (len(m.turns) > 0 || d.now >= m.ordered+p.Prepare):
+			case !fit(m.cell) && (len(m.turns) > 0 || d.now >= m.ordered+p.PrepareTimeout):
 				m = plainMove{cell: m.from}
 				undone++
 			case !fit(m.cell):
-			case len(m.turns) == 0 || d.now >= m.turns[len(m.turns)-1]+p.Settle:
+			case len(m.turns) == 0 || d.now >= m.turns[len(m.turns)-1]+p.SettleTime:
 				if len(m.turns)*part >= size {
 					m = plainMove{cell: m.cell}
 					ended++
@@ -98,7 +98,7 @@
 					m = plainMove{cell: m.from}
 					undone++
 				}
-				d.step(Undo{"a"})
+				d.step(CancelMove{"a"})
 			case 3: // one that is not the last warm one of its cell
 				at := chance.IntN(24)
 				status, up := policy.Gone, Time(0)
@@ -108,12 +108,12 @@
 				what = fmt.Sprint("backend ", at, " is ", status)
 				was := d.list
 				d.list = slices.Clone(d.list)
-				d.list[at].Status, d.list[at].Up = status, up
+				d.list[at].Status, d.list[at].StartedAt = status, up
 				spare := true
 				for _, cell := range []string{"red", "blue", "green"} {
 					warm := 0
 					for _, b := range in(cell) {
-						if d.list[b].Up == 0 || d.now >= d.list[b].Up+p.Cold {
+						if d.list[b].StartedAt == 0 || d.now >= d.list[b].StartedAt+p.WarmupTime {
 							warm++
 						}
 					}
@@ -144,20 +144,20 @@
 	p := fixed("red", "blue")
 	p.Products = []policy.Product{{OwnZone: true}}
 	p.Tenants = []Tenant{{Name: "a", Proxies: []int{0, 1}, Cell: "red"}, {Name: "b", Proxies: []int{2, 3}, Cell: "blue"}}
-	if got := p.Lacks(fleet(20)); len(got) > 0 {
+	if got := p.Shortfalls(fleet(20)); len(got) > 0 {
 		t.Errorf("a good plan lacks %+v", got)
 	}
-	p.Cells[1].Part = 0.2
-	if got := p.Lacks(fleet(20)); len(got) != 1 || got[0].Tenant != 1 {
+	p.Cells[1].Share = 0.2
+	if got := p.Shortfalls(fleet(20)); len(got) != 1 || got[0].Tenant != 1 {
 		t.Errorf("with a small cell it lacks %+v", got)
 	}
-	p.Cells[1].Part = 0.0001
-	if got := p.Lacks(fleet(20)); len(got) != 1 || got[0].Tenant != 1 {
+	p.Cells[1].Share = 0.0001
+	if got := p.Shortfalls(fleet(20)); len(got) != 1 || got[0].Tenant != 1 {
 		t.Errorf("with an empty cell it lacks %+v", got)
 	}
 	q := shuffled(1, 2, 2)
 	q.Products = []policy.Product{{OnlyKinds: []int{1}}}
-	if got := q.Lacks(fleet(20)); len(got) > 0 {
+	if got := q.Shortfalls(fleet(20)); len(got) > 0 {
 		t.Errorf("shuffled it lacks %+v", got)
 	}
 }
@@ -172,8 +172,8 @@
 	q := p
 	q.Tenants = []Tenant{{Name: "a", Proxies: []int{0, 1}, Cell: "green"}}
 	d.step(PlanUpdate{q})
-	blue, green := p.Own(Tenant{Cell: "blue"}, d.list), p.Own(Tenant{Cell: "green"}, d.list)
-	if got := d.may[0].Backends; !slices.Equal(got, union(p.Own(Tenant{Cell: "red"}, d.list), blue)) {
+	blue, green := p.AssignedBackends(Tenant{Cell: "blue"}, d.list), p.AssignedBackends(Tenant{Cell: "green"}, d.list)
+	if got := d.may[0].Backends; !slices.Equal(got, union(p.AssignedBackends(Tenant{Cell: "red"}, d.list), blue)) {
 		t.Errorf("the move in hand is disturbed: %v", got)
 	}
 	notes := d.pass(30)
--- a/internal/controller/tenancy/plan.go
+++ b/internal/controller/tenancy/plan.go
@@ -20,54 +20,64 @@
 
 // Plan is what an operator file says of cells.
 type Plan struct {
-	Shuffle bool
-	Size    int // of shuffle: backends of each zone for a tenant
-	Cells   []Cell
-	Tenants []Tenant
+	Shuffle   bool
+	ShardSize int // of shuffle: backends of each zone for a tenant
+	Cells     []Cell
+	Tenants   []Tenant
 
-	Loan     int     // backends lent to a tenant at once, at most
-	LoanFor  Time    // ... for so long at least
-	Lost     int     // lent backends that may fail within LostOver, until the tenant is shut in
-	LostOver Time    //
-	Trickle  float64 // txns/s that each proxy of a tenant that is shut in may let in
-	Part     float64 // of a tenant's proxies that move at a time
-	Settle   Time    // that a moving part keeps both its old and its new lines
-	Prepare  Time    // that a move waits for its new cell to be warm
-	Warn     float64 // part of the others' strength that one tenant may touch without a warning
+	MaxLoans       int     // backends lent to a tenant at once, at most
+	MinLoanTime    Time    // ... for so long at least
+	MaxLost        int     // lent backends that may fail within LostOver, until the tenant is shut in
+	LostWindow     Time    //
+	ContainedRate  float64 // txns/s that each proxy of a tenant that is shut in may let in
+	MoveFraction   float64 // of a tenant's proxies that move at a time
+	SettleTime     Time    // that a moving part keeps both its old and its new lines
+	PrepareTimeout Time    // that a move waits for its new cell to be warm
+	WarnFraction   float64 // part of the others' strength that one tenant may touch without a warning
 
-	Products []policy.Product // where each may go
-	Zones    int
-	Cold     Time
+	Products   []policy.Product // where each may go
+	Zones      int
+	WarmupTime Time
 }
 
 // Cell is a fixed cell; Part is its share of the backends beside the others'.
 type Cell struct {
-	Name string
-	Part float64
+	Name  string
+	Share float64
 }
 
 // Tenant is a group of proxies. Cell names a fixed one; Size is another size than the plan's.
 type Tenant struct {
-	Name    string
-	Proxies []int
-	Cell    string
-	Size    int
+	Name      string
+	Proxies   []int
+	Cell      string
+	ShardSize int
 }
 
-// Usual is a Plan with every figure that may be left out.
-func Usual() Plan {
-	return Plan{Size: 4, Loan: 4, LoanFor: 30 * policy.Second, Lost: 4, LostOver: 600 * policy.Second, Trickle: 0.5,
-		Part: 0.25, Settle: 4 * policy.Second, Prepare: 120 * policy.Second, Warn: 0.25}
+// DefaultPlan is a Plan with every figure that may be left out.
+func DefaultPlan() Plan {
+	return Plan{
+		ShardSize:      4,
+		MaxLoans:       4,
+		MinLoanTime:    30 * policy.Second,
+		MaxLost:        4,
+		LostWindow:     600 * policy.Second,
+		ContainedRate:  0.5,
+		MoveFraction:   0.25,
+		SettleTime:     4 * policy.Second,
+		PrepareTimeout: 120 * policy.Second,
+		WarnFraction:   0.25,
+	}
 }
 
 // Backend is one of the list, at the index that the decisions have it at.
 type Backend struct {
-	At         int
+	Index      int
 	ID         string
 	Zone, Kind int
 	Status     policy.Status
 	Weight     float64
-	Up         Time
+	StartedAt  Time
 }
 
 // score orders backends for a name by chance, the same everywhere (rendezvous hashing): who comes or goes moves
@@ -91,7 +101,7 @@
 	of := map[int]string{}
 	total := 0.0
 	for _, c := range p.Cells {
-		total += c.Part
+		total += c.Share
 	}
 	for z := range p.Zones {
 		var matches []match
@@ -102,19 +112,19 @@
 			}
 			n++
 			for i, c := range p.Cells {
-				matches = append(matches, match{b.At, i, score(xxh3.HashString("cell "+c.Name), b.ID), b.ID})
+				matches = append(matches, match{b.Index, i, score(xxh3.HashString("cell "+c.Name), b.ID), b.ID})
 			}
 		}
 		// Whole backends by part; what is left over goes to the cells that lack most, other ones in each zone.
 		room, left := make([]int, len(p.Cells)), n
 		order := make([]int, len(p.Cells))
 		for i, c := range p.Cells {
-			room[i] = int(c.Part / total * float64(n))
+			room[i] = int(c.Share / total * float64(n))
 			left -= room[i]
 			order[i] = i
 		}
 		lacks := func(i int) float64 {
-			return p.Cells[i].Part/total*float64(n) - float64(room[i]) + 1e-6*score(uint64(z), p.Cells[i].Name)
+			return p.Cells[i].Share/total*float64(n) - float64(room[i]) + 1e-6*score(uint64(z), p.Cells[i].Name)
 		}
 		slices.SortFunc(order, func(i, j int) int { return cmp.Compare(lacks(j), lacks(i)) })
 		for _, i := range order[:min(left, len(order))] {
@@ -169,10 +179,10 @@
 	return ok
 }
 
-// Own are the backends of a tenant, sorted by index, when nothing is lent to it and it does not move. With shuffle
-// sharding they are the first in its order of each zone, and of each kind that a product is confined to, so that
-// each product has somewhere to go.
-func (p *Plan) Own(t Tenant, list []Backend) []int {
+// AssignedBackends returns the indices of a tenant's own backends, sorted, without loans and moves. With shuffle
+// sharding these are the tenant's highest-ranked ready backends in each zone, for each placement constraint of the
+// products.
+func (p *Plan) AssignedBackends(t Tenant, list []Backend) []int {
 	var split map[int]string
 	if !p.Shuffle {
 		split = p.split(list)
@@ -185,20 +195,20 @@
 	own := []int{}
 	if !p.Shuffle {
 		for _, b := range list {
-			if b.Status == policy.Ready && split[b.At] == t.Cell {
-				own = append(own, b.At)
+			if b.Status == policy.Ready && split[b.Index] == t.Cell {
+				own = append(own, b.Index)
 			}
 		}
 		slices.Sort(own)
 		return own
 	}
-	size := cmp.Or(t.Size, p.Size)
+	size := cmp.Or(t.ShardSize, p.ShardSize)
 	order := ranked(t.Name, list)
 	for _, r := range p.needs() {
 		got := make([]int, p.Zones)
 		for _, b := range order {
 			if b.Status == policy.Ready && fits(r, b) && got[b.Zone] < size {
-				own = append(own, b.At)
+				own = append(own, b.Index)
 				got[b.Zone]++
 			}
 		}
@@ -211,7 +221,7 @@
 // the least score of it in each zone.
 func (p *Plan) moves(t *tenant, b Backend, ready bool) bool {
 	switch {
-	case has(t.own, b.At):
+	case has(t.own, b.Index):
 		return true
 	case !p.Shuffle: // the whole split may differ
 		return true
@@ -247,22 +257,22 @@
 		(r.OnlyKinds == nil || slices.Contains(r.OnlyKinds, b.Kind))
 }
 
-// Radius is what one tenant can harm.
-type Radius struct {
-	Tenant   string
-	Backends int
-	Mean     float64 // of the other tenants' strength, the part that it can touch
-	Most     float64 // ... of the tenant that shares the most with it
-	With     string  // that tenant
+// BlastRadius is what one tenant can harm.
+type BlastRadius struct {
+	Tenant    string
+	Backends  int
+	Mean      float64 // of the other tenants' strength, the part that it can touch
+	Max       float64 `json:"Most"` // ... of the tenant that shares the most with it
+	MaxTenant string  `json:"With"` // that tenant
 }
 
-// Radii says of each tenant which part of the others' strength it can touch, in the order of the plan, and of
+// BlastRadii says of each tenant which part of the others' strength it can touch, in the order of the plan, and of
 // each backend, by index, which part of all tenants' strength it is.
-func (p *Plan) Radii(list []Backend) (tenants []Radius, backends map[int]float64) {
+func (p *Plan) BlastRadii(list []Backend) (tenants []BlastRadius, backends map[int]float64) {
 	own := make([][]int, len(p.Tenants))
 	weight := map[int]float64{}
 	for _, b := range list {
-		weight[b.At] = b.Weight
+		weight[b.Index] = b.Weight
 	}
 	strength := func(s, also []int) (sum float64) {
 		for _, at := range s {
@@ -284,15 +294,15 @@
 		}
 	}
 	for i, t := range p.Tenants {
-		r := Radius{Tenant: t.Name, Backends: len(own[i])}
+		r := BlastRadius{Tenant: t.Name, Backends: len(own[i])}
 		for j, u := range p.Tenants {
 			if i == j {
 				continue
 			}
 			part := strength(own[j], own[i]) / max(strength(own[j], nil), 1e-9)
 			r.Mean += part / float64(len(p.Tenants)-1)
-			if part > r.Most {
-				r.Most, r.With = part, u.Name
+			if part > r.Max {
+				r.Max, r.MaxTenant = part, u.Name
 			}
 		}
 		tenants = append(tenants, r)
@@ -300,23 +310,23 @@
 	return tenants, backends
 }
 
-// Lack says why a plan cannot hold for a tenant with a list.
-type Lack struct {
+// Shortfall says why a plan cannot hold for a tenant with a list.
+type Shortfall struct {
 	Tenant int // by place in the plan
-	Why    string
+	Reason string
 }
 
 // leastShare is the part of a cell's even share of strength, by its proxies, under which it has too little.
 const leastShare = 0.5
 
-// Lacks says which tenants have no backend where a product of theirs needs one although the list has, and which
+// Shortfalls says which tenants have no backend where a product of theirs needs one although the list has, and which
 // fixed cells have too little strength for the proxies in them.
-func (p *Plan) Lacks(list []Backend) (all []Lack) {
+func (p *Plan) Shortfalls(list []Backend) (all []Shortfall) {
 	weight, proxies, total, totalProxies := map[string]float64{}, map[string]int{}, 0.0, 0
 	split := p.split(list)
 	for _, b := range list {
 		if b.Status == policy.Ready {
-			weight[split[b.At]] += b.Weight
+			weight[split[b.Index]] += b.Weight
 			total += b.Weight
 		}
 	}
@@ -332,7 +342,7 @@
 			why = fmt.Sprintf("its cell has %.0f%% of the strength for %.0f%% of the proxies", 100*part, 100*even)
 		}
 		if why != "" {
-			all = append(all, Lack{i, why})
+			all = append(all, Shortfall{i, why})
 		}
 	}
 	return all
@@ -344,7 +354,7 @@
 		there, mine := make([]bool, p.Zones), make([]bool, p.Zones)
 		for _, b := range list {
 			if b.Status == policy.Ready && fits(need, b) {
-				there[b.Zone], mine[b.Zone] = true, mine[b.Zone] || has(own, b.At)
+				there[b.Zone], mine[b.Zone] = true, mine[b.Zone] || has(own, b.Index)
 			}
 		}
 		for z := range there {
--- a/internal/emulator/days.go
+++ b/internal/emulator/days.go
@@ -64,10 +64,10 @@
 // Confine gives a plan for the day's tenants: shuffled subsets of a size in each zone, or fixed cells of which the
 // tenants take turns.
 func (d Day) Confine(size int, names ...string) *tenancy.Plan {
-	p := tenancy.Usual()
-	p.Shuffle, p.Size = len(names) == 0, size
+	p := tenancy.DefaultPlan()
+	p.Shuffle, p.ShardSize = len(names) == 0, size
 	for _, n := range names {
-		p.Cells = append(p.Cells, tenancy.Cell{Name: n, Part: 1})
+		p.Cells = append(p.Cells, tenancy.Cell{Name: n, Share: 1})
 	}
 	at := map[string]int{}
 	for i, x := range d.Proxies {
--- a/internal/emulator/emu.go
+++ b/internal/emulator/emu.go
@@ -177,7 +177,7 @@
 	down    bool
 	epoch   int
 	freeAt  Time // when all that was written has left its channel
-	topics  *session.Sessions
+	topics  *session.Broker
 	owners  map[string]*topic // of topics
 	copies  map[string]topicCopy
 	node    *aggregation.Node  // nil: nothing is told on
@@ -329,8 +329,8 @@
 	sinceReport map[string]*contact // since the last report
 	used        []struct{ txns, voided int }
 	ever        bool
-	copy        session.Copy // of a channel's topic
-	conn        int          // to a channel; 0: none
+	copy        session.Replica // of a channel's topic
+	conn        int             // to a channel; 0: none
 	joined      Time
 	away        Time // until when it reaches no controller
 }
@@ -501,7 +501,7 @@
 	}
 	if plan != nil {
 		p := *plan
-		p.Products, p.Zones, p.Cold = dep.Products, w.Zones, w.WarmupTime
+		p.Products, p.Zones, p.WarmupTime = dep.Products, w.Zones, w.WarmupTime
 		c.loop.Handle(eventloop.Command{Message: tenancy.PlanUpdate{Plan: p}})
 	}
 	c.topics = nil
--- a/internal/emulator/emu_test.go
+++ b/internal/emulator/emu_test.go
@@ -199,7 +199,7 @@
 	for at := range 14 {
 		d := Campus(uint64(at + 1))
 		d.Plan = d.Confine(0, "red", "blue")
-		d.Plan.Settle = 2 * second
+		d.Plan.SettleTime = 2 * second
 		file := *d.Plan
 		file.Tenants = slices.Clone(file.Tenants)
 		file.Tenants[0].Cell = "blue"
@@ -245,7 +245,7 @@
 
 func planFor(d Day, p *tenancy.Plan) tenancy.Plan {
 	q := *p
-	q.Zones, q.Cold = d.Zones, d.WarmupTime
+	q.Zones, q.WarmupTime = d.Zones, d.WarmupTime
 	for _, x := range d.Products {
 		q.Products = append(q.Products, policy.Product{SLA: x.SLA, OwnZone: x.OwnZone})
 	}
@@ -264,7 +264,7 @@
 		d.Plan = d.Confine(2)
 		for i := range d.Plan.Tenants {
 			if d.Plan.Tenants[i].Name == "large" {
-				d.Plan.Tenants[i].Size = size
+				d.Plan.Tenants[i].ShardSize = size
 			}
 		}
 		w := New(d)
@@ -290,7 +290,7 @@
 		}
 		d.Backends[4].Speed = 0.02 // tries there time out and run all the same
 		d.Plan = d.Confine(0, "red", "blue", "green")
-		d.Plan.Settle = 2 * second
+		d.Plan.SettleTime = 2 * second
 		w := New(d)
 		for i := range 20 {
 			at := Time(8+2*i) * second
--- a/internal/emulator/topics.go
+++ b/internal/emulator/topics.go
@@ -18,15 +18,15 @@
 type topic struct {
 	stream
 	name   string
-	orders pubsub.Orders
+	orders pubsub.OrderEncoder
 }
 
 // SendParts hands the values to the sessions, with the desk's step behind it.
 func (t *topic) SendParts(parts []textproto.Part) {
 	w := t.c.w
 	w.Moved++
-	e := session.Changed{Topic: t.name}
-	e.Sets, e.Mark = t.orders.Sets(w.products(), parts)
+	e := session.TopicChanged{Topic: t.name}
+	e.Updates, e.Marker = t.orders.Updates(w.products(), parts)
 	c, epoch := t.c, t.c.epoch
 	w.after(0, func() {
 		if c.epoch == epoch {
@@ -46,7 +46,7 @@
 func (c *controller) serve() {
 	w := c.w
 	w.seq++
-	plan := session.Usual(uint64(w.seq))
+	plan := session.DefaultConfig(uint64(w.seq))
 	plan.Linger = session.Time(linger / ms)
 	c.topics = session.New(plan)
 	c.owners = map[string]*topic{}
@@ -66,7 +66,7 @@
 	w := c.w
 	for _, o := range c.topics.Step(session.Time(w.Now/ms), events) {
 		switch o := o.(type) {
-		case session.Joined:
+		case session.OwnerJoined:
 			p := w.proxies[c.proxyOf(o.Topic)]
 			w.seq++
 			t := &topic{stream: stream{c: c, openedAt: uint64(w.seq), proxy: p.i}, name: o.Topic}
@@ -83,18 +83,18 @@
 				delete(c.owners, o.Topic)
 				c.loop.Handle(eventloop.Command{From: t, Message: textproto.Closed{}})
 			}
-		case session.Answered:
+		case session.MarkerAcked:
 			if t := c.owners[o.Topic]; t != nil {
-				c.loop.Handle(eventloop.Command{From: t, Message: textproto.Ack{Proxy: t.proxy, Marker: o.Mark}})
+				c.loop.Handle(eventloop.Command{From: t, Message: textproto.Ack{Proxy: t.proxy, Marker: o.Marker}})
 			}
 		case session.Send:
-			w.after(3*ms+c.delay(float64(messageOverhead+len(o.Sets))), func() { w.deliver(c, o) })
+			w.after(3*ms+c.delay(float64(messageOverhead+len(o.Updates))), func() { w.deliver(c, o) })
 		}
 	}
 }
 
 func (c *controller) proxyOf(name string) (at int) {
-	_, _ = fmt.Sscanf(name, pubsub.OrdersTopic+"%d", &at)
+	_, _ = fmt.Sscanf(name, pubsub.OrdersTopicPrefix+"%d", &at)
 	return at
 }
 
@@ -111,15 +111,15 @@
 		return
 	}
 	p.ever = true
-	out, tables := pubsub.Tables(p.copy.State)
+	out, tables := pubsub.RoutingTables(p.copy.State)
 	p.out = out
 	for k, product := range w.Products {
 		t := &p.tables[k]
 		now := tables[product.Name]
 		if now == nil {
-			now = &pubsub.Table{Lines: map[string]float64{}, Level: -1}
+			now = &pubsub.RoutingTable{Weights: map[string]float64{}, RateLimit: -1}
 		}
-		t.weight, t.tries, t.level = now.Lines, now.Tries, now.Level
+		t.weight, t.tries, t.level = now.Weights, now.Retries, now.RateLimit
 		if t.level < 0 {
 			t.level = math.Inf(1)
 		}
@@ -127,7 +127,7 @@
 	epoch := c.epoch
 	w.after(3*ms, func() {
 		if c.epoch == epoch && !c.down {
-			c.stepSessions(session.Acked{Conn: m.Conn, Epoch: m.Epoch, Seq: m.Seq, More: 1})
+			c.stepSessions(session.Acked{Conn: m.Conn, Epoch: m.Epoch, Seq: m.Seq, AddedCredit: 1})
 		}
 	})
 }
@@ -139,7 +139,7 @@
 	c.stepSessions(
 		session.Opened{
 			Conn:   p.conn,
-			Topic:  fmt.Sprint(pubsub.OrdersTopic, p.i),
+			Topic:  fmt.Sprint(pubsub.OrdersTopicPrefix, p.i),
 			Owner:  true,
 			Epoch:  p.copy.Epoch,
 			Seq:    p.copy.Seq,
@@ -147,7 +147,7 @@
 		},
 	)
 	p.stream = nil
-	if t := c.owners[fmt.Sprint(pubsub.OrdersTopic, p.i)]; t != nil {
+	if t := c.owners[fmt.Sprint(pubsub.OrdersTopicPrefix, p.i)]; t != nil {
 		p.stream = &t.stream
 	}
 }
