--- a/internal/controller/pubsub/session/session.go
+++ b/internal/controller/pubsub/session/session.go
@@ -125,30 +125,30 @@
 
 // Broker holds all topics.
 type Broker struct {
-	plan   Config
-	now    Time
-	topics map[string]*topic
-	conns  map[int]*subscriber
-	out    []Action
+	config  Config
+	now     Time
+	topics  map[string]*topic
+	conns   map[int]*subscriber
+	actions []Action
 }
 
 type topic struct {
-	name  string
-	state map[string]Value
-	owner *subscriber
-	all   []*subscriber // the owner too
-	away  Time          // since when the owner has no connection; 0: it has one, or there never was one
+	name           string
+	state          map[string]Value
+	owner          *subscriber
+	subscribers    []*subscriber // the owner too
+	ownerAwaySince Time          // since when the owner has no connection; 0: it has one, or there never was one
 }
 
 type subscriber struct {
 	topic         *topic
 	conn          int    // 0: none
-	seq           uint32 // given out last
-	prev          uint32 // that the next message goes on from
+	lastSeq       uint32 // given out last
+	prevSeq       uint32 // that the next message goes on from
 	needsSnapshot bool   // a snapshot is wanted
 	dirty         map[string]bool
-	marks         []int // to be answered with the next message
-	flight        []sent
+	markers       []int // to be answered with the next message
+	inFlight      []sent
 	credit        int
 }
 
@@ -156,63 +156,63 @@
 	seq      uint32
 	snapshot bool
 	keys     []string
-	marks    []int
+	markers  []int
 }
 
 // New makes Sessions without topics.
 func New(plan Config) *Broker {
-	return &Broker{plan: plan, topics: map[string]*topic{}, conns: map[int]*subscriber{}}
+	return &Broker{config: plan, topics: map[string]*topic{}, conns: map[int]*subscriber{}}
 }
 
 // Step takes what happened and tells what to do.
 func (s *Broker) Step(now Time, events []Event) []Action {
-	s.now, s.out = max(now, s.now), nil
+	s.now, s.actions = max(now, s.now), nil
 	touched := map[*topic]bool{}
 	for _, e := range events {
 		switch e := e.(type) {
 		case TopicChanged:
-			touched[s.changed(e)] = true
+			touched[s.applyChange(e)] = true
 		case Opened:
-			touched[s.opened(e)] = true
+			touched[s.subscribe(e)] = true
 		case Acked:
 			if x := s.conns[e.Conn]; x != nil {
-				s.acked(x, e)
+				s.handleAck(x, e)
 				touched[x.topic] = true
 			}
 		case Closed:
 			if x := s.conns[e.Conn]; x != nil {
-				s.let(x)
+				s.disconnect(x)
 			}
 		case TopicDropped:
 			if t := s.topics[e.Topic]; t != nil {
-				s.end(t, ReasonReplaced)
+				s.endTopic(t, ReasonReplaced)
 			}
 		}
 	}
-	for _, t := range sorted(s.topics) {
-		if t.away > 0 && s.now >= t.away+s.plan.Linger {
-			s.out = append(s.out, OwnerLeft{t.name})
-			s.end(t, ReasonTopicEnded)
+	for _, t := range sortedTopics(s.topics) {
+		if t.ownerAwaySince > 0 && s.now >= t.ownerAwaySince+s.config.Linger {
+			s.actions = append(s.actions, OwnerLeft{t.name})
+			s.endTopic(t, ReasonTopicEnded)
 		} else if touched[t] {
-			for _, x := range t.all {
+			for _, x := range t.subscribers {
 				s.flush(x)
 			}
 		}
 	}
-	return s.out
+	return s.actions
 }
 
 // NextDeadline is when Step has something to do though nothing happens; false: never.
 func (s *Broker) NextDeadline() (at Time, some bool) {
 	for _, t := range s.topics {
-		if t.away > 0 && (!some || t.away+s.plan.Linger < at) {
-			at, some = t.away+s.plan.Linger, true
+		if t.ownerAwaySince > 0 && (!some || t.ownerAwaySince+s.config.Linger < at) {
+			at, some = t.ownerAwaySince+s.config.Linger, true
 		}
 	}
 	return at, some
 }
 
-func sorted(topics map[string]*topic) []*topic {
+func sortedTopics(topics map[string]*topic) []*topic {
 	return slices.SortedFunc(maps.Values(topics), func(t, u *topic) int { return cmp.Compare(t.name, u.name) })
 }
 
@@ -225,7 +225,7 @@
 	return t
 }
 
-func (s *Broker) changed(e TopicChanged) *topic {
+func (s *Broker) applyChange(e TopicChanged) *topic {
 	t := s.topic(e.Topic)
 	for _, set := range e.Updates {
 		was, there := t.state[set.Key]
@@ -237,103 +237,103 @@
 		} else {
 			t.state[set.Key] = set.Value
 		}
-		for _, x := range t.all {
+		for _, x := range t.subscribers {
 			x.dirty[set.Key] = true
 		}
 	}
 	if e.Marker != 0 && t.owner != nil {
-		t.owner.marks = append(t.owner.marks, e.Marker)
+		t.owner.markers = append(t.owner.markers, e.Marker)
 	}
 	return t
 }
 
-func (s *Broker) opened(e Opened) *topic {
+func (s *Broker) subscribe(e Opened) *topic {
 	t := s.topic(e.Topic)
 	x := &subscriber{topic: t, needsSnapshot: true, dirty: map[string]bool{}}
 	switch {
-	case !e.Owner && len(t.all) > s.plan.MaxObservers:
-		s.out = append(s.out, Close{e.Conn, ReasonTooManyObservers})
+	case !e.Owner && len(t.subscribers) > s.config.MaxObservers:
+		s.actions = append(s.actions, Close{e.Conn, ReasonTooManyObservers})
 		return t
 	case !e.Owner || t.owner == nil:
-		t.all = append(t.all, x)
+		t.subscribers = append(t.subscribers, x)
 	default: // the newer connection holds, and goes on where the older one was
 		if x = t.owner; x.conn != 0 {
-			s.out = append(s.out, Close{x.conn, ReasonReplaced})
+			s.actions = append(s.actions, Close{x.conn, ReasonReplaced})
 			delete(s.conns, x.conn)
 		}
 		s.resume(x, e.Epoch, e.Seq)
 	}
 	if e.Owner {
 		if t.owner == nil {
-			s.out = append(s.out, OwnerJoined{t.name, e.Conn})
+			s.actions = append(s.actions, OwnerJoined{t.name, e.Conn})
 		}
-		t.owner, t.away = x, 0
+		t.owner, t.ownerAwaySince = x, 0
 	}
-	x.conn, x.credit = e.Conn, min(max(e.Credit, 0), s.plan.MaxCredit)
+	x.conn, x.credit = e.Conn, min(max(e.Credit, 0), s.config.MaxCredit)
 	s.conns[e.Conn] = x
 	return t
 }
 
 // resume goes on after what took effect: what was sent since is what it may lack.
 func (s *Broker) resume(x *subscriber, epoch uint64, seq uint32) {
-	at := slices.IndexFunc(x.flight, func(m sent) bool { return m.seq == seq })
-	first := len(x.flight) == 0 && seq == x.seq || len(x.flight) > 0 && seq+1 == x.flight[0].seq
-	if epoch != s.plan.Epoch || at < 0 && !first || seq == 0 {
+	at := slices.IndexFunc(x.inFlight, func(m sent) bool { return m.seq == seq })
+	first := len(x.inFlight) == 0 && seq == x.lastSeq || len(x.inFlight) > 0 && seq+1 == x.inFlight[0].seq
+	if epoch != s.config.Epoch || at < 0 && !first || seq == 0 {
 		x.needsSnapshot = true
 	} else {
-		s.step(x, at+1)
-		x.prev = seq
+		s.acknowledge(x, at+1)
+		x.prevSeq = seq
 	}
-	for _, m := range x.flight {
+	for _, m := range x.inFlight {
 		x.needsSnapshot = x.needsSnapshot || m.snapshot
 		for _, k := range m.keys {
 			x.dirty[k] = true
 		}
-		x.marks = append(m.marks, x.marks...)
+		x.markers = append(m.markers, x.markers...)
 	}
-	x.flight = nil
+	x.inFlight = nil
 }
 
-// step takes so many of what was sent for having taken effect.
-func (s *Broker) step(x *subscriber, n int) {
-	for _, m := range x.flight[:n] {
-		for _, mark := range m.marks {
-			s.out = append(s.out, MarkerAcked{x.topic.name, mark})
+// acknowledge takes so many of what was sent for having taken effect.
+func (s *Broker) acknowledge(x *subscriber, n int) {
+	for _, m := range x.inFlight[:n] {
+		for _, mark := range m.markers {
+			s.actions = append(s.actions, MarkerAcked{x.topic.name, mark})
 		}
 	}
-	x.flight = slices.Delete(x.flight, 0, n)
+	x.inFlight = slices.Delete(x.inFlight, 0, n)
 }
 
-func (s *Broker) acked(x *subscriber, e Acked) {
-	x.credit = min(x.credit+max(e.AddedCredit, 0), s.plan.MaxCredit)
-	switch at := slices.IndexFunc(x.flight, func(m sent) bool { return m.seq == e.Seq }); {
-	case e.Epoch == s.plan.Epoch && at >= 0:
-		s.step(x, at+1)
-	case e.Epoch == s.plan.Epoch && int32(e.Seq-x.seq) > 0: // late ones and repeats are nothing new
-		s.out = append(s.out, Close{x.conn, ReasonUnknownSequence})
-		s.let(x)
+func (s *Broker) handleAck(x *subscriber, e Acked) {
+	x.credit = min(x.credit+max(e.AddedCredit, 0), s.config.MaxCredit)
+	switch at := slices.IndexFunc(x.inFlight, func(m sent) bool { return m.seq == e.Seq }); {
+	case e.Epoch == s.config.Epoch && at >= 0:
+		s.acknowledge(x, at+1)
+	case e.Epoch == s.config.Epoch && int32(e.Seq-x.lastSeq) > 0: // late ones and repeats are nothing new
+		s.actions = append(s.actions, Close{x.conn, ReasonUnknownSequence})
+		s.disconnect(x)
 	}
 }
 
-// let parts a subscriber from its connection. What was on the way to it may have taken effect or not.
-func (s *Broker) let(x *subscriber) {
+// disconnect parts a subscriber from its connection. What was on the way to it may have taken effect or not.
+func (s *Broker) disconnect(x *subscriber) {
 	delete(s.conns, x.conn)
 	x.conn, x.credit = 0, 0
 	if t := x.topic; x == t.owner {
-		t.away = max(s.now, 1)
+		t.ownerAwaySince = max(s.now, 1)
 	} else {
-		t.all = slices.DeleteFunc(t.all, func(y *subscriber) bool { return x == y })
-		if t.owner == nil && len(t.all) == 0 && len(t.state) == 0 {
+		t.subscribers = slices.DeleteFunc(t.subscribers, func(y *subscriber) bool { return x == y })
+		if t.owner == nil && len(t.subscribers) == 0 && len(t.state) == 0 {
 			delete(s.topics, t.name)
 		}
 	}
 }
 
-// end forgets a topic and lets all of it go.
-func (s *Broker) end(t *topic, why Reason) {
-	for _, x := range t.all {
+// endTopic forgets a topic and lets all of it go.
+func (s *Broker) endTopic(t *topic, why Reason) {
+	for _, x := range t.subscribers {
 		if x.conn != 0 {
-			s.out = append(s.out, Close{x.conn, either(x == t.owner, why, ReasonTopicEnded)})
+			s.actions = append(s.actions, Close{x.conn, choose(x == t.owner, why, ReasonTopicEnded)})
 			delete(s.conns, x.conn)
 		}
 	}
@@ -360,42 +360,42 @@
 		clear(x.dirty)
 		return slices.Sorted(maps.Keys(x.topic.state)), true
 	case len(x.dirty) > 0:
-		if keys = slices.Sorted(maps.Keys(x.dirty)); len(keys) > s.plan.MaxUpdatesPerMessage {
-			keys = keys[:s.plan.MaxUpdatesPerMessage]
+		if keys = slices.Sorted(maps.Keys(x.dirty)); len(keys) > s.config.MaxUpdatesPerMessage {
+			keys = keys[:s.config.MaxUpdatesPerMessage]
 		}
 		for _, k := range keys {
 			delete(x.dirty, k)
 		}
 		return keys, true
 	}
-	return nil, len(x.marks) > 0
+	return nil, len(x.markers) > 0
 }
 
 func (s *Broker) sendKeys(x *subscriber, keys []string) {
-	m := Send{Conn: x.conn, Epoch: s.plan.Epoch, Prev: x.prev, Snapshot: x.needsSnapshot}
+	m := Send{Conn: x.conn, Epoch: s.config.Epoch, Prev: x.prevSeq, Snapshot: x.needsSnapshot}
 	for _, k := range keys {
 		v, there := x.topic.state[k]
 		m.Updates = append(m.Updates, Update{Key: k, Deleted: !there, Value: v})
 	}
-	if x.seq++; x.seq == 0 { // numbers are used up: the next one stands for all
-		x.seq, x.needsSnapshot, x.flight = 1, true, nil
+	if x.lastSeq++; x.lastSeq == 0 { // numbers are used up: the next one stands for all
+		x.lastSeq, x.needsSnapshot, x.inFlight = 1, true, nil
 		m.Prev, m.Snapshot = 0, true
 		m.Updates = nil
 		for _, k := range slices.Sorted(maps.Keys(x.topic.state)) {
 			m.Updates = append(m.Updates, Update{Key: k, Value: x.topic.state[k]})
 		}
 	}
-	m.Seq, x.prev = x.seq, x.seq
-	f := sent{seq: x.seq, snapshot: m.Snapshot, keys: keys}
+	m.Seq, x.prevSeq = x.lastSeq, x.lastSeq
+	f := sent{seq: x.lastSeq, snapshot: m.Snapshot, keys: keys}
 	if len(x.dirty) == 0 { // a mark is answered once all before it took effect
-		f.marks, x.marks = x.marks, nil
+		f.markers, x.markers = x.markers, nil
 	}
 	if m.Snapshot {
 		f.keys = nil
 	}
-	x.flight = append(x.flight, f)
+	x.inFlight = append(x.inFlight, f)
 	x.needsSnapshot, x.credit = false, x.credit-1
-	s.out = append(s.out, m)
+	s.actions = append(s.actions, m)
 }
 
 // Pending are the sets that a topic's owner has still to be sent, and the messages on the way to it.
@@ -405,7 +405,7 @@
 		if t.owner.needsSnapshot {
 			sets = len(t.state)
 		}
-		return sets, len(t.owner.flight)
+		return sets, len(t.owner.inFlight)
 	}
 	return 0, 0
 }
@@ -418,7 +418,7 @@
 	return len(s.topics), len(s.conns), values
 }
 
-func either[T any](is bool, yes, no T) T {
+func choose[T any](is bool, yes, no T) T {
 	if is {
 		return yes
 	}
--- a/internal/controller/pubsub/stream.go
+++ b/internal/controller/pubsub/stream.go
@@ -13,7 +13,7 @@
 	topic    string
 	openedAt uint64
 
-	orders OrderEncoder // the desk's goroutine alone looks
+	encoder OrderEncoder // the desk's goroutine alone looks
 
 	mu     sync.Mutex
 	ended  bool // the desk let it go
@@ -35,7 +35,7 @@
 	s.mu.Lock()
 	s.ended = true
 	s.mu.Unlock()
-	s.hub.tell(session.TopicDropped{Topic: s.topic})
+	s.hub.submit(session.TopicDropped{Topic: s.topic})
 }
 
 // RecordFault keeps what was wrong with a report; the line about the end of the stream shows the first.
@@ -53,22 +53,22 @@
 // SendParts hands the hub the values that the parts of a message stand for. It never waits.
 func (s *stream) SendParts(parts []textproto.Part) {
 	e := session.TopicChanged{Topic: s.topic}
-	e.Updates, e.Marker = s.orders.Updates(s.hub.names.Products, parts)
-	s.hub.tell(e)
+	e.Updates, e.Marker = s.encoder.Updates(s.hub.names.Products, parts)
+	s.hub.submit(e)
 }
 
 // OrderEncoder turns the messages to a proxy into values, in the order in which they are made.
 type OrderEncoder struct {
-	installed map[string]map[string]bool // by product, that it has
+	weighted map[string]map[string]bool // by product, that it has
 }
 
 // Updates are the values that a message changes, and the mark that it asks an answer for, 0 for none. Of a key that is
 // named twice the last one holds. Parts that name no products mean all.
 func (o *OrderEncoder) Updates(products []string, parts []textproto.Part) (sets []session.Update, mark int) {
-	if o.installed == nil {
-		o.installed = map[string]map[string]bool{}
+	if o.weighted == nil {
+		o.weighted = map[string]map[string]bool{}
 	}
-	c := changeSet{at: map[string]int{}}
+	c := changeSet{index: map[string]int{}}
 	for _, p := range parts {
 		for _, id := range p.Withdrawn {
 			c.put(session.Update{Key: WithdrawnKey(id)})
@@ -81,35 +81,35 @@
 			named = products
 		}
 		for _, product := range named {
-			o.setProduct(&c, product, p)
+			o.encodeProduct(&c, product, p)
 		}
 		if p.HasMarker {
 			mark = p.Marker
 		}
 	}
-	return c.sets, mark
+	return c.updates, mark
 }
 
 // changeSet has the newest Set of each key, in the order in which the keys came first.
 type changeSet struct {
-	sets []session.Update
-	at   map[string]int
+	updates []session.Update
+	index   map[string]int
 }
 
 func (c *changeSet) put(x session.Update) {
-	if i, ok := c.at[x.Key]; ok {
-		c.sets[i] = x
+	if i, ok := c.index[x.Key]; ok {
+		c.updates[i] = x
 		return
 	}
-	c.at[x.Key] = len(c.sets)
-	c.sets = append(c.sets, x)
+	c.index[x.Key] = len(c.updates)
+	c.updates = append(c.updates, x)
 }
 
-func (o *OrderEncoder) setProduct(c *changeSet, product string, p textproto.Part) {
-	if o.installed[product] == nil {
-		o.installed[product] = map[string]bool{}
+func (o *OrderEncoder) encodeProduct(c *changeSet, product string, p textproto.Part) {
+	if o.weighted[product] == nil {
+		o.weighted[product] = map[string]bool{}
 	}
-	lines := o.installed[product]
+	lines := o.weighted[product]
 	if p.Full {
 		for id := range lines {
 			c.put(session.Update{Key: WeightKey(product, id), Deleted: true})
--- a/internal/controller/tenancy/plan.go
+++ b/internal/controller/tenancy/plan.go
@@ -1,8 +1,7 @@
-// Package tenancy settles which backends each tenant's proxies may be given, so that one tenant's trouble, or one
-// bad backend, harms few others; what is lent to a cell that has lost its backends; how a tenant moves from one
-// cell to another; and how much a tenant whose cell is in trouble may let in. It holds no socket, clock, file or
-// goroutine. Every controller comes to the same sets from the same list and plan. State table and reasons stand in
-// docs/notes/cells.md.
+// Package tenancy assigns backends to tenants, in fixed cells or by shuffle sharding, so that a failing tenant or
+// backend affects few others. It also lends backends to cells that lost theirs, moves tenants between cells, and
+// limits the rate of tenants with unhealthy backends. It does no I/O and starts no goroutine: equal plans and lists
+// yield equal assignments on every controller. docs/notes/cells.md has the state table.
 package tenancy
 
 import (
@@ -15,38 +14,38 @@
 	"elmfold/internal/policy"
 )
 
-// Time is a moment or a span as the module of decisions has it.
+// Time is a time or duration in the unit of package policy.
 type Time = policy.Time
 
-// Plan is what an operator file says of cells.
+// Plan is the desired assignment of tenants, from the operator file and the settings.
 type Plan struct {
 	Shuffle   bool
-	ShardSize int // of shuffle: backends of each zone for a tenant
+	ShardSize int // with Shuffle: backends per zone of a tenant
 	Cells     []Cell
 	Tenants   []Tenant
 
-	MaxLoans       int     // backends lent to a tenant at once, at most
-	MinLoanTime    Time    // ... for so long at least
-	MaxLost        int     // lent backends that may fail within LostOver, until the tenant is shut in
-	LostWindow     Time    //
-	ContainedRate  float64 // txns/s that each proxy of a tenant that is shut in may let in
-	MoveFraction   float64 // of a tenant's proxies that move at a time
-	SettleTime     Time    // that a moving part keeps both its old and its new lines
-	PrepareTimeout Time    // that a move waits for its new cell to be warm
-	WarnFraction   float64 // part of the others' strength that one tenant may touch without a warning
+	MaxLoans       int // per tenant, at once
+	MinLoanTime    Time
+	MaxLost        int // failures of replacement backends within LostWindow that contain a tenant
+	LostWindow     Time
+	ContainedRate  float64 // transactions per second for each proxy of a contained tenant
+	MoveFraction   float64 // of a tenant's proxies, per step of a move
+	SettleTime     Time    // during which moving proxies use both cells
+	PrepareTimeout Time    // for the new cell of a move to become warm
+	WarnFraction   float64 // of the others' capacity; a tenant that shares more is reported
 
-	Products   []policy.Product // where each may go
+	Products   []policy.Product // with their placement constraints
 	Zones      int
 	WarmupTime Time
 }
 
-// Cell is a fixed cell; Part is its share of the backends beside the others'.
+// Cell is a fixed cell. Share is its weight when the backends are divided among the cells.
 type Cell struct {
 	Name  string
 	Share float64
 }
 
-// Tenant is a group of proxies. Cell names a fixed one; Size is another size than the plan's.
+// Tenant is a group of proxies. Cell names its fixed cell; ShardSize, unless 0, overrides that of the plan.
 type Tenant struct {
 	Name      string
 	Proxies   []int
@@ -54,7 +53,7 @@
 	ShardSize int
 }
 
-// DefaultPlan is a Plan with every figure that may be left out.
+// DefaultPlan returns a Plan with the defaults of the operator file.
 func DefaultPlan() Plan {
 	return Plan{
 		ShardSize:      4,
@@ -70,7 +69,7 @@
 	}
 }
 
-// Backend is one of the list, at the index that the decisions have it at.
+// Backend is an entry of the list. Index is its index in package policy.
 type Backend struct {
 	Index      int
 	ID         string
@@ -80,86 +79,91 @@
 	StartedAt  Time
 }
 
-// score orders backends for a name by chance, the same everywhere (rendezvous hashing): who comes or goes moves
-// nobody else.
+// score ranks a backend for a seed by rendezvous hashing: adding or removing a backend reorders no others.
 func score(name uint64, id string) float64 {
 	return (float64(xxh3.HashStringSeed(id, name)>>11) + 0.5) / (1 << 53)
 }
 
 func tenantSeed(name string) uint64 { return xxh3.HashString("tenant " + name) }
 
-// split says which fixed cell each backend belongs to, by index: in each zone each cell gets its part, to within
-// one, and who goes where is the best match by score (rendezvous hashing with a bound), so that a change of the
-// list moves few. Who is listed and does not serve keeps its place.
-func (p *Plan) split(list []Backend) map[int]string {
+// splitCells assigns the listed backends to the fixed cells and returns the cell names by index. In each zone a cell
+// gets its share, rounded to whole backends. Backends go to the cell with the best rendezvous score that has room, so
+// that a change of the list moves few. Backends that are not ready keep their place.
+func (p *Plan) splitCells(list []Backend) map[int]string {
 	type match struct {
-		at    int
+		index int
 		cell  int
 		score float64
 		id    string
 	}
-	of := map[int]string{}
-	total := 0.0
-	for _, c := range p.Cells {
-		total += c.Share
-	}
-	for z := range p.Zones {
+	cells := map[int]string{}
+	for zone := range p.Zones {
 		var matches []match
-		n := 0
+		count := 0
 		for _, b := range list {
-			if b.Zone != z {
+			if b.Zone != zone {
 				continue
 			}
-			n++
+			count++
 			for i, c := range p.Cells {
 				matches = append(matches, match{b.Index, i, score(xxh3.HashString("cell "+c.Name), b.ID), b.ID})
 			}
 		}
-		// Whole backends by part; what is left over goes to the cells that lack most, other ones in each zone.
-		room, left := make([]int, len(p.Cells)), n
-		order := make([]int, len(p.Cells))
-		for i, c := range p.Cells {
-			room[i] = int(c.Share / total * float64(n))
-			left -= room[i]
-			order[i] = i
-		}
-		lacks := func(i int) float64 {
-			return p.Cells[i].Share/total*float64(n) - float64(room[i]) + 1e-6*score(uint64(z), p.Cells[i].Name)
-		}
-		slices.SortFunc(order, func(i, j int) int { return cmp.Compare(lacks(j), lacks(i)) })
-		for _, i := range order[:min(left, len(order))] {
-			room[i]++
-		}
+		room := p.cellSizes(zone, count)
 		slices.SortFunc(matches, func(a, b match) int {
 			return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.id, b.id), cmp.Compare(a.cell, b.cell))
 		})
 		for _, m := range matches {
-			if _, taken := of[m.at]; !taken && room[m.cell] > 0 {
-				of[m.at] = p.Cells[m.cell].Name
+			if _, taken := cells[m.index]; !taken && room[m.cell] > 0 {
+				cells[m.index] = p.Cells[m.cell].Name
 				room[m.cell]--
 			}
 		}
 	}
-	return of
+	return cells
 }
 
-// ranked are the backends in a tenant's order.
-func ranked(name string, all []Backend) []Backend {
+// cellSizes divides the backends of a zone among the cells by share, in whole backends. The cells with the largest
+// remainders get the backends left over; ties differ by zone.
+func (p *Plan) cellSizes(zone, backends int) []int {
+	total := 0.0
+	for _, c := range p.Cells {
+		total += c.Share
+	}
+	sizes, left := make([]int, len(p.Cells)), backends
+	order := make([]int, len(p.Cells))
+	for i, c := range p.Cells {
+		sizes[i] = int(c.Share / total * float64(backends))
+		left -= sizes[i]
+		order[i] = i
+	}
+	remainder := func(i int) float64 {
+		return p.Cells[i].Share/total*float64(backends) - float64(sizes[i]) + 1e-6*score(uint64(zone), p.Cells[i].Name)
+	}
+	slices.SortFunc(order, func(i, j int) int { return cmp.Compare(remainder(j), remainder(i)) })
+	for _, i := range order[:min(left, len(order))] {
+		sizes[i]++
+	}
+	return sizes
+}
+
+// rankBackends returns the backends in a tenant's rendezvous order.
+func rankBackends(name string, all []Backend) []Backend {
 	seed := tenantSeed(name)
 	type scored struct {
-		at    int
-		score float64
+		position int
+		score    float64
 	}
 	order := make([]scored, len(all))
 	for i, b := range all {
 		order[i] = scored{i, score(seed, b.ID)}
 	}
 	slices.SortFunc(order, func(a, b scored) int {
-		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(all[a.at].ID, all[b.at].ID))
+		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(all[a.position].ID, all[b.position].ID))
 	})
 	sorted := make([]Backend, len(all))
 	for i, o := range order {
-		sorted[i] = all[o.at]
+		sorted[i] = all[o.position]
 	}
 	return sorted
 }
@@ -174,8 +178,9 @@
 	return slices.Compact(all)
 }
 
-func has(set []int, at int) bool {
-	_, ok := slices.BinarySearch(set, at)
+// contains reports whether a sorted set contains an index.
+func contains(set []int, index int) bool {
+	_, ok := slices.BinarySearch(set, index)
 	return ok
 }
 
@@ -185,13 +190,13 @@
 func (p *Plan) AssignedBackends(t Tenant, list []Backend) []int {
 	var split map[int]string
 	if !p.Shuffle {
-		split = p.split(list)
+		split = p.splitCells(list)
 	}
-	return p.own(t, list, split)
+	return p.assignedBackends(t, list, split)
 }
 
-// own is Own with the split of the list, which all tenants share.
-func (p *Plan) own(t Tenant, list []Backend, split map[int]string) []int {
+// assignedBackends is AssignedBackends with the result of splitCells, which all tenants share.
+func (p *Plan) assignedBackends(t Tenant, list []Backend, split map[int]string) []int {
 	own := []int{}
 	if !p.Shuffle {
 		for _, b := range list {
@@ -203,13 +208,13 @@
 		return own
 	}
 	size := cmp.Or(t.ShardSize, p.ShardSize)
-	order := ranked(t.Name, list)
-	for _, r := range p.needs() {
-		got := make([]int, p.Zones)
+	order := rankBackends(t.Name, list)
+	for _, placement := range p.placements() {
+		count := make([]int, p.Zones)
 		for _, b := range order {
-			if b.Status == policy.Ready && fits(r, b) && got[b.Zone] < size {
+			if b.Status == policy.Ready && canUse(placement, b) && count[b.Zone] < size {
 				own = append(own, b.Index)
-				got[b.Zone]++
+				count[b.Zone]++
 			}
 		}
 	}
@@ -217,32 +222,31 @@
 	return slices.Compact(own)
 }
 
-// moves says whether a backend that came, left or changed can change a tenant's own set, which is own now, with
-// the least score of it in each zone.
-func (p *Plan) moves(t *tenant, b Backend, ready bool) bool {
+// affects reports whether the addition, removal or change of a backend can change a tenant's own set.
+func (p *Plan) affects(t *tenant, b Backend, ready bool) bool {
 	switch {
-	case has(t.own, b.Index):
+	case contains(t.assigned, b.Index):
 		return true
-	case !p.Shuffle: // the whole split may differ
+	case !p.Shuffle: // every cell may change
 		return true
 	case !ready:
 		return false
 	}
-	at := score(tenantSeed(t.Name), b.ID)
-	for i, need := range p.needs() {
-		if fits(need, b) && at >= t.lowestScores[i][b.Zone] {
+	rank := score(tenantSeed(t.Name), b.ID)
+	for i, placement := range p.placements() {
+		if canUse(placement, b) && rank >= t.lowestScores[i][b.Zone] {
 			return true
 		}
 	}
 	return false
 }
 
-// needs are the different places that products ask for.
-func (p *Plan) needs() (all []policy.Product) {
+// placements returns one product for each distinct placement constraint.
+func (p *Plan) placements() (all []policy.Product) {
 	seen := map[string]bool{}
-	for _, r := range p.Products {
-		if place := fmt.Sprint(r.OwnZone, r.OnlyZones, r.OnlyKinds); !seen[place] {
-			seen[place], all = true, append(all, r)
+	for _, product := range p.Products {
+		if key := fmt.Sprint(product.OwnZone, product.OnlyZones, product.OnlyKinds); !seen[key] {
+			seen[key], all = true, append(all, product)
 		}
 	}
 	if len(all) == 0 {
@@ -251,32 +255,32 @@
 	return all
 }
 
-// fits says whether a product may go to a backend from somewhere.
-func fits(r policy.Product, b Backend) bool {
-	return (r.OnlyZones == nil || slices.Contains(r.OnlyZones, b.Zone)) &&
-		(r.OnlyKinds == nil || slices.Contains(r.OnlyKinds, b.Kind))
+// canUse reports whether a product may use a backend from at least one zone.
+func canUse(product policy.Product, b Backend) bool {
+	return (product.OnlyZones == nil || slices.Contains(product.OnlyZones, b.Zone)) &&
+		(product.OnlyKinds == nil || slices.Contains(product.OnlyKinds, b.Kind))
 }
 
-// BlastRadius is what one tenant can harm.
+// BlastRadius is how much of the other tenants' capacity a tenant can affect.
 type BlastRadius struct {
 	Tenant    string
 	Backends  int
-	Mean      float64 // of the other tenants' strength, the part that it can touch
-	Max       float64 `json:"Most"` // ... of the tenant that shares the most with it
-	MaxTenant string  `json:"With"` // that tenant
+	Mean      float64 // mean fraction of another tenant's capacity that is shared
+	Max       float64 `json:"Most"` // the largest such fraction
+	MaxTenant string  `json:"With"` // the tenant with that fraction
 }
 
-// BlastRadii says of each tenant which part of the others' strength it can touch, in the order of the plan, and of
-// each backend, by index, which part of all tenants' strength it is.
+// BlastRadii returns the blast radius of each tenant in the order of the plan, and by index the fraction of all
+// tenants' capacity that each backend provides.
 func (p *Plan) BlastRadii(list []Backend) (tenants []BlastRadius, backends map[int]float64) {
 	own := make([][]int, len(p.Tenants))
 	weight := map[int]float64{}
 	for _, b := range list {
 		weight[b.Index] = b.Weight
 	}
-	strength := func(s, also []int) (sum float64) {
-		for _, at := range s {
-			if also == nil || has(also, at) {
+	capacity := func(set, shared []int) (sum float64) { // of the backends in both; shared nil: of the whole set
+		for _, at := range set {
+			if shared == nil || contains(shared, at) {
 				sum += weight[at]
 			}
 		}
@@ -285,12 +289,12 @@
 	backends = map[int]float64{}
 	split := map[int]string{}
 	if !p.Shuffle {
-		split = p.split(list)
+		split = p.splitCells(list)
 	}
 	for i, t := range p.Tenants {
-		own[i] = p.own(t, list, split)
+		own[i] = p.assignedBackends(t, list, split)
 		for _, at := range own[i] {
-			backends[at] += weight[at] / max(strength(own[i], nil), 1e-9) / float64(len(p.Tenants))
+			backends[at] += weight[at] / max(capacity(own[i], nil), 1e-9) / float64(len(p.Tenants))
 		}
 	}
 	for i, t := range p.Tenants {
@@ -299,10 +303,10 @@
 			if i == j {
 				continue
 			}
-			part := strength(own[j], own[i]) / max(strength(own[j], nil), 1e-9)
-			r.Mean += part / float64(len(p.Tenants)-1)
-			if part > r.Max {
-				r.Max, r.MaxTenant = part, u.Name
+			fraction := capacity(own[j], own[i]) / max(capacity(own[j], nil), 1e-9)
+			r.Mean += fraction / float64(len(p.Tenants)-1)
+			if fraction > r.Max {
+				r.Max, r.MaxTenant = fraction, u.Name
 			}
 		}
 		tenants = append(tenants, r)
@@ -310,20 +314,20 @@
 	return tenants, backends
 }
 
-// Shortfall says why a plan cannot hold for a tenant with a list.
+// Shortfall is a reason why a plan is not feasible for a tenant.
 type Shortfall struct {
-	Tenant int // by place in the plan
+	Tenant int // index in the plan
 	Reason string
 }
 
-// leastShare is the part of a cell's even share of strength, by its proxies, under which it has too little.
-const leastShare = 0.5
+// minCapacityShare is the least capacity of a fixed cell, as a fraction of its share by number of proxies.
+const minCapacityShare = 0.5
 
-// Shortfalls says which tenants have no backend where a product of theirs needs one although the list has, and which
-// fixed cells have too little strength for the proxies in them.
+// Shortfalls returns the tenants without a backend that one of their products needs and the list has, and those whose
+// fixed cell has too little capacity for its proxies.
 func (p *Plan) Shortfalls(list []Backend) (all []Shortfall) {
 	weight, proxies, total, totalProxies := map[string]float64{}, map[string]int{}, 0.0, 0
-	split := p.split(list)
+	split := p.splitCells(list)
 	for _, b := range list {
 		if b.Status == policy.Ready {
 			weight[split[b.Index]] += b.Weight
@@ -335,36 +339,37 @@
 		totalProxies += len(t.Proxies)
 	}
 	for i, t := range p.Tenants {
-		why := p.lacksOwn(p.own(t, list, split), list)
-		part := weight[t.Cell] / max(total, 1e-9)
-		even := float64(proxies[t.Cell]) / float64(max(totalProxies, 1))
-		if why == "" && !p.Shuffle && total > 0 && part < leastShare*even {
-			why = fmt.Sprintf("its cell has %.0f%% of the strength for %.0f%% of the proxies", 100*part, 100*even)
+		reason := p.missingPlacement(p.assignedBackends(t, list, split), list)
+		capacity := weight[t.Cell] / max(total, 1e-9)
+		load := float64(proxies[t.Cell]) / float64(max(totalProxies, 1))
+		if reason == "" && !p.Shuffle && total > 0 && capacity < minCapacityShare*load {
+			reason = fmt.Sprintf("its cell has %.0f%% of the capacity for %.0f%% of the proxies", 100*capacity, 100*load)
 		}
-		if why != "" {
-			all = append(all, Shortfall{i, why})
+		if reason != "" {
+			all = append(all, Shortfall{i, reason})
 		}
 	}
 	return all
 }
 
-// lacksOwn is what products lack in a tenant's own backends; empty: nothing.
-func (p *Plan) lacksOwn(own []int, list []Backend) (why string) {
-	for _, need := range p.needs() {
-		there, mine := make([]bool, p.Zones), make([]bool, p.Zones)
+// missingPlacement describes a placement that a tenant's own backends do not satisfy; empty: none.
+func (p *Plan) missingPlacement(own []int, list []Backend) (reason string) {
+	for _, placement := range p.placements() {
+		available, assigned := make([]bool, p.Zones), make([]bool, p.Zones)
 		for _, b := range list {
-			if b.Status == policy.Ready && fits(need, b) {
-				there[b.Zone], mine[b.Zone] = true, mine[b.Zone] || has(own, b.Index)
+			if b.Status == policy.Ready && canUse(placement, b) {
+				available[b.Zone] = true
+				assigned[b.Zone] = assigned[b.Zone] || contains(own, b.Index)
 			}
 		}
-		for z := range there {
-			if need.OwnZone && there[z] && !mine[z] {
-				why = fmt.Sprintf("none of its backends is in zone %d, where a product must stay at home", z)
+		for zone := range available {
+			if placement.OwnZone && available[zone] && !assigned[zone] {
+				reason = fmt.Sprintf("it has no backend in zone %d for a product that must stay in its own zone", zone)
 			}
 		}
-		if !need.OwnZone && slices.Contains(there, true) && !slices.Contains(mine, true) {
-			why = "none of its backends may do one of the products"
+		if !placement.OwnZone && slices.Contains(available, true) && !slices.Contains(assigned, true) {
+			reason = "it has no backend for one of the products"
 		}
 	}
-	return why
+	return reason
 }
