--- a/internal/controller/pluginhost/plugin_test.go
+++ b/internal/controller/pluginhost/plugin_test.go
@@ -31,7 +31,8 @@
 	}
 }
 
-func section(id byte, items ...[]byte) []byte {
+// encodeSection encodes a section with a vector of items.
+func encodeSection(id byte, items ...[]byte) []byte {
 	content := uleb(uint64(len(items)))
 	for _, item := range items {
 		content = append(content, item...)
@@ -39,10 +40,11 @@
 	return append(append([]byte{id}, uleb(uint64(len(content)))...), content...)
 }
 
-func name(s string) []byte { return append(uleb(uint64(len(s))), s...) }
+// encodeName encodes a string with its length.
+func encodeName(s string) []byte { return append(uleb(uint64(len(s))), s...) }
 
-// function encodes a function without local variables.
-func function(code ...byte) []byte {
+// encodeFunction encodes a function without local variables.
+func encodeFunction(code ...byte) []byte {
 	body := append([]byte{0}, code...)
 	return append(uleb(uint64(len(body))), body...)
 }
@@ -51,23 +53,23 @@
 // it imports from the module env, or "".
 func module(alloc, propose []byte, data []byte, imported string) []byte {
 	m := []byte("\x00asm\x01\x00\x00\x00")
-	m = append(m, section(1, []byte{0x60, 1, 0x7f, 1, 0x7f}, []byte{0x60, 2, 0x7f, 0x7f, 1, 0x7e})...)
+	m = append(m, encodeSection(1, []byte{0x60, 1, 0x7f, 1, 0x7f}, []byte{0x60, 2, 0x7f, 0x7f, 1, 0x7e})...)
 	firstFunction := byte(0)
 	if imported != "" {
 		firstFunction = 1
-		m = append(m, section(2, append(append(name("env"), name(imported)...), 0, 0))...)
+		m = append(m, encodeSection(2, append(append(encodeName("env"), encodeName(imported)...), 0, 0))...)
 	}
-	m = append(m, section(3, []byte{0}, []byte{1})...)
-	m = append(m, section(5, []byte{0, 1})...)
-	m = append(m, section(
+	m = append(m, encodeSection(3, []byte{0}, []byte{1})...)
+	m = append(m, encodeSection(5, []byte{0, 1})...)
+	m = append(m, encodeSection(
 		7,
-		append(name("memory"), 2, 0),
-		append(name(allocName), 0, firstFunction),
-		append(name(proposeName), 0, firstFunction+1),
+		append(encodeName("memory"), 2, 0),
+		append(encodeName(allocName), 0, firstFunction),
+		append(encodeName(proposeName), 0, firstFunction+1),
 	)...)
-	m = append(m, section(10, function(alloc...), function(propose...))...)
+	m = append(m, encodeSection(10, encodeFunction(alloc...), encodeFunction(propose...))...)
 	if len(data) > 0 {
-		m = append(m, section(11, append(append([]byte{0, 0x41, 0, 0x0b}, uleb(uint64(len(data)))...), data...))...)
+		m = append(m, encodeSection(11, append(append([]byte{0, 0x41, 0, 0x0b}, uleb(uint64(len(data)))...), data...))...)
 	}
 	return m
 }
--- a/internal/controller/statestore/store_test.go
+++ b/internal/controller/statestore/store_test.go
@@ -55,6 +55,7 @@
 	return all, err
 }
 
+// Open returns the newest record of each key.
 func TestReopen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	writeStore(t, path, record(1, 1), record(2, 2))
--- a/internal/controller/warmstart/session.go
+++ b/internal/controller/warmstart/session.go
@@ -52,7 +52,7 @@
 var safetyRank = map[string]int{InRotation: 1, Serving: 1, OutOfRotation: 2, Draining: 3, Deleted: 4}
 
 // Fact is a state or value that one controller observed. Age is relative, so that the clocks of controllers need not
-// agree.
+// agree. The encoding of a Fact between controllers uses the field names.
 type Fact struct {
 	Kind        Kind
 	Key         string
@@ -291,8 +291,8 @@
 		previous.Sources != merged.Sources || math.Abs(previous.Value-merged.Value) > 0.01*previous.Value
 }
 
-// merge combines the facts of one kind and key. The safest state wins, then the highest revision, then the youngest
-// fact. Values are averaged by confidence. otherState is a state that lost, or "".
+// merge combines the facts of one kind and key. Of states, the safest wins, then the one with the highest revision,
+// then the youngest. Values are averaged by confidence. otherState is a state that differs from the chosen one, or "".
 func (s *Session) merge(known *factsByOrigin) (merged Accepted, otherState string) {
 	merged.Sources = len(known.facts)
 	order := make([]int, len(known.facts))
