--- a/internal/controller/pubsub/channel_test.go
+++ b/internal/controller/pubsub/channel_test.go
@@ -30,36 +30,39 @@
 
 var names = flatsettings.Names{Products: []string{"look", "pay"}, Zones: []string{"a", "b"}, Kinds: []string{"s"}}
 
-type nobody struct{}
+// nopLists is an eventloop.Lists that does nothing.
+type nopLists struct{}
 
-func (nobody) Follow(bool) {}
-func (nobody) Reload()     {}
+func (nopLists) Follow(bool) {}
+func (nopLists) Reload()     {}
 
-// house is a desk that runs, with a hub before it; it counts what the desk is told.
-type house struct {
-	t     *testing.T
-	hub   *pubsub.Hub
-	lists chan eventloop.Command
-	queue chan eventloop.Command
-	mu    sync.Mutex
-	told  map[string]int
+// testController is a running event loop with a hub. It counts the messages from the hub by type.
+type testController struct {
+	t        *testing.T
+	hub      *pubsub.Hub
+	lists    chan eventloop.Command
+	queue    chan eventloop.Command
+	mu       sync.Mutex
+	received map[string]int
 }
 
-func silent() *logrus.Entry {
+// discardLogger returns a logger without output.
+func discardLogger() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return logrus.NewEntry(log)
 }
 
-func open(t *testing.T, plan pubsub.Config, backends ...string) *house {
+// startController runs an event loop with the given backends and a hub until the test ends.
+func startController(t *testing.T, config pubsub.Config, backends ...string) *testController {
 	t.Helper()
-	h := &house{
-		t:     t,
-		lists: make(chan eventloop.Command, 10),
-		queue: make(chan eventloop.Command, 1000),
-		told:  map[string]int{},
+	h := &testController{
+		t:        t,
+		lists:    make(chan eventloop.Command, 10),
+		queue:    make(chan eventloop.Command, 1000),
+		received: map[string]int{},
 	}
-	d := eventloop.New(
+	loop := eventloop.New(
 		policy.Deployment{
 			Products:        []policy.Product{{Revenue: 1, SLA: 8000}, {Revenue: 3, SLA: 8000, OnlyZones: []int{0}}},
 			Zones:           2,
@@ -75,32 +78,32 @@
 			FirstTick:       200,
 		},
 		names,
-		nobody{},
-		silent(),
+		nopLists{},
+		discardLogger(),
 	)
 	l := reconcile.List{Revision: 1, Complete: true}
 	for _, id := range backends {
 		l.Members = append(l.Members, member(id))
 	}
-	d.SetCachedList(l)
-	began := time.Now()
-	go d.Run(h.queue, h.lists, time.Millisecond, func() policy.Time {
-		return 1000*policy.Second + policy.Time(time.Since(began)*time.Duration(policy.Second)/time.Second)
+	loop.SetCachedList(l)
+	startedAt := time.Now()
+	go loop.Run(h.queue, h.lists, time.Millisecond, func() policy.Time {
+		return 1000*policy.Second + policy.Time(time.Since(startedAt)*time.Duration(policy.Second)/time.Second)
 	})
-	hear := func(n eventloop.Command) {
+	handler := func(command eventloop.Command) {
 		h.mu.Lock()
-		h.told[fmt.Sprintf("%T", n.Message)]++
+		h.received[fmt.Sprintf("%T", command.Message)]++
 		h.mu.Unlock()
-		h.queue <- n
+		h.queue <- command
 	}
-	if plan.Listen = "127.0.0.1:0"; plan.Linger == 0 {
-		plan.Linger = time.Hour
+	if config.Listen = "127.0.0.1:0"; config.Linger == 0 {
+		config.Linger = time.Hour
 	}
-	if plan.MaxObservers == 0 {
-		plan.MaxObservers = 4
+	if config.MaxObservers == 0 {
+		config.MaxObservers = 4
 	}
 	var err error
-	if h.hub, err = pubsub.Listen(plan, 4, names, hear, silent()); err != nil {
+	if h.hub, err = pubsub.Listen(config, 4, names, handler, discardLogger()); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(h.hub.Close)
@@ -111,30 +114,33 @@
 	return reconcile.Member{ID: id, Zone: "a", Kind: "s", Phase: reconcile.Serving, Weight: 1}
 }
 
-func (h *house) times(of any) int {
+// countOf returns how many messages of the type of an example the event loop received.
+func (h *testController) countOf(example any) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.told[fmt.Sprintf("%T", of)]
+	return h.received[fmt.Sprintf("%T", example)]
 }
 
-func (h *house) drain(id string) {
+// drain sets the phase of a backend to Draining.
+func (h *testController) drain(id string) {
 	m := member(id)
 	m.Phase = reconcile.Draining
 	h.lists <- eventloop.Command{Message: reconcile.List{Revision: 2, Members: []reconcile.Member{m}}}
 }
 
-// follower is a client whose copy can be waited on.
+// follower runs a client and reports its events on channels.
 type follower struct {
 	t       *testing.T
 	stop    context.CancelFunc
 	done    chan error
-	changed chan map[string]session.Value
+	changed chan map[string]session.Value // the state after each change
 	ups     chan *client.Publisher
 	downs   chan error
 	mu      sync.Mutex
-	seen    map[string]int // messages that took effect, by epoch and number
+	seen    map[string]int // how often each message was applied, by epoch and sequence number
 }
 
+// follow runs a client until the test ends.
 func follow(t *testing.T, o client.Options) *follower {
 	ctx, stop := context.WithCancel(context.Background())
 	f := &follower{t: t, stop: stop, done: make(chan error, 1), changed: make(chan map[string]session.Value, 10000),
@@ -155,39 +161,44 @@
 	return f
 }
 
-// until waits for a copy in which something holds.
-func (f *follower) until(what string, holds func(out map[string]bool, tables map[string]*pubsub.RoutingTable) bool) {
+// condition is a predicate on the withdrawn backends and the routing tables of a proxy.
+type condition func(withdrawn map[string]bool, tables map[string]*pubsub.RoutingTable) bool
+
+// waitFor waits up to a minute for a change after which a condition holds.
+func (f *follower) waitFor(what string, holds condition) {
 	f.t.Helper()
-	over := time.After(time.Minute)
+	timeout := time.After(time.Minute)
 	for {
 		select {
 		case state := <-f.changed:
 			if holds(pubsub.RoutingTables(state)) {
 				return
 			}
-		case <-over:
-			f.t.Fatalf("%s: not within a minute", what)
+		case <-timeout:
+			f.t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-func (f *follower) once() {
+// checkAppliedOnce checks that no message was applied twice.
+func (f *follower) checkAppliedOnce() {
 	f.t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for m, n := range f.seen {
 		if n != 1 {
-			f.t.Errorf("message %s took effect %d times", m, n)
+			f.t.Errorf("message %s was applied %d times", m, n)
 		}
 	}
 }
 
-func hello(proxy int) pubsub.Hello {
+// ownerHello returns the hello of a proxy for its own topic.
+func ownerHello(proxy int) pubsub.Hello {
 	return pubsub.Hello{Topic: fmt.Sprint(pubsub.OrdersTopicPrefix, proxy), Owner: true, Zone: "a", Rate: 5}
 }
 
-// full says whether a proxy holds lines to these backends for both products, and levels.
-func full(ids ...string) func(map[string]bool, map[string]*pubsub.RoutingTable) bool {
+// hasTables returns the condition that each product has a rate limit, and weights for exactly the given backends.
+func hasTables(ids ...string) condition {
 	return func(_ map[string]bool, tables map[string]*pubsub.RoutingTable) bool {
 		for _, k := range names.Products {
 			if tables[k] == nil || len(tables[k].Weights) != len(ids) || tables[k].RateLimit < 0 {
@@ -203,35 +214,39 @@
 	}
 }
 
-// A proxy on the channel gets its tables, is told of a drain, and its reports reach the desk as those of its own; the
-// marks of the desk are answered by what took effect.
+// isWithdrawn returns the condition that a backend is withdrawn.
+func isWithdrawn(id string) condition {
+	return func(withdrawn map[string]bool, _ map[string]*pubsub.RoutingTable) bool { return withdrawn[id] }
+}
+
+// A proxy receives its routing tables and a withdrawal. The event loop receives the usage reports and the acknowledged
+// markers of the proxy.
 func TestServe(t *testing.T) {
-	h := open(t, pubsub.Config{}, "s-0", "s-1", "s-2")
-	f := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: hello(1)})
-	f.until("tables", full("s-0", "s-1", "s-2"))
+	h := startController(t, pubsub.Config{}, "s-0", "s-1", "s-2")
+	f := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: ownerHello(1)})
+	f.waitFor("tables", hasTables("s-0", "s-1", "s-2"))
 	p := <-f.ups
 	if err := p.ReportUsage(pubsub.UsageReport{Product: "look", Txns: 9, Millis: 1000}); err != nil {
 		t.Fatal(err)
 	}
 	h.drain("s-1")
-	f.until("a drain", func(out map[string]bool, _ map[string]*pubsub.RoutingTable) bool { return out["s-1"] })
-	for deadline := time.Now().Add(time.Minute); h.times(textproto.Ack{}) == 0 ||
-		h.times(textproto.UsageReport{}) == 0; time.Sleep(time.Millisecond) {
+	f.waitFor("the withdrawal", isWithdrawn("s-1"))
+	for deadline := time.Now().Add(time.Minute); h.countOf(textproto.Ack{}) == 0 ||
+		h.countOf(textproto.UsageReport{}) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("the desk was told %v", h.told)
+			t.Fatalf("the event loop received %v", h.received)
 		}
 	}
-	if n := h.times(textproto.Subscribe{}); n != 1 {
-		t.Errorf("joined %d times", n)
+	if n := h.countOf(textproto.Subscribe{}); n != 1 {
+		t.Errorf("%d subscriptions, want 1", n)
 	}
-	f.once()
+	f.checkAppliedOnce()
 }
 
-// Case 1 on sockets: the link cuts each connection after a few bytes more than the one before, through handshake,
-// snapshot and changes. What was half taken is not half applied, nothing takes effect twice, and all this is one
-// joining.
-func TestCase1CutAtEachByte(t *testing.T) {
-	h := open(t, pubsub.Config{}, "s-0", "s-1", "s-2", "s-3")
+// The link cuts each connection a few bytes later than the one before: within the handshake, the snapshot and the
+// changes. No message is applied in part or twice, and the event loop sees a single subscription.
+func TestReconnectAfterCut(t *testing.T) {
+	h := startController(t, pubsub.Config{}, "s-0", "s-1", "s-2", "s-3")
 	l, err := link.New(h.hub.Addr(), func(n int) link.Script {
 		s := link.Calm
 		s.Down = link.Disturbance{After: int64(n) * 7, Kind: link.Break}
@@ -242,89 +257,91 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	f := follow(t, client.Options{Addresses: []string{l.Addr()}, Hello: hello(2), Credit: 2})
-	f.until("tables", full("s-0", "s-1", "s-2", "s-3"))
+	f := follow(t, client.Options{Addresses: []string{l.Addr()}, Hello: ownerHello(2), Credit: 2})
+	f.waitFor("tables", hasTables("s-0", "s-1", "s-2", "s-3"))
 	h.drain("s-3")
-	f.until("a drain", func(out map[string]bool, _ map[string]*pubsub.RoutingTable) bool { return out["s-3"] })
-	f.once()
-	if n := h.times(textproto.Subscribe{}); n != 1 || l.Taken() < 20 || h.times(textproto.Closed{}) != 0 {
-		t.Errorf("joined %d times over %d connections", n, l.Taken())
+	f.waitFor("the withdrawal", isWithdrawn("s-3"))
+	f.checkAppliedOnce()
+	if n := h.countOf(textproto.Subscribe{}); n != 1 || l.Taken() < 20 || h.countOf(textproto.Closed{}) != 0 {
+		t.Errorf("%d subscriptions over %d connections, want 1 over at least 20", n, l.Taken())
 	}
 }
 
-// Case 2 on sockets: the controller ends, another one takes over with numbers of its own; and a client that starts
-// again goes on after what it kept.
-func TestCase2AnotherHub(t *testing.T) {
-	keep := client.FileStorage(filepath.Join(t.TempDir(), "copy"))
-	one, two := open(t, pubsub.Config{}, "s-0", "s-1"), open(t, pubsub.Config{}, "s-0", "s-1", "s-2")
-	o := client.Options{Addresses: []string{one.hub.Addr(), two.hub.Addr()}, Hello: hello(0), Storage: keep}
+// When a controller stops, its client changes over to another one, which has its own epoch. After a restart the
+// client resumes from its stored state.
+func TestFailoverAndRestart(t *testing.T) {
+	storage := client.FileStorage(filepath.Join(t.TempDir(), "copy"))
+	first := startController(t, pubsub.Config{}, "s-0", "s-1")
+	second := startController(t, pubsub.Config{}, "s-0", "s-1", "s-2")
+	o := client.Options{Addresses: []string{first.hub.Addr(), second.hub.Addr()}, Hello: ownerHello(0), Storage: storage}
 	f := follow(t, o)
-	f.until("tables", full("s-0", "s-1"))
-	one.hub.Close()
-	f.until("tables of the other", full("s-0", "s-1", "s-2"))
+	f.waitFor("tables", hasTables("s-0", "s-1"))
+	first.hub.Close()
+	f.waitFor("tables of the second controller", hasTables("s-0", "s-1", "s-2"))
 	f.stop()
 	if err := <-f.done; err != nil {
 		t.Fatal(err)
 	}
-	before, err := keep.Load()
-	if err != nil || !full("s-0", "s-1", "s-2")(pubsub.RoutingTables(before.State)) {
-		t.Fatalf("kept %+v, %v", before, err)
+	before, err := storage.Load()
+	if err != nil || !hasTables("s-0", "s-1", "s-2")(pubsub.RoutingTables(before.State)) {
+		t.Fatalf("stored state %+v, error %v", before, err)
 	}
 	o.Addresses = o.Addresses[1:]
 	f = follow(t, o)
 	<-f.ups
-	two.drain("s-2")
-	f.until("a drain", func(out map[string]bool, _ map[string]*pubsub.RoutingTable) bool { return out["s-2"] })
-	f.once()
-	after, _ := keep.Load()
-	if after.Epoch != before.Epoch || after.Applied-before.Applied > 3 || two.times(textproto.Subscribe{}) != 1 {
+	second.drain("s-2")
+	f.waitFor("the withdrawal", isWithdrawn("s-2"))
+	f.checkAppliedOnce()
+	after, _ := storage.Load()
+	if after.Epoch != before.Epoch || after.Applied-before.Applied > 3 || second.countOf(textproto.Subscribe{}) != 1 {
 		t.Errorf(
-			"it went on from %d to %d effects, joined %d times",
+			"applied messages went from %d to %d, with %d subscriptions",
 			before.Applied,
 			after.Applied,
-			two.times(textproto.Subscribe{}),
+			second.countOf(textproto.Subscribe{}),
 		)
 	}
 }
 
-// line is a platform stream.
-type line struct{ since uint64 }
+// otherStream is an eventloop.Stream that does not belong to the hub.
+type otherStream struct{ sequence uint64 }
 
-func (l line) Sequence() uint64 { return l.since }
-func (line) Send([]byte)        {}
-func (line) SetPeer(string)     {}
-func (line) CloseReplaced()     {}
-func (line) CloseRefused()      {}
-func (line) RecordFault(error)  {}
+func (s otherStream) Sequence() uint64 { return s.sequence }
+func (otherStream) Send([]byte)        {}
+func (otherStream) SetPeer(string)     {}
+func (otherStream) CloseReplaced()     {}
+func (otherStream) CloseRefused()      {}
+func (otherStream) RecordFault(error)  {}
 
-// Case 5 on sockets: a newer connection of the same proxy goes on where the older one was; a platform stream that comes
-// later takes the proxy over, and the channel lets it go with a code.
-func TestCase5TwoSessions(t *testing.T) {
-	h := open(t, pubsub.Config{}, "s-0", "s-1")
-	f := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: hello(3), MinBackoff: time.Hour})
-	f.until("tables", full("s-0", "s-1"))
-	g := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: hello(3), MinBackoff: time.Hour})
-	g.until("tables of the newer", full("s-0", "s-1"))
-	if err := <-f.downs; !strings.Contains(err.Error(), string(session.ReasonReplaced)) {
-		t.Errorf("the older one ended with %v", err)
+// A newer connection of a proxy replaces the older one within the same subscription. A later stream that does not
+// belong to the hub replaces that connection in turn. Each replaced client receives ReasonReplaced.
+func TestNewerStreamReplacesOlder(t *testing.T) {
+	h := startController(t, pubsub.Config{}, "s-0", "s-1")
+	older := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: ownerHello(3), MinBackoff: time.Hour})
+	older.waitFor("tables", hasTables("s-0", "s-1"))
+	newer := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: ownerHello(3), MinBackoff: time.Hour})
+	newer.waitFor("tables of the newer connection", hasTables("s-0", "s-1"))
+	if err := <-older.downs; !strings.Contains(err.Error(), string(session.ReasonReplaced)) {
+		t.Errorf("the older connection ended with %v", err)
 	}
 	h.queue <- eventloop.Command{
-		From:    line{sockets.NextSequence()},
+		From:    otherStream{sockets.NextSequence()},
 		Message: textproto.Subscribe{Proxy: 3, Zone: "a", Rate: 5},
 	}
-	if err := <-g.downs; !strings.Contains(err.Error(), string(session.ReasonReplaced)) {
-		t.Errorf("the newer one ended with %v", err)
+	if err := <-newer.downs; !strings.Contains(err.Error(), string(session.ReasonReplaced)) {
+		t.Errorf("the newer connection ended with %v", err)
 	}
-	if n := h.times(textproto.Subscribe{}); n != 1 {
-		t.Errorf("joined %d times by the channel", n)
+	if n := h.countOf(textproto.Subscribe{}); n != 1 {
+		t.Errorf("%d subscriptions from the hub, want 1", n)
 	}
 }
 
-// Case 6: what a client must not do ends its connection with a code, and no other's.
-func TestCase6Misuse(t *testing.T) {
-	h := open(t, pubsub.Config{MaxConns: 12}, "s-0", "s-1")
-	good := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: hello(1)})
-	good.until("tables", full("s-0", "s-1"))
+// The hub sends an error code to a client that violates the protocol, and closes its connection. Other clients stay
+// connected.
+func TestProtocolViolations(t *testing.T) {
+	h := startController(t, pubsub.Config{MaxConns: 12}, "s-0", "s-1")
+	valid := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: ownerHello(1)})
+	valid.waitFor("tables", hasTables("s-0", "s-1"))
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	dial := func() *websocket.Conn {
@@ -335,7 +352,7 @@
 		ws.SetReadLimit(1 << 20)
 		return ws
 	}
-	code := func(messages ...[]byte) string {
+	errorCode := func(messages ...[]byte) string {
 		ws := dial()
 		defer func() { _ = ws.CloseNow() }()
 		for _, m := range messages {
@@ -353,123 +370,126 @@
 			}
 		}
 	}
-	say := func(o pubsub.Hello) []byte {
+	encodeHello := func(o pubsub.Hello) []byte {
 		if o.Version == 0 {
 			o.Version = pubsub.Version
 		}
 		return pubsub.Encode(pubsub.KindHello, o)
 	}
-	own := hello(2)
+	owner := ownerHello(2)
 	for name, c := range map[string]struct {
 		want     string
 		messages [][]byte
 	}{
 		"no hello":        {pubsub.CodeMessage, [][]byte{pubsub.Encode(pubsub.KindAck, pubsub.Ack{})}},
 		"garbage":         {pubsub.CodeMessage, [][]byte{[]byte("GET / HTTP/1.1")}},
-		"nothing":         {pubsub.CodeMessage, [][]byte{{}}},
-		"another version": {pubsub.CodeVersion, [][]byte{say(pubsub.Hello{Version: 9, Topic: own.Topic})}},
-		"no such topic":   {pubsub.CodeTopic, [][]byte{say(pubsub.Hello{Topic: "all"})}},
-		"no such proxy":   {pubsub.CodeTopic, [][]byte{say(pubsub.Hello{Topic: "orders/9"})}},
-		"no such zone":    {pubsub.CodeTopic, [][]byte{say(pubsub.Hello{Topic: "orders/2", Owner: true, Zone: "x"})}},
-		"reports of another": {
+		"empty message":   {pubsub.CodeMessage, [][]byte{{}}},
+		"another version": {pubsub.CodeVersion, [][]byte{encodeHello(pubsub.Hello{Version: 9, Topic: owner.Topic})}},
+		"no such topic":   {pubsub.CodeTopic, [][]byte{encodeHello(pubsub.Hello{Topic: "all"})}},
+		"no such proxy":   {pubsub.CodeTopic, [][]byte{encodeHello(pubsub.Hello{Topic: "orders/9"})}},
+		"no such zone": {
+			pubsub.CodeTopic,
+			[][]byte{encodeHello(pubsub.Hello{Topic: "orders/2", Owner: true, Zone: "x"})},
+		},
+		"backend report of a proxy": {
 			pubsub.CodeNotOwner,
 			[][]byte{
-				say(own),
+				encodeHello(owner),
 				pubsub.Encode(pubsub.KindBackendReport, pubsub.BackendReport{Backend: "s-0", Attempts: 1, Millis: 1000}),
 			},
 		},
-		"use as an onlooker": {
+		"usage report of an observer": {
 			pubsub.CodeNotOwner,
 			[][]byte{
-				say(pubsub.Hello{Topic: "orders/1"}),
+				encodeHello(pubsub.Hello{Topic: "orders/1"}),
 				pubsub.Encode(pubsub.KindUsageReport, pubsub.UsageReport{Product: "look", Millis: 1}),
 			},
 		},
-		"a figure that cannot": {
+		"negative count": {
 			pubsub.CodeMessage,
 			[][]byte{
-				say(own),
+				encodeHello(owner),
 				pubsub.Encode(pubsub.KindUsageReport, pubsub.UsageReport{Product: "look", Txns: -1, Millis: 1000}),
 			},
 		},
-		"10 MB": {"StatusMessageTooBig", [][]byte{say(own), make([]byte, 10<<20)}},
+		"10 MB": {"StatusMessageTooBig", [][]byte{encodeHello(owner), make([]byte, 10<<20)}},
 	} {
-		if got := code(c.messages...); got != c.want {
+		if got := errorCode(c.messages...); got != c.want {
 			t.Errorf("%s: %s, want %s", name, got, c.want)
 		}
 	}
-	never := dial() // a number that was never sent, of the epoch that holds
-	_ = never.Write(ctx, websocket.MessageBinary, say(pubsub.Hello{Topic: "orders/1", Credit: 1}))
-	_, text, err := never.Read(ctx)
-	said, _ := pubsub.Decode(text)
-	if m, ok := said.(session.Send); err != nil || !ok {
-		t.Errorf("an onlooker is sent %v, %v", said, err)
+	// An observer acknowledges a sequence number of the current epoch that was not sent yet.
+	observer := dial()
+	_ = observer.Write(ctx, websocket.MessageBinary, encodeHello(pubsub.Hello{Topic: "orders/1", Credit: 1}))
+	_, text, err := observer.Read(ctx)
+	message, _ := pubsub.Decode(text)
+	if m, ok := message.(session.Send); err != nil || !ok {
+		t.Errorf("an observer is sent %v, error %v", message, err)
 	} else {
-		_ = never.Write(
+		_ = observer.Write(
 			ctx,
 			websocket.MessageBinary,
 			pubsub.Encode(pubsub.KindAck, pubsub.Ack{Epoch: m.Epoch, Seq: m.Seq + 77, AddedCredit: 1}),
 		)
-		_, text, _ = never.Read(ctx)
+		_, text, _ = observer.Read(ctx)
 		if e, _ := pubsub.Decode(text); !reflect.DeepEqual(e, pubsub.Error{Code: string(session.ReasonUnknownSequence)}) {
-			t.Errorf("a number never sent is answered with %v", e)
+			t.Errorf("the ack of an unsent sequence number is answered with %v", e)
 		}
 	}
-	_ = never.CloseNow()
-	var held []*websocket.Conn
-	for range 30 { // half-open ones
+	_ = observer.CloseNow()
+	var idle []*websocket.Conn
+	for range 30 { // connections without a hello
 		ws := dial()
-		held = append(held, ws)
+		idle = append(idle, ws)
 	}
-	crowded, rejection := 0, pubsub.Error{Code: pubsub.CodeTooManyConnections}
-	for _, ws := range held {
+	rejected, rejection := 0, pubsub.Error{Code: pubsub.CodeTooManyConnections}
+	for _, ws := range idle {
 		_, text, err := ws.Read(ctx)
 		if e, _ := pubsub.Decode(text); err == nil && reflect.DeepEqual(e, rejection) {
-			crowded++
+			rejected++
 		}
 		_ = ws.CloseNow()
 	}
-	if crowded < 15 {
-		t.Errorf("%d of 30 beyond the limit are told so", crowded)
+	if rejected < 15 {
+		t.Errorf("%d of 30 connections are rejected, want at least 15", rejected)
 	}
 	h.drain("s-1")
-	good.until("a drain after all that", func(out map[string]bool, _ map[string]*pubsub.RoutingTable) bool {
-		return out["s-1"]
-	})
-	if n := len(good.downs); n > 0 {
-		t.Errorf("the good client was let go of %d times: %v", n, <-good.downs)
+	valid.waitFor("the withdrawal after the violations", isWithdrawn("s-1"))
+	if n := len(valid.downs); n > 0 {
+		t.Errorf("the valid client was disconnected %d times: %v", n, <-valid.downs)
 	}
 }
 
-// A collector publishes the reports of its zone; an onlooker sees the list, and a drain in it.
+// The event loop receives the backend reports of a collector. Observers receive the backend list, the decisions and
+// their changes.
 func TestReportsAndList(t *testing.T) {
-	h := open(t, pubsub.Config{}, "s-0", "s-1")
-	zone := follow(
+	h := startController(t, pubsub.Config{}, "s-0", "s-1")
+	collector := follow(
 		t,
 		client.Options{Addresses: []string{h.hub.Addr()}, Hello: pubsub.Hello{Topic: pubsub.ReportsTopicPrefix + "a"}},
 	)
-	if err := (<-zone.ups).ReportBackend(
+	if err := (<-collector.ups).ReportBackend(
 		pubsub.BackendReport{Backend: "s-0", Attempts: 9, Latency: 120, Millis: 1000},
 	); err != nil {
 		t.Fatal(err)
 	}
-	for deadline := time.Now().Add(time.Minute); h.times(textproto.BackendReport{}) == 0; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(time.Minute); h.countOf(textproto.BackendReport{}) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("the desk was told %v", h.told)
+			t.Fatalf("the event loop received %v", h.received)
 		}
 	}
 	h.hub.Tell(reconcile.List{Members: []reconcile.Member{member("s-0"), member("s-1")}})
-	onlooker := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: pubsub.Hello{Topic: pubsub.ListTopic}})
-	for state := range onlooker.changed {
+	list := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: pubsub.Hello{Topic: pubsub.ListTopic}})
+	for state := range list.changed {
 		if len(state) == 2 && strings.Contains(state["s-1"].Text, reconcile.Serving) {
 			break
 		}
 	}
-	gone := member("s-1")
-	gone.Phase = reconcile.Deleted
-	h.hub.Tell(reconcile.List{Members: []reconcile.Member{gone}})
-	if state := <-onlooker.changed; len(state) != 1 {
-		t.Errorf("the onlooker holds %v", state)
+	deleted := member("s-1")
+	deleted.Phase = reconcile.Deleted
+	h.hub.Tell(reconcile.List{Members: []reconcile.Member{deleted}})
+	if state := <-list.changed; len(state) != 1 {
+		t.Errorf("the observer of the list holds %v", state)
 	}
 	h.hub.Look(
 		[]warmstart.Fact{
@@ -478,19 +498,22 @@
 			{Kind: warmstart.Usage, Key: "1/look", Value: 9},
 		},
 	)
-	look := follow(t, client.Options{Addresses: []string{h.hub.Addr()}, Hello: pubsub.Hello{Topic: pubsub.DecisionsTopic}})
-	if state := <-look.changed; len(state) != 2 || state[session.JoinKey("relief", "s-1")].Number != 0.4 {
-		t.Errorf("the onlooker of decisions holds %v", state)
+	decisions := follow(
+		t,
+		client.Options{Addresses: []string{h.hub.Addr()}, Hello: pubsub.Hello{Topic: pubsub.DecisionsTopic}},
+	)
+	if state := <-decisions.changed; len(state) != 2 || state[session.JoinKey("relief", "s-1")].Number != 0.4 {
+		t.Errorf("the observer of decisions holds %v", state)
 	}
 	h.hub.Look([]warmstart.Fact{{Kind: warmstart.Derating, Key: "s-1", Value: 1}})
-	if state := <-look.changed; len(state) != 1 {
-		t.Errorf("the onlooker of decisions holds %v", state)
+	if state := <-decisions.changed; len(state) != 1 {
+		t.Errorf("the observer of decisions holds %v", state)
 	}
 }
 
-// Whatever bytes come for a message, reading them ends with one or an error.
+// Decode returns a message or an error for any input, and a decoded update can be applied.
 func FuzzDecode(f *testing.F) {
-	f.Add(pubsub.Encode(pubsub.KindHello, hello(1)))
+	f.Add(pubsub.Encode(pubsub.KindHello, ownerHello(1)))
 	f.Add(pubsub.Encode(pubsub.KindAck, pubsub.Ack{Epoch: 1 << 60, Seq: 1<<32 - 1, AddedCredit: 3}))
 	f.Add(pubsub.Encode(pubsub.KindUsageReport, pubsub.UsageReport{Product: "look", Txns: 3, Millis: 1000}))
 	f.Add(
@@ -502,8 +525,8 @@
 	f.Add([]byte{})
 	f.Add([]byte("S\xbf"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		said, err := pubsub.Decode(text)
-		if m, ok := said.(session.Send); ok && err == nil {
+		message, err := pubsub.Decode(text)
+		if m, ok := message.(session.Send); ok && err == nil {
 			var c session.Replica
 			_, _, _ = c.Apply(m)
 			pubsub.RoutingTables(c.State)
--- a/internal/controller/pubsub/hub.go
+++ b/internal/controller/pubsub/hub.go
@@ -27,19 +27,19 @@
 const (
 	helloTimeout    = 1500 * time.Millisecond
 	writeTimeout    = 5 * time.Second
-	maxMessageBytes = 64 << 10 // of a client's
-	spareConns      = 64       // over proxies and zones, at least
+	maxMessageBytes = 64 << 10 // limit for a message of a client
+	spareConns      = 64       // default MaxConns beyond one per proxy and zone
 )
 
-// Config is what a Hub is given.
+// Config configures a Hub.
 type Config struct {
 	Listen       string
-	Linger       time.Duration // that a proxy may be away before it has left
-	MaxObservers int           // of a topic
-	MaxConns     int           // at most; 0: a few more than there are proxies
+	Linger       time.Duration // how long a proxy may be disconnected before it counts as gone
+	MaxObservers int           // limit for each topic
+	MaxConns     int           // 0 means one per proxy and zone, plus spareConns
 }
 
-// Hub serves the channel.
+// Hub accepts WebSocket connections and serves the topics to them.
 type Hub struct {
 	config    Config
 	names     flatsettings.Names
@@ -50,47 +50,47 @@
 	server    *http.Server
 	startedAt time.Time
 
-	mu       sync.Mutex
-	events   []session.Event
-	lastConn int
-	conns    map[int]*conn
-	wake     chan struct{}
-	done     chan struct{}
-	once     sync.Once
+	mu         sync.Mutex
+	events     []session.Event
+	lastConnID int
+	conns      map[int]*conn
+	wake       chan struct{}
+	done       chan struct{}
+	once       sync.Once
 
-	streams map[string]*stream // of topics whose owner is there; the hub's goroutine alone looks
+	streams map[string]*stream // by topic, while the topic has an owner; used only by run
 }
 
-// conn is a connection; what it may be sent is bounded by its credit, so its queue never fills.
+// conn is a client connection. The client's credit bounds the messages to it, so queue does not fill up.
 type conn struct {
 	id        int
 	ws        *websocket.Conn
 	hello     Hello
-	collector eventloop.Stream // a collector's own; nil: its topic's
-	queue     chan []byte
+	collector eventloop.Stream // set on a connection to a reports topic, else nil
+	queue     chan []byte      // a nil message closes the connection
 	cancel    context.CancelFunc
 }
 
-// Listen serves the channel. hear is given what proxies and collectors say; it may wait, the desk does not.
+// Listen starts a Hub. handler receives the messages of proxies and collectors for the event loop; it may block.
 func Listen(
-	plan Config,
+	config Config,
 	proxies int,
 	names flatsettings.Names,
-	hear func(eventloop.Command),
+	handler func(eventloop.Command),
 	log *logrus.Entry,
 ) (*Hub, error) {
-	ln, err := net.Listen("tcp4", plan.Listen)
+	ln, err := net.Listen("tcp4", config.Listen)
 	if err != nil {
 		return nil, err
 	}
-	if plan.MaxConns == 0 {
-		plan.MaxConns = proxies + len(names.Zones) + spareConns
+	if config.MaxConns == 0 {
+		config.MaxConns = proxies + len(names.Zones) + spareConns
 	}
 	h := &Hub{
-		config:    plan,
+		config:    config,
 		names:     names,
 		proxies:   proxies,
-		handler:   hear,
+		handler:   handler,
 		log:       log,
 		listener:  ln,
 		startedAt: time.Now(),
@@ -105,10 +105,10 @@
 	return h, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the hub listens on.
 func (h *Hub) Addr() string { return h.listener.Addr().String() }
 
-// Close ends all connections; whoever was there dials elsewhere.
+// Close stops the hub and closes all connections.
 func (h *Hub) Close() {
 	h.once.Do(func() { close(h.done) })
 	_ = h.server.Close()
@@ -119,26 +119,26 @@
 	}
 }
 
-// Tell hands on the list, for onlookers. It never waits.
+// Tell publishes the members of the backend list to the subscribers of ListTopic. It never blocks.
 func (h *Hub) Tell(l reconcile.List) {
-	e := session.TopicChanged{Topic: ListTopic}
+	change := session.TopicChanged{Topic: ListTopic}
 	for _, m := range l.Members {
 		text, _ := json.Marshal(m)
-		e.Updates = append(
-			e.Updates,
+		change.Updates = append(
+			change.Updates,
 			session.Update{Key: m.ID, Deleted: m.Phase == reconcile.Deleted, Value: session.Value{Text: string(text)}},
 		)
 	}
-	h.submit(e)
+	h.submit(change)
 }
 
-// Look hands on what the decisions know, but for the use of proxies, for onlookers. It never waits.
+// Look publishes all facts except usage to the subscribers of DecisionsTopic. It never blocks.
 func (h *Hub) Look(facts []warmstart.Fact) {
-	e := session.TopicChanged{Topic: DecisionsTopic}
+	change := session.TopicChanged{Topic: DecisionsTopic}
 	for _, f := range facts {
 		if f.Kind != warmstart.Usage {
-			e.Updates = append(
-				e.Updates,
+			change.Updates = append(
+				change.Updates,
 				session.Update{
 					Key:     session.JoinKey(f.Kind.String(), f.Key),
 					Deleted: f.Kind == warmstart.Derating && f.Value == 1,
@@ -147,10 +147,10 @@
 			)
 		}
 	}
-	h.submit(e)
+	h.submit(change)
 }
 
-// submit hands the hub events; nobody waits for it.
+// submit queues events for the hub's goroutine. It never waits for them to be processed.
 func (h *Hub) submit(events ...session.Event) {
 	h.mu.Lock()
 	h.events = append(h.events, events...)
@@ -161,16 +161,16 @@
 	}
 }
 
-// run is the hub: it owns the sessions.
+// run owns the sessions. It processes queued events and session deadlines until the hub is closed.
 func (h *Hub) run() {
-	plan := session.DefaultConfig(uint64(h.startedAt.UnixNano()))
-	plan.Linger, plan.MaxObservers = session.Time(h.config.Linger/time.Millisecond), h.config.MaxObservers
-	all := session.New(plan)
-	idle := time.NewTimer(time.Hour)
+	config := session.DefaultConfig(uint64(h.startedAt.UnixNano()))
+	config.Linger, config.MaxObservers = session.Time(h.config.Linger/time.Millisecond), h.config.MaxObservers
+	broker := session.New(config)
+	deadline := time.NewTimer(time.Hour)
 	for {
 		select {
 		case <-h.wake:
-		case <-idle.C:
+		case <-deadline.C:
 		case <-h.done:
 			return
 		}
@@ -178,71 +178,74 @@
 		events := h.events
 		h.events = nil
 		h.mu.Unlock()
-		for _, o := range all.Step(session.Time(time.Since(h.startedAt)/time.Millisecond)+1, events) {
-			h.execute(o)
+		for _, action := range broker.Step(session.Time(time.Since(h.startedAt)/time.Millisecond)+1, events) {
+			h.execute(action)
 		}
-		for _, e := range events { // after the joining that may have come with it
-			if p, ok := e.(ownerReport); ok && h.streams[p.topic] != nil {
-				h.handler(eventloop.Command{From: h.streams[p.topic], Message: p.message})
+		// A report may arrive together with the event that opens its stream, so reports are passed on last.
+		for _, e := range events {
+			if r, ok := e.(ownerReport); ok && h.streams[r.topic] != nil {
+				h.handler(eventloop.Command{From: h.streams[r.topic], Message: r.message})
 			}
 		}
 		next := time.Hour
-		if at, some := all.NextDeadline(); some {
+		if at, ok := broker.NextDeadline(); ok {
 			next = max(time.Duration(at)*time.Millisecond-time.Since(h.startedAt), time.Millisecond)
 		}
-		idle.Reset(next)
+		deadline.Reset(next)
 	}
 }
 
-func (h *Hub) execute(o session.Action) {
-	switch o := o.(type) {
+// execute carries out an action of the sessions.
+func (h *Hub) execute(action session.Action) {
+	switch action := action.(type) {
 	case session.Send:
-		if c := h.conn(o.Conn); c != nil {
-			c.send(encodeSend(o))
+		if c := h.conn(action.Conn); c != nil {
+			c.send(encodeSend(action))
 		}
 	case session.Close:
-		if c := h.conn(o.Conn); c != nil {
-			c.queueClose(string(o.Reason), "")
+		if c := h.conn(action.Conn); c != nil {
+			c.queueClose(string(action.Reason), "")
 		}
 	case session.OwnerJoined:
-		c, at := h.conn(o.Conn), 0
+		c := h.conn(action.Conn)
 		if c == nil {
-			return // it is gone again, and its Closed is on the way
+			return // the connection is closed; its session.Closed event follows
 		}
-		at, _ = proxyOfTopic(o.Topic)
-		s := &stream{hub: h, topic: o.Topic, openedAt: sockets.NextSequence()}
-		h.streams[o.Topic] = s
+		proxy, _ := proxyOfTopic(action.Topic)
+		s := &stream{hub: h, topic: action.Topic, openedAt: sockets.NextSequence()}
+		h.streams[action.Topic] = s
 		h.handler(
 			eventloop.Command{
 				From:    s,
-				Message: textproto.Subscribe{Proxy: at, Zone: c.hello.Zone, Rate: c.hello.Rate, Fresh: true},
+				Message: textproto.Subscribe{Proxy: proxy, Zone: c.hello.Zone, Rate: c.hello.Rate, Fresh: true},
 			},
 		)
 	case session.OwnerLeft:
-		if s := h.streams[o.Topic]; s != nil {
-			delete(h.streams, o.Topic)
-			h.log.WithFields(logrus.Fields{"reason": "away", "of": o.Topic}).Info("a subscriber has left")
+		if s := h.streams[action.Topic]; s != nil {
+			delete(h.streams, action.Topic)
+			h.log.WithFields(logrus.Fields{"reason": "away", "of": action.Topic}).Info("topic owner left")
 			h.handler(eventloop.Command{From: s, Message: textproto.Closed{}})
 		}
 	case session.MarkerAcked:
-		if s := h.streams[o.Topic]; s != nil {
-			at, _ := proxyOfTopic(o.Topic)
-			h.handler(eventloop.Command{From: s, Message: textproto.Ack{Proxy: at, Marker: o.Marker}})
+		if s := h.streams[action.Topic]; s != nil {
+			proxy, _ := proxyOfTopic(action.Topic)
+			h.handler(eventloop.Command{From: s, Message: textproto.Ack{Proxy: proxy, Marker: action.Marker}})
 		}
 	}
 }
 
+// conn returns an open connection, or nil.
 func (h *Hub) conn(id int) *conn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.conns[id]
 }
 
-// accept holds a connection from its first word to its end.
+// accept serves a connection from the WebSocket handshake to its end.
 func (h *Hub) accept(w http.ResponseWriter, r *http.Request) {
 	h.mu.Lock()
-	h.lastConn++
-	id, full := h.lastConn, len(h.conns) >= h.config.MaxConns
+	h.lastConnID++
+	id, full := h.lastConnID, len(h.conns) >= h.config.MaxConns
 	h.mu.Unlock()
 	ws, err := websocket.Accept(
 		w,
@@ -250,7 +253,7 @@
 		&websocket.AcceptOptions{Subprotocols: []string{Protocol}, CompressionMode: websocket.CompressionDisabled},
 	)
 	if err != nil {
-		return // what came is no WebSocket; the library has said so
+		return // the library has answered the request with an error
 	}
 	ws.SetReadLimit(maxMessageBytes)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -263,7 +266,7 @@
 	h.mu.Lock()
 	h.conns[id] = c
 	h.mu.Unlock()
-	began := time.Now()
+	acceptedAt := time.Now()
 	code, err := h.serve(ctx, c)
 	cancel()
 	h.mu.Lock()
@@ -277,16 +280,16 @@
 	fields := logrus.Fields{
 		"reason": code,
 		"peer":   r.RemoteAddr,
-		"lasted": time.Since(began).Round(time.Millisecond).String(),
+		"lasted": time.Since(acceptedAt).Round(time.Millisecond).String(),
 		"of":     c.hello.Topic,
 	}
 	if err != nil {
 		fields["error"] = err.Error()
 	}
-	h.log.WithFields(fields).Info("channel connection ended")
+	h.log.WithFields(fields).Info("pub-sub connection ended")
 }
 
-// closeWithError writes an error and closes.
+// closeWithError sends an error message and closes the connection. It bypasses the queue.
 func (c *conn) closeWithError(ctx context.Context, e Error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -294,7 +297,7 @@
 	_ = c.ws.Close(websocket.StatusPolicyViolation, e.Code)
 }
 
-// send queues a message; its credit keeps the queue from filling.
+// send queues a message. It cancels the connection if the queue is full.
 func (c *conn) send(message []byte) {
 	select {
 	case c.queue <- message:
@@ -303,19 +306,19 @@
 	}
 }
 
-// queueClose lets it go with a code.
+// queueClose queues an error message, after which the connection is closed.
 func (c *conn) queueClose(code, text string) {
 	c.send(Encode(KindError, Error{Code: code, Text: text}))
 	c.send(nil)
 }
 
-// serve holds a connection to its end; it says why it ended.
+// serve reads messages until the connection ends. It returns the reason as an error code or a log value.
 func (h *Hub) serve(ctx context.Context, c *conn) (code string, err error) {
 	if code, err := h.readHello(ctx, c); err != nil {
 		return code, err
 	}
-	failed := make(chan error, 1)
-	go func() { failed <- c.write(ctx) }()
+	writeResult := make(chan error, 1)
+	go func() { writeResult <- c.write(ctx) }()
 	if c.collector == nil {
 		h.submit(
 			session.Opened{
@@ -331,7 +334,7 @@
 	for {
 		_, text, err := c.ws.Read(ctx)
 		if err != nil {
-			return endCode(err, failed)
+			return endCode(err, writeResult)
 		}
 		message, err := Decode(text)
 		if err == nil {
@@ -343,10 +346,11 @@
 	}
 }
 
-// readHello takes the hello of a connection. Its error has a code, which the other side was told unless it was silent.
+// readHello reads and checks the hello of a connection. On an error it returns the code, which it has also sent to
+// the client unless no hello arrived.
 func (h *Hub) readHello(ctx context.Context, c *conn) (code string, err error) {
-	first, cancel := context.WithTimeout(ctx, helloTimeout)
-	_, text, err := c.ws.Read(first)
+	helloCtx, cancel := context.WithTimeout(ctx, helloTimeout)
+	_, text, err := c.ws.Read(helloCtx)
 	cancel()
 	if err != nil {
 		return CodeHelloTimeout, err
@@ -357,7 +361,7 @@
 		return c.reject(ctx, CodeMessage, errors.Join(errInvalidMessage, err))
 	}
 	if hello.Version != Version {
-		return c.reject(ctx, CodeVersion, fmt.Errorf("version %d, we speak %d", hello.Version, Version))
+		return c.reject(ctx, CodeVersion, fmt.Errorf("protocol version is %d, want %d", hello.Version, Version))
 	}
 	if err := h.authorize(c, hello); err != nil {
 		return c.reject(ctx, CodeTopic, err)
@@ -366,42 +370,43 @@
 	return "", nil
 }
 
-// reject tells the other side why its connection ends.
+// reject closes the connection with a code and the text of err. It returns both.
 func (c *conn) reject(ctx context.Context, code string, err error) (string, error) {
 	c.closeWithError(ctx, Error{Code: code, Text: err.Error()})
 	return code, err
 }
 
-// endCode is the code of a connection that ended by itself; failed has the error of its writer, if that ended it.
-func endCode(err error, failed <-chan error) (string, error) {
+// endCode returns the reason for the end of a connection whose read failed. A write error, if there is one, takes
+// precedence.
+func endCode(readErr error, writeResult <-chan error) (string, error) {
 	select {
-	case err := <-failed:
+	case err := <-writeResult:
 		if err != nil {
 			return CodeWriteTimeout, err
 		}
 	default:
 	}
-	switch websocket.CloseStatus(err) {
+	switch websocket.CloseStatus(readErr) {
 	case websocket.StatusNormalClosure, websocket.StatusGoingAway:
 		return "closed", nil
 	default:
-		return "reset", err
+		return "reset", readErr
 	}
 }
 
 var (
-	errUnknownTopic = errors.New("no such topic")
-	errNotOwner     = errors.New("only its own may publish that")
+	errUnknownTopic = errors.New("unknown topic or invalid subscription")
+	errNotOwner     = errors.New("message is not allowed on this connection")
 )
 
-// authorize checks what a connection asks for. A collector is made known to the desk.
+// authorize checks that the hello names a topic that the client may use. It registers a collector with the event loop.
 func (h *Hub) authorize(c *conn, hello Hello) error {
-	at, orders := proxyOfTopic(hello.Topic)
+	proxy, orders := proxyOfTopic(hello.Topic)
 	zone, reports := strings.CutPrefix(hello.Topic, ReportsTopicPrefix)
 	switch {
 	case (hello.Topic == ListTopic || hello.Topic == DecisionsTopic) && !hello.Owner:
 		return nil
-	case orders && at < h.proxies && (!hello.Owner || slices.Contains(
+	case orders && proxy < h.proxies && (!hello.Owner || slices.Contains(
 		h.names.Zones,
 		hello.Zone,
 	) && hello.Rate >= 0 && hello.Rate < 1e6):
@@ -414,59 +419,59 @@
 	return fmt.Errorf("%w: %.60q", errUnknownTopic, hello.Topic)
 }
 
-// handle hands on what a client says.
-func (h *Hub) handle(c *conn, said any) error {
-	at, _ := proxyOfTopic(c.hello.Topic)
-	switch said := said.(type) {
+// handle passes a message of a client on to the sessions or the event loop.
+func (h *Hub) handle(c *conn, message any) error {
+	proxy, _ := proxyOfTopic(c.hello.Topic)
+	switch message := message.(type) {
 	case Ack:
 		if c.collector != nil {
 			return errNotOwner
 		}
-		h.submit(session.Acked{Conn: c.id, Epoch: said.Epoch, Seq: said.Seq, AddedCredit: said.AddedCredit})
+		h.submit(session.Acked{Conn: c.id, Epoch: message.Epoch, Seq: message.Seq, AddedCredit: message.AddedCredit})
 	case UsageReport:
 		if !c.hello.Owner {
 			return errNotOwner
 		}
-		u := textproto.UsageReport{
-			Proxy:   at,
-			Product: said.Product,
-			Txns:    said.Txns,
-			Failed:  said.Failed,
-			Period:  textproto.DurationFromMillis(said.Millis),
+		report := textproto.UsageReport{
+			Proxy:   proxy,
+			Product: message.Product,
+			Txns:    message.Txns,
+			Failed:  message.Failed,
+			Period:  textproto.DurationFromMillis(message.Millis),
 		}
-		if err := u.Validate(); err != nil {
+		if err := report.Validate(); err != nil {
 			return err
 		}
-		h.submit(ownerReport{c.hello.Topic, u})
+		h.submit(ownerReport{c.hello.Topic, report})
 	case BackendReport:
 		zone, ok := strings.CutPrefix(c.hello.Topic, ReportsTopicPrefix)
 		if !ok {
 			return errNotOwner
 		}
-		e := textproto.BackendReport{
+		report := textproto.BackendReport{
 			Zone:     zone,
-			Backend:  said.Backend,
-			Attempts: said.Attempts,
-			Failed:   said.Failed,
-			Latency:  textproto.DurationFromMillis(said.Latency),
+			Backend:  message.Backend,
+			Attempts: message.Attempts,
+			Failed:   message.Failed,
+			Latency:  textproto.DurationFromMillis(message.Latency),
 		}
-		if err := e.Validate(textproto.DurationFromMillis(said.Millis)); err != nil {
+		if err := report.Validate(textproto.DurationFromMillis(message.Millis)); err != nil {
 			return err
 		}
-		h.handler(eventloop.Command{From: c.collector, Message: e})
+		h.handler(eventloop.Command{From: c.collector, Message: report})
 	default:
-		return fmt.Errorf("%w: %T", errInvalidMessage, said)
+		return fmt.Errorf("%w: %T", errInvalidMessage, message)
 	}
 	return nil
 }
 
-// ownerReport is a report of a topic's owner, on its way to the stream that the desk knows.
+// ownerReport is the event of a report by a topic's owner. run passes the report on to the event loop.
 type ownerReport struct {
 	topic   string
 	message any
 }
 
-// write sends what is queued. A client that does not read in time is let go of.
+// write sends the queued messages. It cancels the connection if a write fails or times out.
 func (c *conn) write(ctx context.Context) error {
 	for {
 		select {
@@ -475,8 +480,8 @@
 				_ = c.ws.Close(websocket.StatusPolicyViolation, "")
 				return nil
 			}
-			within, cancel := context.WithTimeout(ctx, writeTimeout)
-			err := c.ws.Write(within, websocket.MessageBinary, message)
+			writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
+			err := c.ws.Write(writeCtx, websocket.MessageBinary, message)
 			cancel()
 			if err != nil {
 				c.cancel()
@@ -488,14 +493,15 @@
 	}
 }
 
-func choose[T any](is bool, yes, no T) T {
-	if is {
+// choose returns yes if condition holds, else no.
+func choose[T any](condition bool, yes, no T) T {
+	if condition {
 		return yes
 	}
 	return no
 }
 
-// collector is a collector as the desk sees it.
+// collector is the eventloop.Stream of a collector's connection. Nothing is sent to a collector.
 type collector struct {
 	openedAt uint64
 	conn     *conn
--- a/internal/controller/pubsub/stream.go
+++ b/internal/controller/pubsub/stream.go
@@ -7,16 +7,16 @@
 	"elmfold/internal/controller/textproto"
 )
 
-// stream is a proxy's topic as the desk sees it: a desk.Stream. It outlives the connections of its owner.
+// stream is the eventloop.PartStream of a proxy's topic. It outlives the connections of the proxy.
 type stream struct {
 	hub      *Hub
 	topic    string
 	openedAt uint64
 
-	encoder OrderEncoder // the desk's goroutine alone looks
+	encoder OrderEncoder // used only by the event loop's goroutine
 
 	mu     sync.Mutex
-	ended  bool // the desk let it go
+	ended  bool // the event loop closed the stream
 	faults int
 	fault  error
 }
@@ -25,10 +25,10 @@
 
 func (s *stream) SetPeer(string) {}
 
-// CloseReplaced is the desk's word that the proxy is served by another stream now.
+// CloseReplaced drops the topic because another stream serves the proxy.
 func (s *stream) CloseReplaced() { s.drop() }
 
-// CloseRefused is the desk's word that it is nobody's.
+// CloseRefused drops the topic because the event loop does not know the proxy.
 func (s *stream) CloseRefused() { s.drop() }
 
 func (s *stream) drop() {
@@ -38,7 +38,7 @@
 	s.hub.submit(session.TopicDropped{Topic: s.topic})
 }
 
-// RecordFault keeps what was wrong with a report; the line about the end of the stream shows the first.
+// RecordFault counts invalid reports and keeps the first error.
 func (s *stream) RecordFault(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,81 +47,82 @@
 	}
 }
 
-// Send is for streams of text; the desk gives this one parts.
+// Send does nothing: the event loop calls SendParts instead.
 func (s *stream) Send([]byte) {}
 
-// SendParts hands the hub the values that the parts of a message stand for. It never waits.
+// SendParts publishes the updates that the parts of a message make to the topic. It never blocks.
 func (s *stream) SendParts(parts []textproto.Part) {
-	e := session.TopicChanged{Topic: s.topic}
-	e.Updates, e.Marker = s.encoder.Updates(s.hub.names.Products, parts)
-	s.hub.submit(e)
+	change := session.TopicChanged{Topic: s.topic}
+	change.Updates, change.Marker = s.encoder.Updates(s.hub.names.Products, parts)
+	s.hub.submit(change)
 }
 
-// OrderEncoder turns the messages to a proxy into values, in the order in which they are made.
+// OrderEncoder converts the messages to a proxy to updates of its topic. It must see the messages in order.
 type OrderEncoder struct {
-	weighted map[string]map[string]bool // by product, that it has
+	weighted map[string]map[string]bool // backends that have a weight, by product
 }
 
-// Updates are the values that a message changes, and the mark that it asks an answer for, 0 for none. Of a key that is
-// named twice the last one holds. Parts that name no products mean all.
-func (o *OrderEncoder) Updates(products []string, parts []textproto.Part) (sets []session.Update, mark int) {
+// Updates returns the updates of a message and the marker that the proxy must acknowledge, 0 for none. Only the last
+// update of each key is returned. A part without products applies to all products.
+func (o *OrderEncoder) Updates(products []string, parts []textproto.Part) (updates []session.Update, marker int) {
 	if o.weighted == nil {
 		o.weighted = map[string]map[string]bool{}
 	}
-	c := changeSet{index: map[string]int{}}
+	changes := changeSet{index: map[string]int{}}
 	for _, p := range parts {
 		for _, id := range p.Withdrawn {
-			c.put(session.Update{Key: WithdrawnKey(id)})
+			changes.put(session.Update{Key: WithdrawnKey(id)})
 		}
 		for _, id := range p.Restored {
-			c.put(session.Update{Key: WithdrawnKey(id), Deleted: true})
+			changes.put(session.Update{Key: WithdrawnKey(id), Deleted: true})
 		}
-		named := p.Products
-		if named == nil {
-			named = products
+		selected := p.Products
+		if selected == nil {
+			selected = products
 		}
-		for _, product := range named {
-			o.encodeProduct(&c, product, p)
+		for _, product := range selected {
+			o.encodeProduct(&changes, product, p)
 		}
 		if p.HasMarker {
-			mark = p.Marker
+			marker = p.Marker
 		}
 	}
-	return c.updates, mark
+	return changes.updates, marker
 }
 
-// changeSet has the newest Set of each key, in the order in which the keys came first.
+// changeSet holds the newest update of each key, in the order in which the keys first appeared.
 type changeSet struct {
 	updates []session.Update
-	index   map[string]int
+	index   map[string]int // positions in updates by key
 }
 
-func (c *changeSet) put(x session.Update) {
-	if i, ok := c.index[x.Key]; ok {
-		c.updates[i] = x
+func (c *changeSet) put(update session.Update) {
+	if i, ok := c.index[update.Key]; ok {
+		c.updates[i] = update
 		return
 	}
-	c.index[x.Key] = len(c.updates)
-	c.updates = append(c.updates, x)
+	c.index[update.Key] = len(c.updates)
+	c.updates = append(c.updates, update)
 }
 
+// encodeProduct adds the updates of a part for one product.
 func (o *OrderEncoder) encodeProduct(c *changeSet, product string, p textproto.Part) {
 	if o.weighted[product] == nil {
 		o.weighted[product] = map[string]bool{}
 	}
-	lines := o.weighted[product]
+	weighted := o.weighted[product]
 	if p.Full {
-		for id := range lines {
+		for id := range weighted {
 			c.put(session.Update{Key: WeightKey(product, id), Deleted: true})
 		}
-		clear(lines)
+		clear(weighted)
 		c.put(session.Update{Key: AdmissionKey(product), Deleted: true})
 	}
-	for _, l := range p.Weights {
-		value := session.Value{Number: l.Weight}
-		c.put(session.Update{Key: WeightKey(product, l.Backend), Deleted: l.Weight <= 0, Value: value})
-		if lines[l.Backend] = true; l.Weight <= 0 {
-			delete(lines, l.Backend)
+	for _, w := range p.Weights {
+		value := session.Value{Number: w.Weight}
+		c.put(session.Update{Key: WeightKey(product, w.Backend), Deleted: w.Weight <= 0, Value: value})
+		if weighted[w.Backend] = true; w.Weight <= 0 {
+			delete(weighted, w.Backend)
 		}
 	}
 	if a := p.Admission; a != nil {
--- a/internal/controller/pubsub/wire.go
+++ b/internal/controller/pubsub/wire.go
@@ -1,6 +1,6 @@
-// Package pubsub serves the pub-sub channel: what the desk orders for a proxy is a topic of values, which subscribers
-// are kept up with over WebSocket, in cbor. docs/channel.md has the protocol. What is sent to whom is settled in
-// channel/session; one goroutine, the hub, owns that, and the desk never waits for it.
+// Package pubsub publishes the routing state of each proxy as a topic of keyed values. Subscribers receive a topic over
+// WebSocket, encoded as CBOR; docs/channel.md describes the protocol. Package session decides which messages each
+// subscriber is sent. One goroutine, started by Listen, owns the sessions; the event loop never waits for it.
 package pubsub
 
 import (
@@ -14,13 +14,13 @@
 	"elmfold/internal/controller/pubsub/session"
 )
 
-// Version of the protocol. Another one is refused.
+// Version is the protocol version. The hub refuses a client with a different version.
 const Version = 1
 
-// Protocol is the WebSocket subprotocol.
+// Protocol is the name of the WebSocket subprotocol.
 const Protocol = "elmfold.channel.v1"
 
-// Kinds of message: the first byte; cbor follows.
+// Message kinds. The first byte of a message is its kind; the rest is CBOR.
 const (
 	KindHello         = 'H'
 	KindAck           = 'A'
@@ -31,16 +31,17 @@
 	KindError         = 'E'
 )
 
-// Topics.
+// Topics and topic prefixes.
 const (
-	OrdersTopicPrefix  = "orders/"  // and the number of a proxy
-	ReportsTopicPrefix = "reports/" // and a zone: published to, never sent
+	OrdersTopicPrefix  = "orders/"  // followed by a proxy number
+	ReportsTopicPrefix = "reports/" // followed by a zone; collectors publish to it, nobody subscribes
 	ListTopic          = "list"
-	DecisionsTopic     = "decisions" // reliefs, total, knee and pace
+	DecisionsTopic     = "decisions" // the facts of package warmstart, except usage
 )
 
-// Hello opens a connection: it names a topic and what took effect of it. Own says that the proxy of the topic itself
-// speaks; Zone and Rate are then its zone and about how many txns it gets a second.
+// Hello is the first message of a client. It names a topic and the last message that the client applied. Owner is set
+// by the proxy that the topic belongs to; Zone and Rate are then its zone and its approximate transactions per second.
+// The hub sends at most Credit messages until an Ack adds credit.
 type Hello struct {
 	Version int     `cbor:"1,keyasint"`
 	Topic   string  `cbor:"2,keyasint"`
@@ -52,14 +53,14 @@
 	Credit  int     `cbor:"8,keyasint"`
 }
 
-// Ack says that all up to a number took effect, and that so many more messages may come.
+// Ack confirms that the client applied all messages up to Seq, and lets the hub send AddedCredit more messages.
 type Ack struct {
 	Epoch       uint64 `cbor:"1,keyasint"`
 	Seq         uint32 `cbor:"2,keyasint"`
 	AddedCredit int    `cbor:"3,keyasint,omitempty"`
 }
 
-// UsageReport sums the txns of a product that came to the proxy in so many ms.
+// UsageReport counts the transactions of a product that a proxy received within Millis.
 type UsageReport struct {
 	Product string  `cbor:"1,keyasint"`
 	Txns    float64 `cbor:"2,keyasint"`
@@ -67,7 +68,8 @@
 	Millis  float64 `cbor:"4,keyasint"`
 }
 
-// BackendReport sums what the proxies of a zone met at a backend in so many ms; Took is the mean time of answers in ms.
+// BackendReport summarizes the attempts of the proxies of a zone at a backend within Millis. Latency is the mean
+// response time in milliseconds.
 type BackendReport struct {
 	Backend  string  `cbor:"1,keyasint"`
 	Attempts float64 `cbor:"2,keyasint"`
@@ -76,7 +78,7 @@
 	Millis   float64 `cbor:"5,keyasint"`
 }
 
-// Message is a snapshot or a change.
+// Message is the body of a snapshot or a change. A change applies to the state after message Prev.
 type Message struct {
 	Epoch   uint64           `cbor:"1,keyasint"`
 	Seq     uint32           `cbor:"2,keyasint"`
@@ -84,48 +86,48 @@
 	Updates []session.Update `cbor:"4,keyasint"`
 }
 
-// Error says why a connection ends.
+// Error tells the client why the hub closes its connection.
 type Error struct {
 	Code string `cbor:"1,keyasint"`
 	Text string `cbor:"2,keyasint,omitempty"`
 }
 
-// Codes of Error, beside the reasons of a session.
+// Error codes. Error also carries the values of session.Reason.
 const (
-	CodeVersion            = "version"  // another version of the protocol
-	CodeTopic              = "topic"    // no such topic, or not for the one that asks
-	CodeMessage            = "message"  // what came is no message of the protocol
-	CodeNotOwner           = "not-own"  // it publishes what only another may
-	CodeTooManyConnections = "crowded"  // no more connections are taken
-	CodeRefused            = "refused"  // a proxy or zone that the settings do not have
-	CodeHelloTimeout       = "silent"   // no hello in time
-	CodeWriteTimeout       = "unread"   // what is sent is not read in time
-	CodeStopped            = "stopping" // the controller ends
+	CodeVersion            = "version"  // the client has a different protocol version
+	CodeTopic              = "topic"    // the topic is unknown or not open to this client
+	CodeMessage            = "message"  // the message is malformed or invalid
+	CodeNotOwner           = "not-own"  // the client may not publish this kind of message
+	CodeTooManyConnections = "crowded"  // the connection limit is reached
+	CodeRefused            = "refused"  // the proxy or zone is not in the settings
+	CodeHelloTimeout       = "silent"   // no hello arrived in time
+	CodeWriteTimeout       = "unread"   // the client did not read a message in time
+	CodeStopped            = "stopping" // the controller shuts down
 )
 
-// Encode writes a message of a kind.
+// Encode returns a message of a kind with v as its body. It panics if v has no CBOR encoding.
 func Encode(kind byte, v any) []byte {
 	body, err := cbor.Marshal(v)
 	if err != nil {
-		panic(err) // none of ours is unwritable
+		panic(err) // every message type of the protocol can be encoded
 	}
 	return append([]byte{kind}, body...)
 }
 
-var errInvalidMessage = errors.New("no message of this protocol")
+var errInvalidMessage = errors.New("invalid protocol message")
 
-// Decode reads one. What it gives is a Hello, Ack, Used, Heard, Error, or a session.Send.
-func Decode(text []byte) (any, error) {
-	if len(text) == 0 {
+// Decode parses a message. The result is a Hello, Ack, UsageReport, BackendReport, Error or session.Send.
+func Decode(message []byte) (any, error) {
+	if len(message) == 0 {
 		return nil, errInvalidMessage
 	}
 	read := func(v any) error {
-		if err := cbor.Unmarshal(text[1:], v); err != nil {
+		if err := cbor.Unmarshal(message[1:], v); err != nil {
 			return fmt.Errorf("%w: %w", errInvalidMessage, err)
 		}
 		return nil
 	}
-	switch text[0] {
+	switch message[0] {
 	case KindHello:
 		var h Hello
 		err := read(&h)
@@ -139,9 +141,9 @@
 		err := read(&u)
 		return u, err
 	case KindBackendReport:
-		var h BackendReport
-		err := read(&h)
-		return h, err
+		var r BackendReport
+		err := read(&r)
+		return r, err
 	case KindError:
 		var e Error
 		err := read(&e)
@@ -149,69 +151,69 @@
 	case KindSnapshot, KindChange:
 		var m Message
 		err := read(&m)
-		snapshot := text[0] == KindSnapshot
+		snapshot := message[0] == KindSnapshot
 		return session.Send{Epoch: m.Epoch, Seq: m.Seq, Prev: m.Prev, Snapshot: snapshot, Updates: m.Updates}, err
 	}
-	return nil, fmt.Errorf("%w: kind %q", errInvalidMessage, text[0])
+	return nil, fmt.Errorf("%w: kind %q", errInvalidMessage, message[0])
 }
 
-func encodeSend(m session.Send) []byte {
+func encodeSend(send session.Send) []byte {
 	kind := byte(KindChange)
-	if m.Snapshot {
+	if send.Snapshot {
 		kind = KindSnapshot
 	}
-	return Encode(kind, Message{Epoch: m.Epoch, Seq: m.Seq, Prev: m.Prev, Updates: m.Updates})
+	return Encode(kind, Message{Epoch: send.Epoch, Seq: send.Seq, Prev: send.Prev, Updates: send.Updates})
 }
 
-// Keys of a topic of orders, the most urgent first: who is shut out, lines, gates.
+// Key prefixes of an orders topic. Keys are sent in sort order, so the most urgent prefix sorts first.
 const (
 	withdrawnPrefix = "a"
 	weightPrefix    = "b"
 	admissionPrefix = "c"
 )
 
-// WithdrawnKey stands while a backend is shut out.
+// WithdrawnKey is present while a backend is withdrawn from routing.
 func WithdrawnKey(backend string) string { return session.JoinKey(withdrawnPrefix, backend) }
 
-// WeightKey holds the weight of a backend's line for a product.
+// WeightKey holds the routing weight of a backend for a product.
 func WeightKey(product, backend string) string {
 	return session.JoinKey(weightPrefix, product, backend)
 }
 
-// AdmissionKey holds the level of a product and its way of trying again.
+// AdmissionKey holds the rate limit and the retries of a product.
 func AdmissionKey(product string) string { return session.JoinKey(admissionPrefix, product) }
 
-// RoutingTable is what a proxy goes by for a product.
+// RoutingTable holds the routing state of a proxy for one product.
 type RoutingTable struct {
 	Weights   map[string]float64
-	RateLimit float64 // below 0: none was set
+	RateLimit float64 // negative if unset
 	Retries   int
 }
 
-// RoutingTables reads the values of a topic of orders: who is shut out, and a table by product.
-func RoutingTables(state map[string]session.Value) (out map[string]bool, tables map[string]*RoutingTable) {
-	out, tables = map[string]bool{}, map[string]*RoutingTable{}
+// RoutingTables converts the values of an orders topic to the withdrawn backends and the routing tables by product.
+func RoutingTables(state map[string]session.Value) (withdrawn map[string]bool, tables map[string]*RoutingTable) {
+	withdrawn, tables = map[string]bool{}, map[string]*RoutingTable{}
 	table := func(product string) *RoutingTable {
 		if tables[product] == nil {
 			tables[product] = &RoutingTable{Weights: map[string]float64{}, RateLimit: -1}
 		}
 		return tables[product]
 	}
-	for key, v := range state {
+	for key, value := range state {
 		switch parts := session.SplitKey(key); {
 		case len(parts) == 2 && parts[0] == withdrawnPrefix:
-			out[parts[1]] = true
+			withdrawn[parts[1]] = true
 		case len(parts) == 3 && parts[0] == weightPrefix:
-			table(parts[1]).Weights[parts[2]] = v.Number
+			table(parts[1]).Weights[parts[2]] = value.Number
 		case len(parts) == 2 && parts[0] == admissionPrefix:
 			t := table(parts[1])
-			t.RateLimit, t.Retries = v.Number, v.Integer
+			t.RateLimit, t.Retries = value.Number, value.Integer
 		}
 	}
-	return out, tables
+	return withdrawn, tables
 }
 
-// proxyOfTopic reads the number of a topic of orders.
+// proxyOfTopic returns the proxy number of an orders topic; it returns false for any other topic.
 func proxyOfTopic(topic string) (int, bool) {
 	text, ok := strings.CutPrefix(topic, OrdersTopicPrefix)
 	n, err := strconv.Atoi(text)
