--- a/internal/controller/discovery/watch/cases_test.go
+++ b/internal/controller/discovery/watch/cases_test.go
@@ -26,13 +26,13 @@
 	"elmfold/internal/controller/discovery/etcd"
 	"elmfold/internal/controller/discovery/watch"
 	"elmfold/internal/controller/reconcile"
-	standconsul "elmfold/internal/fakes/consul"
-	standetcd "elmfold/internal/fakes/etcd"
+	fakeconsul "elmfold/internal/fakes/consul"
+	fakeetcd "elmfold/internal/fakes/etcd"
 	"elmfold/internal/fakes/kv"
 	"elmfold/internal/fakes/link"
 )
 
-// What fasthttp keeps ends by itself, within 10 s.
+// fasthttp stops the ignored goroutines on its own within 10 s.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m,
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*HostClient).connsCleaner"),
@@ -41,12 +41,12 @@
 }
 
 const (
-	prefix = "elm/b"
-	limit  = 30 * time.Second // that nothing here comes near
+	prefix      = "elm/b"
+	waitTimeout = 30 * time.Second
 )
 
-// serverOf is the rig's server, of the kind that it was made with.
-func serverOf[T any](r *rig) T {
+// serverOf returns the fake server of the environment as its concrete type.
+func serverOf[T any](r *testEnv) T {
 	r.Helper()
 	server, ok := r.server.(T)
 	if !ok {
@@ -59,7 +59,7 @@
 	return fmt.Sprintf(`{"locality":"a","flavor":"m","phase":%q,"size":1}`, phase)
 }
 
-// server is a stand-in of either kind.
+// server is a fake registry of either kind.
 type server interface {
 	Addr() string
 	Stop()
@@ -67,36 +67,36 @@
 	Expire()
 }
 
-// rig is a stand-in registry, a link to it and a follower, with what that tells.
-type rig struct {
+// testEnv holds a fake registry, a network link to it and a Follower, and collects what the Follower reports.
+type testEnv struct {
 	*testing.T
-	kind   string
-	store  *kv.Store
-	server server
-	link   *link.Link
-	f      *watch.Follower
-	tells  chan reconcile.PublishList
-	notes  chan reconcile.LogEntry
-	list   map[string]reconcile.Member
-	at     int64
-	doubts int
-}
-
-// kinds runs a test against both kinds of registry.
-func kinds(t *testing.T, f func(t *testing.T, kind string)) {
+	kind                string
+	store               *kv.Store
+	server              server
+	link                *link.Link
+	follower            *watch.Follower
+	published           chan reconcile.PublishList
+	logEntries          chan reconcile.LogEntry
+	members             map[string]reconcile.Member
+	revision            int64
+	revisionMayDecrease bool
+}
+
+// forEachKind runs a test against both kinds of registry.
+func forEachKind(t *testing.T, f func(t *testing.T, kind string)) {
 	for _, kind := range []string{"etcd", "consul"} {
 		t.Run(kind, func(t *testing.T) { f(t, kind) })
 	}
 }
 
-func newRig(t *testing.T, kind string, conf *tls.Config) *rig {
+func newTestEnv(t *testing.T, kind string, conf *tls.Config) *testEnv {
 	t.Helper()
-	r := &rig{T: t, kind: kind, store: kv.New(7), list: map[string]reconcile.Member{}}
+	r := &testEnv{T: t, kind: kind, store: kv.New(7), members: map[string]reconcile.Member{}}
 	var err error
 	if kind == "etcd" {
-		r.server, err = standetcd.Start(r.store, conf)
+		r.server, err = fakeetcd.Start(r.store, conf)
 	} else {
-		r.server, err = standconsul.Start(r.store, conf)
+		r.server, err = fakeconsul.Start(r.store, conf)
 	}
 	if err == nil {
 		t.Cleanup(r.server.Stop)
@@ -109,8 +109,8 @@
 	return r
 }
 
-// plan is quick: its spans are counted in turns of a schedule, not in what a test waits for.
-func (r *rig) plan() reconcile.Config {
+// config returns a configuration with short backoffs.
+func (r *testEnv) config() reconcile.Config {
 	p := reconcile.DefaultConfig()
 	p.Seed, p.Prefix, p.PageSize = "n1", prefix, 3
 	p.MinBackoff, p.MaxBackoff, p.MaxRejectedBackoff = time.Millisecond, 20*time.Millisecond, 20*time.Millisecond
@@ -122,104 +122,104 @@
 	return p
 }
 
-func (r *rig) source(endpoints []string, a discovery.Access) watch.Source {
+func (r *testEnv) source(endpoints []string, a discovery.Access) watch.Source {
 	if r.kind == "etcd" {
 		return etcd.New(endpoints, prefix, a)
 	}
 	return consul.New(endpoints, prefix, a, 2*time.Second)
 }
 
-func (r *rig) begin(p reconcile.Config, a discovery.Access) {
-	r.tells, r.notes = make(chan reconcile.PublishList, 10000), make(chan reconcile.LogEntry, 10000)
+func (r *testEnv) start(p reconcile.Config, a discovery.Access) {
+	r.published, r.logEntries = make(chan reconcile.PublishList, 10000), make(chan reconcile.LogEntry, 10000)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	endpoints := []string{r.link.Addr()}
-	r.f = watch.New(p, r.source(endpoints, a), endpoints, func(any) {}, logrus.NewEntry(log))
-	r.f.SetObserver(func(o reconcile.Order) {
+	r.follower = watch.New(p, r.source(endpoints, a), endpoints, func(any) {}, logrus.NewEntry(log))
+	r.follower.SetObserver(func(o reconcile.Order) {
 		switch o := o.(type) {
 		case reconcile.PublishList:
-			r.tells <- o
+			r.published <- o
 		case reconcile.LogEntry:
-			r.notes <- o
+			r.logEntries <- o
 		}
 	})
-	go r.f.Run()
-	r.Cleanup(r.f.Stop)
+	go r.follower.Run()
+	r.Cleanup(r.follower.Stop)
 }
 
-// hear takes one Tell: each member must be a change, and revisions must not go back.
-func (r *rig) hear(o reconcile.PublishList) {
+// apply applies a published list. It checks that each member is a change and that the revision does not decrease.
+func (r *testEnv) apply(o reconcile.PublishList) {
 	r.Helper()
 	if o.Complete {
-		clear(r.list)
+		clear(r.members)
 	}
-	if o.Revision < r.at && !o.Complete && r.doubts == 0 {
-		r.Errorf("revision %d is told after %d", o.Revision, r.at)
+	if o.Revision < r.revision && !o.Complete && !r.revisionMayDecrease {
+		r.Errorf("revision %d was published after %d", o.Revision, r.revision)
 	}
-	r.at = o.Revision
+	r.revision = o.Revision
 	for _, m := range o.Members {
-		was, there := r.list[m.ID]
-		if gone := m.Phase == reconcile.Deleted; gone && !there || !gone && there && was == m {
-			r.Errorf("%+v is told twice", m)
+		previous, known := r.members[m.ID]
+		if deleted := m.Phase == reconcile.Deleted; deleted && !known || !deleted && known && previous == m {
+			r.Errorf("%+v was published twice", m)
 		}
-		if r.list[m.ID] = m; m.Phase == reconcile.Deleted {
-			delete(r.list, m.ID)
+		if r.members[m.ID] = m; m.Phase == reconcile.Deleted {
+			delete(r.members, m.ID)
 		}
 	}
 }
 
-// until hears what is told until the list is as wanted.
-func (r *rig) until(want map[string]string) {
+// waitForMembers applies published lists until the phases of all members are as wanted.
+func (r *testEnv) waitForMembers(want map[string]string) {
 	r.Helper()
-	over := time.After(limit)
-	for !r.is(want) {
+	timeout := time.After(waitTimeout)
+	for !r.hasMembers(want) {
 		select {
-		case o := <-r.tells:
-			r.hear(o)
-		case <-over:
-			r.Fatalf("the list is %+v, want %v", r.list, want)
+		case o := <-r.published:
+			r.apply(o)
+		case <-timeout:
+			r.Fatalf("timed out: members are %+v, want %v", r.members, want)
 		}
 	}
 }
 
-func (r *rig) is(want map[string]string) bool {
+func (r *testEnv) hasMembers(want map[string]string) bool {
 	for id, phase := range want {
-		if r.list[id].Phase != phase {
+		if r.members[id].Phase != phase {
 			return false
 		}
 	}
-	return len(r.list) == len(want)
+	return len(r.members) == len(want)
 }
 
-// note waits for a line that holds some words.
-func (r *rig) note(words string) reconcile.LogEntry {
+// waitForLogEntry waits for a log entry that contains the text.
+func (r *testEnv) waitForLogEntry(text string) reconcile.LogEntry {
 	r.Helper()
-	over := time.After(limit)
+	timeout := time.After(waitTimeout)
 	for {
 		select {
-		case n := <-r.notes:
-			if strings.Contains(n.Text+" "+n.Reason, words) {
+		case n := <-r.logEntries:
+			if strings.Contains(n.Text+" "+n.Reason, text) {
 				return n
 			}
-		case <-over:
-			r.Fatalf("no line holds %q", words)
+		case <-timeout:
+			r.Fatalf("timed out waiting for a log entry with %q", text)
 		}
 	}
 }
 
-func (r *rig) put(id, phase string) { r.store.Put(prefix+"/"+id, value(phase)) }
+func (r *testEnv) put(id, phase string) { r.store.Put(prefix+"/"+id, value(phase)) }
 
-// Cut at each byte of what the registry sends, in pieces of any size, the list comes out as the registry holds
-// it, each change told once and in order.
-func TestCase1CutAtAnyByte(t *testing.T) {
-	kinds(t, func(t *testing.T, kind string) {
+// Guards against lost, repeated or reordered changes when the connection breaks at any byte of a response and data
+// arrives in pieces of any size.
+func TestConnectionCutAtAnyByte(t *testing.T) {
+	forEachKind(t, func(t *testing.T, kind string) {
 		step := int64(11)
 		if testing.Short() {
 			step = 101
 		}
 		for at := int64(0); at < 1500; at += step {
-			r := newRig(t, kind, nil)
-			if m, ok := r.server.(*standetcd.Member); ok {
+			r := newTestEnv(t, kind, nil)
+			if m, ok := r.server.(*fakeetcd.Member); ok {
 				m.Fragment(1)
 			}
 			r.link.Become(func(n int) link.Script {
@@ -233,8 +233,8 @@
 			for _, id := range []string{"a", "b", "c", "d"} {
 				r.put(id, reconcile.Serving)
 			}
-			r.begin(r.plan(), discovery.Access{})
-			r.until(map[string]string{"a": "SERVING", "b": "SERVING", "c": "SERVING", "d": "SERVING"})
+			r.start(r.config(), discovery.Access{})
+			r.waitForMembers(map[string]string{"a": "SERVING", "b": "SERVING", "c": "SERVING", "d": "SERVING"})
 			r.put("a", reconcile.Draining)
 			r.store.Txn(
 				kv.Change{Key: prefix + "/b", Gone: true},
@@ -242,8 +242,8 @@
 				kv.Change{Key: prefix + "/e", Value: []byte(value(reconcile.Serving))},
 			)
 			r.put("d", reconcile.Draining)
-			r.until(map[string]string{"a": "DRAINING", "c": "DRAINING", "d": "DRAINING", "e": "SERVING"})
-			r.f.Stop()
+			r.waitForMembers(map[string]string{"a": "DRAINING", "c": "DRAINING", "d": "DRAINING", "e": "SERVING"})
+			r.follower.Stop()
 			r.link.Close()
 			r.server.Stop()
 			if t.Failed() {
@@ -253,11 +253,12 @@
 	})
 }
 
-// Cuts drawn from a seed, with each write delayed and split, at every connection but one in four.
-func TestCase1Drawn(t *testing.T) {
-	kinds(t, func(t *testing.T, kind string) {
+// Guards against lost or repeated changes when three of four connections break at a random byte and writes are delayed
+// and split.
+func TestRandomConnectionCuts(t *testing.T) {
+	forEachKind(t, func(t *testing.T, kind string) {
 		for seed := range uint64(12) {
-			r := newRig(t, kind, nil)
+			r := newTestEnv(t, kind, nil)
 			r.link.Become(func(n int) link.Script {
 				s := link.Drawn(seed, n, 1200, link.Break)
 				if s.Delay = 100 * time.Microsecond; n%4 == 3 {
@@ -265,28 +266,29 @@
 				}
 				return s
 			})
-			r.begin(r.plan(), discovery.Access{})
+			r.start(r.config(), discovery.Access{})
 			want := map[string]string{}
 			for i := range 30 {
 				id, phase := fmt.Sprint("s-", i%7), []string{reconcile.Serving, reconcile.Draining}[i/7%2]
 				r.put(id, phase)
 				want[id] = phase
 				if i%5 == 0 {
-					r.until(want)
+					r.waitForMembers(want)
 				}
 			}
-			r.until(want)
-			r.f.Stop()
+			r.waitForMembers(want)
+			r.follower.Stop()
 		}
 	})
 }
 
-// Silence with the connection open, at any byte, is noticed without TCP; what comes twice is told once.
-func TestCase1Silence(t *testing.T) {
-	kinds(t, func(t *testing.T, kind string) {
+// Guards against missing a registry that stops responding while its TCP connection stays open, and against publishing
+// duplicate events twice.
+func TestUnresponsiveRegistry(t *testing.T) {
+	forEachKind(t, func(t *testing.T, kind string) {
 		for _, at := range []int64{0, 9, 150, 400, 700, 1100} {
-			r := newRig(t, kind, nil)
-			if m, ok := r.server.(*standetcd.Member); ok {
+			r := newTestEnv(t, kind, nil)
+			if m, ok := r.server.(*fakeetcd.Member); ok {
 				m.Twice(true)
 			}
 			r.link.Become(func(n int) link.Script {
@@ -297,49 +299,49 @@
 				return s
 			})
 			r.put("a", reconcile.Serving)
-			p := r.plan()
+			p := r.config()
 			p.ProgressInterval, p.ResponseTimeout = 50*time.Millisecond, 300*time.Millisecond
 			if kind == "etcd" {
 				p.WatchTimeout = 200 * time.Millisecond
 			}
-			r.begin(p, discovery.Access{})
-			r.until(map[string]string{"a": "SERVING"})
+			r.start(p, discovery.Access{})
+			r.waitForMembers(map[string]string{"a": "SERVING"})
 			r.put("a", reconcile.Draining)
 			r.put("b", reconcile.Serving)
-			r.until(map[string]string{"a": "DRAINING", "b": "SERVING"})
+			r.waitForMembers(map[string]string{"a": "DRAINING", "b": "SERVING"})
 			r.server.SetUnresponsive(true)
-			r.note("silent")
+			r.waitForLogEntry("silent")
 			r.store.Delete(prefix + "/b")
 			r.server.SetUnresponsive(false)
-			r.until(map[string]string{"a": "DRAINING"})
-			r.f.Stop()
+			r.waitForMembers(map[string]string{"a": "DRAINING"})
+			r.follower.Stop()
 		}
 	})
 }
 
-// The revision held is compacted during a break, and again between the pages of the whole list; what became
-// draining or was deleted meanwhile is told, and nothing else.
-func TestCase2And3CompactedDuringABreak(t *testing.T) {
-	r := newRig(t, "etcd", nil)
+// Guards against missed or superfluous updates when the known revision is compacted during an outage, and again while
+// the pages of the whole list are read.
+func TestCompactionDuringOutage(t *testing.T) {
+	r := newTestEnv(t, "etcd", nil)
 	for i := range 20 {
 		r.put(fmt.Sprint("s-", i), reconcile.Serving)
 	}
-	r.begin(r.plan(), discovery.Access{})
+	r.start(r.config(), discovery.Access{})
 	want := map[string]string{}
 	for i := range 20 {
 		want[fmt.Sprint("s-", i)] = reconcile.Serving
 	}
-	r.until(want)
+	r.waitForMembers(want)
 	r.link.Refuse(true)
 	r.link.CutAll()
-	r.note("registry fails")
+	r.waitForLogEntry("registry fails")
 	r.put("s-3", reconcile.Draining)
 	r.store.Delete(prefix + "/s-4")
-	r.put("s-5", reconcile.Serving) // as it is
+	r.put("s-5", reconcile.Serving) // unchanged
 	r.store.Compact(0)
 	compactions := 0
-	serverOf[*standetcd.Member](r).Pages(func(int) {
-		if compactions < 4 { // each answer of a page is overtaken
+	serverOf[*fakeetcd.Member](r).Pages(func(int) {
+		if compactions < 4 { // compact the revision of each page that is read
 			compactions++
 			r.put("s-6", reconcile.Serving)
 			r.store.Compact(0)
@@ -348,19 +350,19 @@
 	r.link.Refuse(false)
 	want["s-3"] = reconcile.Draining
 	delete(want, "s-4")
-	r.until(want)
-	r.note("compaction interrupted the read of the whole list")
-	if len(r.tells) > 0 {
-		t.Errorf("more is told: %+v", <-r.tells)
+	r.waitForMembers(want)
+	r.waitForLogEntry("compaction interrupted the read of the whole list")
+	if len(r.published) > 0 {
+		t.Errorf("unexpected update: %+v", <-r.published)
 	}
 }
 
-// A watch that lags behind a compaction is told so with the least revision, and the whole list follows.
-func TestCase2WatchCancelled(t *testing.T) {
-	r := newRig(t, "etcd", nil)
+// Guards against missed changes when the registry cancels a watch whose revision is compacted.
+func TestCompactionCancelsWatch(t *testing.T) {
+	r := newTestEnv(t, "etcd", nil)
 	r.put("a", reconcile.Serving)
-	r.begin(r.plan(), discovery.Access{})
-	r.until(map[string]string{"a": "SERVING"})
+	r.start(r.config(), discovery.Access{})
+	r.waitForMembers(map[string]string{"a": "SERVING"})
 	r.server.SetUnresponsive(true)
 	for range 5 {
 		r.put("a", reconcile.Draining)
@@ -369,110 +371,110 @@
 	r.put("a", reconcile.Draining)
 	r.store.Compact(0)
 	r.server.SetUnresponsive(false)
-	r.note("the last known revision is compacted")
-	r.until(map[string]string{"a": "DRAINING"})
+	r.waitForLogEntry("the last known revision is compacted")
+	r.waitForMembers(map[string]string{"a": "DRAINING"})
 }
 
-// A registry that is restored from a snapshot, with its id or another: drains and ends known stand for the
-// hold, the held list stays until the new one is there, and what changes then is told at once.
-func TestCase4Restored(t *testing.T) {
-	kinds(t, func(t *testing.T, kind string) {
+// Guards against trusting a registry at once that was restored from a snapshot, with the same cluster ID or another.
+// Known drains and removals stay in effect for HistoryHold; later changes take effect at once.
+func TestRegistryRestoredFromSnapshot(t *testing.T) {
+	forEachKind(t, func(t *testing.T, kind string) {
 		for _, id := range []uint64{7, 8} {
-			r := newRig(t, kind, nil)
+			r := newTestEnv(t, kind, nil)
 			r.put("a", reconcile.Serving)
 			r.put("b", reconcile.Serving)
 			r.put("c", reconcile.Serving)
-			old := r.store.Save()
-			p := r.plan()
+			snapshot := r.store.Save()
+			p := r.config()
 			p.HistoryHold = 400 * time.Millisecond
-			r.begin(p, discovery.Access{})
-			r.until(map[string]string{"a": "SERVING", "b": "SERVING", "c": "SERVING"})
+			r.start(p, discovery.Access{})
+			r.waitForMembers(map[string]string{"a": "SERVING", "b": "SERVING", "c": "SERVING"})
 			r.put("a", reconcile.Draining)
 			r.put("c", reconcile.Draining)
 			r.store.Delete(prefix + "/b")
 			r.put("d", reconcile.Serving)
-			r.until(map[string]string{"a": "DRAINING", "c": "DRAINING", "d": "SERVING"})
-			r.doubts++
-			r.store.Restore(old, id)
-			r.note("of another history")
-			r.until(map[string]string{"a": "DRAINING", "c": "DRAINING"})
-			r.put("c", reconcile.Serving) // by its own hand
-			r.until(map[string]string{"a": "DRAINING", "c": "SERVING"})
-			r.note("stopped holding drains and removals")
-			r.until(map[string]string{"a": "SERVING", "b": "SERVING", "c": "SERVING"})
-			r.f.Stop()
+			r.waitForMembers(map[string]string{"a": "DRAINING", "c": "DRAINING", "d": "SERVING"})
+			r.revisionMayDecrease = true
+			r.store.Restore(snapshot, id)
+			r.waitForLogEntry("of another history")
+			r.waitForMembers(map[string]string{"a": "DRAINING", "c": "DRAINING"})
+			r.put("c", reconcile.Serving) // a change after the restore takes effect at once
+			r.waitForMembers(map[string]string{"a": "DRAINING", "c": "SERVING"})
+			r.waitForLogEntry("stopped holding drains and removals")
+			r.waitForMembers(map[string]string{"a": "SERVING", "b": "SERVING", "c": "SERVING"})
+			r.follower.Stop()
 		}
 	})
 }
 
-// Consul cleans up old deletions and its index goes back: nothing is told, and the next change is.
-func TestCase4IndexGoesBackAlone(t *testing.T) {
-	r := newRig(t, "consul", nil)
+// Guards against treating a lower Consul index as another history: Consul lowers it when it purges old deletions.
+func TestConsulIndexDecreases(t *testing.T) {
+	r := newTestEnv(t, "consul", nil)
 	r.put("a", reconcile.Serving)
 	r.put("b", reconcile.Serving)
-	r.begin(r.plan(), discovery.Access{})
-	r.until(map[string]string{"a": "SERVING", "b": "SERVING"})
+	r.start(r.config(), discovery.Access{})
+	r.waitForMembers(map[string]string{"a": "SERVING", "b": "SERVING"})
 	r.store.Delete(prefix + "/b")
-	r.until(map[string]string{"a": "SERVING"})
-	serverOf[*standconsul.Server](r).Forget(true)
-	r.note("index decreased")
+	r.waitForMembers(map[string]string{"a": "SERVING"})
+	serverOf[*fakeconsul.Server](r).Forget(true)
+	r.waitForLogEntry("index decreased")
 	r.put("a", reconcile.Draining)
-	r.doubts++
-	r.until(map[string]string{"a": "DRAINING"})
-	for len(r.notes) > 0 {
-		if n := <-r.notes; strings.Contains(n.Text, "history") {
-			t.Errorf("note %+v", n)
+	r.revisionMayDecrease = true
+	r.waitForMembers(map[string]string{"a": "DRAINING"})
+	for len(r.logEntries) > 0 {
+		if n := <-r.logEntries; strings.Contains(n.Text, "history") {
+			t.Errorf("log entry %+v", n)
 		}
 	}
 }
 
-// Emptied by mistake and filled again: people are told, and the list is as the registry says.
-func TestCase5Emptied(t *testing.T) {
-	kinds(t, func(t *testing.T, kind string) {
-		r := newRig(t, kind, nil)
+// Guards against an unreported mass removal, and against a list that stays empty when the registry is filled again.
+func TestRegistryEmptiedAndRefilled(t *testing.T) {
+	forEachKind(t, func(t *testing.T, kind string) {
+		r := newTestEnv(t, kind, nil)
 		all := map[string]string{}
 		for i := range 10 {
 			id := fmt.Sprint("s-", i)
 			r.put(id, reconcile.Serving)
 			all[id] = reconcile.Serving
 		}
-		r.begin(r.plan(), discovery.Access{})
-		r.until(all)
+		r.start(r.config(), discovery.Access{})
+		r.waitForMembers(all)
 		var gone []kv.Change
 		for id := range all {
 			gone = append(gone, kv.Change{Key: prefix + "/" + id, Gone: true})
 		}
 		r.store.Txn(gone...)
-		if n := r.note("removed at once"); n.Count != 10 {
-			t.Errorf("note %+v", n)
+		if n := r.waitForLogEntry("removed at once"); n.Count != 10 {
+			t.Errorf("log entry %+v", n)
 		}
-		r.until(map[string]string{})
+		r.waitForMembers(map[string]string{})
 		for id := range all {
 			r.put(id, reconcile.Serving)
 		}
-		r.until(all)
+		r.waitForMembers(all)
 	})
 }
 
-// Bad values cost their entry and a line each, over the wire too; of a key that goes to and fro within one
-// answer each turn is told by etcd, and the last by Consul.
-func TestCase7BadValues(t *testing.T) {
-	kinds(t, func(t *testing.T, kind string) {
-		r := newRig(t, kind, nil)
+// Guards against an invalid value that affects other entries or is not logged, and against missing the last of several
+// changes of one key in a response.
+func TestInvalidValues(t *testing.T) {
+	forEachKind(t, func(t *testing.T, kind string) {
+		r := newTestEnv(t, kind, nil)
 		r.put("good", reconcile.Serving)
 		r.store.Put(prefix+"/nojson", "{")
 		r.store.Put(prefix+"/long", `{"locality":"`+strings.Repeat("x", 70000)+`"}`)
 		r.store.Put(prefix+"/alias", `{"id":"good","locality":"a","phase":"SERVING"}`)
-		r.store.Put(prefix+"2/other", value(reconcile.Serving)) // begins alike
-		if m, ok := r.server.(*standetcd.Member); ok {
+		r.store.Put(prefix+"2/other", value(reconcile.Serving)) // shares only the text of the prefix
+		if m, ok := r.server.(*fakeetcd.Member); ok {
 			m.Outside(true)
-			m.Largest(2) // pages of three do not fit
+			m.Largest(2) // pages of three entries exceed the limit
 		}
-		r.begin(r.plan(), discovery.Access{})
-		r.until(map[string]string{"good": "SERVING"})
-		faults := map[string]bool{}
-		for len(faults) < 3 {
-			faults[r.note("ignoring an invalid entry").Key] = true
+		r.start(r.config(), discovery.Access{})
+		r.waitForMembers(map[string]string{"good": "SERVING"})
+		invalidKeys := map[string]bool{}
+		for len(invalidKeys) < 3 {
+			invalidKeys[r.waitForLogEntry("ignoring an invalid entry").Key] = true
 		}
 		if kind == "etcd" {
 			r.server.SetUnresponsive(true)
@@ -483,14 +485,14 @@
 		if kind == "etcd" {
 			r.server.SetUnresponsive(false)
 		}
-		r.until(map[string]string{"good": "DRAINING"})
+		r.waitForMembers(map[string]string{"good": "DRAINING"})
 		if kind == "etcd" {
-			r.note("outside the prefix")
+			r.waitForLogEntry("outside the prefix")
 		}
 	})
 }
 
-// authority makes certificates for tests.
+// authority is a test certificate authority.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -522,7 +524,7 @@
 	return a
 }
 
-// issue writes a certificate and its key and gives the paths.
+// issue writes a certificate and its key to files and returns their paths.
 func (a *authority) issue(t *testing.T, dir, name string) (cert, key string) {
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -544,11 +546,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return file(t, dir, name+".pem", pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})),
-		file(t, dir, name+".key", pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: text}))
+	return writeFile(t, dir, name+".pem", pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})),
+		writeFile(t, dir, name+".key", pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: text}))
 }
 
-func file(t *testing.T, dir, name string, text []byte) string {
+func writeFile(t *testing.T, dir, name string, text []byte) string {
 	path := filepath.Join(dir, name)
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
@@ -556,126 +558,128 @@
 	return path
 }
 
-// A wrong password and a token that is not known leave one line that names which; the list stays, and when the
-// secret's file is right it goes on. A bearer that expires is renewed without a word.
-func TestCase8Refused(t *testing.T) {
-	kinds(t, func(t *testing.T, kind string) {
+// Guards against an unclear log entry after wrong credentials, against no recovery when the file is corrected, and
+// against logging the renewal of an expired token.
+func TestRejectedCredentials(t *testing.T) {
+	forEachKind(t, func(t *testing.T, kind string) {
 		dir := t.TempDir()
-		secret := file(t, dir, "secret", []byte("wrong\n"))
-		r := newRig(t, kind, nil)
+		secret := writeFile(t, dir, "secret", []byte("wrong\n"))
+		r := newTestEnv(t, kind, nil)
 		r.put("a", reconcile.Serving)
 		var a discovery.Access
 		switch s := r.server.(type) {
-		case *standetcd.Member:
+		case *fakeetcd.Member:
 			s.Users(map[string]string{"elm": "right"})
 			a = discovery.Access{User: "elm", PasswordFile: secret}
-		case *standconsul.Server:
+		case *fakeconsul.Server:
 			s.Bearer("right")
 			a = discovery.Access{Method: "jwt", BearerFile: secret}
 		}
-		r.begin(r.plan(), a)
-		if n := r.note("registry fails"); !strings.Contains(n.Reason, "password: ") {
-			t.Errorf("the line says %q", n.Reason)
+		r.start(r.config(), a)
+		if n := r.waitForLogEntry("registry fails"); !strings.Contains(n.Reason, "password: ") {
+			t.Errorf("the log entry has the reason %q", n.Reason)
 		}
-		file(t, dir, "secret", []byte("right\n"))
-		r.until(map[string]string{"a": "SERVING"})
-		r.note("available again")
+		writeFile(t, dir, "secret", []byte("right\n"))
+		r.waitForMembers(map[string]string{"a": "SERVING"})
+		r.waitForLogEntry("available again")
 		r.server.Expire()
 		r.link.CutAll()
 		r.put("a", reconcile.Draining)
-		r.until(map[string]string{"a": "DRAINING"})
-		for len(r.notes) > 0 {
-			if n := <-r.notes; strings.Contains(n.Reason, "token") {
-				t.Errorf("the renewal left %+v", n)
+		r.waitForMembers(map[string]string{"a": "DRAINING"})
+		for len(r.logEntries) > 0 {
+			if n := <-r.logEntries; strings.Contains(n.Reason, "token") {
+				t.Errorf("the renewal was logged: %+v", n)
 			}
 		}
 	})
 }
 
-func TestCase8Token(t *testing.T) {
-	r := newRig(t, "consul", nil)
-	s := serverOf[*standconsul.Server](r)
+// Guards against an unclear log entry after an unknown token, and against no recovery when the file is corrected.
+func TestUnknownToken(t *testing.T) {
+	r := newTestEnv(t, "consul", nil)
+	s := serverOf[*fakeconsul.Server](r)
 	s.Tokens("t-2")
 	r.put("a", reconcile.Serving)
 	dir := t.TempDir()
-	path := file(t, dir, "token", []byte("t-1"))
-	r.begin(r.plan(), discovery.Access{TokenFile: path})
-	if n := r.note(
+	path := writeFile(t, dir, "token", []byte("t-1"))
+	r.start(r.config(), discovery.Access{TokenFile: path})
+	if n := r.waitForLogEntry(
 		"registry fails",
 	); !strings.Contains(n.Reason, "token: ") ||
 		!strings.Contains(n.Reason, "ACL not found") {
-		t.Errorf("the line says %q", n.Reason)
+		t.Errorf("the log entry has the reason %q", n.Reason)
 	}
-	file(t, dir, "token", []byte("t-2"))
-	r.until(map[string]string{"a": "SERVING"})
+	writeFile(t, dir, "token", []byte("t-2"))
+	r.waitForMembers(map[string]string{"a": "SERVING"})
 }
 
-// A certificate that either side refuses leaves one line that says so; with the right files it works.
-func TestCase8Certificate(t *testing.T) {
-	kinds(t, func(t *testing.T, kind string) {
+// Guards against an unclear log entry when either side rejects the certificate of the other.
+func TestRejectedCertificate(t *testing.T) {
+	forEachKind(t, func(t *testing.T, kind string) {
 		dir := t.TempDir()
-		ours, theirs := newAuthority(t), newAuthority(t)
-		cert, key := ours.issue(t, dir, "server")
+		trustedCA, untrustedCA := newAuthority(t), newAuthority(t)
+		cert, key := trustedCA.issue(t, dir, "server")
 		conf, err := discovery.Files{Cert: cert, Key: key}.Load("")
 		if err != nil {
 			t.Fatal(err)
 		}
 		pool := x509.NewCertPool()
-		pool.AppendCertsFromPEM(ours.pem)
+		pool.AppendCertsFromPEM(trustedCA.pem)
 		conf.ClientAuth, conf.ClientCAs = tls.RequireAndVerifyClientCert, pool
-		mine, myKey := ours.issue(t, dir, "client")
-		alien, alienKey := theirs.issue(t, dir, "alien")
-		good := file(t, dir, "ca.pem", ours.pem)
-		bad := file(t, dir, "other.pem", theirs.pem)
+		trustedCert, trustedKey := trustedCA.issue(t, dir, "client")
+		untrustedCert, untrustedKey := untrustedCA.issue(t, dir, "untrusted")
+		trustedFile := writeFile(t, dir, "ca.pem", trustedCA.pem)
+		untrustedFile := writeFile(t, dir, "other.pem", untrustedCA.pem)
 		for name, files := range map[string]discovery.Files{
-			"server refused": {CA: bad, Cert: mine, Key: myKey}, "client refused": {CA: good, Cert: alien, Key: alienKey},
-			"no such file": {CA: dir + "/none"},
+			"server rejected": {CA: untrustedFile, Cert: trustedCert, Key: trustedKey},
+			"client rejected": {CA: trustedFile, Cert: untrustedCert, Key: untrustedKey},
+			"no such file":    {CA: dir + "/none"},
 		} {
 			t.Run(name, func(t *testing.T) {
-				r := newRig(t, kind, conf.Clone())
+				r := newTestEnv(t, kind, conf.Clone())
 				r.put("a", reconcile.Serving)
-				r.begin(r.plan(), discovery.Access{TLS: &files})
-				if n := r.note("registry fails"); !strings.Contains(n.Reason, "certificate: ") {
-					t.Errorf("the line says %q", n.Reason)
+				r.start(r.config(), discovery.Access{TLS: &files})
+				if n := r.waitForLogEntry("registry fails"); !strings.Contains(n.Reason, "certificate: ") {
+					t.Errorf("the log entry has the reason %q", n.Reason)
 				}
 			})
 		}
-		r := newRig(t, kind, conf.Clone())
+		r := newTestEnv(t, kind, conf.Clone())
 		r.put("a", reconcile.Serving)
-		r.begin(r.plan(), discovery.Access{TLS: &discovery.Files{CA: good, Cert: mine, Key: myKey}})
-		r.until(map[string]string{"a": "SERVING"})
+		r.start(r.config(), discovery.Access{TLS: &discovery.Files{CA: trustedFile, Cert: trustedCert, Key: trustedKey}})
+		r.waitForMembers(map[string]string{"a": "SERVING"})
 	})
 }
 
-// Keys under a lease go with it, all at one revision.
+// Guards against keeping keys whose lease has expired.
 func TestLease(t *testing.T) {
-	r := newRig(t, "etcd", nil)
-	m := serverOf[*standetcd.Member](r)
+	r := newTestEnv(t, "etcd", nil)
+	m := serverOf[*fakeetcd.Member](r)
 	r.put("stays", reconcile.Serving)
-	grant(t, m, 9, prefix+"/x", prefix+"/y")
-	r.begin(r.plan(), discovery.Access{})
-	r.until(map[string]string{"stays": "SERVING", "x": "SERVING", "y": "SERVING"})
+	putWithLease(t, m, 9, prefix+"/x", prefix+"/y")
+	r.start(r.config(), discovery.Access{})
+	r.waitForMembers(map[string]string{"stays": "SERVING", "x": "SERVING", "y": "SERVING"})
 	m.EndLease(9)
-	r.until(map[string]string{"stays": "SERVING"})
+	r.waitForMembers(map[string]string{"stays": "SERVING"})
 }
 
-// No leader is an outage like any other; Reload asks for the whole list and tells nothing that is known.
+// Guards against no recovery from a cluster without a leader, and against a reload that publishes known entries.
 func TestNoLeaderAndReload(t *testing.T) {
-	r := newRig(t, "consul", nil)
-	s := serverOf[*standconsul.Server](r)
+	r := newTestEnv(t, "consul", nil)
+	s := serverOf[*fakeconsul.Server](r)
 	r.put("a", reconcile.Serving)
 	s.Leaderless(true)
-	r.begin(r.plan(), discovery.Access{})
-	if n := r.note("registry fails"); !strings.Contains(n.Reason, "lost: status 500") {
-		t.Errorf("the line says %q", n.Reason)
+	r.start(r.config(), discovery.Access{})
+	if n := r.waitForLogEntry("registry fails"); !strings.Contains(n.Reason, "lost: status 500") {
+		t.Errorf("the log entry has the reason %q", n.Reason)
 	}
 	s.Leaderless(false)
-	r.until(map[string]string{"a": "SERVING"})
+	r.waitForMembers(map[string]string{"a": "SERVING"})
 	before, _, _ := s.Asked()
-	r.f.Reload()
+	r.follower.Reload()
 	for n := before; n == before; n, _, _ = s.Asked() {
-		r.put("b", reconcile.Serving) // each change is told once
+		r.put("b", reconcile.Serving) // each change is published once
 		r.put("b", reconcile.Draining)
-		r.until(map[string]string{"a": "SERVING", "b": "DRAINING"})
+		r.waitForMembers(map[string]string{"a": "SERVING", "b": "DRAINING"})
 	}
 }
--- a/internal/controller/discovery/watch/follow.go
+++ b/internal/controller/discovery/watch/follow.go
@@ -1,5 +1,5 @@
-// Package watch puts a reconcile.Reconciler between a key-value registry and the desk: one goroutine owns the Roster,
-// carries out what it orders at a Source, and tells the desk what it tells. It decides nothing.
+// Package watch runs a reconcile.Reconciler for a key-value registry. One goroutine owns the reconciler, executes its
+// orders at a Source, and passes the resulting lists to the event loop.
 package watch
 
 import (
@@ -12,127 +12,133 @@
 	"elmfold/internal/controller/reconcile"
 )
 
-// Source asks one kind of registry. Do carries out a Read, Check, Watch or Ask, hands each answer to say, and
-// returns when nothing more comes for that order; when ctx ends it does so at once. Disconnect drops the connections,
-// so that what is asked next dials anew; Close ends them for good.
+// Source reads and watches one kind of registry.
+//
+// Do executes a ReadPage, Check, Watch or RequestProgress order and passes each response to report. It returns after
+// the last response to the order, or at once when ctx ends. Disconnect closes the connections; the next order dials
+// again. Close closes them for good.
 type Source interface {
-	Do(ctx context.Context, o reconcile.Order, say func(reconcile.Event))
+	Do(ctx context.Context, o reconcile.Order, report func(reconcile.Event))
 	Disconnect()
 	Close()
 }
 
-// Follower follows one registry.
+// Follower keeps the list of one registry up to date. Use New.
 type Follower struct {
 	reconciler *reconcile.Reconciler
 	source     Source
-	names      []string // of the endpoints, for the log
-	tell       func(any)
-	seen       func(reconcile.Order) // each order that people may want to see; nil: nobody
+	endpoints  []string // for log lines
+	send       func(any)
+	observe    func(reconcile.Order) // optional; see SetObserver
 	log        *logrus.Entry
 	events     chan reconcile.Event
-	stop       context.Context
-	end        context.CancelFunc
-	work       sync.WaitGroup
+	ctx        context.Context
+	cancel     context.CancelFunc
+	running    sync.WaitGroup
 }
 
-// New makes a Follower. tell is given each reconcile.List and each reconcile.Failed, from Run's goroutine.
-func New(plan reconcile.Config, source Source, names []string, tell func(any), log *logrus.Entry) *Follower {
-	f := &Follower{reconciler: reconcile.New(plan), source: source, names: names, tell: tell, log: log,
-		events: make(chan reconcile.Event, 64)}
-	f.stop, f.end = context.WithCancel(context.Background())
+// New creates a Follower. Run calls send with each reconcile.List and each reconcile.SourceFailed.
+func New(config reconcile.Config, source Source, endpoints []string, send func(any), log *logrus.Entry) *Follower {
+	f := &Follower{
+		reconciler: reconcile.New(config), source: source, endpoints: endpoints, send: send, log: log,
+		events: make(chan reconcile.Event, 64),
+	}
+	f.ctx, f.cancel = context.WithCancel(context.Background())
 	return f
 }
 
-// SetObserver hands on each Tell and Note, before what is told goes to the desk.
-func (f *Follower) SetObserver(seen func(reconcile.Order)) { f.seen = seen }
+// SetObserver sets a function that receives each PublishList order, before its list is sent, and each LogEntry. Call it
+// before Run.
+func (f *Follower) SetObserver(observe func(reconcile.Order)) { f.observe = observe }
 
-// Follow is what the module orders where lists are asked for: a registry is followed in any case.
+// Follow implements eventloop.Lists. It does nothing, because a Follower always watches its registry.
 func (f *Follower) Follow(bool) {}
 
-// Reload asks for the whole list once.
+// Reload requests a read of the whole list.
 func (f *Follower) Reload() {
 	select {
 	case f.events <- reconcile.ReloadRequested{}:
-	case <-f.stop.Done():
-	default: // what waits there is news already
+	case <-f.ctx.Done():
+	default: // drops the request if the queue is full
 	}
 }
 
-// Stop ends Run; nothing is told any more once it has returned.
+// Stop ends Run and waits until it has returned. Nothing is sent after that.
 func (f *Follower) Stop() {
-	f.end()
-	f.work.Wait()
+	f.cancel()
+	f.running.Wait()
 }
 
 // Run follows the registry until Stop.
 func (f *Follower) Run() {
-	f.work.Add(1)
-	defer f.work.Done()
+	f.running.Add(1)
+	defer f.running.Done()
 	defer f.source.Close()
-	began := time.Now()
-	due := time.NewTimer(0)
-	var trying context.Context
-	leave := context.CancelFunc(func() {})
-	try := -1
-	// begin leaves all earlier tries with the first order of a later one.
-	begin := func(of int) context.Context {
-		if of != try {
-			leave()
-			trying, leave = context.WithCancel(f.stop)
-			try = of
+	start := time.Now()
+	deadline := time.NewTimer(0)
+	var attemptCtx context.Context
+	cancelAttempt := context.CancelFunc(func() {})
+	currentAttempt := -1
+	// contextOf returns the context of an attempt. The first order of a new attempt cancels the earlier one.
+	contextOf := func(attempt int) context.Context {
+		if attempt != currentAttempt {
+			cancelAttempt()
+			attemptCtx, cancelAttempt = context.WithCancel(f.ctx)
+			currentAttempt = attempt
 		}
-		return trying
+		return attemptCtx
 	}
-	defer func() { leave() }()
+	defer func() { cancelAttempt() }()
 	for {
 		var events []reconcile.Event
 		select {
-		case <-f.stop.Done():
+		case <-f.ctx.Done():
 			return
 		case e := <-f.events:
 			events = append(events, e)
-		case <-due.C:
+		case <-deadline.C:
 		}
 		for n := len(f.events); n > 0; n-- {
 			events = append(events, <-f.events)
 		}
-		for _, o := range f.reconciler.Step(time.Since(began), events) {
+		for _, o := range f.reconciler.Step(time.Since(start), events) {
 			switch o := o.(type) {
 			case reconcile.PublishList:
-				f.see(o)
-				f.tell(o.List)
+				f.notifyObserver(o)
+				f.send(o.List)
 			case reconcile.PublishFailure:
-				f.tell(reconcile.SourceFailed{})
+				f.send(reconcile.SourceFailed{})
 			case reconcile.LogEntry:
-				f.see(o)
-				f.note(o)
+				f.notifyObserver(o)
+				f.writeLog(o)
 			case reconcile.Cancel:
-				leave()
+				cancelAttempt()
 				f.source.Disconnect()
 			case reconcile.ReadPage:
-				f.do(begin(o.Attempt), o)
+				f.request(contextOf(o.Attempt), o)
 			case reconcile.Check:
-				f.do(begin(o.Attempt), o)
+				f.request(contextOf(o.Attempt), o)
 			case reconcile.Watch:
-				f.do(begin(o.Attempt), o)
+				f.request(contextOf(o.Attempt), o)
 			case reconcile.RequestProgress:
-				f.do(begin(o.Attempt), o)
+				f.request(contextOf(o.Attempt), o)
 			}
 		}
-		due.Reset(f.reconciler.NextDeadline() - time.Since(began))
+		deadline.Reset(f.reconciler.NextDeadline() - time.Since(start))
 	}
 }
 
-func (f *Follower) see(o reconcile.Order) {
-	if f.seen != nil {
-		f.seen(o)
+func (f *Follower) notifyObserver(o reconcile.Order) {
+	if f.observe != nil {
+		f.observe(o)
 	}
 }
 
-func (f *Follower) do(ctx context.Context, o reconcile.Order) {
-	f.work.Add(1)
+// request executes an order at the source and queues the events that answer it.
+func (f *Follower) request(ctx context.Context, o reconcile.Order) {
+	f.running.Add(1)
 	go func() {
-		defer f.work.Done()
+		defer f.running.Done()
 		f.source.Do(ctx, o, func(e reconcile.Event) {
 			select {
 			case f.events <- e:
@@ -142,24 +148,24 @@
 	}()
 }
 
-func (f *Follower) note(n reconcile.LogEntry) {
-	fields := logrus.Fields{"revision": n.Revision}
-	if n.Endpoint >= 0 && n.Endpoint < len(f.names) {
-		fields["endpoint"] = f.names[n.Endpoint]
+func (f *Follower) writeLog(entry reconcile.LogEntry) {
+	fields := logrus.Fields{"revision": entry.Revision}
+	if entry.Endpoint >= 0 && entry.Endpoint < len(f.endpoints) {
+		fields["endpoint"] = f.endpoints[entry.Endpoint]
 	}
-	if n.Key != "" {
-		fields["key"] = n.Key
+	if entry.Key != "" {
+		fields["key"] = entry.Key
 	}
-	if n.Reason != "" {
-		fields["reason"] = n.Reason
+	if entry.Reason != "" {
+		fields["reason"] = entry.Reason
 	}
-	if n.Count != 0 {
-		fields["count"] = n.Count
+	if entry.Count != 0 {
+		fields["count"] = entry.Count
 	}
-	entry := f.log.WithFields(fields)
-	if n.Warn {
-		entry.Warn(n.Text)
+	line := f.log.WithFields(fields)
+	if entry.Warn {
+		line.Warn(entry.Text)
 	} else {
-		entry.Info(n.Text)
+		line.Info(entry.Text)
 	}
 }
--- a/internal/controller/discovery/watch/helper_test.go
+++ b/internal/controller/discovery/watch/helper_test.go
@@ -7,11 +7,11 @@
 	pb "go.etcd.io/etcd/api/v3/etcdserverpb"
 
 	"elmfold/internal/controller/reconcile"
-	standetcd "elmfold/internal/fakes/etcd"
+	fakeetcd "elmfold/internal/fakes/etcd"
 )
 
-// grant puts keys under a lease as a server of its own would.
-func grant(t *testing.T, m *standetcd.Member, id int64, keys ...string) {
+// putWithLease writes keys under a new lease, as a backend that registers itself does.
+func putWithLease(t *testing.T, m *fakeetcd.Member, id int64, keys ...string) {
 	t.Helper()
 	if _, err := m.LeaseGrant(context.Background(), &pb.LeaseGrantRequest{ID: id, TTL: 10}); err != nil {
 		t.Fatal(err)
