--- a/internal/controller/pubsub/client/client.go
+++ b/internal/controller/pubsub/client/client.go
@@ -1,6 +1,6 @@
-// Package client subscribes to a topic of the channel and keeps a copy of it. Each message takes effect once, over
-// connections that break, controllers that restart or change, and starts of its own, where it is given a place to keep
-// what took effect. docs/channel.md has the protocol.
+// Package client subscribes to a topic on a controller and maintains a replica of it. Each message is applied once,
+// across reconnects, controller restarts and failover to another controller. With a Storage, this also holds across
+// restarts of the client. docs/channel.md describes the protocol.
 package client
 
 import (
@@ -18,94 +18,102 @@
 	"elmfold/internal/controller/pubsub/session"
 )
 
-// Storage keeps what took effect.
+const (
+	defaultCredit     = 8
+	defaultMinBackoff = 100 * time.Millisecond
+	maxBackoffShift   = 5        // the backoff doubles up to 32 times its minimum
+	maxMessageBytes   = 16 << 20 // read limit of a connection
+)
+
+// Storage persists the replica.
 type Storage interface {
-	Load() (session.Replica, error) // none: an empty one
-	Save(session.Replica) error     // whole or not at all
+	Load() (session.Replica, error) // returns an empty replica if none is stored
+	Save(session.Replica) error     // atomic
 }
 
-// FileStorage keeps it in a file, replaced at each change.
+// FileStorage is the path of a file that holds the replica. Save replaces the file atomically.
 type FileStorage string
 
-// Load reads the file.
-func (f FileStorage) Load() (c session.Replica, err error) {
-	text, err := os.ReadFile(string(f))
+// Load implements Storage.
+func (f FileStorage) Load() (replica session.Replica, err error) {
+	data, err := os.ReadFile(string(f))
 	if errors.Is(err, os.ErrNotExist) {
-		return c, nil
+		return replica, nil
 	}
 	if err == nil {
-		err = cbor.Unmarshal(text, &c)
+		err = cbor.Unmarshal(data, &replica)
 	}
-	return c, err
+	return replica, err
 }
 
-// Save replaces the file.
-func (f FileStorage) Save(c session.Replica) error {
-	text, err := cbor.Marshal(c)
+// Save implements Storage.
+func (f FileStorage) Save(replica session.Replica) error {
+	data, err := cbor.Marshal(replica)
 	if err != nil {
 		return err
 	}
-	next := string(f) + ".next"
-	if err := os.WriteFile(next, text, 0o600); err != nil {
+	tempPath := string(f) + ".next"
+	if err := os.WriteFile(tempPath, data, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(next, string(f))
+	return os.Rename(tempPath, string(f))
 }
 
-// Options say what is subscribed to, and what is told of it.
+// Options configure a subscription.
 type Options struct {
-	Addresses []string // of controllers, host and port; the next one is tried where one does not answer
+	Addresses []string // host:port of the controllers, tried in turn
 	Hello     pubsub.Hello
-	Storage   Storage // nil: nothing is kept over starts
-	// OnChange is called in turn, with the keys that now stand otherwise, after a message took effect. The copy is the
-	// client's: it is to be read until OnChange returns.
-	OnChange func(c *session.Replica, keys []string)
-	// OnConnect is called with the publisher of each new connection; the publisher is valid until the next call.
+	Storage   Storage // nil: the replica is not persisted
+	// OnChange is called after a message was applied, with the keys whose values changed. Calls do not overlap. The
+	// replica belongs to the client; OnChange must not modify or retain it.
+	OnChange func(replica *session.Replica, keys []string)
+	// OnConnect is called with the publisher of each new connection. The publisher is valid until the next call.
 	OnConnect func(p *Publisher)
-	// OnDisconnect is called with why a connection ended.
+	// OnDisconnect is called with the error that ended a connection or a connection attempt.
 	OnDisconnect func(err error)
-	Credit       int           // messages that may be on the way; 0: 8
-	MinBackoff   time.Duration // the shortest before it dials again; 0: 100 ms; it grows to 32 times that
-	// ShouldAck, where it is given, may swallow an acknowledgement, for tests of what follows.
+	Credit       int           // messages the controller may send without an acknowledgement; 0: 8
+	MinBackoff   time.Duration // shortest delay before reconnecting; 0: 100 ms; the backoff grows up to 32 times that
+	// ShouldAck, if set, reports whether to acknowledge a message. Tests use it to drop acknowledgements.
 	ShouldAck func(seq uint32) bool
 }
 
-// Publisher sends reports on the connection that is open.
+// Publisher sends reports over the current connection.
 type Publisher struct {
 	ctx context.Context
 	ws  *websocket.Conn
 }
 
-// ReportUsage publishes what came to the proxy.
-func (p *Publisher) ReportUsage(u pubsub.UsageReport) error {
-	return p.write(pubsub.KindUsageReport, u)
+// ReportUsage publishes the usage that a proxy measured.
+func (p *Publisher) ReportUsage(report pubsub.UsageReport) error {
+	return p.write(pubsub.KindUsageReport, report)
 }
 
-// ReportBackend publishes what the proxies of a zone met.
-func (p *Publisher) ReportBackend(h pubsub.BackendReport) error {
-	return p.write(pubsub.KindBackendReport, h)
+// ReportBackend publishes what the proxies of a zone observed of their backends.
+func (p *Publisher) ReportBackend(report pubsub.BackendReport) error {
+	return p.write(pubsub.KindBackendReport, report)
 }
 
 func (p *Publisher) write(kind byte, v any) error {
 	return p.ws.Write(p.ctx, websocket.MessageBinary, pubsub.Encode(kind, v))
 }
 
-// Run subscribes until the context ends, or until what was kept cannot be read.
+// Run keeps the subscription, reconnecting as needed, until the context is done. It returns an error only if the stored
+// replica cannot be loaded.
 func Run(ctx context.Context, o Options) error {
-	c := session.Replica{}
+	replica := session.Replica{}
 	if o.Storage != nil {
 		var err error
-		if c, err = o.Storage.Load(); err != nil {
-			return fmt.Errorf("what took effect cannot be read: %w", err)
+		if replica, err = o.Storage.Load(); err != nil {
+			return fmt.Errorf("load the stored replica: %w", err)
 		}
 	}
-	pause := o.MinBackoff
-	if pause == 0 {
-		pause = 100 * time.Millisecond
+	minBackoff := o.MinBackoff
+	if minBackoff == 0 {
+		minBackoff = defaultMinBackoff
 	}
-	for tries := uint32(0); ; tries++ {
-		began := time.Now()
-		err := once(ctx, o, &c, o.Addresses[int(tries)%len(o.Addresses)])
+	for attempt := uint32(0); ; attempt++ {
+		start := time.Now()
+		err := runConnection(ctx, o, &replica, o.Addresses[int(attempt)%len(o.Addresses)])
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -113,29 +121,29 @@
 			o.OnDisconnect(err)
 		}
 		if errors.Is(err, session.ErrGap) {
-			c.Epoch, c.Seq = 0, 0 // all is asked for
+			replica.Epoch, replica.Seq = 0, 0 // request a snapshot
 		}
-		span := pause << min(tries, 5)
-		if time.Since(began) > span {
-			tries, span = 0, pause
+		backoff := minBackoff << min(attempt, maxBackoffShift)
+		if time.Since(start) > backoff {
+			attempt, backoff = 0, minBackoff
 		}
-		// Thousands that lost the same controller do not come back in the same instant.
+		// Jitter by topic, so that clients that lose the same controller do not reconnect at the same time.
 		h := fnv.New32a()
-		_, _ = fmt.Fprint(h, o.Hello.Topic, tries)
-		span += span * time.Duration(h.Sum32()%1000) / 1000
+		_, _ = fmt.Fprint(h, o.Hello.Topic, attempt)
+		backoff += backoff * time.Duration(h.Sum32()%1000) / 1000
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(span):
+		case <-time.After(backoff):
 		}
 	}
 }
 
-// once holds one connection.
-func once(ctx context.Context, o Options, c *session.Replica, address string) error {
+// runConnection connects to one controller and applies its messages until the connection fails.
+func runConnection(ctx context.Context, o Options, replica *session.Replica, address string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ws, err := connect(ctx, o, c, address)
+	ws, err := connect(ctx, o, replica, address)
 	if err != nil {
 		return err
 	}
@@ -144,27 +152,27 @@
 		o.OnConnect(&Publisher{ctx: ctx, ws: ws})
 	}
 	for {
-		_, text, err := ws.Read(ctx)
+		_, data, err := ws.Read(ctx)
 		if err != nil {
 			return err
 		}
-		message, err := pubsub.Decode(text)
+		message, err := pubsub.Decode(data)
 		if err != nil {
 			return err
 		}
 		switch message := message.(type) {
 		case pubsub.Error:
-			return fmt.Errorf("the controller says %s: %s", message.Code, message.Text)
+			return fmt.Errorf("controller reported error %s: %s", message.Code, message.Text)
 		case session.Send:
-			if err := apply(ctx, ws, o, c, message); err != nil {
+			if err := apply(ctx, ws, o, replica, message); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// connect dials and says hello: what is known here, and how much may be sent.
-func connect(ctx context.Context, o Options, c *session.Replica, address string) (*websocket.Conn, error) {
+// connect dials a controller and sends the hello, which holds the position of the replica and the initial credit.
+func connect(ctx context.Context, o Options, replica *session.Replica, address string) (*websocket.Conn, error) {
 	ws, _, err := websocket.Dial(
 		ctx,
 		"ws://"+address+"/",
@@ -173,11 +181,11 @@
 	if err != nil {
 		return nil, err
 	}
-	ws.SetReadLimit(16 << 20)
+	ws.SetReadLimit(maxMessageBytes)
 	hello := o.Hello
-	hello.Version, hello.Epoch, hello.Seq = pubsub.Version, c.Epoch, c.Seq
+	hello.Version, hello.Epoch, hello.Seq = pubsub.Version, replica.Epoch, replica.Seq
 	if hello.Credit = o.Credit; hello.Credit == 0 {
-		hello.Credit = 8
+		hello.Credit = defaultCredit
 	}
 	if err := ws.Write(ctx, websocket.MessageBinary, pubsub.Encode(pubsub.KindHello, hello)); err != nil {
 		_ = ws.CloseNow()
@@ -186,19 +194,19 @@
 	return ws, nil
 }
 
-// apply applies a change to the copy, keeps it, and acknowledges it.
-func apply(ctx context.Context, ws *websocket.Conn, o Options, c *session.Replica, m session.Send) error {
-	keys, fresh, err := c.Apply(m)
+// apply applies a message to the replica, persists the replica and acknowledges the message.
+func apply(ctx context.Context, ws *websocket.Conn, o Options, replica *session.Replica, m session.Send) error {
+	keys, fresh, err := replica.Apply(m)
 	if err != nil {
 		return err
 	}
 	if fresh && o.Storage != nil {
-		if err := o.Storage.Save(*c); err != nil {
+		if err := o.Storage.Save(*replica); err != nil {
 			return err
 		}
 	}
 	if fresh && o.OnChange != nil {
-		o.OnChange(c, keys)
+		o.OnChange(replica, keys)
 	}
 	if o.ShouldAck != nil && !o.ShouldAck(m.Seq) {
 		return nil
--- a/internal/controller/pubsub/session/replica.go
+++ b/internal/controller/pubsub/session/replica.go
@@ -2,55 +2,57 @@
 
 import "errors"
 
-// Replica is the other side of a Session: what took effect with a subscriber. It takes each number once, whatever comes
-// again after a cut, from whichever controller.
+// Replica is a subscriber's copy of a topic. It applies each message once, even if the message is sent again after a
+// reconnect.
 type Replica struct {
-	Epoch     uint64
-	Seq       uint32 // the last number that took effect; 0: none
+	Epoch     uint64 // of the controller that sent the last applied message
+	Seq       uint32 // sequence number of the last applied message; 0: none
 	State     map[string]Value
 	Applied   int `cbor:"Effect"` // messages applied
-	Unchanged int `cbor:"Same"`   // updates in them that changed nothing
+	Unchanged int `cbor:"Same"`   // updates in those messages that changed nothing
 }
 
-// ErrGap says that a change goes on from a number that did not take effect here: the subscriber opens anew.
-var ErrGap = errors.New("a change goes on from a number that did not take effect here")
+// ErrGap reports that a message does not follow the last applied one. The subscriber has to reconnect and request a
+// snapshot.
+var ErrGap = errors.New("message does not follow the last applied sequence number")
 
-// Apply lets a message take effect, whole; changed are its keys that now stand otherwise. Numbers that took effect
-// already are passed over: fresh is false.
-func (c *Replica) Apply(m Send) (changed []string, fresh bool, err error) {
+// Apply applies all updates of a message and returns the keys whose values changed. It ignores a message that was
+// applied before; fresh is then false.
+func (r *Replica) Apply(m Send) (changed []string, fresh bool, err error) {
 	switch {
-	case m.Epoch == c.Epoch && c.Seq != 0 && int32(m.Seq-c.Seq) <= 0 && (!m.Snapshot || m.Prev != 0 || m.Seq != 1):
+	// A snapshot with sequence number 1 and no predecessor restarts the sequence, so it is never a repeat.
+	case m.Epoch == r.Epoch && r.Seq != 0 && int32(m.Seq-r.Seq) <= 0 && (!m.Snapshot || m.Prev != 0 || m.Seq != 1):
 		return nil, false, nil
-	case !m.Snapshot && (m.Epoch != c.Epoch || m.Prev != c.Seq || c.Seq == 0):
+	case !m.Snapshot && (m.Epoch != r.Epoch || m.Prev != r.Seq || r.Seq == 0):
 		return nil, false, ErrGap
 	}
-	if c.State == nil {
-		c.State = map[string]Value{}
+	if r.State == nil {
+		r.State = map[string]Value{}
 	}
-	named := map[string]bool{}
-	for _, set := range m.Updates {
-		named[set.Key] = true
-		was, there := c.State[set.Key]
+	inMessage := map[string]bool{}
+	for _, update := range m.Updates {
+		inMessage[update.Key] = true
+		old, exists := r.State[update.Key]
 		switch {
-		case set.Deleted && there:
-			delete(c.State, set.Key)
-			changed = append(changed, set.Key)
-		case !set.Deleted && (!there || was != set.Value):
-			c.State[set.Key] = set.Value
-			changed = append(changed, set.Key)
+		case update.Deleted && exists:
+			delete(r.State, update.Key)
+			changed = append(changed, update.Key)
+		case !update.Deleted && (!exists || old != update.Value):
+			r.State[update.Key] = update.Value
+			changed = append(changed, update.Key)
 		default:
-			c.Unchanged++
+			r.Unchanged++
 		}
 	}
 	if m.Snapshot {
-		for k := range c.State {
-			if !named[k] {
-				delete(c.State, k)
+		for k := range r.State {
+			if !inMessage[k] {
+				delete(r.State, k)
 				changed = append(changed, k)
 			}
 		}
 	}
-	c.Epoch, c.Seq = m.Epoch, m.Seq
-	c.Applied++
+	r.Epoch, r.Seq = m.Epoch, m.Seq
+	r.Applied++
 	return changed, true, nil
 }
--- a/internal/controller/pubsub/session/session.go
+++ b/internal/controller/pubsub/session/session.go
@@ -1,8 +1,9 @@
-// Package session settles what each subscriber of a topic is sent. A topic is a set of values under keys, which change;
-// a subscriber is brought from what took effect with it to what holds now: by changes that carry the values of the
-// keys that differ, or by a snapshot of all. A change that was not sent yet is folded into the next one, so that what
-// waits for a slow subscriber is never more than the topic itself, and what it reads last is what holds then. The same
-// values may be sent again after a cut, under another number; a number takes effect once. No socket, clock or chance.
+// Package session decides which messages each subscriber of a topic is sent. A topic is a key-value map. A subscriber
+// receives either a snapshot of the whole map or a delta with the keys that changed. Pending changes of one key are
+// coalesced, so the backlog of a slow subscriber never exceeds the topic itself. Unacknowledged values are sent again
+// after a reconnect, under a new sequence number; a subscriber applies each sequence number once.
+//
+// The package is deterministic: it uses no sockets, no clock and no randomness.
 package session
 
 import (
@@ -12,56 +13,57 @@
 	"strings"
 )
 
-// Time is a moment in ms; it never goes back.
+// Time is a monotonic time in milliseconds.
 type Time int64
 
-// Value is what stands under a key: a figure, a small number beside it, or a text.
+// Value is the value of a key: any combination of a number, an integer and a text.
 type Value struct {
 	Number  float64 `cbor:"1,keyasint,omitempty"`
 	Integer int     `cbor:"2,keyasint,omitempty"`
 	Text    string  `cbor:"3,keyasint,omitempty"`
 }
 
-// Update puts a value under a key, or takes the key away. Keys sort by urgency: those that come first are sent first.
+// Update sets or deletes a key. Updates are sent in the order of their keys, so urgent keys must sort first.
 type Update struct {
 	Key     string `cbor:"1,keyasint"`
 	Deleted bool   `cbor:"2,keyasint,omitempty"`
 	Value   Value  `cbor:"3,keyasint,omitempty"`
 }
 
-// Reason says why a subscriber is let go.
+// Reason is the reason for which a connection is closed.
 type Reason string
 
-// Reasons.
+// Reasons for closing a connection.
 const (
-	ReasonReplaced         Reason = "replaced" // by a newer connection, or a stream elsewhere, of the same owner
-	ReasonUnknownSequence  Reason = "unknown"  // acknowledged a number that was never sent
+	ReasonReplaced         Reason = "replaced" // by a newer connection of the owner, here or on another controller
+	ReasonUnknownSequence  Reason = "unknown"  // the subscriber acknowledged a sequence number that was never sent
 	ReasonTopicEnded       Reason = "ended"    // the topic has ended
-	ReasonTooManyObservers Reason = "crowded"  // more onlookers than a topic may have
+	ReasonTooManyObservers Reason = "crowded"  // the topic has reached its limit of observers
 )
 
-// Event is one of the structs below, in the order in which they happened.
+// Event is an input of Broker.Step: TopicChanged, Opened, Acked, Closed or TopicDropped.
 type Event any
 
-// TopicChanged sets values of a topic. Mark, unless 0, is to be answered once all of it took effect with the owner.
+// TopicChanged updates values of a topic. A Marker other than 0 is reported by MarkerAcked once the owner has
+// acknowledged all of the updates.
 type TopicChanged struct {
 	Topic   string
 	Updates []Update
 	Marker  int
 }
 
-// Opened is a connection that subscribes, going on from what took effect with it. An owner is one for each topic; the
-// topic lasts while it is there, and for the linger after.
+// Opened is a new connection that subscribes to a topic from the position it last applied. A topic has at most one
+// owner; other subscribers are observers. The topic ends once the owner has been disconnected for Config.Linger.
 type Opened struct {
 	Conn   int
 	Topic  string
 	Owner  bool
-	Epoch  uint64 // 0: nothing took effect
+	Epoch  uint64 // 0: nothing was applied
 	Seq    uint32
-	Credit int // messages that may be on the way to it
+	Credit int // messages that may be sent without an acknowledgement
 }
 
-// Acked says that all up to a number took effect, and that so many more messages may be sent.
+// Acked acknowledges all messages up to a sequence number and grants credit for more.
 type Acked struct {
 	Conn        int
 	Epoch       uint64
@@ -69,16 +71,16 @@
 	AddedCredit int
 }
 
-// Closed is a connection that ended.
+// Closed is the end of a connection.
 type Closed struct{ Conn int }
 
-// TopicDropped ends a topic: its owner is served elsewhere.
+// TopicDropped ends a topic whose owner is served by another controller.
 type TopicDropped struct{ Topic string }
 
-// Action is one of the structs below.
+// Action is an output of Broker.Step: Send, OwnerJoined, OwnerLeft, MarkerAcked or Close.
 type Action any
 
-// Send is a message for a connection. A snapshot stands for all; a change goes on from the number before it.
+// Send is a message to a connection. A snapshot replaces the whole state; a delta applies on top of message Prev.
 type Send struct {
 	Conn     int
 	Epoch    uint64
@@ -88,42 +90,42 @@
 	Updates  []Update
 }
 
-// OwnerJoined says that the owner of a topic is there, and was not: a connection that resumes is no joining.
+// OwnerJoined reports the first connection of a topic's owner. A reconnect before OwnerLeft does not repeat it.
 type OwnerJoined struct {
 	Topic string
 	Conn  int
 }
 
-// OwnerLeft says that the owner has been gone for the linger.
+// OwnerLeft reports that the owner has been disconnected for Config.Linger.
 type OwnerLeft struct{ Topic string }
 
-// MarkerAcked is a mark of which all took effect.
+// MarkerAcked reports that the owner acknowledged all updates up to a marker.
 type MarkerAcked struct {
 	Topic  string
 	Marker int
 }
 
-// Close ends a connection.
+// Close closes a connection.
 type Close struct {
 	Conn   int
 	Reason Reason
 }
 
-// Config is what Sessions are given once.
+// Config is the configuration of a Broker.
 type Config struct {
-	Epoch                uint64 // of this start; never that of another, and not 0
-	Linger               Time   // that an owner may be away
-	MaxUpdatesPerMessage int    // sets in a change, at most
+	Epoch                uint64 // identifies this start of the controller; unique and not 0
+	Linger               Time   // how long an owner may be disconnected before its topic ends
+	MaxUpdatesPerMessage int    // limit for a delta; a snapshot is always complete
 	MaxCredit            int
-	MaxObservers         int // of a topic, at most
+	MaxObservers         int // per topic
 }
 
-// DefaultConfig is the Plan with every figure that may be left out.
+// DefaultConfig returns the default configuration for an epoch.
 func DefaultConfig(epoch uint64) Config {
 	return Config{Epoch: max(epoch, 1), Linger: 5000, MaxUpdatesPerMessage: 400, MaxCredit: 16, MaxObservers: 64}
 }
 
-// Broker holds all topics.
+// Broker holds all topics and their subscribers.
 type Broker struct {
 	config  Config
 	now     Time
@@ -136,109 +138,111 @@
 	name           string
 	state          map[string]Value
 	owner          *subscriber
-	subscribers    []*subscriber // the owner too
-	ownerAwaySince Time          // since when the owner has no connection; 0: it has one, or there never was one
+	subscribers    []*subscriber // includes the owner
+	ownerAwaySince Time          // when the owner disconnected; 0: it is connected, or there never was an owner
 }
 
 type subscriber struct {
 	topic         *topic
-	conn          int    // 0: none
-	lastSeq       uint32 // given out last
-	prevSeq       uint32 // that the next message goes on from
-	needsSnapshot bool   // a snapshot is wanted
-	dirty         map[string]bool
-	markers       []int // to be answered with the next message
-	inFlight      []sent
+	conn          int    // 0: disconnected
+	lastSeq       uint32 // last sequence number assigned
+	prevSeq       uint32 // Prev of the next message
+	needsSnapshot bool
+	dirty         map[string]bool // keys changed since they were last sent
+	markers       []int           // to be attached to the next message that leaves no dirty keys
+	inFlight      []sentMessage   // sent and not acknowledged
 	credit        int
 }
 
-type sent struct {
+// sentMessage is a message that was sent and is not acknowledged.
+type sentMessage struct {
 	seq      uint32
 	snapshot bool
 	keys     []string
 	markers  []int
 }
 
-// New makes Sessions without topics.
-func New(plan Config) *Broker {
-	return &Broker{config: plan, topics: map[string]*topic{}, conns: map[int]*subscriber{}}
+// New returns a Broker without topics.
+func New(config Config) *Broker {
+	return &Broker{config: config, topics: map[string]*topic{}, conns: map[int]*subscriber{}}
 }
 
-// Step takes what happened and tells what to do.
-func (s *Broker) Step(now Time, events []Event) []Action {
-	s.now, s.actions = max(now, s.now), nil
+// Step processes events in order and returns the actions to take. If now is earlier than in a previous call, Step uses
+// the previous time.
+func (b *Broker) Step(now Time, events []Event) []Action {
+	b.now, b.actions = max(now, b.now), nil
 	touched := map[*topic]bool{}
 	for _, e := range events {
 		switch e := e.(type) {
 		case TopicChanged:
-			touched[s.applyChange(e)] = true
+			touched[b.applyChange(e)] = true
 		case Opened:
-			touched[s.subscribe(e)] = true
+			touched[b.subscribe(e)] = true
 		case Acked:
-			if x := s.conns[e.Conn]; x != nil {
-				s.handleAck(x, e)
-				touched[x.topic] = true
+			if sub := b.conns[e.Conn]; sub != nil {
+				b.handleAck(sub, e)
+				touched[sub.topic] = true
 			}
 		case Closed:
-			if x := s.conns[e.Conn]; x != nil {
-				s.disconnect(x)
+			if sub := b.conns[e.Conn]; sub != nil {
+				b.disconnect(sub)
 			}
 		case TopicDropped:
-			if t := s.topics[e.Topic]; t != nil {
-				s.endTopic(t, ReasonReplaced)
+			if t := b.topics[e.Topic]; t != nil {
+				b.endTopic(t, ReasonReplaced)
 			}
 		}
 	}
-	for _, t := range sortedTopics(s.topics) {
-		if t.ownerAwaySince > 0 && s.now >= t.ownerAwaySince+s.config.Linger {
-			s.actions = append(s.actions, OwnerLeft{t.name})
-			s.endTopic(t, ReasonTopicEnded)
+	for _, t := range sortedTopics(b.topics) {
+		if t.ownerAwaySince > 0 && b.now >= t.ownerAwaySince+b.config.Linger {
+			b.actions = append(b.actions, OwnerLeft{t.name})
+			b.endTopic(t, ReasonTopicEnded)
 		} else if touched[t] {
-			for _, x := range t.subscribers {
-				s.flush(x)
+			for _, sub := range t.subscribers {
+				b.flush(sub)
 			}
 		}
 	}
-	return s.actions
+	return b.actions
 }
 
-// NextDeadline is when Step has something to do though nothing happens; false: never.
-func (s *Broker) NextDeadline() (at Time, some bool) {
-	for _, t := range s.topics {
-		if t.ownerAwaySince > 0 && (!some || t.ownerAwaySince+s.config.Linger < at) {
-			at, some = t.ownerAwaySince+s.config.Linger, true
+// NextDeadline returns the time by which Step has to be called even without events; ok is false if there is none.
+func (b *Broker) NextDeadline() (deadline Time, ok bool) {
+	for _, t := range b.topics {
+		if t.ownerAwaySince > 0 && (!ok || t.ownerAwaySince+b.config.Linger < deadline) {
+			deadline, ok = t.ownerAwaySince+b.config.Linger, true
 		}
 	}
-	return at, some
+	return deadline, ok
 }
 
 func sortedTopics(topics map[string]*topic) []*topic {
 	return slices.SortedFunc(maps.Values(topics), func(t, u *topic) int { return cmp.Compare(t.name, u.name) })
 }
 
-func (s *Broker) topic(name string) *topic {
-	t := s.topics[name]
+func (b *Broker) getOrCreateTopic(name string) *topic {
+	t := b.topics[name]
 	if t == nil {
 		t = &topic{name: name, state: map[string]Value{}}
-		s.topics[name] = t
+		b.topics[name] = t
 	}
 	return t
 }
 
-func (s *Broker) applyChange(e TopicChanged) *topic {
-	t := s.topic(e.Topic)
-	for _, set := range e.Updates {
-		was, there := t.state[set.Key]
-		if set.Deleted != there && (set.Deleted || was == set.Value) {
-			continue // it stands there, or is gone, already
+func (b *Broker) applyChange(e TopicChanged) *topic {
+	t := b.getOrCreateTopic(e.Topic)
+	for _, update := range e.Updates {
+		old, exists := t.state[update.Key]
+		if update.Deleted != exists && (update.Deleted || old == update.Value) {
+			continue // no change
 		}
-		if set.Deleted {
-			delete(t.state, set.Key)
+		if update.Deleted {
+			delete(t.state, update.Key)
 		} else {
-			t.state[set.Key] = set.Value
+			t.state[update.Key] = update.Value
 		}
-		for _, x := range t.subscribers {
-			x.dirty[set.Key] = true
+		for _, sub := range t.subscribers {
+			sub.dirty[update.Key] = true
 		}
 	}
 	if e.Marker != 0 && t.owner != nil {
@@ -247,186 +251,191 @@
 	return t
 }
 
-func (s *Broker) subscribe(e Opened) *topic {
-	t := s.topic(e.Topic)
-	x := &subscriber{topic: t, needsSnapshot: true, dirty: map[string]bool{}}
+func (b *Broker) subscribe(e Opened) *topic {
+	t := b.getOrCreateTopic(e.Topic)
+	sub := &subscriber{topic: t, needsSnapshot: true, dirty: map[string]bool{}}
 	switch {
-	case !e.Owner && len(t.subscribers) > s.config.MaxObservers:
-		s.actions = append(s.actions, Close{e.Conn, ReasonTooManyObservers})
+	case !e.Owner && len(t.subscribers) > b.config.MaxObservers:
+		b.actions = append(b.actions, Close{e.Conn, ReasonTooManyObservers})
 		return t
 	case !e.Owner || t.owner == nil:
-		t.subscribers = append(t.subscribers, x)
-	default: // the newer connection holds, and goes on where the older one was
-		if x = t.owner; x.conn != 0 {
-			s.actions = append(s.actions, Close{x.conn, ReasonReplaced})
-			delete(s.conns, x.conn)
+		t.subscribers = append(t.subscribers, sub)
+	default: // the newer connection replaces the older one and resumes its position
+		if sub = t.owner; sub.conn != 0 {
+			b.actions = append(b.actions, Close{sub.conn, ReasonReplaced})
+			delete(b.conns, sub.conn)
 		}
-		s.resume(x, e.Epoch, e.Seq)
+		b.resume(sub, e.Epoch, e.Seq)
 	}
 	if e.Owner {
 		if t.owner == nil {
-			s.actions = append(s.actions, OwnerJoined{t.name, e.Conn})
+			b.actions = append(b.actions, OwnerJoined{t.name, e.Conn})
 		}
-		t.owner, t.ownerAwaySince = x, 0
+		t.owner, t.ownerAwaySince = sub, 0
 	}
-	x.conn, x.credit = e.Conn, min(max(e.Credit, 0), s.config.MaxCredit)
-	s.conns[e.Conn] = x
+	sub.conn, sub.credit = e.Conn, min(max(e.Credit, 0), b.config.MaxCredit)
+	b.conns[e.Conn] = sub
 	return t
 }
 
-// resume goes on after what took effect: what was sent since is what it may lack.
-func (s *Broker) resume(x *subscriber, epoch uint64, seq uint32) {
-	at := slices.IndexFunc(x.inFlight, func(m sent) bool { return m.seq == seq })
-	first := len(x.inFlight) == 0 && seq == x.lastSeq || len(x.inFlight) > 0 && seq+1 == x.inFlight[0].seq
-	if epoch != s.config.Epoch || at < 0 && !first || seq == 0 {
-		x.needsSnapshot = true
+// resume continues the stream of an owner after the last message that it applied. The keys of later messages are sent
+// again. If the position is unknown or a snapshot was lost, the next message is a snapshot.
+func (b *Broker) resume(sub *subscriber, epoch uint64, seq uint32) {
+	index := slices.IndexFunc(sub.inFlight, func(m sentMessage) bool { return m.seq == seq })
+	// The owner applied none of the messages in flight, and all messages before them.
+	noneApplied := len(sub.inFlight) == 0 && seq == sub.lastSeq || len(sub.inFlight) > 0 && seq+1 == sub.inFlight[0].seq
+	if epoch != b.config.Epoch || index < 0 && !noneApplied || seq == 0 {
+		sub.needsSnapshot = true
 	} else {
-		s.acknowledge(x, at+1)
-		x.prevSeq = seq
+		b.acknowledge(sub, index+1)
+		sub.prevSeq = seq
 	}
-	for _, m := range x.inFlight {
-		x.needsSnapshot = x.needsSnapshot || m.snapshot
+	for _, m := range sub.inFlight {
+		sub.needsSnapshot = sub.needsSnapshot || m.snapshot
 		for _, k := range m.keys {
-			x.dirty[k] = true
+			sub.dirty[k] = true
 		}
-		x.markers = append(m.markers, x.markers...)
+		sub.markers = append(m.markers, sub.markers...)
 	}
-	x.inFlight = nil
+	sub.inFlight = nil
 }
 
-// acknowledge takes so many of what was sent for having taken effect.
-func (s *Broker) acknowledge(x *subscriber, n int) {
-	for _, m := range x.inFlight[:n] {
-		for _, mark := range m.markers {
-			s.actions = append(s.actions, MarkerAcked{x.topic.name, mark})
+// acknowledge removes the first count messages in flight and reports their markers.
+func (b *Broker) acknowledge(sub *subscriber, count int) {
+	for _, m := range sub.inFlight[:count] {
+		for _, marker := range m.markers {
+			b.actions = append(b.actions, MarkerAcked{sub.topic.name, marker})
 		}
 	}
-	x.inFlight = slices.Delete(x.inFlight, 0, n)
+	sub.inFlight = slices.Delete(sub.inFlight, 0, count)
 }
 
-func (s *Broker) handleAck(x *subscriber, e Acked) {
-	x.credit = min(x.credit+max(e.AddedCredit, 0), s.config.MaxCredit)
-	switch at := slices.IndexFunc(x.inFlight, func(m sent) bool { return m.seq == e.Seq }); {
-	case e.Epoch == s.config.Epoch && at >= 0:
-		s.acknowledge(x, at+1)
-	case e.Epoch == s.config.Epoch && int32(e.Seq-x.lastSeq) > 0: // late ones and repeats are nothing new
-		s.actions = append(s.actions, Close{x.conn, ReasonUnknownSequence})
-		s.disconnect(x)
+func (b *Broker) handleAck(sub *subscriber, e Acked) {
+	sub.credit = min(sub.credit+max(e.AddedCredit, 0), b.config.MaxCredit)
+	switch index := slices.IndexFunc(sub.inFlight, func(m sentMessage) bool { return m.seq == e.Seq }); {
+	case e.Epoch == b.config.Epoch && index >= 0:
+		b.acknowledge(sub, index+1)
+	case e.Epoch == b.config.Epoch && int32(e.Seq-sub.lastSeq) > 0: // never sent; lower ones are late or repeated
+		b.actions = append(b.actions, Close{sub.conn, ReasonUnknownSequence})
+		b.disconnect(sub)
 	}
 }
 
-// disconnect parts a subscriber from its connection. What was on the way to it may have taken effect or not.
-func (s *Broker) disconnect(x *subscriber) {
-	delete(s.conns, x.conn)
-	x.conn, x.credit = 0, 0
-	if t := x.topic; x == t.owner {
-		t.ownerAwaySince = max(s.now, 1)
+// disconnect detaches a subscriber from its connection. An owner keeps its messages in flight, as it may resume; an
+// observer is removed.
+func (b *Broker) disconnect(sub *subscriber) {
+	delete(b.conns, sub.conn)
+	sub.conn, sub.credit = 0, 0
+	if t := sub.topic; sub == t.owner {
+		t.ownerAwaySince = max(b.now, 1)
 	} else {
-		t.subscribers = slices.DeleteFunc(t.subscribers, func(y *subscriber) bool { return x == y })
+		t.subscribers = slices.DeleteFunc(t.subscribers, func(other *subscriber) bool { return sub == other })
 		if t.owner == nil && len(t.subscribers) == 0 && len(t.state) == 0 {
-			delete(s.topics, t.name)
+			delete(b.topics, t.name)
 		}
 	}
 }
 
-// endTopic forgets a topic and lets all of it go.
-func (s *Broker) endTopic(t *topic, why Reason) {
-	for _, x := range t.subscribers {
-		if x.conn != 0 {
-			s.actions = append(s.actions, Close{x.conn, choose(x == t.owner, why, ReasonTopicEnded)})
-			delete(s.conns, x.conn)
+// endTopic removes a topic and closes its connections, that of the owner with ownerReason.
+func (b *Broker) endTopic(t *topic, ownerReason Reason) {
+	for _, sub := range t.subscribers {
+		if sub.conn != 0 {
+			b.actions = append(b.actions, Close{sub.conn, choose(sub == t.owner, ownerReason, ReasonTopicEnded)})
+			delete(b.conns, sub.conn)
 		}
 	}
-	delete(s.topics, t.name)
+	delete(b.topics, t.name)
 }
 
-// flush sends what a subscriber may be sent now. An owner is sent nothing before there is something to hold.
-func (s *Broker) flush(x *subscriber) {
-	for x.conn != 0 && x.credit > 0 {
-		keys, ok := s.nextKeys(x)
+// flush sends pending messages to a subscriber as far as its credit allows.
+func (b *Broker) flush(sub *subscriber) {
+	for sub.conn != 0 && sub.credit > 0 {
+		keys, ok := b.nextKeys(sub)
 		if !ok {
 			return
 		}
-		s.sendKeys(x, keys)
+		b.sendKeys(sub, keys)
 	}
 }
 
-// nextKeys are the keys of the next message; it reports whether there is one to send.
-func (s *Broker) nextKeys(x *subscriber) (keys []string, ok bool) {
+// nextKeys returns the keys of the next message; ok is false if there is nothing to send. A snapshot of an empty topic
+// is not sent.
+func (b *Broker) nextKeys(sub *subscriber) (keys []string, ok bool) {
 	switch {
-	case x.needsSnapshot && len(x.topic.state) == 0:
+	case sub.needsSnapshot && len(sub.topic.state) == 0:
 		return nil, false
-	case x.needsSnapshot:
-		clear(x.dirty)
-		return slices.Sorted(maps.Keys(x.topic.state)), true
-	case len(x.dirty) > 0:
-		if keys = slices.Sorted(maps.Keys(x.dirty)); len(keys) > s.config.MaxUpdatesPerMessage {
-			keys = keys[:s.config.MaxUpdatesPerMessage]
+	case sub.needsSnapshot:
+		clear(sub.dirty)
+		return slices.Sorted(maps.Keys(sub.topic.state)), true
+	case len(sub.dirty) > 0:
+		if keys = slices.Sorted(maps.Keys(sub.dirty)); len(keys) > b.config.MaxUpdatesPerMessage {
+			keys = keys[:b.config.MaxUpdatesPerMessage]
 		}
 		for _, k := range keys {
-			delete(x.dirty, k)
+			delete(sub.dirty, k)
 		}
 		return keys, true
 	}
-	return nil, len(x.markers) > 0
+	return nil, len(sub.markers) > 0
 }
 
-func (s *Broker) sendKeys(x *subscriber, keys []string) {
-	m := Send{Conn: x.conn, Epoch: s.config.Epoch, Prev: x.prevSeq, Snapshot: x.needsSnapshot}
+// sendKeys sends the current values of keys as the next message.
+func (b *Broker) sendKeys(sub *subscriber, keys []string) {
+	m := Send{Conn: sub.conn, Epoch: b.config.Epoch, Prev: sub.prevSeq, Snapshot: sub.needsSnapshot}
 	for _, k := range keys {
-		v, there := x.topic.state[k]
-		m.Updates = append(m.Updates, Update{Key: k, Deleted: !there, Value: v})
+		v, exists := sub.topic.state[k]
+		m.Updates = append(m.Updates, Update{Key: k, Deleted: !exists, Value: v})
 	}
-	if x.lastSeq++; x.lastSeq == 0 { // numbers are used up: the next one stands for all
-		x.lastSeq, x.needsSnapshot, x.inFlight = 1, true, nil
+	if sub.lastSeq++; sub.lastSeq == 0 { // the sequence number wrapped around: restart with a snapshot
+		sub.lastSeq, sub.needsSnapshot, sub.inFlight = 1, true, nil
 		m.Prev, m.Snapshot = 0, true
 		m.Updates = nil
-		for _, k := range slices.Sorted(maps.Keys(x.topic.state)) {
-			m.Updates = append(m.Updates, Update{Key: k, Value: x.topic.state[k]})
+		for _, k := range slices.Sorted(maps.Keys(sub.topic.state)) {
+			m.Updates = append(m.Updates, Update{Key: k, Value: sub.topic.state[k]})
 		}
 	}
-	m.Seq, x.prevSeq = x.lastSeq, x.lastSeq
-	f := sent{seq: x.lastSeq, snapshot: m.Snapshot, keys: keys}
-	if len(x.dirty) == 0 { // a mark is answered once all before it took effect
-		f.markers, x.markers = x.markers, nil
+	m.Seq, sub.prevSeq = sub.lastSeq, sub.lastSeq
+	sent := sentMessage{seq: sub.lastSeq, snapshot: m.Snapshot, keys: keys}
+	if len(sub.dirty) == 0 { // a marker covers all updates before it, so it waits for the last of them
+		sent.markers, sub.markers = sub.markers, nil
 	}
 	if m.Snapshot {
-		f.keys = nil
+		sent.keys = nil // a lost snapshot is replaced by another one
 	}
-	x.inFlight = append(x.inFlight, f)
-	x.needsSnapshot, x.credit = false, x.credit-1
-	s.actions = append(s.actions, m)
+	sub.inFlight = append(sub.inFlight, sent)
+	sub.needsSnapshot, sub.credit = false, sub.credit-1
+	b.actions = append(b.actions, m)
 }
 
-// Pending are the sets that a topic's owner has still to be sent, and the messages on the way to it.
-func (s *Broker) Pending(topic string) (sets, messages int) {
-	if t := s.topics[topic]; t != nil && t.owner != nil {
-		sets = len(t.owner.dirty)
+// Pending returns the number of updates that are still to be sent to a topic's owner, and of messages in flight to it.
+func (b *Broker) Pending(topic string) (updates, messages int) {
+	if t := b.topics[topic]; t != nil && t.owner != nil {
+		updates = len(t.owner.dirty)
 		if t.owner.needsSnapshot {
-			sets = len(t.state)
+			updates = len(t.state)
 		}
-		return sets, len(t.owner.inFlight)
+		return updates, len(t.owner.inFlight)
 	}
 	return 0, 0
 }
 
-// Size counts what is kept, for a look from outside.
-func (s *Broker) Size() (topics, conns, values int) {
-	for _, t := range s.topics {
+// Size returns the number of topics, connections and values held.
+func (b *Broker) Size() (topics, conns, values int) {
+	for _, t := range b.topics {
 		values += len(t.state)
 	}
-	return len(s.topics), len(s.conns), values
+	return len(b.topics), len(b.conns), values
 }
 
-func choose[T any](is bool, yes, no T) T {
-	if is {
-		return yes
+func choose[T any](condition bool, ifTrue, ifFalse T) T {
+	if condition {
+		return ifTrue
 	}
-	return no
+	return ifFalse
 }
 
-// JoinKey makes a key of its parts, Split takes it apart.
+// JoinKey builds a key from its parts, separated by NUL bytes.
 func JoinKey(parts ...string) string { return strings.Join(parts, "\x00") }
 
-// SplitKey gives the parts of a key.
+// SplitKey returns the parts of a key built by JoinKey.
 func SplitKey(key string) []string { return strings.Split(key, "\x00") }
