--- a/internal/controller/command/warmstart.go
+++ b/internal/controller/command/warmstart.go
@@ -349,7 +349,7 @@
 				table := tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
 				_, _ = fmt.Fprintln(table, "kind\tkey\tstate\trevision\tage\tat a start")
 				for _, f := range factsFromRecords(records, name, time.Now()) {
-					verdict := "accepted"
+					verdict := "believed"
 					if f.Age > o.Grace {
 						verdict = fmt.Sprintf("refused: older than the grace period of %v", o.Grace)
 					} else if f.Age < 0 {
