--- a/internal/controlplane/consensus/boundedstate_test.go
+++ b/internal/controlplane/consensus/boundedstate_test.go
@@ -68,8 +68,8 @@
 func (cluster *idealCluster) start(t *testing.T, i int, incarnation uint64, firstStart bool) {
 	t.Helper()
 	records := maps.Clone(cluster.records[i])
-	_, complete := records[recordComplete]
-	delete(records, recordComplete)
+	_, complete := records[recordsCompleteMarker]
+	delete(records, recordsCompleteMarker)
 	state, err := LoadState(testNode(i).Name, records, complete, firstStart, fmt.Sprintf("d%d.%d", i, incarnation))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/consensus/diskloss_test.go
+++ b/internal/controlplane/consensus/diskloss_test.go
@@ -53,8 +53,8 @@
 	intact, intactSeeds, lost := 0, 0, 1
 	for _, m := range sim.machines {
 		var d diskRecord
-		isIntact := m.records[recordDisk] != nil && cbor.Unmarshal(m.records[recordDisk], &d) == nil && d.FirstStart &&
-			m.records[recordComplete] != nil
+		isIntact := m.records[recordDisk] != nil && cbor.Unmarshal(m.records[recordDisk], &d) == nil &&
+			d.WrittenAtFirstStart && m.records[recordsCompleteMarker] != nil
 		switch {
 		case m == sim.machines[i]:
 		case m.paused || m.replica == nil && !m.removed || len(sim.blockedLinks) > 0:
--- a/internal/controlplane/consensus/durablestate.go
+++ b/internal/controlplane/consensus/durablestate.go
@@ -17,10 +17,10 @@
 // Record names. A disk keeps only the newest record of each name, so that its size grows with the number of registers
 // and not with the number of changes. The names, and the CBOR keys of the records, are stored and must not change.
 const (
-	recordDisk           = "disk"     // diskRecord
-	recordEpoch          = "epoch"    // the newest Epoch
-	recordComplete       = "complete" // present while no record is known to be lost
-	recordRegisterPrefix = "b/"       // followed by the register's name: registerRecord
+	recordDisk            = "disk"     // diskRecord
+	recordEpoch           = "epoch"    // the newest Epoch
+	recordsCompleteMarker = "complete" // present while no record is known to be lost
+	recordRegisterPrefix  = "b/"       // followed by the register's name: registerRecord
 
 	// Records of the version before epochs: the initial voters, and the version and value of each register.
 	legacyInitialVoters  = "founders"
@@ -41,9 +41,9 @@
 }
 
 type diskRecord struct {
-	ID         string     `cbor:"1,keyasint"`
-	FirstStart bool       `cbor:"2,keyasint,omitempty"` // written at the cluster's first start
-	Origin     rpc.Origin `cbor:"3,keyasint,omitzero"`  // set if FirstStart
+	ID                  string     `cbor:"1,keyasint"`
+	WrittenAtFirstStart bool       `cbor:"2,keyasint,omitempty"` // the first start of the cluster
+	Origin              rpc.Origin `cbor:"3,keyasint,omitzero"`  // set if WrittenAtFirstStart
 }
 
 type registerRecord struct {
@@ -64,9 +64,9 @@
 // Unwrap returns the cause.
 func (e *RecordError) Unwrap() error { return e.Cause }
 
-// LoadState decodes the records of a disk. complete tells whether the disk has recordComplete. firstStart tells whether
-// this is the cluster's first start, with an empty disk. newStoreID becomes the id of a disk that is new or may have
-// forgotten votes.
+// LoadState decodes the records of a disk. complete tells whether the disk has recordsCompleteMarker. firstStart tells
+// whether this is the cluster's first start, with an empty disk. newStoreID becomes the id of a disk that is new or may
+// have forgotten votes.
 //
 // A decoding error is a *RecordError. The caller must not treat it as an empty disk, because the disk may have voted.
 func LoadState(selfName string, records map[string][]byte, complete, firstStart bool,
@@ -93,7 +93,7 @@
 	if err := cbor.Unmarshal(records[recordDisk], &disk); err != nil {
 		return &RecordError{recordDisk, err}
 	}
-	s.StoreID, s.MayHaveLostState, s.Identified = disk.ID, !disk.FirstStart, true
+	s.StoreID, s.MayHaveLostState, s.Identified = disk.ID, !disk.WrittenAtFirstStart, true
 	s.Origin = disk.Origin
 	if data := records[recordEpoch]; len(data) > 0 {
 		var err error
@@ -170,7 +170,7 @@
 }
 
 // writeIdentity writes the disk's identity. It first erases the records of another identity, then writes the initial
-// state, the id, and recordComplete last. The disk does not vote before all of it is written.
+// state, the id, and recordsCompleteMarker last. The disk does not vote before all of it is written.
 func (r *Replica) writeIdentity() {
 	state := &r.options.State
 	r.identityFailed = false
@@ -190,10 +190,10 @@
 	if state.Epoch.Number > 0 {
 		write(recordEpoch, encodeEpoch(r.epoch))
 	}
-	// The id follows the state. A legacy disk already has recordComplete: with the id first, a power loss in between would
-	// make it look like an empty disk from the cluster's first start.
+	// The id follows the state. A legacy disk already has recordsCompleteMarker: with the id first, a power loss in
+	// between would make it look like an empty disk from the cluster's first start.
 	write(recordDisk, marshal(diskRecord{state.StoreID, !state.MayHaveLostState, r.origin}))
-	write(recordComplete, []byte{1})
+	write(recordsCompleteMarker, []byte{1})
 }
 
 // isRewritten reports whether a foreign record is overwritten anyway by state that arrived since the start.
--- a/internal/controlplane/consensus/durablestate_test.go
+++ b/internal/controlplane/consensus/durablestate_test.go
@@ -89,7 +89,7 @@
 	for n := range len(writes) + 1 {
 		disk := maps.Clone(records)
 		for _, p := range writes[:n] {
-			if disk[p.Record] = p.Value; p.Record == recordComplete {
+			if disk[p.Record] = p.Value; p.Record == recordsCompleteMarker {
 				delete(disk, p.Record) // LoadState gets it as a parameter
 			}
 		}
@@ -101,7 +101,7 @@
 // A disk without the completion mark must get a new id and drop its records.
 func TestLoadStateWithoutCompletionMark(t *testing.T) {
 	records := legacyRecords(t)
-	records[recordDisk] = marshal(diskRecord{ID: "d1", FirstStart: true})
+	records[recordDisk] = marshal(diskRecord{ID: "d1", WrittenAtFirstStart: true})
 	records[recordEpoch] = encodeEpoch(Epoch{Number: 4})
 	records[registerRecordName(configRegister)] = encodeRegister(
 		4,
@@ -124,7 +124,7 @@
 		}
 	}
 	names := slices.Sorted(maps.Keys(remaining))
-	if !slices.Equal(names, []string{recordComplete, recordDisk}) || last != recordComplete {
+	if !slices.Equal(names, []string{recordsCompleteMarker, recordDisk}) || last != recordsCompleteMarker {
 		t.Errorf("records %q are left, and %q is written last", names, last)
 	}
 }
@@ -132,7 +132,7 @@
 // Guards against a corrupt record that is treated as a missing one.
 func TestLoadStateCorruptRecords(t *testing.T) {
 	records := map[string][]byte{
-		recordDisk:                         marshal(diskRecord{ID: "d0", FirstStart: true}),
+		recordDisk:                         marshal(diskRecord{ID: "d0", WrittenAtFirstStart: true}),
 		recordEpoch:                        encodeEpoch(Epoch{Number: 1}),
 		registerRecordName(configRegister): marshal(registerRecord{}),
 	}
@@ -158,7 +158,7 @@
 		state := loadState(
 			t,
 			map[string][]byte{
-				recordDisk:                        marshal(diskRecord{ID: "d0", FirstStart: true}),
+				recordDisk:                        marshal(diskRecord{ID: "d0", WrittenAtFirstStart: true}),
 				recordEpoch:                       encodeEpoch(Epoch{Number: 4}),
 				registerRecordName(epochRegister): encodeRegister(votedIn, acceptor),
 			}, true)
--- a/internal/controlplane/consensus/modelcheck_test.go
+++ b/internal/controlplane/consensus/modelcheck_test.go
@@ -29,10 +29,10 @@
 	voters        int
 	learner       bool
 	proposals     []configProposal // each may be sent at any time
-	crashes       int              // a process restarts with its synced records
-	wipes         int              // a process restarts with an empty disk
-	duplicates    int              // a message is delivered twice
-	clockSteps    int              // for each node: its clock advances by clockStep
+	crashes       int              // maximum number of restarts with the synced records
+	wipes         int              // maximum number of restarts with an empty disk
+	duplicates    int              // maximum number of messages that are delivered twice
+	clockSteps    int              // maximum number of advances of each node's clock by clockStep
 	instantDisks  bool             // writes complete at once
 	faultyNode    int              // the node that may crash or be wiped; -1: any
 	changesVoters bool             // the learner replaces the last voter
@@ -53,7 +53,7 @@
 	answersBeforeSync bool // a vote is sent before it is synced
 	keepsStoreID      bool // a wiped disk keeps its id
 	losesPromises     bool // promises are not on disk
-	ignoresEpoch      bool // messages count as sent in the receiver's epoch
+	ignoresEpoch      bool // a receiver treats a voter's message as if it was sent in the receiver's epoch
 	noJointEpoch      bool // voters change without a joint epoch
 }
 
@@ -85,10 +85,10 @@
 	votersChanged   bool
 	lastIncarnation uint64
 	// The newest value that was reported as committed. It must not be lost.
-	newest      Register
-	lowerBounds [4]Version        // the version of newest when each proposal was sent
-	epochs      map[uint64][]byte // entered by a node, encoded, by number
-	newestEpoch Epoch
+	newest           Register
+	newestAtProposal [4]Version        // the version of newest when each proposal was sent
+	epochs           map[uint64][]byte // encoded epochs that some node has entered, by epoch number
+	newestEpoch      Epoch
 }
 
 // model explores the states of a scope, and keeps the results.
@@ -115,7 +115,7 @@
 	return 1
 }
 
-// initialState returns a bootstrapped cluster with quorum contact.
+// initialState returns a bootstrapped cluster in which each node has recently heard from a quorum.
 func (m *model) initialState() *modelState {
 	s := &modelState{
 		crashes:         m.crashes,
@@ -135,9 +135,9 @@
 	s.epochs[1], s.newestEpoch = encodeEpoch(epoch), epoch
 	for i := range nodes {
 		records := map[string][]byte{
-			recordDisk:     marshal(diskRecord{ID: fmt.Sprint("d", i), FirstStart: i < m.voters}),
-			recordComplete: {1},
-			recordEpoch:    encodeEpoch(epoch),
+			recordDisk:            marshal(diskRecord{ID: fmt.Sprint("d", i), WrittenAtFirstStart: i < m.voters}),
+			recordsCompleteMarker: {1},
+			recordEpoch:           encodeEpoch(epoch),
 		}
 		s.nodes = append(s.nodes, &modelNode{records: records, now: 10 * ms, clockSteps: m.clockSteps})
 	}
@@ -159,8 +159,8 @@
 func (m *model) startNode(s *modelState, i int, incarnation uint64) {
 	n := s.nodes[i]
 	records := maps.Clone(n.records)
-	_, complete := records[recordComplete]
-	delete(records, recordComplete)
+	_, complete := records[recordsCompleteMarker]
+	delete(records, recordsCompleteMarker)
 	state, err := LoadState(testNode(i).Name, records, complete, false, fmt.Sprintf("d%d.%d", i, incarnation))
 	if err != nil {
 		m.failure = err.Error()
@@ -178,7 +178,7 @@
 		clockSteps:    n.clockSteps,
 		replica: New(Options{Self: testNode(i), Incarnation: incarnation << 20, MaxFaults: (m.voters - 1) / 2,
 			Seeds: []string{"a0"}, State: state,
-			bugs: injectedBugs{noTurns: true}}), // a waiting proposer would wait forever, as clocks stand still
+			bugs: injectedBugs{noProposerTurns: true}}), // the clock that ends a wait may never advance
 	}
 }
 
@@ -192,7 +192,7 @@
 	}
 }
 
-// step passes events to a node. Its messages and writes are then in progress.
+// step passes events to a node. The resulting messages are then in flight and the resulting writes pending.
 func (m *model) step(s *modelState, i int, events ...Event) {
 	m.perform(s, i, func(r *Replica, now time.Duration) []Action { return r.Step(now, events...) })
 }
@@ -242,10 +242,10 @@
 // ignores reports whether a message changes nothing, whenever it arrives: a response to a ballot that has ended, or a
 // ballot that is already known to be chosen. The model drops such messages to reduce the number of states.
 func (r *Replica) ignores(message *rpc.Message) bool {
-	mayChangePeer := message.AcceptedBallots != nil || message.Complete || message.ShuttingDown
+	mayChangePeerState := message.AcceptedBallots != nil || message.Complete || message.ShuttingDown
 	isRequest := message.QueryState || message.FetchRegisters != nil
 	isNews := message.EpochNumber != r.epoch.Number || message.Epoch != nil || message.ChosenValues != nil
-	if mayChangePeer || isRequest || isNews {
+	if mayChangePeerState || isRequest || isNews {
 		return false
 	}
 	for name, ballot := range message.ChosenBallots {
@@ -306,7 +306,7 @@
 	j := slices.IndexFunc(s.nodes, func(n *modelNode) bool { return n.replica.options.Self.Name == send.To })
 	message := send.Message
 	switch {
-	case message.Ping: // answered at once, because quorum contact is not part of the model
+	case message.Ping: // delivered at once: the model does not explore lost or delayed pings
 		m.step(s, j, MessageReceived{testNode(i).Name, message})
 		return
 	case message.Pong:
@@ -349,27 +349,29 @@
 		return
 	}
 	proposal := m.proposals[done.RequestID-1]
-	sameVersion := done.Version == Version{Number: proposal.version, ID: proposal.digest}
-	isOther := done.Version.Number == proposal.version && !sameVersion
+	isProposed := done.Version == Version{Number: proposal.version, ID: proposal.digest}
+	isOtherValueOfVersion := done.Version.Number == proposal.version && !isProposed
 	switch {
-	case done.Outcome == Committed && (done.Version.Number < proposal.version || isOther):
-		m.failf("c%d: another value is confirmed under the version: %v for %v", i, done.Version, proposal)
-	case done.Outcome == Conflict && (done.Version.Number < proposal.version || sameVersion):
-		m.failf("c%d: %v is rejected because of %v", i, proposal, done.Version)
+	case done.Outcome == Committed && (done.Version.Number < proposal.version || isOtherValueOfVersion):
+		m.failf("c%d: proposal %v is reported as committed, but with %v", i, proposal, done.Version)
+	case done.Outcome == Conflict && (done.Version.Number < proposal.version || isProposed):
+		m.failf("c%d: proposal %v is rejected, but %v is not another value of the same or a higher version",
+			i, proposal, done.Version)
 	}
-	if lowerBound := s.lowerBounds[done.RequestID-1]; done.Version.Less(lowerBound) {
+	if reported := s.newestAtProposal[done.RequestID-1]; done.Version.Less(reported) {
 		m.failf(
 			"c%d: the response to %v is %v, but %v was reported before the request",
 			i,
 			proposal,
 			done.Version,
-			lowerBound,
+			reported,
 		)
 	}
 	m.checkCommitted(s, i, "acknowledged", done.Register)
 }
 
-// checkDurable checks that no majority of the voters of the newest epoch lacks the newest reported value.
+// checkDurable checks that every majority of the newest epoch's voters includes one that has the newest reported value
+// on disk.
 func (m *model) checkDurable(s *modelState) {
 	if s.newest.Version == (Version{}) || m.failure != "" {
 		return
@@ -414,8 +416,8 @@
 	if s.votersChanged {
 		b = append(b, 1)
 	}
-	for _, bound := range s.lowerBounds {
-		b = append(b, byte(bound.Number), byte(bound.ID))
+	for _, version := range s.newestAtProposal {
+		b = append(b, byte(version.Number), byte(version.ID))
 	}
 	b = fmt.Appendf(b, "%d/%d", s.newest.Version.Number, s.newest.Version.ID)
 	m.buf = b
@@ -474,7 +476,7 @@
 func (m *model) propose(s *modelState, i int) {
 	p := m.proposals[i]
 	s.proposed |= 1 << i
-	s.lowerBounds[i] = s.newest.Version
+	s.newestAtProposal[i] = s.newest.Version
 	value := fmt.Appendf(nil, "%d/%d", p.version, p.digest)
 	m.step(s, p.node, Propose{uint64(i + 1), configRegister, ReplaceConfig(p.version, p.digest, value)})
 }
@@ -484,7 +486,7 @@
 	s.votersChanged = true
 	m.perform(s, 0, func(r *Replica, now time.Duration) []Action {
 		if r.now, r.actions = now, nil; r.epoch.Number != 1 {
-			return nil // its disk was wiped
+			return nil // the node is not in epoch 1, because its disk was wiped
 		}
 		learner := Voter{Node: testNode(m.voters), StoreID: fmt.Sprint("d", m.voters)}
 		next := sortVoters(append(slices.Clone(r.epoch.Voters[:m.voters-1]), learner))
@@ -538,7 +540,7 @@
 	n.storedVersion = record.Value.Version
 }
 
-// finishWrite completes the first write of a disk.
+// finishWrite completes the oldest pending write of a node.
 func (m *model) finishWrite(s *modelState, i int) {
 	node := *s.nodes[i]
 	p := node.writes[0]
@@ -563,7 +565,7 @@
 		old := node.records
 		node.records = map[string][]byte{}
 		if m.bugs.keepsStoreID {
-			for _, name := range []string{recordDisk, recordEpoch, recordComplete} {
+			for _, name := range []string{recordDisk, recordEpoch, recordsCompleteMarker} {
 				node.records[name] = old[name]
 			}
 		}
@@ -628,9 +630,9 @@
 }
 
 var (
-	sameVersion = []configProposal{{0, 5, 1}, {1, 5, 2}}
-	twoVersions = []configProposal{{0, 5, 1}, {1, 6, 2}}
-	oneProposal = []configProposal{{0, 5, 1}}
+	conflictingProposals = []configProposal{{0, 5, 1}, {1, 5, 2}}
+	twoVersions          = []configProposal{{0, 5, 1}, {1, 6, 2}}
+	oneProposal          = []configProposal{{0, 5, 1}}
 )
 
 // In every interleaving of the moves no committed value may be lost. Scopes with too many states are explored up to a
@@ -638,7 +640,7 @@
 func TestModelEveryInterleaving(t *testing.T) {
 	t.Parallel()
 	complete := []modelScope{
-		{name: "2 voters, 2 proposals with one version", voters: 2, proposals: sameVersion},
+		{name: "2 voters, 2 proposals with one version", voters: 2, proposals: conflictingProposals},
 		{
 			name:       "2 voters, 1 proposal, 1 crash, 1 duplicate message",
 			voters:     2,
@@ -658,7 +660,7 @@
 		{
 			name:         "3 voters, 2 proposals with one version, instant disks",
 			voters:       3,
-			proposals:    sameVersion,
+			proposals:    conflictingProposals,
 			instantDisks: true,
 		},
 	}
@@ -671,15 +673,15 @@
 		m.explore(runtime.GOMAXPROCS(0))
 		t.Logf("%s: %d states, %d transitions, complete", m.name, m.stateCount, m.transitions)
 		if m.failure != "" || m.truncated {
-			t.Errorf("%s: %s", m.name, m.failure)
+			t.Errorf("%s: truncated %t, want false; failure %q", m.name, m.truncated, m.failure)
 		}
 	}
 	truncated := []modelScope{
-		{name: "3 voters, 2 proposals with one version", voters: 3, proposals: sameVersion},
+		{name: "3 voters, 2 proposals with one version", voters: 3, proposals: conflictingProposals},
 		{
 			name:         "3 voters, 2 proposals with one version, 1 crash, instant disks",
 			voters:       3,
-			proposals:    sameVersion,
+			proposals:    conflictingProposals,
 			crashes:      1,
 			faultyNode:   -1,
 			instantDisks: true,
@@ -693,7 +695,7 @@
 			instantDisks:  true,
 		},
 		{
-			name: "3 voters, 1 learner, 2 proposals, 1 crash with or without its disk, 1 change of voters, " +
+			name: "3 voters, 1 learner, 2 proposals, 1 crash, 1 wipe, 1 change of voters, " +
 				"1 duplicate message, clocks that advance",
 			voters:        3,
 			learner:       true,
@@ -723,7 +725,7 @@
 			m.transitions-explored,
 		)
 		if m.failure != "" || !m.truncated {
-			t.Errorf("%s: truncated %v, %s", m.name, m.truncated, m.failure)
+			t.Errorf("%s: truncated %t, want true; failure %q", m.name, m.truncated, m.failure)
 		}
 	})
 	for _, l := range lines {
@@ -805,7 +807,7 @@
 				m.randomWalks(seed, 50)
 			}
 			if !strings.Contains(m.failure, c.failure) {
-				t.Errorf("failure %q", m.failure)
+				t.Errorf("failure %q, want one that contains %q", m.failure, c.failure)
 			}
 			t.Logf("after %d transitions: %s", m.transitions, m.failure)
 		})
--- a/internal/controlplane/consensus/replica.go
+++ b/internal/controlplane/consensus/replica.go
@@ -76,7 +76,7 @@
 type injectedBugs struct {
 	unorderedEpochs bool // ballots are not ordered by epoch
 	noJointEpoch    bool // voters change without a joint epoch
-	noTurns         bool // proposers do not wait for each other
+	noProposerTurns bool // proposers do not wait for each other
 	endlessTurns    bool // proposers ignore that another one's ballot has ended
 }
 
--- a/internal/controlplane/consensus/simulateddisk_test.go
+++ b/internal/controlplane/consensus/simulateddisk_test.go
@@ -24,7 +24,7 @@
 	old := m.records
 	m.records = map[string][]byte{}
 	if sim.bugs.keepsStoreID && old[recordDisk] != nil {
-		for _, name := range []string{recordDisk, recordEpoch, recordComplete} {
+		for _, name := range []string{recordDisk, recordEpoch, recordsCompleteMarker} {
 			if old[name] != nil {
 				m.records[name] = old[name]
 			}
@@ -48,7 +48,7 @@
 // storesID reports whether the disk of a machine without a process has an id.
 func (sim *simulation) storesID(m *machine, id string) bool {
 	var d diskRecord
-	_, complete := m.records[recordComplete]
+	_, complete := m.records[recordsCompleteMarker]
 	if complete && m.records[recordDisk] != nil && cbor.Unmarshal(m.records[recordDisk], &d) == nil {
 		return d.ID == id
 	}
--- a/internal/controlplane/consensus/simulation_test.go
+++ b/internal/controlplane/consensus/simulation_test.go
@@ -213,9 +213,9 @@
 		return
 	}
 	sim.lastStoreID++
-	_, complete := m.records[recordComplete]
+	_, complete := m.records[recordsCompleteMarker]
 	records := maps.Clone(m.records)
-	delete(records, recordComplete)
+	delete(records, recordsCompleteMarker)
 	firstStart := m.firstStart && len(records) == 0 || sim.bugs.hidesLostState
 	m.firstStart = false
 	state, err := LoadState(m.node.Name, records, complete, firstStart, fmt.Sprint("d", sim.lastStoreID))
--- a/internal/controlplane/consensus/turns.go
+++ b/internal/controlplane/consensus/turns.go
@@ -58,7 +58,7 @@
 
 // takesTurns reports whether the proposers of a register take turns. Those of the epoch register are staggered by rank.
 func (r *Replica) takesTurns(reg *register) bool {
-	return reg.name != epochRegister && !r.options.bugs.noTurns
+	return reg.name != epochRegister && !r.options.bugs.noProposerTurns
 }
 
 // recordOpenBallot records that another proposer's ballot is in progress.
--- a/internal/controlplane/consensus/turns_test.go
+++ b/internal/controlplane/consensus/turns_test.go
@@ -59,7 +59,7 @@
 			machines,
 			operators,
 			10*time.Second,
-			injectedBugs{noTurns: true},
+			injectedBugs{noProposerTurns: true},
 		)
 		if failure+failureWithoutTurns != "" {
 			t.Fatal(failure, failureWithoutTurns)
@@ -89,7 +89,7 @@
 	if raceEnabled {
 		seeds = 6
 	}
-	for name, bugs := range map[string]injectedBugs{"disabled": {noTurns: true}, "endless": {endlessTurns: true}} {
+	for name, bugs := range map[string]injectedBugs{"disabled": {noProposerTurns: true}, "endless": {endlessTurns: true}} {
 		for _, result := range simulateSeeds(3000, 3000+seeds, randomFaults, driverBugs{replica: bugs}) {
 			if result.failure != "" {
 				t.Errorf("turns %s, seed %d: %s", name, result.seed, result.failure)
--- a/internal/controlplane/rollout/coordinator.go
+++ b/internal/controlplane/rollout/coordinator.go
@@ -111,14 +111,14 @@
 	plan        Plan
 	isVoter     bool
 
-	connected  map[string]bool  // by peer
-	leases     map[string]lease // by proxy
-	versions   map[uint64]*trackedVersion
-	committed  Target        // the greatest version known to be committed
-	closedUpTo uint64        // ballots for versions up to this one are not answered
-	listenEnd  time.Duration // no stage advances before
-	now        time.Duration
-	actions    []Action
+	connected         map[string]bool  // by peer
+	leases            map[string]lease // by proxy
+	versions          map[uint64]*trackedVersion
+	committed         Target        // the greatest version known to be committed
+	closedUpTo        uint64        // ballots for versions up to this one are not answered
+	leaseDiscoveryEnd time.Duration // no stage advances before
+	now               time.Duration
+	actions           []Action
 
 	seq         uint64 // of the last Persist action
 	answers     []pendingAnswer
@@ -129,16 +129,16 @@
 // New returns a Coordinator that starts from the records in o.Disk.
 func New(o Options) *Coordinator {
 	c := &Coordinator{
-		self:        o.Self,
-		incarnation: o.Incarnation,
-		maxFaults:   o.MaxFaults,
-		voters:      o.Voters,
-		plan:        o.Plan,
-		isVoter:     o.IsVoter,
-		connected:   map[string]bool{},
-		leases:      map[string]lease{},
-		versions:    map[uint64]*trackedVersion{},
-		listenEnd:   unset,
+		self:              o.Self,
+		incarnation:       o.Incarnation,
+		maxFaults:         o.MaxFaults,
+		voters:            o.Voters,
+		plan:              o.Plan,
+		isVoter:           o.IsVoter,
+		connected:         map[string]bool{},
+		leases:            map[string]lease{},
+		versions:          map[uint64]*trackedVersion{},
+		leaseDiscoveryEnd: unset,
 	}
 	for _, vote := range o.Disk {
 		c.load(vote)
@@ -187,8 +187,8 @@
 // Step handles the events and everything that is due at now, which is a monotonic time.
 func (c *Coordinator) Step(now time.Duration, events ...Event) []Action {
 	c.now, c.actions = now, nil
-	if c.listenEnd == unset {
-		c.listenEnd = now + c.plan.ListenDuration
+	if c.leaseDiscoveryEnd == unset {
+		c.leaseDiscoveryEnd = now + c.plan.LeaseDiscoveryDuration
 	}
 	if c.seq == 0 {
 		c.dropObsolete() // left over from an earlier process
@@ -240,7 +240,7 @@
 	case CaughtUp:
 		c.onCaughtUp(e.UpTo)
 	case Resumed:
-		c.listenEnd = c.now + c.plan.ListenDuration
+		c.leaseDiscoveryEnd = c.now + c.plan.LeaseDiscoveryDuration
 	}
 }
 
--- a/internal/controlplane/rollout/events.go
+++ b/internal/controlplane/rollout/events.go
@@ -277,11 +277,11 @@
 
 // Plan sets how versions are rolled out.
 type Plan struct {
-	Stages            []Stage
-	ListenDuration    time.Duration // a starting node learns leases for this long before it counts; a lease's duration
-	MaxEnded          int           // number of ended proxies that halts a version; 0: no limit
-	MaxNotReadable    int           // number of proxies that cannot compile a version that halts it; 0: no limit
-	MinAttempts       float64       // attempts with and without the version before they are compared; 0: never compared
-	MaxExtraFailures  float64       // excess of the failure ratio over that of proxies without the version
-	MaxExtraLatencyMS float64       // excess of the mean latency, or of the mean added time, over theirs
+	Stages                 []Stage
+	LeaseDiscoveryDuration time.Duration // wait of a starting node until it knows all leases: a lease's duration
+	MaxEndedProxies        int           // number of ended proxies that halts a version; 0: no limit
+	MaxNotReadable         int           // number of proxies that cannot compile a version that halts it; 0: no limit
+	MinAttempts            float64       // attempts with and without the version before a comparison; 0: never compared
+	MaxExtraFailures       float64       // excess of the failure ratio over that of proxies without the version
+	MaxExtraLatencyMS      float64       // excess of the mean latency, or of the mean added time, over theirs
 }
--- a/internal/controlplane/rollout/exhaustive_test.go
+++ b/internal/controlplane/rollout/exhaustive_test.go
@@ -166,7 +166,7 @@
 				b,
 				restartCount(v.askedToPrepare[name]),
 				restartCount(v.confirmations[name].incarnation),
-				restartCount(c.confirmed[i][proxyVersion{proxy, 0}].incarnation),
+				restartCount(c.confirmed[i][leaseKey(proxy)].incarnation),
 				restartCount(c.confirmed[i][proxyVersion{proxy, exploredVersion}].incarnation),
 			)
 		}
--- a/internal/controlplane/rollout/progress.go
+++ b/internal/controlplane/rollout/progress.go
@@ -124,7 +124,7 @@
 		v.haltReason = Superseded
 		return
 	}
-	if c.now < c.listenEnd {
+	if c.now < c.leaseDiscoveryEnd {
 		v.stageStartedAt = c.now
 		return
 	}
@@ -180,7 +180,7 @@
 		}
 	}
 	switch p := &c.plan; {
-	case p.MaxEnded > 0 && v.endedProxies >= p.MaxEnded:
+	case p.MaxEndedProxies > 0 && v.endedProxies >= p.MaxEndedProxies:
 		return ProxiesEnded
 	case p.MaxNotReadable > 0 && notReadable >= p.MaxNotReadable:
 		return NotReadable
@@ -208,7 +208,7 @@
 		return Decision{Reason: v.haltReason}
 	}
 	stages := c.plan.Stages
-	if !v.stored || c.now < c.listenEnd || v.stage < len(stages) || len(stages) == 0 {
+	if !v.stored || c.now < c.leaseDiscoveryEnd || v.stage < len(stages) || len(stages) == 0 {
 		return Decision{}
 	}
 	last := stages[len(stages)-1]
--- a/internal/controlplane/rollout/random_schedules_test.go
+++ b/internal/controlplane/rollout/random_schedules_test.go
@@ -25,7 +25,7 @@
 	s.stepCoordinator(node)
 }
 
-// catchUp lets nodes that lost their state become voters again, if enough other voters are reachable.
+// catchUp lets nodes that lost their votes become voters again, if enough other voters are reachable.
 func (s *randomSchedule) catchUp() {
 	for i, coordinator := range s.coordinators {
 		reachable := 0
@@ -41,7 +41,7 @@
 		promises, _ := coordinator.Quorums()
 		if !coordinator.isVoter && reachable >= max(s.nodeCount-s.maxFaults, promises) {
 			s.stepCoordinator(i, CaughtUp{greatest})
-			s.lostState[i] = s.lostState[i] && greatest > 0
+			s.lostVotes[i] = s.lostVotes[i] && greatest > 0
 		}
 	}
 }
@@ -104,11 +104,11 @@
 	}
 }
 
-// wipe crashes a node and empties its disk, unless the maximum number of nodes has lost its state.
+// wipe crashes a node and empties its disk, unless the maximum number of nodes has lost its votes.
 func (s *randomSchedule) wipe(node int) {
 	lost := 0
 	for j, other := range s.coordinators {
-		if !other.isVoter || s.lostState[j] {
+		if !other.isVoter || s.lostVotes[j] {
 			lost++
 		}
 	}
@@ -119,7 +119,7 @@
 
 func (s *randomSchedule) endRandomLease(node int) {
 	proxy := s.nodeCount + s.random.IntN(s.proxyCount)
-	delete(s.confirmed[node], proxyVersion{proxy: proxy})
+	delete(s.confirmed[node], leaseKey(proxy))
 	s.stepCoordinator(node, LeaseEnded{processName(proxy), s.random.IntN(2) == 0})
 }
 
@@ -203,7 +203,7 @@
 func runRandomSchedule(seed uint64, bugs injectedBugs) *cluster {
 	random := rand.New(rand.NewPCG(seed, 33))
 	size := []struct{ nodeCount, maxFaults int }{{3, 1}, {5, 2}}[seed%2]
-	plan := Plan{ListenDuration: 300 * time.Millisecond, MaxEnded: 3, Stages: []Stage{
+	plan := Plan{LeaseDiscoveryDuration: 300 * time.Millisecond, MaxEndedProxies: 3, Stages: []Stage{
 		{Proxies: 1, MinShare: 1, Timeout: 8 * time.Second},
 		{Zones: 1, MinShare: 1, Soak: 200 * time.Millisecond, Timeout: 8 * time.Second},
 		{MinShare: 0.5, Timeout: 8 * time.Second}}}
@@ -211,7 +211,7 @@
 		plan.Stages = []Stage{{MinShare: 0.5, Timeout: time.Second}}
 	}
 	c := newCluster(size.nodeCount, 4+random.IntN(3), size.maxFaults, plan, bugs)
-	c.reordersReconnects = seed%4 < 2
+	c.reordersAcrossReconnects = seed%4 < 2
 	c.deliverAll()
 	s := &randomSchedule{cluster: c, random: random}
 	for events := 0; events < 2500 && c.violation == ""; events++ {
@@ -222,7 +222,7 @@
 	return c
 }
 
-// No schedule violates the reference model, and the schedules reach all the main outcomes.
+// No schedule violates a check of the simulated cluster, and the schedules reach all the main outcomes.
 func TestRandomSchedules(t *testing.T) {
 	outcomes := map[string]int{}
 	for seed := range uint64(300) {
@@ -231,17 +231,25 @@
 			t.Fatalf("seed %d: %s", seed, c.violation)
 		}
 		for _, d := range c.chosen {
-			outcomes[fmt.Sprint(d.Committed, " ", d.Reason)]++
+			outcomes[outcomeOf(d)]++
 		}
 	}
 	t.Log(outcomes)
-	for _, want := range []string{"true ", "false too few confirmed", "false superseded", "false proxies ended"} {
+	for _, want := range []string{"committed", "rejected: too few confirmed", "rejected: superseded",
+		"rejected: proxies ended"} {
 		if outcomes[want] == 0 {
 			t.Errorf("no schedule reached the outcome %q: %v", want, outcomes)
 		}
 	}
 }
 
+func outcomeOf(d Decision) string {
+	if d == (Decision{Committed: true, Digest: d.Digest}) {
+		return "committed"
+	}
+	return fmt.Sprint("rejected: ", d.Reason)
+}
+
 // The checks of the simulated cluster detect each injected bug.
 func TestInjectedBugsAreDetected(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -302,7 +310,7 @@
 
 func TestDecisions(t *testing.T) {
 	target := Target{1, 7}
-	plan := Plan{MaxEnded: 2, MinAttempts: 100, MaxExtraFailures: 0.1, MaxExtraLatencyMS: 50, MaxNotReadable: 1,
+	plan := Plan{MaxEndedProxies: 2, MinAttempts: 100, MaxExtraFailures: 0.1, MaxExtraLatencyMS: 50, MaxNotReadable: 1,
 		Stages: []Stage{{MinShare: 0.5, Timeout: time.Second}}}
 	confirmed := func(proxy string, incarnation uint64) Event {
 		return Confirmed{Proxy: proxy, Incarnation: incarnation, Target: target}
@@ -340,7 +348,7 @@
 			want:   undecided,
 		},
 		{
-			name: "one of the two proxies that still have a lease",
+			name: "confirmation of the only proxy that still has a lease",
 			events: []Event{
 				confirmed("x1", 10), LeaseEnded{"x1", true}, LeaseEnded{"x3", true}, confirmed("x2", 11),
 			},
@@ -375,7 +383,7 @@
 			want: Decision{Reason: Unhealthy},
 		},
 		{
-			name: "more added time",
+			name: "more extra latency",
 			events: []Event{
 				confirmed("x1", 10), Measured{"x1", 100, 0, 0, 6000}, Measured{"x2", 100, 0, 0, 0},
 			},
@@ -404,8 +412,8 @@
 // A version that crashes every proxy that loads it does not leave the first stage, and is halted.
 func TestCrashingVersionIsHalted(t *testing.T) {
 	plan := Plan{
-		MaxEnded: 3,
-		Stages:   []Stage{{Proxies: 1, MinShare: 1, Timeout: time.Hour}, {MinShare: 0.5, Timeout: time.Hour}},
+		MaxEndedProxies: 3,
+		Stages:          []Stage{{Proxies: 1, MinShare: 1, Timeout: time.Hour}, {MinShare: 0.5, Timeout: time.Hour}},
 	}
 	coordinator := newSingleNode(plan, "x1", "x2", "x3", "y1", "y2", "y3")
 	commands, incarnation, now := 0, uint64(100), time.Duration(0)
@@ -431,7 +439,7 @@
 	t.Fatal("no decision")
 }
 
-func TestParticipantNeverActivatesLowerVersion(t *testing.T) {
+func TestParticipantActivation(t *testing.T) {
 	p := NewParticipant(1, time.Second)
 	loaded := func(version, digest uint64) []Event {
 		return []Event{BodyReceived{Target{version, digest}}, CompileDone{Target: Target{version, digest}}}
@@ -452,7 +460,7 @@
 		t.Fatalf("active version is %v", p.Active())
 	}
 	if actions := p.Step(0, CommandReceived{CommandActivate, Target{4, 1}}); len(actions) != 1 {
-		t.Fatalf("activating an unknown version: %v", actions)
+		t.Fatalf("activating a version whose body is missing: actions %v, want one", actions)
 	}
 	stale := p.Step(time.Second) // version 4 is committed, but its body has not arrived
 	if len(stale) != 2 || stale[1] != (FreshnessChanged{false}) {
--- a/internal/controlplane/rollout/simulated_cluster_test.go
+++ b/internal/controlplane/rollout/simulated_cluster_test.go
@@ -35,6 +35,9 @@
 	version uint64
 }
 
+// leaseKey returns the key of the incarnation of a proxy that holds the lease.
+func leaseKey(proxy int) proxyVersion { return proxyVersion{proxy: proxy} }
+
 type confirmedBody struct{ incarnation, digest uint64 }
 
 // cluster simulates the control-plane nodes 0 to nodeCount-1 and the proxies from nodeCount on. The caller chooses the
@@ -50,7 +53,9 @@
 	disks        []map[uint64]Vote
 	diskQueues   [][]Action
 	clocks       []time.Duration
-	lostState    []bool // by node: the disk was wiped and has not caught up
+	// lostVotes tells by node whether its disk was wiped. It is reset once a closed vote is on disk, or when the node
+	// catches up and no version is stored.
+	lostVotes    []bool
 	participants []*Participant
 	incarnations []uint64 // of nodes and proxies
 	isolated     []bool   // of nodes and proxies
@@ -62,9 +67,9 @@
 	confirmed []map[proxyVersion]confirmedBody // by node
 	violation string
 
-	reordersReconnects bool // messages of an ended proxy arrive after the hello of its next incarnation
-	wipes              int
-	shared             uint64 // bit set of the processes whose state is shared with another cluster
+	reordersAcrossReconnects bool // messages of an ended proxy arrive after the hello of its next incarnation
+	wipes                    int
+	shared                   uint64 // bit set of the processes whose state is shared with another cluster
 }
 
 const (
@@ -89,7 +94,7 @@
 		disks:        make([]map[uint64]Vote, nodeCount),
 		diskQueues:   make([][]Action, nodeCount),
 		clocks:       make([]time.Duration, nodeCount),
-		lostState:    make([]bool, nodeCount),
+		lostVotes:    make([]bool, nodeCount),
 		participants: make([]*Participant, proxyCount),
 		incarnations: make([]uint64, processCount),
 		isolated:     make([]bool, processCount),
@@ -301,7 +306,7 @@
 	case Message:
 		c.stepCoordinator(to, MessageReceived{processName(from), m})
 	case proxyHello:
-		c.confirmed[to][proxyVersion{proxy: from}] = confirmedBody{incarnation: m.incarnation}
+		c.confirmed[to][leaseKey(from)] = confirmedBody{incarnation: m.incarnation}
 		c.stepCoordinator(
 			to,
 			LeaseGranted{processName(from), c.zone(from), m.incarnation},
@@ -310,7 +315,7 @@
 	case CommandReceived:
 		c.stepParticipant(to, m)
 	case Confirmed:
-		if c.confirmed[to][proxyVersion{proxy: from}].incarnation == m.Incarnation {
+		if c.confirmed[to][leaseKey(from)].incarnation == m.Incarnation {
 			c.confirmed[to][proxyVersion{from, m.Version}] = confirmedBody{m.Incarnation, m.Digest}
 		}
 		if c.bugs.countsStaleConfirmations {
@@ -332,7 +337,7 @@
 		if err == nil {
 			c.disks[i][a.Version] = a.Vote
 			if a.Closed {
-				c.lostState[i] = false
+				c.lostVotes[i] = false
 			}
 			if a.Accepted != (BallotNumber{}) && !a.Decided {
 				c.recordVote(i, a.Vote)
@@ -376,9 +381,9 @@
 	if wiped {
 		c.wipes++
 		c.disks[i] = map[uint64]Vote{}
-		c.lostState[i] = !c.bugs.votesAfterWipe
+		c.lostVotes[i] = !c.bugs.votesAfterWipe
 	}
-	c.startCoordinator(i, !c.lostState[i])
+	c.startCoordinator(i, !c.lostVotes[i])
 }
 
 // restartParticipant starts a proxy anew. The messages that it had sent are still delivered.
@@ -388,7 +393,7 @@
 		*c.queue(i, proxy) = nil
 		c.enqueue(proxy, i, proxyHello{c.incarnations[proxy]})
 		q := c.queue(proxy, i)
-		if last := len(*q) - 1; c.reordersReconnects && last > 0 {
+		if last := len(*q) - 1; c.reordersAcrossReconnects && last > 0 {
 			*q = append([]any{(*q)[last]}, (*q)[:last]...)
 		}
 	}
