--- a/internal/bench/discovery/registry.go
+++ b/internal/bench/discovery/registry.go
@@ -257,7 +257,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	plan := reconcile.DefaultConfig()
-	plan.Prefix, plan.Endpoints, plan.HistoryHold = prefix, 1, hold
+	plan.Prefix, plan.Endpoints, plan.RestoredListHold = prefix, 1, hold
 	plan.WatchSendsChanges, plan.SupportsCheck = kind == operatorfile.Etcd, kind == operatorfile.Etcd
 	o := operatorfile.Registry{Kind: kind, Endpoints: []string{ours.Addr()}, Config: plan}
 	if kind == operatorfile.Consul {
--- a/internal/controller/aggregation/aggregation_test.go
+++ b/internal/controller/aggregation/aggregation_test.go
@@ -14,7 +14,7 @@
 	nodes    map[string]*Node
 	names    []string
 	now      time.Duration
-	received map[string]map[string]float64 // by node: attempts of the others, by backend
+	received map[string]map[string]float64 // attempts that other nodes recorded, by receiving node and backend
 	maxAge   time.Duration                 // of all totals
 	drops    func(from, to string) bool    // nil: no message is lost
 }
@@ -51,31 +51,31 @@
 	slices.SortFunc(order, func(a, b string) int { return f.depth(b) - f.depth(a) })
 	for _, name := range order {
 		n := f.nodes[name]
-		partial, others, forChildren := n.Flush(f.now)
+		partial, fromOthers, forChildren := n.Flush(f.now)
 		if partial != nil && (f.drops == nil || !f.drops(name, n.Parent())) {
 			f.nodes[n.Parent()].HandlePartial(name, *partial, f.now)
 			if f.nodes[n.Parent()].HandlePartial(name, *partial, f.now) {
 				panic("a duplicate partial was accepted")
 			}
 		}
-		f.deliverTotal(name, others, forChildren)
+		f.deliverTotal(name, fromOthers, forChildren)
 	}
 }
 
-func (f *fleet) deliverTotal(name string, others *Summary, forChildren map[string]Total) {
-	if others == nil {
+func (f *fleet) deliverTotal(name string, fromOthers *Summary, forChildren map[string]Total) {
+	if fromOthers == nil {
 		return
 	}
-	for _, r := range others.Reports {
+	for _, r := range fromOthers.Reports {
 		f.received[name][r.Backend] += r.Attempts
 	}
-	f.maxAge = max(f.maxAge, others.Age)
+	f.maxAge = max(f.maxAge, fromOthers.Age)
 	for child, t := range forChildren {
 		if f.drops != nil && f.drops(name, child) {
 			continue
 		}
-		childOthers, further := f.nodes[child].HandleTotal(name, t, f.now)
-		f.deliverTotal(child, childOthers, further)
+		childFromOthers, forGrandchildren := f.nodes[child].HandleTotal(name, t, f.now)
+		f.deliverTotal(child, childFromOthers, forGrandchildren)
 		if again, _ := f.nodes[child].HandleTotal(name, t, f.now); again != nil {
 			panic("a duplicate total was accepted")
 		}
@@ -167,7 +167,8 @@
 	}
 }
 
-// The weight of a node that sends implausible values is bounded. Partitions each continue with their own sums.
+// A node that sends implausible values can add only a bounded number of attempts. In a partitioned fleet, each part
+// counts only the attempts of its own nodes.
 func TestImplausibleReportsAndPartition(t *testing.T) {
 	f := newFleet(24)
 	faulty := f.names[0]
@@ -197,6 +198,6 @@
 	}
 	f.runRound()
 	if got := f.received["n3"]["s"] - before; got != 11 {
-		t.Errorf("a partition of 12 nodes received %v of 11 attempts", got)
+		t.Errorf("n3, in a partition of 12 nodes, received %v attempts, want the 11 of the other nodes", got)
 	}
 }
--- a/internal/controller/discovery/watch/cases_test.go
+++ b/internal/controller/discovery/watch/cases_test.go
@@ -376,7 +376,7 @@
 }
 
 // Guards against trusting a registry at once that was restored from a snapshot, with the same cluster ID or another.
-// Known drains and removals stay in effect for HistoryHold; later changes take effect at once.
+// Known drains and removals stay in effect for RestoredListHold; later changes take effect at once.
 func TestRegistryRestoredFromSnapshot(t *testing.T) {
 	forEachKind(t, func(t *testing.T, kind string) {
 		for _, id := range []uint64{7, 8} {
@@ -386,7 +386,7 @@
 			r.put("c", reconcile.Serving)
 			snapshot := r.store.Save()
 			p := r.config()
-			p.HistoryHold = 400 * time.Millisecond
+			p.RestoredListHold = 400 * time.Millisecond
 			r.start(p, discovery.Access{})
 			r.waitForMembers(map[string]string{"a": "SERVING", "b": "SERVING", "c": "SERVING"})
 			r.put("a", reconcile.Draining)
--- a/internal/controller/eventloop/eventloop.go
+++ b/internal/controller/eventloop/eventloop.go
@@ -79,14 +79,14 @@
 )
 
 type proxy struct {
-	stream         Stream // nil if the proxy is not connected
-	zone           int
-	tables         []int       // by product; none if no table is assigned
-	newTables      uint32      // mask of the products that were assigned a table in this step
-	notified       []usability // by backend
-	initial        usability   // of backends without a notification on this stream
-	pendingMarkers []int       // sent and not yet acknowledged
-	isRecipient    bool        // the proxy is in Loop.recipients
+	stream            Stream // nil if the proxy is not connected
+	zone              int
+	tables            []int       // by product; none if no table is assigned
+	newTables         uint32      // mask of the products that were assigned a table in this step
+	notifiedUsability []usability // by backend
+	initial           usability   // of backends without a notification on this stream
+	pendingMarkers    []int       // sent and not yet acknowledged
+	isRecipient       bool        // the proxy is in Loop.recipients
 }
 
 type table struct {
--- a/internal/controller/eventloop/eventloop_test.go
+++ b/internal/controller/eventloop/eventloop_test.go
@@ -440,7 +440,7 @@
 			most,
 			len(loop.backends),
 		); most > 40 || len(loop.index) > 40 || len(loop.proxyOf) > 3 ||
-			len(loop.proxies[at].notified) > 40 {
+			len(loop.proxies[at].notifiedUsability) > 40 {
 			t.Fatalf("%d: %d indices, %d names, %d streams", i, most, len(loop.index), len(loop.proxyOf))
 		}
 	}
--- a/internal/controller/eventloop/lists.go
+++ b/internal/controller/eventloop/lists.go
@@ -10,7 +10,7 @@
 	"elmfold/internal/policy"
 )
 
-// statuses maps the phases of discovery to the statuses of the policy.
+// statuses maps the Phase of a reconcile.Member to a policy.Status.
 var statuses = map[string]policy.Status{
 	reconcile.Serving:  policy.Ready,
 	reconcile.Draining: policy.Draining,
@@ -25,7 +25,7 @@
 		kind = policy.ListFull
 	}
 	entries := make([]policy.Entry, 0, len(list.Members))
-	isPresent := map[int]bool{} // by the index of each backend that the list names
+	isPresent := map[int]bool{} // by index, for each backend in the list; false: the list marks it as gone
 	var ignored []reconcile.Member
 	for _, m := range list.Members {
 		status, ok := statuses[m.Phase]
@@ -34,11 +34,11 @@
 			ignored = append(ignored, m)
 			continue
 		}
-		at, listed := l.index[m.ID]
-		if !listed && status == policy.Gone {
+		at, hasIndex := l.index[m.ID]
+		if !hasIndex && status == policy.Gone {
 			continue
 		}
-		if !listed {
+		if !hasIndex {
 			at = l.allocateIndex(m.ID)
 		}
 		isPresent[at] = status != policy.Gone
@@ -97,7 +97,8 @@
 }
 
 // releaseIndices frees the indices of backends that left the list more than indexRetention ago and that are in no
-// proxy's table. Otherwise the slices grow with every new backend id. Later reports about such a backend are rejected.
+// proxy's table. Without this, the slices would grow with every new backend id. Later reports about such a backend are
+// rejected.
 // It runs once a second, because it checks every backend against all proxies.
 func (l *Loop) releaseIndices() {
 	if l.now < l.lastReleaseAt+policy.Second {
@@ -113,7 +114,7 @@
 		delete(l.index, id)
 		l.backends[at], l.withdrawn[at], l.free = "", false, append(l.free, at)
 		for i := range l.proxies {
-			if notified := l.proxies[i].notified; at < len(notified) {
+			if notified := l.proxies[i].notifiedUsability; at < len(notified) {
 				notified[at] = usabilityUnknown
 			}
 		}
--- a/internal/controller/eventloop/orders.go
+++ b/internal/controller/eventloop/orders.go
@@ -196,8 +196,8 @@
 
 // knownUsability returns the state of a backend that the proxy was last notified of.
 func (p *proxy) knownUsability(b int) usability {
-	if b < len(p.notified) && p.notified[b] != usabilityUnknown {
-		return p.notified[b]
+	if b < len(p.notifiedUsability) && p.notifiedUsability[b] != usabilityUnknown {
+		return p.notifiedUsability[b]
 	}
 	return p.initial
 }
@@ -254,7 +254,7 @@
 // connected to another controller may hold withdrawals from there. Each is replaced with the first table entry of that
 // backend, or with the first order about it.
 func (l *Loop) withdrawalPart(p *proxy) (part textproto.Part) {
-	p.notified = append(p.notified, make([]usability, len(l.backends)-len(p.notified))...)
+	p.notifiedUsability = append(p.notifiedUsability, make([]usability, len(l.backends)-len(p.notifiedUsability))...)
 	lacksTable := slices.Contains(p.tables, none) // the proxy still uses a table from another controller
 	for b, name := range l.backends {
 		known, want := p.knownUsability(b), usabilityOf(l.withdrawn[b])
@@ -263,7 +263,7 @@
 		}
 		if known == withdrawn && !l.mayHaveEntry(p, b) && l.isWeightChanged(p, b) {
 			// This message removes the backend's last entry, so the withdrawal has to end with it.
-			p.notified[b], part.Restored = usable, append(part.Restored, name)
+			p.notifiedUsability[b], part.Restored = usable, append(part.Restored, name)
 			continue
 		}
 		// A proxy that waits for its first table is only notified of the orders of this step, because the policy
@@ -271,7 +271,7 @@
 		if known == want || lacksTable && !slices.Contains(l.withdrawalOrders, b) || !l.mayHaveEntry(p, b) {
 			continue
 		}
-		if p.notified[b] = want; want == withdrawn {
+		if p.notifiedUsability[b] = want; want == withdrawn {
 			part.Withdrawn = append(part.Withdrawn, name)
 		} else {
 			part.Restored = append(part.Restored, name)
--- a/internal/controller/operatorfile/operatorfile.go
+++ b/internal/controller/operatorfile/operatorfile.go
@@ -436,7 +436,7 @@
 		"refusal-limit": p.durationRule(&config.MaxRejectedBackoff, time.Millisecond, time.Hour),
 		"spread":        p.durationRule(&config.ReloadJitter, 0, time.Minute),
 		"read-gap":      p.durationRule(&config.MinReloadInterval, 0, time.Minute),
-		"hold":          p.durationRule(&config.HistoryHold, 0, time.Hour),
+		"hold":          p.durationRule(&config.RestoredListHold, 0, time.Hour),
 		"keep-ends":     p.durationRule(&config.TombstoneRetention, time.Second, 240*time.Hour),
 		"ends-limit":    p.countRule(&config.MaxTombstones, 0, 1_000_000),
 		"shrink":        p.percentRule(&config.ShrinkWarnRatio),
--- a/internal/controller/operatorfile/operatorfile_test.go
+++ b/internal/controller/operatorfile/operatorfile_test.go
@@ -25,7 +25,7 @@
 	}
 	want := reconcile.DefaultConfig()
 	want.Endpoints, want.Prefix, want.WatchSendsChanges, want.SupportsCheck = 3, "/elmfold/back ends", true, true
-	want.PageSize, want.MaxValueSize, want.HistoryHold = 1000, 4<<10, 45*time.Second
+	want.PageSize, want.MaxValueSize, want.RestoredListHold = 1000, 4<<10, 45*time.Second
 	want.ShrinkWarnRatio, want.AuditInterval = 0.3, 0
 	if g := f.Registry; g.Kind != Etcd || g.Config != want ||
 		!reflect.DeepEqual(g.Endpoints, []string{"10.3.0.1:2379", "10.3.0.2:2379", "[fd00::3]:2379"}) ||
--- a/internal/controller/reconcile/config.go
+++ b/internal/controller/reconcile/config.go
@@ -5,7 +5,7 @@
 // Time is the time elapsed since an arbitrary fixed moment. It never decreases.
 type Time = time.Duration
 
-// Config configures a Reconciler. Unless a comment says otherwise, a duration of 0 disables the feature.
+// Config configures a Reconciler.
 type Config struct {
 	Seed              string // of the random numbers, such as the controller's name and start time
 	Prefix            string // keys are Prefix/ID
@@ -14,24 +14,26 @@
 	SupportsCheck     bool   // the registry can answer a Check
 
 	PageSize     int // entries per page
-	MaxPageSize  int // the page size may grow so far if compaction overtakes a read
+	MaxPageSize  int // limit of the page size, which doubles whenever compaction interrupts a read
 	MaxValueSize int // bytes
 	MaxKeys      int // a larger list is rejected
 
-	ProgressInterval   Time // without a message before progress is requested
-	WatchTimeout       Time // without a message before a watch is abandoned
-	ResponseTimeout    Time // for any other response
-	AuditInterval      Time // between two checks of the list during a watch
-	MinBackoff         Time // after a first failure
-	MaxBackoff         Time // while the registry is unreachable
-	MaxRejectedBackoff Time // while the registry rejects the controller
-	ReloadJitter       Time // spreads the reads of controllers that need the whole list at the same time
-	MinReloadInterval  Time // between the starts of two reads of the whole list
+	ProgressInterval   time.Duration // progress is requested after this time without a message
+	WatchTimeout       time.Duration // a watch is abandoned after this time without a message
+	ResponseTimeout    time.Duration // a read or check is abandoned after this time without a response
+	AuditInterval      time.Duration // between two checks of the list during a watch; 0: no checks
+	MinBackoff         time.Duration // after a first failure
+	MaxBackoff         time.Duration // while the registry is unreachable
+	MaxRejectedBackoff time.Duration // while the registry rejects the controller
+	ReloadJitter       time.Duration // spreads the reads of controllers that need the whole list at the same time
+	MinReloadInterval  time.Duration // between the starts of two reads of the whole list
 
-	HistoryHold        Time    // how long a known drain or removal overrides a list of another history
-	TombstoneRetention Time    // of a removed backend
-	MaxTombstones      int     // the oldest ones are dropped beyond that
-	ShrinkWarnRatio    float64 // fraction of the backends whose removal at once is logged
+	// RestoredListHold is how long a known drain or removal stays in effect after the registry was restored or
+	// replaced, even if the new list says otherwise. 0 means not at all.
+	RestoredListHold   time.Duration
+	TombstoneRetention time.Duration // of a removed backend
+	MaxTombstones      int           // the oldest ones are dropped beyond that
+	ShrinkWarnRatio    float64       // fraction of the backends whose removal at once is logged
 }
 
 // DefaultConfig returns the settings that an operator may leave out.
@@ -51,7 +53,7 @@
 		MaxRejectedBackoff: 30 * time.Second,
 		ReloadJitter:       700 * time.Millisecond,
 		MinReloadInterval:  250 * time.Millisecond,
-		HistoryHold:        30 * time.Second,
+		RestoredListHold:   30 * time.Second,
 		TombstoneRetention: time.Hour,
 		MaxTombstones:      20000,
 		ShrinkWarnRatio:    0.5,
--- a/internal/controller/reconcile/entries.go
+++ b/internal/controller/reconcile/entries.go
@@ -134,7 +134,7 @@
 	liveBefore, isFirst := r.liveCount, !r.hasList
 	if !isFirst && !sameHistory {
 		r.log(LogEntry{Warn: true, Text: "the list is of another history; holding known drains and removals for a while",
-			Endpoint: r.endpoint(), Revision: r.pagesRevision, Count: r.liveCount, Reason: r.config.HistoryHold.String()})
+			Endpoint: r.endpoint(), Revision: r.pagesRevision, Count: r.liveCount, Reason: r.config.RestoredListHold.String()})
 	}
 	slices.SortStableFunc(r.pages, func(a, b KeyValue) int {
 		return cmp.Or(cmp.Compare(a.ModRevision, b.ModRevision), cmp.Compare(a.Key, b.Key))
@@ -210,10 +210,10 @@
 	undoesDrain := e.published.Phase == Draining && e.current.Phase == Serving
 	undoesRemoval := e.published.ID == "" && e.removed && e.current.ID != ""
 	switch {
-	case !undoesDrain && !undoesRemoval || r.config.HistoryHold == 0:
+	case !undoesDrain && !undoesRemoval || r.config.RestoredListHold == 0:
 		e.holdUntil = 0
 	case e.holdUntil == 0:
-		e.holdUntil = r.now + r.config.HistoryHold
+		e.holdUntil = r.now + r.config.RestoredListHold
 		r.scheduleExpiry(e.holdUntil)
 	}
 }
--- a/internal/controller/reconcile/model_test.go
+++ b/internal/controller/reconcile/model_test.go
@@ -207,7 +207,7 @@
 // check compares the published list with the registry at the reconciler's revision.
 func (w *model) check() {
 	if w.restoreUndetected && w.r.phase == watching && (w.r.config.WatchSendsChanges || w.currentAnswered) {
-		w.restoreUndetected, w.holdsEnd = false, w.now+w.r.config.HistoryHold
+		w.restoreUndetected, w.holdsEnd = false, w.now+w.r.config.RestoredListHold
 		for _, f := range w.holds {
 			if f.until == 0 {
 				f.until = w.holdsEnd
@@ -290,7 +290,7 @@
 	plan := DefaultConfig()
 	plan.Seed, plan.Prefix, plan.PageSize, plan.Endpoints = "m", "p", 3, 3
 	plan.WatchSendsChanges, plan.SupportsCheck = changes, changes
-	plan.MaxValueSize, plan.HistoryHold = 1000, 5*time.Second
+	plan.MaxValueSize, plan.RestoredListHold = 1000, 5*time.Second
 	return &model{T: t, r: New(plan), s: modelRegistry{id: 7}, published: map[string]Member{}, removed: map[string]bool{},
 		holds: map[string]*expectedHold{}}
 }
--- a/internal/controller/reconcile/reconciler.go
+++ b/internal/controller/reconcile/reconciler.go
@@ -7,13 +7,14 @@
 	"cmp"
 	"fmt"
 	"slices"
+	"time"
 )
 
-// phase is what the current attempt is doing.
+// phase is what the reconciler is doing.
 type phase uint8
 
 const (
-	waiting  phase = iota // for the next attempt
+	waiting  phase = iota // until the next attempt starts
 	reading               // the whole list
 	checking              // the published list against the registry
 	watching
@@ -32,11 +33,11 @@
 	now        Time
 	entries    map[string]*entry // by key
 	hasList    bool              // a whole list has been published
-	clusterID  uint64            // of the cluster that numbers the revisions
+	clusterID  uint64            // ID of the registry cluster that revision belongs to
 	revision   int64             // entries include all changes up to it
 	liveCount  int               // published backends
 	tombstones int               // an upper bound of the removed backends in entries
-	nextExpiry Time              // of the earliest hold or tombstone; 0 if there is none
+	nextExpiry Time              // of the first RestoredListHold or tombstone to expire; 0 if there is none
 
 	phase             phase
 	attempt           int
@@ -44,14 +45,18 @@
 	progressRequested bool // since lastMessageAt
 	waitUntil         Time // end of the phase waiting
 	reloadNeeded      bool // the whole list has to be read before the next watch
-	verified          bool // the list was compared with the registry since the last failure, as far as possible
-	diverged          bool // a check found another list, so the next whole list is of another history
-	lastReloadAt      Time
-	hasReloaded       bool // lastReloadAt is set
-	pageSize          int  // of the next read
-	expected          checkExpectation
-	auditing          bool // a check runs during the watch
-	nextAuditAt       Time
+	// verified is set if the list was compared with the registry since the last failure, or cannot be compared because
+	// its revision is compacted.
+	verified bool
+	// diverged is set if a check found a different list at the same revision, so that the registry was restored or
+	// replaced. Reading the whole list clears it.
+	diverged     bool
+	lastReloadAt Time
+	hasReloaded  bool // lastReloadAt is set
+	pageSize     int  // of the next read
+	expected     checkExpectation
+	auditing     bool // a check runs during the watch
+	nextAuditAt  Time
 
 	pages          []KeyValue // pages of the current read
 	pagesRevision  int64
@@ -165,7 +170,7 @@
 func (r *Reconciler) endpoint() int { return r.endpointOrder[r.endpointIndex] }
 
 // waitFor delays the next attempt. If it has to read the whole list, the delay respects MinReloadInterval.
-func (r *Reconciler) waitFor(delay Time) {
+func (r *Reconciler) waitFor(delay time.Duration) {
 	r.phase, r.waitUntil = waiting, r.now+delay
 	if r.hasReloaded && (r.reloadNeeded || !r.hasList) {
 		r.waitUntil = max(r.waitUntil, r.lastReloadAt+r.config.MinReloadInterval)
@@ -197,13 +202,14 @@
 func (r *Reconciler) startWatch() {
 	r.phase, r.lastMessageAt, r.progressRequested, r.auditing = watching, r.now, false, false
 	r.nextAuditAt = r.now + r.config.AuditInterval
-	// The index of the registry may have decreased during a failure. A blocking query for a higher one would not return.
+	// If the registry's index has decreased below r.revision during a failure, a blocking query would wait until the
+	// index exceeds r.revision. The first response is therefore requested at once.
 	r.emit(Watch{Attempt: r.attempt, Endpoint: r.endpoint(), AfterRevision: r.revision,
 		Immediate: !r.config.WatchSendsChanges && !r.verified})
 }
 
-// startCheck asks the registry for a summary of the list at the current revision. Only this detects a registry that was
-// restored from a backup and has since passed that revision.
+// startCheck asks the registry for a summary of the list at the current revision. Only a check detects that the
+// registry was restored from a backup and has reached the current revision again.
 func (r *Reconciler) startCheck() {
 	r.expected = checkExpectation{revision: r.revision}
 	for _, e := range r.entries {
@@ -215,9 +221,9 @@
 }
 
 // reload ends the attempt and reads the whole list after a random delay of up to maxDelay.
-func (r *Reconciler) reload(maxDelay Time) {
+func (r *Reconciler) reload(maxDelay time.Duration) {
 	r.reloadNeeded = true
-	r.waitFor(Time(float64(maxDelay) * r.random()))
+	r.waitFor(time.Duration(float64(maxDelay) * r.random()))
 }
 
 func (r *Reconciler) reloadWithWarning(text string, revision int64) {
@@ -253,7 +259,7 @@
 	if r.endpointIndex++; r.endpointIndex == len(r.endpointOrder) {
 		r.shuffle()
 	}
-	r.waitFor(Time(float64(min(backoff, maxBackoff)) * (0.5 + 0.5*r.random())))
+	r.waitFor(time.Duration(float64(min(backoff, maxBackoff)) * (0.5 + 0.5*r.random())))
 }
 
 // markHealthy ends an outage after a valid response.
@@ -312,7 +318,7 @@
 		if e.Attempt != r.attempt {
 			return
 		}
-		// A lower revision only means that this member of the cluster lags, since the list was verified before.
+		// The list was verified before the watch, so a lower revision only means that this registry server lags.
 		if r.recordMessage(); e.ClusterID != r.clusterID {
 			r.reloadWithWarning("the watch is from another cluster; reading the whole list", e.Revision)
 		}
@@ -340,7 +346,9 @@
 	}
 	switch last := len(e.Entries) - 1; {
 	case e.Revision != r.pagesRevision || e.ClusterID != r.pagesClusterID:
-		r.fail(InvalidResponse, fmt.Errorf("pages of one read have revisions %d and %d", r.pagesRevision, e.Revision))
+		r.fail(InvalidResponse, fmt.Errorf(
+			"pages of one read are from revision %d of cluster %d and revision %d of cluster %d",
+			r.pagesRevision, r.pagesClusterID, e.Revision, e.ClusterID))
 	case e.More && last < 0:
 		r.fail(InvalidResponse, fmt.Errorf("empty page before the last one"))
 	case len(r.pages)+len(e.Entries) > r.config.MaxKeys:
@@ -401,7 +409,7 @@
 	case e.ClusterID != r.clusterID:
 		r.reloadWithWarning("progress is from another cluster; reading the whole list", e.Revision)
 	case r.config.WatchSendsChanges:
-		// A lower revision only means that this member of the cluster lags.
+		// A lower revision only means that this registry server lags.
 		if len(r.partialChanges) == 0 {
 			r.revision = max(r.revision, e.Revision)
 		}
@@ -451,7 +459,7 @@
 		return
 	}
 	if e.ForCheck && r.phase == watching {
-		// The list cannot be compared any more, and the watch delivers the changes since then.
+		// The revision to compare at is compacted. This audit is skipped, and the watch still delivers all changes.
 		r.lastMessageAt, r.auditing, r.nextAuditAt = r.now, false, r.now+r.config.AuditInterval
 		return
 	}
@@ -464,6 +472,6 @@
 		r.log(LogEntry{Text: "the last known revision is compacted; reading the whole list", Endpoint: r.endpoint(),
 			Revision: e.OldestRevision, Count: r.liveCount})
 	}
-	r.verified = true // as far as possible, since the revision is gone
+	r.verified = true // the list cannot be compared at a compacted revision
 	r.reload(r.config.ReloadJitter)
 }
