--- a/internal/controlplane/metrics.go
+++ b/internal/controlplane/metrics.go
@@ -32,7 +32,7 @@
 	m.callsInProgress.Add(1)
 	stopWatching := context.AfterFunc(r.Context(), m.callDisconnects.Inc)
 	return func() {
-		if stopWatching() && r.Context().Err() != nil { // the call ended before the watching function could run
+		if stopWatching() && r.Context().Err() != nil { // the client disconnected, but AfterFunc has not counted it
 			m.callDisconnects.Inc()
 		}
 		m.callsInProgress.Add(-1)
--- a/internal/gateway/session/dialer.go
+++ b/internal/gateway/session/dialer.go
@@ -10,8 +10,9 @@
 	"elmfold/internal/gateway/rpc"
 )
 
-// refusedRetryInterval is the delay before an address is dialed again after Sessions has refused the connection to it.
-const refusedRetryInterval = 3 * time.Second
+// duplicateRetryInterval is the delay before an address is dialed again after Sessions has refused a duplicate
+// connection.
+const duplicateRetryInterval = 3 * time.Second
 
 // Dialer keeps a connection to each address passed to Connect. Its exported fields must be set before the first
 // Connect.
@@ -19,16 +20,18 @@
 	Queue *CommandQueue // of the owner, which runs OnMessage and OnDisconnect
 	Clock clockwork.Clock
 	Dial  func(address string) (net.Conn, error)
-	// SelfName is the name of this process if its own address may be dialed. A connection to itself is closed and the
-	// address is not dialed again.
+	// SelfName is the name of this process. It must be set if Connect may be passed the process's own address: the
+	// connection to that address is then closed, and the address is not dialed again.
 	SelfName      string
 	RetryInterval time.Duration       // delay after a closed connection or a failed dial
 	ReadTimeout   time.Duration       // a connection is closed if no message arrives for this time
 	Hello         func() *rpc.Message // returns the first message of a connection; called on any goroutine
-	// OnMessage handles a message of a current connection. The first message of each connection, and only the first, has
-	// Hello. OnMessage may close the connection to get the peer's whole state again on the next one.
+	// OnMessage handles a message of the current connection to a peer: the one that Sessions has registered. The first
+	// message of each connection, and only the first, has Hello. OnMessage may close the connection to get the peer's
+	// whole state again on the next one.
 	OnMessage func(name string, conn *rpc.Conn, m *rpc.Message)
-	// OnDisconnect is called when a current connection ends: after its last message, and before the Hello of the next one.
+	// OnDisconnect is called when the current connection to a peer ends: after its last message, and before the Hello of
+	// the next one.
 	OnDisconnect func(name string, conn *rpc.Conn)
 
 	sessions Sessions
@@ -75,9 +78,9 @@
 			switch outcome {
 			case connectedToSelf:
 				return
-			case refused:
-				delay = refusedRetryInterval
-			case ended:
+			case duplicate:
+				delay = duplicateRetryInterval
+			case disconnected:
 			}
 		}
 		select {
@@ -121,8 +124,8 @@
 type connOutcome uint8
 
 const (
-	ended           connOutcome = iota // closed by the peer, or an error
-	refused                            // another connection to the peer is current
+	disconnected    connOutcome = iota // closed by the peer, or an error
+	duplicate                          // another connection to the peer is current
 	connectedToSelf                    // the address belongs to this process
 )
 
@@ -130,7 +133,7 @@
 func (d *Dialer) serve(conn *rpc.Conn) connOutcome {
 	conn.Send(d.Hello())
 	var peer *rpc.Hello
-	var wasRefused atomic.Bool
+	var isDuplicate atomic.Bool
 	for {
 		m, err := conn.Receive(d.ReadTimeout)
 		if err != nil {
@@ -150,7 +153,7 @@
 				return connectedToSelf
 			}
 		}
-		d.Queue.Do(func() { d.handle(peer.Node.Name, conn, m, &wasRefused) })
+		d.Queue.Do(func() { d.handle(peer.Node.Name, conn, m, &isDuplicate) })
 	}
 	conn.Close()
 	if peer != nil {
@@ -160,17 +163,18 @@
 			}
 		})
 	}
-	if wasRefused.Load() {
-		return refused
+	if isDuplicate.Load() {
+		return duplicate
 	}
-	return ended
+	return disconnected
 }
 
-// handle processes a message on the owner's goroutine. It sets wasRefused if the connection is refused.
-func (d *Dialer) handle(name string, conn *rpc.Conn, m *rpc.Message, wasRefused *atomic.Bool) {
+// handle processes a message on the owner's goroutine. It sets isDuplicate if Sessions refuses the
+// connection.
+func (d *Dialer) handle(name string, conn *rpc.Conn, m *rpc.Message, isDuplicate *atomic.Bool) {
 	if m.Hello != nil {
 		replaced, ok := d.sessions.Register(m.Hello, conn)
-		wasRefused.Store(!ok)
+		isDuplicate.Store(!ok)
 		if replaced != nil {
 			d.OnDisconnect(name, replaced)
 		}
--- a/internal/gateway/session/queue.go
+++ b/internal/gateway/session/queue.go
@@ -27,7 +27,7 @@
 }
 
 // Post queues f and never blocks. It is for callbacks that may run on the owner's goroutine. Functions that one
-// goroutine posts are run in the same order.
+// goroutine posts run in the order in which it posted them.
 func (q *CommandQueue) Post(f func()) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -43,7 +43,7 @@
 }
 
 // drainOverflow moves functions from overflow to commands until overflow is empty. It removes a function only after
-// queueing it, so that Post cannot put a later one in front of it.
+// sending it to commands, so that Post cannot send a later function first.
 func (q *CommandQueue) drainOverflow() {
 	for more := true; more; {
 		q.mu.Lock()
@@ -60,7 +60,8 @@
 // Commands returns the channel from which the owner receives the functions.
 func (q *CommandQueue) Commands() <-chan func() { return q.commands }
 
-// Stop stops the queue: Do no longer blocks, and Dialers end. It may be called more than once.
+// Stop stops the queue. After it, Do returns at once and may drop f, and a Dialer with this queue ends its goroutines.
+// Stop may be called more than once.
 func (q *CommandQueue) Stop() { q.stopOnce.Do(func() { close(q.stopped) }) }
 
 // Stopped returns a channel that Stop closes.
--- a/internal/proxy/upstream/maxconns_test.go
+++ b/internal/proxy/upstream/maxconns_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Guards against idle connections that exceed this proxy's share of an endpoint's connection limit.
-func TestMaxConns(t *testing.T) {
+// A call gets a connection even if MaxConns is reached. The connections above MaxConns are closed once they are idle.
+func TestConnsAboveMaxConnsCloseWhenIdle(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 		<-received
 	}
 	if n := p.OpenConns(addr); n != 3 {
-		t.Errorf("%d connections during three requests", n)
+		t.Errorf("%d connections during three requests, want 3, because MaxConns closes only idle connections", n)
 	}
 	close(release)
 	for range 3 {
