--- a/internal/controller/eventloop/lists.go
+++ b/internal/controller/eventloop/lists.go
@@ -114,8 +114,8 @@
 		delete(l.index, id)
 		l.backends[at], l.withdrawn[at], l.free = "", false, append(l.free, at)
 		for i := range l.proxies {
-			if notified := l.proxies[i].notifiedUsability; at < len(notified) {
-				notified[at] = usabilityUnknown
+			if usabilities := l.proxies[i].notifiedUsability; at < len(usabilities) {
+				usabilities[at] = usabilityUnknown
 			}
 		}
 		for _, t := range l.tables { // tables without a connected proxy may still hold a weight
--- a/internal/controller/reconcile/reconciler.go
+++ b/internal/controller/reconcile/reconciler.go
@@ -37,7 +37,7 @@
 	revision   int64             // entries include all changes up to it
 	liveCount  int               // published backends
 	tombstones int               // an upper bound of the removed backends in entries
-	nextExpiry Time              // of the first RestoredListHold or tombstone to expire; 0 if there is none
+	nextExpiry Time              // when the first RestoredListHold or tombstone expires; 0 if there is none
 
 	phase             phase
 	attempt           int
--- a/internal/controlplane/consensus/modelcheck_test.go
+++ b/internal/controlplane/consensus/modelcheck_test.go
@@ -178,7 +178,8 @@
 		clockSteps:    n.clockSteps,
 		replica: New(Options{Self: testNode(i), Incarnation: incarnation << 20, MaxFaults: (m.voters - 1) / 2,
 			Seeds: []string{"a0"}, State: state,
-			bugs: injectedBugs{noProposerTurns: true}}), // the clock that ends a wait may never advance
+			// Without this, a proposer waits for its turn by the clock, which may never advance in the model.
+			bugs: injectedBugs{noProposerTurns: true}}),
 	}
 }
 
@@ -353,7 +354,7 @@
 	isOtherValueOfVersion := done.Version.Number == proposal.version && !isProposed
 	switch {
 	case done.Outcome == Committed && (done.Version.Number < proposal.version || isOtherValueOfVersion):
-		m.failf("c%d: proposal %v is reported as committed, but with %v", i, proposal, done.Version)
+		m.failf("c%d: proposal %v is reported as committed, but the result is %v", i, proposal, done.Version)
 	case done.Outcome == Conflict && (done.Version.Number < proposal.version || isProposed):
 		m.failf("c%d: proposal %v is rejected, but %v is not another value of the same or a higher version",
 			i, proposal, done.Version)
--- a/internal/gateway/session/session_test.go
+++ b/internal/gateway/session/session_test.go
@@ -247,7 +247,7 @@
 		f.send(replacement, message(5))
 		replacement.Close()
 		f.send(f.accept("new"), hello("core-0", 2))
-		f.send(f.accept("old"), hello("core-0", 1)) // refused again, after refusedRetryInterval
+		f.send(f.accept("old"), hello("core-0", 1)) // refused again, after duplicateRetryInterval
 		autogold.Equal(t, f.stop())
 	})
 }
